--- a/cottonladder/decisions/interface.py
+++ b/cottonladder/decisions/interface.py
@@ -235,8 +235,22 @@
 
 
 Input = (
-    Listing | Wake | Probed | Hint | Joined | Left | Tally | Ingress | SliceLoad | Given | Stored | Answered
-    | Laid | Advised | Aside | Remembered
+    Listing
+    | Wake
+    | Probed
+    | Hint
+    | Joined
+    | Left
+    | Tally
+    | Ingress
+    | SliceLoad
+    | Given
+    | Stored
+    | Answered
+    | Laid
+    | Advised
+    | Aside
+    | Remembered
 )
 
 
@@ -341,6 +355,17 @@
 
 
 Order = (
-    SetLine | Empty | Bind | Cordon | Level | Mark | Follow | FetchList | Probe | Tell | WakeIn
-    | Forget | Remark
+    SetLine
+    | Empty
+    | Bind
+    | Cordon
+    | Level
+    | Mark
+    | Follow
+    | FetchList
+    | Probe
+    | Tell
+    | WakeIn
+    | Forget
+    | Remark
 )
--- a/cottonladder/lifecycle/manager.py
+++ b/cottonladder/lifecycle/manager.py
@@ -81,9 +81,7 @@
             return
         if new.discovery != held.discovery:
             self._discovery.move(new.discovery)
-        self._held = replace(
-            held, discovery=new.discovery, sockets=new.sockets, memory_mb=new.memory_mb
-        )
+        self._held = replace(held, discovery=new.discovery, sockets=new.sockets, memory_mb=new.memory_mb)
         self._address.shares = shares(self._held)
         fixed, (host, port) = ",".join(kept(held, new)) or "none", new.discovery
         self.log.info("configuration taken", discovery=f"{host}:{port}", unchangeable=fixed)
--- a/cottonladder/lifecycle/placement.py
+++ b/cottonladder/lifecycle/placement.py
@@ -77,4 +77,3 @@
         version=version,
         known=it.Listing(it.News.CACHED, listing.entries),
     )
-
--- a/cottonladder/simhost/codec.py
+++ b/cottonladder/simhost/codec.py
@@ -136,9 +136,7 @@
 }
 
 _ACTIONS: dict[type, Callable[[Door, Any], dict[str, Any]]] = {
-    it.SetLine: lambda d, o: {
-        "UPSERT": {"SetId": o.table, "Worker": d.be_ids[o.be], "Size": o.weight}
-    },
+    it.SetLine: lambda d, o: {"UPSERT": {"SetId": o.table, "Worker": d.be_ids[o.be], "Size": o.weight}},
     it.Empty: lambda d, o: {"EMPTY": {"SetId": o.table}},
     it.Bind: lambda d, o: {"PIN": {"Proxy": o.proxy, "SetId": o.table, "Only": o.kinds}},
     it.Cordon: lambda d, o: {"CORDON": {"Active": o.on, "Worker": d.be_ids[o.be]}},
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,13 +1,13 @@
 """Plays the scenarios of tests/spread: orders in, what they cost and send at each proxy out.
 
-    kinds NAME .. | managers N      come first; one manager if not said
-    listed bN[^STARTED] ..          discovery lists these
-    join pN [fresh] | left pN
-    line TABLE bN WEIGHT | empty TABLE | bind pN TABLE all|KIND | cordon bN | uncordon bN
-    level TABLE|all KIND LET_IN AGAIN | mark N [everyone] | forget bN
-    refused ORDER                   an order that must never be sent
-    costs pN=LINES ..               lines since the last `costs` or `sends` to that proxy; all others none
-    sends pN WORDS | WORDS ..       its whole message since the last `sends`, part by part; or: nothing
+kinds NAME .. | managers N      come first; one manager if not said
+listed bN[^STARTED] ..          discovery lists these
+join pN [fresh] | left pN
+line TABLE bN WEIGHT | empty TABLE | bind pN TABLE all|KIND | cordon bN | uncordon bN
+level TABLE|all KIND LET_IN AGAIN | mark N [everyone] | forget bN
+refused ORDER                   an order that must never be sent
+costs pN=LINES ..               lines since the last `costs` or `sends` to that proxy; all others none
+sends pN WORDS | WORDS ..       its whole message since the last `sends`, part by part; or: nothing
 """
 
 from __future__ import annotations
