--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.advice --json
 
-The month's end is played in simulated time on the module itself (`cottonladder.lab.month_end`), seeded; the
-rest runs on loopback.  `served_*`: share of reqs within target; each scenario beside none, same seeds.
+The month's end is played in simulated time on the module itself (`cottonladder.testbed.month_end`), seeded;
+the rest runs on loopback.  `served_*`: share of reqs within target; each scenario beside none, same seeds.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from pathlib import Path
 from typing import Any
 
-from cottonladder.advice import dfp, sasp
-from cottonladder.decisions.advice import Word
-from cottonladder.lab import month_end as me
-from cottonladder.lab.advisors import SaspBalancer, weights_of
-from cottonladder.lab.discovery import Discovery
-from cottonladder.lab.fleet import Manager
+from cottonladder.planning.advice_weighting import Word
+from cottonladder.testbed import month_end as me
+from cottonladder.testbed.advisors import SaspBalancer, weights_of
+from cottonladder.testbed.discovery import Discovery
+from cottonladder.testbed.fleet import Manager
+from cottonladder.weight_advice import dfp, sasp
 
 SEEDS, LOAD = (7, 8, 9, 10), 0.85
 BALANCERS, PUSHES = 200, 8
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -3,7 +3,7 @@
 
     python -m benchmarks.memory --json
 
-Restarts are played in simulated time on the module itself (`cottonladder.lab.month_end`), at the busiest;
+Restarts are played in simulated time on the module itself (`cottonladder.testbed.month_end`), at the busiest;
 the rest runs on this machine's disk and loop.
 """
 
@@ -21,15 +21,15 @@
 
 import structlog
 
-from cottonladder.decisions import ageing
-from cottonladder.decisions import interface as it
-from cottonladder.decisions.rules import Ladder
-from cottonladder.decisions.turns import Plan
-from cottonladder.lab import kills
-from cottonladder.lab import month_end as me
-from cottonladder.lifecycle.keeper import Folder, Keeper
-from cottonladder.lifecycle.tasks import Tasks
-from cottonladder.state.workers import Workers
+from cottonladder.control.background_scheduler import Tasks
+from cottonladder.control.snapshot_manager import Folder, Keeper
+from cottonladder.model import interface as it
+from cottonladder.planning import snapshot_staleness as ageing
+from cottonladder.planning.priority_scheduling import Plan
+from cottonladder.policy.controller import Ladder
+from cottonladder.state.worker_registry import Workers
+from cottonladder.testbed import crash_test as kills
+from cottonladder.testbed import month_end as me
 
 SEEDS, LOAD, LENGTH = (7, 8, 9, 10, 11, 12), 0.8, 100.0
 RESTART, AFTER = 70.0, 25.0  # s: when, and how long what comes after it is counted
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -21,11 +21,11 @@
 import aiohttp
 
 from benchmarks.upgraded import load
-from cottonladder.lab.discovery import Discovery
-from cottonladder.lab.fleet import ROOT, Forwarder, Manager
-from cottonladder.lab.workers import Case, Ledger, Worker
 from cottonladder.plugins.chain import req_record
 from cottonladder.plugins.host import Plugin
+from cottonladder.testbed.discovery import Discovery
+from cottonladder.testbed.fleet import ROOT, Forwarder, Manager
+from cottonladder.testbed.workers import Case, Ledger, Worker
 
 EXAMPLE = ROOT / "deploy" / "plugins" / "audit-trail.wat"
 SHELL = """(module (memory (export "memory") 1 4) (func (export "interface") (result i32) (i32.const 1))
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -26,15 +26,15 @@
 from statistics import median
 from typing import Any
 
-import cottonladder.lab
-from cottonladder.decisions import interface as it
-from cottonladder.decisions.rules import Gate
-from cottonladder.state.spread import Spread
+import cottonladder.testbed
+from cottonladder.model import interface as it
+from cottonladder.policy.controller import Gate
+from cottonladder.state.order_dispatcher import Spread
 
 HERE = Path(__file__).resolve()
-if str(lab := HERE.parents[1] / "cottonladder" / "lab") not in cottonladder.lab.__path__:
+if str(lab := HERE.parents[1] / "cottonladder" / "testbed") not in cottonladder.testbed.__path__:
     # The decisions and the state of an older tree, under this one's fleet: what that text lacks is left out.
-    cottonladder.lab.__path__.append(str(lab))
+    cottonladder.testbed.__path__.append(str(lab))
     if not hasattr(Gate, "settle"):
         Gate.settle = lambda self, written: None  # type: ignore[method-assign]
         Spread.added = lambda self, proxy, workers, whole: 0  # type: ignore[method-assign]
@@ -42,7 +42,7 @@
         terms = it.Terms
         it.Terms = lambda drain_grace, **more: terms(**more)  # type: ignore
 
-from cottonladder.lab.many import Many, site  # noqa: E402
+from cottonladder.testbed.simulated_fleet import Many, site  # noqa: E402
 
 USUAL = {"proxies": 400, "workers": 200, "zones": 4, "managers": 5}
 AXES = {
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -21,12 +21,12 @@
 
 import aiohttp
 
-from cottonladder.decisions import moves as mv
-from cottonladder.decisions.interface import Standing
-from cottonladder.lab.desks import Counts, Desk
-from cottonladder.lab.discovery import Discovery
-from cottonladder.lab.fleet import ROOT, Forwarder, Manager
-from cottonladder.lab.workers import Case, Ledger, Worker
+from cottonladder.model.interface import Standing
+from cottonladder.planning import connection_migration as mv
+from cottonladder.testbed.discovery import Discovery
+from cottonladder.testbed.fleet import ROOT, Forwarder, Manager
+from cottonladder.testbed.holding_clients import Counts, Desk
+from cottonladder.testbed.workers import Case, Ledger, Worker
 
 GRACE, ARRIVALS, HELD = 12.0, 100.0, 1000
 BUSY = 10  # of these, desks that release all the time
@@ -128,7 +128,7 @@
     """A worker in a process of its own behind a forwarder; gives the worker's address, too."""
     async with AsyncExitStack() as stack:
         child = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "cottonladder.lab.workers", cwd=ROOT,
+            sys.executable, "-B", "-m", "cottonladder.testbed.workers", cwd=ROOT,
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
         )  # fmt: skip
         stack.push_async_callback(child.wait)
--- /dev/null
+++ b/cottonladder/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line: one module a command group."""
--- a/cottonladder/lifecycle/advice_cli.py
+++ b/cottonladder/cli/advice.py
@@ -12,9 +12,9 @@
 
 import click
 
-from ..advice import dfp, sasp
-from ..advice.tlv import AdviceError, address_of
-from ..wire.terms import WireError, address
+from ..config.settings import WireError, address
+from ..weight_advice import dfp, sasp
+from ..weight_advice.tlv import AdviceError, address_of
 
 WAIT = 5.0  # s for the whole of it
 UID = b"cottonladder-show"
--- a/cottonladder/lifecycle/cli.py
+++ b/cottonladder/cli/main.py
@@ -12,15 +12,15 @@
 import structlog
 
 from .. import __version__
-from ..wire.messages import PING, PONG
-from ..wire.terms import WireError, address
-from . import signals
-from .manager import kept
-from .manager import serve as serve_manager
-from .placement import Placement, read_placement
+from ..config.manager_config import Placement, read_placement
+from ..config.settings import WireError, address
+from ..control import signals
+from ..control.manager import kept
+from ..control.manager import serve as serve_manager
+from ..protocol.messages import PING, PONG
 
 if TYPE_CHECKING:
-    from .operators import Operator
+    from ..config.operator_config import Operator
 
 PING_WAIT = 2.0  # s for each step: a manager that serves answers within one turn of its loop
 FILE = click.option(
@@ -34,7 +34,7 @@
 def _operator(path: str) -> Operator | None:
     if not path:
         return None
-    from .operators import read_operator
+    from ..config.operator_config import read_operator
 
     try:
         return read_operator(path)
@@ -90,7 +90,7 @@
 @click.option("--config", "operators", envvar="ROUTER_OPERATOR", required=True, help="The operators' file.")
 def forward(operators: str) -> None:
     """Carry reqs and upgraded connections to workers as managers order, until SIGTERM."""
-    from ..forwarder.run import serve as serve_forwarder
+    from ..forwarder.forwarder import serve as serve_forwarder
 
     _log()
     signals.reading()
@@ -110,7 +110,7 @@
 @click.option("--plain", is_flag=True, help="A line each half second in place of a table.")
 def demo(desks: int, plain: bool) -> None:
     """Two managers and four forwarders on loopback against stand-ins; a worker drains, then it ends."""
-    from ..lab.demo import play
+    from ..testbed.demo import play
 
     click.echo(play(desks, plain))
 
@@ -134,7 +134,7 @@
 @AS_JSON
 def show(where: str, protocol: str, members: tuple[str, ...], as_json: bool) -> None:
     """Tell what an advisor says of its members; status 1 if it says nothing that can be read."""
-    from .advice_cli import show as tell
+    from .advice import show as tell
 
     sys.exit(tell(where, protocol, members, as_json))
 
@@ -145,7 +145,7 @@
 @AS_JSON
 def probe(where: str, protocol: str, as_json: bool) -> None:
     """Ask whether an advisor speaks the protocol, and how long that takes."""
-    from .advice_cli import probe as ask
+    from .advice import probe as ask
 
     sys.exit(ask(where, protocol, as_json))
 
@@ -163,7 +163,7 @@
 @AS_JSON
 def memory_show(folder: str, as_json: bool) -> None:
     """List the generations: which hold, how old and how large they are."""
-    from .memory_cli import show as tell
+    from .memory import show as tell
 
     sys.exit(tell(folder, as_json))
 
@@ -172,7 +172,7 @@
 @FOLDER
 def verify(folder: str) -> None:
     """Read every generation; status 1 if one doesn't hold."""
-    from .memory_cli import verify as tell
+    from .memory import verify as tell
 
     sys.exit(tell(folder))
 
@@ -182,7 +182,7 @@
 @click.option("--generation", type=int, help="Its number; the newest that holds, if left out.")
 def export(folder: str, generation: int | None) -> None:
     """Print a generation's sections as JSON."""
-    from .memory_cli import export as tell
+    from .memory import export as tell
 
     sys.exit(tell(folder, generation))
 
@@ -191,7 +191,7 @@
 @FOLDER
 def compact(folder: str) -> None:
     """Remove all but the newest generation that holds.  Not while a process owns the folder."""
-    from .memory_cli import compact as tell
+    from .memory import compact as tell
 
     sys.exit(tell(folder))
 
@@ -201,7 +201,7 @@
 @click.option("--worker", required=True, help="The worker's id.")
 def forget(folder: str, worker: str) -> None:
     """Write a generation without anything about a worker.  Not while a process owns the folder."""
-    from .memory_cli import forget as tell
+    from .memory import forget as tell
 
     sys.exit(tell(folder, worker))
 
@@ -220,7 +220,7 @@
 @GRANTS
 def plugin_check(module: str, grants: tuple[str, ...]) -> None:
     """Load a plug-in as a forwarder would; status 1 and one line if it can't be."""
-    from .plugin_cli import check as tell
+    from .plugin import check as tell
 
     sys.exit(tell(module, grants))
 
@@ -232,7 +232,7 @@
 @AS_JSON
 def plugin_run(module: str, reqs: str, grants: tuple[str, ...], as_json: bool) -> None:
     """Replay recorded reqs, a line of JSON each, and print what the plug-in would have changed."""
-    from .plugin_cli import run as tell
+    from .plugin import run as tell
 
     sys.exit(tell(module, reqs, grants, as_json))
 
@@ -244,7 +244,7 @@
 @AS_JSON
 def plugin_bench(module: str, calls: int, grants: tuple[str, ...], as_json: bool) -> None:
     """How long a call takes."""
-    from .plugin_cli import bench as tell
+    from .plugin import bench as tell
 
     sys.exit(tell(module, calls, grants, as_json))
 
@@ -254,7 +254,7 @@
 @AS_JSON
 def plugin_list(operators: str, as_json: bool) -> None:
     """The plug-ins that an operators' file names, and whether they load."""
-    from .plugin_cli import listed as tell
+    from .plugin import listed as tell
 
     try:
         sys.exit(tell(operators, as_json))
@@ -268,7 +268,7 @@
 @AS_JSON
 def tasks(path: str, as_json: bool) -> None:
     """How the background tasks of a running process stand, over its local control."""
-    from .memory_cli import tasks as tell
+    from .memory import tasks as tell
 
     sys.exit(tell(path, as_json))
 
@@ -276,7 +276,7 @@
 @main.command()
 def schema() -> None:
     """Print the JSON schema of the operators' file."""
-    from .operators import schema as text
+    from ..config.operator_config import schema as text
 
     click.echo(text())
 
--- a/cottonladder/lifecycle/memory_cli.py
+++ b/cottonladder/cli/memory.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ..memory.store import Generation, Store, StoreError
+from ..snapshots.store import Generation, Store, StoreError
 
 ASK_WAIT = 3.0  # s for the control's answer
 ANSWER_MOST = 4 << 20  # bytes of it
--- a/cottonladder/lifecycle/plugin_cli.py
+++ b/cottonladder/cli/plugin.py
@@ -10,10 +10,10 @@
 
 import click
 
+from ..config.operator_config import read_operator
 from ..plugins.chain import req_record
 from ..plugins.host import Fault, Plugin, PluginError
-from .memory_cli import table
-from .operators import read_operator
+from .memory import table
 
 REQS_MOST = 100_000  # recorded reqs replayed at once
 
--- /dev/null
+++ b/cottonladder/config/__init__.py
@@ -0,0 +1,1 @@
+"""The files that a process is started with: read, checked and typed."""
--- a/cottonladder/lifecycle/placement.py
+++ b/cottonladder/config/manager_config.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..decisions import interface as it
-from ..state.workers import Workers
-from ..wire.discovery import read_list
-from ..wire.terms import HostPort, Site, WireError, address, field, number, read_site
+from ..model import interface as it
+from ..protocol.discovery import read_list
+from ..state.worker_registry import Workers
+from .settings import HostPort, Site, WireError, address, field, number, read_site
 
 WHERE = "configuration"
 SOCKETS_LEAST = 64  # with fewer nobody could join beside what the program itself holds open
--- a/cottonladder/lifecycle/operators.py
+++ b/cottonladder/config/operator_config.py
@@ -15,11 +15,12 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..advice import limits as advice_limits
-from ..decisions import moves
-from ..decisions.rules import RATE_MOST
-from ..forwarder import limits, routing
-from ..wire.terms import HostPort, WireError, address
+from ..forwarder import resource_limits as limits
+from ..forwarder import router as routing
+from ..planning import connection_migration as moves
+from ..policy.controller import RATE_MOST
+from ..weight_advice import limits as advice_limits
+from .settings import HostPort, WireError, address
 
 FILE_MOST = 1 << 20  # bytes of the file
 Seconds = Annotated[float, Meta(gt=0, le=86_400, description="seconds")]
--- a/cottonladder/wire/terms.py
+++ b/cottonladder/config/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..decisions import interface as it
+from ..model import interface as it
 
 
 class WireError(ValueError):
--- /dev/null
+++ b/cottonladder/control/__init__.py
@@ -0,0 +1,1 @@
+"""The manager process: its control loop, startup and shutdown, reload, signals and extensions."""
--- a/cottonladder/lifecycle/control.py
+++ b/cottonladder/control/admin_socket.py
@@ -12,7 +12,7 @@
 
 import structlog
 
-from ..wire.terms import WireError
+from ..config.settings import WireError
 
 LINE_MOST = 256  # bytes of a question
 ASK_WAIT = 2.0  # s for a question to come, and for its answer to be read
--- a/cottonladder/lifecycle/tasks.py
+++ b/cottonladder/control/background_scheduler.py
@@ -15,7 +15,7 @@
 
 import structlog
 
-from ..decisions.turns import Plan, Turn, Turns
+from ..planning.priority_scheduling import Plan, Turn, Turns
 
 Work = Callable[[], Iterator[Awaitable[Any] | None]]
 LATE_FOR = 0.05  # s for which nothing runs after a batch or timer came late
--- a/cottonladder/lifecycle/mover.py
+++ b/cottonladder/control/connection_migrator.py
@@ -9,15 +9,24 @@
 
 import structlog
 
-from ..decisions import interface as it
-from ..decisions.moves import PLAN_EVERY, Admit, Holding, Move, MoveOrder, Moves, MoveTerms, Stop
-from ..decisions.rules import Ladder
-from ..decisions.views import standing
-from ..state.workers import Workers
-from ..wire import upgrades as wire
-from ..wire.messages import Beyond, MessageReader
-from ..wire.terms import Site
-from .operators import UpgradesPart
+from ..config.operator_config import UpgradesPart
+from ..config.settings import Site
+from ..model import interface as it
+from ..planning.connection_migration import (
+    PLAN_EVERY,
+    Admit,
+    Holding,
+    Move,
+    MoveOrder,
+    Moves,
+    MoveTerms,
+    Stop,
+)
+from ..planning.controller_views import standing
+from ..policy.controller import Ladder
+from ..protocol import upgrade_extension as wire
+from ..protocol.messages import Beyond, MessageReader
+from ..state.worker_registry import Workers
 
 
 class Mover:
--- a/cottonladder/lifecycle/owner.py
+++ b/cottonladder/control/control_loop.py
@@ -12,14 +12,14 @@
 
 import structlog
 
-from ..decisions import interface as it
-from ..decisions.rules import Ladder
-from ..state.roster import Roster
-from ..state.spread import Spread
-from ..wire.discovery import Discovery
-from ..wire.messages import Beyond
-from ..wire.peers import Peers
-from ..wire.probes import Probes
+from ..model import interface as it
+from ..policy.controller import Ladder
+from ..protocol.discovery import Discovery
+from ..protocol.gossip import Peers
+from ..protocol.health_checks import Probes
+from ..protocol.messages import Beyond
+from ..state.order_dispatcher import Spread
+from ..state.proxy_sessions import Roster
 
 BEHIND_LEAST = 0.01  # s: what is shorter nobody feels, as looks are a quarter of a second apart
 
--- a/cottonladder/lifecycle/manager.py
+++ b/cottonladder/control/manager.py
@@ -12,23 +12,23 @@
 
 import structlog
 
-from ..decisions.rules import Ladder
-from ..state.roster import Roster
-from ..state.spread import Spread
-from ..wire.address import QUEUE, Address, Shares
-from ..wire.discovery import Discovery
-from ..wire.messages import MessageReader
-from ..wire.peers import Peers
-from ..wire.probes import Probes
-from ..wire.terms import WireError
+from ..config.manager_config import Placement, read_placement
+from ..config.settings import WireError
+from ..policy.controller import Ladder
+from ..protocol.discovery import Discovery
+from ..protocol.gossip import Peers
+from ..protocol.health_checks import Probes
+from ..protocol.messages import MessageReader
+from ..protocol.stream_listener import QUEUE, Address, Shares
+from ..state.order_dispatcher import Spread
+from ..state.proxy_sessions import Roster
 from . import signals
-from .owner import Hands, Inbox, Owner, Planner
-from .placement import Placement, read_placement
+from .control_loop import Hands, Inbox, Owner, Planner
 
 if TYPE_CHECKING:
-    from .keeper import Keeper
-    from .operators import Operator
-    from .tasks import Tasks
+    from ..config.operator_config import Operator
+    from .background_scheduler import Tasks
+    from .snapshot_manager import Keeper
 
 KEPT = 20  # descriptors for log, loop, listener, discovery, datagrams and the like, with some to spare
 TURNS = 4  # of the loop from an accept to the closing of whoever is one too many
@@ -95,13 +95,13 @@
         return None, None
     import random
 
-    from .control import Control
-    from .tasks import Tasks
+    from .admin_socket import Control
+    from .background_scheduler import Tasks
 
     tasks = Tasks(random.Random(placement.site.terms.seed).random)
     keeper: Keeper | None = None
     if operator.memory is not None:
-        from .keeper import TASK, Keeper
+        from .snapshot_manager import TASK, Keeper
 
         keeper = Keeper(operator.memory.folder, operator.memory.every, placement, tasks)
         await keeper.start(stack)
@@ -127,15 +127,15 @@
     """What the operators' file switches on; imported only then, as managers live in little memory."""
     plans: list[Planner] = []
     if operator is not None and operator.upgrades is not None:
-        from .mover import Mover
+        from .connection_migrator import Mover
 
         plans.append(Mover(placement.site, operator.upgrades, placement.workers, messages))
     if operator is not None and operator.advice is not None:
-        from .adviser import Adviser
+        from .weight_advisor import Adviser
 
         plans.append(Adviser(operator.advice, placement.workers))
     if operator is not None and operator.plugins is not None:
-        from .plugged import Plugged
+        from .plugin_extension import Plugged
 
         plugged = Plugged(operator.plugins, placement.workers)
         for plan in plans:
--- a/cottonladder/lifecycle/plugged.py
+++ b/cottonladder/control/plugin_extension.py
@@ -10,16 +10,16 @@
 
 import structlog
 
-from ..decisions import interface as it
-from ..decisions.hooks import factor_of, may_veto
-from ..decisions.moves import Move
-from ..decisions.rules import INTERVAL, Ladder
-from ..decisions.views import standing
+from ..config.operator_config import ManagerPluginsPart
+from ..model import interface as it
+from ..planning.connection_migration import Move
+from ..planning.controller_views import standing
+from ..planning.plugin_bounds import factor_of, may_veto
 from ..plugins.abi import EVENT, MOVE, WORKER, record
 from ..plugins.chain import Chain, Wanted
-from ..state.workers import Workers
-from ..wire.messages import Beyond
-from .operators import ManagerPluginsPart
+from ..policy.controller import INTERVAL, Ladder
+from ..protocol.messages import Beyond
+from ..state.worker_registry import Workers
 
 CHUNK = 40  # workers asked of at one step: a few ms, as looks are a quarter of a second apart
 EVENTS_MOST = 32  # told at one step; the rest are left out and counted
--- a/cottonladder/lifecycle/keeper.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -15,16 +15,16 @@
 
 import structlog
 
-from ..decisions import ageing
-from ..decisions import interface as it
-from ..decisions.rules import Ladder
-from ..decisions.turns import Plan
-from ..decisions.views import recollect
-from ..memory.sections import ListEntry, ManagerLife, WorkerPast, packed, unpacked
-from ..memory.store import Generation, Store, StoreError
-from ..wire.messages import Beyond
-from .placement import Placement
-from .tasks import Tasks
+from ..config.manager_config import Placement
+from ..model import interface as it
+from ..planning import snapshot_staleness as ageing
+from ..planning.controller_views import recollect
+from ..planning.priority_scheduling import Plan
+from ..policy.controller import Ladder
+from ..protocol.messages import Beyond
+from ..snapshots.sections import ListEntry, ManagerLife, WorkerPast, packed, unpacked
+from ..snapshots.store import Generation, Store, StoreError
+from .background_scheduler import Tasks
 
 TASK = "snapshot"
 CPU = 0.05  # of a core that snapshots may take
--- a/cottonladder/lifecycle/adviser.py
+++ b/cottonladder/control/weight_advisor.py
@@ -13,16 +13,16 @@
 
 import structlog
 
-from ..advice.client import AdviceListener, DfpFollower, Follower, Said, SaspFollower, places_of
-from ..advice.server import Board, DfpServer, SaspServer, Server, tls_context
-from ..decisions import interface as it
-from ..decisions.advice import PERIOD, Advice, Word
-from ..decisions.rules import Ladder
-from ..decisions.views import standing
-from ..state.workers import Workers
-from ..wire.messages import Beyond
-from ..wire.terms import WireError
-from .operators import AdvicePart, FollowPart, SecretPart, ServePart, TlsPart, host_port
+from ..config.operator_config import AdvicePart, FollowPart, SecretPart, ServePart, TlsPart, host_port
+from ..config.settings import WireError
+from ..model import interface as it
+from ..planning.advice_weighting import PERIOD, Advice, Word
+from ..planning.controller_views import standing
+from ..policy.controller import Ladder
+from ..protocol.messages import Beyond
+from ..state.worker_registry import Workers
+from ..weight_advice.client import AdviceListener, DfpFollower, Follower, Said, SaspFollower, places_of
+from ..weight_advice.server import Board, DfpServer, SaspServer, Server, tls_context
 
 SECRET_MOST = 1024  # bytes of a secret's file
 TELL_EVERY = 30.0  # s between two lines on how advisors stand
--- a/cottonladder/decisions/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The decisions, and the types that fronts use to reach them."""
--- a/cottonladder/forwarder/front.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-from ..wire.faults import Faults
-from .limits import HEADER_WAIT, STALL_WAIT, Most, Places
+from ..protocol.fault_log import Faults
+from .resource_limits import HEADER_WAIT, STALL_WAIT, Most, Places
 from .tunnel import End, Reply
 
 SWEEP = 0.5  # s between looks at who has not sent a head yet
--- a/cottonladder/forwarder/run.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -15,19 +15,19 @@
 import structlog
 from aiohttp import web
 
-from ..decisions import interface as it
-from ..lifecycle import signals
-from ..lifecycle.operators import Operator, PluginsPart, host_port, kinds_of, most_of, read_operator
-from ..state.workers import Workers as Known
-from ..wire import upgrades
-from ..wire.discovery import Discovery
-from ..wire.terms import WireError
-from .carry import Carrier
-from .draining import TICK, Drains
-from .limits import Arrivals
-from .met import REPORT_EVERY, Met
-from .routing import Part, Routes, Unusable
-from .stream import Collector, Stream
+from ..config.operator_config import Operator, PluginsPart, host_port, kinds_of, most_of, read_operator
+from ..config.settings import WireError
+from ..control import signals
+from ..model import interface as it
+from ..protocol import upgrade_extension as upgrades
+from ..protocol.discovery import Discovery
+from ..state.worker_registry import Workers as Known
+from .connection_drainer import TICK, Drains
+from .load_recorder import REPORT_EVERY, Met
+from .manager_stream import Collector, Stream
+from .request_handler import Carrier
+from .resource_limits import Arrivals
+from .router import Part, Routes, Unusable
 from .tunnel import Manner
 
 if TYPE_CHECKING:
@@ -332,13 +332,13 @@
     """The scheduler and the memory, where the file asks for them; imported only then."""
     if not (operator.memory or operator.control):
         return
-    from ..decisions import ageing
-    from ..decisions.turns import Plan
-    from ..lifecycle.control import Control
-    from ..lifecycle.keeper import CPU, TASK, Folder
-    from ..lifecycle.tasks import Tasks
-    from ..memory.sections import ForwarderLife, packed, unpacked
-    from .recall import life_of, recall
+    from ..control.admin_socket import Control
+    from ..control.background_scheduler import Tasks
+    from ..control.snapshot_manager import CPU, TASK, Folder
+    from ..planning import snapshot_staleness as ageing
+    from ..planning.priority_scheduling import Plan
+    from ..snapshots.sections import ForwarderLife, packed, unpacked
+    from .restored_state import life_of, recall
 
     tasks = Tasks(random.random)
     if operator.memory is not None:
--- a/cottonladder/forwarder/met.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ..wire import resp
+from ..protocol import resp
 
 REPORT_EVERY = 1.0  # s between reports: managers solve each 2 s
 
--- a/cottonladder/forwarder/stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -13,10 +13,11 @@
 
 import structlog
 
-from ..wire import resp, upgrades
-from ..wire.messages import PING, Fields, figure
-from ..wire.terms import HostPort, WireError
-from .routing import Part, Unusable
+from ..config.settings import HostPort, WireError
+from ..protocol import resp
+from ..protocol import upgrade_extension as upgrades
+from ..protocol.messages import PING, Fields, figure
+from .router import Part, Unusable
 
 DIAL_WAIT = 1.0  # s for a connection to a manager
 BACK_LEAST, BACK_MOST = 0.1, 2.0  # s between dials, doubled from one to the other
--- a/cottonladder/forwarder/carry.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -17,16 +17,16 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from ..decisions.hooks import Wish, narrowed
-from .draining import Act, Cut, Drains
-from .frames import GOING_AWAY, RESTART, UNEXPECTED
-from .front import BodyTooLarge, Front, HandedOver, agreed, body_of
-from .holding import Book
-from .limits import REPLAY_BYTES, STALL_WAIT, Arrivals, Most, come_back
-from .met import Met
-from .routing import NON_REPLAYABLE, Kind, Routes, kind_of, try_again
+from ..planning.plugin_bounds import Wish, narrowed
+from .client_listener import BodyTooLarge, Front, HandedOver, agreed, body_of
+from .connection_drainer import Act, Cut, Drains
+from .connection_registry import Book
+from .frame_scanner import GOING_AWAY, RESTART, UNEXPECTED
+from .load_recorder import Met
+from .resource_limits import REPLAY_BYTES, STALL_WAIT, Arrivals, Most, come_back
+from .router import NON_REPLAYABLE, Kind, Routes, kind_of, try_again
 from .tunnel import CLOSE_WAIT, CLOSED, CLOSING, FarEnd, HandshakeError, Manner, Tunnel, dial
-from .workers import HOP, Req, WorkerError, Workers, passed_on
+from .worker_connections import HOP, Req, WorkerError, Workers, passed_on
 
 if TYPE_CHECKING:
     from ..plugins.chain import Chain
--- a/cottonladder/forwarder/recall.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable, Mapping
 
-from ..decisions import ageing
-from ..memory.sections import ForwarderLife, TableLife
-from .holding import Row
-from .limits import Arrivals
-from .routing import Routes
+from ..planning import snapshot_staleness as ageing
+from ..snapshots.sections import ForwarderLife, TableLife
+from .connection_registry import Row
+from .resource_limits import Arrivals
+from .router import Routes
 
 
 def life_of(routes: Routes, held: Mapping[str, Row], now: float) -> ForwarderLife:
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -13,8 +13,8 @@
 
 import httptools
 
-from .frames import PROTOCOL_ERROR, RESTART, UNEXPECTED, FrameError, Scanner, close_frame
-from .limits import BUFFER_BYTES, HEADER_BYTES, STALL_WAIT
+from .frame_scanner import PROTOCOL_ERROR, RESTART, UNEXPECTED, FrameError, Scanner, close_frame
+from .resource_limits import BUFFER_BYTES, HEADER_BYTES, STALL_WAIT
 
 CLOSE_WAIT = 2.0  # s that a client may take to answer a close, and a worker to end, before both are cut
 HAND_WAIT = 1.0  # s that the old worker has for its last frames once the new one has agreed to go on
--- a/cottonladder/forwarder/workers.py
+++ b/cottonladder/forwarder/worker_connections.py
@@ -10,7 +10,7 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 from yarl import URL
 
-from .limits import Most
+from .resource_limits import Most
 
 # Heads that belong to one connection and not to the req (RFC 9110, 7.6.1).
 HOP = frozenset(
--- a/cottonladder/members/checker.py
+++ b/cottonladder/membership/checker.py
@@ -1,6 +1,6 @@
 """Explores the fencing protocol: every interleaving of claims, orders, losses, doublings and pauses, bounded.
 
-    python -m cottonladder.members.checker --managers 2 --depth 10
+    python -m cottonladder.membership.checker --managers 2 --depth 10
 
 The states are made by the program's own transition functions (`decisions.fencing`).  Messages on their way
 are a set of which any may come next, come twice or never, so that reordering, doubling and loss need no
@@ -21,7 +21,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from ..decisions import fencing as f
+from ..planning import fencing as f
 
 FACTS = ((0, 1, True), (0, 2, False), (0, 3, True))  # worker, version, leaves: what the list tells in turn
 WORKERS = 2  # the second never leaves
--- /dev/null
+++ b/cottonladder/planning/__init__.py
@@ -0,0 +1,1 @@
+"""Pure planners beside the routing policy."""
--- a/cottonladder/decisions/offers.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from .interface import Standing
-from .rules import COLD_OVER
+from ..model.interface import Standing
+from ..policy.controller import COLD_OVER
 
 TOP = 10_000  # weight of the heaviest member: shares of a hundredth of a percent can be told apart
 QUIET_CHANGE = 0.05  # part by which a weight must move to be pushed again: balancers chase what they are told
--- a/cottonladder/decisions/advice.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -18,8 +18,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from .interface import Standing
-from .rules import INTERVAL
+from ..model.interface import Standing
+from ..policy.controller import INTERVAL
 
 BOUND = 2.0  # the most that all advice together may lift or lower an estimate by: speeds differ by as much
 STEP = 0.15  # of the factor's logarithm that it may move an interval: 5 intervals from one bound to none
--- a/cottonladder/decisions/moves.py
+++ b/cottonladder/planning/connection_migration.py
@@ -19,8 +19,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from .interface import Standing
-from .rules import CROSS_COST, least_cost_flow
+from ..model.interface import Standing
+from ..policy.controller import CROSS_COST, least_cost_flow
 
 PLAN_EVERY = 0.5  # s between plans, and the span of one slice: a worker's takings are seen in time
 MARGIN = 0.15  # part of the grace kept free at its end: for the busy, the slow and what failed once
--- a/cottonladder/decisions/views.py
+++ b/cottonladder/planning/controller_views.py
@@ -5,8 +5,8 @@
 import math
 from collections.abc import Iterable
 
-from . import interface as it
-from .rules import GONE, LIVE, OUT, Ladder
+from ..model import interface as it
+from ..policy.controller import GONE, LIVE, OUT, Ladder
 
 
 def standing(ladder: Ladder) -> dict[int, it.Standing]:
--- a/cottonladder/decisions/ageing.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from .advice import CREDIT_START as CREDIT_START
-from .interface import Past, Remembered
-from .rules import OUT_MOST as OUT_MOST
+from ..model.interface import Past, Remembered
+from ..policy.controller import OUT_MOST as OUT_MOST
+from .advice_weighting import CREDIT_START as CREDIT_START
 
 SUSPECT_MOST = 20.0  # s that a suspicion may be old: a worker shut out is tried again after 5 s anyway
 SLOW_HALF = 30.0  # s in which a slowness loses half of what it is away from none
--- a/cottonladder/plugins/chain.py
+++ b/cottonladder/plugins/chain.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from ..decisions.hooks import Breaker, Budget
+from ..planning.plugin_bounds import Breaker, Budget
 from .abi import FURTHER, NOTHING, ROUTE, UPGRADE, Answer, record
 from .host import Fault, Plugin, PluginError
 
--- a/cottonladder/plugins/host.py
+++ b/cottonladder/plugins/host.py
@@ -20,7 +20,7 @@
 from wasmtime import _ffi as ffi
 from wasmtime._func import maybe_raise_last_exn
 
-from ..wire.terms import WireError
+from ..config.settings import WireError
 from .abi import (
     ANSWER_MOST,
     HOOKS,
--- /dev/null
+++ b/cottonladder/policy/__init__.py
@@ -0,0 +1,1 @@
+"""The routing policy: every decision and every tuned value."""
--- a/cottonladder/decisions/rules.py
+++ b/cottonladder/policy/controller.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Iterable
 from statistics import fmean, median
 
-from . import interface as it
+from ..model import interface as it
 
 INTERVAL, BEAT, ANSWER_WAIT = 2.0, 0.25, 3.0  # s: between solutions, looks; for answers (design)
 LOAD_FLOOR, AVERAGED, PART_LEAST = 0.1, 10, 0.25  # load report; intervals (design); part of tries, to count
--- a/cottonladder/wire/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -11,9 +11,9 @@
 import aiohttp
 import structlog
 
-from ..decisions import interface as it
-from .faults import Faults
-from .terms import NUMBER, HostPort, WireError, address, field, seconds
+from ..config.settings import NUMBER, HostPort, WireError, address, field, seconds
+from ..model import interface as it
+from .fault_log import Faults
 
 SILENCE = 3.0  # s without a byte: discovery writes at least an empty line each 2 s, and fails calls after 2 s
 CALL_WAIT = 5.0  # s for the whole list, which must end: the wait in turn that discovery allows, and its way
--- a/cottonladder/wire/peers.py
+++ b/cottonladder/protocol/gossip.py
@@ -8,8 +8,8 @@
 
 import structlog
 
-from ..decisions import interface as it
-from .terms import HostPort
+from ..config.settings import HostPort
+from ..model import interface as it
 
 DATAGRAM_MOST = 256  # bytes: the protocol's limit; a longer one voids the run
 
--- a/cottonladder/wire/probes.py
+++ b/cottonladder/protocol/health_checks.py
@@ -8,9 +8,9 @@
 
 import aiohttp
 
-from ..decisions import interface as it
+from ..config.settings import WireError
+from ..model import interface as it
 from .messages import figure
-from .terms import WireError
 
 PROBE_WAIT = 0.5  # s for connection and answer together: a fresh probe comes a second later at the earliest
 BODY_MOST = 4096  # bytes of a load report; a line of a few figures
--- a/cottonladder/wire/messages.py
+++ b/cottonladder/protocol/messages.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..decisions import interface as it
+from ..config.settings import Site, WireError
+from ..model import interface as it
 from . import resp
-from .terms import Site, WireError
 
 PING, PONG = resp.encode([b"PING"]), resp.encode([b"PONG"])
 
--- a/cottonladder/wire/address.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -11,11 +11,11 @@
 
 import structlog
 
-from ..decisions import interface as it
+from ..config.settings import WireError
+from ..model import interface as it
 from . import messages as m
-from .faults import Faults
+from .fault_log import Faults
 from .resp import MESSAGE_MOST, Reader
-from .terms import WireError
 
 QUEUE = 1024  # connections at least that the kernel holds until they are accepted: all may dial at once
 FIRST_MOST = 4096  # bytes of a message from who has not yet said who they are: the first ones are short
--- a/cottonladder/wire/upgrades.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -18,9 +18,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from ..config.settings import WireError
 from . import resp
 from .messages import Fields
-from .terms import WireError
 
 VERSION = 1
 HOLDS_MOST = 4096  # workers in one message
--- a/cottonladder/simhost/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The simulator's wire: a codec and a host for the decisions."""
--- a/cottonladder/simhost/__main__.py
+++ b/cottonladder/simulator/__main__.py
@@ -7,9 +7,9 @@
 import traceback
 from typing import Any
 
-from ..decisions import interface as it
-from ..decisions.rules import Ladder
-from ..wire.terms import WireError, field
+from ..config.settings import WireError, field
+from ..model import interface as it
+from ..policy.controller import Ladder
 from .codec import Door
 
 
--- a/cottonladder/simhost/codec.py
+++ b/cottonladder/simulator/codec.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..decisions import interface as it
-from ..wire.terms import NUMBER, Site, WireError, field, read_site, seconds
+from ..config.settings import NUMBER, Site, WireError, field, read_site, seconds
+from ..model import interface as it
 
 
 class Door:
--- /dev/null
+++ b/cottonladder/snapshots/__init__.py
@@ -0,0 +1,1 @@
+"""Durable state across restarts; imported only where the configuration names a folder."""
--- a/cottonladder/state/__init__.py
+++ b/cottonladder/state/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept: ids, who is joined, and what the proxies were told."""
+"""What a manager keeps between inputs: known workers, proxy sessions, what each proxy was sent."""
--- a/cottonladder/state/spread.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from ..decisions import interface as it
-from ..wire.messages import Part, encode_parts
-from .workers import Workers
+from ..model import interface as it
+from ..protocol.messages import Part, encode_parts
+from .worker_registry import Workers
 
 PART_MOST = 900_000  # bytes of lines in a part: a message part is 1 MiB at most, heads included
 SURE_LEAST = 0.25  # of a table's workers nobody may have shut out, or all are let in
--- a/cottonladder/state/roster.py
+++ b/cottonladder/state/proxy_sessions.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from ..decisions import interface as it
-from ..wire.address import Connection
-from ..wire.messages import Beyond
+from ..model import interface as it
+from ..protocol.messages import Beyond
+from ..protocol.stream_listener import Connection
 
 
 class Roster:
--- a/cottonladder/lab/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from ..advice import dfp, sasp
-from ..advice.tlv import AdviceError
+from ..weight_advice import dfp, sasp
+from ..weight_advice.tlv import AdviceError
 
 Words = Callable[[sasp.Member], int]  # a member's weight as this advisor has it
 WAIT = 15.0  # s for any answer
--- a/cottonladder/lab/kills.py
+++ b/cottonladder/testbed/crash_test.py
@@ -1,6 +1,6 @@
 """Kills a writer of memory files at drawn instants, again and again, and looks at what is left each time.
 
-    python -m cottonladder.lab.kills FOLDER --kills 1000 --seed 7
+    python -m cottonladder.testbed.crash_test FOLDER --kills 1000 --seed 7
 
 Each time a child writes generations as fast as it can and says, through shared memory, which it has finished;
 the parent kills it (SIGKILL) and reads the folder as a start would.
@@ -17,7 +17,7 @@
 import struct
 import time
 
-from ..memory.store import Store, StoreError
+from ..snapshots.store import Store, StoreError
 
 LONGEST = 0.012  # s until the kill: some ten generations
 ROWS = 120  # workers in each generation
--- a/cottonladder/lab/demo.py
+++ b/cottonladder/testbed/demo.py
@@ -10,9 +10,9 @@
 
 import aiohttp
 
-from .desks import Counts, Desk
 from .discovery import Discovery
 from .fleet import SETTINGS, Forwarder, Manager, free_port
+from .holding_clients import Counts, Desk
 from .workers import Case, Ledger, Worker
 
 ZONES = ("a", "b")
--- a/cottonladder/lab/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from ..decisions import interface as it
-from ..decisions.advice import PERIOD, Advice, Word
-from ..decisions.rules import Ladder
-from ..decisions.views import recollect, standing
+from ..model import interface as it
+from ..planning.advice_weighting import PERIOD, Advice, Word
+from ..planning.controller_views import recollect, standing
+from ..policy.controller import Ladder
 
 LOOK, REPORT, LATE = 0.25, 2.0, 0.5  # s between looks, between sums, and until these arrive
 TARGET, TIMEOUT, WORK = 1.0, 2.5, 0.16  # s
--- a/cottonladder/lab/many.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass, field, replace
 from time import perf_counter
 
-from ..decisions import interface as it
-from ..decisions.rules import BEAT, Ladder
-from ..state.spread import Spread
-from ..state.workers import Workers
-from ..wire.resp import MESSAGE_MOST, Reader
+from ..model import interface as it
+from ..policy.controller import BEAT, Ladder
+from ..protocol.resp import MESSAGE_MOST, Reader
+from ..state.order_dispatcher import Spread
+from ..state.worker_registry import Workers
 
 KINDS = ("fetch", "release")
 TERMS = it.Terms(
--- a/cottonladder/advice/registry.py
+++ b/cottonladder/weight_advice/registry.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from ..decisions.interface import Standing
-from ..decisions.offers import Offer, moved, offers
+from ..model.interface import Standing
+from ..planning.advertised_weights import Offer, moved, offers
 from . import limits, sasp
 from .sasp import Group, Grouped, Member, MemberState, Message, Weight
 from .tlv import Address
--- a/cottonladder/advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -17,10 +17,10 @@
 
 import structlog
 
-from ..decisions.interface import Standing
-from ..decisions.offers import Offer, moved, offers
-from ..wire.faults import Faults
-from ..wire.terms import HostPort
+from ..config.settings import HostPort
+from ..model.interface import Standing
+from ..planning.advertised_weights import Offer, moved, offers
+from ..protocol.fault_log import Faults
 from . import dfp, limits, sasp
 from .registry import Finder, Registry
 from .tlv import Address, AdviceError
--- a/cottonladder/advice/tlv.py
+++ b/cottonladder/weight_advice/tlv.py
@@ -5,7 +5,7 @@
 import struct
 from ipaddress import IPv4Address, IPv6Address, ip_address
 
-from ..wire.terms import WireError
+from ..config.settings import WireError
 
 _U16, _U32, _HEAD = struct.Struct("!H"), struct.Struct("!I"), struct.Struct("!HH")
 
--- a/tests/policy/test_recorded_orders.py
+++ b/tests/policy/test_recorded_orders.py
@@ -15,7 +15,7 @@
 
 import structlog
 
-from cottonladder.simhost.__main__ import Host
+from cottonladder.simulator.__main__ import Host
 from tests.support.simulated_days import DAYS, SimulatedDay
 from tests.support.wire_fleet import play_two_lives
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -16,7 +16,7 @@
 
 from aiohttp import web
 
-from cottonladder.wire.resp import MESSAGE_MOST, Reader, encode
+from cottonladder.protocol.resp import MESSAGE_MOST, Reader, encode
 
 T = TypeVar("T")
 WAIT = 15.0  # s for any event, so that a slow machine fails no test
--- a/tests/support/wire_fleet.py
+++ b/tests/support/wire_fleet.py
@@ -19,18 +19,18 @@
 from typing import Any, cast
 from unittest import mock
 
-from cottonladder.decisions import interface as it
-from cottonladder.decisions.rules import Ladder
-from cottonladder.lifecycle.keeper import Keeper
-from cottonladder.lifecycle.mover import Mover
-from cottonladder.lifecycle.operators import UpgradesPart
-from cottonladder.lifecycle.owner import Hands, Inbox, Owner
-from cottonladder.lifecycle.placement import read_placement
-from cottonladder.lifecycle.tasks import Tasks
-from cottonladder.state.roster import Roster
-from cottonladder.state.spread import Spread
-from cottonladder.wire.discovery import read_list
-from cottonladder.wire.messages import Beyond, MessageReader
+from cottonladder.config.manager_config import read_placement
+from cottonladder.config.operator_config import UpgradesPart
+from cottonladder.control.background_scheduler import Tasks
+from cottonladder.control.connection_migrator import Mover
+from cottonladder.control.control_loop import Hands, Inbox, Owner
+from cottonladder.control.snapshot_manager import Keeper
+from cottonladder.model import interface as it
+from cottonladder.policy.controller import Ladder
+from cottonladder.protocol.discovery import read_list
+from cottonladder.protocol.messages import Beyond, MessageReader
+from cottonladder.state.order_dispatcher import Spread
+from cottonladder.state.proxy_sessions import Roster
 from tests.support.simulated_days import settings
 
 START = 1_700_000_000.0  # Unix s
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -21,12 +21,12 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 
-from cottonladder.advice import dfp, sasp
-from cottonladder.decisions import advice as ad
-from cottonladder.decisions.offers import TOP
-from cottonladder.lab.advisors import DfpAdvisor, SaspAdvisor, SaspBalancer, dfp_loads, weights_of
-from cottonladder.lab.discovery import Discovery
-from cottonladder.lab.fleet import ROOT, SETTINGS, Manager
+from cottonladder.planning import advice_weighting as ad
+from cottonladder.planning.advertised_weights import TOP
+from cottonladder.testbed.advisors import DfpAdvisor, SaspAdvisor, SaspBalancer, dfp_loads, weights_of
+from cottonladder.testbed.discovery import Discovery
+from cottonladder.testbed.fleet import ROOT, SETTINGS, Manager
+from cottonladder.weight_advice import dfp, sasp
 from tests.standins import Client
 
 WAIT = 20.0
--- a/tests/test_advice_rules.py
+++ b/tests/test_advice_rules.py
@@ -12,14 +12,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.advice import dfp, limits, sasp
-from cottonladder.advice.registry import Finder, Registry
-from cottonladder.advice.tlv import AdviceError
-from cottonladder.decisions import advice as ad
-from cottonladder.decisions.interface import Standing
-from cottonladder.decisions.offers import TOP, moved, offers
-from cottonladder.decisions.rules import COLD_OVER
-from cottonladder.lab import month_end as me
+from cottonladder.model.interface import Standing
+from cottonladder.planning import advice_weighting as ad
+from cottonladder.planning.advertised_weights import TOP, moved, offers
+from cottonladder.policy.controller import COLD_OVER
+from cottonladder.testbed import month_end as me
+from cottonladder.weight_advice import dfp, limits, sasp
+from cottonladder.weight_advice.registry import Finder, Registry
+from cottonladder.weight_advice.tlv import AdviceError
 
 A, B, C = (sasp.Member(6, 80, IPv4Address(f"10.0.0.{n}"), b"s-%d" % n) for n in (1, 2, 3))
 SIX = sasp.Member(17, 65535, IPv6Address("2001:db8::7"))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,16 +20,17 @@
 
 from aiohttp import web
 
-from cottonladder.decisions import interface as it
-from cottonladder.lifecycle import manager
-from cottonladder.lifecycle.placement import read_placement
-from cottonladder.state.roster import Roster
-from cottonladder.state.workers import Workers
-from cottonladder.wire import address, discovery
-from cottonladder.wire.messages import MessageReader
-from cottonladder.wire.probes import Probes
-from cottonladder.wire.resp import encode
-from cottonladder.wire.terms import read_site
+from cottonladder.config.manager_config import read_placement
+from cottonladder.config.settings import read_site
+from cottonladder.control import manager
+from cottonladder.model import interface as it
+from cottonladder.protocol import discovery
+from cottonladder.protocol import stream_listener as address
+from cottonladder.protocol.health_checks import Probes
+from cottonladder.protocol.messages import MessageReader
+from cottonladder.protocol.resp import encode
+from cottonladder.state.proxy_sessions import Roster
+from cottonladder.state.worker_registry import Workers
 from tests.standins import SETTINGS, Discovery, Handler, Program, Rig, entry, host, listing, soon
 
 SITE = read_site(SETTINGS, 1, "settings")
@@ -342,7 +343,7 @@
 """
 CLOSED = """
 import asyncio, os, signal, sys
-from cottonladder.lifecycle import cli, signals
+from cottonladder.control import cli, signals
 sys.argv[1:] = ["serve"]
 signals.hold(sys.argv)
 async def serving():
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -6,8 +6,8 @@
 import unittest
 from dataclasses import replace
 
-from cottonladder.decisions import interface as it
-from cottonladder.lab.many import Many, site
+from cottonladder.model import interface as it
+from cottonladder.testbed.simulated_fleet import Many, site
 
 IDS = [f"s-{n:04x}" for n in range(200)]
 LEAVE = range(0, 200, 2)
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.decisions import fencing as f
-from cottonladder.members import checker
+from cottonladder.membership import checker
+from cottonladder.planning import fencing as f
 
 
 class Fencing(unittest.TestCase):
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.decisions.rules import least_cost_flow
+from cottonladder.policy.controller import least_cost_flow
 
 SLACK = 1e-6
 Costs = list[list[float | None]]
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -17,13 +17,13 @@
 import aiohttp
 from click.testing import CliRunner
 
-from cottonladder.forwarder import frames as fr
-from cottonladder.lab.desks import Counts, Desk
-from cottonladder.lab.discovery import Discovery
-from cottonladder.lab.fleet import KINDS, Forwarder, Manager, free_port
-from cottonladder.lab.workers import Case, Ledger, Worker
-from cottonladder.lifecycle import cli
-from cottonladder.wire.resp import MESSAGE_MOST, Reader, encode
+from cottonladder.cli import main as cli
+from cottonladder.forwarder import frame_scanner as fr
+from cottonladder.protocol.resp import MESSAGE_MOST, Reader, encode
+from cottonladder.testbed.discovery import Discovery
+from cottonladder.testbed.fleet import KINDS, Forwarder, Manager, free_port
+from cottonladder.testbed.holding_clients import Counts, Desk
+from cottonladder.testbed.workers import Case, Ledger, Worker
 
 WAIT = 20.0  # s for any event, so that a slow machine fails no test
 GRACE = 6.0
@@ -678,7 +678,7 @@
         self.assertIn("UpgradesPart", schema["$defs"])
 
     def test_a_manager_without_the_file_imports_none_of_it(self) -> None:
-        code = "import sys, cottonladder.lifecycle.cli as c; print(*sys.modules)"
+        code = "import sys, cottonladder.cli.main as c; print(*sys.modules)"
         import subprocess
 
         said = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
@@ -687,9 +687,9 @@
             "json5",
             "msgspec",
             "httptools",
-            "cottonladder.decisions.moves",
+            "cottonladder.planning.connection_migration",
             "cottonladder.forwarder",
-            "cottonladder.advice",
+            "cottonladder.weight_advice",
         }
         self.assertIn("aiohttp", loaded)
         self.assertEqual(loaded & heavy, set())
--- a/tests/test_forwarder_crossings.py
+++ b/tests/test_forwarder_crossings.py
@@ -15,10 +15,10 @@
 import aiohttp
 from aiohttp import web
 
-from cottonladder.forwarder import front
-from cottonladder.forwarder.limits import Most
-from cottonladder.lab.fleet import Forwarder
-from cottonladder.lab.workers import Worker
+from cottonladder.forwarder import client_listener as front
+from cottonladder.forwarder.resource_limits import Most
+from cottonladder.testbed.fleet import Forwarder
+from cottonladder.testbed.workers import Worker
 from tests.test_forwarder import Rig
 
 
--- a/tests/test_forwarder_rules.py
+++ b/tests/test_forwarder_rules.py
@@ -9,15 +9,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.forwarder import draining as dr
-from cottonladder.forwarder import frames as fr
-from cottonladder.forwarder import routing as ro
-from cottonladder.forwarder.holding import Book, Row
-from cottonladder.forwarder.limits import Arrivals, Places, come_back
-from cottonladder.forwarder.stream import read_part
-from cottonladder.wire import upgrades
-from cottonladder.wire.resp import MESSAGE_MOST, Reader
-from cottonladder.wire.terms import WireError
+from cottonladder.config.settings import WireError
+from cottonladder.forwarder import connection_drainer as dr
+from cottonladder.forwarder import frame_scanner as fr
+from cottonladder.forwarder import router as ro
+from cottonladder.forwarder.connection_registry import Book, Row
+from cottonladder.forwarder.manager_stream import read_part
+from cottonladder.forwarder.resource_limits import Arrivals, Places, come_back
+from cottonladder.protocol import upgrade_extension as upgrades
+from cottonladder.protocol.resp import MESSAGE_MOST, Reader
 
 FETCH = ro.Kind("fetch", (), ro.REPLAYABLE)
 RELEASE = ro.Kind("release", (ro.Rule(frozenset({"POST"}), "/release"),))
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from cottonladder.decisions import interface as it
-from cottonladder.lab.many import Many, site
+from cottonladder.model import interface as it
+from cottonladder.testbed.simulated_fleet import Many, site
 
 BES = [f"s-{i:04x}" for i in range(80)]
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -23,18 +23,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.decisions import ageing, turns
-from cottonladder.decisions import interface as it
-from cottonladder.decisions.rules import Ladder
-from cottonladder.decisions.views import recollect
-from cottonladder.forwarder import recall as fr
-from cottonladder.forwarder import routing as ro
-from cottonladder.forwarder.limits import Arrivals
-from cottonladder.lab import month_end as me
-from cottonladder.lab.discovery import Discovery
-from cottonladder.lab.fleet import ROOT, Forwarder, Manager
-from cottonladder.lifecycle import cli, tasks
-from cottonladder.memory import sections, store
+from cottonladder.cli import main as cli
+from cottonladder.control import background_scheduler as tasks
+from cottonladder.forwarder import restored_state as fr
+from cottonladder.forwarder import router as ro
+from cottonladder.forwarder.resource_limits import Arrivals
+from cottonladder.model import interface as it
+from cottonladder.planning import priority_scheduling as turns
+from cottonladder.planning import snapshot_staleness as ageing
+from cottonladder.planning.controller_views import recollect
+from cottonladder.policy.controller import Ladder
+from cottonladder.snapshots import sections, store
+from cottonladder.testbed import month_end as me
+from cottonladder.testbed.discovery import Discovery
+from cottonladder.testbed.fleet import ROOT, Forwarder, Manager
 
 BODY: dict[str, Any] = {"manager": {"v": 1, "data": {"mark": 7}}}
 
@@ -129,7 +131,15 @@
         self.store.write({"manager": 3}, 7.0)
 
     def test_killed_a_thousand_times(self) -> None:
-        asked = [sys.executable, "-B", "-m", "cottonladder.lab.kills", self.folder.name, "--kills", "1000"]
+        asked = [
+            sys.executable,
+            "-B",
+            "-m",
+            "cottonladder.testbed.crash_test",
+            self.folder.name,
+            "--kills",
+            "1000",
+        ]
         self.store.close()
         said = subprocess.run(asked, cwd=ROOT, capture_output=True, text=True, check=True, timeout=120)
         counts = json.loads(said.stdout)
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.decisions import moves as mv
-from cottonladder.decisions.interface import Standing
+from cottonladder.model.interface import Standing
+from cottonladder.planning import connection_migration as mv
 
 TERMS = mv.MoveTerms(2, 20.0, 8000, 100.0, 0.05, 3000.0, 10)
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -4,9 +4,9 @@
 
 import unittest
 
-from cottonladder.decisions import interface as it
-from cottonladder.decisions.rules import cut
-from cottonladder.lab.many import Many, site
+from cottonladder.model import interface as it
+from cottonladder.policy.controller import cut
+from cottonladder.testbed.simulated_fleet import Many, site
 
 
 class Parts(unittest.TestCase):
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -15,10 +15,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.decisions import hooks
-from cottonladder.lab.fleet import ROOT, Forwarder
-from cottonladder.lifecycle import cli
+from cottonladder.cli import main as cli
+from cottonladder.planning import plugin_bounds as hooks
 from cottonladder.plugins import abi, chain, host
+from cottonladder.testbed.fleet import ROOT, Forwarder
 from tests.test_forwarder import GRACE, Rig
 
 EXAMPLE = ROOT / "deploy" / "plugins" / "audit-trail.wat"
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,17 +18,18 @@
 from aiohttp import web
 from click.testing import CliRunner
 
-from cottonladder.decisions import interface as it
-from cottonladder.decisions.rules import Ladder
-from cottonladder.lifecycle import cli, manager
-from cottonladder.lifecycle.owner import Clock
-from cottonladder.lifecycle.placement import read_placement
-from cottonladder.state.roster import Roster
-from cottonladder.wire import address
-from cottonladder.wire.discovery import Discovery as WireDiscovery
-from cottonladder.wire.peers import Peers
-from cottonladder.wire.resp import MESSAGE_MOST, Reader
-from cottonladder.wire.terms import WireError, read_site
+from cottonladder.cli import main as cli
+from cottonladder.config.manager_config import read_placement
+from cottonladder.config.settings import WireError, read_site
+from cottonladder.control import manager
+from cottonladder.control.control_loop import Clock
+from cottonladder.model import interface as it
+from cottonladder.policy.controller import Ladder
+from cottonladder.protocol import stream_listener as address
+from cottonladder.protocol.discovery import Discovery as WireDiscovery
+from cottonladder.protocol.gossip import Peers
+from cottonladder.protocol.resp import MESSAGE_MOST, Reader
+from cottonladder.state.proxy_sessions import Roster
 from tests.standins import SETTINGS, Discovery, Handler, Program, Rig, entry, listing, soon
 
 
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -14,8 +14,8 @@
 import msgspec
 from click.testing import CliRunner
 
-from cottonladder.lifecycle.cli import main
-from cottonladder.lifecycle.operators import read_operator
+from cottonladder.cli.main import main
+from cottonladder.config.operator_config import read_operator
 
 FILES = Path(__file__).parent / "recorded" / "files"
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -32,8 +32,8 @@
 from dataclasses import replace
 from pathlib import Path
 
-from cottonladder.decisions import interface as it
-from cottonladder.decisions.rules import Ladder
+from cottonladder.model import interface as it
+from cottonladder.policy.controller import Ladder
 
 FOLDER = Path(__file__).parent / "scenarios"
 KINDS = (it.ReqKind(0.8, 1.0), it.ReqKind(1.0, 3.0))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,15 +13,15 @@
 from tempfile import TemporaryDirectory
 from typing import Any, cast
 
-from cottonladder.decisions import interface as it
-from cottonladder.decisions.rules import Ladder
-from cottonladder.lifecycle.placement import read_placement
-from cottonladder.state.spread import Spread
-from cottonladder.state.workers import Workers
-from cottonladder.wire.discovery import read_list
-from cottonladder.wire.messages import MessageReader
-from cottonladder.wire.resp import MESSAGE_MOST, Reader
-from cottonladder.wire.terms import WireError, read_site
+from cottonladder.config.manager_config import read_placement
+from cottonladder.config.settings import WireError, read_site
+from cottonladder.model import interface as it
+from cottonladder.policy.controller import Ladder
+from cottonladder.protocol.discovery import read_list
+from cottonladder.protocol.messages import MessageReader
+from cottonladder.protocol.resp import MESSAGE_MOST, Reader
+from cottonladder.state.order_dispatcher import Spread
+from cottonladder.state.worker_registry import Workers
 from tests.standins import Program, Rig, soon
 
 RECORDED = (Path(__file__).parent / "recorded" / "morning.txt").read_text()
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -17,11 +17,11 @@
 from dataclasses import replace
 from pathlib import Path
 
-from cottonladder.decisions import interface as it
-from cottonladder.decisions.rules import Ladder
-from cottonladder.state.spread import Spread
-from cottonladder.state.workers import Workers
-from cottonladder.wire.resp import MESSAGE_MOST, Reader
+from cottonladder.model import interface as it
+from cottonladder.policy.controller import Ladder
+from cottonladder.protocol.resp import MESSAGE_MOST, Reader
+from cottonladder.state.order_dispatcher import Spread
+from cottonladder.state.worker_registry import Workers
 from tests.test_scenarios import USUAL
 
 
