--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from cottonladder.planning.advice_weighting import Word
+from cottonladder.planning.advice_weighting import AdvisoryWeight
 from cottonladder.testbed import month_end as me
 from cottonladder.testbed.advisors import SaspBalancer, weights_of
 from cottonladder.testbed.discovery import Discovery
@@ -34,7 +34,7 @@
 def served(*advisors: me.Say) -> tuple[float, float, int]:
     """Share served and that of the worst 10 s, both over the seeds, and looks without a usable line."""
     named = {str(n): say for n, say in enumerate(advisors)}
-    days = [me.Day(named, seed=seed, load=LOAD).play(me.slows) for seed in SEEDS]
+    days = [me.MonthEndRun(named, seed=seed, load=LOAD).play(me.slows) for seed in SEEDS]
     share = sum(d.share for d in days) / len(days)
     return share, sum(d.worst for d in days) / len(days), sum(d.bare for d in days)
 
@@ -43,15 +43,17 @@
     """Days on which a fresh worker that the advisor ranks far above all others was brought what would push it
     over; the most that it was brought, of that; and the same without advice."""
 
-    def flatters(now: float, day: me.Day) -> dict[int, Word]:
-        return {be: Word(65535.0 if box.started else 1.0) for be, box in day.boxes.items()}
+    def flatters(now: float, day: me.MonthEndRun) -> dict[int, AdvisoryWeight]:
+        return {be: AdvisoryWeight(65535.0 if box.started else 1.0) for be, box in day.boxes.items()}
 
-    def fresh(now: float, day: me.Day) -> None:
+    def fresh(now: float, day: me.MonthEndRun) -> None:
         if abs(now - 20.0) < me.LOOK / 2:
             day.start(20, 0, 1.5, 1000.0 + now)
 
-    told = [me.Day({"a": flatters}, seed=s, length=45.0, load=LOAD).play(fresh).cold_over for s in SEEDS]
-    plain = [me.Day({}, seed=s, length=45.0, load=LOAD).play(fresh).cold_over for s in SEEDS]
+    told = [
+        me.MonthEndRun({"a": flatters}, seed=s, length=45.0, load=LOAD).play(fresh).cold_over for s in SEEDS
+    ]
+    plain = [me.MonthEndRun({}, seed=s, length=45.0, load=LOAD).play(fresh).cold_over for s in SEEDS]
     return sum(over >= 1.0 for over in told), max(told), max(plain)
 
 
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -21,29 +21,36 @@
 
 import structlog
 
-from cottonladder.control.background_scheduler import Tasks
-from cottonladder.control.snapshot_manager import Folder, Keeper
-from cottonladder.model import interface as it
+from cottonladder.control.background_scheduler import BackgroundScheduler
+from cottonladder.control.snapshot_manager import Folder, SnapshotManager
+from cottonladder.model.inputs import (
+    Endpoint,
+    EndpointList,
+    EndpointState,
+    ListUpdateKind,
+    ProxyConnected,
+    RestoredState,
+)
 from cottonladder.planning import snapshot_staleness as ageing
-from cottonladder.planning.priority_scheduling import Plan
-from cottonladder.policy.controller import Ladder
-from cottonladder.state.worker_registry import Workers
+from cottonladder.planning.priority_scheduling import TaskPlan
+from cottonladder.policy.controller import RoutingController
+from cottonladder.state.worker_registry import WorkerRegistry
 from cottonladder.testbed import crash_test as kills
 from cottonladder.testbed import month_end as me
 
 SEEDS, LOAD, LENGTH = (7, 8, 9, 10, 11, 12), 0.8, 100.0
 RESTART, AFTER = 70.0, 25.0  # s: when, and how long what comes after it is counted
-Recall = Callable[[it.Remembered], it.Remembered | None]
+Recall = Callable[[RestoredState], RestoredState | None]
 
 
 def bad_after(recall: Recall | None, seed: int) -> tuple[int, float]:
     """Reqs not done within target in the time after the restart, and s until a 2 s window is as good as the
     20 s before it.  `recall` None: no restart at all."""
-    day = me.Day({}, seed=seed, length=LENGTH, load=LOAD)
+    day = me.MonthEndRun({}, seed=seed, length=LENGTH, load=LOAD)
     windows: dict[int, list[int]] = {}
     last = [0, 0]
 
-    def events(now: float, day: me.Day) -> None:
+    def events(now: float, day: me.MonthEndRun) -> None:
         window = windows.setdefault(int(now / 2.0), [0, 0])
         asked, served = day.result.asked, day.result.served
         window[0] += asked - last[0]
@@ -67,17 +74,20 @@
 
 
 def restarts() -> dict[str, float]:
-    def none(life: it.Remembered) -> None:
+    def none(life: RestoredState) -> None:
         return None
 
-    def fresh(life: it.Remembered) -> it.Remembered:
+    def fresh(life: RestoredState) -> RestoredState:
         return ageing.aged(life, 2.0)
 
-    def stale(life: it.Remembered) -> it.Remembered:
+    def stale(life: RestoredState) -> RestoredState:
         """Twelve hours old, and its suspicions no longer hold: three good workers suspected and slow."""
         wrong = {0, 1, 9}
-        pasts = tuple(replace(p, out=True, slowness=0.05) if p.be in wrong else p for p in life.pasts)
-        return ageing.aged(replace(life, pasts=pasts), 12 * 3600.0)
+        pasts = tuple(
+            replace(p, was_ejected=True, latency_factor=0.05) if p.worker_index in wrong else p
+            for p in life.workers
+        )
+        return ageing.aged(replace(life, workers=pasts), 12 * 3600.0)
 
     cases: dict[str, Recall | None] = {"no_restart": None, "without": none, "with": fresh, "stale": stale}
     rows = {name: [bad_after(recall, seed) for seed in SEEDS] for name, recall in cases.items()}
@@ -99,12 +109,18 @@
     """As much of a placement as a keeper asks for."""
 
     def __init__(self, workers: int) -> None:
-        self.workers, self.version = Workers(), 1
+        self.workers, self.version = WorkerRegistry(), 1
         entries = tuple(
-            it.Entry(self.workers.learn(f"s-{n}", f"127.0.0.9:{n + 1}", 0.0), n % 2, it.Mode.READY, 1.0, 0.0)
+            Endpoint(
+                self.workers.learn(f"s-{n}", f"127.0.0.9:{n + 1}", 0.0),
+                n % 2,
+                EndpointState.READY,
+                1.0,
+                0.0,
+            )
             for n in range(workers)
         )
-        self.known = it.Listing(it.News.CACHED, entries)
+        self.known = EndpointList(ListUpdateKind.CACHED, entries)
         self.site = type("Site", (), {"terms": me.TERMS})
 
 
@@ -112,12 +128,12 @@
     """The loop's longest stall while snapshots are written, how long one takes, and its bytes."""
     gc.collect()  # an earlier measurement's remains are not this one's stall
     placed, out = Placed(workers), dict[str, float]()
-    ladder = Ladder(replace(me.TERMS, proxies=proxies))
-    joins = [it.Joined(p, p % 2, 2.0, True) for p in range(proxies)]
+    ladder = RoutingController(replace(me.TERMS, proxy_count=proxies))
+    joins = [ProxyConnected(p, p % 2, 2.0, True) for p in range(proxies)]
     ladder.decide(1000.0, [placed.known, *joins])
     with tempfile.TemporaryDirectory() as folder:
-        tasks = Tasks(lambda: 0.0)
-        keeper = Keeper(folder, 0.25, placed, tasks)  # type: ignore[arg-type]
+        tasks = BackgroundScheduler(lambda: 0.0)
+        keeper = SnapshotManager(folder, 0.25, placed, tasks)  # type: ignore[arg-type]
         list(keeper.messages(0.0, ladder))
         took: list[float] = []
 
@@ -126,7 +142,7 @@
             yield from keeper._snapshot()
             took.append(time.perf_counter() - begun)
 
-        tasks.add(Plan("snapshot", 0.25, cpu=0.5, jitter=0.0), timed)
+        tasks.add(TaskPlan("snapshot", 0.25, cpu=0.5, jitter=0.0), timed)
         longest, last = 0.0, time.perf_counter()
         tasks.start()
         end = last + 3.0
@@ -143,7 +159,7 @@
 
 async def delays(loaded: bool) -> float:
     """p99 of how late a timer comes each 5 ms, beside background tasks that always want more, or none."""
-    tasks = Tasks(lambda: 0.0)
+    tasks = BackgroundScheduler(lambda: 0.0)
 
     def busy() -> Iterator[Any]:
         while True:
@@ -154,7 +170,7 @@
 
     if loaded:
         for n in range(20):
-            tasks.add(Plan(f"busy-{n}", 0.01, priority=n % 3, cpu=0.02), busy)
+            tasks.add(TaskPlan(f"busy-{n}", 0.01, priority=n % 3, cpu=0.02), busy)
     tasks.start()
     late: list[float] = []
     loop = asyncio.get_running_loop()
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -26,23 +26,20 @@
 from statistics import median
 from typing import Any
 
-import cottonladder.testbed
-from cottonladder.model import interface as it
-from cottonladder.policy.controller import Gate
-from cottonladder.state.order_dispatcher import Spread
+from cottonladder.model.inputs import (
+    ArrivalReport,
+    EndpointList,
+    EndpointState,
+    GossipReceived,
+    HealthCheckResult,
+    Input,
+    ListUpdateKind,
+    LoadReport,
+)
+from cottonladder.testbed.simulated_fleet import SimulatedFleet, site
 
 HERE = Path(__file__).resolve()
-if str(lab := HERE.parents[1] / "cottonladder" / "testbed") not in cottonladder.testbed.__path__:
-    # The decisions and the state of an older tree, under this one's fleet: what that text lacks is left out.
-    cottonladder.testbed.__path__.append(str(lab))
-    if not hasattr(Gate, "settle"):
-        Gate.settle = lambda self, written: None  # type: ignore[method-assign]
-        Spread.added = lambda self, proxy, workers, whole: 0  # type: ignore[method-assign]
-    if "drain_grace" not in it.Terms.__dataclass_fields__:
-        terms = it.Terms
-        it.Terms = lambda drain_grace, **more: terms(**more)  # type: ignore
-
-from cottonladder.testbed.simulated_fleet import Many, site  # noqa: E402
+
 
 USUAL = {"proxies": 400, "workers": 200, "zones": 4, "managers": 5}
 AXES = {
@@ -59,10 +56,10 @@
 WAIT = 60.0  # s that a point may take
 
 
-class Fleet(Many):
+class Fleet(SimulatedFleet):
     def __init__(self, proxies: int, workers: int, zones: int, managers: int) -> None:
         terms = site(proxies=max(proxies * managers // 2, proxies), zones=zones, managers=managers)
-        super().__init__(replace(terms, lines_per_s=max(3200.0, 4.0 * proxies), proxies=proxies))
+        super().__init__(replace(terms, channel_lines_per_s=max(3200.0, 4.0 * proxies), proxy_count=proxies))
         self.count, self.zones, self.managers = workers, zones, managers
         self.solves, self.looks = list[float](), list[float]()
         self.heard = self.reports
@@ -75,21 +72,21 @@
 
         self.ladder._solve = timed  # type: ignore[method-assign]
 
-    def reports(self) -> Iterable[it.Input]:
+    def reports(self) -> Iterable[Input]:
         rnd, known = self.random, list(self.ladder.bes)
         here = list(self.proxies)
         for _ in range(REPORTS // 5):
-            yield it.Tally(rnd.choice(known), rnd.randrange(self.zones), 20, 0, 2.0, 0.2, {})
+            yield LoadReport(rnd.choice(known), rnd.randrange(self.zones), 20, 0, 2.0, 0.2, {})
         for _ in range(REPORTS * 4 // 5 if here else 0):
-            yield it.Ingress(rnd.choice(here), rnd.randrange(2), 5, 0, 4.0)
+            yield ArrivalReport(rnd.choice(here), rnd.randrange(2), 5, 0, 4.0)
         for be in rnd.sample(known, len(known) // PROBED):
-            yield it.Probed(be, True, 0.05, {"inflight": float(rnd.randrange(6))})
+            yield HealthCheckResult(be, True, 0.05, {"inflight": float(rnd.randrange(6))})
         if rnd.random() < 1 / 8:  # once an interval, from each
             for m in range(1, self.managers):
                 words = [f"{self.count // self.zones} 99.5"] * self.zones
-                yield it.Hint(m, " ".join(words))
+                yield GossipReceived(m, " ".join(words))
 
-    def step(self, name: str, inputs: Iterable[it.Input]) -> None:
+    def step(self, name: str, inputs: Iterable[Input]) -> None:
         super().step(name, inputs)
         if name == "look":
             self.looks.append(self.took[-1])
@@ -98,7 +95,7 @@
 def point(proxies: int, workers: int, zones: int, managers: int) -> dict[str, float]:
     fleet = Fleet(proxies, workers, zones, managers)
     listed = tuple(fleet.entry(f"s-{n:04x}", n % zones) for n in range(workers))
-    fleet.step("start", [it.Listing(it.News.CACHED, listed)])
+    fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
     fleet.join(range(proxies))
     while any(not held.rows for held in fleet.proxies.values()) and fleet.now < 1060.0:
         fleet.run(0.25)
@@ -108,9 +105,9 @@
     looks = list(fleet.looks)
     fleet.took.clear()
     half = range(0, workers, 2)
-    old = tuple(fleet.entry(f"s-{n:04x}", n % zones, it.Mode.DRAINING) for n in half)
+    old = tuple(fleet.entry(f"s-{n:04x}", n % zones, EndpointState.DRAINING) for n in half)
     new = tuple(fleet.entry(f"n-{n:04x}", n % zones, started=fleet.now - 1.0) for n in half)
-    fleet.step("list", [it.Listing(it.News.DELTA, old + new)])
+    fleet.step("list", [EndpointList(ListUpdateKind.DELTA, old + new)])
     fleet.run(4.0)
     return {
         "solve_ms": 1000 * median(fleet.solves),
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -21,11 +21,11 @@
 
 import aiohttp
 
-from cottonladder.model.interface import Standing
+from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning import connection_migration as mv
 from cottonladder.testbed.discovery import Discovery
 from cottonladder.testbed.fleet import ROOT, Forwarder, Manager
-from cottonladder.testbed.holding_clients import Counts, Desk
+from cottonladder.testbed.holding_clients import Counts, HoldingClient
 from cottonladder.testbed.workers import Case, Ledger, Worker
 
 GRACE, ARRIVALS, HELD = 12.0, 100.0, 1000
@@ -71,7 +71,7 @@
         session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
         stack.push_async_callback(session.close)
         desks = [
-            Desk(
+            HoldingClient(
                 session,
                 forwarders[n % 2].url,
                 counts,
@@ -212,10 +212,10 @@
 def plan(connections: int, forwarders: int, workers: int, zones: int = 4) -> float:
     """ms a plan, the median of ten, while a tenth of the workers leave."""
     chance = random.Random(7)
-    moves = mv.Moves(mv.MoveTerms(zones, 30.0, 8000, 50.0, 0.05, 3000.0, 10))
+    moves = mv.MigrationPlanner(mv.MigrationParameters(zones, 30.0, 8000, 50.0, 0.05, 3000.0, 10))
     leaving = max(1, workers // 10)
     standing = {
-        be: Standing(be % zones, 0.0 if be < leaving else 1.0, False, 0.0 if be < leaving else -1.0)
+        be: WorkerCapacityView(be % zones, 0.0 if be < leaving else 1.0, False, 0.0 if be < leaving else -1.0)
         for be in range(workers)
     }
     per = connections / forwarders
@@ -225,14 +225,14 @@
         for _ in range(round(per)):
             be = chance.randrange(workers)
             rows[be] = rows.get(be, 0) + 1
-        moves.held(f, True, {be: mv.Holding(n) for be, n in rows.items()})
+        moves.held(f, True, {be: mv.HeldConnectionCounts(n) for be, n in rows.items()})
     took = []
     for n in range(10):
         begun = time.perf_counter()
         orders = moves.plan(n * mv.PLAN_EVERY, standing)
         took.append((time.perf_counter() - begun) * 1000.0)
         for order in orders:
-            if isinstance(order, mv.Move):
+            if isinstance(order, mv.MigrateConnections):
                 moves.moved(order.forwarder, order.number)
     return statistics.median(took)
 
--- a/cottonladder/cli/main.py
+++ b/cottonladder/cli/main.py
@@ -12,7 +12,7 @@
 import structlog
 
 from .. import __version__
-from ..config.manager_config import Placement, read_placement
+from ..config.manager_config import ManagerConfig, read_manager_config
 from ..config.settings import WireError, address
 from ..control import signals
 from ..control.manager import kept
@@ -20,7 +20,7 @@
 from ..protocol.messages import PING, PONG
 
 if TYPE_CHECKING:
-    from ..config.operator_config import Operator
+    from ..config.operator_config import OperatorConfig
 
 PING_WAIT = 2.0  # s for each step: a manager that serves answers within one turn of its loop
 FILE = click.option(
@@ -31,13 +31,13 @@
 )
 
 
-def _operator(path: str) -> Operator | None:
+def _operator(path: str) -> OperatorConfig | None:
     if not path:
         return None
-    from ..config.operator_config import read_operator
+    from ..config.operator_config import read_operator_config
 
     try:
-        return read_operator(path)
+        return read_operator_config(path)
     except WireError as exc:
         click.echo(exc, err=True)
         sys.exit(2)
@@ -62,9 +62,9 @@
     signals.seal()
 
 
-def _read(path: str) -> Placement:
+def _read(path: str) -> ManagerConfig:
     try:
-        return read_placement(path)
+        return read_manager_config(path)
     except WireError as exc:
         click.echo(exc, err=True)
         sys.exit(2)
@@ -297,12 +297,13 @@
     if running and (fixed := kept(_read(running), placement)):
         click.echo(f"a reload would not change: {', '.join(fixed)}", err=True)
         sys.exit(1)
-    terms = placement.site.terms
+    terms = placement.site.parameters
     host, port = placement.listen
     click.echo(
-        f"{placement.name}: listens on {host}:{port}, {terms.proxies} proxies in {terms.zones} zones, "
-        f"{len(placement.known.entries)} workers known (version {placement.version}), "
-        f"{terms.managers} managers"
+        f"{placement.name}: listens on {host}:{port}, "
+        f"{terms.proxy_count} proxies in {terms.zone_count} zones, "
+        f"{len(placement.known.endpoints)} workers known (version {placement.version}), "
+        f"{terms.manager_count} managers"
     )
 
 
--- a/cottonladder/cli/plugin.py
+++ b/cottonladder/cli/plugin.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ..config.operator_config import read_operator
+from ..config.operator_config import read_operator_config
 from ..plugins.chain import req_record
 from ..plugins.host import Fault, Plugin, PluginError
 from .memory import table
@@ -92,7 +92,7 @@
 
 def listed(path: str, as_json: bool) -> int:
     """The plug-ins that an operators' file names, each loaded as a forwarder would."""
-    operator = read_operator(path)
+    operator = read_operator_config(path)
     part = operator.forwarder.plugins if operator.forwarder else None
     rows = []
     for p in part.chain if part else []:
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -6,17 +6,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..model import interface as it
+from ..model.inputs import EndpointList, ListUpdateKind
 from ..protocol.discovery import read_list
-from ..state.worker_registry import Workers
-from .settings import HostPort, Site, WireError, address, field, number, read_site
+from ..state.worker_registry import WorkerRegistry
+from .settings import DeploymentSettings, HostPort, WireError, address, field, number, read_settings
 
 WHERE = "configuration"
 SOCKETS_LEAST = 64  # with fewer nobody could join beside what the program itself holds open
 
 
 @dataclass(frozen=True, slots=True)
-class Placement:
+class ManagerConfig:
     """Where this manager stands and what it starts from; `known` is the list as it was last held."""
 
     name: str
@@ -27,13 +27,13 @@
     peer_listen: HostPort | None
     peers: list[HostPort]
     peers_all: HostPort | None
-    site: Site
-    workers: Workers
+    site: DeploymentSettings
+    workers: WorkerRegistry
     version: int
-    known: it.Listing
+    known: EndpointList
 
 
-def read_placement(path: str) -> Placement:
+def read_manager_config(path: str) -> ManagerConfig:
     if not path:
         raise WireError(f"{WHERE}: neither --config nor ROUTER_CONFIG names a file")
     try:
@@ -49,21 +49,21 @@
         raise WireError(f"{WHERE}: a figure is too large ({exc})") from None
 
 
-def _placement(body: Any) -> Placement:
+def _placement(body: Any) -> ManagerConfig:
     seed = field(body, "seed", str, WHERE)
     try:
         chance = int(seed, 16)
     except ValueError:
         raise WireError(f"{WHERE}: field seed is not a hexadecimal number") from None
-    site = read_site(field(body, "settings", dict, WHERE), chance, f"{WHERE}: settings")
-    if site.terms.slices:
+    site = read_settings(field(body, "settings", dict, WHERE), chance, f"{WHERE}: settings")
+    if site.parameters.slice_count:
         raise WireError(f"{WHERE}: settings: field KeyRanges is not 0, and this protocol has no slices")
-    workers = Workers()
+    workers = WorkerRegistry()
     known = field(body, "known", dict, WHERE)
     version, listing = read_list(known, site, workers.learn, f"{WHERE}: known")
-    talks, limits = site.terms.peers, field(body, "limits", dict, WHERE)
+    talks, limits = site.parameters.gossip, field(body, "limits", dict, WHERE)
     peers = field(body, "peers", list, WHERE) if talks else []
-    return Placement(
+    return ManagerConfig(
         name=field(body, "name", str, WHERE),
         listen=address(body, "listen", WHERE),
         discovery=address(body, "discovery", WHERE),
@@ -75,5 +75,5 @@
         site=site,
         workers=workers,
         version=version,
-        known=it.Listing(it.News.CACHED, listing.entries),
+        known=EndpointList(ListUpdateKind.CACHED, listing.endpoints),
     )
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -32,7 +32,7 @@
 Header = Annotated[str, Meta(pattern=r"^[A-Za-z0-9!#$%&'*+.^_`|~-]+$", max_length=128)]
 
 
-class UpgradesPart(Struct, forbid_unknown_fields=True, frozen=True):
+class UpgradesConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """Connections held open: the same for managers and forwarders."""
 
     grace: Annotated[Seconds, Meta(description="s within which a leaving worker's connections are off")]
@@ -56,7 +56,7 @@
     quiet: Annotated[float, Meta(ge=0, le=3600)] = 1.0
 
 
-class KindPart(Struct, forbid_unknown_fields=True, frozen=True):
+class RequestClassConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """A request kind.  Without `match` it takes what no other kind does."""
 
     name: Name
@@ -67,7 +67,7 @@
     ticket: Annotated[str, Meta(pattern=r"^([A-Za-z0-9-]+)?$", max_length=64)] = ""
 
 
-class LimitsPart(Struct, forbid_unknown_fields=True, frozen=True):
+class LimitsConfig(Struct, forbid_unknown_fields=True, frozen=True):
     connections: Many = limits.CONNECTIONS
     worker: Many = limits.CONNECTIONS_WORKER
     client: Many = limits.CONNECTIONS_CLIENT
@@ -79,7 +79,7 @@
     pool: Many = limits.POOL_WORKER
 
 
-class PluginPart(Struct, forbid_unknown_fields=True, frozen=True):
+class PluginConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """A WebAssembly module, binary or text.  `fail`: what happens to a req that it can't judge."""
 
     name: Name
@@ -89,25 +89,25 @@
     seed: Annotated[int, Meta(ge=0)] = 0
 
 
-class PluginsPart(Struct, forbid_unknown_fields=True, frozen=True):
+class PluginsConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """`labels` by worker; `missing`: what becomes of a req whose label no usable worker carries; `headers`:
     those that a plug-in may set or drop."""
 
-    chain: Annotated[list[PluginPart], Meta(min_length=1, max_length=16)]
+    chain: Annotated[list[PluginConfig], Meta(min_length=1, max_length=16)]
     labels: dict[str, Annotated[list[Name], Meta(max_length=64)]] = {}
     missing: Literal["fall back", "refuse"] = "fall back"
     headers: Annotated[list[Header], Meta(max_length=64)] = []
 
 
-class ManagerPluginsPart(Struct, forbid_unknown_fields=True, frozen=True):
+class ManagerPluginsConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """A manager's plug-ins: `labels` by worker; `grace` as of upgraded connections, for vetoes."""
 
-    chain: Annotated[list[PluginPart], Meta(min_length=1, max_length=16)]
+    chain: Annotated[list[PluginConfig], Meta(min_length=1, max_length=16)]
     labels: dict[str, Annotated[list[Name], Meta(max_length=64)]] = {}
     grace: Seconds = 30.0
 
 
-class ForwarderPart(Struct, forbid_unknown_fields=True, frozen=True):
+class ForwarderConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """One forwarder: a proxy of the platform's protocol."""
 
     node: Annotated[int, Meta(ge=0, le=10_000_000, description="its number at the managers")]
@@ -116,17 +116,17 @@
     listen: HostAndPort
     discovery: HostAndPort
     managers: Annotated[list[HostAndPort], Meta(min_length=1, max_length=64)]
-    kinds: Annotated[list[KindPart], Meta(min_length=1, max_length=64)]
+    kinds: Annotated[list[RequestClassConfig], Meta(min_length=1, max_length=64)]
     levels: Literal["ratio", "rate", "none"] = "ratio"
     rate: Annotated[float, Meta(ge=0, le=RATE_MOST, description="rough reqs/s, told when joining")] = 0.0
     collector: bool = False
     status: Annotated[str, Meta(pattern=r"^([^\s]+:[0-9]{1,5})?$", description="host:port; empty: off")] = ""
     seed: Annotated[int, Meta(ge=0)] = 0
-    limits: LimitsPart = LimitsPart()
-    plugins: PluginsPart | None = None
+    limits: LimitsConfig = LimitsConfig()
+    plugins: PluginsConfig | None = None
 
 
-class TlsPart(Struct, forbid_unknown_fields=True, frozen=True):
+class TlsConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """Files of PEM.  With `authorities` the other side must show a certificate that they signed."""
 
     certificate: str = ""
@@ -134,24 +134,24 @@
     authorities: str = ""
 
 
-class SecretPart(Struct, forbid_unknown_fields=True, frozen=True):
+class SecretConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """A secret of DFP's security TLV, by its key's number; the file holds the secret's bytes."""
 
     key: Annotated[int, Meta(ge=0, lt=1 << 32)]
     file: str
 
 
-class ServePart(Struct, forbid_unknown_fields=True, frozen=True):
+class AdviceServerConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """Balancers ask us: a SASP workload manager, a DFP agent."""
 
     protocol: Literal["sasp", "dfp"]
     listen: HostAndPort
     clients: Annotated[int, Meta(gt=0, le=4096)] = advice_limits.CLIENTS
-    tls: TlsPart | None = None
-    secret: SecretPart | None = None
+    tls: TlsConfig | None = None
+    secret: SecretConfig | None = None
 
 
-class FollowPart(Struct, forbid_unknown_fields=True, frozen=True):
+class AdvisorFollowConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """We ask an advisor: as a SASP balancer, as a DFP manager.  `trust`: how much its word may count."""
 
     protocol: Literal["sasp", "dfp"]
@@ -159,34 +159,34 @@
     trust: Annotated[float, Meta(ge=0, le=1)] = 1.0
     uid: Annotated[str, Meta(min_length=1, max_length=64)] = "cottonladder"
     group: Annotated[str, Meta(min_length=1, max_length=255)] = "workers"
-    tls: TlsPart | None = None
-    secret: SecretPart | None = None
+    tls: TlsConfig | None = None
+    secret: SecretConfig | None = None
 
 
-class AdvicePart(Struct, forbid_unknown_fields=True, frozen=True):
-    serve: Annotated[list[ServePart], Meta(max_length=16)] = []
-    follow: Annotated[list[FollowPart], Meta(max_length=16)] = []
+class AdviceConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    serve: Annotated[list[AdviceServerConfig], Meta(max_length=16)] = []
+    follow: Annotated[list[AdvisorFollowConfig], Meta(max_length=16)] = []
 
 
-class MemoryPart(Struct, forbid_unknown_fields=True, frozen=True):
+class SnapshotConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """A folder that persists, of this process alone; what was learned is written each `every` s."""
 
     folder: Annotated[str, Meta(min_length=1, max_length=1024)]
     every: Annotated[float, Meta(ge=0.1, le=3600)] = 2.0
 
 
-class Operator(Struct, forbid_unknown_fields=True, frozen=True):
+class OperatorConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """The whole file; what is left out is off."""
 
-    upgrades: UpgradesPart | None = None
-    advice: AdvicePart | None = None
-    memory: MemoryPart | None = None
-    plugins: ManagerPluginsPart | None = None
+    upgrades: UpgradesConfig | None = None
+    advice: AdviceConfig | None = None
+    memory: SnapshotConfig | None = None
+    plugins: ManagerPluginsConfig | None = None
     control: Annotated[str, Meta(max_length=100, description="path of a Unix socket; empty: off")] = ""
-    forwarder: ForwarderPart | None = None
+    forwarder: ForwarderConfig | None = None
 
 
-def read_operator(path: str) -> Operator:
+def read_operator_config(path: str) -> OperatorConfig:
     """The file at `path`; a WireError of one line that names file, place and what was expected."""
     try:
         with open(path, encoding="utf-8") as file:
@@ -205,9 +205,9 @@
     return _checked(path, body)
 
 
-def _checked(path: str, body: Any) -> Operator:
+def _checked(path: str, body: Any) -> OperatorConfig:
     try:
-        operator = msgspec.convert(body, Operator)
+        operator = msgspec.convert(body, OperatorConfig)
     except msgspec.ValidationError as exc:
         what, _, where = str(exc).partition(" - at `")
         raise WireError(f"{path}: {where.rstrip('`') or '$'}: {what}") from None
@@ -234,14 +234,17 @@
     return operator
 
 
-def _check_advice(path: str, part: AdvicePart) -> None:
+def _check_advice(path: str, part: AdviceConfig) -> None:
     """What a schema can't tell: one advisor once, TLS for SASP alone, secrets for DFP alone."""
-    both: dict[str, Sequence[ServePart | FollowPart]] = {"serve": part.serve, "follow": part.follow}
+    both: dict[str, Sequence[AdviceServerConfig | AdvisorFollowConfig]] = {
+        "serve": part.serve,
+        "follow": part.follow,
+    }
     for list_name, rows in both.items():
         seen: set[str] = set()
         for n, row in enumerate(rows):
             where = f"{path}: $.advice.{list_name}[{n}]"
-            at = row.listen if isinstance(row, ServePart) else row.at
+            at = row.listen if isinstance(row, AdviceServerConfig) else row.at
             address({"at": at}, "at", where)
             if at in seen and not at.endswith(":0"):
                 raise WireError(f"{where}: {at} comes twice")
@@ -256,7 +259,7 @@
     return address({"at": text}, "at", "operators' file")
 
 
-def kinds_of(part: ForwarderPart) -> list[routing.Kind]:
+def kinds_of(part: ForwarderConfig) -> list[routing.Kind]:
     """The request kinds as the routes know them."""
     return [
         routing.Kind(
@@ -272,10 +275,10 @@
     ]
 
 
-def most_of(part: LimitsPart) -> limits.Most:
-    return limits.Most(**msgspec.structs.asdict(part))
+def most_of(part: LimitsConfig) -> limits.ResourceLimits:
+    return limits.ResourceLimits(**msgspec.structs.asdict(part))
 
 
 def schema() -> str:
     """A JSON schema of the file, for editors."""
-    return json.dumps(msgspec.json.schema(Operator), indent=2)
+    return json.dumps(msgspec.json.schema(OperatorConfig), indent=2)
--- a/cottonladder/config/settings.py
+++ b/cottonladder/config/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..model import interface as it
+from ..model.parameters import DeploymentParameters, RequestClass
 
 
 class WireError(ValueError):
@@ -66,75 +66,77 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Site:
+class DeploymentSettings:
     """What the settings say: the module's terms, and the names that a front maps to small indices."""
 
-    terms: it.Terms
+    parameters: DeploymentParameters
     zones: dict[str, int]
-    kinds: dict[str, int]
-    me: int
+    classes: dict[str, int]
+    manager_index: int
     load_reports: bool
 
-    def zone(self, name: str, where: str) -> int:
+    def zone_index(self, name: str, where: str) -> int:
         if name not in self.zones:
             raise WireError(f"{where}: unknown zone")
         return self.zones[name]
 
-    def kind(self, name: str, where: str) -> int:
-        if name not in self.kinds:
+    def class_index(self, name: str, where: str) -> int:
+        if name not in self.classes:
             raise WireError(f"{where}: unknown class")
-        return self.kinds[name]
+        return self.classes[name]
 
 
-def read_site(info: dict[str, Any], seed: int, where: str) -> Site:
+def read_settings(info: dict[str, Any], seed: int, where: str) -> DeploymentSettings:
     zones = names(info, "Zones", where)
     profiles = field(info, "Profiles", list, where)
     kinds = names({"Profiles": [field(p, "Name", str, where) for p in profiles]}, "Profiles", where)
     stats = field(info, "Stats", dict, where, {})
-    return Site(
-        terms=_terms(info, profiles, len(zones), seed, where),
+    return DeploymentSettings(
+        parameters=_terms(info, profiles, len(zones), seed, where),
         zones={name: z for z, name in enumerate(zones)},
-        kinds={name: k for k, name in enumerate(kinds)},
-        me=int(number(info, "Me", where, 0, 0, int)),
+        classes={name: k for k, name in enumerate(kinds)},
+        manager_index=int(number(info, "Me", where, 0, 0, int)),
         load_reports=field(stats, "Via", str, where, "none") != "none",
     )
 
 
-def _terms(info: dict[str, Any], profiles: list[Any], zones: int, seed: int, where: str) -> it.Terms:
+def _terms(
+    info: dict[str, Any], profiles: list[Any], zones: int, seed: int, where: str
+) -> DeploymentParameters:
     fam = field(info, "FamilyInfo", dict, where)
     rules = field(info, "Rules", dict, where)
     limits = field(info, "Limits", dict, where)
     prices = field(info, "Prices", dict, where)
     kinds = tuple(
-        it.ReqKind(
-            response_target=number(p, "TargetMs", where, LEAST) / 1000.0,
-            importance=number(p, "Gain", where),
+        RequestClass(
+            latency_objective_s=number(p, "TargetMs", where, LEAST) / 1000.0,
+            priority_weight=number(p, "Gain", where),
         )
         for p in profiles
     )
-    return it.Terms(
+    return DeploymentParameters(
         seed=seed,
-        managers=int(number(info, "NInstances", where, 1, types=int)),
-        zones=zones,
-        kinds=kinds,
-        proxies=int(number(fam, "Proxies", where, 1, types=int)),
-        list_on_request=field(info, "Discovery", str, where) == "subscribe",
-        ask_within=number(rules, "AskWithinMs", where, default=0.0) / 1000.0,
-        probing=field(limits, "Probing", bool, where, False),
-        peers=field(limits, "Peers", bool, where, False),
-        levels=field(fam, "ThrottleBy", str, where, "none"),
-        slices=field(fam, "KeyRanges", int, where, 0),
+        manager_count=int(number(info, "NInstances", where, 1, types=int)),
+        zone_count=zones,
+        request_classes=kinds,
+        proxy_count=int(number(fam, "Proxies", where, 1, types=int)),
+        watches_endpoints=field(info, "Discovery", str, where) == "subscribe",
+        poll_within_s=number(rules, "AskWithinMs", where, default=0.0) / 1000.0,
+        health_checks=field(limits, "Probing", bool, where, False),
+        gossip=field(limits, "Peers", bool, where, False),
+        admission_mode=field(fam, "ThrottleBy", str, where, "none"),
+        slice_count=field(fam, "KeyRanges", int, where, 0),
         single_owner=field(fam, "SingleWriter", bool, where, False),
-        lines_per_s=number(fam, "EgressPerS", where, LEAST),
-        head_lines=int(number(fam, "Head", where)),
-        waiting_most=number(fam, "PendingMax", where),
-        messages_most=int(number(fam, "ReloadsMax", where, default=0)),
-        messages_span=number(fam, "ReloadSpanMs", where, default=0.0) / 1000.0,
-        drain_grace=number(rules, "DrainGraceMs", where, default=0.0) / 1000.0,
-        cold_share=number(rules, "ColdFrom", where),
-        fall_multiple=number(rules, "FallMultiple", where),
-        avoids=number(fam, "Strikes", where, default=0) > 0,
-        warm_after=number(rules, "WarmAfterMs", where) / 1000.0,
-        cross_zone_price=number(prices, "CrossZone", where, default=0.0),
-        probe_price=number(prices, "Probe", where, default=0.0),
+        channel_lines_per_s=number(fam, "EgressPerS", where, LEAST),
+        message_header_lines=int(number(fam, "Head", where)),
+        max_queued_lines=number(fam, "PendingMax", where),
+        max_messages=int(number(fam, "ReloadsMax", where, default=0)),
+        message_window_s=number(fam, "ReloadSpanMs", where, default=0.0) / 1000.0,
+        drain_grace_s=number(rules, "DrainGraceMs", where, default=0.0) / 1000.0,
+        warm_up_start_ratio=number(rules, "ColdFrom", where),
+        collapse_multiple=number(rules, "FallMultiple", where),
+        proxies_eject_outliers=number(fam, "Strikes", where, default=0) > 0,
+        warm_up_s=number(rules, "WarmAfterMs", where) / 1000.0,
+        cross_zone_cost=number(prices, "CrossZone", where, default=0.0),
+        health_check_cost=number(prices, "Probe", where, default=0.0),
     )
--- a/cottonladder/control/admin_socket.py
+++ b/cottonladder/control/admin_socket.py
@@ -19,7 +19,7 @@
 AT_ONCE = 8  # connections
 
 
-class Control:
+class AdminSocket:
     """Owns the socket's file."""
 
     def __init__(self, path: str, answers: Mapping[str, Callable[[], object]]) -> None:
--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -15,18 +15,18 @@
 
 import structlog
 
-from ..planning.priority_scheduling import Plan, Turn, Turns
+from ..planning.priority_scheduling import PriorityScheduler, ScheduledSlice, TaskPlan
 
 Work = Callable[[], Iterator[Awaitable[Any] | None]]
 LATE_FOR = 0.05  # s for which nothing runs after a batch or timer came late
 STOP_WAIT = 2.0  # s that runs under way, and those asked to run at the stop, have to end
 
 
-class Tasks:
+class BackgroundScheduler:
     """Owns the tasks; `late` is told by the owner of the decisions."""
 
     def __init__(self, uniform: Callable[[], float]) -> None:
-        self._turns, self._work, self._uniform = Turns(), dict[str, Work](), uniform
+        self._turns, self._work, self._uniform = PriorityScheduler(), dict[str, Work](), uniform
         self._under_way: dict[str, Iterator[Awaitable[Any] | None]] = {}
         self._waits: dict[str, asyncio.Task[None]] = {}
         self._late_until = 0.0
@@ -34,7 +34,7 @@
         self._wake = asyncio.Event()
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
-    def add(self, plan: Plan, work: Work) -> None:
+    def add(self, plan: TaskPlan, work: Work) -> None:
         self._work[plan.name] = work
         self._turns.add(time.monotonic(), plan, self._uniform())
         self._wake.set()
@@ -113,7 +113,7 @@
         """For operators: how each task stands."""
         now = time.monotonic()
 
-        def row(t: Turn) -> dict[str, object]:
+        def row(t: ScheduledSlice) -> dict[str, object]:
             return {
                 "task": t.plan.name, "priority": t.plan.priority, "period": t.plan.period,
                 "due_in": round(t.due - now, 3), "runs": t.runs, "slices": t.slices, "overruns": t.overruns,
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -12,14 +12,23 @@
 
 import structlog
 
-from ..model import interface as it
-from ..policy.controller import Ladder
-from ..protocol.discovery import Discovery
-from ..protocol.gossip import Peers
-from ..protocol.health_checks import Probes
-from ..protocol.messages import Beyond
-from ..state.order_dispatcher import Spread
-from ..state.proxy_sessions import Roster
+from ..model.inputs import Input, TimerFired
+from ..model.orders import (
+    Checkpoint,
+    FetchEndpoints,
+    HealthCheck,
+    LogModeChange,
+    SendGossip,
+    StartTimer,
+    WatchEndpoints,
+)
+from ..policy.controller import RoutingController
+from ..protocol.discovery import DiscoveryClient
+from ..protocol.gossip import GossipSocket
+from ..protocol.health_checks import HealthChecker
+from ..protocol.messages import ExtensionMessage
+from ..state.order_dispatcher import OrderDispatcher
+from ..state.proxy_sessions import ProxySessions
 
 BEHIND_LEAST = 0.01  # s: what is shorter nobody feels, as looks are a quarter of a second apart
 
@@ -35,18 +44,18 @@
         return self._offset + time.monotonic()
 
 
-class Inbox:
+class InputQueue:
     """The queue to the owner; what is put in here is never waited for."""
 
     def __init__(self) -> None:
-        self._waiting: deque[it.Input | Beyond] = deque()
+        self._waiting: deque[Input | ExtensionMessage] = deque()
         self._some = asyncio.Event()
 
-    def put(self, item: it.Input | Beyond) -> None:
+    def put(self, item: Input | ExtensionMessage) -> None:
         self._waiting.append(item)
         self._some.set()
 
-    async def take(self) -> list[it.Input | Beyond]:
+    async def take(self) -> list[Input | ExtensionMessage]:
         await self._some.wait()
         batch = list(self._waiting)
         self._waiting.clear()
@@ -55,31 +64,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hands:
+class Effects:
     """Those who carry out what isn't said to proxies."""
 
-    discovery: Discovery
-    probes: Probes
-    peers: Peers
+    discovery: DiscoveryClient
+    probes: HealthChecker
+    peers: GossipSocket
 
 
-class Planner(Protocol):
+class ControlLoopExtension(Protocol):
     """Who plans beside the ladder, in the same task: told what comes in, it may add inputs, and once the
     ladder has ordered it may write messages to proxies.  What `start` opens goes onto the stack."""
 
     async def start(self, stack: AsyncExitStack) -> None: ...
-    def hear(self, now: float, item: it.Input | Beyond) -> None: ...
-    def inputs(self, now: float) -> list[it.Input]: ...
-    def messages(self, now: float, ladder: Ladder) -> Iterable[tuple[int, bytes]]: ...
+    def hear(self, now: float, item: Input | ExtensionMessage) -> None: ...
+    def inputs(self, now: float) -> list[Input]: ...
+    def messages(self, now: float, ladder: RoutingController) -> Iterable[tuple[int, bytes]]: ...
 
 
-class Owner:
+class ControlLoop:
     """Owns the ladder and its timers; `beside` holds what the operators' file switched on."""
 
     def __init__(
-        self, ladder: Ladder, inbox: Inbox, roster: Roster, spread: Spread, hands: Hands,
-        planners: Iterable[Planner] = (),
-    ) -> None:  # fmt: skip
+        self,
+        ladder: RoutingController,
+        inbox: InputQueue,
+        roster: ProxySessions,
+        spread: OrderDispatcher,
+        hands: Effects,
+        planners: Iterable[ControlLoopExtension] = (),
+    ) -> None:
         self._planners = list(planners)
         self.late: Callable[[], None] = lambda: None  # background work makes way
         self.remarked: Callable[[str], None] = lambda words: None  # told each change of mode
@@ -90,12 +104,12 @@
         self._worst: dict[str, float] = {}
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self._carry: dict[type, Callable[..., None]] = {
-            it.WakeIn: self._wake_in,
-            it.Follow: lambda o: hands.discovery.follow(o.on),
-            it.FetchList: lambda o: hands.discovery.fetch(),
-            it.Probe: lambda o: hands.probes.send(o.be),
-            it.Tell: lambda o: hands.peers.tell(o.whom, o.text),
-            it.Remark: self._remark,
+            StartTimer: self._wake_in,
+            WatchEndpoints: lambda o: hands.discovery.follow(o.enabled),
+            FetchEndpoints: lambda o: hands.discovery.fetch(),
+            HealthCheck: lambda o: hands.probes.send(o.worker_index),
+            SendGossip: lambda o: hands.peers.tell(o.recipient, o.text),
+            LogModeChange: self._remark,
         }
 
     async def run(self) -> None:
@@ -112,9 +126,9 @@
             self._worst[what] = seconds
             self.log.info("behind", what=what, ms=round(seconds * 1000, 1))
 
-    def step(self, batch: list[it.Input | Beyond]) -> None:
+    def step(self, batch: list[Input | ExtensionMessage]) -> None:
         now = self._clock.now()
-        inputs = [item for item in batch if not isinstance(item, Beyond)]
+        inputs = [item for item in batch if not isinstance(item, ExtensionMessage)]
         for plan in self._planners:
             for item in batch:
                 plan.hear(now, item)
@@ -127,7 +141,7 @@
                 carry(order)
             elif why := self._spread.take(order):
                 self.log.error("order left out", order=type(order).__name__, why=why)
-        if any(isinstance(order, it.Mark) for order in orders):
+        if any(isinstance(order, Checkpoint) for order in orders):
             self._ladder.gate.settle(self._spread.lines())
         for proxy, data in self._spread.messages():
             self._roster.send(proxy, data)
@@ -135,20 +149,20 @@
             for proxy, data in plan.messages(now, self._ladder):
                 self._roster.send(proxy, data)
 
-    def _wake_in(self, order: it.WakeIn) -> None:
+    def _wake_in(self, order: StartTimer) -> None:
         """Timers count up and are kept until they are due, as they can't be taken back."""
         self._set += 1
         self._timers[self._set] = asyncio.get_running_loop().call_later(
-            order.after, self._due, self._set, order.token
+            order.delay_s, self._due, self._set, order.token
         )
 
     def _due(self, timer: int, token: int) -> None:
         self._behind("timer", asyncio.get_running_loop().time() - self._timers.pop(timer).when())
-        self._inbox.put(it.Wake(token))
+        self._inbox.put(TimerFired(token))
 
-    def _remark(self, order: it.Remark) -> None:
-        self.log.info("mode", words=order.text)
-        self.remarked(order.text)
+    def _remark(self, order: LogModeChange) -> None:
+        self.log.info("mode", words=order.message)
+        self.remarked(order.message)
 
     def close(self) -> None:
         for timer in self._timers.values():
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -15,16 +15,24 @@
 
 import structlog
 
-from ..config.manager_config import Placement
-from ..model import interface as it
+from ..config.manager_config import ManagerConfig
+from ..model.inputs import (
+    Endpoint,
+    EndpointList,
+    EndpointState,
+    Input,
+    ListUpdateKind,
+    RestoredState,
+    WorkerHistory,
+)
 from ..planning import snapshot_staleness as ageing
-from ..planning.controller_views import recollect
-from ..planning.priority_scheduling import Plan
-from ..policy.controller import Ladder
-from ..protocol.messages import Beyond
-from ..snapshots.sections import ListEntry, ManagerLife, WorkerPast, packed, unpacked
+from ..planning.controller_views import collect_state
+from ..planning.priority_scheduling import TaskPlan
+from ..policy.controller import RoutingController
+from ..protocol.messages import ExtensionMessage
+from ..snapshots.sections import EndpointSnapshot, ManagerSnapshot, WorkerSnapshot, packed, unpacked
 from ..snapshots.store import Generation, Store, StoreError
-from .background_scheduler import Tasks
+from .background_scheduler import BackgroundScheduler
 
 TASK = "snapshot"
 CPU = 0.05  # of a core that snapshots may take
@@ -71,17 +79,19 @@
         self.store.close()
 
 
-class Keeper:
+class SnapshotManager:
     """The manager's: beside the ladder, hands it the earlier life with the first list."""
 
-    def __init__(self, folder: str, every: float, placement: Placement, tasks: Tasks) -> None:
+    def __init__(
+        self, folder: str, every: float, placement: ManagerConfig, tasks: BackgroundScheduler
+    ) -> None:
         self._folder, self._workers, self._tasks = Folder(folder), placement.workers, tasks
         self._every = every
-        self._ladder: Ladder | None = None
+        self._ladder: RoutingController | None = None
         self._given = False
-        self._life: it.Remembered | None = None
+        self._life: RestoredState | None = None
         self.version, self.known = placement.version, placement.known
-        self._zones = placement.site.terms.zones
+        self._zones = placement.site.parameters.zone_count
         self.credits: dict[str, float] = {}
         self.list_version: Callable[[], int] = lambda: self.version
         self.credits_now: Callable[[], dict[str, float]] = dict
@@ -92,7 +102,7 @@
         found = self._folder.read()
         if found is None:
             return
-        life, why = unpacked("manager", found.sections, ManagerLife)
+        life, why = unpacked("manager", found.sections, ManagerSnapshot)
         if life is None:
             self.log.warning("memory not used", why=why or "no section manager")
             return
@@ -100,28 +110,28 @@
         self._list(life)
         ids = {w.id: self._workers.find(w.id.encode()) for w in life.workers}
         pasts = tuple(
-            it.Past(be, w.started, w.base, w.slowness, w.out, w.leaving)
+            WorkerHistory(be, w.started, w.base, w.slowness, w.out, w.leaving)
             for w in life.workers
             if (be := ids[w.id]) is not None
         )
-        life_then = it.Remembered(life.mark % 65536, pasts, tuple(life.rates.items()))
+        life_then = RestoredState(life.mark % 65536, pasts, tuple(life.rates.items()))
         self._life = ageing.aged(life_then, age)
         self.credits = {
             name: ageing.credit(value, ageing.CREDIT_START, age) for name, value in life.credits.items()
         }
 
-    def _list(self, life: ManagerLife) -> None:
+    def _list(self, life: ManagerSnapshot) -> None:
         """The list that the earlier life had, where it is newer than the one in the configuration."""
         if life.version <= self.version:
             return
         entries = [e for e in life.listed if 0 <= e.zone < self._zones and e.mode in (0, 1) and e.id]
-        self.known = it.Listing(
-            it.News.CACHED,
+        self.known = EndpointList(
+            ListUpdateKind.CACHED,
             tuple(
-                it.Entry(
+                Endpoint(
                     self._workers.learn(e.id, e.address, e.started),
                     e.zone,
-                    it.Mode(e.mode),
+                    EndpointState(e.mode),
                     e.weight,
                     e.started,
                 )
@@ -132,22 +142,24 @@
 
     async def start(self, stack: AsyncExitStack) -> None:
         stack.callback(self._folder.close)
-        self._tasks.add(Plan(TASK, self._every, priority=3, cpu=CPU, deadline=self._every), self._snapshot)
+        self._tasks.add(
+            TaskPlan(TASK, self._every, priority=3, cpu=CPU, deadline=self._every), self._snapshot
+        )
 
-    def hear(self, now: float, item: it.Input | Beyond) -> None:
+    def hear(self, now: float, item: Input | ExtensionMessage) -> None:
         """It asks the ladder, not the inputs."""
 
-    def inputs(self, now: float) -> list[it.Input]:
+    def inputs(self, now: float) -> list[Input]:
         if self._given or self._life is None:
             return []
         self._given = True
         life, self._life = self._life, None
-        out = sum(past.out for past in life.pasts)
-        leaving = sum(past.leaving for past in life.pasts)
-        self.log.info("memory used", workers=len(life.pasts), suspected=out, leaving=leaving)
+        out = sum(past.was_ejected for past in life.workers)
+        leaving = sum(past.was_draining for past in life.workers)
+        self.log.info("memory used", workers=len(life.workers), suspected=out, leaving=leaving)
         return [life]
 
-    def messages(self, now: float, ladder: Ladder) -> Iterator[tuple[int, bytes]]:
+    def messages(self, now: float, ladder: RoutingController) -> Iterator[tuple[int, bytes]]:
         self._ladder = ladder
         yield from ()
 
@@ -155,23 +167,29 @@
         """In slices of some ms; the file is written by a thread."""
         if (ladder := self._ladder) is None:
             return
-        ids, workers, listed = self._workers.ids, list[WorkerPast](), list[ListEntry]()
+        ids, workers, listed = self._workers.ids, list[WorkerSnapshot](), list[EndpointSnapshot]()
         bes, proxies, rates, mark = list(ladder.bes), list(ladder.proxies), dict[int, float](), 0
         yield None
         for n in range(0, len(bes), CHUNK):
-            for p in recollect(ladder, bes[n : n + CHUNK], ()).pasts:
-                if (name := ids.get(p.be)) is None or (be := ladder.bes.get(p.be)) is None:
+            for p in collect_state(ladder, bes[n : n + CHUNK], ()).workers:
+                if (name := ids.get(p.worker_index)) is None or (
+                    be := ladder.bes.get(p.worker_index)
+                ) is None:
                     continue
                 word = name.decode()
-                workers.append(WorkerPast(word, p.started, p.base, p.slowness, p.out, p.leaving))
-                mode = it.Mode.DRAINING if p.leaving else it.Mode.READY
-                place = self._workers.address(p.be)
-                listed.append(ListEntry(word, place, be.zone, int(mode), be.weight, p.started))
+                workers.append(
+                    WorkerSnapshot(
+                        word, p.started_at, p.base_latency_s, p.latency_factor, p.was_ejected, p.was_draining
+                    )
+                )
+                mode = EndpointState.DRAINING if p.was_draining else EndpointState.READY
+                place = self._workers.address(p.worker_index)
+                listed.append(EndpointSnapshot(word, place, be.zone, int(mode), be.weight, p.started_at))
             yield None
         for n in range(0, len(proxies) + 1, CHUNK):
-            life = recollect(ladder, (), proxies[n : n + CHUNK])
-            rates.update(life.rates)
-            mark = life.mark
+            life = collect_state(ladder, (), proxies[n : n + CHUNK])
+            rates.update(life.proxy_rates)
+            mark = life.last_checkpoint
             yield None
-        section = ManagerLife(mark, workers, rates, self.list_version(), listed, self.credits_now())
+        section = ManagerSnapshot(mark, workers, rates, self.list_version(), listed, self.credits_now())
         yield asyncio.to_thread(lambda: self._folder.write({"manager": packed("manager", section)}))
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -13,22 +13,37 @@
 
 import structlog
 
-from ..config.operator_config import AdvicePart, FollowPart, SecretPart, ServePart, TlsPart, host_port
+from ..config.operator_config import (
+    AdviceConfig,
+    AdviceServerConfig,
+    AdvisorFollowConfig,
+    SecretConfig,
+    TlsConfig,
+    host_port,
+)
 from ..config.settings import WireError
-from ..model import interface as it
-from ..planning.advice_weighting import PERIOD, Advice, Word
-from ..planning.controller_views import standing
-from ..policy.controller import Ladder
-from ..protocol.messages import Beyond
-from ..state.worker_registry import Workers
-from ..weight_advice.client import AdviceListener, DfpFollower, Follower, Said, SaspFollower, places_of
-from ..weight_advice.server import Board, DfpServer, SaspServer, Server, tls_context
+from ..model.inputs import AdvisedFactor, EndpointList, Input
+from ..model.views import WorkerCapacityView
+from ..planning.advice_weighting import PERIOD, Advice, AdvisoryWeight
+from ..planning.controller_views import capacity_views
+from ..policy.controller import RoutingController
+from ..protocol.messages import ExtensionMessage
+from ..state.worker_registry import WorkerRegistry
+from ..weight_advice.client import (
+    AdviceListener,
+    DfpFollower,
+    Follower,
+    ReportedWeight,
+    SaspFollower,
+    places_of,
+)
+from ..weight_advice.server import AdvertisedWeights, DfpServer, SaspServer, Server, tls_context
 
 SECRET_MOST = 1024  # bytes of a secret's file
 TELL_EVERY = 30.0  # s between two lines on how advisors stand
 
 
-def _tls(part: TlsPart | None, server: bool, where: str) -> object:
+def _tls(part: TlsConfig | None, server: bool, where: str) -> object:
     if part is None:
         return None
     try:
@@ -37,7 +52,7 @@
         raise WireError(f"{where}.tls: {exc}") from None
 
 
-def _secret(part: SecretPart | None, where: str) -> tuple[int, bytes] | None:
+def _secret(part: SecretConfig | None, where: str) -> tuple[int, bytes] | None:
     if part is None:
         return None
     try:
@@ -49,21 +64,21 @@
     return part.key, secret
 
 
-class Adviser(AdviceListener):
+class WeightAdvisor(AdviceListener):
     """Owns the board, the listeners and the followers."""
 
-    def __init__(self, part: AdvicePart, workers: Workers) -> None:
+    def __init__(self, part: AdviceConfig, workers: WorkerRegistry) -> None:
         self._part, self._workers = part, workers
-        self._board, self._advice = Board(), Advice()
+        self._board, self._advice = AdvertisedWeights(), Advice()
         self._servers: list[Server] = []
         self._followers: list[Follower] = []
         self._trust: dict[str, float] = {}
-        self._words: list[tuple[str, list[Said], bool]] = []  # heard since the last step
+        self._words: list[tuple[str, list[ReportedWeight], bool]] = []  # heard since the last step
         self._joins: list[str] = []
         self._at = self._told_at = 0.0
         self._listed = False  # the list has changed since the board was brought up to date
         self._factors: dict[int, float] = {}
-        self._standing: dict[int, it.Standing] = {}
+        self._standing: dict[int, WorkerCapacityView] = {}
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     @property
@@ -85,12 +100,12 @@
             stack.push_async_callback(follower.close)
             follower.start()
 
-    def _server(self, part: ServePart, where: str) -> Server:
+    def _server(self, part: AdviceServerConfig, where: str) -> Server:
         if part.protocol == "sasp":
             return SaspServer(self._board, part.clients, _tls(part.tls, True, where))  # type: ignore[arg-type]
         return DfpServer(self._board, part.clients, _secret(part.secret, where))
 
-    def _follower(self, part: FollowPart, where: str, chance: random.Random) -> Follower:
+    def _follower(self, part: AdvisorFollowConfig, where: str, chance: random.Random) -> Follower:
         at = host_port(part.at)
         if part.protocol == "sasp":
             tls = _tls(part.tls, False, where)
@@ -102,24 +117,24 @@
     def joined(self, advisor: str) -> None:
         self._joins.append(advisor)
 
-    def heard(self, advisor: str, words: Iterable[Said], whole: bool) -> None:
+    def heard(self, advisor: str, words: Iterable[ReportedWeight], whole: bool) -> None:
         self._words.append((advisor, list(words), whole))
 
     # beside the ladder
 
-    def hear(self, now: float, item: it.Input | Beyond) -> None:
+    def hear(self, now: float, item: Input | ExtensionMessage) -> None:
         """Nothing of what comes to the manager's address is advice; but who leaves is told at once."""
-        self._listed |= isinstance(item, it.Listing)
+        self._listed |= isinstance(item, EndpointList)
 
-    def inputs(self, now: float) -> list[it.Input]:
+    def inputs(self, now: float) -> list[Input]:
         for advisor in self._joins:
             self._advice.joined(advisor, now, self._trust.get(advisor, 1.0))
         self._joins.clear()
         for advisor, said, whole in self._words:
-            words: dict[int, Word] = {}
+            words: dict[int, AdvisoryWeight] = {}
             for s in said:
                 if s.be is not None:  # one worker under two identifications: the lower word
-                    word = Word(float(s.weight), s.usable)
+                    word = AdvisoryWeight(float(s.weight), s.usable)
                     was = words.get(s.be)
                     words[s.be] = word if was is None or word.weight < was.weight or not word.usable else was
             self._advice.heard(advisor, now, words, whole)
@@ -130,14 +145,14 @@
         changed = dict.fromkeys(self._factors.keys() - factors.keys(), 1.0)
         changed |= {be: factor for be, factor in factors.items() if self._factors.get(be) != factor}
         self._factors = factors
-        return [it.Advised(be, factor) for be, factor in changed.items()]
+        return [AdvisedFactor(be, factor) for be, factor in changed.items()]
 
-    def messages(self, now: float, ladder: Ladder) -> Iterator[tuple[int, bytes]]:
+    def messages(self, now: float, ladder: RoutingController) -> Iterator[tuple[int, bytes]]:
         """Writes no proxy; the board and the followers' lists are brought up to date once an interval."""
         due = now >= self._at
         if due or self._listed:
             self._listed = False
-            self._standing = standing(ladder)
+            self._standing = capacity_views(ladder)
             places = places_of(self._workers.ids, self._workers.address)
             self._board.update(self._standing, places)
             for server in self._servers:
--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-from ..protocol.fault_log import Faults
-from .resource_limits import HEADER_WAIT, STALL_WAIT, Most, Places
+from ..protocol.fault_log import RateLimitedFaultLog
+from .resource_limits import HEADER_WAIT, STALL_WAIT, ConnectionSlots, ResourceLimits
 from .tunnel import End, Reply
 
 SWEEP = 0.5  # s between looks at who has not sent a head yet
@@ -23,7 +23,7 @@
 
     __slots__ = ("front", "client", "came", "heads", "counted")
 
-    def __init__(self, front: Front, manager: web.Server, **kwargs: Any) -> None:
+    def __init__(self, front: ClientListener, manager: web.Server, **kwargs: Any) -> None:
         super().__init__(manager, **kwargs)
         self.front, self.client, self.came, self.heads, self.counted = front, "", 0.0, 0, False
 
@@ -39,15 +39,15 @@
         super().connection_lost(exc)
 
 
-class Front:
+class ClientListener:
     """Owns the listener and counts its connections; a tunnel takes its connection's place over."""
 
     def __init__(
-        self, most: Most, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
+        self, most: ResourceLimits, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
     ) -> None:
         self.most, self._handle = most, handle
-        self.places = Places(most.connections, most.client)
-        self.faults = Faults("client fault")
+        self.places = ConnectionSlots(most.connections, most.client)
+        self.faults = RateLimitedFaultLog("client fault")
         self._new: dict[Guarded, None] = {}
         self._late: list[Guarded] = []  # had sent no head by the last sweep
         self._server = web.Server(self._answer, handler_cancellation=True)
--- a/cottonladder/forwarder/connection_drainer.py
+++ b/cottonladder/forwarder/connection_drainer.py
@@ -84,7 +84,7 @@
     failed: int
 
 
-class Drains:
+class ConnectionDrainer:
     """The drains of one forwarder, by worker."""
 
     def __init__(self, grace: float) -> None:
--- a/cottonladder/forwarder/connection_registry.py
+++ b/cottonladder/forwarder/connection_registry.py
@@ -35,7 +35,7 @@
     resumable: int
 
 
-class Book(Generic[T]):
+class ConnectionRegistry(Generic[T]):
     """Owns the count; each connection is entered once and struck out once."""
 
     def __init__(self) -> None:
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -15,20 +15,27 @@
 import structlog
 from aiohttp import web
 
-from ..config.operator_config import Operator, PluginsPart, host_port, kinds_of, most_of, read_operator
+from ..config.operator_config import (
+    OperatorConfig,
+    PluginsConfig,
+    host_port,
+    kinds_of,
+    most_of,
+    read_operator_config,
+)
 from ..config.settings import WireError
 from ..control import signals
-from ..model import interface as it
+from ..model.inputs import EndpointList, EndpointState, Input, ListUpdateKind
 from ..protocol import upgrade_extension as upgrades
-from ..protocol.discovery import Discovery
-from ..state.worker_registry import Workers as Known
-from .connection_drainer import TICK, Drains
-from .load_recorder import REPORT_EVERY, Met
+from ..protocol.discovery import DiscoveryClient
+from ..state.worker_registry import WorkerRegistry as Known
+from .connection_drainer import TICK, ConnectionDrainer
+from .load_recorder import REPORT_EVERY, LoadRecorder
 from .manager_stream import Collector, Stream
-from .request_handler import Carrier
-from .resource_limits import Arrivals
-from .router import Part, Routes, Unusable
-from .tunnel import Manner
+from .request_handler import RequestHandler
+from .resource_limits import AdmissionPacer
+from .router import Part, Router, Unusable
+from .tunnel import UpgradePolicy
 
 if TYPE_CHECKING:
     from ..plugins.chain import Wanted
@@ -42,7 +49,7 @@
 QUIET_GRACE = 30.0  # s for drains where the file has no grace: upgraded connections are carried all the same
 
 
-def wanted(part: PluginsPart) -> list[Wanted]:
+def wanted(part: PluginsConfig) -> list[Wanted]:
     from ..plugins.chain import Wanted
 
     return [Wanted(p.name, p.path, p.fail == "closed", frozenset(p.grants), p.seed) for p in part.chain]
@@ -54,7 +61,7 @@
     def __init__(self, names: Sequence[str]) -> None:
         self._index = {name: n for n, name in enumerate(names)}
 
-    def zone(self, name: str, where: str) -> int:
+    def zone_index(self, name: str, where: str) -> int:
         if name not in self._index:
             raise WireError(f"{where}: unknown zone")
         return self._index[name]
@@ -63,7 +70,7 @@
 class Forwarder:
     """Who the stream and the list speak to; one task and one loop, so nothing here waits."""
 
-    def __init__(self, operator: Operator) -> None:
+    def __init__(self, operator: OperatorConfig) -> None:
         part = operator.forwarder
         assert part is not None
         self.part, self.upgrades = part, operator.upgrades
@@ -72,13 +79,13 @@
         chance = random.Random(part.seed or time.time_ns())
         self._chance = chance
         self.known, self._zones = Known(), Zones(part.zones)
-        self._home = self._zones.zone(part.zone, "forwarder")
-        self._modes: dict[int, it.Mode] = {}
+        self._home = self._zones.zone_index(part.zone, "forwarder")
+        self._modes: dict[int, EndpointState] = {}
         self._zone_of: dict[int, int] = {}
         self._gone: dict[int, float] = {}
         kinds = kinds_of(part)
         manners = {
-            k.name: Manner(
+            k.name: UpgradePolicy(
                 None if k.busy.opens is None else k.busy.opens.encode(),
                 k.busy.ends.encode(),
                 k.busy.quiet,
@@ -86,12 +93,12 @@
             )  # fmt: skip
             for k in part.kinds
         }
-        self.routes = Routes(kinds, part.levels, chance.random)
-        self.drains = Drains(self.upgrades.grace if self.upgrades else QUIET_GRACE)
+        self.routes = Router(kinds, part.levels, chance.random)
+        self.drains = ConnectionDrainer(self.upgrades.grace if self.upgrades else QUIET_GRACE)
         rate = self.upgrades.arrivals if self.upgrades else float(part.limits.worker)
-        self.arrivals = Arrivals(rate, 1.0)
-        self.met = Met(part.zone, part.node, self.loop.time())
-        self.carrier = Carrier(
+        self.arrivals = AdmissionPacer(rate, 1.0)
+        self.met = LoadRecorder(part.zone, part.node, self.loop.time())
+        self.carrier = RequestHandler(
             kinds, manners, self.routes, self.drains, self.arrivals, most_of(part.limits), self.address,
             self.met, chance,
         )  # fmt: skip
@@ -102,7 +109,7 @@
         )
         self.collector = Collector(part.zone) if part.collector else None
         at = host_port(part.discovery)
-        self.discovery = Discovery(at, self._zones, self.known.learn, self._listed, 0, self._labelled)
+        self.discovery = DiscoveryClient(at, self._zones, self.known.learn, self._listed, 0, self._labelled)
         self._held_at = self._report_at = 0.0
         self._list_wait = 1.0
         self.recalling: Callable[[], None] | None = None  # an earlier life, until the first list has come
@@ -114,11 +121,11 @@
         index = self.known.find(be.encode())
         return None if index is None else self.known.address(index)
 
-    def _listed(self, item: it.Input | object) -> None:
+    def _listed(self, item: Input | object) -> None:
         """Where workers are, and who drains: the list is heard even while no manager is."""
-        if not isinstance(item, it.Listing):
+        if not isinstance(item, EndpointList):
             return
-        if item.news == it.News.FAILED:
+        if item.kind == ListUpdateKind.FAILED:
             if (due := self._timers.get("list")) is not None:
                 due.cancel()  # a call and the watch may fail together
             wait = self._chance.uniform(*LIST_AGAIN) * self._list_wait
@@ -126,14 +133,14 @@
             self._list_wait = min(LIST_WAIT_MOST, 2.0 * self._list_wait)
             return
         self._list_wait = 1.0
-        now, named = self.loop.time(), {e.be for e in item.entries}
-        if item.news == it.News.FULL:
+        now, named = self.loop.time(), {e.worker_index for e in item.endpoints}
+        if item.kind == ListUpdateKind.FULL:
             for be in [be for be in self._modes if be not in named]:
-                self._mode(be, it.Mode.GONE, now)
-        for entry in item.entries:
-            self._zone_of[entry.be] = entry.zone
-            self._mode(entry.be, entry.mode, now)
-        ready = [be for be, mode in self._modes.items() if mode == it.Mode.READY]
+                self._mode(be, EndpointState.GONE, now)
+        for entry in item.endpoints:
+            self._zone_of[entry.worker_index] = entry.zone
+            self._mode(entry.worker_index, entry.state, now)
+        ready = [be for be, mode in self._modes.items() if mode == EndpointState.READY]
         near = [be for be in ready if self._zone_of[be] == self._home] or ready
         self._chance.shuffle(near)
         if self.recalling is not None and ready:
@@ -142,15 +149,15 @@
         self.routes.begin(self.known.ids[be].decode() for be in near)
         self._forget(now)
 
-    def _mode(self, be: int, mode: it.Mode, now: float) -> None:
+    def _mode(self, be: int, mode: EndpointState, now: float) -> None:
         name = self.known.ids[be].decode()
         self._modes[be] = mode
-        if mode == it.Mode.READY:
+        if mode == EndpointState.READY:
             self.routes.leaving.discard(name)
             self._gone.pop(be, None)
         else:
             self.routes.leaving.add(name)
-            if mode == it.Mode.GONE:
+            if mode == EndpointState.GONE:
                 self._gone.setdefault(be, now)
 
     def _forget(self, now: float) -> None:
@@ -180,23 +187,23 @@
         held = frozenset(listed | set(self.part.plugins.labels.get(entry["id"], ())))
         self.carrier.labels = {**self.carrier.labels, entry["id"]: held}
 
-    def load_plugins(self, part: PluginsPart | None) -> None:
+    def load_plugins(self, part: PluginsConfig | None) -> None:
         """At the start; raises for one that can't be loaded."""
         if part is None:
             return
-        from ..plugins.chain import Chain
+        from ..plugins.chain import PluginChain
 
-        self.carrier.hooks = Chain(wanted(part))
+        self.carrier.hooks = PluginChain(wanted(part))
         self._take_plugins(part)
 
-    def _take_plugins(self, part: PluginsPart) -> None:
+    def _take_plugins(self, part: PluginsConfig) -> None:
         self.carrier.labels = {
             **self.carrier.labels, **{be: frozenset(labels) for be, labels in part.labels.items()}
         }  # fmt: skip
         self.carrier.fall_back = part.missing == "fall back"
         self.carrier.headers_allowed = frozenset(name.lower() for name in part.headers)
 
-    def reload_plugins(self, part: PluginsPart | None) -> None:
+    def reload_plugins(self, part: PluginsConfig | None) -> None:
         """On SIGHUP: the old ones serve until the new ones are proved."""
         if part is None or self.carrier.hooks is None:
             self.log.error("plug-ins not taken", why="they can be changed, but not switched on or off")
@@ -220,10 +227,10 @@
 
     def extended(self, said: upgrades.FromManager) -> None:
         now = self.loop.time()
-        if isinstance(said, upgrades.Welcome):
+        if isinstance(said, upgrades.AnnouncementAccepted):
             self.arrivals.part, self.arrivals.rate = said.part, said.arrivals
             return
-        if isinstance(said, upgrades.Stopped):
+        if isinstance(said, upgrades.MigrationStopped):
             self.drains.stopped(now, said.source)
             return
         for be in (said.source, *said.to):
@@ -328,24 +335,24 @@
     return int(runner.addresses[0][1])
 
 
-async def _background(forwarder: Forwarder, operator: Operator, stack: AsyncExitStack) -> None:
+async def _background(forwarder: Forwarder, operator: OperatorConfig, stack: AsyncExitStack) -> None:
     """The scheduler and the memory, where the file asks for them; imported only then."""
     if not (operator.memory or operator.control):
         return
-    from ..control.admin_socket import Control
-    from ..control.background_scheduler import Tasks
+    from ..control.admin_socket import AdminSocket
+    from ..control.background_scheduler import BackgroundScheduler
     from ..control.snapshot_manager import CPU, TASK, Folder
     from ..planning import snapshot_staleness as ageing
-    from ..planning.priority_scheduling import Plan
-    from ..snapshots.sections import ForwarderLife, packed, unpacked
+    from ..planning.priority_scheduling import TaskPlan
+    from ..snapshots.sections import ForwarderSnapshot, packed, unpacked
     from .restored_state import life_of, recall
 
-    tasks = Tasks(random.random)
+    tasks = BackgroundScheduler(random.random)
     if operator.memory is not None:
         folder = Folder(operator.memory.folder)
         stack.callback(folder.close)
         found = folder.read()
-        life, why = unpacked("forwarder", found.sections, ForwarderLife) if found else (None, "")
+        life, why = unpacked("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
         if why:
             forwarder.log.warning("memory not used", why=why)
         if life is not None and found is not None:
@@ -369,27 +376,27 @@
             section = packed("forwarder", kept)
             yield asyncio.to_thread(folder.write, {"forwarder": section})
 
-        tasks.add(Plan(TASK, operator.memory.every, priority=3, cpu=CPU), snapshot)
+        tasks.add(TaskPlan(TASK, operator.memory.every, priority=3, cpu=CPU), snapshot)
         stack.push_async_callback(tasks.close, (TASK,))
     else:
         stack.push_async_callback(tasks.close)
     if operator.control:
         answers = {"tasks": tasks.shown, "state": forwarder.status}
-        await Control(operator.control, answers).listen(stack)
+        await AdminSocket(operator.control, answers).listen(stack)
     tasks.start()
 
 
 def _reload(forwarder: Forwarder, path: str) -> None:
     """The file anew, of which plug-ins, labels and what they may change are taken."""
     try:
-        operator = read_operator(path)
+        operator = read_operator_config(path)
     except WireError as exc:
         forwarder.log.error("file not taken", why=str(exc))
         return
     forwarder.reload_plugins(operator.forwarder.plugins if operator.forwarder else None)
 
 
-async def serve(operator: Operator, path: str) -> None:
+async def serve(operator: OperatorConfig, path: str) -> None:
     """Until SIGTERM or SIGINT, then the connections' drain; a second signal ends that."""
     log: structlog.stdlib.BoundLogger = structlog.get_logger()
     stop, again = asyncio.Event(), asyncio.Event()
--- a/cottonladder/forwarder/frame_scanner.py
+++ b/cottonladder/forwarder/frame_scanner.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fed:
+class ScanResult:
     """What passes on; `closing`: the bytes from a close frame's first on; `begun`: first bytes of each data
     message that began here and is known well enough to compare; `ended`: data messages that ended here."""
 
@@ -32,7 +32,7 @@
     ended: int
 
 
-class Scanner:
+class FrameScanner:
     """One direction.  Bytes of a head that is not whole are kept back, 14 at the most, so that what passed on
     always ends in a frame whose kind is known."""
 
@@ -58,9 +58,9 @@
         """Between messages: a connection may end here, or go on elsewhere."""
         return self.between and not self.message
 
-    def feed(self, data: bytes) -> Fed:
+    def feed(self, data: bytes) -> ScanResult:
         if self.closed:
-            return Fed(b"", data, (), 0)
+            return ScanResult(b"", data, (), 0)
         data = self._rest + data if self._rest else data
         self._rest = b""
         at, begun, ended = 0, list[bytes](), 0
@@ -69,10 +69,10 @@
                 size = self._head(data, at)
                 if not size:
                     self._rest = data[at:]
-                    return Fed(data[:at], b"", tuple(begun), ended)
+                    return ScanResult(data[:at], b"", tuple(begun), ended)
                 if self.closed:
                     self._left = 0
-                    return Fed(data[:at], data[at:], tuple(begun), ended)
+                    return ScanResult(data[:at], data[at:], tuple(begun), ended)
                 at += size
             taken = min(self._left, len(data) - at)
             self._look(data, at, taken, begun)
@@ -81,7 +81,7 @@
             if not self._left and not self._control and self._final:
                 self.message = False
                 ended += 1
-        return Fed(data, b"", tuple(begun), ended)
+        return ScanResult(data, b"", tuple(begun), ended)
 
     def _head(self, data: bytes, at: int) -> int:
         """Reads a frame's head; 0 while it is not whole."""
--- a/cottonladder/forwarder/load_recorder.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Met:
+class LoadRecorder:
     """Counts since the last report; `interval` is what they cover, in ms."""
 
     zone: str
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -185,7 +185,7 @@
             return
         elif self._extended and kind in upgrades.TO_FORWARDER:
             said = upgrades.read_for_forwarder(words)
-            if isinstance(said, upgrades.Welcome) and not self.welcome:
+            if isinstance(said, upgrades.AnnouncementAccepted) and not self.welcome:
                 self.welcome = True
                 self._orders.welcomed()
             self._orders.extended(said)
--- a/cottonladder/forwarder/request_handler.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -17,19 +17,19 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from ..planning.plugin_bounds import Wish, narrowed
-from .client_listener import BodyTooLarge, Front, HandedOver, agreed, body_of
-from .connection_drainer import Act, Cut, Drains
-from .connection_registry import Book
+from ..planning.plugin_bounds import RoutePreference, narrowed
+from .client_listener import BodyTooLarge, ClientListener, HandedOver, agreed, body_of
+from .connection_drainer import Act, ConnectionDrainer, Cut
+from .connection_registry import ConnectionRegistry
 from .frame_scanner import GOING_AWAY, RESTART, UNEXPECTED
-from .load_recorder import Met
-from .resource_limits import REPLAY_BYTES, STALL_WAIT, Arrivals, Most, come_back
-from .router import NON_REPLAYABLE, Kind, Routes, kind_of, try_again
-from .tunnel import CLOSE_WAIT, CLOSED, CLOSING, FarEnd, HandshakeError, Manner, Tunnel, dial
+from .load_recorder import LoadRecorder
+from .resource_limits import REPLAY_BYTES, STALL_WAIT, AdmissionPacer, ResourceLimits, come_back
+from .router import NON_REPLAYABLE, Kind, Router, kind_of, try_again
+from .tunnel import CLOSE_WAIT, CLOSED, CLOSING, HandshakeError, Tunnel, UpgradePolicy, WorkerEnd, dial
 from .worker_connections import HOP, Req, WorkerError, Workers, passed_on
 
 if TYPE_CHECKING:
-    from ..plugins.chain import Chain
+    from ..plugins.chain import PluginChain
 
 LEAST_WAIT = 0.05  # s for a try that starts near its deadline
 TURNED_AWAY = 1.0  # s after which one that was denied may come again, where nothing tells more
@@ -55,19 +55,19 @@
             raise
 
 
-class Carrier:
+class RequestHandler:
     """Owns the tunnels; everything a req needs to know of the fleet is asked here."""
 
     def __init__(
         self,
         kinds: list[Kind],
-        manners: Mapping[str, Manner],
-        routes: Routes,
-        drains: Drains,
-        arrivals: Arrivals,
-        most: Most,
+        manners: Mapping[str, UpgradePolicy],
+        routes: Router,
+        drains: ConnectionDrainer,
+        arrivals: AdmissionPacer,
+        most: ResourceLimits,
         address_of: Callable[[str], str | None],
-        met: Met,
+        met: LoadRecorder,
         chance: random.Random,
     ) -> None:
         self._kinds, self._manners, self.routes, self.drains, self.arrivals = (
@@ -78,13 +78,13 @@
             arrivals,
         )
         self._most, self._address_of, self.met, self._chance = most, address_of, met, chance
-        self.book: Book[Tunnel] = Book()
-        self.front = Front(most, self.handle)
+        self.book: ConnectionRegistry[Tunnel] = ConnectionRegistry()
+        self.front = ClientListener(most, self.handle)
         self.workers = Workers(most)
         self.stopping = False
         self.underway: dict[asyncio.Task[Any], None] = {}  # requests and handshakes without their answer yet
         self._given_up = False
-        self.hooks: Chain | None = None  # plug-ins, where the file names some
+        self.hooks: PluginChain | None = None  # plug-ins, where the file names some
         self.labels: Mapping[str, frozenset[str]] = {}
         self.fall_back, self.headers_allowed = True, frozenset[str]()
         self.ends: dict[str, int] = {}  # tunnels by why they ended, since the last line
@@ -162,7 +162,7 @@
         among: dict[str, float] | None = None
         if said.need or said.prefer:
             lines = self.routes.lines(kind.name)
-            choice = narrowed(lines, self.labels, Wish(said.need, said.prefer), self.fall_back)
+            choice = narrowed(lines, self.labels, RoutePreference(said.need, said.prefer), self.fall_back)
             if choice.clipped:
                 chain.clipped()
             if choice.let < 1.0 and self._chance.random() >= choice.let:
@@ -348,7 +348,7 @@
         self.met.failed(kind.name)
         return self._away(503, "no worker answered")
 
-    def _handshake(self, request: web.BaseRequest, manner: Manner) -> bytes:
+    def _handshake(self, request: web.BaseRequest, manner: UpgradePolicy) -> bytes:
         """The client's own head, but for what belongs to its connection alone."""
         lines = [f"GET {request.raw_path} HTTP/1.1"]
         for name, value in request.get("headers", request.headers).items():
@@ -388,7 +388,7 @@
             tried.append(be)
         return None, least
 
-    async def _shake(self, be: str, head: bytes, deadline: float) -> FarEnd:
+    async def _shake(self, be: str, head: bytes, deadline: float) -> WorkerEnd:
         """A worker's end with its answer's head read, whatever it says."""
         address = self._address_of(be)
         if address is None:
@@ -403,7 +403,13 @@
         return far
 
     def _join(
-        self, request: web.BaseRequest, far: FarEnd, kind: Kind, manner: Manner, websocket: bool, head: bytes
+        self,
+        request: web.BaseRequest,
+        far: WorkerEnd,
+        kind: Kind,
+        manner: UpgradePolicy,
+        websocket: bool,
+        head: bytes,
     ) -> web.StreamResponse:
         assert far.reply is not None
         try:
--- a/cottonladder/forwarder/resource_limits.py
+++ b/cottonladder/forwarder/resource_limits.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Most:
+class ResourceLimits:
     """The limits in force."""
 
     connections: int = CONNECTIONS
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Places:
+class ConnectionSlots:
     """Who has how many of the places there are; each taken place is given back once."""
 
     most: int
@@ -64,7 +64,7 @@
             del self.taken[who]
 
 
-class Arrivals:
+class AdmissionPacer:
     """How fast new upgraded connections may go to each worker: a bucket a worker, in the part of the worker's
     arrivals that is this forwarder's, by its weight against the table's mean.  It answers a rush: a worker
     with a thousand connections dies and all come back at once.  Places that a manager's order named are free
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable, Mapping
 
 from ..planning import snapshot_staleness as ageing
-from ..snapshots.sections import ForwarderLife, TableLife
+from ..snapshots.sections import ForwarderSnapshot, TableSnapshot
 from .connection_registry import Row
-from .resource_limits import Arrivals
-from .router import Routes
+from .resource_limits import AdmissionPacer
+from .router import Router
 
 
-def life_of(routes: Routes, held: Mapping[str, Row], now: float) -> ForwarderLife:
+def life_of(routes: Router, held: Mapping[str, Row], now: float) -> ForwarderSnapshot:
     """`now` on the routes' own clock: what is kept away from is kept as s left."""
-    return ForwarderLife(
-        {k: TableLife(dict(t.rows), t.gate, t.again) for k, t in routes.tables.items()}
+    return ForwarderSnapshot(
+        {k: TableSnapshot(dict(t.rows), t.gate, t.again) for k, t in routes.tables.items()}
         if routes.ordered
         else {},
         sorted(routes.out),
@@ -24,11 +24,11 @@
 
 
 def recall(
-    life: ForwarderLife,
+    life: ForwarderSnapshot,
     age: float,
     now: float,
-    routes: Routes,
-    arrivals: Arrivals,
+    routes: Router,
+    arrivals: AdmissionPacer,
     known: Callable[[str], bool],
 ) -> str:
     """Gives an earlier life's knowledge to the routes.  Withdrawals stand whatever their age: whoever ordered
--- a/cottonladder/forwarder/router.py
+++ b/cottonladder/forwarder/router.py
@@ -93,7 +93,7 @@
     stamp: int | None = None
 
 
-class Routes:
+class Router:
     """Tables by kind, who is shut out, and who failed here of late."""
 
     def __init__(self, kinds: Iterable[Kind], levels: str, random: Callable[[], float]) -> None:
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from .frame_scanner import PROTOCOL_ERROR, RESTART, UNEXPECTED, FrameError, Scanner, close_frame
+from .frame_scanner import PROTOCOL_ERROR, RESTART, UNEXPECTED, FrameError, FrameScanner, close_frame
 from .resource_limits import BUFFER_BYTES, HEADER_BYTES, STALL_WAIT
 
 CLOSE_WAIT = 2.0  # s that a client may take to answer a close, and a worker to end, before both are cut
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Manner:
+class UpgradePolicy:
     """How a kind's connections tell that something is under way.  `opens`, `ends`: first bytes of a client's
     message that asks and of a worker's that answers (None: not told apart, so `quiet` s without data are
     waited for)."""
@@ -104,7 +104,7 @@
             self.gone = True
 
 
-class FarEnd(End):
+class WorkerEnd(End):
     """The worker's end; until the answer's head is whole it reads the handshake."""
 
     __slots__ = ("be", "reply", "rest", "_parser", "_status", "_headers", "_answer", "_size")
@@ -188,10 +188,10 @@
             self.transport.abort()
 
 
-async def dial(be: str, host: str, port: int, wait: float) -> FarEnd:
+async def dial(be: str, host: str, port: int, wait: float) -> WorkerEnd:
     """A connection to a worker; a HandshakeError with the proof that nothing ran if there is none."""
     try:
-        connecting = asyncio.get_running_loop().create_connection(lambda: FarEnd(be), host, port)
+        connecting = asyncio.get_running_loop().create_connection(lambda: WorkerEnd(be), host, port)
         _, end = await asyncio.wait_for(connecting, wait)
     except (OSError, TimeoutError) as exc:
         raise HandshakeError(f"no connection: {exc or 'timed out'}", False) from None
@@ -210,9 +210,9 @@
     def __init__(
         self,
         near: End,
-        far: FarEnd,
+        far: WorkerEnd,
         kind: str,
-        manner: Manner,
+        manner: UpgradePolicy,
         websocket: bool,
         head: bytes,
         owner: Owner,
@@ -222,13 +222,13 @@
         self.owner, self.state, self.client = owner, OPEN, client
         self.head = head if manner.ticket and len(head) <= KEPT_HEAD else b""
         self.ticket = far.reply.header(manner.ticket) if far.reply and manner.ticket else ""
-        self.up: Scanner | None = Scanner(masked=True) if websocket else None
-        self.down: Scanner | None = Scanner(masked=False) if websocket else None
+        self.up: FrameScanner | None = FrameScanner(masked=True) if websocket else None
+        self.down: FrameScanner | None = FrameScanner(masked=False) if websocket else None
         self.pending = 0
         self._loop = asyncio.get_running_loop()
         self.active = self._loop.time()
         self._timer: asyncio.TimerHandle | None = None
-        self._order, self._new, self._why, self._code = -1, cast(FarEnd | None, None), "", 0
+        self._order, self._new, self._why, self._code = -1, cast(WorkerEnd | None, None), "", 0
         self._reason = ""
         self._stalled: dict[End, asyncio.TimerHandle] = {}
         self._eofs = 0
@@ -272,7 +272,7 @@
                 self._from_client(data)
             elif end is self.far:
                 self._from_worker(data)
-            elif isinstance(end, FarEnd):
+            elif isinstance(end, WorkerEnd):
                 end._keep(data)  # the new worker speaks before the old one has ended
         except FrameError as exc:
             if end is self.near:
@@ -379,7 +379,7 @@
         task = asyncio.ensure_future(connecting(head))
         task.add_done_callback(self._connected)
 
-    def _connected(self, task: asyncio.Future[FarEnd]) -> None:
+    def _connected(self, task: asyncio.Future[WorkerEnd]) -> None:
         new = None if task.cancelled() or task.exception() else task.result()
         if self.state != MOVING:
             if new is not None:
@@ -425,7 +425,7 @@
             self._end("the old worker ended amid a message", 0.0)
             return
         self.far, self.be, self._new = self._new, self._new.be, None
-        self.down, self.state, self._order = Scanner(masked=False), OPEN, -1
+        self.down, self.state, self._order = FrameScanner(masked=False), OPEN, -1
         self.owner.moved(self, source, order)
         self.start()
         if self.near.transport is not None and not self.near.transport.is_closing():
@@ -461,7 +461,7 @@
         """Once no frame is half sent to the client."""
         if self.down is not None and self.down.between and self.near.transport is not None:
             self._say_close(self._code, self._reason)
-            self.down = Scanner(masked=False)
+            self.down = FrameScanner(masked=False)
             self._code = self._code or RESTART
             if self.up is not None and self.up.between:
                 self._write(self.far, close_frame(self._code, "", True))
--- a/cottonladder/forwarder/worker_connections.py
+++ b/cottonladder/forwarder/worker_connections.py
@@ -10,7 +10,7 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 from yarl import URL
 
-from .resource_limits import Most
+from .resource_limits import ResourceLimits
 
 # Heads that belong to one connection and not to the req (RFC 9110, 7.6.1).
 HOP = frozenset(
@@ -50,7 +50,7 @@
 class Workers:
     """Owns the session."""
 
-    def __init__(self, most: Most) -> None:
+    def __init__(self, most: ResourceLimits) -> None:
         self._most = most
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=most.connect_wait, sock_read=None)
         self._session = aiohttp.ClientSession(
--- /dev/null
+++ b/cottonladder/model/gossip_text.py
@@ -0,0 +1,37 @@
+"""The text of gossip datagrams: proxies and demand by zone.
+
+3 21.5 1 7.0            three proxies with 21.5 requests/s in zone 0, one with 7.0 in zone 1
+@18 2 9.0 0 0.0         the same from zone 18 on, where one datagram can't hold all zones
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class ZoneFigures:
+    """Proxy count and requests a second of each zone in turn, from `first_zone` on."""
+
+    first_zone: int
+    figures: list[float]
+
+
+def encode_zone_figures(counts: list[int], demand: list[float], max_zones: int) -> Iterator[str]:
+    """Texts of at most `max_zones` zones each."""
+    words = [f"{count} {rate:.1f}" for count, rate in zip(counts, demand, strict=True)]
+    for first in range(0, len(words), max_zones):
+        mark = [f"@{first}"] if len(words) > max_zones else []
+        yield " ".join(mark + words[first : first + max_zones])
+
+
+def decode_zone_figures(text: str, zone_count: int, max_zones: int) -> ZoneFigures | None:
+    """None where the text is not two figures for each of its zones: it may have been spoilt on its way."""
+    first, rest = "0", text
+    if text[:1] == "@":
+        first, _, rest = text[1:].partition(" ")
+    figures = [float(word) for word in rest.split() if word.replace(".", "", 1).isdecimal()]
+    if not first.isdecimal() or len(figures) != 2 * min(max_zones, zone_count - int(first)):
+        return None
+    return ZoneFigures(int(first), figures)
--- /dev/null
+++ b/cottonladder/model/parameters.py
@@ -0,0 +1,46 @@
+"""What a controller is given at its start: the deployment, as its settings describe it.
+
+Times are in seconds.  Workers, zones and request classes stand as small indices everywhere behind the wire.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class RequestClass:
+    """One kind of req, as the operators describe it."""
+
+    latency_objective_s: float
+    priority_weight: float
+
+
+@dataclass(frozen=True, slots=True)
+class DeploymentParameters:
+    """What a start hands over: what this instance may do and what it must keep to."""
+
+    seed: int
+    manager_count: int
+    zone_count: int
+    request_classes: tuple[RequestClass, ...]
+    proxy_count: int
+    watches_endpoints: bool
+    poll_within_s: float
+    health_checks: bool
+    gossip: bool
+    admission_mode: str
+    slice_count: int
+    single_owner: bool
+    channel_lines_per_s: float
+    message_header_lines: int
+    max_queued_lines: float
+    max_messages: int
+    message_window_s: float
+    drain_grace_s: float
+    warm_up_start_ratio: float
+    collapse_multiple: float
+    proxies_eject_outliers: bool
+    warm_up_s: float
+    cross_zone_cost: float
+    health_check_cost: float
--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from ..model.interface import Standing
+from ..model.views import WorkerCapacityView
 from ..policy.controller import COLD_OVER
 
 TOP = 10_000  # weight of the heaviest member: shares of a hundredth of a percent can be told apart
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class AdvertisedWeight:
     """`weight` 0: nothing new; `contact`: it answers, as far as is known; `leaving`: it drains or is gone."""
 
     weight: int
@@ -29,13 +29,13 @@
 
 
 def offers(
-    standing: Mapping[int, Standing], members: Iterable[int], quiesced: frozenset[int] = frozenset()
-) -> dict[int, Offer]:
+    standing: Mapping[int, WorkerCapacityView], members: Iterable[int], quiesced: frozenset[int] = frozenset()
+) -> dict[int, AdvertisedWeight]:
     """Offers to one group.  Who is not known, drains, is gone or was quiesced by the balancer gets 0."""
     known = [be for be in members if be in standing and be not in quiesced]
-    live = {be: standing[be].estimate for be in known if standing[be].estimate > 0}
-    whole = sum(s.estimate for s in standing.values()) or 1.0
-    warm = {be: e for be, e in live.items() if not standing[be].cold}
+    live = {be: standing[be].capacity for be in known if standing[be].capacity > 0}
+    whole = sum(s.capacity for s in standing.values()) or 1.0
+    warm = {be: e for be, e in live.items() if not standing[be].warming_up}
     shares = dict(live)
     if warm:
         level = sum(warm.values())
@@ -46,17 +46,17 @@
         # Several cold ones in a group: each part was worked out beside the warm alone, so together they are
         # less than that, never more.
     most = max(shares.values(), default=1.0)
-    out: dict[int, Offer] = {}
+    out: dict[int, AdvertisedWeight] = {}
     for be in members:
-        leaving = be not in standing or standing[be].leaving_since >= 0
+        leaving = be not in standing or standing[be].draining_since >= 0
         exact = TOP * shares[be] / most if be in shares else 0.0
         least = int(be in shares)
         weight = math.ceil(exact) if be in warm else max(least, int(exact))  # rounding lifts no cold one
-        out[be] = Offer(weight, be in live or be in quiesced, leaving)
+        out[be] = AdvertisedWeight(weight, be in live or be in quiesced, leaving)
     return out
 
 
-def moved(was: Offer | None, now: Offer) -> bool:
+def moved(was: AdvertisedWeight | None, now: AdvertisedWeight) -> bool:
     """Whether a balancer must hear of it: what leaves or comes at once, weights past a part."""
     if was is None or was.contact != now.contact or was.leaving != now.leaving:
         return True
--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -18,7 +18,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from ..model.interface import Standing
+from ..model.views import WorkerCapacityView
 from ..policy.controller import INTERVAL
 
 BOUND = 2.0  # the most that all advice together may lift or lower an estimate by: speeds differ by as much
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class AdvisoryWeight:
     """One advisor on one worker; `weight` 0, or `usable` not: send nothing there."""
 
     weight: float
@@ -45,7 +45,7 @@
 @dataclass(slots=True)
 class _Advisor:
     trust: float
-    words: dict[int, Word] = field(default_factory=dict)
+    words: dict[int, AdvisoryWeight] = field(default_factory=dict)
     at: dict[int, float] = field(default_factory=dict)
     credit: float = CREDIT_START
     last: dict[int, float] = field(default_factory=dict)  # logarithms an interval ago
@@ -75,7 +75,7 @@
         a = self._advisors.setdefault(advisor, _Advisor(trust))
         a.trust = trust
 
-    def heard(self, advisor: str, now: float, words: Mapping[int, Word], whole: bool) -> None:
+    def heard(self, advisor: str, now: float, words: Mapping[int, AdvisoryWeight], whole: bool) -> None:
         """Words by worker.  One worker under two identifications: the lower word holds."""
         a = self._advisors.setdefault(advisor, _Advisor(1.0))
         if whole:
@@ -93,7 +93,7 @@
         for name, credit in credits.items():
             self._advisors.setdefault(name, _Advisor(1.0)).credit = min(1.0, max(CREDIT_LEAST, credit))
 
-    def forget(self, known: Mapping[int, Standing]) -> None:
+    def forget(self, known: Mapping[int, WorkerCapacityView]) -> None:
         for a in self._advisors.values():
             for be in [be for be in a.words if be not in known]:
                 del a.words[be], a.at[be]
@@ -104,13 +104,13 @@
             for name, a in self._advisors.items()
         }
 
-    def factors(self, now: float, standing: Mapping[int, Standing]) -> dict[int, float]:
+    def factors(self, now: float, standing: Mapping[int, WorkerCapacityView]) -> dict[int, float]:
         """The factor in force for each worker that isn't neutral; moves by one step a call."""
         self.forget(standing)
         plain = {
-            be: s.estimate / math.exp(self._factors.get(be, 0.0))
+            be: s.capacity / math.exp(self._factors.get(be, 0.0))
             for be, s in standing.items()
-            if s.estimate > 0
+            if s.capacity > 0
         }
         wanted: dict[int, list[tuple[float, float]]] = {}
         for a in self._advisors.values():
@@ -131,7 +131,7 @@
             aim = best * sum(credit * log for credit, log in said) / weights if weights > 0 else 0.0
             was = self._factors.get(be, 0.0)
             log = was + min(STEP, max(-STEP, aim - was))
-            if standing[be].cold:
+            if standing[be].warming_up:
                 log = min(0.0, log)
             if abs(log) > 1e-4:
                 out[be] = log
@@ -139,7 +139,7 @@
         return {be: math.exp(log) for be, log in out.items()}
 
     def _logs(
-        self, a: _Advisor, now: float, plain: Mapping[int, float], standing: Mapping[int, Standing]
+        self, a: _Advisor, now: float, plain: Mapping[int, float], standing: Mapping[int, WorkerCapacityView]
     ) -> dict[int, float]:
         """An advisor's word on each usable worker as the logarithm of its share over the estimates' own."""
         said = {be: w for be, w in a.words.items() if be in plain and now - a.at[be] < FADED}
@@ -154,7 +154,7 @@
             logs[be] = min(most, max(-most, math.log((weight / words) / (plain[be] / estimates))))
         return logs
 
-    def _judge(self, a: _Advisor, logs: dict[int, float], standing: Mapping[int, Standing]) -> None:
+    def _judge(self, a: _Advisor, logs: dict[int, float], standing: Mapping[int, WorkerCapacityView]) -> None:
         """Do the workers that it ranks high answer faster than those that it ranks low, or slower?  Its own
         words are judged, not what they change: beside estimates that fell for a queue an honest word looks
         like a lift of the slow."""
@@ -170,7 +170,11 @@
         if flapped and sum(flapped) / len(flapped) > FLAP:
             a.credit -= FLAP_FALL * a.credit
         else:
-            times = {be: standing[be].time for be in words if standing[be].time > 0 and not standing[be].cold}
+            times = {
+                be: standing[be].latency_s
+                for be in words
+                if standing[be].latency_s > 0 and not standing[be].warming_up
+            }
             spread = sum(abs(words[be]) for be in times)
             if len(times) < TIMES_LEAST or spread < SPREAD_LEAST * len(times):
                 return
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -19,8 +19,9 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from ..model.interface import Standing
-from ..policy.controller import CROSS_COST, least_cost_flow
+from ..model.min_cost_flow import min_cost_flow
+from ..model.views import WorkerCapacityView
+from ..policy.controller import CROSS_COST
 
 PLAN_EVERY = 0.5  # s between plans, and the span of one slice: a worker's takings are seen in time
 MARGIN = 0.15  # part of the grace kept free at its end: for the busy, the slow and what failed once
@@ -35,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MoveTerms:
+class MigrationParameters:
     """What the operators state of connections; times in seconds.
 
     `most`: connections that one worker may hold; `arrivals`: new ones a second that a worker of average
@@ -52,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holding:
+class HeldConnectionCounts:
     """A forwarder's connections at one worker: all, those amid something, those that can resume elsewhere."""
 
     open: int
@@ -61,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class MigrateConnections:
     """`count` connections leave `source` within `within` s: as many as `to` says go there, the rest are
     closed and told to come back.  `left`: s of grace that remain."""
 
@@ -75,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class StopMigration:
     """The worker stays after all: what was ordered of it and has not begun is off."""
 
     forwarder: int
@@ -83,14 +84,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Admit:
+class AdmitForwarder:
     """This forwarder's part of the new connections that each worker takes up."""
 
     forwarder: int
     part: float
 
 
-MoveOrder = Move | Stop | Admit
+MigrationOrder = MigrateConnections | StopMigration | AdmitForwarder
 
 
 @dataclass(slots=True)
@@ -105,7 +106,7 @@
 @dataclass(slots=True)
 class _Holder:
     zone: int
-    at: dict[int, Holding] = field(default_factory=dict)
+    at: dict[int, HeldConnectionCounts] = field(default_factory=dict)
     part: float = 0.0  # as told
 
 
@@ -133,10 +134,10 @@
     return {key: n for key, n in parts.items() if n}
 
 
-class Moves:
+class MigrationPlanner:
     """Plans the moves of one manager's forwarders."""
 
-    def __init__(self, terms: MoveTerms) -> None:
+    def __init__(self, terms: MigrationParameters) -> None:
         self.terms, self.number = terms, 0
         self._holders: dict[int, _Holder] = {}
         self._flights: dict[int, _Flight] = {}
@@ -154,7 +155,7 @@
         for number in [n for n, f in self._flights.items() if f.forwarder == forwarder]:
             del self._flights[number]
 
-    def held(self, forwarder: int, whole: bool, rows: Mapping[int, Holding]) -> None:
+    def held(self, forwarder: int, whole: bool, rows: Mapping[int, HeldConnectionCounts]) -> None:
         """Absolute figures, so a row told twice harms nothing; `whole`: there are no others."""
         if (holder := self._holders.get(forwarder)) is None:
             return
@@ -170,7 +171,7 @@
         if flight is not None and flight.forwarder == forwarder:
             del self._flights[number]
 
-    def totals(self) -> dict[int, Holding]:
+    def totals(self) -> dict[int, HeldConnectionCounts]:
         """By worker, over all forwarders."""
         sums: dict[int, list[int]] = {}
         for holder in self._holders.values():
@@ -179,19 +180,19 @@
                 row[0] += held.open
                 row[1] += held.busy
                 row[2] += held.resumable
-        return {be: Holding(*row) for be, row in sums.items()}
+        return {be: HeldConnectionCounts(*row) for be, row in sums.items()}
 
     def loads(self) -> dict[int, float]:
         """Reqs a second that held connections stand for, by worker."""
         return {be: held.open * self.terms.each for be, held in self.totals().items()}
 
-    def plan(self, now: float, standing: Mapping[int, Standing]) -> list[MoveOrder]:
+    def plan(self, now: float, standing: Mapping[int, WorkerCapacityView]) -> list[MigrationOrder]:
         """The orders of this slice."""
         for number in [n for n, flight in self._flights.items() if now >= flight.expires]:
             del self._flights[number]
         totals = self.totals()
         leaving = self._leaving(now, standing, totals)
-        orders: list[MoveOrder] = [*self._stops(leaving)]
+        orders: list[MigrationOrder] = [*self._stops(leaving)]
         budget = int(self.terms.lines_per_s * PLAN_EVERY * LINES_PART)
         spent = len(orders) * (self.terms.head_lines + 1)
         takes = self._takes(now, standing, leaving, totals)
@@ -201,15 +202,18 @@
         spent = sum(self._cost(order) for order in orders)
         return orders + self._admits(budget - spent)
 
-    def _cost(self, order: MoveOrder) -> int:
-        return self.terms.head_lines + 1 + (len(order.to) if isinstance(order, Move) else 0)
+    def _cost(self, order: MigrationOrder) -> int:
+        return self.terms.head_lines + 1 + (len(order.to) if isinstance(order, MigrateConnections) else 0)
 
-    def lines(self, orders: Iterable[MoveOrder]) -> int:
+    def lines(self, orders: Iterable[MigrationOrder]) -> int:
         """What the orders take of the channel."""
         return sum(self._cost(order) for order in orders)
 
     def _leaving(
-        self, now: float, standing: Mapping[int, Standing], totals: Mapping[int, Holding]
+        self,
+        now: float,
+        standing: Mapping[int, WorkerCapacityView],
+        totals: Mapping[int, HeldConnectionCounts],
     ) -> dict[int, float]:
         """Held workers that drain or are gone, with the instant their grace ends.  One that the module has
         forgotten counts from when it was first missed."""
@@ -219,29 +223,29 @@
         }
         ends = {be: since + self.terms.grace for be, since in self._gone.items()}
         for be in totals:
-            if be in standing and standing[be].leaving_since >= 0:
-                ends[be] = standing[be].leaving_since + self.terms.grace
+            if be in standing and standing[be].draining_since >= 0:
+                ends[be] = standing[be].draining_since + self.terms.grace
         return ends
 
-    def _stops(self, leaving: Mapping[int, float]) -> list[Stop]:
+    def _stops(self, leaving: Mapping[int, float]) -> list[StopMigration]:
         """For workers that were taken back: a `Ready` half-way."""
         back = {(f.forwarder, f.source): n for n, f in self._flights.items() if f.source not in leaving}
         sources = {(f.forwarder, f.source) for f in self._flights.values() if f.source in leaving}
         for number in [n for n, f in self._flights.items() if (f.forwarder, f.source) in back]:
             del self._flights[number]
-        return [Stop(*pair) for pair in back if pair not in sources]
+        return [StopMigration(*pair) for pair in back if pair not in sources]
 
     def _takes(
         self,
         now: float,
-        standing: Mapping[int, Standing],
+        standing: Mapping[int, WorkerCapacityView],
         leaving: Mapping[int, float],
-        totals: Mapping[int, Holding],
+        totals: Mapping[int, HeldConnectionCounts],
     ) -> dict[int, int]:
         """How many connections each worker that stays may be given in this slice."""
-        live = {be: s for be, s in standing.items() if s.estimate > 0 and be not in leaving}
-        whole = sum(s.estimate for s in live.values())
-        warm = [s.estimate for s in live.values() if not s.cold] or [s.estimate for s in live.values()]
+        live = {be: s for be, s in standing.items() if s.capacity > 0 and be not in leaving}
+        whole = sum(s.capacity for s in live.values())
+        warm = [s.capacity for s in live.values() if not s.warming_up] or [s.capacity for s in live.values()]
         average = sum(warm) / len(warm) if warm else 1.0
         span, self._at = min(BUCKET, max(0.0, now - self._at)), now
         coming: dict[int, int] = {}
@@ -252,10 +256,10 @@
         takes: dict[int, int] = {}
         buckets: dict[int, float] = {}
         for be, s in live.items():
-            rate = self.terms.arrivals * min(1.0, s.estimate / average)
+            rate = self.terms.arrivals * min(1.0, s.capacity / average)
             full = max(1.0, rate * BUCKET)
             buckets[be] = min(full, self._buckets.get(be, rate * PLAN_EVERY) + rate * span)
-            most = min(float(self.terms.most), (1.0 + ROOM_SLACK) * level * s.estimate + (not s.cold))
+            most = min(float(self.terms.most), (1.0 + ROOM_SLACK) * level * s.capacity + (not s.warming_up))
             spare = most - coming.get(be, 0) - (totals[be].open if be in totals else 0)
             takes[be] = max(0, int(min(spare, buckets[be])))
         self._buckets = buckets
@@ -300,9 +304,9 @@
         now: float,
         drains: list[_Leave],
         takes: dict[int, int],
-        standing: Mapping[int, Standing],
+        standing: Mapping[int, WorkerCapacityView],
         budget: int,
-    ) -> list[Move]:
+    ) -> list[MigrateConnections]:
         zones = range(self.terms.zones)
         orders_most = max(1, budget // (self.terms.head_lines + 4))
         each = max(1, orders_most // len(drains))
@@ -313,9 +317,9 @@
                 demand[self._holders[forwarder].zone] += n
         caps = [float(sum(n for be, n in takes.items() if standing[be].zone == g)) for g in zones]
         cost: list[list[float | None]] = [[CROSS_COST * (z != g) for g in zones] for z in zones]
-        flow = least_cost_flow(demand, caps, cost)
+        flow = min_cost_flow(demand, caps, cost)
         slots = self._slots(flow, takes, standing)
-        orders: list[Move] = []
+        orders: list[MigrateConnections] = []
         lines = 0
         for leave, share in zip(drains, shares, strict=True):
             for forwarder, n in share.items():
@@ -324,7 +328,7 @@
                 if not placed and not leave.last:
                     continue
                 count = n if leave.last else placed
-                move = Move(
+                move = MigrateConnections(
                     forwarder, (self.number + 1) % (1 << 31), leave.source, tuple(to.items()), count,
                     PLAN_EVERY, leave.left,
                 )  # fmt: skip
@@ -340,7 +344,7 @@
         return orders
 
     def _slots(
-        self, flow: list[list[float]], takes: dict[int, int], standing: Mapping[int, Standing]
+        self, flow: list[list[float]], takes: dict[int, int], standing: Mapping[int, WorkerCapacityView]
     ) -> list[deque[list[int]]]:
         """By zone of holders: places at workers, as [worker, how many], that add up to the flow."""
         free = dict(takes)
@@ -374,9 +378,9 @@
                 line.remove(place)
         return taken
 
-    def _admits(self, room: int) -> list[MoveOrder]:
+    def _admits(self, room: int) -> list[MigrationOrder]:
         """Who came or left changes every forwarder's part; told where it moved far, as lines allow."""
-        part, orders = 1.0 / max(1, len(self._holders)), list[MoveOrder]()
+        part, orders = 1.0 / max(1, len(self._holders)), list[MigrationOrder]()
         for forwarder, holder in self._holders.items():
             if abs(part - holder.part) <= TELL_AGAIN * holder.part:
                 continue
@@ -384,5 +388,5 @@
             if room < 0:
                 break
             holder.part = part
-            orders.append(Admit(forwarder, part))
+            orders.append(AdmitForwarder(forwarder, part))
         return orders
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -5,14 +5,15 @@
 import math
 from collections.abc import Iterable
 
-from ..model import interface as it
-from ..policy.controller import GONE, LIVE, OUT, Ladder
+from ..model.inputs import RestoredState, WorkerHistory
+from ..model.views import WorkerCapacityView
+from ..policy.controller import GONE, LIVE, OUT, RoutingController
 
 
-def standing(ladder: Ladder) -> dict[int, it.Standing]:
+def capacity_views(ladder: RoutingController) -> dict[int, WorkerCapacityView]:
     """Each server as last solved."""
     return {
-        i: it.Standing(
+        i: WorkerCapacityView(
             be.zone,
             ladder.full.get(i, 0.0) if be.state in LIVE else 0.0,
             ladder.cold(be),
@@ -23,13 +24,13 @@
     }
 
 
-def recollect(ladder: Ladder, bes: Iterable[int], proxies: Iterable[int]) -> it.Remembered:
+def collect_state(ladder: RoutingController, bes: Iterable[int], proxies: Iterable[int]) -> RestoredState:
     """What the next life may start from, of these; in parts, as all of a large fleet takes too long."""
     pasts = tuple(
-        it.Past(i, be.started, be.base, be.slowness, be.state == OUT, be.state == GONE)
+        WorkerHistory(i, be.started, be.base, be.slowness, be.state == OUT, be.state == GONE)
         for i in bes
         if (be := ladder.bes.get(i)) is not None
     )
     here = ((p, ladder.proxies[p]) for p in proxies if p in ladder.proxies)
     rates = tuple((p, sum(map(x.came, range(len(x.count))))) for p, x in here)
-    return it.Remembered(ladder.gate.number, pasts, rates)
+    return RestoredState(ladder.gate.number, pasts, rates)
--- a/cottonladder/planning/plugin_bounds.py
+++ b/cottonladder/planning/plugin_bounds.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class RoutePreference:
     """A plug-in's answer, as far as routing is concerned."""
 
     need: tuple[str, ...] = ()
@@ -40,7 +40,7 @@
 
 
 def narrowed(
-    lines: Mapping[str, float], labels: Mapping[str, Collection[str]], wish: Wish, fall_back: bool
+    lines: Mapping[str, float], labels: Mapping[str, Collection[str]], wish: RoutePreference, fall_back: bool
 ) -> Choice:
     """`lines`: what the orders let a proxy pick from, so nobody that drains is among them.
 
@@ -118,7 +118,7 @@
 
 
 @dataclass(slots=True)
-class Budget:
+class CpuBudget:
     """Time that all plug-ins together may take, as a bucket of one second's part."""
 
     left: float = PART_MOST
--- a/cottonladder/planning/priority_scheduling.py
+++ b/cottonladder/planning/priority_scheduling.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class TaskPlan:
     """One task: `priority` 0 first; `cpu` s of work a second it may take; `deadline` s from due to done, past
     which it is told of; `jitter` part of the period that chance may add."""
 
@@ -32,8 +32,8 @@
 
 
 @dataclass(slots=True)
-class Turn:
-    plan: Plan
+class ScheduledSlice:
+    plan: TaskPlan
     due: float
     tokens: float
     at: float  # when tokens were last counted
@@ -49,22 +49,22 @@
     longest: float = 0.0
 
 
-class Turns:
+class PriorityScheduler:
     """Who is next, and what each has taken."""
 
     def __init__(self) -> None:
-        self.turns: dict[str, Turn] = {}
+        self.turns: dict[str, ScheduledSlice] = {}
 
-    def add(self, now: float, plan: Plan, chance: float) -> None:
+    def add(self, now: float, plan: TaskPlan, chance: float) -> None:
         """`chance` in 0 to 1 spreads the first runs over a period: a hundred are not due at once."""
-        self.turns[plan.name] = Turn(plan, now + plan.period * chance, plan.cpu, now)
+        self.turns[plan.name] = ScheduledSlice(plan, now + plan.period * chance, plan.cpu, now)
 
-    def _count(self, t: Turn, now: float) -> float:
+    def _count(self, t: ScheduledSlice, now: float) -> float:
         t.tokens = min(t.plan.cpu, t.tokens + (now - t.at) * t.plan.cpu)
         t.at = now
         return t.tokens
 
-    def _starved(self, t: Turn, now: float) -> bool:
+    def _starved(self, t: ScheduledSlice, now: float) -> bool:
         return now - t.due > max(LEAST_STARVED, STARVED * t.plan.period)
 
     def next(self, now: float, late: bool, waiting: Container[str] = ()) -> str | None:
--- a/cottonladder/planning/snapshot_staleness.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from ..model.interface import Past, Remembered
+from ..model.inputs import RestoredState, WorkerHistory
 from ..policy.controller import OUT_MOST as OUT_MOST
 from .advice_weighting import CREDIT_START as CREDIT_START
 
@@ -40,27 +40,29 @@
     return start + (value - start) * float(2.0 ** (-age / CREDIT_HALF))
 
 
-def suspicions(pasts: Iterable[Past], age: float) -> set[int]:
+def suspicions(pasts: Iterable[WorkerHistory], age: float) -> set[int]:
     """Who may still be shut out: none past the span, and never more than may be shut out at a time, as the
     file of a manager that was cut off may suspect them all."""
-    suspected = [past.be for past in pasts if past.out and not past.leaving]
-    staying = sum(not past.leaving for past in pasts)
+    suspected = [past.worker_index for past in pasts if past.was_ejected and not past.was_draining]
+    staying = sum(not past.was_draining for past in pasts)
     if age > SUSPECT_MOST or len(suspected) > OUT_MOST * staying:
         return set()
     return set(suspected)
 
 
-def aged(life: Remembered, age: float) -> Remembered:
+def aged(life: RestoredState, age: float) -> RestoredState:
     """The earlier life's knowledge as it may be given to the module now."""
-    out = suspicions(life.pasts, age)
+    out = suspicions(life.workers, age)
     pasts = tuple(
         replace(
             past,
-            base=past.base if age <= BASE_MOST and math.isfinite(past.base) and past.base > 0 else 0.0,
-            slowness=slowness(past.slowness, age),
-            out=past.be in out,
+            base_latency_s=past.base_latency_s
+            if age <= BASE_MOST and math.isfinite(past.base_latency_s) and past.base_latency_s > 0
+            else 0.0,
+            latency_factor=slowness(past.latency_factor, age),
+            was_ejected=past.worker_index in out,
         )
-        for past in life.pasts
+        for past in life.workers
     )
-    rates = tuple((p, r) for p, r in life.rates if age <= RATE_MOST_AGE and math.isfinite(r) and r >= 0)
-    return Remembered(life.mark, pasts, rates)
+    rates = tuple((p, r) for p, r in life.proxy_rates if age <= RATE_MOST_AGE and math.isfinite(r) and r >= 0)
+    return RestoredState(life.last_checkpoint, pasts, rates)
--- a/cottonladder/plugins/chain.py
+++ b/cottonladder/plugins/chain.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from ..planning.plugin_bounds import Breaker, Budget
+from ..planning.plugin_bounds import Breaker, CpuBudget
 from .abi import FURTHER, NOTHING, ROUTE, UPGRADE, Answer, record
 from .host import Fault, Plugin, PluginError
 
@@ -58,12 +58,12 @@
 UNCHANGED = Verdict()
 
 
-class Chain:
+class PluginChain:
     """Owns the plug-ins; calls never wait and never raise."""
 
     def __init__(self, wanted: Iterable[Wanted]) -> None:
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self._budget = Budget(at=time.monotonic())
+        self._budget = CpuBudget(at=time.monotonic())
         self._told = time.monotonic()
         self._links = [self._load(w) for w in wanted]
 
@@ -189,4 +189,4 @@
     return record(pairs)
 
 
-__all__ = ["FURTHER", "ROUTE", "UPGRADE", "Chain", "PluginError", "Verdict", "Wanted", "req_record"]
+__all__ = ["FURTHER", "ROUTE", "UPGRADE", "PluginChain", "PluginError", "Verdict", "Wanted", "req_record"]
--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -1,24 +1,54 @@
-"""The decisions of one manager, a module to be ported by hand; its types stand in `interface.py`.
-
-A front makes a `Ladder` and carries out what `decide` orders.  Each interval a min-cost flow from proxy zones
-to groups (a zone's servers) makes a table for each zone.  Beside the design:
-1. the order gate: a ledger of lines by answers; rule-bearing orders first, deltas in pieces that fit;
-2. the server lifecycle: silent servers are shut out and come back in small, cold ones are eased in;
-3. slowness: a server's estimate falls with its times, errors and reqs held against the fleet's;
-4. even filling: groups are filled to a little over the fleet's mean level, not to their estimates;
-5. unseen proxies: other managers' demand, as they tell it where they may talk, else as a guess;
-6. levels: while most servers show overload, the reqs worth least for their time are denied first.
-"""
+"""The decisions of one manager.  Each interval a min-cost flow from proxy zones to groups of workers makes a
+table for each zone; `docs/design.md` says what is kept of the design and what stands beside it."""
 
 from __future__ import annotations
 
 import math
 import random
-from collections import deque
 from collections.abc import Callable, Iterable
-from statistics import fmean, median
-
-from ..model import interface as it
+from statistics import fmean
+
+from ..model.gossip_text import decode_zone_figures, encode_zone_figures
+from ..model.in_flight import InFlightLines
+from ..model.inputs import (
+    Acknowledged,
+    AdvisedFactor,
+    ArrivalReport,
+    EndpointList,
+    EndpointState,
+    ExtraLinesWritten,
+    GossipReceived,
+    HealthCheckResult,
+    HeldLoad,
+    Input,
+    ListUpdateKind,
+    LoadReport,
+    ProxyConnected,
+    ProxyDisconnected,
+    RestoredState,
+    TimerFired,
+)
+from ..model.min_cost_flow import min_cost_flow
+from ..model.orders import (
+    ALL_TABLES,
+    BindProxy,
+    Checkpoint,
+    ExcludeWorker,
+    HealthCheck,
+    LogModeChange,
+    Order,
+    RemoveWorker,
+    RetryPolicy,
+    SendGossip,
+    SetAdmission,
+    SetWeight,
+    StartTimer,
+    WatchEndpoints,
+)
+from ..model.parameters import DeploymentParameters
+from ..model.records import ABSENT, IDLE, ProxyRecord, RoutingTable, WorkerRecord
+from ..model.statistics import median_or_zero
+from ..model.weight_ring import cut
 
 INTERVAL, BEAT, ANSWER_WAIT = 2.0, 0.25, 3.0  # s: between solutions, looks; for answers (design)
 LOAD_FLOOR, AVERAGED, PART_LEAST = 0.1, 10, 0.25  # load report; intervals (design); part of tries, to count
@@ -43,185 +73,89 @@
 NEVER_OVER, SPAN_MOST, RATE_MOST = 8.0, 120.0, 1e5  # times the usual, s, reqs/s: over these nothing can be
 COLD_PART, COLD_OVER, GOLDEN = 0.33, 1.2, 0.618034  # of the fall's multiple; over its part; turns of a ring
 ADVISED_MOST, LAID_LEAST = 2.0, 0.1  # times all advice lifts or lowers; part of a server always left for reqs
-ABSENT, WELL, RAMP, OUT, GONE = "absent", "well", "ramp", "out", "gone"
-LIVE, IDLE, WAITING = (WELL, RAMP), "idle", "waiting"
-
-
-class Be:  # what one manager holds of a server
-    def __init__(self, least: float) -> None:
-        self.state, self.zone, self.weight, self.started, self.since, self.due = ABSENT, 0, 1.0, 0.0, 0.0, 0.0
-        self.tries = self.errored = self.planned = self.was = 0.0  # counted; reqs/s, and an interval ago
-        self.done: dict[int, tuple[float, float]] = {}  # this interval's answered tries by zone, s they cover
-        self.measured: deque[tuple[float, float]] = deque(maxlen=AVERAGED)  # tries a second, load
-        self.least, self.bins, self.load = least, [0.0] * BINS, -1.0  # times, coarse; load report
-        self.base, self.slowness = 0.0, 1.0  # calm time; factor for trouble
-        self.lost, self.held, self.seen, self.cordoned = 0, -1.0, -1.0, False  # probes, reqs, the last ones
-        self.laid, self.advised, self.factors = 0.0, 1.0, dict[int, float]()  # held, as reqs/s; by advisors
-
-    def add(self, took: float, tries: float) -> None:
-        self.bins[min(int(math.log(max(took / self.least, 1.0), BIN_STEP)), BINS - 1)] += tries
-
-    def mean(self) -> float:  # geometric; 0 where too little was heard
-        total = sum(self.bins)
-        place = sum((i + 0.5) * n for i, n in enumerate(self.bins)) / max(total, 1.0)
-        return float(self.least * BIN_STEP**place) if total >= 2.0 else 0.0
-
-    def fade(self, keep: float) -> None:
-        self.tries, self.errored = self.tries * keep, self.errored * keep
-        self.bins = [n * keep for n in self.bins]
-
-
-class Proxy:  # with counts of reqs by kind, and the s that they cover; the table that it reads
-    def __init__(self, zone: int, rate: float, kinds: int, since: float) -> None:
-        self.table: Table | None = None
-        self.since, self.zone, self.rate = since, zone, rate
-        self.count, self.spans = [rate / kinds] * kinds, [1.0] * kinds
-
-    def came(self, k: int) -> float:
-        return self.count[k] / self.spans[k]
-
-
-class Table:  # what proxies of a zone were sent, what they should hold, who has yet to answer its mark
-    def __init__(self, number: int, zone: int) -> None:
-        self.number, self.zone, self.reqs = number, zone, 0.0  # a second, of its users
-        self.sent, self.want, self.levels = (dict[int, float]() for _ in range(3))
-        self.users: dict[int, None] = {}  # proxies that read it
-        self.pace, self.mark, self.at, self.answers, self.asked = IDLE, -1, 0.0, 0, 0
-
-
-def middle(values: Iterable[float]) -> float:
-    return median([*values] or [0.0])
+WELL, RAMP, OUT, GONE = "well", "ramp", "out", "gone"
+LIVE, WAITING = (WELL, RAMP), "waiting"
 
 
 def likely(count: int, span: float, rate: float) -> bool:  # spoilt sums would be believed for minutes
     return span <= SPAN_MOST and count <= NEVER_OVER * (1.0 + rate) * (1.0 + span)
 
 
-Matrix = list[list[float]]
-
-
-def least_cost_flow(demand: list[float], caps: list[float], cost: list[list[float | None]]) -> Matrix:
-    """Successive cheapest paths, flow[z][g]; what finds no room is left to overflow.  No link costs None."""
-    first, sink = 1 + len(demand), 1 + len(demand) + len(caps)  # nodes: source 0, zones, groups, sink
-    room, price = dict[tuple[int, int], float](), dict[tuple[int, int], float]()
-
-    def arc(start: int, end: int, most: float, each: float) -> None:
-        room.update({(start, end): most, (end, start): 0.0})
-        price.update({(start, end): each, (end, start): -each})
-
-    for z, most in enumerate(demand):
-        arc(0, 1 + z, most, 0.0)
-        for g, each in enumerate(cost[z]):
-            arc(1 + z, first + g, 0.0 if each is None else most, each or 0.0)
-    for g, most in enumerate(caps):
-        arc(first + g, sink, most, 0.0)
-    for _ in range(2 * len(room)):
-        far, came, nearer = {0: 0.0}, dict[int, int](), True
-        while nearer:  # costs of residual arcs hold no negative cycle, so this comes to an end
-            nearer = False
-            for (start, end), left in room.items():
-                there = far.get(start, math.inf) + price[start, end]
-                if left > 1e-9 and there < far.get(end, math.inf) - 1e-9:
-                    far[end], came[end], nearer = there, start, True
-        if sink not in came:  # what is left finds no room: a further round would look for the same in vain
-            break
-        path = [(came[sink], sink)]
-        while path[-1][0] != 0:
-            path.append((came[path[-1][0]], path[-1][0]))
-        push = min(room[ends] for ends in path)
-        for start, end in path:
-            room[start, end] -= push
-            room[end, start] += push
-    return [[room[first + g, 1 + z] for g in range(len(caps))] for z in range(len(demand))]
-
-
-def cut(ring: dict[int, float], start: float, end: float) -> dict[int, float]:
-    """The weights that lie from start to end on a ring of length 1; slivers of a line are left out."""
-    at, part, unit = 0.0, dict[int, float](), max(1e-9, sum(ring.values()))
-    for i, weight in ring.items():
-        upto = at + weight / unit
-        over = sum(max(0.0, min(upto + n, end) - max(at + n, start)) for n in (0, 1))
-        part.update({i: over / (end - start)} if over > MOVE * (upto - at) else {})
-        at = upto
-    return part
-
-
-class Gate:
+class ChannelBudget:
     """The one way out for orders to proxies: a ledger of lines keeps the queue rule.  Deltas go by answers
     alone (a channel may be slow; harms when late), rule-bearing orders also by time, which drains slowly."""
 
-    def __init__(self, terms: it.Terms) -> None:
-        self.terms, self.number, self.kept = terms, terms.seed % 65536, max(1, terms.messages_most)
-        self.at = self.waiting = self.flying = 0.0  # lines: by time or answers; by answers alone
-        self.flight: dict[int, dict[int, int]] = {}  # mark -> lines by proxy that has yet to answer
+    def __init__(self, terms: DeploymentParameters) -> None:
+        self.terms, self.number, self.kept = terms, terms.seed % 65536, max(1, terms.max_messages)
+        self.at = self.waiting = 0.0  # lines that wait: by time or answers
+        self.in_flight = InFlightLines()  # by answers alone
         self.written: dict[int, list[float]] = {}
-        self.orders: list[it.Order] = []
+        self.orders: list[Order] = []
         self.lines, self.total = dict[int, int](), 0  # by proxy written by these orders; over all
         self.added: Callable[[int, Iterable[int], bool], int] = lambda proxy, bes, whole: 0  # by the front
 
     def open(self, now: float) -> None:
-        drained = (now - self.at) * self.terms.lines_per_s / SLOWEST_CHANNEL
+        drained = (now - self.at) * self.terms.channel_lines_per_s / SLOWEST_CHANNEL
         self.waiting, self.at = max(0.0, self.waiting - drained), now
 
     def answered(self, mark: int, proxy: int) -> None:
-        while mark in self.flight and (first := next(iter(self.flight))) != mark:  # these left before it
-            self.flying -= sum(self.flight.pop(first).values())
-        self.flying -= self.flight.get(mark, {}).pop(proxy, 0)
-        self.waiting = min(self.waiting, self.flying)
+        self.in_flight.acknowledge(mark, proxy)
+        self.waiting = min(self.waiting, self.in_flight.total)
 
     def _may_write(self, proxy: int, rules: bool) -> bool:
         """Deltas leave a third of the messages; of it, rule-bearing ones are spread over the span."""
-        most, span = self.terms.messages_most, self.terms.messages_span
+        most, span = self.terms.max_messages, self.terms.message_window_s
         times = [t for t in self.written.get(proxy, []) if self.at - t <= span]
         spread = most > 0 and self.at - max(times, default=-math.inf) >= span / most
         return most <= 0 or len(times) < (most if rules and spread else most * 2 // 3)
 
     def room(self, proxies: Iterable[int], way: tuple[float, float]) -> int:
         """Lines that may still be ordered, beside heads and marks; what waits long is old when it leaves."""
-        taken = (self.flying if way == DELTAS else self.waiting) + self.total
-        heads = sum(p not in self.lines for p in proxies) * (self.terms.head_lines + 1)
-        return int(min(self.terms.waiting_most * way[0], self.terms.lines_per_s * way[1]) - taken - heads)
+        taken = (self.in_flight.total if way == DELTAS else self.waiting) + self.total
+        heads = sum(p not in self.lines for p in proxies) * (self.terms.message_header_lines + 1)
+        return int(
+            min(self.terms.max_queued_lines * way[0], self.terms.channel_lines_per_s * way[1]) - taken - heads
+        )
 
-    def put(self, orders: list[it.Order], cost: dict[int, int], way: tuple[float, float]) -> bool:
+    def put(self, orders: list[Order], cost: dict[int, int], way: tuple[float, float]) -> bool:
         """Take the orders if they fit; cost is lines by proxy, to which heads and marks are added."""
         fits = not cost or sum(cost.values()) <= self.room(cost, way)
         if not fits or not all(p in self.lines or self._may_write(p, way != DELTAS) for p in cost):
             return False
         self.orders += orders
         for p, lines in cost.items():
-            self.total += lines + (self.terms.head_lines + 1) * (p not in self.lines)
-            self.lines[p] = self.lines.get(p, self.terms.head_lines + 1) + lines
+            self.total += lines + (self.terms.message_header_lines + 1) * (p not in self.lines)
+            self.lines[p] = self.lines.get(p, self.terms.message_header_lines + 1) + lines
         return True
 
     def settle(self, written: dict[int, int]) -> None:  # in place of what was booked; by proxy, without heads
-        booked = self.flight.pop(self.number, {})
-        self.flight[self.number] = {p: lines + self.terms.head_lines for p, lines in written.items()}
-        more = sum(self.flight[self.number].values()) - sum(booked.values())
-        self.waiting, self.flying = self.waiting + more, self.flying + more
+        lines = {p: count + self.terms.message_header_lines for p, count in written.items()}
+        self.waiting += self.in_flight.replace(self.number, lines)
 
-    def close(self) -> tuple[list[it.Order], int]:
+    def close(self) -> tuple[list[Order], int]:
         """What goes out now, and the number of its mark (-1 where no proxy is written)."""
         orders, mark = self.orders, -1
         if self.lines:
             self.number = mark = (self.number + 1) % 65536
-            orders.append(it.Mark(mark, False))
-            self.waiting, self.flying = self.waiting + self.total, self.flying + self.total
+            orders.append(Checkpoint(mark, False))
+            self.waiting += self.total
             self.written.update({p: [*self.written.get(p, []), self.at][-self.kept :] for p in self.lines})
-            self.flight[mark] = self.lines
-            if len(self.flight) > MARKS_MOST:  # never answered: kept no longer
-                self.flying -= sum(self.flight.pop(next(iter(self.flight))).values())
+            self.in_flight.add(mark, self.lines, MARKS_MOST)
         self.orders, self.lines, self.total = [], {}, 0
         return orders, mark
 
 
-class Ladder:
-    def __init__(self, terms: it.Terms) -> None:
-        self.terms, self.zones, self.gate = terms, range(terms.zones), Gate(terms)
+class RoutingController:
+    def __init__(self, terms: DeploymentParameters) -> None:
+        self.terms, self.zones, self.gate = terms, range(terms.zone_count), ChannelBudget(terms)
         self.uniform: Callable[[float, float], float] = random.Random(terms.seed).uniform
-        self.tightest = min(k.response_target for k in terms.kinds)
-        self.bes, self.proxies = dict[int, Be](), dict[int, Proxy]()
-        self.tables, self.numbers = [Table(z, z) for z in self.zones], terms.zones  # of tables so far
-        self.told, self.out = dict[int, tuple[float, list[float]]](), list[it.Order]()  # by others; to others
+        self.tightest = min(k.latency_objective_s for k in terms.request_classes)
+        self.bes, self.proxies = dict[int, WorkerRecord](), dict[int, ProxyRecord]()
+        self.tables, self.numbers = (
+            [RoutingTable(z, z) for z in self.zones],
+            terms.zone_count,
+        )  # of tables so far
+        self.told, self.out = dict[int, tuple[float, list[float]]](), list[Order]()  # by others; to others
         self.now = self.solve_at = self.measure_at = self.follow_at = self.usual = 0.0
         self.beat, self.probe_at, self.striking = 0, -math.inf, False  # striking: proxies avoid by themselves
         self.urgent = self.listed = self.due = False
@@ -230,12 +164,14 @@
         self.full, self.rates = dict[int, float](), dict[int, float]()  # as solved; as an earlier life knew
         self.levels: dict[int, tuple[float, float]] = {}  # shares let in by kind, and as proxies take them
         # By zone: this manager's part of the tries, when proxies there last spoke, when probes or tries were.
-        self.part, self.heard, self.mute = ([v] * terms.zones for v in (1.0, -math.inf, 0.0))
-        self.trust, self.steady = ([1.0] * terms.zones for _ in range(2))  # how servers do, slowly; by now
+        self.part, self.heard, self.mute = ([v] * terms.zone_count for v in (1.0, -math.inf, 0.0))
+        self.trust, self.steady = (
+            [1.0] * terms.zone_count for _ in range(2)
+        )  # how servers do, slowly; by now
 
-    def decide(self, now: float, inputs: Iterable[it.Input]) -> list[it.Order]:
+    def decide(self, now: float, inputs: Iterable[Input]) -> list[Order]:
         self.now, self.due = now, False  # sums, joins and most answers wait for the next beat
-        for item in [it.Wake(0), *inputs] if self.beat == 0 else inputs:
+        for item in [TimerFired(0), *inputs] if self.beat == 0 else inputs:
             if type(item) in TAKE:  # of slices it knows nothing: where they are, no table is ordered
                 TAKE[type(item)](self, item)
         if self.due:
@@ -245,33 +181,38 @@
         out, self.out = self.out, []
         return out
 
-    def _wake(self, wake: it.Wake) -> None:
+    def _wake(self, wake: TimerFired) -> None:
         if wake.token != self.beat:
             return
         self.beat, self.due = self.beat + 1, True
-        self.out.append(it.WakeIn(BEAT, self.beat))
-        if self.terms.list_on_request and self.now >= self.follow_at:
-            self.out.append(it.Follow(True))
+        self.out.append(StartTimer(BEAT, self.beat))
+        if self.terms.watches_endpoints and self.now >= self.follow_at:
+            self.out.append(WatchEndpoints(True))
             self.follow_at = self.now + 5.0  # a call that was never answered is asked again
         self.usual = max(self.usual, here := sum(p.rate for p in self.proxies.values()))  # as they joined
-        self._probe(here) if self.terms.probing and self.listed else None
+        self._probe(here) if self.terms.health_checks and self.listed else None
         self._judge()
 
-    def _listing(self, listing: it.Listing) -> None:
-        if listing.news not in (it.News.CACHED, it.News.FORMER):  # a call that failed is made again
-            again = self.now + self.terms.ask_within * self.uniform(0.1, 0.2)
-            self.follow_at = again if listing.news == it.News.FAILED else math.inf
-        whole = listing.news in (it.News.FULL, it.News.CACHED)
-        named = {e.be for e in listing.entries} if whole else self.bes.keys()
+    def _listing(self, listing: EndpointList) -> None:
+        if listing.kind not in (
+            ListUpdateKind.CACHED,
+            ListUpdateKind.SUPERSEDED,
+        ):  # a call that failed is made again
+            again = self.now + self.terms.poll_within_s * self.uniform(0.1, 0.2)
+            self.follow_at = again if listing.kind == ListUpdateKind.FAILED else math.inf
+        whole = listing.kind in (ListUpdateKind.FULL, ListUpdateKind.CACHED)
+        named = {e.worker_index for e in listing.endpoints} if whole else self.bes.keys()
         for index in [i for i in self.bes if i not in named]:
             self._step(index, "leaving", "not listed")
-        for e in listing.entries:
-            be = self.bes.setdefault(e.be, Be(self.tightest / 64))
-            anew = be.started < e.started > self.now - self.terms.warm_after
-            be.zone, be.weight, be.started = e.zone, max(e.weight, 1e-6), e.started
-            event = "leaving" if e.mode != it.Mode.READY else "started" if anew else "seen"
-            why = f"{e.mode.name.lower()}, up {self.now - e.started:.1f} s"
-            self._step(e.be, event if self.listed or event != "seen" else "listed", why)
+        for e in listing.endpoints:
+            be = self.bes.setdefault(
+                e.worker_index, WorkerRecord(self.tightest / 64, BIN_STEP, BINS, AVERAGED)
+            )
+            anew = be.started < e.started_at > self.now - self.terms.warm_up_s
+            be.zone, be.weight, be.started = e.zone, max(e.weight, 1e-6), e.started_at
+            event = "leaving" if e.state != EndpointState.READY else "started" if anew else "seen"
+            why = f"{e.state.name.lower()}, up {self.now - e.started_at:.1f} s"
+            self._step(e.worker_index, event if self.listed or event != "seen" else "listed", why)
         self.listed = self.due = True
 
     def _step(self, index: int, event: str, why: str) -> None:
@@ -280,99 +221,106 @@
             return
         state, effect = LIFE[be.state, event]
         if be.state not in (state, ABSENT):
-            self.out.append(it.Remark(f"be {index} {be.state}>{state} {event}: {why}"))
+            self.out.append(LogModeChange(f"be {index} {be.state}>{state} {event}: {why}"))
         be.state, self.urgent = state, True
         effect(self, be) if effect is not None else None
 
-    def _begin(self, be: Be) -> None:
+    def _begin(self, be: WorkerRecord) -> None:
         be.since, be.due, be.slowness, be.held, be.seen, be.lost = self.now, 0.0, 1.0, -1.0, -1.0, 0
         be.fade(0.0)
 
-    def _shut(self, be: Be) -> None:
+    def _shut(self, be: WorkerRecord) -> None:
         be.due, be.planned = self.now + (OUT_WAIT * self.uniform(0.9, 1.1) if be.state == OUT else 0.0), 0.0
 
-    def _laid(self, laid: it.Laid) -> None:
-        if (be := self.bes.get(laid.be)) is not None:
-            be.laid = min(laid.load, RATE_MOST)
+    def _laid(self, laid: HeldLoad) -> None:
+        if (be := self.bes.get(laid.worker_index)) is not None:
+            be.laid = min(laid.requests_per_s, RATE_MOST)
 
-    def _advise(self, advised: it.Advised) -> None:
-        if (be := self.bes.get(advised.be)) is not None:
+    def _advise(self, advised: AdvisedFactor) -> None:
+        if (be := self.bes.get(advised.worker_index)) is not None:
             be.factors[advised.source] = advised.factor
             be.advised = min(ADVISED_MOST, max(1.0 / ADVISED_MOST, math.prod(be.factors.values())))
 
-    def _remembered(self, life: it.Remembered) -> None:
+    def _remembered(self, life: RestoredState) -> None:
         """Before anything is heard: who left is out until listed again, suspects as if shut out."""
-        self.gate.number, self.rates = life.mark, dict(life.rates)
-        for past in life.pasts:
-            if (be := self.bes.get(past.be)) is not None and be.started == past.started:
-                be.base, be.slowness = past.base, past.slowness
-                if past.leaving or past.out:
-                    self._step(past.be, "leaving" if past.leaving else "bad", "remembered")
-
-    def _aside(self, aside: it.Aside) -> None:
-        self.gate.waiting += aside.lines
-
-    def _tally(self, t: it.Tally) -> None:
-        if (be := self.bes.get(t.be)) is None or t.tries <= 0 or not likely(t.tries, t.span, self.usual):
+        self.gate.number, self.rates = life.last_checkpoint, dict(life.proxy_rates)
+        for past in life.workers:
+            if (be := self.bes.get(past.worker_index)) is not None and be.started == past.started_at:
+                be.base, be.slowness = past.base_latency_s, past.latency_factor
+                if past.was_draining or past.was_ejected:
+                    self._step(past.worker_index, "leaving" if past.was_draining else "bad", "remembered")
+
+    def _aside(self, aside: ExtraLinesWritten) -> None:
+        self.gate.waiting += aside.line_count
+
+    def _tally(self, t: LoadReport) -> None:
+        if (
+            (be := self.bes.get(t.worker_index)) is None
+            or t.attempts <= 0
+            or not likely(t.attempts, t.interval_s, self.usual)
+        ):
             return
-        be.tries += t.tries
-        be.errored += t.errored
+        be.tries += t.attempts
+        be.errored += t.failed
         done, span = be.done.get(t.zone, (0.0, 0.0))
-        be.done[t.zone] = (done + t.tries - t.errored, span + t.span)
-        if t.tries > t.errored and 0 < t.took < NEVER_OVER * self.tightest:
-            be.add(t.took, t.tries - t.errored)
+        be.done[t.zone] = (done + t.attempts - t.failed, span + t.interval_s)
+        if t.attempts > t.failed and 0 < t.duration_s < NEVER_OVER * self.tightest:
+            be.add(t.duration_s, t.attempts - t.failed)
             least, self.mute[be.zone] = self.least[t.zone][be.zone], self.now
-            least[0] = min(least[0], t.took)
-        load = min(t.report.get("util", be.load), NEVER_OVER)
+            least[0] = min(least[0], t.duration_s)
+        load = min(t.metrics.get("util", be.load), NEVER_OVER)
         be.load = load if be.load < 0 else (be.load + load) / 2
 
-    def _ingress(self, u: it.Ingress) -> None:
+    def _ingress(self, u: ArrivalReport) -> None:
         """Counts over the time they cover: small proxies are heard of seldom; late sums leave them as is."""
-        if (p := self.proxies.get(u.proxy)) is not None and likely(u.reqs, u.span, p.rate):
-            keep = min(1.0, max(0.0, DEMAND_SPAN - u.span) / p.spans[u.kind])
-            p.count[u.kind] = p.count[u.kind] * keep + u.reqs
-            p.spans[u.kind] = p.spans[u.kind] * keep + u.span
+        if (p := self.proxies.get(u.proxy)) is not None and likely(u.requests, u.interval_s, p.rate):
+            keep = min(1.0, max(0.0, DEMAND_SPAN - u.interval_s) / p.spans[u.class_index])
+            p.count[u.class_index] = p.count[u.class_index] * keep + u.requests
+            p.spans[u.class_index] = p.spans[u.class_index] * keep + u.interval_s
 
     def _probe(self, here: float) -> None:
         """Silence and queues show before sums; harms if probes queue.  Lost ones are made again at once."""
         listed = self._in(OUT, *LIVE)
         came = sum(p.came(k) for p in self.proxies.values() for k in range(len(p.count)))
-        price = len(listed) * self.terms.probe_price / max(1.0, here, came)
+        price = len(listed) * self.terms.health_check_cost / max(1.0, here, came)
         if due := self.now >= self.probe_at + max(PROBE_EVERY, price / PROBE_POINTS):
             self.probe_at = self.now + PROBE_EVERY * self.uniform(-0.1, 0.1)
-        self.out += [it.Probe(i) for i, be in listed.items() if due or 0 < be.lost < PROBES_LOST]
+        self.out += [HealthCheck(i) for i, be in listed.items() if due or 0 < be.lost < PROBES_LOST]
 
-    def _probed(self, p: it.Probed) -> None:
-        if (be := self.bes.get(p.be)) is None:
+    def _probed(self, p: HealthCheckResult) -> None:
+        if (be := self.bes.get(p.worker_index)) is None:
             return
-        be.lost, told = 0 if p.done else be.lost + 1, p.report.get("queue", be.seen)  # one of them, as is set
-        be.seen = min(p.report.get("inflight", told), NEVER_OVER * (1.0 + self.usual))
+        be.lost, told = (
+            0 if p.succeeded else be.lost + 1,
+            p.metrics.get("queue", be.seen),
+        )  # one of them, as is set
+        be.seen = min(p.metrics.get("inflight", told), NEVER_OVER * (1.0 + self.usual))
         be.held = be.seen if be.held < 0 else (be.held + be.seen) / 2
-        if p.done and be.state == OUT and self.now >= be.due:
-            self._step(p.be, "due", f"probe answered in {p.took * 1000:.0f} ms")
+        if p.succeeded and be.state == OUT and self.now >= be.due:
+            self._step(p.worker_index, "due", f"probe answered in {p.duration_s * 1000:.0f} ms")
 
-    def _joined(self, j: it.Joined) -> None:
-        self._left(it.Left(j.proxy))
-        rate = min(self.rates.pop(j.proxy, j.reqs_per_s), RATE_MOST)
-        self.proxies[j.proxy] = Proxy(j.zone, rate, len(self.terms.kinds), self.now)
+    def _joined(self, j: ProxyConnected) -> None:
+        self._left(ProxyDisconnected(j.proxy))
+        rate = min(self.rates.pop(j.proxy, j.requests_per_s), RATE_MOST)
+        self.proxies[j.proxy] = ProxyRecord(j.zone, rate, len(self.terms.request_classes), self.now)
         self.heard[j.zone] = self.now
         self.gate.written.pop(j.proxy, None)
         self.solve_at = self.now
 
-    def _left(self, left: it.Left) -> None:
+    def _left(self, left: ProxyDisconnected) -> None:
         if (proxy := self.proxies.pop(left.proxy, None)) is not None:
             proxy.table.users.pop(left.proxy, None) if proxy.table else None
 
-    def _answered(self, a: it.Answered) -> None:
-        self.gate.answered(a.mark, a.proxy)
+    def _answered(self, a: Acknowledged) -> None:
+        self.gate.answered(a.checkpoint, a.proxy)
         if (proxy := self.proxies.get(a.proxy)) is not None:
             self.heard[proxy.zone] = self.now
-        if proxy and (table := proxy.table) and table.mark == a.mark:
+        if proxy and (table := proxy.table) and table.mark == a.checkpoint:
             table.answers += 1
             if table.answers > table.asked / 2 and table.pace == WAITING:
                 table.pace, self.due = PACE[table.pace, "answered"], True
 
-    def _in(self, *states: str) -> dict[int, Be]:
+    def _in(self, *states: str) -> dict[int, WorkerRecord]:
         return {i: be for i, be in self.bes.items() if be.state in states}
 
     def _judge(self) -> None:
@@ -386,7 +334,7 @@
         # Probes lost to most of a group: the way is bad, unless its proxies speak since, but not of answers.
         probed = self._in(OUT, *LIVE).values()
         most = OUT_MOST * sum(be.weight for be in probed)
-        mute = [middle(be.lost for be in probed if be.zone == g) >= 1 for g in self.zones]
+        mute = [median_or_zero(be.lost for be in probed if be.zone == g) >= 1 for g in self.zones]
         self.mute = [self.mute[g] if mute[g] else self.now for g in self.zones]
         far = [mute[g] and (all(mute) or self.heard[g] <= self.mute[g] + PROBE_EVERY) for g in self.zones]
         for i, be in self.bes.items():
@@ -399,13 +347,15 @@
                 self._step(i, "bad", f"errored {e:.0f} of {n:.0f}, others {others:.2f}, lost {be.lost}")
             elif be.state == RAMP and self._ease(be) >= 4.0:
                 self._step(i, "grown", "ramp over")
-            elif be.state == OUT and self.now >= be.due and (far[be.zone] or not self.terms.probing):
+            elif be.state == OUT and self.now >= be.due and (far[be.zone] or not self.terms.health_checks):
                 self._step(i, "due", "waited")
 
-    def cold(self, be: Be) -> bool:
-        return be.started > 0 and self.now - be.started < self.terms.warm_after
+    def cold(self, be: WorkerRecord) -> bool:
+        return be.started > 0 and self.now - be.started < self.terms.warm_up_s
 
-    def _ease(self, be: Be) -> float:  # a ramp's share of average: a quarter, doubled each interval (design)
+    def _ease(
+        self, be: WorkerRecord
+    ) -> float:  # a ramp's share of average: a quarter, doubled each interval (design)
         return float(NEW_SHARE * 2.0 ** min(10.0, max(0.0, self.now - be.since) // INTERVAL))
 
     def _measure(self) -> None:
@@ -413,7 +363,7 @@
         self._forget()
         live = self._in(*LIVE)
         held = {i: (not self.striking) * be.held / be.weight for i, be in live.items()}  # told before sums
-        usual_held = max(1.0, middle(held.values()))
+        usual_held = max(1.0, median_or_zero(held.values()))
         for i, be in self.bes.items():
             rate = sum(done / span for done, span in be.done.values() if span > 0)
             if be.load >= 0 and rate > 0 and self.part[be.zone] >= PART_LEAST and not self.cold(be):
@@ -423,7 +373,7 @@
                 be.base += (mean - be.base) * (BASE_FALL if mean < be.base else BASE_RISE if be.base else 1.0)
         over = {i: be.mean() / be.base for i, be in live.items() if be.base > 0}
         bad = {i: be.errored / be.tries for i, be in live.items() if be.tries >= 1.0}
-        usual_over, usual_bad = (middle(each.values()) for each in (over, bad))
+        usual_over, usual_bad = (median_or_zero(each.values()) for each in (over, bad))
         jam = max(1.0, self.strained)  # in a jam times lie far apart by chance: weights must not chase them
         for i, be in live.items():
             late = max(over.get(i, 0.0) / max(usual_over, 1e-9), held[i] / usual_held, 1e-9)
@@ -436,11 +386,14 @@
             now = fmean([be.slowness for be in live.values() if be.zone == g] or [1.0])
             self.trust[g] += (now - self.trust[g]) * ZONE_STEP
             self.steady[g] = self.trust[g] / now
-        before, strained = self.let_in, self.strained * (self.terms.levels != "none")  # else none is denied
+        before, strained = (
+            self.let_in,
+            self.strained * (self.terms.admission_mode != "none"),
+        )  # else none is denied
         step = LEVEL_STEP * (LEVEL_CALM - strained) * (not LEVEL_CALM <= strained <= 1.0)
         self.let_in = min(1.0, max(LEVEL_FLOOR, before + max(-LEVEL_MOST, step)))
         if (before < 1.0) != (self.let_in < 1.0):
-            self.out.append(it.Remark(f"levels {before:.2f}>{self.let_in:.2f}: overload {strained:.2f}"))
+            self.out.append(LogModeChange(f"levels {before:.2f}>{self.let_in:.2f}: overload {strained:.2f}"))
         self.least = [[[math.inf, *least[:-1]] for least in row] for row in self.least]
 
     def _forget(self) -> None:
@@ -450,14 +403,14 @@
         for i, be in self._in(GONE).items() if bound else ():
             if self.now - be.due > GONE_FOR and i not in held and not be.laid:
                 del self.bes[i]
-                self.out += [it.Cordon(i, False), it.Forget(i)]
+                self.out += [ExcludeWorker(i, False), RemoveWorker(i)]
 
-    def _overload(self, live: list[Be]) -> float:
+    def _overload(self, live: list[WorkerRecord]) -> float:
         """How far most servers show overload, from 1: errors, time, reqs held over rate (Little), load."""
-        queue = middle(be.seen / max(be.was, be.planned) for be in live if be.seen >= 0 < be.planned)
-        erred = middle(be.errored / be.tries for be in live if be.tries >= 1.0)
-        time = (queue or middle(be.mean() for be in live if be.mean() > 0)) / self.tightest
-        load = middle(be.load for be in live if be.load >= 0)
+        queue = median_or_zero(be.seen / max(be.was, be.planned) for be in live if be.seen >= 0 < be.planned)
+        erred = median_or_zero(be.errored / be.tries for be in live if be.tries >= 1.0)
+        time = (queue or median_or_zero(be.mean() for be in live if be.mean() > 0)) / self.tightest
+        load = median_or_zero(be.load for be in live if be.load >= 0)
         calm = max(time / STRAIN_TIME, max(load, min(self.level, LOAD_OVER * load)) / STRAIN_LOAD)
         return max(calm, min(erred / STRAIN_ERRED, CALM_TWICE * calm))  # errors alone: clients or the way
 
@@ -466,8 +419,10 @@
         live = self._in(*LIVE) or self._in(OUT)
         sums = {i: [sum(c) for c in zip(*be.measured, strict=True)] for i, be in live.items() if be.measured}
         heard = {i: rate / load / live[i].weight for i, (rate, load) in sums.items()}
-        unit = middle(heard.values()) or 1.0  # listed sizes know no speed: capacities or else base times do
-        base = middle(be.base for be in live.values() if be.base > 0)
+        unit = (
+            median_or_zero(heard.values()) or 1.0
+        )  # listed sizes know no speed: capacities or else base times do
+        base = median_or_zero(be.base for be in live.values() if be.base > 0)
         full = {}
         for i, be in live.items():
             speed = heard[i] / unit if i in heard else base / be.base if be.base > 0 else 1.0
@@ -475,20 +430,22 @@
         self.whole = sum(full.values())  # before any trouble: what cold servers' parts are measured by
         # Avoiding proxies turn to cold servers at any weight, before sums tell; harms deploys in overload.
         # The strikes that takes come too slowly where a proxy brings a server a req each few seconds; of few
-        rates, few = [p.rate for p in self.proxies.values()], middle(len(t.want) for t in self.tables)
+        rates, few = [p.rate for p in self.proxies.values()], median_or_zero(len(t.want) for t in self.tables)
         per_line = max(len(self.zones) / max(1, len(live)), FEW_PART / (few or math.inf))  # all are struck
-        self.striking = self.terms.avoids and sum(r * r for r in rates) * per_line > AVOID_RATE * sum(rates)
+        self.striking = self.terms.proxies_eject_outliers and sum(
+            r * r for r in rates
+        ) * per_line > AVOID_RATE * sum(rates)
         for i, be in live.items():
             most = self.whole / len(full) * self._ease(be) if be.state == RAMP else math.inf
             full[i] *= be.slowness * self.steady[be.zone] * min(be.advised, 1.0 if self.cold(be) else 1e9)
             full[i] = min(most, full[i])
             if self.cold(be):  # what it surely does by now
-                age = (self.now - be.started) / self.terms.warm_after
-                sure = self.terms.cold_share + (1.0 - self.terms.cold_share) * age
+                age = (self.now - be.started) / self.terms.warm_up_s
+                sure = self.terms.warm_up_start_ratio + (1.0 - self.terms.warm_up_start_ratio) * age
                 young = sure < COLD_YOUNG or self.beat < BLIND_BEATS
                 strain = max(COLD_CALM * self.strain, self.strained, float(self.let_in < 1.0 or young))
                 held = be.seen / max(1.0, be.planned * self.tightest * STRAIN_TIME)  # it may be slow as well
-                part = min(1.0, COLD_PART * self.terms.fall_multiple) / max(1.0, held)
+                part = min(1.0, COLD_PART * self.terms.collapse_multiple) / max(1.0, held)
                 full[i] *= sure * part * max(0.0, 1.0 - self.striking * strain)
         return {i: c for i, c in full.items() if c > 0} or dict.fromkeys(full, 1.0)
 
@@ -501,11 +458,11 @@
         for at, told in self.told.values():
             for z in self.zones if self.now - at < TOLD_FOR * INTERVAL else ():
                 count[z], others[z] = count[z] + told[2 * z], others[z] + told[2 * z + 1]
-        missing = self.terms.proxies - sum(count)
+        missing = self.terms.proxy_count - sum(count)
         if missing < 0:  # who has come over since is still told of as there: nobody counts twice
             others = [max(0.0, o + o * missing / max(1.0, sum(count) - len(self.proxies))) for o in others]
-        gaps = [max(0.0, self.terms.proxies / len(self.zones) - c) for c in count]
-        if self.terms.managers > 1 and missing > 0 and self.proxies and sum(gaps) > 0:
+        gaps = [max(0.0, self.terms.proxy_count / len(self.zones) - c) for c in count]
+        if self.terms.manager_count > 1 and missing > 0 and self.proxies and sum(gaps) > 0:
             each = fmean(p.rate for p in self.proxies.values())  # few carry most: a median is far below
             others = [o + missing * each * gap / sum(gaps) for o, gap in zip(others, gaps, strict=True)]
         return own, others
@@ -513,17 +470,14 @@
     def _tell(self, own: list[float]) -> None:
         """Proxies and demand by zone, for those who can't see them; a lost word is a guess again."""
         at = [p.zone for p in self.proxies.values()]
-        words = [f"{at.count(z)} {own[z]:.1f}" for z in self.zones]
-        for z in range(0, len(words), WORDS_MOST):  # of many zones first the first one's number
-            part = [f"@{z}"] * (len(words) > WORDS_MOST) + words[z : z + WORDS_MOST]
-            self.out.append(it.Tell(-1, " ".join(part)))
-
-    def _hint(self, hint: it.Hint) -> None:
-        first, _, text = hint.text[1:].partition(" ") if hint.text[:1] == "@" else ("0", "", hint.text)
-        told = [float(word) for word in text.split() if word.replace(".", "", 1).isdecimal()]
+        counts = [at.count(z) for z in self.zones]
+        self.out += [SendGossip(-1, text) for text in encode_zone_figures(counts, own, WORDS_MOST)]
+
+    def _hint(self, hint: GossipReceived) -> None:
+        told = decode_zone_figures(hint.text, len(self.zones), WORDS_MOST)
         whole = self.told.get(hint.sender, (0.0, [0.0] * 2 * len(self.zones)))[1]
-        if first.isdecimal() and len(told) == 2 * min(WORDS_MOST, len(self.zones) - int(first)):
-            whole[2 * int(first) : 2 * int(first) + len(told)] = told
+        if told is not None:
+            whole[2 * told.first_zone : 2 * told.first_zone + len(told.figures)] = told.figures
             self.told[hint.sender] = (self.now, whole)
 
     def _solve(self) -> None:
@@ -533,7 +487,7 @@
         self.solve_at, self.urgent = self.now + INTERVAL, False
         full = self.full = self._estimates()
         own, others = self._demand()
-        self._tell(own) if fresh and self.terms.peers else None
+        self._tell(own) if fresh and self.terms.gossip else None
         demand = [(a + b) * self.let_in for a, b in zip(own, others, strict=True)]  # others deny as much
         # Held connections lie where they are: reqs fill the rest.  Harms where one is stated too high.
         if laid := sum(self.bes[i].laid for i in full):
@@ -542,7 +496,7 @@
         groups = [[i for i in full if self.bes[i].zone == g] for g in self.zones]
         room = [sum(full[i] for i in group) for group in groups]
         least = [[min(times) for times in row] for row in self.least]
-        usual = middle(v for row in least for v in row if v < math.inf)
+        usual = median_or_zero(v for row in least for v in row if v < math.inf)
 
         def price(z: int, g: int) -> float | None:  # own links stay: what slows them is servers, not the way
             near = z == g or not LINK_OVER * usual <= least[z][g] < math.inf
@@ -550,9 +504,9 @@
 
         level = sum(demand) / sum(room) if sum(room) > 0 else 0.0
         self.level = level * any(be.measured for be in self.bes.values())  # listed sizes have no unit
-        above = level * (1.0 + SLACK + SLACK_FOR_PRICE * self.terms.cross_zone_price)
+        above = level * (1.0 + SLACK + SLACK_FOR_PRICE * self.terms.cross_zone_cost)
         cost = [[price(z, g) for g in self.zones] for z in self.zones]
-        flow = least_cost_flow(demand, [c * above for c in room], cost)
+        flow = min_cost_flow(demand, [c * above for c in room], cost)
         warm = {i: c for i, c in full.items() if not self.cold(self.bes[i])}
         for z in self.zones:
             able = [g for g in self.zones if any(i in warm for i in groups[g])] or list(self.zones)
@@ -573,13 +527,13 @@
             mine = sum(flow[z][g] * own[z] / (own[z] + others[z]) for z in self.zones if demand[z] > 0)
             self.part[g] = mine / total if total > 0 else 1.0
 
-    def _tables(self, z: int, lines: int, most: int) -> list[Table]:  # dealt anew only if far too few
+    def _tables(self, z: int, lines: int, most: int) -> list[RoutingTable]:  # dealt anew only if far too few
         parts = 1 if lines <= most else math.ceil(2 * lines / most)
         tables = [t for t in self.tables if t.zone == z]
         if parts > 2 * len(tables) or (parts != len(tables) and not any(t.users for t in tables)):
             for p in [p for t in tables for p in t.users]:
                 self.proxies[p].table = None
-            tables = [Table((self.numbers + n) % it.ALL_TABLES, z) for n in range(parts)]
+            tables = [RoutingTable((self.numbers + n) % ALL_TABLES, z) for n in range(parts)]
             self.numbers += parts
             self.tables = [t for t in self.tables if t.zone != z] + tables
         return tables
@@ -588,11 +542,18 @@
         """A zone's tables: several, where binding all proxies to whole ones would outlast the drains' grace.
         Servers lie on a ring by weight; a table is cut out of it from where its proxies' reqs begin to where
         the next one's end, or nearer: together they lay all.  Harms where a table's few fail together."""
-        each = BOUND_WITHIN * self.terms.drain_grace * self.terms.lines_per_s / max(1, self.terms.proxies)
-        most = max(LINES_LEAST, int(each) - self.terms.head_lines - 2)
+        each = (
+            BOUND_WITHIN
+            * self.terms.drain_grace_s
+            * self.terms.channel_lines_per_s
+            / max(1, self.terms.proxy_count)
+        )
+        most = max(LINES_LEAST, int(each) - self.terms.message_header_lines - 2)
         tables = self._tables(z, sum(self.bes[i].zone == z for i in want) or len(want), most)
         for t in tables:
-            t.reqs = sum(self.proxies[p].came(k) for p in t.users for k in range(len(self.terms.kinds)))
+            t.reqs = sum(
+                self.proxies[p].came(k) for p in t.users for k in range(len(self.terms.request_classes))
+            )
         least = max(1e-9, sum(t.reqs for t in tables)) / len(tables) / 2  # for who is yet to be bound
         reqs = [max(t.reqs, least) for t in tables]
         edges = [sum(reqs[:n]) / sum(reqs) for n in range(len(reqs) + 1)] + [1.0 + reqs[0] / sum(reqs)]
@@ -600,23 +561,23 @@
         ring = dict(sorted(want.items(), key=lambda line: line[0] * GOLDEN % 1.0))
         for n, t in enumerate(tables):
             end = edges[n + 1] + over * (edges[n + 2] - edges[n + 1])
-            t.want = want if len(tables) <= 2 else cut(ring, edges[n], end)
+            t.want = want if len(tables) <= 2 else cut(ring, edges[n], end, MOVE)
             if warm and not t.want.keys() & warm.keys():
-                t.want = cut({i: w for i, w in ring.items() if i in warm}, edges[n], end)
+                t.want = cut({i: w for i, w in ring.items() if i in warm}, edges[n], end, MOVE)
 
     def _send(self) -> None:
         """Of a server that leaves hears by its line who is bound; who is not yet, by being bound; shut out it
         is only where no table can be laid, as a proxy keeps what it shuts out across its streams."""
         self.gate.open(self.now)
-        self.levels = self._levels() if self.terms.levels != "none" else {}
+        self.levels = self._levels() if self.terms.admission_mode != "none" else {}
         laid, here = {t.zone for t in self.tables if t.want}, self.proxies.values()
-        stuck = self.terms.slices or any(x.zone not in laid for x in here)
+        stuck = self.terms.slice_count or any(x.zone not in laid for x in here)
         for i, be in self.bes.items():  # a line for who holds it: others get no message, so answer no mark
             if be.cordoned != (on := be.state == GONE) and (stuck or not on):
                 cost = {p: 1 for p, x in self.proxies.items() if x.table is None or i in x.table.sent}
-                be.cordoned = on == self.gate.put([it.Cordon(i, on)], cost, RULES)
-        self._send_binds() if not self.terms.slices else None
-        hold = math.inf if all(x.table for x in here) else self.now - GONE_WAIT * self.terms.drain_grace
+                be.cordoned = on == self.gate.put([ExcludeWorker(i, on)], cost, RULES)
+        self._send_binds() if not self.terms.slice_count else None
+        hold = math.inf if all(x.table for x in here) else self.now - GONE_WAIT * self.terms.drain_grace_s
         told = [(min((self.bes[i].due for i in self._gone(t)), default=math.inf), t) for t in self.tables]
         for first, table in sorted(told, key=lambda pair: pair[0]):
             self._send_delta(table, self._gone(table) if first <= hold else [], True)
@@ -641,12 +602,12 @@
                     sums[i] += lines[i] * unit
         return {i for i in guarded if sent[i] > COLD_OVER * want[i]}
 
-    def _gone(self, table: Table) -> list[int]:
+    def _gone(self, table: RoutingTable) -> list[int]:
         return [i for i in table.sent if self.bes[i].state == GONE]
 
     def _send_binds(self) -> None:
         """Busiest first, unless some have waited for long, with tables that may name servers that left."""
-        old = self.now - GONE_WAIT * self.terms.drain_grace
+        old = self.now - GONE_WAIT * self.terms.drain_grace_s
         unbound = ((x.since > old, -x.rate, p) for p, x in self.proxies.items() if x.table is None)
         for young, _, p in sorted(unbound):
             x, way = self.proxies[p], BINDS if young else RULES
@@ -659,10 +620,10 @@
                 self.gate.put(self._changes(table, 0.0, 65536, []), {}, RULES)
             told = [i for i in table.sent if not self.bes[i].cordoned]  # others are told of as shut out
             lines = 1 + 2 * len(table.sent) - len(told) + len(table.levels) + self.gate.added(p, told, True)
-            if table.sent and self.gate.put([it.Bind(p, table.number, 0)], {p: lines}, way):
+            if table.sent and self.gate.put([BindProxy(p, table.number, 0)], {p: lines}, way):
                 table.users[p], x.table, table.reqs = None, table, table.reqs + x.rate
 
-    def _send_delta(self, table: Table, heavy: list[int], gone: bool) -> None:
+    def _send_delta(self, table: RoutingTable, heavy: list[int], gone: bool) -> None:
         """In pieces, largest changes first.  Who left, too heavy lines, bare tables wait for no answers."""
         if self.now - table.at > ANSWER_WAIT:
             table.pace = PACE.get((table.pace, "late"), table.pace)
@@ -678,35 +639,37 @@
         if heavy and stays:  # what is left takes the part of what goes, cold ones too: the rest comes along
             room = min(room, max(len(heavy), self.gate.room(table.users, DELTAS) // len(table.users)))
         orders = self._changes(table, MOVE, room, heavy if stays else [])
-        laid = [o.be for o in orders if isinstance(o, it.SetLine) and o.weight > 0]
+        laid = [o.worker_index for o in orders if isinstance(o, SetWeight) and o.weight > 0]
         cost = {p: len(orders) + self.gate.added(p, laid, False) for p in table.users} if orders else {}
         if not self.gate.put(orders, cost, way):
             table.sent, table.levels = sent, levels
 
-    def _changes(self, table: Table, past: float, most: int, first: list[int]) -> list[it.Order]:
+    def _changes(self, table: RoutingTable, past: float, most: int, first: list[int]) -> list[Order]:
         """At most so many orders that turn what was sent into what is wanted, which then count as sent."""
-        orders: list[it.Order] = []
+        orders: list[Order] = []
         for k, (share, level) in self.levels.items():
             if abs(share - table.levels.get(k, -1.0)) > past or (share >= 1.0 > table.levels.get(k, 1.0)):
                 table.levels[k] = share
-                orders.append(it.Level(table.number, level, 1 << k, it.Further.NEVER_RAN))
+                orders.append(SetAdmission(table.number, level, 1 << k, RetryPolicy.IF_NOT_STARTED))
         moves = {i: table.want.get(i, 0.0) - table.sent.get(i, 0.0) for i in table.want | table.sent}
         moves = {i: d for i, d in moves.items() if abs(d) > past * table.sent.get(i, 0.0)}
         bare = not any(i in table.want for i in table.sent)
         size = {i: -abs(d) * (not self.bes[i].cordoned) for i, d in moves.items()}
         rank = {i: (i not in first, bare and d < 0, size[i]) for i, d in moves.items()}
         for i in sorted(moves, key=rank.__getitem__)[: max(0, most - len(orders))]:
-            orders.append(it.SetLine(table.number, i, table.want.get(i, 0.0)))
+            orders.append(SetWeight(table.number, i, table.want.get(i, 0.0)))
             table.sent.pop(i, None)
             table.sent.update({i: table.want[i]} if i in table.want else {})
         return orders
 
     def _levels(self) -> dict[int, tuple[float, float]]:
         """What is let in of each kind: the kinds worth least for their response target are denied first."""
-        kinds = self.terms.kinds
+        kinds = self.terms.request_classes
         came = [sum(p.came(k) for p in self.proxies.values()) for k in range(len(kinds))]
         deny, shares = (1.0 - self.let_in) * sum(came), dict[int, float]()
-        for k in sorted(range(len(kinds)), key=lambda k: kinds[k].importance / kinds[k].response_target):
+        for k in sorted(
+            range(len(kinds)), key=lambda k: kinds[k].priority_weight / kinds[k].latency_objective_s
+        ):
             denied = min(deny, came[k] * (1.0 - LEVEL_LEAST))
             shares[k] = 1.0 - denied / came[k] if came[k] > 0 else 1.0
             deny -= denied
@@ -714,7 +677,7 @@
 
     def _let_in(self, k: int, share: float) -> float:
         """A share as proxies take it; as a rate, one that lets in this share of all, small ones whole."""
-        if self.terms.levels == "ratio":
+        if self.terms.admission_mode == "ratio":
             return share
         came = sorted(p.came(k) for p in self.proxies.values())
         left = share * sum(came)
@@ -725,18 +688,29 @@
         return 1e6
 
 
-LIFE: dict[tuple[str, str], tuple[str, Callable[[Ladder, Be], None] | None]] = {
-    **{(state, "started"): (RAMP, Ladder._begin) for state in (ABSENT, GONE, OUT, *LIVE)},
-    **{(state, "leaving"): (GONE, Ladder._shut) for state in (ABSENT, OUT, *LIVE)},
-    **{(state, "bad"): (OUT, Ladder._shut) for state in LIVE},
-    **{(state, "seen"): (RAMP, Ladder._begin) for state in (ABSENT, GONE)},
-    (ABSENT, "listed"): (WELL, None), (RAMP, "grown"): (WELL, None), (OUT, "due"): (RAMP, Ladder._begin),
+LIFE: dict[tuple[str, str], tuple[str, Callable[[RoutingController, WorkerRecord], None] | None]] = {
+    **{(state, "started"): (RAMP, RoutingController._begin) for state in (ABSENT, GONE, OUT, *LIVE)},
+    **{(state, "leaving"): (GONE, RoutingController._shut) for state in (ABSENT, OUT, *LIVE)},
+    **{(state, "bad"): (OUT, RoutingController._shut) for state in LIVE},
+    **{(state, "seen"): (RAMP, RoutingController._begin) for state in (ABSENT, GONE)},
+    (ABSENT, "listed"): (WELL, None),
+    (RAMP, "grown"): (WELL, None),
+    (OUT, "due"): (RAMP, RoutingController._begin),
 }
 PACE = dict.fromkeys([(IDLE, "sent"), (WAITING, "sent")], WAITING)
 PACE |= dict.fromkeys([(WAITING, "answered"), (WAITING, "late")], IDLE)
 TAKE: dict[type, Callable[..., None]] = {
-    it.Listing: Ladder._listing, it.Wake: Ladder._wake, it.Probed: Ladder._probed, it.Joined: Ladder._joined,
-    it.Left: Ladder._left, it.Tally: Ladder._tally, it.Ingress: Ladder._ingress, it.Hint: Ladder._hint,
-    it.Answered: Ladder._answered, it.Laid: Ladder._laid, it.Aside: Ladder._aside,
-    it.Advised: Ladder._advise, it.Remembered: Ladder._remembered,
+    EndpointList: RoutingController._listing,
+    TimerFired: RoutingController._wake,
+    HealthCheckResult: RoutingController._probed,
+    ProxyConnected: RoutingController._joined,
+    ProxyDisconnected: RoutingController._left,
+    LoadReport: RoutingController._tally,
+    ArrivalReport: RoutingController._ingress,
+    GossipReceived: RoutingController._hint,
+    Acknowledged: RoutingController._answered,
+    HeldLoad: RoutingController._laid,
+    ExtraLinesWritten: RoutingController._aside,
+    AdvisedFactor: RoutingController._advise,
+    RestoredState: RoutingController._remembered,
 }
--- a/cottonladder/protocol/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -12,28 +12,32 @@
 import structlog
 
 from ..config.settings import NUMBER, HostPort, WireError, address, field, seconds
-from ..model import interface as it
-from .fault_log import Faults
+from ..model.inputs import Endpoint, EndpointList, EndpointState, Input, ListUpdateKind
+from .fault_log import RateLimitedFaultLog
 
 SILENCE = 3.0  # s without a byte: discovery writes at least an empty line each 2 s, and fails calls after 2 s
 CALL_WAIT = 5.0  # s for the whole list, which must end: the wait in turn that discovery allows, and its way
 LIST_MOST = 8 << 20  # bytes of one line or list: some 50,000 workers; more is refused as unreadable
 ID_MOST = 255  # characters of a worker's id: far above any seen, and a line stays short
-MODES = {"Ready": it.Mode.READY, "Terminating": it.Mode.DRAINING, "Gone": it.Mode.GONE}
+MODES = {
+    "Ready": EndpointState.READY,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.GONE,
+}
 Learn = Callable[[str, str, float], int]  # id, address, start -> small index
 
 
 class Zones(Protocol):
     """Whoever knows the site's zones: the small index of a name, or a WireError that says where."""
 
-    def zone(self, name: str, where: str) -> int: ...
+    def zone_index(self, name: str, where: str) -> int: ...
 
 
-def read_list(body: Any, site: Zones, learn: Learn, where: str) -> tuple[int, it.Listing]:
+def read_list(body: Any, site: Zones, learn: Learn, where: str) -> tuple[int, EndpointList]:
     """The version and the listing; workers are learnt only once all of it has been read."""
     version = field(body, "version", int, where)
     full = field(body, "full", bool, where)
-    rows: list[tuple[str, str, int, it.Mode, float, float]] = []
+    rows: list[tuple[str, str, int, EndpointState, float, float]] = []
     for entry in field(body, "servers", list, where):
         worker_id = field(entry, "id", str, where)
         state = field(entry, "state", str, where)
@@ -45,18 +49,18 @@
         weight, started = float(field(entry, "weight", NUMBER, where)), seconds(entry, "started_ms", where)
         if not (0 <= weight < float("inf") and 0 <= started < float("inf")):
             raise WireError(f"{where}: field weight or started_ms is not a finite figure of 0 or more")
-        zone = site.zone(field(entry, "zone", str, where), f"{where}: field zone")
+        zone = site.zone_index(field(entry, "zone", str, where), f"{where}: field zone")
         host, port = address(entry, "addr", where)
         rows.append((worker_id, f"{host}:{port}", zone, MODES[state], weight, started))
     entries = tuple(
-        it.Entry(learn(worker_id, addr, started), zone, mode, weight, started)
+        Endpoint(learn(worker_id, addr, started), zone, mode, weight, started)
         for worker_id, addr, zone, mode, weight, started in rows
     )
-    return version, it.Listing(it.News.FULL if full else it.News.DELTA, entries)
+    return version, EndpointList(ListUpdateKind.FULL if full else ListUpdateKind.DELTA, entries)
 
 
 @dataclass(eq=False, slots=True)
-class Origin:
+class ListVersion:
     """One address of discovery and how far its list has been believed: each counts its versions by itself."""
 
     url: str
@@ -66,11 +70,11 @@
 
 
 @dataclass(eq=False, slots=True)
-class Watch:
+class EndpointWatch:
     """One call for changes, at the address that held when it was made; `answered`: it brought something;
     `last`: the version asked with, then that of its own last line."""
 
-    origin: Origin
+    origin: ListVersion
     answered: bool = False
     last: int = 0
     task: asyncio.Task[None] | None = None
@@ -83,7 +87,7 @@
             self.task.cancel()
 
 
-class Discovery:
+class DiscoveryClient:
     """Owns its session and at most one watch and one call for the list; calls are never piled up.  After a
     move the watch at the former address counts on until the new one has answered, so that no gap opens.
 
@@ -91,16 +95,16 @@
     left out; only what goes back behind what was held when it was asked for, twice, is a list begun anew."""
 
     def __init__(
-        self, at: HostPort, site: Zones, learn: Learn, post: Callable[[it.Input], None], version: int,
+        self, at: HostPort, site: Zones, learn: Learn, post: Callable[[Input], None], version: int,
         further: Callable[[dict[str, Any]], None] | None = None,
     ) -> None:  # fmt: skip
         self._further = further  # told each entry as it came, for fields beside the protocol's
-        self._origin = Origin(_url(at), version)
+        self._origin = ListVersion(_url(at), version)
         self._site, self._learn, self._post = site, learn, post
-        self._faults = Faults("discovery call failed")
+        self._faults = RateLimitedFaultLog("discovery call failed")
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self._watch: Watch | None = None
-        self._former: Watch | None = None
+        self._watch: EndpointWatch | None = None
+        self._former: EndpointWatch | None = None
         self._call: asyncio.Task[None] | None = None
         self._closed = False
         quiet = aiohttp.ClientTimeout(total=None, sock_connect=SILENCE, sock_read=SILENCE)
@@ -133,7 +137,7 @@
         closes; harms nobody but for one list more."""
         if self._closed:
             return
-        self._origin = Origin(_url(at), self.version, whole=True)
+        self._origin = ListVersion(_url(at), self.version, whole=True)
         if self._call is not None:
             self._call.cancel()
         if self._watch is not None:
@@ -149,12 +153,12 @@
             self._former.cancel()
             self._former = None
 
-    def _open(self) -> Watch:
-        watch = Watch(self._origin)
+    def _open(self) -> EndpointWatch:
+        watch = EndpointWatch(self._origin)
         watch.task = asyncio.create_task(self._run(self._follow(watch), watch))
         return watch
 
-    async def _run(self, call: Awaitable[None], watch: Watch | None = None) -> None:
+    async def _run(self, call: Awaitable[None], watch: EndpointWatch | None = None) -> None:
         try:
             return await call
         except (aiohttp.ClientError, TimeoutError, OSError, WireError) as exc:
@@ -165,9 +169,9 @@
         if watch is not None and watch is self._former:
             self._former = None  # the call at the new address speaks for itself
         else:
-            self._post(it.Listing(it.News.FAILED, ()))
+            self._post(EndpointList(ListUpdateKind.FAILED, ()))
 
-    async def _fetch(self, origin: Origin) -> None:
+    async def _fetch(self, origin: ListVersion) -> None:
         once = aiohttp.ClientTimeout(total=CALL_WAIT, sock_connect=SILENCE, sock_read=SILENCE)
         asked = origin.version
         async with self._session.get(origin.url, timeout=once) as reply:
@@ -175,7 +179,7 @@
             text = b"".join([line async for line in _lines(reply, LIST_MOST, b"")])
             self._take(text, origin, asked)
 
-    async def _follow(self, watch: Watch) -> None:
+    async def _follow(self, watch: EndpointWatch) -> None:
         origin = watch.origin
         if origin.whole:
             await self._fetch(origin)
@@ -189,11 +193,11 @@
                 if line.strip():
                     watch.last = self._take(line, origin, watch.last, watch)
                 elif not watch.answered:  # nothing has changed: the call is answered all the same
-                    self._post(it.Listing(it.News.DELTA, ()))
+                    self._post(EndpointList(ListUpdateKind.DELTA, ()))
                 self._heard(watch)
         raise WireError("watch: ended by discovery")
 
-    def _heard(self, watch: Watch) -> None:
+    def _heard(self, watch: EndpointWatch) -> None:
         watch.answered = True
         if watch is self._watch:
             self._let_go()
@@ -203,7 +207,7 @@
         if reply.status != 200:
             raise WireError(f"discovery: status {reply.status}")
 
-    def _take(self, text: bytes, origin: Origin, asked: int, watch: Watch | None = None) -> int:
+    def _take(self, text: bytes, origin: ListVersion, asked: int, watch: EndpointWatch | None = None) -> int:
         """The version that the text has; `asked`: the least that it may have.  One of a version back behind
         that is refused and the whole list asked for; a whole list that says so too is believed."""
         try:
@@ -215,7 +219,7 @@
                     raise WireError(f"list: version {version} after {asked}")
             elif version < origin.version:  # overtaken: what has come meanwhile holds all that it says
                 if watch is not None and not watch.answered:
-                    self._post(it.Listing(it.News.DELTA, ()))
+                    self._post(EndpointList(ListUpdateKind.DELTA, ()))
                 return version
             version, listing = read_list(body, self._site, self._learn, "list")
         except (RecursionError, OverflowError) as exc:
@@ -228,7 +232,7 @@
                 self._further(entry)
         # What the former address says tells nothing of the call under way at the new one.
         former = watch is not None and watch is self._former
-        self._post(it.Listing(it.News.FORMER, listing.entries) if former else listing)
+        self._post(EndpointList(ListUpdateKind.SUPERSEDED, listing.endpoints) if former else listing)
         return version
 
     async def close(self) -> None:
--- a/cottonladder/protocol/fault_log.py
+++ b/cottonladder/protocol/fault_log.py
@@ -10,7 +10,7 @@
 WHYS_MOST = 32  # kinds told apart meanwhile
 
 
-class Faults:
+class RateLimitedFaultLog:
     """`event` is the line's name."""
 
     def __init__(self, event: str) -> None:
--- a/cottonladder/protocol/gossip.py
+++ b/cottonladder/protocol/gossip.py
@@ -9,16 +9,16 @@
 import structlog
 
 from ..config.settings import HostPort
-from ..model import interface as it
+from ..model.inputs import GossipReceived, Input
 
 DATAGRAM_MOST = 256  # bytes: the protocol's limit; a longer one voids the run
 
 
-class Peers(asyncio.DatagramProtocol):
+class GossipSocket(asyncio.DatagramProtocol):
     """Owns the datagram socket; a sender is known by its address among the peers, all others are dropped."""
 
     def __init__(
-        self, me: int, peers: list[HostPort], everyone: HostPort | None, post: Callable[[it.Input], None]
+        self, me: int, peers: list[HostPort], everyone: HostPort | None, post: Callable[[Input], None]
     ) -> None:
         self._me, self._to, self._everyone, self._post = me, peers, everyone, post
         self._number = {address: n for n, address in enumerate(self._to)}
@@ -36,7 +36,7 @@
         if sender is None or sender == self._me or len(data) > DATAGRAM_MOST:
             return
         try:
-            self._post(it.Hint(sender, data.decode()))
+            self._post(GossipReceived(sender, data.decode()))
         except UnicodeDecodeError:
             return
 
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from ..config.settings import WireError
-from ..model import interface as it
+from ..model.inputs import HealthCheckResult, Input
 from .messages import figure
 
 PROBE_WAIT = 0.5  # s for connection and answer together: a fresh probe comes a second later at the earliest
@@ -26,13 +26,13 @@
     return report
 
 
-class Probes:
+class HealthChecker:
     """Owns its tasks and session; past `most` open at once, further ones wait for their turn.  One is under
     way of each worker: where many hang, probes would pile up behind them, and two that were sent to a worker
     before it started anew would both be lost and shut it out."""
 
     def __init__(
-        self, path: str, most: int, address_of: Callable[[int], str], post: Callable[[it.Input], None]
+        self, path: str, most: int, address_of: Callable[[int], str], post: Callable[[Input], None]
     ) -> None:
         self._path, self._address_of, self._post = path, address_of, post
         self._tasks: dict[int, asyncio.Task[None]] = {}  # by worker
@@ -58,7 +58,7 @@
             except (aiohttp.ClientError, TimeoutError, OSError, UnicodeDecodeError, WireError):
                 pass  # no answer or none in time: not done; a report that can't be read is left out
             if self._address_of(worker) == address:  # else it has moved meanwhile: this is not its answer
-                self._post(it.Probed(worker, done, time.monotonic() - sent, report))
+                self._post(HealthCheckResult(worker, done, time.monotonic() - sent, report))
 
     async def close(self) -> None:
         tasks = list(self._tasks.values())
--- a/cottonladder/protocol/messages.py
+++ b/cottonladder/protocol/messages.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..config.settings import Site, WireError
-from ..model import interface as it
+from ..config.settings import DeploymentSettings, WireError
+from ..model.inputs import Acknowledged, ArrivalReport, LoadReport, ProxyConnected
 from . import resp
 
 PING, PONG = resp.encode([b"PING"]), resp.encode([b"PONG"])
@@ -19,26 +19,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Source:
+class CollectorConnected:
     """A collector names its zone."""
 
     zone: int
 
 
 @dataclass(frozen=True, slots=True)
-class Unlisted:
+class UnlistedWorkerReport:
     """A report on a worker that the list has not named: nobody to book it on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Beyond:
+class ExtensionMessage:
     """A message of an extension that is switched on, as its own reader made it; `proxy`: whose stream."""
 
     body: object
     proxy: int = -1
 
 
-Said = Ping | Source | Unlisted | Beyond | it.Joined | it.Answered | it.Tally | it.Ingress
+IncomingMessage = (
+    Ping
+    | CollectorConnected
+    | UnlistedWorkerReport
+    | ExtensionMessage
+    | ProxyConnected
+    | Acknowledged
+    | LoadReport
+    | ArrivalReport
+)
 
 
 class Fields:
@@ -111,54 +120,58 @@
 class MessageReader:
     """Reads messages for one site; `find` gives the small index of a listed worker, or none."""
 
-    def __init__(self, site: Site, find: Callable[[bytes], int | None]) -> None:
+    def __init__(self, site: DeploymentSettings, find: Callable[[bytes], int | None]) -> None:
         self.site, self.find = site, find
         self.more: dict[bytes, Callable[[list[bytes]], object]] = {}  # readers of extensions, by kind
 
-    def read(self, words: list[bytes]) -> Said:
+    def read(self, words: list[bytes]) -> IncomingMessage:
         if not words:
             raise WireError("message: an array without words")
         reader = KINDS.get(words[0])
         if reader is None and words[0] in self.more:
-            return Beyond(self.more[words[0]](words))
+            return ExtensionMessage(self.more[words[0]](words))
         if reader is None:
             raise WireError(f"{shown(words[0])}: unknown kind of message")
         return reader(self, Fields(shown(words[0]), words[1:]))
 
     def _zone(self, f: Fields) -> int:
-        return self.site.zone(f.text("locality"), f"{f.kind}: field locality")
+        return self.site.zone_index(f.text("locality"), f"{f.kind}: field locality")
 
     def _node(self, f: Fields) -> int:
         node = f.count("node")
-        if node >= self.site.terms.proxies:
+        if node >= self.site.parameters.proxy_count:
             raise WireError(f"{f.kind}: field node is beyond the settings")
         return node
 
-    def _source(self, f: Fields) -> Said:
-        return Source(self._zone(f))
+    def _source(self, f: Fields) -> IncomingMessage:
+        return CollectorConnected(self._zone(f))
 
-    def _load(self, f: Fields) -> Said:
+    def _load(self, f: Fields) -> IncomingMessage:
         zone, worker = self._zone(f), self.find(f.word("endpoint"))
         total, errors = f.count("total"), f.count("errors")
         if errors > total:
             raise WireError(f"{f.kind}: field errors is more than total")
         span, report = f.span(total), f.metrics("metrics")
         took = f.figure("rtt") / 1000.0 if total > errors or b"rtt" in f.values else 0.0
-        return Unlisted() if worker is None else it.Tally(worker, zone, total, errors, span, took, report)
+        return (
+            UnlistedWorkerReport()
+            if worker is None
+            else LoadReport(worker, zone, total, errors, span, took, report)
+        )
 
-    def _subscribe(self, f: Fields) -> Said:
-        return it.Joined(self._node(f), self._zone(f), f.figure("w"), f.flag("cold"))
+    def _subscribe(self, f: Fields) -> IncomingMessage:
+        return ProxyConnected(self._node(f), self._zone(f), f.figure("w"), f.flag("cold"))
 
-    def _ack(self, f: Fields) -> Said:
-        return it.Answered(self._node(f), f.count("nonce"), f.figure("latency") / 1000.0)
+    def _ack(self, f: Fields) -> IncomingMessage:
+        return Acknowledged(self._node(f), f.count("nonce"), f.figure("latency") / 1000.0)
 
-    def _rate(self, f: Fields) -> Said:
-        kind = self.site.kind(f.text("route"), f"{f.kind}: field route")
+    def _rate(self, f: Fields) -> IncomingMessage:
+        kind = self.site.class_index(f.text("route"), f"{f.kind}: field route")
         reqs, errors = f.count("total"), f.count("errors")  # of those, some came before the interval
-        return it.Ingress(self._node(f), kind, reqs, errors, f.span(reqs))
+        return ArrivalReport(self._node(f), kind, reqs, errors, f.span(reqs))
 
 
-KINDS: dict[bytes, Callable[[MessageReader, Fields], Said]] = {
+KINDS: dict[bytes, Callable[[MessageReader, Fields], IncomingMessage]] = {
     b"PING": lambda messages, f: Ping(),
     b"SOURCE": MessageReader._source,
     b"LOAD": MessageReader._load,
@@ -169,7 +182,7 @@
 
 
 @dataclass(slots=True)
-class Part:
+class ConfigPart:
     """One part of a message to a proxy; workers stand by their ids."""
 
     kinds: bytes = b""  # names joined as the wire has them; empty for all
@@ -203,5 +216,5 @@
     return repr(float(value)).encode()
 
 
-def encode_parts(parts: list[Part]) -> bytes:
+def encode_parts(parts: list[ConfigPart]) -> bytes:
     return b"".join(resp.encode(part.words(part is not parts[-1])) for part in parts)
