--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -12,9 +12,9 @@
 import structlog
 
 from ..config.settings import WireError
-from ..model import interface as it
+from ..model.inputs import Acknowledged, ArrivalReport, Input, LoadReport, ProxyConnected
 from . import messages as m
-from .fault_log import Faults
+from .fault_log import RateLimitedFaultLog
 from .resp import MESSAGE_MOST, Reader
 
 QUEUE = 1024  # connections at least that the kernel holds until they are accepted: all may dial at once
@@ -26,16 +26,16 @@
 NEW, COLLECTOR, STREAM, OLD = "new", "collector", "stream", "old"  # OLD: another stream took its place
 
 
-class StreamListener(Protocol):
+class StreamEvents(Protocol):
     """Who is told of what comes in; never waited for."""
 
-    def joined(self, stream: Connection, joined: it.Joined) -> None: ...
-    def left(self, stream: Connection) -> None: ...
-    def post(self, item: it.Input | m.Beyond) -> None: ...
+    def joined(self, stream: ProtocolConnection, joined: ProxyConnected) -> None: ...
+    def left(self, stream: ProtocolConnection) -> None: ...
+    def post(self, item: Input | m.ExtensionMessage) -> None: ...
 
 
-class Connection(asyncio.Protocol):
-    def __init__(self, address: Address) -> None:
+class ProtocolConnection(asyncio.Protocol):
+    def __init__(self, address: StreamListener) -> None:
         self.address, self.reader, self.state = address, Reader(FIRST_MOST), NEW
         self.proxy, self.zone, self.peer, self.why, self.heard = -1, -1, "", "", 0.0
         self.number = 0  # in the order of accepts
@@ -96,52 +96,56 @@
             self.why = why
             self._transport.abort()
 
-    def _pong(self, said: m.Said) -> None:
+    def _pong(self, said: m.IncomingMessage) -> None:
         self.send(m.PONG)
 
-    def _source(self, said: m.Said) -> None:
-        self.state, self.zone, self.reader.most = COLLECTOR, cast(m.Source, said).zone, MESSAGE_MOST
+    def _source(self, said: m.IncomingMessage) -> None:
+        self.state, self.zone, self.reader.most = (
+            COLLECTOR,
+            cast(m.CollectorConnected, said).zone,
+            MESSAGE_MOST,
+        )
         self.address.named(self, "collector")
 
-    def _subscribe(self, said: m.Said) -> None:
-        joined = cast(it.Joined, said)
+    def _subscribe(self, said: m.IncomingMessage) -> None:
+        joined = cast(ProxyConnected, said)
         self.state, self.proxy, self.reader.most = STREAM, joined.proxy, MESSAGE_MOST
         self.address.named(self, f"proxy {joined.proxy}")
         self.address.listener.joined(self, joined)
 
-    def _report(self, said: m.Said) -> None:
-        self.address.listener.post(cast(it.Input, said))
+    def _report(self, said: m.IncomingMessage) -> None:
+        self.address.listener.post(cast(Input, said))
 
-    def _own(self, said: m.Said) -> None:
-        if cast(it.Answered | it.Ingress, said).proxy != self.proxy:
+    def _own(self, said: m.IncomingMessage) -> None:
+        if cast(Acknowledged | ArrivalReport, said).proxy != self.proxy:
             raise WireError("ACK or RATE: field node is another's than the stream's")
         self._report(said)
 
-    def _beyond(self, said: m.Said) -> None:
-        self.address.listener.post(m.Beyond(cast(m.Beyond, said).body, self.proxy))
+    def _beyond(self, said: m.IncomingMessage) -> None:
+        self.address.listener.post(m.ExtensionMessage(cast(m.ExtensionMessage, said).body, self.proxy))
 
-    def _nothing(self, said: m.Said) -> None:
+    def _nothing(self, said: m.IncomingMessage) -> None:
         pass
 
 
-Step = Callable[[Connection, m.Said], None]
+Step = Callable[[ProtocolConnection, m.IncomingMessage], None]
 STEPS: dict[tuple[str, type], Step] = {
-    **{(state, m.Ping): Connection._pong for state in (NEW, COLLECTOR, STREAM, OLD)},
-    (NEW, m.Source): Connection._source,
-    (NEW, it.Joined): Connection._subscribe,
-    **{(state, it.Tally): Connection._report for state in (COLLECTOR, STREAM)},
-    (COLLECTOR, it.Ingress): Connection._report,
-    **{(STREAM, said): Connection._own for said in (it.Answered, it.Ingress)},
-    (STREAM, m.Beyond): Connection._beyond,
-    (OLD, m.Beyond): Connection._nothing,
-    **{(state, m.Unlisted): Connection._nothing for state in (COLLECTOR, STREAM, OLD)},
-    **{(OLD, said): Connection._nothing for said in (it.Tally, it.Ingress, it.Answered)},
+    **{(state, m.Ping): ProtocolConnection._pong for state in (NEW, COLLECTOR, STREAM, OLD)},
+    (NEW, m.CollectorConnected): ProtocolConnection._source,
+    (NEW, ProxyConnected): ProtocolConnection._subscribe,
+    **{(state, LoadReport): ProtocolConnection._report for state in (COLLECTOR, STREAM)},
+    (COLLECTOR, ArrivalReport): ProtocolConnection._report,
+    **{(STREAM, said): ProtocolConnection._own for said in (Acknowledged, ArrivalReport)},
+    (STREAM, m.ExtensionMessage): ProtocolConnection._beyond,
+    (OLD, m.ExtensionMessage): ProtocolConnection._nothing,
+    **{(state, m.UnlistedWorkerReport): ProtocolConnection._nothing for state in (COLLECTOR, STREAM, OLD)},
+    **{(OLD, said): ProtocolConnection._nothing for said in (LoadReport, ArrivalReport, Acknowledged)},
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
-    """What the machine's limits leave for each use; see lifecycle/manager."""
+class ConnectionLimits:
+    """What the machine's limits leave for each use; see control/manager."""
 
     connections: int  # accepted and open at once
     accepts: int  # connections accepted at once
@@ -150,20 +154,23 @@
     queue: int = QUEUE  # connections that the kernel holds until they are accepted
 
 
-class Address:
+class StreamListener:
     """Listens, and bounds what may stay open.  Who has not joined within `JOIN_WAIT` is closed by one sweep;
     where descriptors run out, strangers make room, the one that came first before others, then streams whose
     place was taken; nobody who joined does.  Harms a proxy that joins later than it dials: it dials again."""
 
-    def __init__(self, messages: m.MessageReader, listener: StreamListener, shares: Shares) -> None:
+    def __init__(self, messages: m.MessageReader, listener: StreamEvents, shares: ConnectionLimits) -> None:
         self.messages, self.listener, self.shares = messages, listener, shares
-        self.left_out, self.cut = Faults("message left out"), Faults("connection ended")
+        self.left_out, self.cut = (
+            RateLimitedFaultLog("message left out"),
+            RateLimitedFaultLog("connection ended"),
+        )
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self._open: dict[Connection, None] = {}
-        self._new: dict[Connection, float] = {}  # when they came, first first
-        self._old: dict[Connection, float] = {}  # since when
-        self._collectors: dict[int, list[Connection]] = {}  # by zone
-        self._late: list[Connection] = []  # had not joined by the last sweep
+        self._open: dict[ProtocolConnection, None] = {}
+        self._new: dict[ProtocolConnection, float] = {}  # when they came, first first
+        self._old: dict[ProtocolConnection, float] = {}  # since when
+        self._collectors: dict[int, list[ProtocolConnection]] = {}  # by zone
+        self._late: list[ProtocolConnection] = []  # had not joined by the last sweep
         self._accepted = 0
         self._closed = False
         self._server: asyncio.Server | None = None
@@ -173,7 +180,7 @@
         """asyncio accepts as many at once as its backlog says: a small one; the kernel's is set after it."""
         listener = socket.create_server((host, port))
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: Connection(self), sock=listener, backlog=self.shares.accepts
+            lambda: ProtocolConnection(self), sock=listener, backlog=self.shares.accepts
         )
         listener.listen(self.shares.queue)
         self._sweep()
@@ -194,7 +201,7 @@
         self.cut.sum_up(now)
         self._timer = loop.call_later(SWEEP, self._sweep)
 
-    def opened(self, c: Connection) -> None:
+    def opened(self, c: ProtocolConnection) -> None:
         self._accepted += 1
         c.number = self._accepted
         if self._closed:  # accepted in the turn of the close, opened after it
@@ -207,12 +214,12 @@
             self._forget(first)  # at once, as the end of a connection is seen a turn of the loop later
             first.end("too many connections")
 
-    def _forget(self, c: Connection) -> None:
+    def _forget(self, c: ProtocolConnection) -> None:
         self._open.pop(c, None)
         self._new.pop(c, None)
         self._old.pop(c, None)
 
-    def named(self, c: Connection, who: str) -> None:
+    def named(self, c: ProtocolConnection, who: str) -> None:
         self._new.pop(c, None)
         if c.state == COLLECTOR:
             others = self._collectors.setdefault(c.zone, [])
@@ -223,11 +230,11 @@
                 silent.end("other collectors of its zone came")
         self.log.info("connection opened", peer=c.peer, who=who)
 
-    def superseded(self, c: Connection) -> None:
+    def superseded(self, c: ProtocolConnection) -> None:
         c.state = OLD
         self._old[c] = asyncio.get_running_loop().time()
 
-    def ended(self, c: Connection, why: str) -> None:
+    def ended(self, c: ProtocolConnection, why: str) -> None:
         self._forget(c)
         if c in (others := self._collectors.get(c.zone, [])):
             others.remove(c)
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -30,13 +30,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Announced:
+class ForwarderAnnounced:
     node: int
     version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Welcome:
+class AnnouncementAccepted:
     """A forwarder's part of the arrivals, and arrivals a second that an average worker takes up."""
 
     version: int
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holds:
+class HeldConnections:
     """By worker's id: open, busy, resumable."""
 
     node: int
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ordered:
+class MigrationOrdered:
     number: int
     source: str
     to: dict[str, int]
@@ -64,20 +64,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stopped:
+class MigrationStopped:
     source: str
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class MigrationDone:
     node: int
     number: int
     done: int
     failed: int
 
 
-FromForwarder = Announced | Holds | Done
-FromManager = Welcome | Ordered | Stopped
+FromForwarder = ForwarderAnnounced | HeldConnections | MigrationDone
+FromManager = AnnouncementAccepted | MigrationOrdered | MigrationStopped
 
 
 def _pairs(fields: Fields, name: str, figures: int, most: int) -> dict[bytes, tuple[int, ...]]:
@@ -98,41 +98,43 @@
     return rows
 
 
-def _announced(f: Fields) -> Announced:
-    return Announced(f.count("node"), f.count("version"))
+def _announced(f: Fields) -> ForwarderAnnounced:
+    return ForwarderAnnounced(f.count("node"), f.count("version"))
 
 
-def _holds(f: Fields) -> Holds:
+def _holds(f: Fields) -> HeldConnections:
     rows: dict[bytes, tuple[int, int, int]] = {}
     for be, (held, busy, resumable) in _pairs(f, "holds", 3, HOLDS_MOST).items():
         if max(busy, resumable) > held:
             raise WireError("HELD: field holds has more busy or resumable than open")
         rows[be] = (held, busy, resumable)
-    return Holds(f.count("node"), f.flag("whole"), rows)
+    return HeldConnections(f.count("node"), f.flag("whole"), rows)
 
 
-def _done(f: Fields) -> Done:
-    return Done(f.count("node"), f.count("move"), f.count("done"), f.count("failed"))
+def _done(f: Fields) -> MigrationDone:
+    return MigrationDone(f.count("node"), f.count("move"), f.count("done"), f.count("failed"))
 
 
-def _welcome(f: Fields) -> Welcome:
+def _welcome(f: Fields) -> AnnouncementAccepted:
     part, arrivals = f.figure("part"), f.figure("arrivals")
     if part > 1.0:
         raise WireError("UPGRADES: field part is over 1")
-    return Welcome(f.count("version"), part, arrivals)
+    return AnnouncementAccepted(f.count("version"), part, arrivals)
 
 
-def _move(f: Fields) -> Ordered | Stopped:
+def _move(f: Fields) -> MigrationOrdered | MigrationStopped:
     source = f.text("from")
     if b"stop" in f.values:
         if not f.flag("stop"):
             raise WireError("MOVE: field stop is not 1")
-        return Stopped(source)
+        return MigrationStopped(source)
     to = {be.decode(): n for be, (n,) in _pairs(f, "to", 1, ROWS_MOST).items()}
     count = f.count("count")
     if not 0 < count <= COUNT_MOST or sum(to.values()) > count:
         raise WireError("MOVE: field count is none, or less than the places named")
-    return Ordered(f.count("move"), source, to, count, f.figure("within") / 1000.0, f.figure("left") / 1000.0)
+    return MigrationOrdered(
+        f.count("move"), source, to, count, f.figure("within") / 1000.0, f.figure("left") / 1000.0
+    )
 
 
 TO_MANAGER: dict[bytes, Callable[[Fields], FromForwarder]] = {
--- a/cottonladder/simulator/__main__.py
+++ b/cottonladder/simulator/__main__.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from ..config.settings import WireError, field
-from ..model import interface as it
-from ..policy.controller import Ladder
+from ..model.orders import RemoveWorker
+from ..policy.controller import RoutingController
 from .codec import Door
 
 
@@ -18,7 +18,7 @@
 
     def __init__(self, body: dict[str, Any], where: str) -> None:
         self.door = Door(body, where)
-        self.ladder = Ladder(self.door.site.terms)
+        self.ladder = RoutingController(self.door.site.parameters)
 
 
 class Host:
@@ -70,7 +70,9 @@
             return
         try:
             orders = seat.ladder.decide(now, inputs)
-            outbox += [seat.door.write(o) for o in orders if not isinstance(o, it.Forget)]  # ids are few here
+            outbox += [
+                seat.door.write(o) for o in orders if not isinstance(o, RemoveWorker)
+            ]  # ids are few here
         except Exception as exc:  # the wire's own word for a fault of the decisions
             traceback.print_exc(file=sys.stderr)
             outbox.append({"CRASH": {"Words": f"{type(exc).__name__}: {exc}"}})
--- a/cottonladder/snapshots/sections.py
+++ b/cottonladder/snapshots/sections.py
@@ -15,7 +15,7 @@
 T = TypeVar("T")
 
 
-class WorkerPast(Struct, array_like=True):
+class WorkerSnapshot(Struct, array_like=True):
     """A manager's knowledge of one worker."""
 
     id: str
@@ -26,7 +26,7 @@
     leaving: bool
 
 
-class ListEntry(Struct, array_like=True):
+class EndpointSnapshot(Struct, array_like=True):
     id: str
     address: str
     zone: int
@@ -35,27 +35,27 @@
     started: float
 
 
-class ManagerLife(Struct):
+class ManagerSnapshot(Struct):
     """`mark`: the last number of a mark; `moves`: of an order of moves; `credits` by advisor."""
 
     mark: int
-    workers: list[WorkerPast]
+    workers: list[WorkerSnapshot]
     rates: dict[int, float]
     version: int
-    listed: list[ListEntry]
+    listed: list[EndpointSnapshot]
     credits: dict[str, float] = {}
 
 
-class TableLife(Struct):
+class TableSnapshot(Struct):
     rows: dict[str, float]
     gate: float | None
     again: int
 
 
-class ForwarderLife(Struct):
+class ForwarderSnapshot(Struct):
     """`avoid`: s left of each worker that is kept away from; `held`: connections by worker."""
 
-    tables: dict[str, TableLife]
+    tables: dict[str, TableSnapshot]
     out: list[str]
     avoid: dict[str, float]
     held: dict[str, int]
@@ -63,8 +63,8 @@
 
 # A section's name -> (its version today, its type, migrations of its data from a version to the next)
 KINDS: dict[str, tuple[int, type[Struct], dict[int, Callable[[Any], Any]]]] = {
-    "manager": (1, ManagerLife, {}),
-    "forwarder": (1, ForwarderLife, {}),
+    "manager": (1, ManagerSnapshot, {}),
+    "forwarder": (1, ForwarderSnapshot, {}),
 }
 
 
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -13,9 +13,20 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
-from ..model import interface as it
-from ..protocol.messages import Part, encode_parts
-from .worker_registry import Workers
+from ..model.inputs import Input, ProxyConnected, ProxyDisconnected
+from ..model.orders import (
+    ALL_TABLES,
+    BindProxy,
+    Checkpoint,
+    ClearTable,
+    ExcludeWorker,
+    Order,
+    RemoveWorker,
+    SetAdmission,
+    SetWeight,
+)
+from ..protocol.messages import ConfigPart, encode_parts
+from .worker_registry import WorkerRegistry
 
 PART_MOST = 900_000  # bytes of lines in a part: a message part is 1 MiB at most, heads included
 SURE_LEAST = 0.25  # of a table's workers nobody may have shut out, or all are let in
@@ -29,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class ProxyView:
     """Whom a proxy shuts out, as told over all its streams; None: in doubt.  `sure`: told by nobody else."""
 
     sure: bool
@@ -39,25 +50,25 @@
 Op = tuple[str, int, int, float, int]  # what, kinds, worker or number, figure, further tries
 
 
-class Spread:
-    def __init__(self, kinds: list[str], managers: int, workers: Workers) -> None:
+class OrderDispatcher:
+    def __init__(self, kinds: list[str], managers: int, workers: WorkerRegistry) -> None:
         self._kinds, self._alone, self._workers = kinds, managers == 1, workers
         self._all = (1 << len(kinds)) - 1
         self._tables: dict[int, Table] = {}
         self._everywhere: dict[int, tuple[float, int]] = {}  # levels for all proxies, by kind
         self._out: dict[int, None] = {}
         self._bound: dict[int, list[int | None]] = {}  # who is joined: each kind's table of ours
-        self._told: dict[int, Told] = {}
+        self._told: dict[int, ProxyView] = {}
         self._users: dict[int, dict[int, None]] = {}  # table -> proxies that read it, for any kind
         self._drafts: dict[int, list[Op]] = {}
         self._gone: list[int] = []  # forgotten once all that is drafted has been encoded
 
-    def hear(self, batch: list[it.Input]) -> None:
+    def hear(self, batch: list[Input]) -> None:
         """Joins and leaves of a batch; heard before the module sees it, so that its orders meet them."""
         for item in batch:
-            if isinstance(item, it.Joined):
-                self.joined(item.proxy, item.fresh)
-            elif isinstance(item, it.Left):
+            if isinstance(item, ProxyConnected):
+                self.joined(item.proxy, item.is_fresh)
+            elif isinstance(item, ProxyDisconnected):
                 self.left(item.proxy)
 
     def joined(self, proxy: int, fresh: bool) -> None:
@@ -67,7 +78,7 @@
         self._bound[proxy] = [None] * len(self._kinds)
         known = self._told.get(proxy)
         sure = fresh or (self._alone and known is not None and known.sure)
-        self._told[proxy] = Told(sure, dict.fromkeys(known.out) if known else {})
+        self._told[proxy] = ProxyView(sure, dict.fromkeys(known.out) if known else {})
 
     def left(self, proxy: int) -> None:
         self._bound.pop(proxy, None)
@@ -75,14 +86,16 @@
         for users in self._users.values():
             users.pop(proxy, None)
 
-    def take(self, order: it.Order) -> str:
+    def take(self, order: Order) -> str:
         """Applies one order; says why where it is one that must never be sent."""
-        if isinstance(order, it.SetLine) and not (math.isfinite(order.weight) and order.weight >= 0):
+        if isinstance(order, SetWeight) and not (math.isfinite(order.weight) and order.weight >= 0):
             return f"weight {order.weight}"
-        if isinstance(order, it.Level) and not (math.isfinite(order.let_in) and order.let_in >= 0):
-            return f"level {order.let_in}"
-        if isinstance(order, (it.SetLine, it.Cordon, it.Forget)) and not self._workers.known(order.be):
-            return f"worker {order.be} was never listed"
+        if isinstance(order, SetAdmission) and not (math.isfinite(order.admission) and order.admission >= 0):
+            return f"level {order.admission}"
+        if isinstance(order, (SetWeight, ExcludeWorker, RemoveWorker)) and not self._workers.known(
+            order.worker_index
+        ):
+            return f"worker {order.worker_index} was never listed"
         TAKE[type(order)](self, order)
         return ""
 
@@ -133,7 +146,7 @@
             workers -= self._put_off(told, workers)
         return sum(self._shut(told, worker) is not False for worker in workers)
 
-    def _put_off(self, told: Told, workers: set[int]) -> set[int]:
+    def _put_off(self, told: ProxyView, workers: set[int]) -> set[int]:
         """Workers of a table to bind to that need not be let in at once: only another manager may have shut
         them out, under the same ids before they started, and enough others are left to pick from.  A line of
         theirs that changes lets them in.  A bind costs half as much; harms where such a worker was shut out:
@@ -144,7 +157,7 @@
         sure = sum(self._shut(told, worker) is False for worker in workers)
         return put_off if sure >= max(1.0, SURE_LEAST * len(workers)) else set()
 
-    def _shut(self, told: Told, worker: int) -> bool | None:
+    def _shut(self, told: ProxyView, worker: int) -> bool | None:
         """Whether a proxy shuts this worker out; None: in doubt."""
         doubtful = self._workers.doubtful(worker) or (not told.sure and self._workers.restarted(worker))
         return told.out.get(worker, None if doubtful else False)
@@ -157,25 +170,25 @@
         told.out[worker] = out
         return [("drop" if out else "undrop", 0, worker, 0.0, 0)]
 
-    def _set_line(self, o: it.SetLine) -> None:
+    def _set_line(self, o: SetWeight) -> None:
         table = self._tables.setdefault(o.table, Table())
         if o.weight > 0:
-            table.lines[o.be] = o.weight
+            table.lines[o.worker_index] = o.weight
         else:
-            table.lines.pop(o.be, None)
+            table.lines.pop(o.worker_index, None)
         for proxy in self._users.get(o.table, ()):
-            let_in = self._let_in(proxy, o.be) if o.weight > 0 else []
-            self._draft(proxy, *let_in, ("row", self._mask(proxy, o.table), o.be, o.weight, 0))
+            let_in = self._let_in(proxy, o.worker_index) if o.weight > 0 else []
+            self._draft(proxy, *let_in, ("row", self._mask(proxy, o.table), o.worker_index, o.weight, 0))
 
-    def _empty(self, o: it.Empty) -> None:
+    def _empty(self, o: ClearTable) -> None:
         self._tables[o.table] = Table()
         for proxy in self._users.get(o.table, ()):
             self._draft(proxy, ("replace", self._mask(proxy, o.table), 0, 0.0, 0))
 
-    def _bind(self, o: it.Bind) -> None:
+    def _bind(self, o: BindProxy) -> None:
         if o.proxy not in self._bound:
             return
-        table, kinds = self._tables.setdefault(o.table, Table()), o.kinds & self._all or self._all
+        table, kinds = self._tables.setdefault(o.table, Table()), o.class_mask & self._all or self._all
         bound = self._bound[o.proxy]
         for k in range(len(bound)):
             if kinds >> k & 1:
@@ -196,42 +209,42 @@
             ops += self._let_in(o.proxy, worker) if worker not in put_off else []
         self._draft(o.proxy, *ops)
 
-    def _cordon(self, o: it.Cordon) -> None:
+    def _cordon(self, o: ExcludeWorker) -> None:
         """A line at each proxy that holds a table with the worker, or tables that are not ours."""
-        if o.on:
-            self._out[o.be] = None
+        if o.excluded:
+            self._out[o.worker_index] = None
         else:
-            self._out.pop(o.be, None)
+            self._out.pop(o.worker_index, None)
         for proxy, bound in self._bound.items():
-            holds = any(t is None or o.be in self._tables[t].lines for t in bound)
+            holds = any(t is None or o.worker_index in self._tables[t].lines for t in bound)
             if holds:
-                self._told[proxy].out[o.be] = o.on
-                self._draft(proxy, ("drop" if o.on else "undrop", 0, o.be, 0.0, 0))
+                self._told[proxy].out[o.worker_index] = o.excluded
+                self._draft(proxy, ("drop" if o.excluded else "undrop", 0, o.worker_index, 0.0, 0))
 
-    def _set_level(self, o: it.Level) -> None:
-        kinds = [k for k in range(len(self._kinds)) if (o.kinds or self._all) >> k & 1]
-        everywhere = o.table == it.ALL_TABLES
+    def _set_level(self, o: SetAdmission) -> None:
+        kinds = [k for k in range(len(self._kinds)) if (o.class_mask or self._all) >> k & 1]
+        everywhere = o.table == ALL_TABLES
         levels = self._everywhere if everywhere else self._tables.setdefault(o.table, Table()).levels
-        levels.update(dict.fromkeys(kinds, (o.let_in, int(o.further))))
+        levels.update(dict.fromkeys(kinds, (o.admission, int(o.retry_policy))))
         for proxy in list(self._bound if everywhere else self._users.get(o.table, {})):
             reads = [k for k in kinds if everywhere or self._bound[proxy][k] == o.table]
             self._draft(proxy, *self._gates(proxy, reads))
 
-    def _forget(self, o: it.Forget) -> None:
+    def _forget(self, o: RemoveWorker) -> None:
         """A proxy may shut it out for good; should it be listed again, it is let in with its first line."""
-        self._out.pop(o.be, None)
+        self._out.pop(o.worker_index, None)
         for table in self._tables.values():
-            table.lines.pop(o.be, None)
+            table.lines.pop(o.worker_index, None)
         for told in self._told.values():
-            told.out.pop(o.be, None)
-        self._gone.append(o.be)
+            told.out.pop(o.worker_index, None)
+        self._gone.append(o.worker_index)
 
-    def _mark(self, o: it.Mark) -> None:
-        for proxy in list(self._bound if o.everyone else self._drafts):
+    def _mark(self, o: Checkpoint) -> None:
+        for proxy in list(self._bound if o.to_all_proxies else self._drafts):
             self._draft(proxy, ("stamp", 0, o.number, 0.0, 0))
 
     def _encode(self, ops: tuple[Op, ...]) -> bytes:
-        parts, size = [Part()], 0
+        parts, size = [ConfigPart()], 0
         masks = [0]  # of the last part: kinds its table fields stand for, 0 while it has none
         for what, mask, number, figure, further in ops:
             part = parts[-1]
@@ -239,7 +252,7 @@
             size += len(worker) + 32
             other = bool(mask) and masks[-1] not in (0, mask)
             if other or size > PART_MOST or CLASH[what](part, worker):
-                part, size = Part(), len(worker) + 32
+                part, size = ConfigPart(), len(worker) + 32
                 parts.append(part)
                 masks.append(0)
             if mask:
@@ -264,7 +277,7 @@
         return "+".join(name for k, name in enumerate(self._kinds) if mask >> k & 1).encode()
 
 
-CLASH: dict[str, Callable[[Part, bytes], bool]] = {  # what can't join a part after what it already says
+CLASH: dict[str, Callable[[ConfigPart, bytes], bool]] = {  # what can't join a part after what it already says
     "row": lambda part, worker: worker in part.rows or part.gate is not None,
     "replace": lambda part, worker: part.replace or bool(part.rows) or part.gate is not None,
     "gate": lambda part, worker: part.gate is not None,
@@ -273,11 +286,11 @@
     "stamp": lambda part, worker: part.stamp is not None,
 }
 TAKE: dict[type, Callable[..., None]] = {
-    it.SetLine: Spread._set_line,
-    it.Empty: Spread._empty,
-    it.Bind: Spread._bind,
-    it.Cordon: Spread._cordon,
-    it.Level: Spread._set_level,
-    it.Mark: Spread._mark,
-    it.Forget: Spread._forget,
+    SetWeight: OrderDispatcher._set_line,
+    ClearTable: OrderDispatcher._empty,
+    BindProxy: OrderDispatcher._bind,
+    ExcludeWorker: OrderDispatcher._cordon,
+    SetAdmission: OrderDispatcher._set_level,
+    Checkpoint: OrderDispatcher._mark,
+    RemoveWorker: OrderDispatcher._forget,
 }
--- a/cottonladder/state/worker_registry.py
+++ b/cottonladder/state/worker_registry.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Worker:
+class KnownWorker:
     address: str
     doubtful: bool  # it was forgotten once, so that proxies may still shut it out
     restarted: bool = False
@@ -24,14 +24,14 @@
     return byte, 1 << shift
 
 
-class Workers:
+class WorkerRegistry:
     """Only the list makes a worker known; it stays so until the module forgets it.  Indices are never used
     again, so a late word on one that is gone meets nobody.  Of who was forgotten a bit of a hash is kept: a
     worker that returns, or hits another's bit, costs a line that lets it in at each proxy, and no more."""
 
     def __init__(self) -> None:
         self.ids: dict[int, bytes] = {}
-        self._workers: dict[int, Worker] = {}
+        self._workers: dict[int, KnownWorker] = {}
         self._index: dict[bytes, int] = {}
         self._next = 0
         self._forgotten = bytearray(PLACES // 8)
@@ -46,7 +46,7 @@
             self._next += 1
             self.ids[index] = key
             byte, bit = _place(key)
-            self._workers[index] = Worker(address, bool(self._forgotten[byte] & bit))
+            self._workers[index] = KnownWorker(address, bool(self._forgotten[byte] & bit))
         worker = self._workers[index]
         worker.address = address
         worker.restarted |= started > 0
--- a/cottonladder/testbed/demo.py
+++ b/cottonladder/testbed/demo.py
@@ -12,7 +12,7 @@
 
 from .discovery import Discovery
 from .fleet import SETTINGS, Forwarder, Manager, free_port
-from .holding_clients import Counts, Desk
+from .holding_clients import Counts, HoldingClient
 from .workers import Case, Ledger, Worker
 
 ZONES = ("a", "b")
@@ -33,7 +33,7 @@
         self.workers: dict[str, Worker] = {}
         self.forwarders: list[Forwarder] = []
         self.managers: list[Manager] = []
-        self.desks: list[Desk] = []
+        self.desks: list[HoldingClient] = []
         self.words = "starting"
         self._session: aiohttp.ClientSession | None = None
 
@@ -69,7 +69,9 @@
         for n in range(desks):
             url = self.forwarders[n % FORWARDERS].url + "/watch"
             busy = n % 10 == 0
-            self.desks.append(Desk(self._session, url, self.counts, f"d{n}", busy=busy, releases=busy))
+            self.desks.append(
+                HoldingClient(self._session, url, self.counts, f"d{n}", busy=busy, releases=busy)
+            )
         stack.push_async_callback(self._stop_desks)
         for desk in self.desks:
             desk.start()
--- a/cottonladder/testbed/holding_clients.py
+++ b/cottonladder/testbed/holding_clients.py
@@ -27,7 +27,7 @@
     gaps: list[float] = field(default_factory=list)  # s without a connection
 
 
-class Desk:
+class HoldingClient:
     """One client.  `busy`: it asks again as soon as it is answered, every `every` seconds; `rude`: it ignores
     closes; `hasty`: it comes back at once."""
 
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -13,26 +13,61 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from ..model import interface as it
-from ..planning.advice_weighting import PERIOD, Advice, Word
-from ..planning.controller_views import recollect, standing
-from ..policy.controller import Ladder
+from ..model.inputs import (
+    Acknowledged,
+    AdvisedFactor,
+    ArrivalReport,
+    Endpoint,
+    EndpointList,
+    EndpointState,
+    Input,
+    ListUpdateKind,
+    LoadReport,
+    ProxyConnected,
+    RestoredState,
+    TimerFired,
+)
+from ..model.orders import BindProxy, Checkpoint, ClearTable, ExcludeWorker, Order, SetWeight, StartTimer
+from ..model.parameters import DeploymentParameters, RequestClass
+from ..model.views import WorkerCapacityView
+from ..planning.advice_weighting import PERIOD, Advice, AdvisoryWeight
+from ..planning.controller_views import capacity_views, collect_state
+from ..policy.controller import RoutingController
 
 LOOK, REPORT, LATE = 0.25, 2.0, 0.5  # s between looks, between sums, and until these arrive
 TARGET, TIMEOUT, WORK = 1.0, 2.5, 0.16  # s
 PROXIES, ZONES = 12, 2
-TERMS = it.Terms(
-    seed=1, managers=1, zones=ZONES, kinds=(it.ReqKind(TARGET, 1.0),), proxies=PROXIES, list_on_request=False,
-    ask_within=1.0, probing=False, peers=False, levels="none", slices=0, single_owner=False,
-    lines_per_s=3000.0, head_lines=10,
-    waiting_most=6000.0, messages_most=0, messages_span=0.0, drain_grace=3.0, cold_share=0.2,
-    fall_multiple=3.0, avoids=False, warm_after=15.0, cross_zone_price=0.02, probe_price=0.02,
-)  # fmt: skip
-Say = Callable[[float, "Day"], Mapping[int, Word] | None]
+TERMS = DeploymentParameters(
+    seed=1,
+    manager_count=1,
+    zone_count=ZONES,
+    request_classes=(RequestClass(TARGET, 1.0),),
+    proxy_count=PROXIES,
+    watches_endpoints=False,
+    poll_within_s=1.0,
+    health_checks=False,
+    gossip=False,
+    admission_mode="none",
+    slice_count=0,
+    single_owner=False,
+    channel_lines_per_s=3000.0,
+    message_header_lines=10,
+    max_queued_lines=6000.0,
+    max_messages=0,
+    message_window_s=0.0,
+    drain_grace_s=3.0,
+    warm_up_start_ratio=0.2,
+    collapse_multiple=3.0,
+    proxies_eject_outliers=False,
+    warm_up_s=15.0,
+    cross_zone_cost=0.02,
+    health_check_cost=0.02,
+)
+Say = Callable[[float, "MonthEndRun"], Mapping[int, AdvisoryWeight] | None]
 
 
 @dataclass(slots=True)
-class Box:
+class SimulatedWorker:
     """One stand-in worker: `speed` as it is, `cores` free from when."""
 
     zone: int
@@ -62,7 +97,7 @@
         return self.served / max(1, self.asked)
 
 
-class Day:
+class MonthEndRun:
     """One seeded day of `length` s; `advisors` are asked for words each interval."""
 
     def __init__(
@@ -71,18 +106,18 @@
         chance = random.Random(seed)
         self.random = chance
         self.boxes = {
-            be: Box(be % ZONES, speed)
+            be: SimulatedWorker(be % ZONES, speed)
             for be, speed in enumerate([1.6, 1.5, 1.0, 1.0, 0.9, 0.9, 0.6, 0.55, 0.5, 1.4])
         }
         self.length, self._advisors, self.load = length, advisors, load
-        self.ladder, self.advice, self.result = Ladder(TERMS), Advice(), Result()
+        self.ladder, self.advice, self.result = RoutingController(TERMS), Advice(), Result()
         self._tables: dict[int, dict[int, float]] = defaultdict(dict)
         self._bound: dict[int, int] = {}
         self._out: set[int] = set()
-        self._due: list[tuple[float, int, it.Input]] = []  # inputs on their way
+        self._due: list[tuple[float, int, Input]] = []  # inputs on their way
         self._count = 0
         self._ends: list[tuple[float, int, int, float, bool]] = []  # end, worker, zone, took, done
-        self._standing: dict[int, it.Standing] = {}
+        self._standing: dict[int, WorkerCapacityView] = {}
         self._factors: dict[int, float] = {}
         self._brought: dict[int, list[tuple[float, float]]] = defaultdict(list)
 
@@ -96,42 +131,46 @@
         wave = 0.08 * math.sin(now / 9.0)
         return whole * self.load * (0.7 + 0.3 * min(1.0, now / (self.length / 2)) + wave)
 
-    def later(self, at: float, item: it.Input) -> None:
+    def later(self, at: float, item: Input) -> None:
         self._count += 1
         heapq.heappush(self._due, (at, self._count, item))
 
     def start(self, be: int, zone: int, speed: float, now: float) -> None:
         """A fresh worker, cold."""
-        self.boxes[be] = Box(zone, speed, now)
-        entry = it.Entry(be, zone, it.Mode.READY, 1.0, now)
-        self.later(now + 0.2, it.Listing(it.News.DELTA, (entry,)))
+        self.boxes[be] = SimulatedWorker(zone, speed, now)
+        entry = Endpoint(be, zone, EndpointState.READY, 1.0, now)
+        self.later(now + 0.2, EndpointList(ListUpdateKind.DELTA, (entry,)))
 
     def drain(self, be: int, now: float) -> None:
-        entry = it.Entry(be, self.boxes[be].zone, it.Mode.DRAINING, 1.0, 0.0)
-        self.later(now, it.Listing(it.News.DELTA, (entry,)))
+        entry = Endpoint(be, self.boxes[be].zone, EndpointState.DRAINING, 1.0, 0.0)
+        self.later(now, EndpointList(ListUpdateKind.DELTA, (entry,)))
 
-    def restart(self, recall: Callable[[it.Remembered], it.Remembered | None]) -> None:
+    def restart(self, recall: Callable[[RestoredState], RestoredState | None]) -> None:
         """The manager dies and a new one starts with the list, and with what `recall` makes of the old one's
         life.  Proxies keep their tables and join anew within a second."""
-        life = recall(recollect(self.ladder, list(self.ladder.bes), list(self.ladder.proxies)))
+        life = recall(collect_state(self.ladder, list(self.ladder.bes), list(self.ladder.proxies)))
         now = self.ladder.now
-        self.ladder = Ladder(TERMS)
-        self._due = [row for row in self._due if not isinstance(row[2], it.Wake | it.Answered)]
+        self.ladder = RoutingController(TERMS)
+        self._due = [row for row in self._due if not isinstance(row[2], TimerFired | Acknowledged)]
         heapq.heapify(self._due)
-        entries = tuple(it.Entry(be, x.zone, it.Mode.READY, 1.0, x.started) for be, x in self.boxes.items())
-        self.later(now, it.Listing(it.News.CACHED, entries))
+        entries = tuple(
+            Endpoint(be, x.zone, EndpointState.READY, 1.0, x.started) for be, x in self.boxes.items()
+        )
+        self.later(now, EndpointList(ListUpdateKind.CACHED, entries))
         if life is not None:
             self.later(now, life)
         for p in range(PROXIES):
-            joined = it.Joined(p, p % ZONES, self.rate(now - 1000.0) / PROXIES, False)
+            joined = ProxyConnected(p, p % ZONES, self.rate(now - 1000.0) / PROXIES, False)
             self.later(now + 0.2 + self.random.random() * 0.8, joined)
 
-    def play(self, events: Callable[[float, Day], None] = lambda now, day: None) -> Result:
-        entries = tuple(it.Entry(be, box.zone, it.Mode.READY, 1.0, 0.0) for be, box in self.boxes.items())
+    def play(self, events: Callable[[float, MonthEndRun], None] = lambda now, day: None) -> Result:
+        entries = tuple(
+            Endpoint(be, box.zone, EndpointState.READY, 1.0, 0.0) for be, box in self.boxes.items()
+        )
         origin = 1000.0  # module time of the day's begin: starts of 0 are long ago
-        self.later(origin, it.Listing(it.News.FULL, entries))
+        self.later(origin, EndpointList(ListUpdateKind.FULL, entries))
         for p in range(PROXIES):
-            self.later(origin + 0.01, it.Joined(p, p % ZONES, self.rate(0.0) / PROXIES, True))
+            self.later(origin + 0.01, ProxyConnected(p, p % ZONES, self.rate(0.0) / PROXIES, True))
         now, report_at, advise_at, by_ten = origin, origin + REPORT, origin, dict[int, list[int]]()
         came: dict[int, int] = defaultdict(int)
         for p in range(PROXIES):
@@ -143,7 +182,7 @@
                 advise_at = now + PERIOD
                 inputs += self._advise(now)
             self._carry(now, self.ladder.decide(now, inputs))
-            self._standing = standing(self.ladder)
+            self._standing = capacity_views(self.ladder)
             self._check()
             self._reqs(now, origin, came, by_ten)
             now += LOOK
@@ -154,13 +193,13 @@
         self.result.credit = {name: s.credit for name, s in self.advice.shown(now).items()}
         return self.result
 
-    def _take(self, now: float) -> list[it.Input]:
-        inputs: list[it.Input] = []
+    def _take(self, now: float) -> list[Input]:
+        inputs: list[Input] = []
         while self._due and self._due[0][0] <= now:
             inputs.append(heapq.heappop(self._due)[2])
         return inputs
 
-    def _advise(self, now: float) -> list[it.Input]:
+    def _advise(self, now: float) -> list[Input]:
         for name, say in self._advisors.items():
             words = say(now - 1000.0, self)
             if words is not None:
@@ -169,23 +208,23 @@
         changed = {be: 1.0 for be in self._factors if be not in factors} | factors
         self._factors = factors
         self.result.factors.append(factors)
-        return [it.Advised(be, factor) for be, factor in changed.items()]
+        return [AdvisedFactor(be, factor) for be, factor in changed.items()]
 
-    def _carry(self, now: float, orders: list[it.Order]) -> None:
+    def _carry(self, now: float, orders: list[Order]) -> None:
         for o in orders:
-            if isinstance(o, it.SetLine):
-                self._tables[o.table][o.be] = o.weight
-            elif isinstance(o, it.Empty):
+            if isinstance(o, SetWeight):
+                self._tables[o.table][o.worker_index] = o.weight
+            elif isinstance(o, ClearTable):
                 self._tables[o.table].clear()
-            elif isinstance(o, it.Bind):
+            elif isinstance(o, BindProxy):
                 self._bound[o.proxy] = o.table
-            elif isinstance(o, it.Cordon):
-                (self._out.add if o.on else self._out.discard)(o.be)
-            elif isinstance(o, it.Mark):
+            elif isinstance(o, ExcludeWorker):
+                (self._out.add if o.excluded else self._out.discard)(o.worker_index)
+            elif isinstance(o, Checkpoint):
                 for p in self._bound:
-                    self.later(now + 0.2, it.Answered(p, o.number, 0.2))
-            elif isinstance(o, it.WakeIn):
-                self.later(now + o.after - 1e-6, it.Wake(o.token))
+                    self.later(now + 0.2, Acknowledged(p, o.number, 0.2))
+            elif isinstance(o, StartTimer):
+                self.later(now + o.delay_s - 1e-6, TimerFired(o.token))
 
     def lines(self, proxy: int) -> dict[int, float]:
         table = self._tables[self._bound[proxy]]
@@ -243,44 +282,44 @@
             row[2] += took * done
         for (be, zone), (tries, errored, took) in sums.items():
             mean = took / max(1.0, tries - errored)
-            self.later(now + LATE, it.Tally(be, zone, int(tries), int(errored), REPORT, mean, {}))
+            self.later(now + LATE, LoadReport(be, zone, int(tries), int(errored), REPORT, mean, {}))
         for p, count in came.items():
-            self.later(now + LATE, it.Ingress(p, 0, count, 0, REPORT))
+            self.later(now + LATE, ArrivalReport(p, 0, count, 0, REPORT))
         came.clear()
 
 
-def honest(now: float, day: Day) -> Mapping[int, Word]:
-    return {be: Word(100.0 * box.now(1000.0 + now)) for be, box in day.boxes.items()}
+def honest(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    return {be: AdvisoryWeight(100.0 * box.now(1000.0 + now)) for be, box in day.boxes.items()}
 
 
-def lying(now: float, day: Day) -> Mapping[int, Word]:
+def lying(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
     """The slowest ranked best."""
-    return {be: Word(100.0 / box.speed) for be, box in day.boxes.items()}
+    return {be: AdvisoryWeight(100.0 / box.speed) for be, box in day.boxes.items()}
 
 
-def wild(now: float, day: Day) -> Mapping[int, Word]:
-    return {be: Word(float(day.random.randint(1, 1000))) for be in day.boxes}
+def wild(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    return {be: AdvisoryWeight(float(day.random.randint(1, 1000))) for be in day.boxes}
 
 
-def nothing(now: float, day: Day) -> Mapping[int, Word]:
-    return {be: Word(0.0) for be in day.boxes}
+def nothing(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    return {be: AdvisoryWeight(0.0) for be in day.boxes}
 
 
-def most(now: float, day: Day) -> Mapping[int, Word]:
-    return {be: Word(65535.0) for be in day.boxes}
+def most(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    return {be: AdvisoryWeight(65535.0) for be in day.boxes}
 
 
-def stalled(now: float, day: Day) -> Mapping[int, Word] | None:
+def stalled(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
     """Honest until the dispute's height, then silent."""
     return honest(now, day) if now < day.length / 2 else None
 
 
-def stalls_then_lies(now: float, day: Day) -> Mapping[int, Word] | None:
+def stalls_then_lies(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
     third = day.length / 3
     return honest(now, day) if now < third else None if now < 2 * third else lying(now, day)
 
 
-def slows(now: float, day: Day) -> None:
+def slows(now: float, day: MonthEndRun) -> None:
     """Half-way two of the good boxes are shared with somebody else's month's end."""
     if abs(now - day.length / 2) < LOOK / 2:
         day.boxes[0].speed, day.boxes[3].speed = 0.8, 0.5
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -9,20 +9,58 @@
 from dataclasses import dataclass, field, replace
 from time import perf_counter
 
-from ..model import interface as it
-from ..policy.controller import BEAT, Ladder
+from ..model.inputs import (
+    Acknowledged,
+    Endpoint,
+    EndpointState,
+    Input,
+    ProxyConnected,
+    ProxyDisconnected,
+    TimerFired,
+)
+from ..model.orders import (
+    Checkpoint,
+    FetchEndpoints,
+    HealthCheck,
+    LogModeChange,
+    Order,
+    SendGossip,
+    StartTimer,
+    WatchEndpoints,
+)
+from ..model.parameters import DeploymentParameters, RequestClass
+from ..policy.controller import BEAT, RoutingController
 from ..protocol.resp import MESSAGE_MOST, Reader
-from ..state.order_dispatcher import Spread
-from ..state.worker_registry import Workers
+from ..state.order_dispatcher import OrderDispatcher
+from ..state.worker_registry import WorkerRegistry
 
 KINDS = ("fetch", "release")
-TERMS = it.Terms(
-    seed=7, managers=5, zones=4, kinds=(it.ReqKind(1.0, 1.0), it.ReqKind(1.0, 3.0)), proxies=1600,
-    list_on_request=False, ask_within=10.0, probing=True, peers=True, levels="ratio", slices=0,
-    single_owner=False, lines_per_s=3200.0, head_lines=10, waiting_most=50000.0, messages_most=0,
-    messages_span=10.0, drain_grace=16.0, cold_share=0.15, fall_multiple=3.0, avoids=True, warm_after=17.0,
-    cross_zone_price=0.08, probe_price=0.02,
-)  # fmt: skip
+TERMS = DeploymentParameters(
+    seed=7,
+    manager_count=5,
+    zone_count=4,
+    request_classes=(RequestClass(1.0, 1.0), RequestClass(1.0, 3.0)),
+    proxy_count=1600,
+    watches_endpoints=False,
+    poll_within_s=10.0,
+    health_checks=True,
+    gossip=True,
+    admission_mode="ratio",
+    slice_count=0,
+    single_owner=False,
+    channel_lines_per_s=3200.0,
+    message_header_lines=10,
+    max_queued_lines=50000.0,
+    max_messages=0,
+    message_window_s=10.0,
+    drain_grace_s=16.0,
+    warm_up_start_ratio=0.15,
+    collapse_multiple=3.0,
+    proxies_eject_outliers=True,
+    warm_up_s=17.0,
+    cross_zone_cost=0.08,
+    health_check_cost=0.02,
+)
 Channel = deque[tuple[int, bytes, int]]  # proxy, message, lines: what waits, the oldest first
 
 
@@ -64,36 +102,38 @@
         return mark
 
 
-class Many:
+class SimulatedFleet:
     """`pace` is the part of the usual pace at which the channel sends, `answers` the part of marks that are
     answered.  `spent` has the worst seconds of each part of a batch, by the name that the caller gives it."""
 
-    def __init__(self, terms: it.Terms, pace: float = 1.0, answers: float = 1.0) -> None:
+    def __init__(self, terms: DeploymentParameters, pace: float = 1.0, answers: float = 1.0) -> None:
         self.terms, self.pace, self.answers, self.now = terms, pace, answers, 1000.0
         self.random = random.Random(terms.seed)
-        self.workers = Workers()
-        self.ladder = Ladder(terms)
-        self.spread = Spread(list(KINDS), terms.managers, self.workers)
+        self.workers = WorkerRegistry()
+        self.ladder = RoutingController(terms)
+        self.spread = OrderDispatcher(list(KINDS), terms.manager_count, self.workers)
         self.ladder.gate.added = self.spread.added
         self.proxies: dict[int, Held] = {}
         self.channel: Channel = deque()
         self.credit, self.longest = 0.0, 0
-        self.due: list[tuple[float, it.Input]] = []  # answers on their way
+        self.due: list[tuple[float, Input]] = []  # answers on their way
         self.unbooked: list[str] = []  # messages that cost more than was booked for them
         self.spent: dict[tuple[str, str], float] = {}
         self.took: list[float] = []  # s of each batch
         self.written = 0
         self.token = 0
-        self.heard: Callable[[], Iterable[it.Input]] = tuple  # what else comes in at each look
-        self.orders: list[it.Order] = []
+        self.heard: Callable[[], Iterable[Input]] = tuple  # what else comes in at each look
+        self.orders: list[Order] = []
 
-    def entry(self, name: str, zone: int, mode: it.Mode = it.Mode.READY, started: float = 0.0) -> it.Entry:
-        return it.Entry(self.workers.learn(name, "127.0.0.1:1", started), zone, mode, 1.0, started)
+    def entry(
+        self, name: str, zone: int, mode: EndpointState = EndpointState.READY, started: float = 0.0
+    ) -> Endpoint:
+        return Endpoint(self.workers.learn(name, "127.0.0.1:1", started), zone, mode, 1.0, started)
 
     def waiting(self) -> int:
         return sum(lines for _, _, lines in self.channel)
 
-    def step(self, name: str, inputs: Iterable[it.Input]) -> None:
+    def step(self, name: str, inputs: Iterable[Input]) -> None:
         inputs = list(inputs)
         begun = perf_counter()
         self.spread.hear(inputs)
@@ -102,13 +142,19 @@
         decided = perf_counter()
         mark = -1
         for order in self.orders:
-            if isinstance(order, it.WakeIn):
+            if isinstance(order, StartTimer):
                 self.token = order.token
-            elif type(order) not in (it.Follow, it.FetchList, it.Probe, it.Tell, it.Remark):
+            elif type(order) not in (
+                WatchEndpoints,
+                FetchEndpoints,
+                HealthCheck,
+                SendGossip,
+                LogModeChange,
+            ):
                 if why := self.spread.take(order):
                     raise AssertionError(why)
-                mark = order.number if isinstance(order, it.Mark) else mark
-        booked = dict(self.ladder.gate.flight.get(mark, {}))
+                mark = order.number if isinstance(order, Checkpoint) else mark
+        booked = dict(self.ladder.gate.in_flight.by_checkpoint.get(mark, {}))
         if mark >= 0:
             self.ladder.gate.settle(self.spread.lines())
         spread = perf_counter()
@@ -119,9 +165,9 @@
         self.took.append(ended - begun)
         for part, took in {**parts, "all": ended - begun}.items():
             self.spent[name, part] = max(took, self.spent.get((name, part), 0.0))
-        settled = self.ladder.gate.flight.get(mark, {})
+        settled = self.ladder.gate.in_flight.by_checkpoint.get(mark, {})
         for proxy, message in messages:
-            lines = lines_of(message, self.terms.head_lines)
+            lines = lines_of(message, self.terms.message_header_lines)
             self.channel.append((proxy, message, lines))
             self.written += len(message)
             if mark >= 0 and (lines > booked.get(proxy, 0) or lines != settled.get(proxy, 0)):
@@ -134,24 +180,26 @@
         for p in proxies:
             held = self.proxies.setdefault(p, Held())
             held.rate, held.since = rate * self.random.expovariate(1.0), self.now
-            new.append(it.Joined(p, p % self.terms.zones, held.rate, fresh))
+            new.append(ProxyConnected(p, p % self.terms.zone_count, held.rate, fresh))
         self.step("joins", new)
 
     def leave(self, proxies: Iterable[int]) -> None:
         """Their streams break; what waits for them is still sent, and is lost."""
         gone = [p for p in proxies if self.proxies.pop(p, None) is not None]
-        self.step("leaves", [it.Left(p) for p in gone])
+        self.step("leaves", [ProxyDisconnected(p) for p in gone])
 
     def send(self, seconds: float) -> None:
         """What the channel sends in this time; its messages are applied and answered."""
-        self.credit += seconds * self.terms.lines_per_s * self.pace
+        self.credit += seconds * self.terms.channel_lines_per_s * self.pace
         while self.channel and self.channel[0][2] <= self.credit:
             proxy, message, lines = self.channel.popleft()
             self.credit -= lines
             held = self.proxies.get(proxy)
             if held is not None and (mark := held.apply(message)) is not None:
                 if self.random.random() < self.answers:
-                    self.due.append((self.now + self.random.uniform(0.1, 0.6), it.Answered(proxy, mark, 0.3)))
+                    self.due.append(
+                        (self.now + self.random.uniform(0.1, 0.6), Acknowledged(proxy, mark, 0.3))
+                    )
         if not self.channel:
             self.credit = 0.0
 
@@ -171,8 +219,12 @@
             self.send(BEAT)
             came = [item for at, item in self.due if at <= self.now]
             self.due = [(at, item) for at, item in self.due if at > self.now]
-            self.step("look", [*came, *self.heard(), it.Wake(self.token)])
+            self.step("look", [*came, *self.heard(), TimerFired(self.token)])
 
 
-def site(proxies: int = 1600, zones: int = 4, managers: int = 5, waiting_most: float = 50000.0) -> it.Terms:
-    return replace(TERMS, proxies=proxies, zones=zones, managers=managers, waiting_most=waiting_most)
+def site(
+    proxies: int = 1600, zones: int = 4, managers: int = 5, waiting_most: float = 50000.0
+) -> DeploymentParameters:
+    return replace(
+        TERMS, proxy_count=proxies, zone_count=zones, manager_count=managers, max_queued_lines=waiting_most
+    )
--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class ReportedWeight:
     """An advisor's word on one member: `be` where it is one of ours."""
 
     be: int | None
@@ -37,7 +37,7 @@
     def joined(self, advisor: str) -> None:
         raise NotImplementedError
 
-    def heard(self, advisor: str, words: Iterable[Said], whole: bool) -> None:
+    def heard(self, advisor: str, words: Iterable[ReportedWeight], whole: bool) -> None:
         raise NotImplementedError
 
 
@@ -196,14 +196,14 @@
                 raise AdviceError(f"message {m.kind:#06x} is not an advisor's")
 
     def _words(self, m: sasp.Message) -> None:
-        out: list[Said] = []
+        out: list[ReportedWeight] = []
         for g in m.groups:
             if not isinstance(g, sasp.Grouped) or g.group.name != self._group.name:
                 continue
             for entry in g.entries:
                 assert isinstance(entry, sasp.Weight)
                 usable = bool(entry.flags & sasp.CONTACT) and not entry.flags & sasp.QUIESCED
-                out.append(Said(self.find(entry.member), entry.weight, usable))
+                out.append(ReportedWeight(self.find(entry.member), entry.weight, usable))
         self.unmatched = sum(said.be is None for said in out)
         self.listener.heard(self.name, out, whole=m.kind == sasp.WEIGHTS_REPLY)
 
@@ -247,7 +247,9 @@
                 self.unmatched += not found
                 for be in found:
                     lowest[be] = min(lowest.get(be, host.weight), host.weight)
-        self.listener.heard(self.name, [Said(be, weight, True) for be, weight in lowest.items()], whole=False)
+        self.listener.heard(
+            self.name, [ReportedWeight(be, weight, True) for be, weight in lowest.items()], whole=False
+        )
 
 
 def places_of(ids: Mapping[int, bytes], address: Callable[[int], str]) -> list[Place]:
--- a/cottonladder/weight_advice/registry.py
+++ b/cottonladder/weight_advice/registry.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from ..model.interface import Standing
-from ..planning.advertised_weights import Offer, moved, offers
+from ..model.views import WorkerCapacityView
+from ..planning.advertised_weights import AdvertisedWeight, moved, offers
 from . import limits, sasp
 from .sasp import Group, Grouped, Member, MemberState, Message, Weight
 from .tlv import Address
@@ -40,7 +40,7 @@
 
     members: dict[Member, None] = field(default_factory=dict)
     quiesced: set[Member] = field(default_factory=set)
-    told: dict[Member, Offer] = field(default_factory=dict)
+    told: dict[Member, AdvertisedWeight] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -63,10 +63,10 @@
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
-        self._standing: Mapping[int, Standing] = {}
+        self._standing: Mapping[int, WorkerCapacityView] = {}
         self._find: Find = lambda member: None
 
-    def update(self, standing: Mapping[int, Standing], find: Find) -> None:
+    def update(self, standing: Mapping[int, WorkerCapacityView], find: Find) -> None:
         self._standing, self._find = standing, find
 
     def opened(self, number: int) -> None:
@@ -220,7 +220,7 @@
             offered = offers(self._standing, {be for be in found.values() if be is not None}, quiesced)
             rows: list[Weight] = []
             for member, be in found.items():
-                offer = offered[be] if be is not None else Offer(0, False, False)
+                offer = offered[be] if be is not None else AdvertisedWeight(0, False, False)
                 if not whole and not moved(listed.told.get(member), offer):
                     continue
                 listed.told[member] = offer
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -18,9 +18,9 @@
 import structlog
 
 from ..config.settings import HostPort
-from ..model.interface import Standing
-from ..planning.advertised_weights import Offer, moved, offers
-from ..protocol.fault_log import Faults
+from ..model.views import WorkerCapacityView
+from ..planning.advertised_weights import AdvertisedWeight, moved, offers
+from ..protocol.fault_log import RateLimitedFaultLog
 from . import dfp, limits, sasp
 from .registry import Finder, Registry
 from .tlv import Address, AdviceError
@@ -30,15 +30,15 @@
 Place = tuple[int, bytes, Address | None, int]  # worker, id, address, port
 
 
-class Board:
+class AdvertisedWeights:
     """What a server tells, as last solved; replaced whole each interval."""
 
     def __init__(self) -> None:
-        self.standing: Mapping[int, Standing] = {}
+        self.standing: Mapping[int, WorkerCapacityView] = {}
         self.places: list[Place] = []
         self.version = 0
 
-    def update(self, standing: Mapping[int, Standing], places: list[Place]) -> None:
+    def update(self, standing: Mapping[int, WorkerCapacityView], places: list[Place]) -> None:
         self.standing, self.places, self.version = standing, places, self.version + 1
 
 
@@ -52,7 +52,7 @@
         self.why = "ended by the other side"
         self._transport: asyncio.Transport | None = None
         self.keep_alive = float(limits.KEEP_ALIVE)
-        self.told: dict[int, Offer] = {}
+        self.told: dict[int, AdvertisedWeight] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -96,14 +96,14 @@
 class Server:
     """One listener; a subclass speaks its protocol."""
 
-    def __init__(self, board: Board, clients: int, tls: ssl.SSLContext | None = None) -> None:
+    def __init__(self, board: AdvertisedWeights, clients: int, tls: ssl.SSLContext | None = None) -> None:
         self.board, self._most, self._tls = board, clients, tls
         self.clients: dict[int, Client] = {}
         self._next = 0
         self._listener: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self.faults = Faults("advice client ended")
+        self.faults = RateLimitedFaultLog("advice client ended")
 
     async def listen(self, at: HostPort, stack: AsyncExitStack) -> int:
         loop = asyncio.get_running_loop()
@@ -167,7 +167,7 @@
 class SaspServer(Server):
     """A workload manager: answers requests, pushes to who asked for it."""
 
-    def __init__(self, board: Board, clients: int, tls: ssl.SSLContext | None = None) -> None:
+    def __init__(self, board: AdvertisedWeights, clients: int, tls: ssl.SSLContext | None = None) -> None:
         super().__init__(board, clients, tls)
         self.registry = Registry()
         self._seen = -1
@@ -217,7 +217,9 @@
 class DfpServer(Server):
     """An agent: tells a manager that connects what each worker is worth, as often as it asks to hear."""
 
-    def __init__(self, board: Board, clients: int, secret: tuple[int, bytes] | None = None) -> None:
+    def __init__(
+        self, board: AdvertisedWeights, clients: int, secret: tuple[int, bytes] | None = None
+    ) -> None:
         super().__init__(board, clients)
         self._secret = secret
 
--- a/tests/support/wire_fleet.py
+++ b/tests/support/wire_fleet.py
@@ -19,18 +19,28 @@
 from typing import Any, cast
 from unittest import mock
 
-from cottonladder.config.manager_config import read_placement
-from cottonladder.config.operator_config import UpgradesPart
-from cottonladder.control.background_scheduler import Tasks
-from cottonladder.control.connection_migrator import Mover
-from cottonladder.control.control_loop import Hands, Inbox, Owner
-from cottonladder.control.snapshot_manager import Keeper
-from cottonladder.model import interface as it
-from cottonladder.policy.controller import Ladder
+from cottonladder.config.manager_config import read_manager_config
+from cottonladder.config.operator_config import UpgradesConfig
+from cottonladder.control.background_scheduler import BackgroundScheduler
+from cottonladder.control.connection_migrator import ConnectionMigrator
+from cottonladder.control.control_loop import ControlLoop, Effects, InputQueue
+from cottonladder.control.snapshot_manager import SnapshotManager
+from cottonladder.model.inputs import (
+    AdvisedFactor,
+    EndpointList,
+    GossipReceived,
+    HealthCheckResult,
+    Input,
+    ListUpdateKind,
+    ProxyDisconnected,
+    TimerFired,
+)
+from cottonladder.model.orders import StartTimer
+from cottonladder.policy.controller import RoutingController
 from cottonladder.protocol.discovery import read_list
-from cottonladder.protocol.messages import Beyond, MessageReader
-from cottonladder.state.order_dispatcher import Spread
-from cottonladder.state.proxy_sessions import Roster
+from cottonladder.protocol.messages import ExtensionMessage, MessageReader
+from cottonladder.state.order_dispatcher import OrderDispatcher
+from cottonladder.state.proxy_sessions import ProxySessions
 from tests.support.simulated_days import settings
 
 START = 1_700_000_000.0  # Unix s
@@ -78,12 +88,12 @@
         return self.at
 
 
-class SteppedOwner(Owner):
+class SteppedOwner(ControlLoop):
     """Timers are the caller's: `token` is what the next one brings."""
 
     token = 0
 
-    def _wake_in(self, order: it.WakeIn) -> None:
+    def _wake_in(self, order: StartTimer) -> None:
         self.token = order.token
 
 
@@ -145,27 +155,27 @@
         with tempfile.TemporaryDirectory() as place:
             path = Path(place) / "config.json"
             path.write_text(json.dumps(configuration()))
-            placement = read_placement(str(path))
+            placement = read_manager_config(str(path))
         self.site = placement.site
         self.workers = placement.workers
         self.messages = MessageReader(self.site, self.workers.find)
-        self.keeper = Keeper(folder, 2.0, placement, cast(Tasks, self.tasks))
-        upgrades = UpgradesPart(grace=8.0, most=500, arrivals=40.0, load=0.05)
-        mover = Mover(self.site, upgrades, self.workers, self.messages)
+        self.keeper = SnapshotManager(folder, 2.0, placement, cast(BackgroundScheduler, self.tasks))
+        upgrades = UpgradesConfig(grace=8.0, most=500, arrivals=40.0, load=0.05)
+        mover = ConnectionMigrator(self.site, upgrades, self.workers, self.messages)
         outside = cast(Any, self.outside)
         self.owner = SteppedOwner(
-            Ladder(self.site.terms),
-            Inbox(),
-            cast(Roster, self.outside),
-            Spread(list(self.site.kinds), self.site.terms.managers, self.workers),
-            Hands(outside, outside, outside),
+            RoutingController(self.site.parameters),
+            InputQueue(),
+            cast(ProxySessions, self.outside),
+            OrderDispatcher(list(self.site.classes), self.site.parameters.manager_count, self.workers),
+            Effects(outside, outside, outside),
             [self.keeper, mover],
         )
         self.clock = SteppedClock()
         self.owner._clock = cast(Any, self.clock)
         self.held: dict[int, dict[int, list[int]]] = defaultdict(dict)  # connections by proxy and worker
         self.list_version = 1
-        self.batch: list[it.Input | Beyond] = [self.keeper.known]
+        self.batch: list[Input | ExtensionMessage] = [self.keeper.known]
 
     async def start(self, stack: AsyncExitStack) -> None:
         await self.keeper.start(stack)
@@ -178,9 +188,9 @@
     def hear(self, text: str, proxy: int = -1) -> None:
         """A message of a proxy or a collector, as its words."""
         said = self.messages.read(words(text))
-        if isinstance(said, Beyond):
-            said = Beyond(said.body, proxy)
-        self.batch.append(cast(it.Input, said))
+        if isinstance(said, ExtensionMessage):
+            said = ExtensionMessage(said.body, proxy)
+        self.batch.append(cast(Input, said))
 
     def list_says(self, workers: Any, full: bool = False, **changes: Any) -> None:
         self.list_version += 1
@@ -196,7 +206,7 @@
             self.hear(f"UPGRADES node {proxy} version 1", proxy)
 
     def leave(self, proxy: int) -> None:
-        self.batch.append(it.Left(proxy))
+        self.batch.append(ProxyDisconnected(proxy))
         self.held.pop(proxy, None)
 
     def reports(self, second: int) -> None:
@@ -216,10 +226,10 @@
         for index in list(self.workers.ids):
             done = rnd.random() > 0.05
             self.batch.append(
-                it.Probed(index, done, 0.05, {"inflight": float(rnd.randrange(9))} if done else {})
+                HealthCheckResult(index, done, 0.05, {"inflight": float(rnd.randrange(9))} if done else {})
             )
         first = rnd.randrange(9)
-        self.batch.append(it.Hint(1, f"{first} {first * 7.5} 2 20.0 1 8.0"))
+        self.batch.append(GossipReceived(1, f"{first} {first * 7.5} 2 20.0 1 8.0"))
 
     def held_connections(self) -> None:
         for proxy in (1, 3, 5):
@@ -250,7 +260,7 @@
     def advise(self) -> None:
         for index in list(self.workers.ids)[::2]:
             factor = self.random.choice([0.4, 0.8, 1.0, 1.5, 3.0])
-            self.batch.append(it.Advised(index, factor, self.random.randrange(2)))
+            self.batch.append(AdvisedFactor(index, factor, self.random.randrange(2)))
 
     def happenings(self, second: int) -> None:
         if second == 5:
@@ -265,7 +275,7 @@
                 self.leave(proxy)
             self.join(1)
         elif second == 22:
-            self.batch.append(it.Listing(it.News.FAILED, ()))
+            self.batch.append(EndpointList(ListUpdateKind.FAILED, ()))
         if second in (7, 13, 21):
             self.advise()
 
@@ -279,7 +289,7 @@
                 self.reports(tick // 4)
                 self.held_connections()
                 self.happenings(tick // 4)
-            self.batch.append(it.Wake(self.owner.token))
+            self.batch.append(TimerFired(self.owner.token))
             self.step()
         await self.snapshot()
 
--- a/tests/test_advice_rules.py
+++ b/tests/test_advice_rules.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.model.interface import Standing
+from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning import advice_weighting as ad
 from cottonladder.planning.advertised_weights import TOP, moved, offers
 from cottonladder.policy.controller import COLD_OVER
@@ -165,8 +165,8 @@
                 pass
 
 
-def stands(estimate: float, cold: bool = False, since: float = -1.0, time: float = 0.1) -> Standing:
-    return Standing(0, 0.0 if since >= 0 else estimate, cold, since, time)
+def stands(estimate: float, cold: bool = False, since: float = -1.0, time: float = 0.1) -> WorkerCapacityView:
+    return WorkerCapacityView(0, 0.0 if since >= 0 else estimate, cold, since, time)
 
 
 class Registrations(unittest.TestCase):
@@ -272,19 +272,19 @@
         """However the fleet is dealt into groups, all that balancers bring a cold worker by their shares
         stays within its part of the whole, if any group has a warm one; who leaves gets nothing."""
         standing = {be: stands(e, cold, 5.0 if leaves else -1.0) for be, (e, cold, leaves) in enumerate(rows)}
-        whole = sum(s.estimate for s in standing.values())
+        whole = sum(s.capacity for s in standing.values())
         for _ in range(balancers):
             group = [be for be in standing if chance.random() < 0.6] or [0]
             told = offers(standing, group)
             total = sum(offer.weight for offer in told.values())
-            warm = any(standing[be].estimate > 0 and not standing[be].cold for be in group)
-            live = any(standing[be].estimate > 0 for be in group)
+            warm = any(standing[be].capacity > 0 and not standing[be].warming_up for be in group)
+            live = any(standing[be].capacity > 0 for be in group)
             self.assertEqual(total > 0, live)  # nobody that has a usable member is left without
             for be, offer in told.items():
-                if standing[be].leaving_since >= 0:
+                if standing[be].draining_since >= 0:
                     self.assertEqual((offer.weight, offer.leaving), (0, True))
-                elif standing[be].cold and warm:
-                    part = COLD_OVER * standing[be].estimate / whole
+                elif standing[be].warming_up and warm:
+                    part = COLD_OVER * standing[be].capacity / whole
                     self.assertLessEqual(offer.weight / total, part + 1.0 / total)
 
     def test_small_moves_are_not_told(self) -> None:
@@ -303,11 +303,13 @@
     def step(self, words: dict[int, float] | None, advisor: str = "a") -> dict[int, float]:
         self.now += ad.PERIOD
         if words is not None:
-            self.advice.heard(advisor, self.now, {be: ad.Word(w) for be, w in words.items()}, True)
+            self.advice.heard(advisor, self.now, {be: ad.AdvisoryWeight(w) for be, w in words.items()}, True)
         factors = self.advice.factors(self.now, self.standing)
         for be, factor in factors.items():
             plain = 1.0
-            self.standing[be] = stands(plain * factor, self.standing[be].cold, time=self.standing[be].time)
+            self.standing[be] = stands(
+                plain * factor, self.standing[be].warming_up, time=self.standing[be].latency_s
+            )
         return factors
 
     def fast(self) -> dict[int, float]:
@@ -372,7 +374,9 @@
 
     def test_two_that_differ_count_by_their_credit(self) -> None:
         for _ in range(20):
-            self.advice.heard("b", self.now, {be: ad.Word(1.0 * (1 + be % 3)) for be in self.standing}, True)
+            self.advice.heard(
+                "b", self.now, {be: ad.AdvisoryWeight(1.0 * (1 + be % 3)) for be in self.standing}, True
+            )
             factors = self.step(self.fast())
         self.assertGreater(factors[0], 1.2)
         self.assertLess(factors[2], 0.9)
@@ -398,7 +402,7 @@
 
     def mean(self, *advisors: me.Say) -> float:
         named = {str(n): say for n, say in enumerate(advisors)}
-        days = [me.Day(named, seed=seed, length=80.0, load=0.85).play(me.slows) for seed in (7, 8, 9)]
+        days = [me.MonthEndRun(named, seed=seed, length=80.0, load=0.85).play(me.slows) for seed in (7, 8, 9)]
         self.assertEqual(sum(day.bare for day in days), 0)
         return sum(day.share for day in days) / len(days)
 
@@ -410,10 +414,10 @@
         self.assertGreater(self.mean(me.honest, me.lying), none)
 
     def test_a_cold_worker_ranked_highest_stays_under_its_rule_and_a_drain_stands(self) -> None:
-        def flatters(now: float, day: me.Day) -> dict[int, ad.Word]:
-            return {be: ad.Word(65535.0 if box.started else 1.0) for be, box in day.boxes.items()}
+        def flatters(now: float, day: me.MonthEndRun) -> dict[int, ad.AdvisoryWeight]:
+            return {be: ad.AdvisoryWeight(65535.0 if box.started else 1.0) for be, box in day.boxes.items()}
 
-        def events(now: float, day: me.Day) -> None:
+        def events(now: float, day: me.MonthEndRun) -> None:
             if abs(now - 20.0) < me.LOOK / 2:
                 day.start(20, 0, 1.5, 1000.0 + now)
                 day.drain(0, 1000.0 + now)
@@ -421,8 +425,8 @@
                 for p in range(me.PROXIES):
                     self.assertNotIn(0, day.lines(p))
 
-        plain = me.Day({}, length=50.0).play(events)
-        day = me.Day({"a": flatters}, length=50.0).play(events)
+        plain = me.MonthEndRun({}, length=50.0).play(events)
+        day = me.MonthEndRun({"a": flatters}, length=50.0).play(events)
         self.assertGreater(plain.cold_over, 0.0)  # it was used while cold
         self.assertLess(day.cold_over, 1.0)
         self.assertEqual(day.bare, 0)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,20 +20,29 @@
 
 from aiohttp import web
 
-from cottonladder.config.manager_config import read_placement
-from cottonladder.config.settings import read_site
+from cottonladder.config.manager_config import read_manager_config
+from cottonladder.config.settings import read_settings
 from cottonladder.control import manager
-from cottonladder.model import interface as it
+from cottonladder.model.inputs import (
+    ArrivalReport,
+    EndpointList,
+    EndpointState,
+    HealthCheckResult,
+    Input,
+    ListUpdateKind,
+    ProxyConnected,
+    ProxyDisconnected,
+)
 from cottonladder.protocol import discovery
 from cottonladder.protocol import stream_listener as address
-from cottonladder.protocol.health_checks import Probes
+from cottonladder.protocol.health_checks import HealthChecker
 from cottonladder.protocol.messages import MessageReader
 from cottonladder.protocol.resp import encode
-from cottonladder.state.proxy_sessions import Roster
-from cottonladder.state.worker_registry import Workers
+from cottonladder.state.proxy_sessions import ProxySessions
+from cottonladder.state.worker_registry import WorkerRegistry
 from tests.standins import SETTINGS, Discovery, Handler, Program, Rig, entry, host, listing, soon
 
-SITE = read_site(SETTINGS, 1, "settings")
+SITE = read_settings(SETTINGS, 1, "settings")
 READY, DRAINING = entry("s-1"), entry("s-1", "Terminating")
 
 
@@ -60,11 +69,15 @@
     """A follower against a scripted discovery."""
 
     async def asyncSetUp(self) -> None:
-        self.heard: asyncio.Queue[it.Listing] = asyncio.Queue()
-        self.workers = Workers()
+        self.heard: asyncio.Queue[EndpointList] = asyncio.Queue()
+        self.workers = WorkerRegistry()
         self.there, self.at = await self.discovery()
-        self.follower = discovery.Discovery(
-            self.at, SITE, self.workers.learn, lambda item: self.heard.put_nowait(cast(it.Listing, item)), 41
+        self.follower = discovery.DiscoveryClient(
+            self.at,
+            SITE,
+            self.workers.learn,
+            lambda item: self.heard.put_nowait(cast(EndpointList, item)),
+            41,
         )
         self.addAsyncCleanup(self.follower.close)
 
@@ -74,15 +87,15 @@
         self.addAsyncCleanup(runner.cleanup)
         return there, ("127.0.0.1", int(at.split(":")[1]))
 
-    async def news(self, *wanted: tuple[it.News, it.Mode | None]) -> None:
+    async def news(self, *wanted: tuple[ListUpdateKind, EndpointState | None]) -> None:
         """The next listings, each with the state of its first worker."""
         for news, mode in wanted:
             came = await soon(self.heard.get())
-            self.assertEqual((came.news, came.entries[0].mode if came.entries else None), (news, mode))
+            self.assertEqual((came.kind, came.endpoints[0].state if came.endpoints else None), (news, mode))
 
     async def following(self) -> None:
         self.follower.follow(True)
-        await self.news((it.News.DELTA, None))
+        await self.news((ListUpdateKind.DELTA, None))
 
     async def test_an_answer_that_the_watch_overtook_is_left_out(self) -> None:
         """It was written before the drain and comes after it: no fault of discovery's, and nobody returns."""
@@ -93,20 +106,20 @@
         await soon(self.there.calls.get())
         await soon(self.there.calls.get())
         await self.there.tell(listing(44, DRAINING))
-        await self.news((it.News.DELTA, it.Mode.DRAINING))
+        await self.news((ListUpdateKind.DELTA, EndpointState.DRAINING))
         late.set()
         await soon(cast(asyncio.Task[None], self.follower._call))
         self.assertEqual(self.follower.version, 44)
         await self.there.tell(listing(45, entry("s-2")))
-        await self.news((it.News.DELTA, it.Mode.READY))
+        await self.news((ListUpdateKind.DELTA, EndpointState.READY))
 
     async def test_a_line_that_a_calls_answer_overtook_is_left_out(self) -> None:
         await self.following()
         self.there.script = [answer(listing(45, DRAINING, full=True))]
         self.follower.fetch()
-        await self.news((it.News.FULL, it.Mode.DRAINING))
+        await self.news((ListUpdateKind.FULL, EndpointState.DRAINING))
         await self.there.tell(listing(44, READY), listing(46, entry("s-2", "Gone")))
-        await self.news((it.News.DELTA, it.Mode.GONE))
+        await self.news((ListUpdateKind.DELTA, EndpointState.GONE))
         self.assertEqual(self.follower.version, 46)
 
     async def test_the_first_line_of_a_watch_that_was_overtaken_answers_it(self) -> None:
@@ -124,9 +137,9 @@
         self.follower.follow(True)
         await soon(self.there.calls.get())
         self.follower.fetch()
-        await self.news((it.News.FULL, it.Mode.DRAINING))
+        await self.news((ListUpdateKind.FULL, EndpointState.DRAINING))
         late.set()
-        await self.news((it.News.DELTA, None))  # else the module would ask again
+        await self.news((ListUpdateKind.DELTA, None))  # else the module would ask again
         self.assertEqual(self.follower.version, 45)
 
     async def test_an_old_answer_is_not_believed_for_a_list_begun_anew(self) -> None:
@@ -134,16 +147,16 @@
         old, anew = answer(listing(40, READY, full=True)), answer(listing(47, DRAINING, full=True))
         self.there.script = [old, anew]
         self.follower.fetch()
-        await self.news((it.News.FAILED, None))
+        await self.news((ListUpdateKind.FAILED, None))
         self.assertEqual(self.follower.version, 41)  # an older one than that is not believed either
         self.follower.fetch()
-        await self.news((it.News.FULL, it.Mode.DRAINING))
+        await self.news((ListUpdateKind.FULL, EndpointState.DRAINING))
 
     async def test_a_list_that_began_anew_is_believed_the_second_time(self) -> None:
-        for news in (it.News.FAILED, it.News.FULL):
+        for news in (ListUpdateKind.FAILED, ListUpdateKind.FULL):
             self.there.script = [answer(listing(1, entry("s-7"), full=True))]
             self.follower.fetch()
-            await self.news((news, it.Mode.READY if news == it.News.FULL else None))
+            await self.news((news, EndpointState.READY if news == ListUpdateKind.FULL else None))
         self.assertEqual(self.follower.version, 1)
 
     async def test_a_new_address_counts_its_versions_by_itself(self) -> None:
@@ -152,11 +165,11 @@
         there, at = await self.discovery()
         there.script = [answer(listing(12, entry("s-7"), full=True)) for _ in range(2)]
         self.follower.move(at)
-        await self.news((it.News.FAILED, None))
+        await self.news((ListUpdateKind.FAILED, None))
         await self.there.tell(listing(52, DRAINING))
-        await self.news((it.News.FORMER, it.Mode.DRAINING))
+        await self.news((ListUpdateKind.SUPERSEDED, EndpointState.DRAINING))
         self.follower.follow(True)
-        await self.news((it.News.FULL, it.Mode.READY))
+        await self.news((ListUpdateKind.FULL, EndpointState.READY))
         self.assertEqual(self.follower.version, 12)
         self.assertIsNone(self.follower._former)
 
@@ -173,7 +186,7 @@
         self.there.script = [trickling]
         with mock.patch.object(discovery, "CALL_WAIT", 0.1):
             self.follower.follow(True)
-            await self.news((it.News.FAILED, None))
+            await self.news((ListUpdateKind.FAILED, None))
 
     async def test_lines_whose_ends_never_fall_together_with_a_piece_s(self) -> None:
         """Each piece ends one line and begins the next: none of them is late, however long that goes on."""
@@ -193,7 +206,7 @@
         self.there.script = [in_pieces]
         with mock.patch.object(discovery, "CALL_WAIT", 0.1):
             self.follower.follow(True)
-            await self.news(*[(it.News.DELTA, it.Mode.READY)] * 30)
+            await self.news(*[(ListUpdateKind.DELTA, EndpointState.READY)] * 30)
 
     async def test_answers_that_are_none(self) -> None:
         """Each is a failed call; the list that was believed stands."""
@@ -221,7 +234,7 @@
                 server = await asyncio.start_server(speak, "127.0.0.1", 0)
                 self.follower._origin.url = discovery._url(server.sockets[0].getsockname()[:2])
                 self.follower.follow(True)
-                await self.news((it.News.FAILED, None))
+                await self.news((ListUpdateKind.FAILED, None))
                 self.assertEqual(self.follower.version, 41)
                 server.close()
 
@@ -235,14 +248,14 @@
             waiting.setblocking(False)
             waiting.connect_ex(full.getsockname())
         with mock.patch.object(discovery, "SILENCE", 0.2):
-            follower = discovery.Discovery(
+            follower = discovery.DiscoveryClient(
                 full.getsockname(), SITE, self.workers.learn, self.heard.put_nowait, 41  # type: ignore
             )  # fmt: skip
         self.addAsyncCleanup(follower.close)
         follower.follow(True)
-        await self.news((it.News.FAILED, None))
+        await self.news((ListUpdateKind.FAILED, None))
         follower.follow(True)
-        await self.news((it.News.FAILED, None))
+        await self.news((ListUpdateKind.FAILED, None))
         self.assertEqual(list(follower._faults._count.values()), [1])  # beside the one that was told at once
 
     async def test_a_move_under_each_fault_of_the_list(self) -> None:
@@ -262,9 +275,9 @@
                 mock.patch.object(discovery, "SILENCE", 0.2),
             ):  # fmt: skip
                 (there, at), (new, elsewhere) = await self.discovery(), await self.discovery()
-                heard: asyncio.Queue[it.Listing] = asyncio.Queue()
-                follower = discovery.Discovery(
-                    at, SITE, Workers().learn, lambda item, to=heard: to.put_nowait(item), 41  # type: ignore
+                heard: asyncio.Queue[EndpointList] = asyncio.Queue()
+                follower = discovery.DiscoveryClient(
+                    at, SITE, WorkerRegistry().learn, lambda item, to=heard: to.put_nowait(item), 41  # type: ignore
                 )  # fmt: skip
                 self.addAsyncCleanup(follower.close)
 
@@ -284,13 +297,13 @@
                 new.script = [answer(listing(43, DRAINING, entry("s-2"), full=True))]
                 follower.follow(True)
                 first = await soon(heard.get())
-                self.assertEqual(first.news, it.News.DELTA if lines else it.News.FAILED)
+                self.assertEqual(first.kind, ListUpdateKind.DELTA if lines else ListUpdateKind.FAILED)
                 follower.move(elsewhere)
                 seen = [first]
-                while seen[-1].news != it.News.FULL:
+                while seen[-1].kind != ListUpdateKind.FULL:
                     seen.append(await soon(heard.get()))
-                told = [e.mode for item in seen for e in item.entries if e.be == 0]
-                self.assertEqual(set(told), {it.Mode.DRAINING})
+                told = [e.state for item in seen for e in item.endpoints if e.worker_index == 0]
+                self.assertEqual(set(told), {EndpointState.DRAINING})
                 self.assertEqual(follower.version, 43)
 
     async def test_nothing_is_asked_once_it_is_closed(self) -> None:
@@ -343,7 +356,7 @@
 """
 CLOSED = """
 import asyncio, os, signal, sys
-from cottonladder.control import cli, signals
+from cottonladder.cli import main as cli; from cottonladder.control import signals
 sys.argv[1:] = ["serve"]
 signals.hold(sys.argv)
 async def serving():
@@ -447,7 +460,7 @@
 
     async def test_a_reload_that_meets_the_stop(self) -> None:
         program = await self.serving()
-        placement = read_placement(str(program.folder / "config.json"))
+        placement = read_manager_config(str(program.folder / "config.json"))
         program.config["discovery"] = await self.host(Discovery().handle)
         (program.folder / "config.json").write_text(json.dumps(program.config))
         follower, where = mock.Mock(), mock.Mock()
@@ -473,10 +486,10 @@
     """One manager's address in this process: the turns of the loop are the test's own."""
 
     async def listening(self, most: int = 64) -> None:
-        self.heard: asyncio.Queue[it.Input | Any] = asyncio.Queue()
-        self.roster = Roster(self.heard.put_nowait)
-        shares = address.Shares(most, 8, 4, 1 << 20)
-        self.where = address.Address(MessageReader(SITE, lambda key: None), self.roster, shares)
+        self.heard: asyncio.Queue[Input | Any] = asyncio.Queue()
+        self.roster = ProxySessions(self.heard.put_nowait)
+        shares = address.ConnectionLimits(most, 8, 4, 1 << 20)
+        self.where = address.StreamListener(MessageReader(SITE, lambda key: None), self.roster, shares)
         self.program = Program("")
         self.program.port = await self.where.listen("127.0.0.1", 0)
         self.addAsyncCleanup(self.where.close)
@@ -489,14 +502,14 @@
         second = await self.connect(self.program, "PING")
         self.assertEqual(await second.hear(), "PONG")  # both are accepted, in this order
         second.join(3)
-        self.assertEqual(type(await soon(self.heard.get())), it.Joined)
+        self.assertEqual(type(await soon(self.heard.get())), ProxyConnected)
         first.join(3)
         first.say("PING")
         self.assertEqual(await first.hear(), "PONG")
         first.close()
         collector = await self.connect(self.program, "SOURCE locality a")
         collector.say("RATE node 3 route lookup total 7 errors 0 interval 1000.0")
-        self.assertEqual(type(await soon(self.heard.get())), it.Ingress)  # nobody has left or joined
+        self.assertEqual(type(await soon(self.heard.get())), ArrivalReport)  # nobody has left or joined
         self.roster.send(3, encode([b"CONFIG", b"stamp", b"9"]))
         self.assertEqual(await second.hear(), "CONFIG stamp 9")
 
@@ -513,7 +526,7 @@
             stream.join(3)
             stream.say("ACK node 3 nonce 1 latency 1")
         came = [type(await soon(self.heard.get())) for _ in range(8)]
-        self.assertEqual(came.count(it.Joined) - came.count(it.Left), 1)
+        self.assertEqual(came.count(ProxyConnected) - came.count(ProxyDisconnected), 1)
         self.roster.send(3, encode([b"CONFIG", b"stamp", b"9"]))
         self.assertEqual(await streams[2].hear(), "CONFIG stamp 9")
 
@@ -522,12 +535,12 @@
         await self.listening()
         closing: list[asyncio.Task[None]] = []
 
-        class Accepted(address.Connection):
-            def __init__(self, where: address.Address) -> None:
+        class Accepted(address.ProtocolConnection):
+            def __init__(self, where: address.StreamListener) -> None:
                 super().__init__(where)
                 closing.append(asyncio.create_task(where.close()))  # before it is opened, in this turn
 
-        with mock.patch.object(address, "Connection", Accepted):
+        with mock.patch.object(address, "ProtocolConnection", Accepted):
             client = await self.connect(self.program, "PING")
             await client.ended()
         self.assertEqual((len(closing), client.come), (1, []))
@@ -536,9 +549,9 @@
 
 
 class Probing(Rig):
-    async def probing(self, at: Callable[[int], str]) -> Probes:
-        self.heard: asyncio.Queue[it.Input] = asyncio.Queue()
-        probes = Probes("/load", 4, at, self.heard.put_nowait)
+    async def probing(self, at: Callable[[int], str]) -> HealthChecker:
+        self.heard: asyncio.Queue[Input] = asyncio.Queue()
+        probes = HealthChecker("/load", 4, at, self.heard.put_nowait)
         self.addAsyncCleanup(probes.close)
         return probes
 
@@ -566,7 +579,7 @@
         self.assertTrue(self.heard.empty())
         await asyncio.sleep(0)  # the turn in which the task's end is heard of
         probes.send(5)
-        self.assertTrue(cast(it.Probed, await soon(self.heard.get())).done)
+        self.assertTrue(cast(HealthCheckResult, await soon(self.heard.get())).succeeded)
 
     async def test_one_probe_of_a_worker_at_a_time(self) -> None:
         """Of two to a worker that starts anew both came back lost, and it was shut out as it came up."""
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -6,31 +6,32 @@
 import unittest
 from dataclasses import replace
 
-from cottonladder.model import interface as it
-from cottonladder.testbed.simulated_fleet import Many, site
+from cottonladder.model.inputs import EndpointList, EndpointState, ListUpdateKind
+from cottonladder.model.parameters import DeploymentParameters
+from cottonladder.testbed.simulated_fleet import SimulatedFleet, site
 
 IDS = [f"s-{n:04x}" for n in range(200)]
 LEAVE = range(0, 200, 2)
 
 
 class Drains(unittest.TestCase):
-    def fleet(self, terms: it.Terms, answers: float = 1.0) -> Many:
-        fleet = Many(terms, answers=answers)
+    def fleet(self, terms: DeploymentParameters, answers: float = 1.0) -> SimulatedFleet:
+        fleet = SimulatedFleet(terms, answers=answers)
         listed = tuple(fleet.entry(be, n // 2 % 4) for n, be in enumerate(IDS))
-        fleet.step("start", [it.Listing(it.News.CACHED, listed)])
+        fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
         return fleet
 
-    def tell(self, fleet: Many, some: range, mode: it.Mode = it.Mode.DRAINING) -> None:
+    def tell(self, fleet: SimulatedFleet, some: range, mode: EndpointState = EndpointState.DRAINING) -> None:
         entries = tuple(fleet.entry(IDS[n], n // 2 % 4, mode) for n in some)
-        fleet.step("list", [it.Listing(it.News.DELTA, entries)])
+        fleet.step("list", [EndpointList(ListUpdateKind.DELTA, entries)])
 
-    def from_elsewhere(self, fleet: Many, proxies: range) -> None:
+    def from_elsewhere(self, fleet: SimulatedFleet, proxies: range) -> None:
         """They come with another manager's tables: five workers each, of which some leave or have left."""
         for p in proxies:
             fleet.join([p])
             fleet.proxies[p].rows = {IDS[(p * 7 + n * 13) % 200].encode(): 1.0 for n in range(5)}
 
-    def sending(self, fleet: Many, left: range) -> list[int]:
+    def sending(self, fleet: SimulatedFleet, left: range) -> list[int]:
         ids = {IDS[n].encode() for n in left}
         return [p for p, held in fleet.proxies.items() if (held.rows.keys() - held.out) & ids]
 
@@ -48,9 +49,9 @@
             told.append((fleet.now, steps))
             fleet.run(2.0)
         for at, steps in told:
-            fleet.run(max(0.0, at + fleet.terms.drain_grace - 1.0 - fleet.now))
+            fleet.run(max(0.0, at + fleet.terms.drain_grace_s - 1.0 - fleet.now))
             self.assertEqual(self.sending(fleet, steps), [])
-        self.assertLess(fleet.longest, fleet.terms.waiting_most)
+        self.assertLess(fleet.longest, fleet.terms.max_queued_lines)
         self.assertEqual(fleet.unbooked, [])
 
     def test_a_channel_at_half_its_pace_and_answers_lost(self) -> None:
@@ -59,9 +60,9 @@
         fleet.pace = 0.5
         self.from_elsewhere(fleet, range(700))
         self.tell(fleet, LEAVE)
-        fleet.run(2.0 * fleet.terms.drain_grace)
+        fleet.run(2.0 * fleet.terms.drain_grace_s)
         self.assertEqual(self.sending(fleet, LEAVE), [])
-        self.assertLess(fleet.longest, fleet.terms.waiting_most)
+        self.assertLess(fleet.longest, fleet.terms.max_queued_lines)
 
     def test_what_comes_along_delays_nobody_s_leaving(self) -> None:
         """cairo-dispatch-later big-2, a release while channels send slowly: the other changes of tables that
@@ -72,8 +73,8 @@
         fleet.pace = 0.25
         for step in range(0, 200, 50):
             new = (fleet.entry(f"n-{n + step}", n % 4, started=fleet.now - 1.0) for n in range(25))
-            old = (fleet.entry(IDS[n], n // 2 % 4, it.Mode.DRAINING) for n in range(step, step + 50, 2))
-            fleet.step("list", [it.Listing(it.News.DELTA, (*old, *new))])
+            old = (fleet.entry(IDS[n], n // 2 % 4, EndpointState.DRAINING) for n in range(step, step + 50, 2))
+            fleet.step("list", [EndpointList(ListUpdateKind.DELTA, (*old, *new))])
             fleet.run(10.0)
             self.assertEqual(self.sending(fleet, range(step, step + 50, 2)), [])
 
@@ -88,13 +89,13 @@
         self.assertGreater(later.waiting(), 1000)
         self.tell(later, LEAVE)
         self.from_elsewhere(later, range(900))
-        later.run(later.terms.drain_grace - 1.0)
+        later.run(later.terms.drain_grace_s - 1.0)
         self.assertEqual(self.sending(later, LEAVE), [])
-        self.assertLess(later.longest, later.terms.waiting_most)
+        self.assertLess(later.longest, later.terms.max_queued_lines)
 
     def test_a_proxy_at_its_message_limit_holds_nobody_back(self) -> None:
         """Where messages are limited too: those of other tables are told, it hears after a pause."""
-        terms = replace(site(), messages_most=6, messages_span=10.0, drain_grace=4.0)
+        terms = replace(site(), max_messages=6, message_window_s=10.0, drain_grace_s=4.0)
         fleet = self.fleet(terms)
         fleet.join(range(40))
         fleet.run(2)
@@ -114,7 +115,7 @@
         fleet.join(range(128))
         fleet.run(6)
         new = tuple(fleet.entry(f"n-{n:04x}", n % 4, started=fleet.now - 1.0) for n in range(60))
-        fleet.step("list", [it.Listing(it.News.DELTA, new)])
+        fleet.step("list", [EndpointList(ListUpdateKind.DELTA, new)])
         fleet.run(4)
         self.tell(fleet, range(120))
         fleet.run(1.5)
@@ -130,11 +131,11 @@
         fleet.join(range(20))
         fleet.run(2)
         self.from_elsewhere(fleet, range(20, 30))
-        self.tell(fleet, range(200), it.Mode.GONE)
+        self.tell(fleet, range(200), EndpointState.GONE)
         fleet.run(4)
         self.assertEqual(self.sending(fleet, range(200)), [])
         back = tuple(fleet.entry(IDS[n], n // 2 % 4, started=fleet.now - 0.5) for n in range(0, 200, 3))
-        fleet.step("list", [it.Listing(it.News.DELTA, back)])
+        fleet.step("list", [EndpointList(ListUpdateKind.DELTA, back)])
         fleet.run(6)
         self.assertTrue(all(held.rows.keys() - held.out for held in fleet.proxies.values()))
         self.assertEqual(self.sending(fleet, range(1, 200, 3)), [])
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.policy.controller import least_cost_flow
+from cottonladder.model.min_cost_flow import min_cost_flow
 
 SLACK = 1e-6
 Costs = list[list[float | None]]
@@ -48,7 +48,7 @@
         each = st.sampled_from([None, 0.0, 1.0, 2.0])
         row = st.lists(each, min_size=groups, max_size=groups)
         cost = data.draw(st.lists(row, min_size=zones, max_size=zones))
-        flow = least_cost_flow([float(d) for d in demand], [float(c) for c in caps], cost)
+        flow = min_cost_flow([float(d) for d in demand], [float(c) for c in caps], cost)
         laid, paid = best(demand, caps, cost)
         self.assertAlmostEqual(sum(map(sum, flow)), -laid, delta=SLACK)
         spent = sum(f * (cost[z][g] or 0.0) for z, row in enumerate(flow) for g, f in enumerate(row))
@@ -63,7 +63,7 @@
         cost: Costs = [
             [float(z != g) if rnd.random() < 0.8 else None for g in range(zones)] for z in range(zones)
         ]
-        flow = least_cost_flow(demand, caps, cost)
+        flow = min_cost_flow(demand, caps, cost)
         for z, row in enumerate(flow):
             self.assertLessEqual(sum(row), demand[z] + SLACK)
             self.assertTrue(all(f >= -SLACK for f in row))
@@ -80,7 +80,7 @@
         demand = [100.0 + 13.0 * z for z in range(zones)]
         caps = [380.0 - 11.0 * z for z in range(zones)]
         cost: Costs = [[float(z != g) for g in range(zones)] for z in range(zones)]
-        flow = least_cost_flow(demand, caps, cost)
+        flow = min_cost_flow(demand, caps, cost)
         self.assertLess(time.process_time() - begun, 2.0)
         self.assertAlmostEqual(sum(map(sum, flow)), min(sum(demand), sum(caps)), delta=SLACK)
 
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -22,7 +22,7 @@
 from cottonladder.protocol.resp import MESSAGE_MOST, Reader, encode
 from cottonladder.testbed.discovery import Discovery
 from cottonladder.testbed.fleet import KINDS, Forwarder, Manager, free_port
-from cottonladder.testbed.holding_clients import Counts, Desk
+from cottonladder.testbed.holding_clients import Counts, HoldingClient
 from cottonladder.testbed.workers import Case, Ledger, Worker
 
 WAIT = 20.0  # s for any event, so that a slow machine fails no test
@@ -42,7 +42,7 @@
         self.addAsyncCleanup(self.discovery.close)
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
         self.addAsyncCleanup(self.session.close)
-        self.desks: list[Desk] = []
+        self.desks: list[HoldingClient] = []
         self.addAsyncCleanup(self.stop_desks)
 
     async def stop_desks(self) -> None:
@@ -92,10 +92,12 @@
 
         await self.until(same)
 
-    async def open(self, forwarder: Forwarder, count: int, path: str = "/watch", **more: Any) -> list[Desk]:
+    async def open(
+        self, forwarder: Forwarder, count: int, path: str = "/watch", **more: Any
+    ) -> list[HoldingClient]:
         first = len(self.desks)
         url = forwarder.url + path
-        new = [Desk(self.session, url, self.counts, f"d{first + n}", **more) for n in range(count)]
+        new = [HoldingClient(self.session, url, self.counts, f"d{first + n}", **more) for n in range(count)]
         self.desks += new
         for desk in new:
             desk.start()
--- a/tests/test_forwarder_crossings.py
+++ b/tests/test_forwarder_crossings.py
@@ -16,7 +16,7 @@
 from aiohttp import web
 
 from cottonladder.forwarder import client_listener as front
-from cottonladder.forwarder.resource_limits import Most
+from cottonladder.forwarder.resource_limits import ResourceLimits
 from cottonladder.testbed.fleet import Forwarder
 from cottonladder.testbed.workers import Worker
 from tests.test_forwarder import Rig
@@ -136,7 +136,7 @@
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
             return web.Response(text="ok")
 
-        here = front.Front(Most(), answer)
+        here = front.ClientListener(ResourceLimits(), answer)
         port = await here.listen("127.0.0.1", 0)
         self.addAsyncCleanup(here.close)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_forwarder_rules.py
+++ b/tests/test_forwarder_rules.py
@@ -13,9 +13,9 @@
 from cottonladder.forwarder import connection_drainer as dr
 from cottonladder.forwarder import frame_scanner as fr
 from cottonladder.forwarder import router as ro
-from cottonladder.forwarder.connection_registry import Book, Row
+from cottonladder.forwarder.connection_registry import ConnectionRegistry, Row
 from cottonladder.forwarder.manager_stream import read_part
-from cottonladder.forwarder.resource_limits import Arrivals, Places, come_back
+from cottonladder.forwarder.resource_limits import AdmissionPacer, ConnectionSlots, come_back
 from cottonladder.protocol import upgrade_extension as upgrades
 from cottonladder.protocol.resp import MESSAGE_MOST, Reader
 
@@ -23,8 +23,8 @@
 RELEASE = ro.Kind("release", (ro.Rule(frozenset({"POST"}), "/release"),))
 
 
-def routes(levels: str = "ratio") -> ro.Routes:
-    return ro.Routes([RELEASE, FETCH], levels, random.Random(3).random)
+def routes(levels: str = "ratio") -> ro.Router:
+    return ro.Router([RELEASE, FETCH], levels, random.Random(3).random)
 
 
 class Routing(unittest.TestCase):
@@ -109,7 +109,7 @@
 
 class Limits(unittest.TestCase):
     def test_places_are_given_back_once(self) -> None:
-        places = Places(3, 2)
+        places = ConnectionSlots(3, 2)
         self.assertEqual([places.take(who) for who in "aaabb"], [True, True, False, True, False])
         places.give_back("a")
         self.assertTrue(places.take("b"))
@@ -118,7 +118,7 @@
         self.assertEqual((places.total, places.taken), (0, {}))
 
     def test_a_rush_is_paced_and_ordered_places_are_kept(self) -> None:
-        arrivals = Arrivals(20.0, 0.5)
+        arrivals = AdmissionPacer(20.0, 0.5)
         pace = arrivals.pace(1.0, 1.0)
         let = sum(arrivals.take(n / 100, "s-1", pace) == 0.0 for n in range(1000))
         self.assertEqual(let, 109)  # 10 a second for 10 s, and a second's at once
@@ -128,14 +128,16 @@
         self.assertEqual(arrivals.place(1.0), "s-2")
         arrivals.used("s-2")
         self.assertEqual(arrivals.place(1.0), "s-2")
-        self.assertIsNone(arrivals.place(Arrivals.ORDERED_FOR + 1.0))  # nobody came: free again
+        self.assertIsNone(arrivals.place(AdmissionPacer.ORDERED_FOR + 1.0))  # nobody came: free again
 
     def test_come_back_is_whole_seconds_and_spread(self) -> None:
         self.assertEqual([come_back(0.0, 0.0), come_back(4.0, 0.5), come_back(1e9, 1.0)], [1, 6, 30])
 
 
 class Drains(unittest.TestCase):
-    def play(self, drains: dr.Drains, held: Counter[str], until: float, start: float = 0.0) -> list[float]:
+    def play(
+        self, drains: dr.ConnectionDrainer, held: Counter[str], until: float, start: float = 0.0
+    ) -> list[float]:
         """Everything that is begun ends at once; gives when each connection of s-1 began to move."""
         began: list[float] = []
         for n in range(round(start / dr.TICK), round(until / dr.TICK)):
@@ -151,7 +153,7 @@
 
     def test_alone_it_spreads_over_the_grace(self) -> None:
         """No manager says anything: cut off, dead, or without the extension."""
-        drains, held = dr.Drains(10.0), Counter({"s-1": 100})
+        drains, held = dr.ConnectionDrainer(10.0), Counter({"s-1": 100})
         drains.shut(0.0, "s-1")
         began = self.play(drains, held, 10.0)
         self.assertEqual(len(began), 100)
@@ -160,7 +162,7 @@
         self.assertLessEqual(max(Counter(began).values()), 3)
 
     def test_ordered_slices_are_answered_and_spread(self) -> None:
-        drains, held = dr.Drains(10.0), Counter({"s-1": 50})
+        drains, held = dr.ConnectionDrainer(10.0), Counter({"s-1": 50})
         drains.shut(0.0, "s-1")
         drains.ordered(0.0, "s-1", 7, {"s-2": 3, "s-3": 1}, 6, 0.5, 10.0)
         acts = []
@@ -174,7 +176,7 @@
         self.assertEqual(drains.answers, [dr.Answer(7, 5, 1)])
 
     def test_busy_ones_are_waited_for_and_cut_at_the_end_only(self) -> None:
-        drains = dr.Drains(10.0)
+        drains = dr.ConnectionDrainer(10.0)
         drains.shut(0.0, "s-1")
         drains.ordered(0.0, "s-1", 7, {"s-2": 2}, 2, 0.5, 10.0)
         seen: list[tuple[float, dr.Act | dr.Cut]] = []
@@ -185,7 +187,7 @@
         self.assertGreaterEqual(seen[0][0], 10.0 * (1 - dr.CUT_PART) - 1e-6)
 
     def test_the_end_only_comes_nearer(self) -> None:
-        drains = dr.Drains(10.0)
+        drains = dr.ConnectionDrainer(10.0)
         drains.shut(0.0, "s-1")
         drains.ordered(4.0, "s-1", 1, {}, 1, 0.5, 10.0)  # a new manager that has just heard of the drain
         self.assertEqual(drains.left(4.0, "s-1"), 6.0)
@@ -193,7 +195,7 @@
         self.assertEqual(drains.left(5.0, "s-1"), 2.0)
 
     def test_let_in_or_stopped_half_way(self) -> None:
-        drains, held = dr.Drains(10.0), Counter({"s-1": 50})
+        drains, held = dr.ConnectionDrainer(10.0), Counter({"s-1": 50})
         drains.shut(0.0, "s-1")
         drains.ordered(0.0, "s-1", 7, {"s-2": 20}, 20, 0.5, 10.0)
         self.play(drains, held, 0.2)
@@ -205,7 +207,7 @@
         self.assertEqual((drains.state("s-1"), held["s-1"]), (dr.CALM, left))
 
     def test_a_lost_stream_takes_its_orders_along(self) -> None:
-        drains, held = dr.Drains(10.0), Counter({"s-1": 50})
+        drains, held = dr.ConnectionDrainer(10.0), Counter({"s-1": 50})
         drains.shut(0.0, "s-1")
         drains.ordered(0.0, "s-1", 7, {"s-2": 40}, 40, 0.5, 10.0)
         self.play(drains, held, 0.2)
@@ -221,7 +223,7 @@
         parts = [fr.frame(fr.TEXT, b"ask:%d" % n + b"x" * n * 50, True) for n in range(40)]
         parts += [fr.frame(fr.PING, b"hi", True), fr.frame(fr.BINARY, b"y" * 70_000, True)]
         data, out, begun, ended, at = b"".join(parts), b"", list[bytes](), 0, 0
-        scanner = fr.Scanner(masked=True)
+        scanner = fr.FrameScanner(masked=True)
         while at < len(data):
             size = chance.choice([1, 2, 3, 7, 1000])
             fed = scanner.feed(data[at : at + size])
@@ -233,7 +235,7 @@
         self.assertTrue(scanner.idle)
 
     def test_messages_in_frames_with_a_ping_between(self) -> None:
-        scanner = fr.Scanner(masked=False)
+        scanner = fr.FrameScanner(masked=False)
         first, last = b"\x01\x03ask", b"\x80\x02:1"
         fed = scanner.feed(first)
         self.assertEqual((fed.begun, fed.ended, scanner.idle, scanner.between), ((b"ask",), 0, False, True))
@@ -243,7 +245,7 @@
         self.assertTrue(scanner.idle)
 
     def test_a_close_is_set_apart(self) -> None:
-        scanner = fr.Scanner(masked=False)
+        scanner = fr.FrameScanner(masked=False)
         text, close = fr.frame(fr.TEXT, b"last", False), fr.close_frame(fr.RESTART, "moved", False)
         fed = scanner.feed(text + close)
         self.assertEqual((fed.out, fed.closing, scanner.closed, scanner.idle), (text, close, True, True))
@@ -261,12 +263,12 @@
             (False, b"\x82\x7f\xff" + b"\xff" * 7),
         ):
             with self.subTest(data), self.assertRaises(fr.FrameError):
-                fr.Scanner(masked).feed(data)
+                fr.FrameScanner(masked).feed(data)
 
     @settings(max_examples=60, derandomize=True, deadline=None)
     @given(st.lists(st.binary(max_size=40), max_size=8))
     def test_garbage_raises_one_error_only_and_keeps_little(self, pieces: list[bytes]) -> None:
-        scanner, given_in, passed = fr.Scanner(masked=True), b"", b""
+        scanner, given_in, passed = fr.FrameScanner(masked=True), b"", b""
         try:
             for piece in pieces:
                 given_in += piece
@@ -288,7 +290,7 @@
 
 class Counts(unittest.TestCase):
     def test_the_whole_then_what_changed(self) -> None:
-        book: Book[Fake] = Book()
+        book: ConnectionRegistry[Fake] = ConnectionRegistry()
         one, two = Fake(), Fake(True)
         book.enter("s-1", one)
         book.enter("s-1", two)
@@ -313,19 +315,19 @@
         manager, forwarder = upgrades.read_for_manager, upgrades.read_for_forwarder
         rows = {"s-1": (3, 1, 2), "a:b": (1, 0, 0)}
         for read, data, said in (
-            (manager, upgrades.announce(7), upgrades.Announced(7, 1)),
-            (manager, upgrades.moved(7, 3, 2, 1), upgrades.Done(7, 3, 2, 1)),
-            (forwarder, upgrades.welcome(0.25, 50.0), upgrades.Welcome(1, 0.25, 50.0)),
-            (forwarder, upgrades.stop(b"s-1"), upgrades.Stopped("s-1")),
+            (manager, upgrades.announce(7), upgrades.ForwarderAnnounced(7, 1)),
+            (manager, upgrades.moved(7, 3, 2, 1), upgrades.MigrationDone(7, 3, 2, 1)),
+            (forwarder, upgrades.welcome(0.25, 50.0), upgrades.AnnouncementAccepted(1, 0.25, 50.0)),
+            (forwarder, upgrades.stop(b"s-1"), upgrades.MigrationStopped("s-1")),
             (
                 forwarder,
                 upgrades.move(9, b"s-1", {b"s-2": 3}, 4, 0.5, 20.0),
-                upgrades.Ordered(9, "s-1", {"s-2": 3}, 4, 0.5, 20.0),
+                upgrades.MigrationOrdered(9, "s-1", {"s-2": 3}, 4, 0.5, 20.0),
             ),
         ):
             self.assertEqual(read(self.words(data)), said)
         held = upgrades.read_for_manager(self.words(upgrades.holds(7, True, rows)))
-        self.assertEqual(held, upgrades.Holds(7, True, {k.encode(): v for k, v in rows.items()}))
+        self.assertEqual(held, upgrades.HeldConnections(7, True, {k.encode(): v for k, v in rows.items()}))
 
     def test_garbled_ones_are_one_clear_line(self) -> None:
         for read, text, why in (
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -4,23 +4,25 @@
 
 import unittest
 
-from cottonladder.model import interface as it
-from cottonladder.testbed.simulated_fleet import Many, site
+from cottonladder.model.inputs import EndpointList, EndpointState, ListUpdateKind
+from cottonladder.testbed.simulated_fleet import SimulatedFleet, site
 
 BES = [f"s-{i:04x}" for i in range(80)]
 
 
 class Ledger(unittest.TestCase):
-    def fleet(self) -> Many:
-        fleet = Many(site(proxies=1000))
+    def fleet(self) -> SimulatedFleet:
+        fleet = SimulatedFleet(site(proxies=1000))
         listed = tuple(fleet.entry(be, n % 4) for n, be in enumerate(BES))
-        fleet.step("start", [it.Listing(it.News.CACHED, listed)])
+        fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
         return fleet
 
-    def told(self, fleet: Many, mode: it.Mode, some: range, started: float = 0.0, ids: str = "") -> None:
+    def told(
+        self, fleet: SimulatedFleet, mode: EndpointState, some: range, started: float = 0.0, ids: str = ""
+    ) -> None:
         names = [(n, ids + BES[n]) for n in some]
         entries = tuple(fleet.entry(be, n % 4, mode, started) for n, be in names)
-        fleet.step("list", [it.Listing(it.News.DELTA, entries)])
+        fleet.step("list", [EndpointList(ListUpdateKind.DELTA, entries)])
 
     def test_every_line_is_booked(self) -> None:
         """Workers leave, come back under their ids and others, proxies come from other managers and break
@@ -28,17 +30,17 @@
         fleet = self.fleet()
         fleet.join(range(400), fresh=True)
         fleet.run(4)
-        self.told(fleet, it.Mode.DRAINING, range(0, 20))
+        self.told(fleet, EndpointState.DRAINING, range(0, 20))
         fleet.run(3)
         fleet.join(range(400, 700))  # with tables of another manager, and what it had shut out
-        self.told(fleet, it.Mode.READY, range(0, 20), started=fleet.now - 1.0)
+        self.told(fleet, EndpointState.READY, range(0, 20), started=fleet.now - 1.0)
         fleet.run(2)
         fleet.leave(range(200, 500))
-        self.told(fleet, it.Mode.GONE, range(40, 60))
-        self.told(fleet, it.Mode.READY, range(60, 70), started=fleet.now - 0.5, ids="n")
+        self.told(fleet, EndpointState.GONE, range(40, 60))
+        self.told(fleet, EndpointState.READY, range(60, 70), started=fleet.now - 0.5, ids="n")
         fleet.join(range(300, 1000))
         fleet.run(30)
-        self.told(fleet, it.Mode.READY, range(40, 50), started=fleet.now - 1.0)
+        self.told(fleet, EndpointState.READY, range(40, 50), started=fleet.now - 1.0)
         fleet.run(8)
         self.assertGreater(len(fleet.ladder.gate.written), 900)
         self.assertEqual(fleet.unbooked, [])
@@ -46,10 +48,10 @@
     def test_the_queue_stays_short_where_all_come_from_other_managers(self) -> None:
         """roll+mass: a restarted manager heard of workers that had all started lately, and each proxy's table
         brought as many lines again that let them in, none of them booked: 15,507 lines where 15,400 may."""
-        fleet = Many(site(proxies=1000, waiting_most=6000.0), answers=0.7)
+        fleet = SimulatedFleet(site(proxies=1000, waiting_most=6000.0), answers=0.7)
         new = tuple(fleet.entry(be, n % 4, started=fleet.now - 5.0) for n, be in enumerate(BES[:40]))
         old = tuple(fleet.entry(be, n % 4) for n, be in enumerate(BES[40:]))
-        fleet.step("start", [it.Listing(it.News.CACHED, new + old)])
+        fleet.step("start", [EndpointList(ListUpdateKind.CACHED, new + old)])
         for n in range(20):
             fleet.join(range(50 * n, 50 * n + 50))
             fleet.run(0.5)
@@ -62,8 +64,8 @@
         fleet = self.fleet()
         fleet.join(range(700))
         fleet.run(3)
-        self.assertLess(fleet.longest, 3.0 * fleet.terms.lines_per_s)
-        self.told(fleet, it.Mode.DRAINING, range(0, 40))
+        self.assertLess(fleet.longest, 3.0 * fleet.terms.channel_lines_per_s)
+        self.told(fleet, EndpointState.DRAINING, range(0, 40))
         fleet.run(12)  # 700 heads and 20 lines each take 7 s
         left = {be.encode() for be in BES[:40]}
         self.assertEqual([p for p, held in fleet.proxies.items() if (held.rows.keys() - held.out) & left], [])
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -27,12 +27,20 @@
 from cottonladder.control import background_scheduler as tasks
 from cottonladder.forwarder import restored_state as fr
 from cottonladder.forwarder import router as ro
-from cottonladder.forwarder.resource_limits import Arrivals
-from cottonladder.model import interface as it
+from cottonladder.forwarder.resource_limits import AdmissionPacer
+from cottonladder.model.inputs import (
+    Endpoint,
+    EndpointList,
+    EndpointState,
+    ListUpdateKind,
+    RestoredState,
+    TimerFired,
+    WorkerHistory,
+)
 from cottonladder.planning import priority_scheduling as turns
 from cottonladder.planning import snapshot_staleness as ageing
-from cottonladder.planning.controller_views import recollect
-from cottonladder.policy.controller import Ladder
+from cottonladder.planning.controller_views import collect_state
+from cottonladder.policy.controller import RoutingController
 from cottonladder.snapshots import sections, store
 from cottonladder.testbed import month_end as me
 from cottonladder.testbed.discovery import Discovery
@@ -149,10 +157,10 @@
 
     def test_sections_that_can_not_be_used_are_left_out(self) -> None:
         kept = store.pack(
-            {"forwarder": sections.packed("forwarder", sections.ForwarderLife({}, ["s-1"], {}, {}))}, 1
+            {"forwarder": sections.packed("forwarder", sections.ForwarderSnapshot({}, ["s-1"], {}, {}))}, 1
         )
         good = store.unpack(kept)[1]["forwarder"]
-        life, why = sections.unpacked("forwarder", {"forwarder": good}, sections.ForwarderLife)
+        life, why = sections.unpacked("forwarder", {"forwarder": good}, sections.ForwarderSnapshot)
         self.assertEqual((life and life.out, why), (["s-1"], ""))
         for section, said in (
             ({"v": 9, "data": {}}, "newer version"),
@@ -160,7 +168,7 @@
             ({"v": 0, "data": {}}, "section forwarder"),
             ([], "no version"),
         ):
-            life, why = sections.unpacked("forwarder", {"forwarder": section}, sections.ForwarderLife)
+            life, why = sections.unpacked("forwarder", {"forwarder": section}, sections.ForwarderSnapshot)
             self.assertIsNone(life)
             self.assertIn(said, why)
 
@@ -189,20 +197,24 @@
         self.assertEqual(self.again().numbers(), [2])
 
 
-def past(be: int, out: bool = False, leaving: bool = False, slowness: float = 0.2) -> it.Past:
-    return it.Past(be, 0.0, 0.1, slowness, out, leaving)
+def past(be: int, out: bool = False, leaving: bool = False, slowness: float = 0.2) -> WorkerHistory:
+    return WorkerHistory(be, 0.0, 0.1, slowness, out, leaving)
 
 
 class Ageing(unittest.TestCase):
     def test_each_figure_by_its_kind(self) -> None:
-        life = it.Remembered(9, (past(0, out=True), past(1), past(2), past(3, leaving=True)), ((4, 2.5),))
+        life = RestoredState(9, (past(0, out=True), past(1), past(2), past(3, leaving=True)), ((4, 2.5),))
         for age, out, rates in ((1.0, True, 1), (60.0, False, 1), (7200.0, False, 0), (math.inf, False, 0)):
             aged = ageing.aged(life, age)
-            self.assertEqual((aged.pasts[0].out, len(aged.rates), aged.mark), (out, rates, 9))
-            self.assertEqual([p.leaving for p in aged.pasts], [False, False, False, True])  # drains stand
-        self.assertAlmostEqual(ageing.aged(life, 30.0).pasts[1].slowness, 0.6)
-        self.assertEqual(ageing.aged(life, math.inf).pasts[1].slowness, 1.0)
-        self.assertEqual(ageing.aged(life, 8 * 86_400.0).pasts[1].base, 0.0)
+            self.assertEqual(
+                (aged.workers[0].was_ejected, len(aged.proxy_rates), aged.last_checkpoint), (out, rates, 9)
+            )
+            self.assertEqual(
+                [p.was_draining for p in aged.workers], [False, False, False, True]
+            )  # drains stand
+        self.assertAlmostEqual(ageing.aged(life, 30.0).workers[1].latency_factor, 0.6)
+        self.assertEqual(ageing.aged(life, math.inf).workers[1].latency_factor, 1.0)
+        self.assertEqual(ageing.aged(life, 8 * 86_400.0).workers[1].base_latency_s, 0.0)
 
     def test_a_file_that_suspects_everybody_suspects_nobody(self) -> None:
         pasts = tuple(past(n, out=n < 4) for n in range(8))
@@ -214,12 +226,12 @@
         self.assertEqual(ageing.age_of(86_400.0, 0.0), math.inf)
         self.assertEqual(ageing.age_of(0.0, 86_400.0), 86_400.0)
 
-    def ladder(self, *pasts: it.Past, started: float = 0.0) -> Ladder:
-        ladder = Ladder(me.TERMS)
+    def ladder(self, *pasts: WorkerHistory, started: float = 0.0) -> RoutingController:
+        ladder = RoutingController(me.TERMS)
         entries = tuple(
-            it.Entry(be, be % 2, it.Mode.READY, 1.0, started if be == 0 else 0.0) for be in range(6)
+            Endpoint(be, be % 2, EndpointState.READY, 1.0, started if be == 0 else 0.0) for be in range(6)
         )
-        ladder.decide(1000.0, [it.Listing(it.News.CACHED, entries), it.Remembered(7, pasts, ())])
+        ladder.decide(1000.0, [EndpointList(ListUpdateKind.CACHED, entries), RestoredState(7, pasts, ())])
         return ladder
 
     def test_what_the_module_makes_of_it(self) -> None:
@@ -229,32 +241,32 @@
         states = {be: state.state for be, state in ladder.bes.items()}
         self.assertEqual((states[0], states[1], states[2], 9 in states), ("gone", "out", "well", False))
         self.assertEqual(ladder.gate.number, 7)
-        ready = it.Entry(0, 0, it.Mode.READY, 1.0, 0.0)
-        ladder.decide(1001.0, [it.Listing(it.News.DELTA, (ready,))])
+        ready = Endpoint(0, 0, EndpointState.READY, 1.0, 0.0)
+        ladder.decide(1001.0, [EndpointList(ListUpdateKind.DELTA, (ready,))])
         self.assertEqual(ladder.bes[0].state, "ramp")
-        ladder.decide(1008.0, [it.Wake(ladder.beat)])
+        ladder.decide(1008.0, [TimerFired(ladder.beat)])
         self.assertIn(ladder.bes[1].state, ("ramp", "well"))  # a recovered one is back within seconds
         replaced = self.ladder(past(0, leaving=True), started=995.0)
         self.assertNotEqual(replaced.bes[0].state, "gone")
         self.assertTrue(replaced.cold(replaced.bes[0]))  # and still cold
 
     def test_a_life_goes_round(self) -> None:
-        day = me.Day({}, length=30.0)
+        day = me.MonthEndRun({}, length=30.0)
         day.play()
-        life = recollect(day.ladder, list(day.ladder.bes), list(day.ladder.proxies))
-        self.assertEqual({p.be for p in life.pasts}, set(day.boxes))
-        self.assertTrue(all(p.base > 0 for p in life.pasts))
-        self.assertEqual(len(life.rates), me.PROXIES)
+        life = collect_state(day.ladder, list(day.ladder.bes), list(day.ladder.proxies))
+        self.assertEqual({p.worker_index for p in life.workers}, set(day.boxes))
+        self.assertTrue(all(p.base_latency_s > 0 for p in life.workers))
+        self.assertEqual(len(life.proxy_rates), me.PROXIES)
 
     def test_the_forwarder_s(self) -> None:
         kinds = [ro.Kind("fetch", (), ro.REPLAYABLE)]
-        before = ro.Routes(kinds, "ratio", lambda: 0.5)
+        before = ro.Router(kinds, "ratio", lambda: 0.5)
         before.apply([ro.Part(replace=True, rows=tuple((f"s-{n}", 1.0) for n in range(6)), drop=("s-5",))])
         for _ in range(ro.STRIKES):
             before.met(100.0, "s-0", False)
         life = fr.life_of(before, {}, 100.0)
         for age, avoided, table in ((1.0, True, True), (60.0, False, True), (7200.0, False, False)):
-            after, arrivals = ro.Routes(kinds, "ratio", lambda: 0.5), Arrivals(10.0, 1.0)
+            after, arrivals = ro.Router(kinds, "ratio", lambda: 0.5), AdmissionPacer(10.0, 1.0)
             fr.recall(life, age, 500.0, after, arrivals, lambda be: be != "s-4")
             self.assertEqual(after.out, {"s-5"})
             self.assertEqual("s-0" in after.avoided(), avoided)
@@ -263,7 +275,7 @@
 
 class Turns(unittest.TestCase):
     def setUp(self) -> None:
-        self.turns = turns.Turns()
+        self.turns = turns.PriorityScheduler()
 
     def run_for(self, until: float, cost: dict[str, float], late: bool = False) -> Counter[str]:
         """Each slice takes its cost and is a whole run."""
@@ -280,20 +292,20 @@
         return ran
 
     def test_budgets_and_priorities(self) -> None:
-        self.turns.add(0.0, turns.Plan("first", 0.1, priority=1, cpu=0.1, jitter=0.0), 0.0)
-        self.turns.add(0.0, turns.Plan("greedy", 0.01, priority=2, cpu=0.05, jitter=0.0), 0.0)
+        self.turns.add(0.0, turns.TaskPlan("first", 0.1, priority=1, cpu=0.1, jitter=0.0), 0.0)
+        self.turns.add(0.0, turns.TaskPlan("greedy", 0.01, priority=2, cpu=0.05, jitter=0.0), 0.0)
         ran = self.run_for(20.0, {"first": 0.002, "greedy": 0.004})
         self.assertGreater(ran["first"], 180)
         self.assertLessEqual(ran["greedy"] * 0.004, 20.0 * 0.05 + 0.05 + 0.004)
 
     def test_late_decisions_hold_everything_but_the_starved(self) -> None:
-        self.turns.add(0.0, turns.Plan("one", 1.0, jitter=0.0), 0.0)
+        self.turns.add(0.0, turns.TaskPlan("one", 1.0, jitter=0.0), 0.0)
         ran = self.run_for(20.0, {"one": 0.001}, late=True)
         self.assertTrue(2 <= ran["one"] <= 4, ran)  # each five periods
 
     def test_a_hundred_due_at_once_all_run_by_priority(self) -> None:
         for n in range(100):
-            self.turns.add(0.0, turns.Plan(f"t-{n}", 10.0, priority=n % 3, jitter=0.0), 0.0)
+            self.turns.add(0.0, turns.TaskPlan(f"t-{n}", 10.0, priority=n % 3, jitter=0.0), 0.0)
         order = []
         now = 0.0
         while (name := self.turns.next(now, False)) is not None:
@@ -302,7 +314,7 @@
         self.assertEqual((len(order), order), (100, sorted(order)))
 
     def test_failing_tasks_back_off(self) -> None:
-        self.turns.add(0.0, turns.Plan("bad", 1.0, jitter=0.0), 0.0)
+        self.turns.add(0.0, turns.TaskPlan("bad", 1.0, jitter=0.0), 0.0)
         now, runs = 0.0, 0
         while now < 500.0:
             if (name := self.turns.next(now, False)) is None:
@@ -341,9 +353,9 @@
             ran["waits"] += 1
             yield fails()
 
-        t = tasks.Tasks(lambda: 0.0)
+        t = tasks.BackgroundScheduler(lambda: 0.0)
         for name, work in (("good", good), ("bad", bad), ("hog", hog), ("waits", waits)):
-            t.add(turns.Plan(name, 0.02, cpu=0.2), work)
+            t.add(turns.TaskPlan(name, 0.02, cpu=0.2), work)
         t.start()
         await asyncio.sleep(1.2)
         await t.close(("good",))
@@ -362,8 +374,8 @@
             yield asyncio.sleep(0.3)
             done.append("slow")
 
-        t = tasks.Tasks(lambda: 0.0)
-        t.add(turns.Plan("slow", 0.01), slow)
+        t = tasks.BackgroundScheduler(lambda: 0.0)
+        t.add(turns.TaskPlan("slow", 0.01), slow)
         t.start()
         await asyncio.sleep(0.05)
         begun = time.monotonic()
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -8,22 +8,26 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.model.interface import Standing
+from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning import connection_migration as mv
 
-TERMS = mv.MoveTerms(2, 20.0, 8000, 100.0, 0.05, 3000.0, 10)
+TERMS = mv.MigrationParameters(2, 20.0, 8000, 100.0, 0.05, 3000.0, 10)
 
 
-def stands(zone: int = 0, estimate: float = 1.0, cold: bool = False, since: float = -1.0) -> Standing:
-    return Standing(zone, 0.0 if since >= 0 else estimate, cold, since)
+def stands(
+    zone: int = 0, estimate: float = 1.0, cold: bool = False, since: float = -1.0
+) -> WorkerCapacityView:
+    return WorkerCapacityView(zone, 0.0 if since >= 0 else estimate, cold, since)
 
 
 class Fleet:
     """Forwarders that carry every order out, or lose it; checks the plan's promises at each step."""
 
-    def __init__(self, terms: mv.MoveTerms, standing: dict[int, Standing], zones: dict[int, int]) -> None:
+    def __init__(
+        self, terms: mv.MigrationParameters, standing: dict[int, WorkerCapacityView], zones: dict[int, int]
+    ) -> None:
         self.terms, self.standing, self.zones = terms, standing, zones
-        self.moves = mv.Moves(terms)
+        self.moves = mv.MigrationPlanner(terms)
         self.held: dict[int, Counter[int]] = {f: Counter() for f in zones}
         self.now, self.most_lines, self.closed = 0.0, 0, 0
         self.took: Counter[int] = Counter()  # by worker, in the last step
@@ -32,24 +36,24 @@
 
     def tell(self, forwarder: int | None = None) -> None:
         for f in self.zones if forwarder is None else [forwarder]:
-            self.moves.held(f, True, {be: mv.Holding(n) for be, n in self.held[f].items() if n})
+            self.moves.held(f, True, {be: mv.HeldConnectionCounts(n) for be, n in self.held[f].items() if n})
 
     def total(self, be: int) -> int:
         return sum(held[be] for held in self.held.values())
 
-    def step(self, lose: bool = False, carry: bool = True) -> list[mv.MoveOrder]:
+    def step(self, lose: bool = False, carry: bool = True) -> list[mv.MigrationOrder]:
         self.tell()
         orders = self.moves.plan(self.now, self.standing)
         self.most_lines = max(self.most_lines, self.moves.lines(orders))
         self.took = Counter()
         for order in orders:
-            if isinstance(order, mv.Move) and carry and not lose:
+            if isinstance(order, mv.MigrateConnections) and carry and not lose:
                 held = self.held[order.forwarder]
                 assert 0 < order.count <= held[order.source], order
                 assert sum(n for _, n in order.to) <= order.count
                 held[order.source] -= order.count
                 for be, n in order.to:
-                    assert self.standing[be].leaving_since < 0, "a move to a worker that leaves"
+                    assert self.standing[be].draining_since < 0, "a move to a worker that leaves"
                     held[be] += n
                     self.took[be] += n
                 self.closed += order.count - sum(n for _, n in order.to)
@@ -59,10 +63,10 @@
 
     def room(self, be: int) -> float:
         """What the plan may fill a worker to: stated here anew, from the fleet's mean level."""
-        live = {b: s for b, s in self.standing.items() if s.leaving_since < 0 and s.estimate > 0}
-        level = sum(self.total(b) for b in self.standing) / sum(s.estimate for s in live.values())
+        live = {b: s for b, s in self.standing.items() if s.draining_since < 0 and s.capacity > 0}
+        level = sum(self.total(b) for b in self.standing) / sum(s.capacity for s in live.values())
         s = self.standing[be]
-        return min(self.terms.most, (1 + mv.ROOM_SLACK) * level * s.estimate + (not s.cold))
+        return min(self.terms.most, (1 + mv.ROOM_SLACK) * level * s.capacity + (not s.warming_up))
 
 
 class MovesTest(unittest.TestCase):
@@ -88,7 +92,7 @@
         standing = {0: stands(0, since=0.0), 1: stands(0), 2: stands(1)}
         fleet = Fleet(TERMS, standing, {0: 0})
         fleet.held[0].update({0: 40, 1: 10, 2: 10})
-        first = [order for order in fleet.step() if isinstance(order, mv.Move)]
+        first = [order for order in fleet.step() if isinstance(order, mv.MigrateConnections)]
         self.assertEqual([[be for be, _ in order.to] for order in first], [[1]])
         while fleet.total(0):
             fleet.step()
@@ -102,7 +106,7 @@
         fleet.step(carry=False)  # ordered, not yet carried out
         standing[1] = stands()
         orders = fleet.step(carry=False)
-        stops = [order for order in orders if isinstance(order, mv.Stop)]
+        stops = [order for order in orders if isinstance(order, mv.StopMigration)]
         self.assertEqual({(s.forwarder, s.source) for s in stops}, {(0, 1), (1, 1)})
         left = fleet.total(1)
         while fleet.total(0):
@@ -111,7 +115,7 @@
 
     def test_no_room_waits_and_is_closed_at_the_end(self) -> None:
         standing = {0: stands(since=0.0), 1: stands()}
-        fleet = Fleet(mv.MoveTerms(2, 10.0, 20, 100.0, 0.05, 3000.0, 10), standing, {0: 0})
+        fleet = Fleet(mv.MigrationParameters(2, 10.0, 20, 100.0, 0.05, 3000.0, 10), standing, {0: 0})
         fleet.held[0].update({0: 100, 1: 5})
         while fleet.now < 8.0:
             fleet.step()
@@ -133,7 +137,7 @@
         standing = {0: stands(since=0.0), 1: stands(), 2: stands()}
         fleet = Fleet(TERMS, standing, {0: 0})
         fleet.held[0].update({0: 60})
-        ordered = [o for o in fleet.step(carry=False) if isinstance(o, mv.Move)]
+        ordered = [o for o in fleet.step(carry=False) if isinstance(o, mv.MigrateConnections)]
         for order in ordered:
             fleet.moves.moved(0, order.number)  # answered: failed
         standing[1] = stands(since=fleet.now)
@@ -147,7 +151,7 @@
         fleet.held[0].update({0: 10})
         fleet.step(lose=True)
         quiet = fleet.step(lose=True)
-        self.assertLessEqual(sum(o.count for o in quiet if isinstance(o, mv.Move)), 1)
+        self.assertLessEqual(sum(o.count for o in quiet if isinstance(o, mv.MigrateConnections)), 1)
         while fleet.total(0):
             fleet.step()
             self.assertLess(fleet.now, TERMS.grace)
@@ -169,26 +173,32 @@
         fleet.step(carry=False)
         fleet.moves.left(0)
         self.assertEqual(fleet.moves.totals(), {})
-        fleet.moves.held(0, False, {0: mv.Holding(5)})  # a word that was on its way
+        fleet.moves.held(0, False, {0: mv.HeldConnectionCounts(5)})  # a word that was on its way
         self.assertEqual(fleet.moves.totals(), {})
         fleet.moves.joined(0, 0)
-        self.assertTrue([o for o in fleet.step(carry=False) if isinstance(o, mv.Move) and o.forwarder == 0])
+        self.assertTrue(
+            [o for o in fleet.step(carry=False) if isinstance(o, mv.MigrateConnections) and o.forwarder == 0]
+        )
 
     def test_parts_of_the_arrivals_are_told_where_they_changed(self) -> None:
         fleet = Fleet(TERMS, {0: stands()}, {f: 0 for f in range(4)})
-        told = {o.forwarder: o.part for o in fleet.step() if isinstance(o, mv.Admit)}
+        told = {o.forwarder: o.part for o in fleet.step() if isinstance(o, mv.AdmitForwarder)}
         self.assertEqual(told, dict.fromkeys(range(4), 0.25))
         self.assertEqual(fleet.step(), [])
         fleet.moves.left(3)
-        told = {o.forwarder: o.part for o in fleet.moves.plan(9.0, fleet.standing) if isinstance(o, mv.Admit)}
+        told = {
+            o.forwarder: o.part
+            for o in fleet.moves.plan(9.0, fleet.standing)
+            if isinstance(o, mv.AdmitForwarder)
+        }
         self.assertEqual(set(told), {0, 1, 2})
 
     def test_rows_replace_and_vanish(self) -> None:
-        moves = mv.Moves(TERMS)
+        moves = mv.MigrationPlanner(TERMS)
         moves.joined(7, 0)
-        moves.held(7, True, {1: mv.Holding(5, 1, 2), 2: mv.Holding(3)})
-        moves.held(7, False, {1: mv.Holding(4), 2: mv.Holding(0)})
-        self.assertEqual(moves.totals(), {1: mv.Holding(4)})
+        moves.held(7, True, {1: mv.HeldConnectionCounts(5, 1, 2), 2: mv.HeldConnectionCounts(3)})
+        moves.held(7, False, {1: mv.HeldConnectionCounts(4), 2: mv.HeldConnectionCounts(0)})
+        self.assertEqual(moves.totals(), {1: mv.HeldConnectionCounts(4)})
         self.assertEqual(moves.loads(), {1: 0.2})
         moves.held(7, True, {})
         self.assertEqual(moves.totals(), {})
@@ -226,10 +236,10 @@
         before = sum(fleet.total(be) for be in standing)
         while fleet.now < 8.0 + TERMS.grace:
             for be, at in leaves.items():
-                if at <= fleet.now and standing[be].leaving_since < 0:
+                if at <= fleet.now and standing[be].draining_since < 0:
                     standing[be] = stands(be % 2, since=fleet.now)
             rooms = {
-                be: max(fleet.room(be), fleet.total(be)) for be, s in standing.items() if s.leaving_since < 0
+                be: max(fleet.room(be), fleet.total(be)) for be, s in standing.items() if s.draining_since < 0
             }
             fleet.step()
             for be, room in rooms.items():
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -4,19 +4,20 @@
 
 import unittest
 
-from cottonladder.model import interface as it
-from cottonladder.policy.controller import cut
-from cottonladder.testbed.simulated_fleet import Many, site
+from cottonladder.model.inputs import EndpointList, EndpointState, ListUpdateKind
+from cottonladder.model.weight_ring import cut
+from cottonladder.policy.controller import MOVE
+from cottonladder.testbed.simulated_fleet import SimulatedFleet, site
 
 
 class Parts(unittest.TestCase):
-    def fleet(self, workers: int, proxies: int = 1600) -> Many:
-        fleet = Many(site(proxies=proxies))
+    def fleet(self, workers: int, proxies: int = 1600) -> SimulatedFleet:
+        fleet = SimulatedFleet(site(proxies=proxies))
         listed = tuple(fleet.entry(f"s-{n:04x}", n % 4) for n in range(workers))
-        fleet.step("start", [it.Listing(it.News.CACHED, listed)])
+        fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
         return fleet
 
-    def uneven(self, fleet: Many, workers: int) -> tuple[float, float]:
+    def uneven(self, fleet: SimulatedFleet, workers: int) -> tuple[float, float]:
         """The least and the most that a worker gets, of the mean over so many."""
         load = fleet.load()
         mean = sum(load.values()) / workers
@@ -38,8 +39,8 @@
         fleet.join(range(0, 1600, 4))  # all of one zone
         fleet.run(12)
         self.assertLess(self.uneven(fleet, 50)[1], 1.2)  # 50, as the others' proxies are taken to fill theirs
-        gone = tuple(fleet.entry(f"s-{n:04x}", n % 4, it.Mode.DRAINING) for n in range(0, 120))
-        fleet.step("list", [it.Listing(it.News.DELTA, gone)])
+        gone = tuple(fleet.entry(f"s-{n:04x}", n % 4, EndpointState.DRAINING) for n in range(0, 120))
+        fleet.step("list", [EndpointList(ListUpdateKind.DELTA, gone)])
         fleet.run(12)
         load = fleet.load()
         self.assertFalse({f"s-{n:04x}".encode() for n in range(0, 120)} & load.keys())
@@ -60,7 +61,7 @@
         fleet.run(4)
         self.assertEqual({len(held.rows) for held in fleet.proxies.values()}, {1})
         more = tuple(fleet.entry(f"n-{n:04x}", n % 4) for n in range(256))
-        fleet.step("list", [it.Listing(it.News.DELTA, more)])
+        fleet.step("list", [EndpointList(ListUpdateKind.DELTA, more)])
         fleet.run(30)
         self.assertTrue(all(2 <= len(held.rows) < 20 for held in fleet.proxies.values()))
         self.assertEqual(len(fleet.load()), 260)
@@ -70,7 +71,7 @@
         ring = {n: 1.0 + n % 3 for n in range(30)}
         laid = dict.fromkeys(ring, 0.0)
         for n in range(10):
-            part = cut(ring, n / 10, n / 10 + 0.2)
+            part = cut(ring, n / 10, n / 10 + 0.2, MOVE)
             self.assertAlmostEqual(sum(part.values()), 1.0, delta=0.05)
             for i, weight in part.items():
                 laid[i] += weight / 10
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -151,14 +151,14 @@
         self.load(text, "random").call("route", b"")
         self.assertEqual(self.said, ["a?b\ufffdc"])  # one a call, nothing that breaks a line
 
-    def chain(self, *parts: tuple[str, bool]) -> chain.Chain:
+    def chain(self, *parts: tuple[str, bool]) -> chain.PluginChain:
         rows = []
         for n, (text, closed) in enumerate(parts):
             path = self.folder / f"{n}.wat"
             path.write_text(text)
             rows.append(chain.Wanted(f"p-{n}", str(path), closed))
         self.rows = rows
-        return chain.Chain(rows)
+        return chain.PluginChain(rows)
 
     def test_a_breaker_leaves_a_faulty_one_alone_and_open_or_closed_is_the_operators(self) -> None:
         c = self.chain((HOSTILE["traps"][0], False), (says("need=x"), False))
@@ -238,7 +238,7 @@
     ) -> None:
         """Only workers of the table; somebody to pick, or a refusal where operators want it; a light line (a
         cold worker's is one) never gets more than its share of the whole table."""
-        choice = hooks.narrowed(lines, labels, hooks.Wish(tuple(need), tuple(prefer)), fall_back)
+        choice = hooks.narrowed(lines, labels, hooks.RoutePreference(tuple(need), tuple(prefer)), fall_back)
         self.assertLessEqual(choice.lines.keys(), lines.keys())
         self.assertTrue(choice.lines or (not fall_back and choice.let == 0.0))
         whole, total = sum(lines.values()), sum(choice.lines.values())
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,17 +19,18 @@
 from click.testing import CliRunner
 
 from cottonladder.cli import main as cli
-from cottonladder.config.manager_config import read_placement
-from cottonladder.config.settings import WireError, read_site
+from cottonladder.config.manager_config import read_manager_config
+from cottonladder.config.settings import WireError, read_settings
 from cottonladder.control import manager
 from cottonladder.control.control_loop import Clock
-from cottonladder.model import interface as it
-from cottonladder.policy.controller import Ladder
+from cottonladder.model.inputs import EndpointList, GossipReceived, Input, ListUpdateKind, TimerFired
+from cottonladder.model.orders import Order
+from cottonladder.policy.controller import RoutingController
 from cottonladder.protocol import stream_listener as address
-from cottonladder.protocol.discovery import Discovery as WireDiscovery
-from cottonladder.protocol.gossip import Peers
+from cottonladder.protocol.discovery import DiscoveryClient as WireDiscovery
+from cottonladder.protocol.gossip import GossipSocket
 from cottonladder.protocol.resp import MESSAGE_MOST, Reader
-from cottonladder.state.proxy_sessions import Roster
+from cottonladder.state.proxy_sessions import ProxySessions
 from tests.standins import SETTINGS, Discovery, Handler, Program, Rig, entry, listing, soon
 
 
@@ -233,13 +234,13 @@
         def faulty(name: str, address: str, started: float) -> int:
             raise ZeroDivisionError
 
-        heard: asyncio.Queue[it.Input] = asyncio.Queue()
+        heard: asyncio.Queue[Input] = asyncio.Queue()
         where = ("127.0.0.1", int(self.at.split(":")[1]))
-        follower = WireDiscovery(where, read_site(SETTINGS, 1, ""), faulty, heard.put_nowait, 41)
+        follower = WireDiscovery(where, read_settings(SETTINGS, 1, ""), faulty, heard.put_nowait, 41)
         follower.follow(True)
         await self.discovery.tell(listing(42, entry("s-1")))
-        news = [cast(it.Listing, await soon(heard.get())).news for _ in range(2)]
-        self.assertEqual(news, [it.News.DELTA, it.News.FAILED])
+        news = [cast(EndpointList, await soon(heard.get())).kind for _ in range(2)]
+        self.assertEqual(news, [ListUpdateKind.DELTA, ListUpdateKind.FAILED])
         await follower.close()
 
     async def test_a_silent_watch_is_given_up(self) -> None:
@@ -305,11 +306,11 @@
         self.assertEqual(await client.hear(), "PONG")
         one.close()
         stranger.close()
-        taken: list[it.Input] = []
-        peers_of_two = Peers(0, [("127.0.0.1", 1), ("127.0.0.1", 2)], None, taken.append)
+        taken: list[Input] = []
+        peers_of_two = GossipSocket(0, [("127.0.0.1", 1), ("127.0.0.1", 2)], None, taken.append)
         for port, data in ((9, b"9"), (1, b"echo"), (2, b"\xff"), (2, b"1" * 257), (2, b"1" * 256)):
             peers_of_two.datagram_received(data, ("127.0.0.1", port))
-        self.assertEqual(taken, [it.Hint(1, "1" * 256)])
+        self.assertEqual(taken, [GossipReceived(1, "1" * 256)])
 
     async def test_strangers_do_not_use_up_what_proxies_need(self) -> None:
         program = await self.serving(limits={"memory_mb": 192, "sockets": 128})
@@ -351,25 +352,25 @@
 
     async def test_a_fault_of_the_module_is_not_swallowed(self) -> None:
         program = await self.serving()
-        placement = read_placement(str(program.folder / "config.json"))
+        placement = read_manager_config(str(program.folder / "config.json"))
         await program.stop()
 
-        class Faulty(Ladder):
-            def decide(self, now: float, inputs: Any) -> list[it.Order]:
-                if any(isinstance(item, it.Wake) for item in inputs):
+        class Faulty(RoutingController):
+            def decide(self, now: float, inputs: Any) -> list[Order]:
+                if any(isinstance(item, TimerFired) for item in inputs):
                     raise ZeroDivisionError("a fault")
                 return super().decide(now, inputs)
 
         loop = asyncio.get_running_loop()
-        with mock.patch.object(manager, "Ladder", Faulty), self.assertRaises(ZeroDivisionError):
+        with mock.patch.object(manager, "RoutingController", Faulty), self.assertRaises(ZeroDivisionError):
             await soon(manager.serve(placement, ""))
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             loop.remove_signal_handler(number)
 
     async def test_a_join_that_a_late_loop_left_unread_is_not_cut(self) -> None:
         """Between the sweep that finds someone late and the one that ends him, the loop reads what came."""
-        where = address.Address(mock.Mock(), mock.Mock(), address.Shares(8, 4, 4, 1000))
-        late = address.Connection(where)
+        where = address.StreamListener(mock.Mock(), mock.Mock(), address.ConnectionLimits(8, 4, 4, 1000))
+        late = address.ProtocolConnection(where)
         transport = mock.Mock(spec=asyncio.Transport)
         transport.get_extra_info.return_value = ("127.0.0.1", 1)
         transport.is_closing.return_value = False
@@ -398,8 +399,10 @@
         transport = mock.Mock(spec=asyncio.Transport)
         transport.is_closing.return_value = False
         transport.get_extra_info.return_value = ("127.0.0.1", 1)
-        shares = address.Shares(connections=8, accepts=4, probes=4, unread=1000)
-        connection = address.Connection(address.Address(mock.Mock(), Roster(mock.Mock()), shares))
+        shares = address.ConnectionLimits(connections=8, accepts=4, probes=4, unread=1000)
+        connection = address.ProtocolConnection(
+            address.StreamListener(mock.Mock(), ProxySessions(mock.Mock()), shares)
+        )
         connection.connection_made(transport)
         transport.get_write_buffer_size.return_value = 990
         connection.send(b"x" * 10)
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from cottonladder.cli.main import main
-from cottonladder.config.operator_config import read_operator
+from cottonladder.config.operator_config import read_operator_config
 
 FILES = Path(__file__).parent / "recorded" / "files"
 
@@ -41,5 +41,5 @@
         self.assertEqual(text.replace(f"{FILES}/", ""), (FILES / "check.txt").read_text())
 
     def test_every_key_of_the_operators_file_is_read(self) -> None:
-        read = msgspec.json.decode(msgspec.json.encode(read_operator(str(FILES / "operator.json5"))))
+        read = msgspec.json.decode(msgspec.json.encode(read_operator_config(str(FILES / "operator.json5"))))
         self.assertEqual(read, json.loads((FILES / "operator_read.json").read_text()))
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -2,7 +2,7 @@
 
 Grammar, a word group a line; `#` starts a comment.  Backends are b0, b1 .., proxies p0, p1 .., times seconds.
 
-    terms NAME=VALUE ..            replaces values of the usual terms (below); comes first
+    parameters NAME=VALUE ..       replaces usual deployment parameters (below); comes first
     T list NEWS ITEM ..            NEWS is full, delta, cached or failed; an ITEM is bN@ZONE with, if wanted,
                                    *WEIGHT, /draining or /gone, and ^STARTED (a time)
     T join pN[-pM]@ZONE RATE [kept]  a proxy, or as many, join; kept: with tables of another manager
@@ -21,7 +21,7 @@
     expect words < BYTES            the longest told to other managers
     expect waiting < LINES | expect flying < LINES (by answers alone) | expect messages pN < COUNT
     expect order NAME | expect no order NAME | expect known bN .. | expect unknown bN ..
-    expect further NAME            the only way of trying further that was ordered
+    expect retry NAME              the only retry policy that was ordered
     expect log WORDS
 """
 
@@ -32,55 +32,104 @@
 from dataclasses import replace
 from pathlib import Path
 
-from cottonladder.model import interface as it
-from cottonladder.policy.controller import Ladder
+from cottonladder.model.inputs import (
+    Acknowledged,
+    ArrivalReport,
+    Endpoint,
+    EndpointList,
+    EndpointState,
+    GossipReceived,
+    HealthCheckResult,
+    Input,
+    ListUpdateKind,
+    LoadReport,
+    ProxyConnected,
+    ProxyDisconnected,
+    SliceAssigned,
+    StoredWeight,
+    TimerFired,
+)
+from cottonladder.model.orders import (
+    BindProxy,
+    Checkpoint,
+    ExcludeWorker,
+    HealthCheck,
+    LogModeChange,
+    Order,
+    SendGossip,
+    SetAdmission,
+    SetWeight,
+    StartTimer,
+)
+from cottonladder.model.parameters import DeploymentParameters, RequestClass
+from cottonladder.policy.controller import RoutingController
 
 FOLDER = Path(__file__).parent / "scenarios"
-KINDS = (it.ReqKind(0.8, 1.0), it.ReqKind(1.0, 3.0))
-USUAL = it.Terms(
-    seed=7, managers=1, zones=2, kinds=KINDS, proxies=2, list_on_request=False, ask_within=10.0,
-    probing=False, peers=False, levels="ratio", slices=0, single_owner=False, lines_per_s=3000.0,
-    head_lines=10, waiting_most=5000.0, messages_most=0, messages_span=10.0, drain_grace=3.0, cold_share=0.2,
-    fall_multiple=3.0, avoids=False, warm_after=15.0, cross_zone_price=0.02, probe_price=0.02,
-)  # fmt: skip
+KINDS = (RequestClass(0.8, 1.0), RequestClass(1.0, 3.0))
+USUAL = DeploymentParameters(
+    seed=7,
+    manager_count=1,
+    zone_count=2,
+    request_classes=KINDS,
+    proxy_count=2,
+    watches_endpoints=False,
+    poll_within_s=10.0,
+    health_checks=False,
+    gossip=False,
+    admission_mode="ratio",
+    slice_count=0,
+    single_owner=False,
+    channel_lines_per_s=3000.0,
+    message_header_lines=10,
+    max_queued_lines=5000.0,
+    max_messages=0,
+    message_window_s=10.0,
+    drain_grace_s=3.0,
+    warm_up_start_ratio=0.2,
+    collapse_multiple=3.0,
+    proxies_eject_outliers=False,
+    warm_up_s=15.0,
+    cross_zone_cost=0.02,
+    health_check_cost=0.02,
+)
 
 
 class Player:
     """Feeds one instance and keeps what its orders amount to."""
 
     def __init__(self) -> None:
-        self.terms, self.ladder = USUAL, Ladder(USUAL)
+        self.terms, self.ladder = USUAL, RoutingController(USUAL)
         self.now, self.token, self.wake_at = 0.0, -1, -1.0
         self.tables: dict[int, dict[int, float]] = defaultdict(dict)
         self.levels: dict[tuple[int, int], float] = {}
         self.users: dict[int, int] = {}
-        self.orders: list[it.Order] = []
+        self.orders: list[Order] = []
         self.marks: list[tuple[int, int]] = []
         self.written: dict[int, list[float]] = defaultdict(list)
 
-    def feed(self, *items: it.Input) -> None:
-        joined = [i.proxy for i in items if isinstance(i, it.Joined)]
+    def feed(self, *items: Input) -> None:
+        joined = [i.proxy for i in items if isinstance(i, ProxyConnected)]
         reached: set[int] = set()
         for order in self.ladder.decide(self.now, list(items)):
             self.orders.append(order)
-            if isinstance(order, it.SetLine):
-                self.tables[order.table][order.be] = order.weight
+            if isinstance(order, SetWeight):
+                self.tables[order.table][order.worker_index] = order.weight
                 if order.weight <= 0:
-                    del self.tables[order.table][order.be]
+                    del self.tables[order.table][order.worker_index]
                 reached |= {p for p, table in self.users.items() if table == order.table}
-            elif isinstance(order, it.Level):
-                self.levels[order.table, order.kinds.bit_length() - 1] = order.let_in
+            elif isinstance(order, SetAdmission):
+                self.levels[order.table, order.class_mask.bit_length() - 1] = order.admission
                 reached |= {p for p, table in self.users.items() if table == order.table}
-            elif isinstance(order, it.Bind):
+            elif isinstance(order, BindProxy):
                 self.users.pop(order.proxy, None)
                 self.users[order.proxy] = order.table
                 reached.add(order.proxy)
-            elif isinstance(order, it.Cordon):
-                holds = {p for p, table in self.users.items() if order.be in self.tables[table]}
+            elif isinstance(order, ExcludeWorker):
+                holds = {p for p, table in self.users.items() if order.worker_index in self.tables[table]}
                 reached |= holds | (set(joined) - set(self.users))
-            elif isinstance(order, it.WakeIn):
-                self.token, self.wake_at = order.token, self.now + order.after
-            elif isinstance(order, it.Mark):
+            elif isinstance(order, StartTimer):
+                self.token, self.wake_at = order.token, self.now + order.delay_s
+            elif isinstance(order, Checkpoint):
                 self.marks += [(p, order.number) for p in sorted(reached)]
         for p in reached:
             self.written[p].append(self.now)
@@ -90,18 +139,18 @@
             self.now = self.wake_at
             if answering:
                 self.answer()
-            self.feed(it.Wake(self.token))
+            self.feed(TimerFired(self.token))
         self.now = end
 
     def answer(self) -> None:
         marks, self.marks = self.marks, []
-        self.feed(*(it.Answered(p, mark, 0.3) for p, mark in marks))
+        self.feed(*(Acknowledged(p, mark, 0.3) for p, mark in marks))
 
     def line(self, words: list[str]) -> None:
-        if words[0] == "terms":
+        if words[0] == "parameters":
             pairs = [w.split("=") for w in words[1:]]
             self.terms = replace(USUAL, **{k: type(getattr(USUAL, k))(_value(v)) for k, v in pairs})
-            self.ladder = Ladder(self.terms)
+            self.ladder = RoutingController(self.terms)
         elif words[0] == "until":
             self.until(float(words[1]), words[2:] == ["answering"])
         elif words[0] == "every":
@@ -119,35 +168,35 @@
     def input(self, verb: str, args: list[str]) -> None:
         report = {k: float(v) for k, v in (a.split("=") for a in args if "=" in a)}
         if verb == "list":
-            self.feed(it.Listing(it.News[args[0].upper()], tuple(_entry(a) for a in args[1:])))
+            self.feed(EndpointList(ListUpdateKind[args[0].upper()], tuple(_entry(a) for a in args[1:])))
         elif verb == "join":
             span, zone = args[0][1:].split("@")
             first, _, last = span.partition("-p")
             for p in range(int(first), int(last or first) + 1):
-                self.feed(it.Joined(p, int(zone), float(args[1]), "kept" not in args))
+                self.feed(ProxyConnected(p, int(zone), float(args[1]), "kept" not in args))
         elif verb == "left":
             self.users.pop(int(args[0][1:]), None)
-            self.feed(it.Left(int(args[0][1:])))
+            self.feed(ProxyDisconnected(int(args[0][1:])))
         elif verb == "answer":
             self.answer()
         elif verb == "tally":
             be, zone = args[0][1:].split("@")
             tries, erred = args[1].split("/")
             took = float(args[2]) / 1000
-            self.feed(it.Tally(int(be), int(zone), int(tries), int(erred), 1.0, took, report))
+            self.feed(LoadReport(int(be), int(zone), int(tries), int(erred), 1.0, took, report))
         elif verb == "ingress":
-            self.feed(it.Ingress(int(args[0][1:]), int(args[1]), int(args[2]), 0, 1.0))
+            self.feed(ArrivalReport(int(args[0][1:]), int(args[1]), int(args[2]), 0, 1.0))
         elif verb == "probed":
             took = 0.0 if args[1] == "lost" else float(args[1]) / 1000
-            self.feed(it.Probed(int(args[0][1:]), args[1] != "lost", took, report))
+            self.feed(HealthCheckResult(int(args[0][1:]), args[1] != "lost", took, report))
         elif verb == "given":
-            self.feed(it.Given(int(args[0]), args[1] == "on"))
+            self.feed(SliceAssigned(int(args[0]), args[1] == "on"))
         elif verb == "stored":
-            self.feed(it.Stored(int(args[0]), int(args[1][1:]), float(args[2])))
+            self.feed(StoredWeight(int(args[0]), int(args[1][1:]), float(args[2])))
         elif verb == "hint":
-            self.feed(it.Hint(1, " ".join(args)))
+            self.feed(GossipReceived(1, " ".join(args)))
         elif verb == "wake":
-            self.feed(it.Wake(int(args[0])))
+            self.feed(TimerFired(int(args[0])))
         else:
             raise ValueError(f"unknown word {verb}")
 
@@ -160,7 +209,7 @@
             table = self.tables[int(args[0])]
             return _compare(table.get(ids[0], 0.0) / max(sum(table.values()), 1e-9), args[2], args[3])
         if what in ("cordoned", "open"):
-            last = {o.be: o.on for o in self.orders if isinstance(o, it.Cordon)}
+            last = {o.worker_index: o.excluded for o in self.orders if isinstance(o, ExcludeWorker)}
             return all(last.get(i, False) == (what == "cordoned") for i in ids)
         if what == "bound":
             return [p for p in self.users if p in ids] == ids
@@ -169,26 +218,31 @@
         if what == "level":
             return _compare(self.levels.get((int(args[0]), int(args[1])), 1.0), args[2], args[3])
         if what in ("waiting", "flying"):
-            lines = getattr(self.ladder.gate, what)
+            gate = self.ladder.gate
+            lines = gate.waiting if what == "waiting" else gate.in_flight.total
             return _compare(lines, args[0], args[1]) and lines >= 0
         if what in ("demand", "others"):
             return _compare(sum(self.ladder._demand()[what == "others"]), args[0], args[1])
         if what == "words":
-            return _compare(max(len(o.text) for o in self.orders if isinstance(o, it.Tell)), args[0], args[1])
+            return _compare(
+                max(len(o.text) for o in self.orders if isinstance(o, SendGossip)), args[0], args[1]
+            )
         if what == "probes":
-            return _compare(sum(isinstance(o, it.Probe) for o in self.orders), args[0], args[1])
+            return _compare(sum(isinstance(o, HealthCheck) for o in self.orders), args[0], args[1])
         if what == "messages":
             times = self.written[ids[0]]
             worst = max((sum(t - 10.0 < u <= t for u in times) for t in times), default=0)
             return _compare(worst, args[1], args[2])
-        if what == "further":
-            return {o.further.name.lower() for o in self.orders if isinstance(o, it.Level)} == set(args)
+        if what == "retry":
+            return {o.retry_policy.name.lower() for o in self.orders if isinstance(o, SetAdmission)} == set(
+                args
+            )
         if what in ("order", "no"):
             return any(type(o).__name__ == args[-1] for o in self.orders) == (what == "order")
         if what in ("known", "unknown"):
             return all((i in self.ladder.bes) == (what == "known") for i in ids)
         if what == "log":
-            return any(isinstance(o, it.Remark) and " ".join(args) in o.text for o in self.orders)
+            return any(isinstance(o, LogModeChange) and " ".join(args) in o.message for o in self.orders)
         raise ValueError(f"unknown word {what}")
 
 
@@ -200,13 +254,13 @@
     return value < float(bound) if sign == "<" else value > float(bound)
 
 
-def _entry(text: str) -> it.Entry:
+def _entry(text: str) -> Endpoint:
     text, _, started = text.partition("^")
     text, _, mode = text.partition("/")
     text, _, weight = text.partition("*")
     be, zone = text[1:].split("@")
-    state = it.Mode[mode.upper()] if mode else it.Mode.READY
-    return it.Entry(int(be), int(zone), state, float(weight or 1), float(started or 0))
+    state = EndpointState[mode.upper()] if mode else EndpointState.READY
+    return Endpoint(int(be), int(zone), state, float(weight or 1), float(started or 0))
 
 
 def play(path: Path) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,15 +13,34 @@
 from tempfile import TemporaryDirectory
 from typing import Any, cast
 
-from cottonladder.config.manager_config import read_placement
-from cottonladder.config.settings import WireError, read_site
-from cottonladder.model import interface as it
-from cottonladder.policy.controller import Ladder
+from cottonladder.config.manager_config import read_manager_config
+from cottonladder.config.settings import WireError, read_settings
+from cottonladder.model.inputs import (
+    Acknowledged,
+    ArrivalReport,
+    EndpointList,
+    GossipReceived,
+    Input,
+    ListUpdateKind,
+    LoadReport,
+    ProxyConnected,
+    ProxyDisconnected,
+    TimerFired,
+)
+from cottonladder.model.orders import (
+    Checkpoint,
+    HealthCheck,
+    LogModeChange,
+    SendGossip,
+    StartTimer,
+    WatchEndpoints,
+)
+from cottonladder.policy.controller import RoutingController
 from cottonladder.protocol.discovery import read_list
 from cottonladder.protocol.messages import MessageReader
 from cottonladder.protocol.resp import MESSAGE_MOST, Reader
-from cottonladder.state.order_dispatcher import Spread
-from cottonladder.state.worker_registry import Workers
+from cottonladder.state.order_dispatcher import OrderDispatcher
+from cottonladder.state.worker_registry import WorkerRegistry
 from tests.standins import Program, Rig, soon
 
 RECORDED = (Path(__file__).parent / "recorded" / "morning.txt").read_text()
@@ -38,27 +57,29 @@
         settings = json.loads(head.removeprefix("settings "))
         for part, values in changes.items():
             settings[part] = {**settings[part], **values} if isinstance(values, dict) else values
-        self.site = read_site(settings, 7, "settings")
-        self.workers = Workers()
+        self.site = read_settings(settings, 7, "settings")
+        self.workers = WorkerRegistry()
         self.messages = MessageReader(self.site, self.workers.find)
-        self.ladder = Ladder(self.site.terms)
-        self.spread = Spread(list(self.site.kinds), self.site.terms.managers, self.workers)
+        self.ladder = RoutingController(self.site.parameters)
+        self.spread = OrderDispatcher(
+            list(self.site.classes), self.site.parameters.manager_count, self.workers
+        )
         self.ladder.gate.added = self.spread.added
         self.lines, self.said = lines, list[str]()
         self.due: tuple[float, int] = (BEGAN, 0)
-        self.marks: list[it.Input] = []
+        self.marks: list[Input] = []
 
-    def input(self, verb: str, words: str) -> it.Input:
+    def input(self, verb: str, words: str) -> Input:
         if verb == "list":
             listing = read_list(json.loads(words), self.site, self.workers.learn, "list")[1]
             first = not self.ladder.listed
-            return it.Listing(it.News.CACHED, listing.entries) if first else listing
+            return EndpointList(ListUpdateKind.CACHED, listing.endpoints) if first else listing
         if verb == "leave":
-            return it.Left(int(words))
+            return ProxyDisconnected(int(words))
         if verb == "peer":
-            return it.Hint(1, words)
+            return GossipReceived(1, words)
         _, _, message = words.partition(" ") if verb == "stream" else ("", "", words)
-        return cast(it.Input, self.messages.read(message.encode().split()))
+        return cast(Input, self.messages.read(message.encode().split()))
 
     def steps(self) -> Iterator[None]:
         """An input a step, with the wakes that are due before it."""
@@ -68,28 +89,28 @@
             while self.due[0] <= now:
                 when, token = self.due
                 marks, self.marks = self.marks, []
-                self.feed(when, [it.Wake(token), *marks])
+                self.feed(when, [TimerFired(token), *marks])
             self.feed(now, [self.input(verb, words)])
             yield
 
-    def feed(self, now: float, inputs: list[it.Input]) -> None:
+    def feed(self, now: float, inputs: list[Input]) -> None:
         self.spread.hear(inputs)
         orders = self.ladder.decide(now, inputs)
         for order in orders:
-            if isinstance(order, it.WakeIn):
-                self.due = (now + order.after, order.token)
-            elif isinstance(order, (it.Remark, it.Tell)):
+            if isinstance(order, StartTimer):
+                self.due = (now + order.delay_s, order.token)
+            elif isinstance(order, (LogModeChange, SendGossip)):
                 self.said.append(f"{now:.2f} {order}")
-            elif not isinstance(order, (it.Follow, it.Probe)):
+            elif not isinstance(order, (WatchEndpoints, HealthCheck)):
                 assert self.spread.take(order) == "", order
-        if any(isinstance(order, it.Mark) for order in orders):
+        if any(isinstance(order, Checkpoint) for order in orders):
             self.ladder.gate.settle(self.spread.lines())
         for proxy, data in self.spread.messages():
             for words in Reader(MESSAGE_MOST).feed(data):
                 said = b" ".join(words).decode()
                 self.said.append(f"{now:.2f} to {proxy}: {said}")
                 if "stamp " in said:
-                    self.marks.append(it.Answered(proxy, int(said.split("stamp ")[1].split()[0]), 0.2))
+                    self.marks.append(Acknowledged(proxy, int(said.split("stamp ")[1].split()[0]), 0.2))
 
     def played(self) -> list[str]:
         for _ in self.steps():
@@ -167,17 +188,17 @@
                 (folder / "config.json").write_text(json.dumps(body))
                 with self.subTest(place=place, value=value):
                     try:
-                        placement = read_placement(str(folder / "config.json"))
+                        placement = read_manager_config(str(folder / "config.json"))
                     except WireError as exc:
                         self.assertNotIn("\n", str(exc))
                         self.assertRegex(str(exc), "field|not JSON|object|zone|address|unknown")
                         continue
-                    ladder = Ladder(placement.site.terms)
-                    ladder.decide(1000.0, [placement.known, it.Joined(0, 0, 10.0, True)])
-                    heard: list[it.Input] = [it.Tally(0, 0, 20, 1, 1.0, 0.1, {})]
-                    heard.append(it.Ingress(0, 0, 20, 0, 1.0))
+                    ladder = RoutingController(placement.site.parameters)
+                    ladder.decide(1000.0, [placement.known, ProxyConnected(0, 0, 10.0, True)])
+                    heard: list[Input] = [LoadReport(0, 0, 20, 1, 1.0, 0.1, {})]
+                    heard.append(ArrivalReport(0, 0, 20, 0, 1.0))
                     for n in range(40):
-                        ladder.decide(1000.25 + 0.25 * n, [it.Wake(n + 1), *heard])
+                        ladder.decide(1000.25 + 0.25 * n, [TimerFired(n + 1), *heard])
 
     async def test_the_program_says_which_field(self) -> None:
         for part, name, value in (
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -17,18 +17,48 @@
 from dataclasses import replace
 from pathlib import Path
 
-from cottonladder.model import interface as it
-from cottonladder.policy.controller import Ladder
+from cottonladder.model.inputs import (
+    Acknowledged,
+    ArrivalReport,
+    Endpoint,
+    EndpointList,
+    EndpointState,
+    HealthCheckResult,
+    Input,
+    ListUpdateKind,
+    LoadReport,
+    ProxyConnected,
+    ProxyDisconnected,
+    TimerFired,
+)
+from cottonladder.model.orders import (
+    ALL_TABLES,
+    BindProxy,
+    Checkpoint,
+    ClearTable,
+    ExcludeWorker,
+    HealthCheck,
+    LogModeChange,
+    Order,
+    RemoveWorker,
+    RetryPolicy,
+    SendGossip,
+    SetAdmission,
+    SetWeight,
+    StartTimer,
+    WatchEndpoints,
+)
+from cottonladder.policy.controller import RoutingController
 from cottonladder.protocol.resp import MESSAGE_MOST, Reader
-from cottonladder.state.order_dispatcher import Spread
-from cottonladder.state.worker_registry import Workers
+from cottonladder.state.order_dispatcher import OrderDispatcher
+from cottonladder.state.worker_registry import WorkerRegistry
 from tests.test_scenarios import USUAL
 
 
 class Player:
     def __init__(self) -> None:
-        self.kinds, self.managers, self.workers = ["fetch"], 1, Workers()
-        self.spread: Spread | None = None
+        self.kinds, self.managers, self.workers = ["fetch"], 1, WorkerRegistry()
+        self.spread: OrderDispatcher | None = None
         self.seen: dict[int, int] = {}
         self.sent: dict[int, bytes] = {}
 
@@ -42,7 +72,7 @@
             for arg in args:
                 name, _, started = arg.partition("^")
                 self.workers.learn(name, "", float(started or 0))
-            self.spread = self.spread or Spread(self.kinds, self.managers, self.workers)
+            self.spread = self.spread or OrderDispatcher(self.kinds, self.managers, self.workers)
         elif self.spread is None:
             raise ValueError("nobody is listed yet")
         elif verb == "join":
@@ -69,24 +99,24 @@
         else:
             expect(self.spread.take(self.order(verb, args)), "")
 
-    def order(self, verb: str, args: list[str]) -> it.Order:
+    def order(self, verb: str, args: list[str]) -> Order:
         if verb == "line":
-            return it.SetLine(int(args[0]), int(args[1][1:]), float(args[2]))
+            return SetWeight(int(args[0]), int(args[1][1:]), float(args[2]))
         if verb == "empty":
-            return it.Empty(int(args[0]))
+            return ClearTable(int(args[0]))
         if verb == "bind":
             kinds = 0 if args[2] == "all" else 1 << self.kinds.index(args[2])
-            return it.Bind(int(args[0][1:]), int(args[1]), kinds)
+            return BindProxy(int(args[0][1:]), int(args[1]), kinds)
         if verb in ("cordon", "uncordon"):
-            return it.Cordon(int(args[0][1:]), verb == "cordon")
+            return ExcludeWorker(int(args[0][1:]), verb == "cordon")
         if verb == "level":
-            table = it.ALL_TABLES if args[0] == "all" else int(args[0])
-            further = it.Further(int(args[3]))
-            return it.Level(table, float(args[2]), 1 << self.kinds.index(args[1]), further)
+            table = ALL_TABLES if args[0] == "all" else int(args[0])
+            further = RetryPolicy(int(args[3]))
+            return SetAdmission(table, float(args[2]), 1 << self.kinds.index(args[1]), further)
         if verb == "forget":
-            return it.Forget(int(args[0][1:]))
+            return RemoveWorker(int(args[0][1:]))
         if verb == "mark":
-            return it.Mark(int(args[0]), args[1:] == ["everyone"])
+            return Checkpoint(int(args[0]), args[1:] == ["everyone"])
         raise ValueError(f"unknown word {verb}")
 
 
@@ -121,51 +151,66 @@
 
     def __init__(self, seed: int, managers: int) -> None:
         self.draw = random.Random(seed)
-        terms = replace(USUAL, seed=seed, managers=managers, zones=3, proxies=12, probing=True, avoids=True)
-        self.ladder, self.workers, self.managers = Ladder(terms), Workers(), managers
-        self.spread = Spread(["fetch", "release"], managers, self.workers)
+        terms = replace(
+            USUAL,
+            seed=seed,
+            manager_count=managers,
+            zone_count=3,
+            proxy_count=12,
+            health_checks=True,
+            proxies_eject_outliers=True,
+        )
+        self.ladder, self.workers, self.managers = RoutingController(terms), WorkerRegistry(), managers
+        self.spread = OrderDispatcher(["fetch", "release"], managers, self.workers)
         self.now, self.token, self.holders = 1e9, 0, dict[int, Holder]()
 
-    def entry(self, n: int) -> it.Entry:
+    def entry(self, n: int) -> Endpoint:
         started = self.draw.choice([0.0, 0.0, self.now - 5.0])
-        mode = self.draw.choice([it.Mode.READY] * 4 + [it.Mode.DRAINING, it.Mode.GONE])
-        return it.Entry(self.workers.learn(f"s-{n}", "", started), n % 3, mode, 1.0, started)
+        mode = self.draw.choice([EndpointState.READY] * 4 + [EndpointState.DRAINING, EndpointState.GONE])
+        return Endpoint(self.workers.learn(f"s-{n}", "", started), n % 3, mode, 1.0, started)
 
-    def listing(self, news: it.News) -> it.Listing:
+    def listing(self, news: ListUpdateKind) -> EndpointList:
         names = [self.draw.randrange(14) for _ in range(self.draw.choice([1, 14]))]
-        return it.Listing(news, tuple(self.entry(n) for n in names))
+        return EndpointList(news, tuple(self.entry(n) for n in names))
 
-    def join(self, p: int) -> list[it.Input]:
-        fresh, left = self.draw.random() < 0.5 or p not in self.holders, it.Left(p)
+    def join(self, p: int) -> list[Input]:
+        fresh, left = self.draw.random() < 0.5 or p not in self.holders, ProxyDisconnected(p)
         holder = Holder() if fresh else self.holders[p]
         holder.waiting = holder.waiting[: self.draw.randrange(3)]  # the rest is lost with the stream
         holder.arrive()
         if self.managers > 1 and not fresh:
             restarted = [i for i in self.workers.ids if self.workers.restarted(i)]
             holder.out |= {self.workers.ids[i] for i in self.draw.sample(restarted, min(3, len(restarted)))}
-        again: list[it.Input] = [left] if p in self.holders else []
+        again: list[Input] = [left] if p in self.holders else []
         self.holders[p] = holder
-        return [*again, it.Joined(p, p % 3, 10.0, fresh)]
+        return [*again, ProxyConnected(p, p % 3, 10.0, fresh)]
 
-    def inputs(self) -> list[it.Input]:
+    def inputs(self) -> list[Input]:
         n, be = self.draw.randrange(30), self.draw.randrange(max(self.workers.ids) + 1)
         drawn = self.draw.randrange(6)
         if drawn == 0:
             return self.join(self.draw.randrange(12))
         if drawn == 1:
-            return [self.listing(self.draw.choice([it.News.DELTA, it.News.FULL, it.News.FAILED]))]
+            return [
+                self.listing(
+                    self.draw.choice([ListUpdateKind.DELTA, ListUpdateKind.FULL, ListUpdateKind.FAILED])
+                )
+            ]
         if drawn == 2:
-            return [it.Tally(be, n % 3, n, self.draw.randint(0, n), 1.0, self.draw.choice([0.1, 3.0]), {})]
+            return [LoadReport(be, n % 3, n, self.draw.randint(0, n), 1.0, self.draw.choice([0.1, 3.0]), {})]
         if drawn == 3:
-            return [it.Probed(be, n > 10, 0.1, {"inflight": float(n)})]
-        return [it.Answered(n % 12, self.draw.randrange(300), 0.2), it.Ingress(n % 12, n % 2, n, 0, 2.0)]
+            return [HealthCheckResult(be, n > 10, 0.1, {"inflight": float(n)})]
+        return [
+            Acknowledged(n % 12, self.draw.randrange(300), 0.2),
+            ArrivalReport(n % 12, n % 2, n, 0, 2.0),
+        ]
 
-    def step(self, inputs: list[it.Input]) -> None:
+    def step(self, inputs: list[Input]) -> None:
         self.spread.hear(inputs)
         for order in self.ladder.decide(self.now, inputs):
-            if isinstance(order, it.WakeIn):
+            if isinstance(order, StartTimer):
                 self.token = order.token
-            elif not isinstance(order, (it.Follow, it.Probe, it.Tell, it.Remark)):
+            elif not isinstance(order, (WatchEndpoints, HealthCheck, SendGossip, LogModeChange)):
                 expect(self.spread.take(order), "")
         for p, data in self.spread.messages():
             self.holders[p].waiting.append(data)
@@ -187,22 +232,22 @@
     def test_proxies_hold_what_the_module_takes_them_to(self) -> None:
         for seed in range(8):
             walk = Walk(seed, 1 + seed % 2)
-            walk.step([walk.listing(it.News.CACHED)])
+            walk.step([walk.listing(ListUpdateKind.CACHED)])
             for n in range(400):
                 walk.now += walk.draw.choice([0.01, 0.25, 0.25, 2.0])
-                walk.step([*walk.inputs(), *([it.Wake(walk.token)] if n % 2 else [])])
+                walk.step([*walk.inputs(), *([TimerFired(walk.token)] if n % 2 else [])])
                 if n % 10 == 0:
                     with self.subTest(seed=seed, step=n):
                         walk.agree()
 
     def test_a_table_beyond_one_part(self) -> None:
         """All its lines arrive, in parts that the protocol takes; the last says that none follows."""
-        workers = Workers()
-        spread = Spread(["fetch"], 1, workers)
+        workers = WorkerRegistry()
+        spread = OrderDispatcher(["fetch"], 1, workers)
         spread.joined(0, True)
         for n in range(50_000):
-            spread.take(it.SetLine(1, workers.learn(f"s-{n:040}", "", 0.0), 1.5))
-        spread.take(it.Bind(0, 1, 0))
+            spread.take(SetWeight(1, workers.learn(f"s-{n:040}", "", 0.0), 1.5))
+        spread.take(BindProxy(0, 1, 0))
         ((_, data),) = spread.messages()
         parts = list(Reader(MESSAGE_MOST).feed(data))
         self.assertEqual(sum(part[part.index(b"rows") + 1].count(b":") for part in parts), 50_000)
