--- /dev/null
+++ b/tests/cli/test_command_output.py
@@ -0,0 +1,254 @@
+"""What each command prints and its status, as recorded in `tests/recorded/cli/`; scripts may read both.
+
+`help.txt` has `--help` of every command, `output.txt` what those print that run without a network, and
+`schema.json` the schema of the operators' file less the titles and descriptions in it.  `version` is left
+out, as it tells what is installed.  After a change that is meant to alter them,
+`python -m tests.cli.test_command_output` writes the files anew.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import json
+import shutil
+import socket
+import tempfile
+import threading
+import unittest
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+import click
+import structlog
+from click.testing import CliRunner
+
+from cottonladder.cli.main import main
+
+ROOT = Path(__file__).parents[2]
+RECORDED = ROOT / "tests" / "recorded" / "cli"
+FILES = ROOT / "tests" / "recorded" / "files"
+EXAMPLE_PLUGIN = ROOT / "deploy" / "plugins" / "audit-trail.wat"
+ENVIRONMENT = {"COLUMNS": "80", "ROUTER_CONFIG": "", "ROUTER_OPERATOR": ""}
+NOW = 1_800_000_000.0  # s of the system's time, against which ages are told
+TRAPPING_PLUGIN = """(module (memory (export "memory") 1 4)
+  (func (export "interface") (result i32) (i32.const 1))
+  (func (export "input") (result i32) (i32.const 1024))
+  (func (export "capacity") (result i32) (i32.const 8192))
+  (func (export "route") (param i32) (result i64) (unreachable)))"""
+RECORDED_REQUESTS = (
+    {"method": "POST", "path": "/release", "kind": "release", "headers": {"X-Matter": "42"}},
+    {"method": "GET", "path": "/cases/7", "headers": {}},
+)
+FORWARDER = {
+    "listen": "127.0.0.1:0",
+    "managers": ["127.0.0.1:1"],
+    "discovery": "127.0.0.1:2",
+    "node": 0,
+    "zone": "a",
+    "zones": ["a"],
+    "kinds": [{"name": "fetch", "replays": "replayable"}],
+}
+TASK_ROWS = (
+    {"task": "snapshot", "runs": 3, "late_ms": 0.5},
+    {"task": "advice", "runs": 12, "late_ms": 1},
+)
+
+
+def commands(group: click.Group, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
+    """The words of every command and group, the program itself first."""
+    yield path
+    context = click.Context(group)
+    for name in sorted(group.list_commands(context)):
+        command = group.get_command(context, name)
+        if isinstance(command, click.Group):
+            yield from commands(command, (*path, name))
+        else:
+            yield *path, name
+
+
+class Recorder:
+    """Runs commands in a folder of its own, and writes down each with its status and what it printed."""
+
+    def __init__(self) -> None:
+        self.records: list[str] = []
+
+    def run(self, *arguments: str) -> None:
+        runner = CliRunner(env=ENVIRONMENT)
+        with mock.patch("time.time", return_value=NOW):
+            result = runner.invoke(main, list(arguments), prog_name="cottonladder")
+        lines = [f"$ cottonladder {' '.join(arguments)}", f"status {result.exit_code}"]
+        lines += [f"out: {line}".rstrip() for line in result.stdout.splitlines()]
+        lines += [f"err: {line}".rstrip() for line in result.stderr.splitlines()]
+        self.records.append("\n".join(lines) + "\n")
+
+    def run_all(self) -> str:
+        with tempfile.TemporaryDirectory() as folder, contextlib.chdir(folder):
+            self.run_check()
+            self.run_starts_that_fail()
+            self.run_memory()
+            self.run_plugin()
+            self.run_plugin_list()
+            self.run_tasks()
+            self.run_addresses()
+        return "\n".join(self.records)
+
+    def run_check(self) -> None:
+        manager = Path("manager.json")
+        shutil.copy(FILES / "manager.json", manager)
+        shutil.copy(FILES / "operator.json5", "operator.json5")
+        Path("moved.json").write_text(manager.read_text().replace("127.0.0.1:3000", "127.0.0.1:3009"))
+        Path("empty.json5").write_text("{}")
+        Path("unknown.json5").write_text("{unknown: 1}")
+        Path("no.json").write_text("{")
+        Path("lacking.json").write_text("{}")
+        self.run("check")
+        self.run("check", "--config", "manager.json")
+        self.run("check", "--config", "manager.json", "--running", "manager.json")
+        self.run("check", "--config", "manager.json", "--running", "moved.json")
+        self.run("check", "--config", "manager.json", "--operator", "operator.json5")
+        for operator in ("operator.json5", "empty.json5", "unknown.json5", "none.json5"):
+            self.run("check", "--operator", operator)
+        for config in ("no.json", "lacking.json", "none.json"):
+            self.run("check", "--config", config)
+
+    def run_starts_that_fail(self) -> None:
+        self.run("serve")
+        self.run("serve", "--config", "none.json")
+        self.run("serve", "--config", "manager.json", "--operator", "unknown.json5")
+        self.run("forward")
+        self.run("forward", "--config", "empty.json5")
+        self.run("forward", "--config", "none.json5")
+        self.run("demo", "--desks", "0")
+        self.run("unknown")
+
+    def run_memory(self) -> None:
+        for name in ("manager", "forwarder", "format_1"):
+            shutil.copytree(FILES / name, name)
+            self.run("memory", "show", name)
+            self.run("memory", "show", name, "--json")
+            self.run("memory", "verify", name)
+            self.run("memory", "export", name)
+        self.run("memory", "export", "manager", "--generation", "999")
+        self.run("memory", "forget", "manager", "--worker", "nobody")
+        self.run("memory", "forget", "manager", "--worker", "s-1")
+        self.run("memory", "show", "manager")
+        newest = Path("manager", "state-3.clm")
+        newest.write_bytes(newest.read_bytes()[:-1])
+        self.run("memory", "verify", "manager")
+        self.run("memory", "show", "manager")
+        self.run("memory", "show", "manager", "--json")
+        self.run("memory", "compact", "manager")
+        Path("empty").mkdir()
+        for command in ("show", "verify", "export", "compact"):
+            self.run("memory", command, "empty")
+        self.run("memory", "forget", "empty", "--worker", "s-1")
+        self.run("memory", "show", "none")
+
+    def run_plugin(self) -> None:
+        shutil.copy(EXAMPLE_PLUGIN, "example.wat")
+        Path("trapping.wat").write_text(TRAPPING_PLUGIN)
+        Path("broken.wat").write_text("(module")
+        Path("requests.jsonl").write_text("".join(json.dumps(row) + "\n" for row in RECORDED_REQUESTS))
+        Path("no_path.jsonl").write_text('{"method": "GET"}')
+        for plugin in ("example.wat", "trapping.wat", "broken.wat"):
+            self.run("plugin", "check", plugin)
+            self.run("plugin", "run", plugin, "requests.jsonl")
+            self.run("plugin", "run", plugin, "requests.jsonl", "--json")
+        self.run("plugin", "check", "example.wat", "--grant", "random")
+        self.run("plugin", "check", "example.wat", "--grant", "clock")
+        self.run("plugin", "run", "example.wat", "no.json")
+        self.run("plugin", "run", "example.wat", "no_path.jsonl")
+        self.run("plugin", "bench", "broken.wat")
+        self.run("plugin", "bench", "example.wat", "--calls", "1")
+
+    def run_plugin_list(self) -> None:
+        for plugin in ("example.wat", "broken.wat"):
+            chain = [{"name": "audit", "path": plugin}]
+            body = {"forwarder": {**FORWARDER, "plugins": {"chain": chain}}}
+            Path("listing.json5").write_text(json.dumps(body))
+            self.run("plugin", "list", "listing.json5")
+            self.run("plugin", "list", "listing.json5", "--json")
+        self.run("plugin", "list", "empty.json5")
+        self.run("plugin", "list", "unknown.json5")
+
+    def run_tasks(self) -> None:
+        """Against a local socket that answers as a running process does, and as none should."""
+        rows = json.dumps(TASK_ROWS).encode() + b"\n"
+        with socket.socket(socket.AF_UNIX) as listener:
+            listener.bind("socket")
+            listener.listen()
+            for answer in (rows, b"[]\n", b"no rows\n", b""):
+                for options in ((), ("--json",)):
+                    answering = threading.Thread(target=self.answer_once, args=(listener, answer))
+                    answering.start()
+                    self.run("tasks", "socket", *options)
+                    answering.join()
+        self.run("tasks", "socket")
+        self.run("tasks", "none")
+
+    @staticmethod
+    def answer_once(listener: socket.socket, answer: bytes) -> None:
+        connection, _ = listener.accept()
+        with connection:
+            connection.recv(64)
+            connection.sendall(answer)
+
+    def run_addresses(self) -> None:
+        """What is no address is told before anything is dialled."""
+        self.run("ping", "nowhere")
+        self.run("ping")
+        self.run("advice", "show", "nowhere")
+        self.run("advice", "show", "nowhere", "--protocol", "dfp", "--json")
+        self.run("advice", "show", "127.0.0.1:1", "--protocol", "other")
+        self.run("advice", "probe", "nowhere")
+
+
+def help_texts() -> str:
+    texts = []
+    for words in commands(main):
+        arguments = [*words, "--help"]
+        result = CliRunner(env=ENVIRONMENT).invoke(main, arguments, prog_name="cottonladder")
+        texts.append(f"$ cottonladder {' '.join(arguments)}\nstatus {result.exit_code}\n{result.output}")
+    return "\n".join(texts)
+
+
+def resolved(part: Any, definitions: dict[str, Any]) -> Any:
+    """A schema with its references replaced by what they mean, and without titles and descriptions."""
+    if isinstance(part, list):
+        return [resolved(item, definitions) for item in part]
+    if not isinstance(part, dict):
+        return part
+    if "$ref" in part:
+        return resolved(definitions[part["$ref"].rpartition("/")[2]], definitions)
+    kept = part.keys() - {"$defs", "title", "description"}
+    return {key: resolved(part[key], definitions) for key in sorted(kept)}
+
+
+def schema() -> Any:
+    printed = json.loads(CliRunner().invoke(main, ["schema"]).output)
+    return resolved(printed, printed["$defs"])
+
+
+class CommandOutput(unittest.TestCase):
+    maxDiff = None
+
+    def setUp(self) -> None:
+        self.addCleanup(structlog.reset_defaults)  # commands that serve configure it for their own output
+
+    def test_help_of_every_command(self) -> None:
+        self.assertEqual(help_texts(), (RECORDED / "help.txt").read_text())
+
+    def test_output_and_status_of_commands_without_network(self) -> None:
+        self.assertEqual(Recorder().run_all(), (RECORDED / "output.txt").read_text())
+
+    def test_schema_of_the_operators_file(self) -> None:
+        self.assertEqual(schema(), json.loads((RECORDED / "schema.json").read_text()))
+
+
+if __name__ == "__main__":
+    RECORDED.mkdir(exist_ok=True)
+    (RECORDED / "help.txt").write_text(help_texts())
+    (RECORDED / "output.txt").write_text(Recorder().run_all())
+    (RECORDED / "schema.json").write_text(json.dumps(schema(), indent=1) + "\n")
