--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -1,4 +1,4 @@
-"""`advice show` and `advice probe`: one connection to an advisor, a few messages, a table or JSON."""
+"""`advice`: what an advisor says of its members, and whether it speaks its protocol at all."""
 
 from __future__ import annotations
 
@@ -6,152 +6,101 @@
 import json
 import time
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
-from ipaddress import IPv4Address
-from typing import TypeVar
+from dataclasses import asdict
 
 import click
 
 from ..config.settings import WireError, address
-from ..weight_advice import dfp, sasp
-from ..weight_advice.tlv import AdviceError, address_of
-
-WAIT = 5.0  # s for the whole of it
-UID = b"cottonladder-show"
-T = TypeVar("T")
-
-
-@dataclass(frozen=True, slots=True)
-class Row:
-    label: str
-    place: str
-    weight: int
-    flags: str
-
-
-def member(text: str) -> sasp.Member:
-    """`[LABEL@]HOST:PORT`."""
-    label, _, place = text.rpartition("@")
-    host, port = address({"member": place}, "member", "--member")
-    found = address_of(host.strip("[]"))
-    if found is None:
-        raise WireError(f"--member: {host} is no literal address")
-    return sasp.Member(6, port, found, label.encode())
-
-
-async def _sasp(host: str, port: int, members: tuple[str, ...]) -> list[Row]:
-    reader, writer = await asyncio.open_connection(host, port)
-    come, number = sasp.Reader(), 0
-
-    async def ask(kind: int, **fields: object) -> sasp.Message:
-        nonlocal number
-        number += 1
-        writer.write(sasp.write(sasp.Message(kind, number, **fields)))  # type: ignore[arg-type]
-        while True:
-            data = await reader.read(65_536)
-            if not data:
-                raise AdviceError("ended before its answer")
-            for m in come.feed(data):
-                if m.number == number and m.kind == sasp.REPLIES[kind]:
-                    if m.code != sasp.OK:
-                        raise AdviceError(f"refused: {sasp.WORDS.get(m.code, hex(m.code))}")
-                    return m
+from ..weight_advice.query import MemberWeight, query_dfp, query_sasp
+from .errors import CommandError
+from .options import AS_JSON
+from .output import print_table
 
-    try:
-        group = sasp.Group(UID, b"shown")
-        await ask(sasp.SET_BALANCER, uid=UID, health=0x7F)
-        if not members:
-            return []
-        rows = tuple(member(text) for text in members)
-        await ask(sasp.REGISTER, flags=sasp.BY_BALANCER, groups=(sasp.Grouped(group, rows),))
-        reply = await ask(sasp.GET_WEIGHTS, groups=(group,))
-        out: list[Row] = []
-        for g in reply.groups:
-            for e in g.entries if isinstance(g, sasp.Grouped) else ():
-                assert isinstance(e, sasp.Weight)
-                names = {
-                    sasp.CONTACT: "contact", sasp.QUIESCED: "quiesced", sasp.BY_MEMBER: "by itself",
-                    sasp.CONFIDENT: "confident",
-                }  # fmt: skip
-                flags = ", ".join(name for bit, name in names.items() if e.flags & bit)
-                place = f"{e.member.address}:{e.member.port}"
-                out.append(Row(e.member.label.decode(errors="replace"), place, e.weight, flags))
-        return out
-    finally:
-        writer.close()
-
-
-async def _dfp(host: str, port: int, once: bool) -> list[Row]:
-    reader, writer = await asyncio.open_connection(host, port)
-    try:
-        writer.write(dfp.write(dfp.Message(dfp.PARAMETERS, keep_alive=1)))
-        writer.write(dfp.write(dfp.Message(dfp.BIND_REQUEST)))
-        come = dfp.Reader()
-        while True:
-            data = await reader.read(65_536)
-            if not data:
-                raise AdviceError("ended before its answer")
-            for m in come.feed(data):
-                if m.kind == dfp.PREFERENCE:
-                    hosts: list[tuple[IPv4Address, int, int, int]] = [
-                        (h.address, load.port, h.bind, h.weight) for load in m.loads for h in load.hosts
-                    ]
-                    return [Row("", f"{a}:{p}", weight, f"BindID {bind}") for a, p, bind, weight in hosts]
-                if once:
-                    return []
-    finally:
-        writer.close()
-
-
-def _run(where: str, call: Callable[[str, int], Awaitable[T]]) -> T | str:
-    """What the call gives, or one line that says why it gave nothing."""
-
-    async def bounded() -> T:
-        host, port = address({"where": where}, "where", "advice")
-        async with asyncio.timeout(WAIT):
-            return await call(host, port)
+QUERY_TIMEOUT_S = 5.0  # for the whole exchange
+MILLISECONDS_PER_S = 1000.0
+COLUMNS = ("label", "member", "weight", "flags")
+HOST_PORT = click.argument("host_port", metavar="HOST:PORT")
+PROTOCOL = click.option("--protocol", type=click.Choice(["sasp", "dfp"]), default="sasp", show_default=True)
+MEMBERS = click.option(
+    "--member", "members", multiple=True, metavar="[LABEL@]HOST:PORT", help="For SASP: whom to ask about."
+)
+Query = Callable[[str, int], Awaitable[list[MemberWeight]]]
 
-    try:
-        return asyncio.run(bounded())
-    except TimeoutError:
-        return f"no answer within {WAIT:g} s"
-    except (OSError, WireError) as exc:
-        return str(exc) or type(exc).__name__
+
+class NoAnswer(Exception):
+    """An advisor gave nothing that can be read; the reason is one line."""
 
 
-def show(where: str, protocol: str, members: tuple[str, ...], as_json: bool) -> int:
-    async def call(host: str, port: int) -> list[Row]:
-        return await (_sasp(host, port, members) if protocol == "sasp" else _dfp(host, port, False))
+@click.group()
+def advice() -> None:
+    """Ask an advisor for its weights, or whether it answers at all."""
 
-    rows = _run(where, call)
-    if isinstance(rows, str):
-        click.echo(f"{where}: {rows}", err=True)
-        return 1
+
+@advice.command()
+@HOST_PORT
+@PROTOCOL
+@MEMBERS
+@AS_JSON
+def show(host_port: str, protocol: str, members: tuple[str, ...], as_json: bool) -> None:
+    """Show an advisor's weights; status 1 if it gives nothing that can be read."""
+
+    async def query(host: str, port: int) -> list[MemberWeight]:
+        if protocol == "dfp":
+            return await query_dfp(host, port)
+        return await query_sasp(host, port, members)
+
+    try:
+        weights = _run(host_port, query)
+    except NoAnswer as exc:
+        raise CommandError(f"{host_port}: {exc}") from exc
     if as_json:
-        click.echo(json.dumps([{name: getattr(row, name) for name in Row.__slots__} for row in rows]))
-        return 0
-    table = [
-        ("label", "member", "weight", "flags"),
-        *((r.label, r.place, str(r.weight), r.flags) for r in rows),
-    ]
-    widths = [max(len(row[n]) for row in table) for n in range(4)]
-    for line in table:
-        click.echo("  ".join(word.ljust(width) for word, width in zip(line, widths, strict=True)).rstrip())
-    return 0
-
-
-def probe(where: str, protocol: str, as_json: bool) -> int:
-    begun = time.monotonic()
-
-    async def call(host: str, port: int) -> list[Row]:
-        return await (_sasp(host, port, ()) if protocol == "sasp" else _dfp(host, port, True))
-
-    said = _run(where, call)
-    ms = round((time.monotonic() - begun) * 1000.0, 1)
-    good = not isinstance(said, str)
+        click.echo(json.dumps([asdict(weight) for weight in weights]))
+        return
+    print_table([COLUMNS, *((row.label, row.place, row.weight, row.flags) for row in weights)])
+
+
+@advice.command()
+@HOST_PORT
+@PROTOCOL
+@AS_JSON
+def probe(host_port: str, protocol: str, as_json: bool) -> None:
+    """Ask whether an advisor speaks the protocol, and how long its answer takes."""
+
+    async def query(host: str, port: int) -> list[MemberWeight]:
+        if protocol == "dfp":
+            return await query_dfp(host, port, first_answer=True)
+        return await query_sasp(host, port, [])
+
+    started_at = time.monotonic()
+    reason = ""
+    try:
+        _run(host_port, query)
+    except NoAnswer as exc:
+        reason = str(exc)
+    duration_ms = round((time.monotonic() - started_at) * MILLISECONDS_PER_S, 1)
     if as_json:
-        click.echo(json.dumps({"at": where, "protocol": protocol, "speaks": good, "ms": ms,
-                               "why": "" if good else said}))  # fmt: skip
+        speaks = not reason
+        answer = {"at": host_port, "protocol": protocol, "speaks": speaks, "ms": duration_ms, "why": reason}
+        click.echo(json.dumps(answer))
+    elif reason:
+        raise CommandError(f"{host_port}: {reason}")
     else:
-        click.echo(f"{where}: {f'speaks {protocol}, {ms} ms' if good else said}", err=not good)
-    return 0 if good else 1
+        click.echo(f"{host_port}: speaks {protocol}, {duration_ms} ms")
+    if reason:
+        click.get_current_context().exit(CommandError.exit_code)
+
+
+def _run(host_port: str, query: Query) -> list[MemberWeight]:
+    """Runs a query within the timeout; raises NoAnswer with the reason if it gives nothing."""
+
+    async def bounded() -> list[MemberWeight]:
+        host, port = address({"where": host_port}, "where", "advice")
+        async with asyncio.timeout(QUERY_TIMEOUT_S):
+            return await query(host, port)
+
+    try:
+        return asyncio.run(bounded())
+    except TimeoutError as exc:
+        raise NoAnswer(f"no answer within {QUERY_TIMEOUT_S:g} s") from exc
+    except (OSError, WireError) as exc:
+        raise NoAnswer(str(exc) or type(exc).__name__) from exc
--- /dev/null
+++ b/cottonladder/cli/demo.py
@@ -0,0 +1,18 @@
+"""`demo`: a small fleet on loopback, to look at."""
+
+from __future__ import annotations
+
+import click
+
+from ..testbed.demo import play
+
+
+@click.command()
+@click.option(
+    "--desks", "client_count", default=120, type=click.IntRange(1, 2000),
+    help="Clients that hold a connection open.",
+)  # fmt: skip
+@click.option("--plain", is_flag=True, help="Print a line each half second in place of a table.")
+def demo(client_count: int, plain: bool) -> None:
+    """Run two managers and four forwarders on loopback, and drain one of the simulated workers."""
+    click.echo(play(client_count, plain))
--- /dev/null
+++ b/cottonladder/cli/forwarder.py
@@ -0,0 +1,33 @@
+"""`forward`: the reference proxy."""
+
+from __future__ import annotations
+
+import asyncio
+
+import click
+
+from ..config.settings import WireError
+from ..control import signals
+from .configuration import load_operator_config
+from .errors import BadInputError
+from .serving import configure_logging, serve_then_block_signals
+
+
+@click.command()
+@click.option(
+    "--config", "operator_path", envvar="ROUTER_OPERATOR", required=True, help="The operators' file, JSON5."
+)
+def forward(operator_path: str) -> None:
+    """Forward requests and upgraded connections to workers as managers order, until SIGTERM."""
+    from ..forwarder.forwarder import serve  # by optional dependencies, without which --help still works
+
+    configure_logging()
+    signals.reading()
+    operator_config = load_operator_config(operator_path)
+    if operator_config is None or operator_config.forwarder is None:
+        message = f"{operator_path}: $.forwarder: expected, as this is a forwarder's start"
+        raise BadInputError(message)
+    try:
+        asyncio.run(serve_then_block_signals(serve(operator_config, operator_path)))
+    except WireError as exc:
+        raise BadInputError(f"{operator_path}: {exc}") from exc
--- /dev/null
+++ b/cottonladder/cli/manager.py
@@ -0,0 +1,112 @@
+"""`serve`, `check` and `ping`: the commands of one manager."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import click
+
+from ..config.manager_config import ManagerConfig
+from ..config.settings import WireError, address
+from ..control import signals
+from ..control.manager import kept
+from ..control.manager import serve as serve_manager
+from ..protocol.messages import PING, PONG
+from .configuration import load_manager_config, load_operator_config
+from .errors import BadInputError, CommandError
+from .options import CONFIG, OPERATOR_CONFIG
+from .serving import configure_logging, serve_then_block_signals
+
+PING_TIMEOUT_S = 2.0  # for each step: a manager that serves answers within one turn of its loop
+READ_SIZE_BYTES = 64
+
+
+@click.command()
+@CONFIG
+@OPERATOR_CONFIG
+def serve(config_path: str, operator_path: str) -> None:
+    """Serve proxies until SIGTERM; SIGHUP reloads the configuration."""
+    configure_logging()
+    signals.reading()
+    manager_config = load_manager_config(config_path)
+    operator_config = load_operator_config(operator_path)
+    asyncio.run(serve_then_block_signals(serve_manager(manager_config, config_path, operator_config)))
+
+
+@click.command()
+@CONFIG
+@OPERATOR_CONFIG
+@click.option("--running", "running_path", default="", help="The configuration that a manager now runs on.")
+def check(config_path: str, operator_path: str, running_path: str) -> None:
+    """Check the configuration and the operators' file as serve would read them.
+
+    With --running, status 1 if a reload would leave a change without effect.
+    """
+    if operator_path:
+        _check_operator_config(operator_path)
+        if not config_path:
+            return
+    manager_config = load_manager_config(config_path)
+    if running_path:
+        _check_reload(load_manager_config(running_path), manager_config)
+    click.echo(_summary(manager_config))
+
+
+def _check_operator_config(path: str) -> None:
+    operator_config = load_operator_config(path)
+    if operator_config is None:
+        return
+    parts = [name for name in operator_config.__struct_fields__ if getattr(operator_config, name)]
+    if parts:
+        click.echo(f"{path}: {', '.join(parts)} on")
+    else:
+        click.echo(f"{path}: everything off")
+
+
+def _check_reload(running: ManagerConfig, new: ManagerConfig) -> None:
+    fixed = kept(running, new)
+    if fixed:
+        raise CommandError(f"a reload would not change: {', '.join(fixed)}")
+
+
+def _summary(config: ManagerConfig) -> str:
+    parameters = config.site.parameters
+    host, port = config.listen
+    return (
+        f"{config.name}: listens on {host}:{port}, "
+        f"{parameters.proxy_count} proxies in {parameters.zone_count} zones, "
+        f"{len(config.known.endpoints)} workers known (version {config.version}), "
+        f"{parameters.manager_count} managers"
+    )
+
+
+@click.command()
+@click.argument("host_port", metavar="HOST:PORT")
+def ping(host_port: str) -> None:
+    """Ask a manager whether it serves; status 1 if it gives no answer."""
+    try:
+        manager_address = address({"where": host_port}, "where", "ping")
+    except WireError as exc:
+        raise BadInputError(str(exc)) from exc
+    try:
+        answer = _ask_for_pong(manager_address)
+    except OSError as exc:
+        raise CommandError(f"{host_port}: {exc}") from exc
+    if answer == PONG:
+        click.echo(f"{host_port}: serves")
+        return
+    click.echo(f"{host_port}: answers, but not with PONG")
+    click.get_current_context().exit(CommandError.exit_code)
+
+
+def _ask_for_pong(manager_address: tuple[str, int]) -> bytes:
+    with socket.create_connection(manager_address, PING_TIMEOUT_S) as connection:
+        connection.sendall(PING)
+        answer = b""
+        while len(answer) < len(PONG):
+            data = connection.recv(READ_SIZE_BYTES)
+            if not data:
+                break
+            answer += data
+    return answer
--- a/cottonladder/cli/memory.py
+++ b/cottonladder/cli/memory.py
@@ -1,184 +1,177 @@
-"""`memory` and `tasks`: what a folder holds, and how a running process's background work stands."""
+"""`memory`: the snapshots that a process keeps in its folder."""
 
 from __future__ import annotations
 
 import json
-import socket
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
 from typing import Any
 
 import click
 
 from ..snapshots.store import Generation, Store, StoreError
+from .errors import CommandError
+from .options import AS_JSON
+from .output import print_rows, print_table
 
-ASK_WAIT = 3.0  # s for the control's answer
-ANSWER_MOST = 4 << 20  # bytes of it
+FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False))
+COLUMNS = ("generation", "age_s", "bytes", "sections", "fault")
 
 
-def table(rows: Sequence[Sequence[object]]) -> None:
-    """Columns as wide as their widest word."""
-    words = [[str(word) for word in row] for row in rows]
-    widths = [max(len(row[n]) for row in words) for n in range(len(words[0]))]
-    for row in words:
-        click.echo("  ".join(word.ljust(width) for word, width in zip(row, widths, strict=True)).rstrip())
+@dataclass(frozen=True, slots=True)
+class StoredGeneration:
+    """One generation in a folder: its content, or the fault for which it can't be read."""
 
+    number: int
+    content: Generation | None
+    fault: str = ""
 
-def _read_all(store: Store) -> list[tuple[int, Generation | None, str]]:
-    out: list[tuple[int, Generation | None, str]] = []
-    for number in store.numbers():
-        try:
-            out.append((number, store.read(number), ""))
-        except StoreError as exc:
-            out.append((number, None, str(exc)))
-    return out
 
-
-def _said(call: Callable[[], int]) -> int:
-    """A fault is one line and status 1."""
-    try:
-        return call()
-    except (StoreError, OSError) as exc:
-        click.echo(str(exc), err=True)
-        return 1
+@click.group()
+def memory() -> None:
+    """Look at the snapshots that a process keeps across restarts."""
 
 
-def show(folder: str, as_json: bool) -> int:
-    def call() -> int:
+@memory.command()
+@FOLDER
+@AS_JSON
+def show(folder: str, as_json: bool) -> None:
+    """List the generations: which are whole, how old and how large they are."""
+    with store_errors():
         store = Store(folder)
-        rows = [
-            {
-                "generation": number,
-                "age_s": round(time.time() - found.written, 1) if found else None,
-                "bytes": store.path(number).stat().st_size,
-                "sections": sorted(found.sections) if found else [],
-                "fault": why,
-            }
-            for number, found, why in _read_all(store)
-        ]
-        if as_json:
-            click.echo(json.dumps(rows))
-        else:
-            heads = ("generation", "age_s", "bytes", "sections", "fault")
-            table(
-                [heads, *([",".join(v) if isinstance(v := r[h], list) else v for h in heads] for r in rows)]
-            )
-        return 0
-
-    return _said(call)
-
-
-def verify(folder: str) -> int:
-    def call() -> int:
-        found = _read_all(Store(folder))
-        for _, _, why in found:
-            if why:
-                click.echo(why, err=True)
-        bad = sum(bool(why) for _, _, why in found)
-        click.echo(f"{folder}: {len(found) - bad} hold, {bad} don't")
-        return int(bad > 0)
-
-    return _said(call)
-
-
-def _newest(store: Store, number: int | None) -> Generation:
-    if number is not None:
-        return store.read(number)
-    found = next((g for _, g, _ in _read_all(store) if g is not None), None)
-    if found is None:
-        raise StoreError(f"{store.folder}: no generation that holds")
-    return found
-
-
-def export(folder: str, number: int | None) -> int:
-    def call() -> int:
-        found = _newest(Store(folder), number)
-        body = {"generation": found.number, "written": found.written, "sections": found.sections}
-        click.echo(json.dumps(body, indent=2, sort_keys=True))
-        return 0
+        rows = [_row(store, generation) for generation in _read_all(store)]
+    if as_json:
+        print_rows(COLUMNS, rows, as_json)
+        return
+    for row in rows:
+        row["sections"] = ",".join(row["sections"])
+    print_table([COLUMNS, *([row[name] for name in COLUMNS] for row in rows)])
+
+
+def _row(store: Store, generation: StoredGeneration) -> dict[str, Any]:
+    content = generation.content
+    return {
+        "generation": generation.number,
+        "age_s": round(time.time() - content.written, 1) if content else None,
+        "bytes": store.path(generation.number).stat().st_size,
+        "sections": sorted(content.sections) if content else [],
+        "fault": generation.fault,
+    }
+
+
+@memory.command()
+@FOLDER
+def verify(folder: str) -> None:
+    """Read every generation; status 1 if one is not whole."""
+    with store_errors():
+        generations = _read_all(Store(folder))
+    faults = [generation.fault for generation in generations if generation.fault]
+    for fault in faults:
+        click.echo(fault, err=True)
+    click.echo(f"{folder}: {len(generations) - len(faults)} hold, {len(faults)} don't")
+    if faults:
+        click.get_current_context().exit(CommandError.exit_code)
+
+
+@memory.command()
+@FOLDER
+@click.option("--generation", "number", type=int, help="Its number; the newest whole one, if left out.")
+def export(folder: str, number: int | None) -> None:
+    """Print a generation's sections as JSON."""
+    with store_errors():
+        store = Store(folder)
+        generation = _newest_readable(store) if number is None else store.read(number)
+    body = {
+        "generation": generation.number,
+        "written": generation.written,
+        "sections": generation.sections,
+    }
+    click.echo(json.dumps(body, indent=2, sort_keys=True))
+
+
+@memory.command()
+@FOLDER
+def compact(folder: str) -> None:
+    """Remove all but the newest whole generation.  Not while a process owns the folder."""
+    with store_errors(), _locked_store(folder) as store:
+        generation = _newest(store)
+        removed = store.retain(1)
+        click.echo(f"{folder}: generation {generation.number} stays, {removed} removed")
+
+
+@memory.command()
+@FOLDER
+@click.option("--worker", "worker_id", required=True, help="The worker's id.")
+def forget(folder: str, worker_id: str) -> None:
+    """Write a generation without anything about a worker.  Not while a process owns the folder."""
+    with store_errors(), _locked_store(folder) as store:
+        generation = _newest(store)
+        remaining = without_worker(generation.sections, worker_id)
+        if remaining == generation.sections:
+            raise StoreError(f"{folder}: nothing about {worker_id}")
+        store.write(remaining, generation.written)  # as old as it was: forgetting makes nothing fresh
+        click.echo(f"{folder}: written without {worker_id}")
+
+
+def without_worker(value: Any, worker_id: str) -> Any:
+    """A section without a worker's entries: rows that begin with its id, fields named by it, and words that
+    are it."""
+    if isinstance(value, dict):
+        return {key: without_worker(item, worker_id) for key, item in value.items() if key != worker_id}
+    if isinstance(value, list):
+        return [without_worker(item, worker_id) for item in value if not _is_about(item, worker_id)]
+    return value
 
-    return _said(call)
 
+def _is_about(item: Any, worker_id: str) -> bool:
+    if isinstance(item, list):
+        return bool(item) and item[0] == worker_id
+    return bool(item == worker_id)
 
-def _owned(folder: str, change: Callable[[Store], str]) -> int:
-    """A change, with the folder's lock held."""
 
-    def call() -> int:
-        store = Store(folder)
-        store.open()
-        try:
-            click.echo(change(store))
-        finally:
-            store.close()
-        return 0
-
-    return _said(call)
+@contextmanager
+def store_errors() -> Iterator[None]:
+    """Turns a store's faults into one line and status 1."""
+    try:
+        yield
+    except (StoreError, OSError) as exc:
+        raise CommandError(str(exc)) from exc
 
 
-def compact(folder: str) -> int:
-    def change(store: Store) -> str:
-        found = store.newest()
-        if found is None:
-            raise StoreError(f"{folder}: no generation that holds")
-        return f"{folder}: generation {found.number} stays, {store.retain(1)} removed"
+@contextmanager
+def _locked_store(folder: str) -> Iterator[Store]:
+    """A store whose folder no other process may own meanwhile."""
+    store = Store(folder)
+    store.open()
+    try:
+        yield store
+    finally:
+        store.close()
 
-    return _owned(folder, change)
 
+def _read_all(store: Store) -> list[StoredGeneration]:
+    generations = []
+    for number in store.numbers():
+        try:
+            generations.append(StoredGeneration(number, store.read(number)))
+        except StoreError as exc:
+            generations.append(StoredGeneration(number, None, str(exc)))
+    return generations
 
-def without(value: Any, worker: str) -> Any:
-    """A section without a worker's entries: rows that begin with its id, fields named by it, words that are
-    it."""
-    if isinstance(value, dict):
-        return {key: without(v, worker) for key, v in value.items() if key != worker}
-    if isinstance(value, list):
-        return [
-            without(v, worker)
-            for v in value
-            if v != worker and not (isinstance(v, list) and v and v[0] == worker)
-        ]
-    return value
 
+def _newest_readable(store: Store) -> Generation:
+    """The newest generation that can be read; nothing in the folder is changed."""
+    for generation in _read_all(store):
+        if generation.content is not None:
+            return generation.content
+    raise StoreError(f"{store.folder}: no generation that holds")
 
-def forget(folder: str, worker: str) -> int:
-    def change(store: Store) -> str:
-        found = store.newest()
-        if found is None:
-            raise StoreError(f"{folder}: no generation that holds")
-        kept = without(found.sections, worker)
-        if kept == found.sections:
-            raise StoreError(f"{folder}: nothing about {worker}")
-        store.write(kept, found.written)  # as old as it was: forgetting makes nothing fresh
-        return f"{folder}: written without {worker}"
-
-    return _owned(folder, change)
-
-
-def ask(path: str, question: str) -> Any:
-    with socket.socket(socket.AF_UNIX) as connection:
-        connection.settimeout(ASK_WAIT)
-        connection.connect(path)
-        connection.sendall(question.encode() + b"\n")
-        answer = b""
-        while not answer.endswith(b"\n") and len(answer) < ANSWER_MOST:
-            more = connection.recv(65_536)
-            if not more:
-                break
-            answer += more
-    return json.loads(answer)
-
-
-def tasks(path: str, as_json: bool) -> int:
-    def call() -> int:
-        rows = ask(path, "tasks")
-        if as_json:
-            click.echo(json.dumps(rows))
-        else:
-            heads = list(rows[0]) if rows else ["task"]
-            table([heads, *([row[head] for head in heads] for row in rows)])
-        return 0
 
-    try:
-        return _said(call)
-    except ValueError:
-        click.echo(f"{path}: no answer that can be read", err=True)
-        return 1
+def _newest(store: Store) -> Generation:
+    """The newest whole generation; those that are not whole are set aside."""
+    generation = store.newest()
+    if generation is None:
+        raise StoreError(f"{store.folder}: no generation that holds")
+    return generation
--- /dev/null
+++ b/cottonladder/cli/operator_schema.py
@@ -0,0 +1,13 @@
+"""`schema`: the JSON schema of the operators' file."""
+
+from __future__ import annotations
+
+import click
+
+
+@click.command()
+def schema() -> None:
+    """Print the JSON schema of the operators' file."""
+    from ..config.operator_config import schema as operator_schema  # by an optional dependency
+
+    click.echo(operator_schema())
--- a/cottonladder/cli/plugin.py
+++ b/cottonladder/cli/plugin.py
@@ -1,107 +1,88 @@
-"""`plugin check`, `run`, `bench` and `list`: a plug-in by hand, without a forwarder."""
+"""`plugin`: plug-ins by hand, without a forwarder.
+
+What runs a plug-in is imported by each command, as WebAssembly is an optional dependency and `--help` works
+without it.
+"""
 
 from __future__ import annotations
 
 import json
-import statistics
-import time
-from pathlib import Path
 from typing import Any
 
 import click
 
-from ..config.operator_config import read_operator_config
-from ..plugins.chain import req_record
-from ..plugins.host import Fault, Plugin, PluginError
-from .memory import table
+from ..config.settings import WireError
+from .errors import BadInputError
+from .options import AS_JSON
+from .output import print_rows, print_table
 
-REQS_MOST = 100_000  # recorded reqs replayed at once
+MODULE = click.argument("module", type=click.Path(exists=True, dir_okay=False))
+GRANTS = click.option("--grant", "grants", multiple=True, type=click.Choice(["random"]))
+LIST_COLUMNS = ("name", "path", "hooks", "fail")
 
 
-def _load(path: str, grants: tuple[str, ...]) -> Plugin | None:
-    try:
-        return Plugin("plug-in", path, frozenset(grants), 0, lambda name, words: click.echo(words, err=True))
-    except PluginError as exc:
-        click.echo(str(exc), err=True)
-        return None
-
-
-def check(path: str, grants: tuple[str, ...]) -> int:
-    plugin = _load(path, grants)
-    if plugin is None:
-        return 1
-    click.echo(f"{path}: interface 1, hooks {', '.join(plugin.hooks)}")
-    return 0
-
-
-def run(path: str, reqs: str, grants: tuple[str, ...], as_json: bool) -> int:
-    """Each recorded req, a line of JSON (method, path, kind, headers), with what the plug-in would change."""
-    plugin = _load(path, grants)
-    if plugin is None:
-        return 1
-    rows: list[dict[str, Any]] = []
-    for n, line in enumerate(Path(reqs).read_text().splitlines()[:REQS_MOST]):
-        try:
-            req = json.loads(line)
-            data = req_record(
-                "route", str(req["method"]), str(req["path"]), str(req.get("kind", "")), dict(req["headers"])
-            )
-        except (ValueError, KeyError, TypeError) as exc:
-            click.echo(f"{reqs}: line {n + 1}: {type(exc).__name__}: {exc}", err=True)
-            return 1
-        row: dict[str, Any] = {"req": f"{req['method']} {req['path']}", "fault": ""}
-        try:
-            answer = plugin.call("route" if "route" in plugin.hooks else plugin.hooks[0], data)
-            row |= {name: getattr(answer, name) for name in answer.__slots__}
-        except Fault as exc:
-            row["fault"] = f"{exc.kind}: {exc}"
-        rows.append(row)
+@click.group()
+def plugin() -> None:
+    """Try plug-ins by hand: WebAssembly modules, binary or text."""
+
+
+@plugin.command()
+@MODULE
+@GRANTS
+def check(module: str, grants: tuple[str, ...]) -> None:
+    """Load a plug-in as a forwarder would; status 1 and one line if it can't be."""
+    from .plugin_trial import load_plugin
+
+    loaded = load_plugin(module, grants)
+    click.echo(f"{module}: interface 1, hooks {', '.join(loaded.hooks)}")
+
+
+@plugin.command()
+@MODULE
+@click.argument("requests_path", type=click.Path(exists=True, dir_okay=False), metavar="REQUESTS")
+@GRANTS
+@AS_JSON
+def run(module: str, requests_path: str, grants: tuple[str, ...], as_json: bool) -> None:
+    """Replay recorded requests, a line of JSON each, and print what the plug-in would have changed."""
+    from .plugin_trial import load_plugin, replay
+
+    rows = replay(load_plugin(module, grants), requests_path)
     if as_json:
         click.echo(json.dumps(rows))
-        return 0
-    changed = [("req", "would change")]
-    for row in rows:
-        said = {k: v for k, v in row.items() if k != "req" and v}
-        changed.append((row["req"], ", ".join(f"{k}={v}" for k, v in said.items()) or "nothing"))
-    table(changed)
-    return 0
-
-
-def bench(path: str, calls: int, grants: tuple[str, ...], as_json: bool) -> int:
-    plugin = _load(path, grants)
-    if plugin is None:
-        return 1
-    headers = {f"x-{n}": "v" * 20 for n in range(12)}
-    data, took, faults = req_record("route", "GET", "/cases/42", "fetch", headers), list[float](), 0
-    for _ in range(calls):
-        begun = time.perf_counter()
-        try:
-            plugin.call(plugin.hooks[0], data)
-        except Fault:
-            faults += 1
-        took.append((time.perf_counter() - begun) * 1e6)
-    cuts = statistics.quantiles(took, n=100)
-    out = {"calls": calls, "faults": faults, "p50_us": round(cuts[49], 1), "p99_us": round(cuts[98], 1),
-           "fuel_a_call": plugin.counts.fuel // max(1, calls - faults)}  # fmt: skip
-    if as_json:
-        click.echo(json.dumps(out))
-    else:
-        table([list(out), list(out.values())])
-    return 0
-
-
-def listed(path: str, as_json: bool) -> int:
-    """The plug-ins that an operators' file names, each loaded as a forwarder would."""
-    operator = read_operator_config(path)
-    part = operator.forwarder.plugins if operator.forwarder else None
-    rows = []
-    for p in part.chain if part else []:
-        plugin = _load(p.path, tuple(p.grants))
-        hooks = ",".join(plugin.hooks) if plugin else "can't be loaded"
-        rows.append({"name": p.name, "path": p.path, "hooks": hooks, "fail": p.fail})
+        return
+    print_table([("req", "would change"), *((row["req"], _changes(row)) for row in rows)])
+
+
+def _changes(row: dict[str, Any]) -> str:
+    changes = [f"{name}={value}" for name, value in row.items() if name != "req" and value]
+    return ", ".join(changes) or "nothing"
+
+
+@plugin.command()
+@MODULE
+@click.option("--calls", "call_count", default=2000, type=click.IntRange(10, 1_000_000))
+@GRANTS
+@AS_JSON
+def bench(module: str, call_count: int, grants: tuple[str, ...], as_json: bool) -> None:
+    """Measure how long a call takes."""
+    from .plugin_trial import load_plugin, measure_calls
+
+    figures = measure_calls(load_plugin(module, grants), call_count)
     if as_json:
-        click.echo(json.dumps(rows))
-    else:
-        heads = ("name", "path", "hooks", "fail")
-        table([heads, *([row[head] for head in heads] for row in rows)])
-    return 0
+        click.echo(json.dumps(figures))
+        return
+    print_table([list(figures), list(figures.values())])
+
+
+@plugin.command("list")
+@click.argument("operator_path", type=click.Path(exists=True, dir_okay=False), metavar="FILE")
+@AS_JSON
+def list_plugins(operator_path: str, as_json: bool) -> None:
+    """List the plug-ins that an operators' file names, and whether they load."""
+    from .plugin_trial import configured_plugins
+
+    try:
+        rows = configured_plugins(operator_path)
+    except WireError as exc:
+        raise BadInputError(str(exc)) from exc
+    print_rows(LIST_COLUMNS, rows, as_json)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -356,13 +356,13 @@
 """
 CLOSED = """
 import asyncio, os, signal, sys
-from cottonladder.cli import main as cli; from cottonladder.control import signals
+from cottonladder.cli import serving as cli; from cottonladder.control import signals
 sys.argv[1:] = ["serve"]
 signals.hold(sys.argv)
 async def serving():
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, print, "told")
-asyncio.run(cli._sealed(serving()))
+asyncio.run(cli.serve_then_block_signals(serving()))
 os.kill(os.getpid(), signal.SIGTERM)
 print("ended")
 """
