--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -21,9 +21,9 @@
 
 from cottonladder.planning.advice_weighting import AdvisoryWeight
 from cottonladder.testbed import month_end as me
-from cottonladder.testbed.advisors import SaspBalancer, weights_of
-from cottonladder.testbed.discovery import Discovery
-from cottonladder.testbed.fleet import Manager
+from cottonladder.testbed.advisors import SaspBalancer, weights_by_label
+from cottonladder.testbed.discovery import SimulatedDiscovery
+from cottonladder.testbed.fleet import ManagerProcess
 from cottonladder.weight_advice import dfp, sasp
 
 SEEDS, LOAD = (7, 8, 9, 10), 0.85
@@ -31,12 +31,12 @@
 GROUP = sasp.Group(b"lb", b"workers")
 
 
-def served(*advisors: me.Say) -> tuple[float, float, int]:
+def served(*advisors: me.Advisor) -> tuple[float, float, int]:
     """Share served and that of the worst 10 s, both over the seeds, and looks without a usable line."""
     named = {str(n): say for n, say in enumerate(advisors)}
-    days = [me.MonthEndRun(named, seed=seed, load=LOAD).play(me.slows) for seed in SEEDS]
-    share = sum(d.share for d in days) / len(days)
-    return share, sum(d.worst for d in days) / len(days), sum(d.bare for d in days)
+    days = [me.MonthEndRun(named, seed=seed, load=LOAD).run(me.slow_two_workers) for seed in SEEDS]
+    share = sum(d.served_share for d in days) / len(days)
+    return share, sum(d.worst_share for d in days) / len(days), sum(d.proxies_without_worker for d in days)
 
 
 def cold() -> tuple[int, float, float]:
@@ -44,16 +44,19 @@
     over; the most that it was brought, of that; and the same without advice."""
 
     def flatters(now: float, day: me.MonthEndRun) -> dict[int, AdvisoryWeight]:
-        return {be: AdvisoryWeight(65535.0 if box.started else 1.0) for be, box in day.boxes.items()}
+        return {be: AdvisoryWeight(65535.0 if box.started_at else 1.0) for be, box in day.workers.items()}
 
     def fresh(now: float, day: me.MonthEndRun) -> None:
-        if abs(now - 20.0) < me.LOOK / 2:
-            day.start(20, 0, 1.5, 1000.0 + now)
+        if abs(now - 20.0) < me.STEP_S / 2:
+            day.start_worker(20, 0, 1.5, 1000.0 + now)
 
     told = [
-        me.MonthEndRun({"a": flatters}, seed=s, length=45.0, load=LOAD).play(fresh).cold_over for s in SEEDS
+        me.MonthEndRun({"a": flatters}, seed=s, duration_s=45.0, load=LOAD).run(fresh).worst_warm_up_load
+        for s in SEEDS
+    ]
+    plain = [
+        me.MonthEndRun({}, seed=s, duration_s=45.0, load=LOAD).run(fresh).worst_warm_up_load for s in SEEDS
     ]
-    plain = [me.MonthEndRun({}, seed=s, length=45.0, load=LOAD).play(fresh).cold_over for s in SEEDS]
     return sum(over >= 1.0 for over in told), max(told), max(plain)
 
 
@@ -91,13 +94,13 @@
 async def pushes() -> dict[str, float]:
     """From the list's change to its arrival at each of two hundred balancers."""
     async with AsyncExitStack() as stack:
-        discovery = Discovery()
+        discovery = SimulatedDiscovery()
         at = await discovery.start()
         stack.push_async_callback(discovery.close)
         for n in range(20):
             await discovery.put(f"s-{n}", f"127.0.0.9:{8000 + n}", "a")
         serve = [{"protocol": "sasp", "listen": "127.0.0.1:0", "clients": BALANCERS + 8}]
-        manager = Manager(at, discovery.listing(), None, {"serve": serve})
+        manager = ManagerProcess(at, discovery.listing(), None, {"serve": serve})
         stack.push_async_callback(manager.stop)
         await manager.serving()
         port = int((await manager.logged("advice served")).split("port=")[1])
@@ -113,7 +116,7 @@
 
         async def wait(balancer: SaspBalancer, begun: float, zero: bool) -> None:
             while True:
-                told = weights_of(await asyncio.wait_for(balancer.pushed.get(), 20.0))
+                told = weights_by_label(await asyncio.wait_for(balancer.pushed.get(), 20.0))
                 if b"s-0" in told and (told[b"s-0"].weight == 0) == zero:
                     took.append((time.perf_counter() - begun) * 1000.0)
                     return
@@ -122,7 +125,7 @@
             zero = n % 2 == 0
             begun = time.perf_counter()
             waits = [asyncio.create_task(wait(balancer, begun, zero)) for balancer in balancers]
-            await discovery.state("s-0", "Terminating" if zero else "Ready")
+            await discovery.set_state("s-0", "Terminating" if zero else "Ready")
             await asyncio.gather(*waits)
             await asyncio.sleep(2.5)
         took.sort()
@@ -131,9 +134,9 @@
 
 async def memory(advice: dict[str, Any] | None) -> float:
     """MB at the most of a manager at rest."""
-    discovery = Discovery()
+    discovery = SimulatedDiscovery()
     at = await discovery.start()
-    manager = Manager(at, discovery.listing(), None, advice)
+    manager = ManagerProcess(at, discovery.listing(), None, advice)
     await manager.serving()
     await asyncio.sleep(2.5)
     assert manager.process is not None
@@ -145,10 +148,16 @@
 
 def measure() -> dict[str, Any]:
     scenes = {
-        "none": (), "honest": (me.honest,), "lying": (me.lying,), "stalled": (me.stalled,),
-        "random": (me.wild,), "all_0": (me.nothing,), "all_most": (me.most,),
-        "stalls_then_lies": (me.stalls_then_lies,), "two_differ": (me.honest, me.lying),
-    }  # fmt: skip
+        "none": (),
+        "honest": (me.honest_advisor,),
+        "lying": (me.lying_advisor,),
+        "stalled": (me.stalling_advisor,),
+        "random": (me.random_advisor,),
+        "all_0": (me.zero_advisor,),
+        "all_most": (me.maximum_advisor,),
+        "stalls_then_lies": (me.stalling_then_lying_advisor,),
+        "two_differ": (me.honest_advisor, me.lying_advisor),
+    }
     out: dict[str, Any] = {}
     bare = 0
     for name, advisors in scenes.items():
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -46,20 +46,20 @@
 def bad_after(recall: Recall | None, seed: int) -> tuple[int, float]:
     """Reqs not done within target in the time after the restart, and s until a 2 s window is as good as the
     20 s before it.  `recall` None: no restart at all."""
-    day = me.MonthEndRun({}, seed=seed, length=LENGTH, load=LOAD)
+    day = me.MonthEndRun({}, seed=seed, duration_s=LENGTH, load=LOAD)
     windows: dict[int, list[int]] = {}
     last = [0, 0]
 
     def events(now: float, day: me.MonthEndRun) -> None:
         window = windows.setdefault(int(now / 2.0), [0, 0])
-        asked, served = day.result.asked, day.result.served
+        asked, served = day.result.requests, day.result.served
         window[0] += asked - last[0]
         window[1] += served - last[1]
         last[:] = [asked, served]
-        if recall is not None and abs(now - RESTART) < me.LOOK / 2:
-            day.restart(recall)
+        if recall is not None and abs(now - RESTART) < me.STEP_S / 2:
+            day.restart_manager(recall)
 
-    day.play(events)
+    day.run(events)
     first, end = int(RESTART / 2.0), int((RESTART + AFTER) / 2.0)
     bad = sum(n - s for w, (n, s) in windows.items() if first <= w < end)
     before = [s / max(1, n) for w, (n, s) in windows.items() if first - 10 <= w < first]
@@ -121,14 +121,14 @@
             for n in range(workers)
         )
         self.known = EndpointList(ListUpdateKind.CACHED, entries)
-        self.site = type("Site", (), {"terms": me.TERMS})
+        self.site = type("Site", (), {"parameters": me.PARAMETERS})
 
 
 async def snapshots(workers: int, proxies: int) -> dict[str, float]:
     """The loop's longest stall while snapshots are written, how long one takes, and its bytes."""
     gc.collect()  # an earlier measurement's remains are not this one's stall
     placed, out = Placed(workers), dict[str, float]()
-    ladder = RoutingController(replace(me.TERMS, proxy_count=proxies))
+    ladder = RoutingController(replace(me.PARAMETERS, proxy_count=proxies))
     joins = [ProxyConnected(p, p % 2, 2.0, True) for p in range(proxies)]
     ladder.decide(1000.0, [placed.known, *joins])
     with tempfile.TemporaryDirectory() as folder:
@@ -187,7 +187,7 @@
 def measure(count: int) -> dict[str, Any]:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     with tempfile.TemporaryDirectory() as folder:
-        counts = kills.kill(folder, count, 7)
+        counts = kills.crash_test(folder, count, 7)
     out: dict[str, Any] = {key: counts[key] for key in ("kills", "half_written", "states_lost")}
     out |= restarts()
     for name, (workers, proxies) in (("", (120, 640)), ("_large", (1200, 6400))):
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -23,9 +23,9 @@
 from benchmarks.upgraded import load
 from cottonladder.plugins.chain import req_record
 from cottonladder.plugins.host import Plugin
-from cottonladder.testbed.discovery import Discovery
-from cottonladder.testbed.fleet import ROOT, Forwarder, Manager
-from cottonladder.testbed.workers import Case, Ledger, Worker
+from cottonladder.testbed.discovery import SimulatedDiscovery
+from cottonladder.testbed.fleet import ROOT, ForwarderProcess, ManagerProcess
+from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
 
 EXAMPLE = ROOT / "deploy" / "plugins" / "audit-trail.wat"
 SHELL = """(module (memory (export "memory") 1 4) (func (export "interface") (result i32) (i32.const 1))
@@ -60,24 +60,24 @@
     """Three workers, a manager, a forwarder with plug-ins or without."""
 
     def __init__(self) -> None:
-        self.ledger, self.workers = Ledger(), dict[str, Worker]()
+        self.ledger, self.workers = EffectLedger(), dict[str, SimulatedWorker]()
 
-    async def start(self, stack: AsyncExitStack, *texts: str) -> Forwarder:
-        self.discovery = Discovery()
+    async def start(self, stack: AsyncExitStack, *texts: str) -> ForwarderProcess:
+        self.discovery = SimulatedDiscovery()
         at = await self.discovery.start()
         stack.push_async_callback(self.discovery.close)
-        cases: dict[str, Case] = {}
+        cases: dict[str, TicketSession] = {}
         for n in range(3):
-            worker = self.workers[f"s-{n}"] = Worker(f"s-{n}", self.ledger, cases)
+            worker = self.workers[f"s-{n}"] = SimulatedWorker(f"s-{n}", self.ledger, cases)
             await worker.start()
-            stack.push_async_callback(worker.die)
+            stack.push_async_callback(worker.abort)
             await self.discovery.put(worker.name, worker.address, "a")
-        manager = Manager(at, self.discovery.listing(), None)
+        manager = ManagerProcess(at, self.discovery.listing(), None)
         stack.push_async_callback(manager.stop)
         port = await manager.serving()
         self.folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         more: dict[str, Any] = {"plugins": {"chain": self.chain(*texts)}} if texts else {}
-        forwarder = Forwarder(0, at, [f"127.0.0.1:{port}"], None, **more)
+        forwarder = ForwarderProcess(0, at, [f"127.0.0.1:{port}"], None, **more)
         stack.push_async_callback(forwarder.stop)
         await forwarder.serving()
         await forwarder.logged("stream opened")
@@ -102,7 +102,10 @@
             for _ in range(3):
                 plain, hooked = await load(none.url, REQS, CLIENTS), await load(with_it.url, REQS, CLIENTS)
                 ratios.append(hooked["reqs_per_s"] / plain["reqs_per_s"])
-            memory = {"forwarder_mb_off": none.memory() / 2**20, "forwarder_mb_on": with_it.memory() / 2**20}
+            memory = {
+                "forwarder_mb_off": none.resident_bytes() / 2**20,
+                "forwarder_mb_on": with_it.resident_bytes() / 2**20,
+            }
     return {"reqs_ratio_with_noop": statistics.median(ratios), **memory}
 
 
@@ -137,12 +140,12 @@
             site.ledger.releases.clear()
             running = asyncio.create_task(releases(forwarder.url, 1600))
             await asyncio.sleep(0.5)
-            await site.discovery.state("s-1", "Terminating")
+            await site.discovery.set_state("s-1", "Terminating")
             await asyncio.sleep(1.5)  # the grace of the platform's rule
-            before = sum(site.workers["s-1"].reqs.values())
+            before = sum(site.workers["s-1"].requests.values())
             times[name], served = await running
-            lapses += sum(site.workers["s-1"].reqs.values()) - before
-            twice += site.ledger.twice()
+            lapses += sum(site.workers["s-1"].requests.values()) - before
+            twice += site.ledger.repeated_releases()
             out[f"{name}_served_share"] = served / 1600
     p99 = {name: sorted(row)[int(len(row) * 0.99)] for name, row in times.items()}
     out["hostile_added_delay_p99_ms"] = p99["hostile"] - p99["calm"]
@@ -166,14 +169,14 @@
 
 async def manager_mb() -> float:
     async with AsyncExitStack() as stack:
-        discovery = Discovery()
+        discovery = SimulatedDiscovery()
         at = await discovery.start()
         stack.push_async_callback(discovery.close)
-        manager = Manager(at, discovery.listing(), None)
+        manager = ManagerProcess(at, discovery.listing(), None)
         stack.push_async_callback(manager.stop)
         await manager.serving()
         await asyncio.sleep(2.0)
-        return manager.memory() / 2**20
+        return manager.resident_bytes() / 2**20
 
 
 def main() -> None:
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -36,7 +36,7 @@
     ListUpdateKind,
     LoadReport,
 )
-from cottonladder.testbed.simulated_fleet import SimulatedFleet, site
+from cottonladder.testbed.simulated_fleet import SimulatedFleet, fleet_parameters
 
 HERE = Path(__file__).resolve()
 
@@ -58,22 +58,24 @@
 
 class Fleet(SimulatedFleet):
     def __init__(self, proxies: int, workers: int, zones: int, managers: int) -> None:
-        terms = site(proxies=max(proxies * managers // 2, proxies), zones=zones, managers=managers)
+        terms = fleet_parameters(
+            proxies=max(proxies * managers // 2, proxies), zones=zones, managers=managers
+        )
         super().__init__(replace(terms, channel_lines_per_s=max(3200.0, 4.0 * proxies), proxy_count=proxies))
         self.count, self.zones, self.managers = workers, zones, managers
         self.solves, self.looks = list[float](), list[float]()
-        self.heard = self.reports
-        solve = self.ladder._solve
+        self.extra_inputs = self.reports
+        solve = self.controller._solve
 
         def timed() -> None:
             begun = time.perf_counter()
             solve()
             self.solves.append(time.perf_counter() - begun)
 
-        self.ladder._solve = timed  # type: ignore[method-assign]
+        self.controller._solve = timed  # type: ignore[method-assign]
 
     def reports(self) -> Iterable[Input]:
-        rnd, known = self.random, list(self.ladder.bes)
+        rnd, known = self.random, list(self.controller.bes)
         here = list(self.proxies)
         for _ in range(REPORTS // 5):
             yield LoadReport(rnd.choice(known), rnd.randrange(self.zones), 20, 0, 2.0, 0.2, {})
@@ -89,32 +91,33 @@
     def step(self, name: str, inputs: Iterable[Input]) -> None:
         super().step(name, inputs)
         if name == "look":
-            self.looks.append(self.took[-1])
+            self.looks.append(self.batch_durations[-1])
 
 
 def point(proxies: int, workers: int, zones: int, managers: int) -> dict[str, float]:
     fleet = Fleet(proxies, workers, zones, managers)
-    listed = tuple(fleet.entry(f"s-{n:04x}", n % zones) for n in range(workers))
+    listed = tuple(fleet.endpoint(f"s-{n:04x}", n % zones) for n in range(workers))
     fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
     fleet.join(range(proxies))
-    while any(not held.rows for held in fleet.proxies.values()) and fleet.now < 1060.0:
+    while any(not held.weights for held in fleet.proxies.values()) and fleet.now < 1060.0:
         fleet.run(0.25)
-    joins, bytes_joined = sum(fleet.took), fleet.written / proxies
+    joins, bytes_joined = sum(fleet.batch_durations), fleet.bytes_written / proxies
     fleet.looks.clear()
     fleet.run(8.0)
     looks = list(fleet.looks)
-    fleet.took.clear()
+    fleet.batch_durations.clear()
     half = range(0, workers, 2)
-    old = tuple(fleet.entry(f"s-{n:04x}", n % zones, EndpointState.DRAINING) for n in half)
-    new = tuple(fleet.entry(f"n-{n:04x}", n % zones, started=fleet.now - 1.0) for n in half)
+    old = tuple(fleet.endpoint(f"s-{n:04x}", n % zones, EndpointState.DRAINING) for n in half)
+    new = tuple(fleet.endpoint(f"n-{n:04x}", n % zones, started=fleet.now - 1.0) for n in half)
     fleet.step("list", [EndpointList(ListUpdateKind.DELTA, old + new)])
     fleet.run(4.0)
     return {
         "solve_ms": 1000 * median(fleet.solves),
         "look_ms": 1000 * median(looks),
-        "batch_worst_ms": 1000 * max(took for (_, part), took in fleet.spent.items() if part == "all"),
+        "batch_worst_ms": 1000
+        * max(took for (_, part), took in fleet.worst_durations.items() if part == "all"),
         "joins_all_ms": 1000 * joins,
-        "replace_half_ms": 1000 * max(fleet.took),
+        "replace_half_ms": 1000 * max(fleet.batch_durations),
         "bytes_per_join": bytes_joined,
         "peak_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0,
     }
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -23,10 +23,10 @@
 
 from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning import connection_migration as mv
-from cottonladder.testbed.discovery import Discovery
-from cottonladder.testbed.fleet import ROOT, Forwarder, Manager
-from cottonladder.testbed.holding_clients import Counts, HoldingClient
-from cottonladder.testbed.workers import Case, Ledger, Worker
+from cottonladder.testbed.discovery import SimulatedDiscovery
+from cottonladder.testbed.fleet import ROOT, ForwarderProcess, ManagerProcess
+from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
+from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
 
 GRACE, ARRIVALS, HELD = 12.0, 100.0, 1000
 BUSY = 10  # of these, desks that release all the time
@@ -48,20 +48,25 @@
     """A thousand at one worker, which then leaves.  The baseline closes all at once and its clients come back
     at once, through a forwarder that paces nothing."""
     async with AsyncExitStack() as stack:
-        ledger, counts, cases, discovery = Ledger(), Counts(), dict[str, Case](), Discovery()
+        ledger, counts, cases, discovery = (
+            EffectLedger(),
+            ClientCounters(),
+            dict[str, TicketSession](),
+            SimulatedDiscovery(),
+        )
         at = await discovery.start()
         stack.push_async_callback(discovery.close)
-        workers = {f"s-{n}": Worker(f"s-{n}", ledger, cases) for n in range(6)}
+        workers = {f"s-{n}": SimulatedWorker(f"s-{n}", ledger, cases) for n in range(6)}
         for worker in workers.values():
             await worker.start()
-            stack.push_async_callback(worker.die)
+            stack.push_async_callback(worker.abort)
         await discovery.put("s-0", workers["s-0"].address, "a")
         upgrades: dict[str, Any] | None = {"grace": GRACE, "arrivals": ARRIVALS} if orderly else None
-        manager = Manager(at, discovery.listing(), upgrades)
+        manager = ManagerProcess(at, discovery.listing(), upgrades)
         stack.push_async_callback(manager.stop)
         port = await manager.serving()
         forwarders = [
-            Forwarder(n, at, [f"127.0.0.1:{port}"], upgrades, zone="ab"[n], limits={"client": 20_000})
+            ForwarderProcess(n, at, [f"127.0.0.1:{port}"], upgrades, zone="ab"[n], limits={"client": 20_000})
             for n in range(2)
         ]
         for forwarder in forwarders:
@@ -78,7 +83,7 @@
                 f"d{n}",
                 busy=n < BUSY,
                 releases=True,
-                hasty=not orderly,
+                reconnects_at_once=not orderly,
             )
             for n in range(HELD)
         ]
@@ -93,16 +98,19 @@
             started = time.time() if n == 5 else 0.0
             await discovery.put(f"s-{n}", workers[f"s-{n}"].address, "ab"[n % 2], started=started)
         await asyncio.sleep(5.0)  # two intervals: they stand in the tables
-        counts.bare, listed = 0, time.monotonic() - 5.0
+        counts.failed_handshakes, listed = 0, time.monotonic() - 5.0
         begun = time.monotonic()
-        await discovery.state("s-0", "Terminating")
+        await discovery.set_state("s-0", "Terminating")
         if not orderly:
             await asyncio.sleep(1.0)  # the withdrawal has gone out
-            await workers["s-0"].die()
-        while workers["s-0"].held and time.monotonic() - begun < GRACE + 3.0:
+            await workers["s-0"].abort()
+        while workers["s-0"].held_connections and time.monotonic() - begun < GRACE + 3.0:
             await asyncio.sleep(0.05)
         took = time.monotonic() - begun
-        while sum(w.held for w in workers.values()) < HELD and time.monotonic() - begun < GRACE + 6.0:
+        while (
+            sum(w.held_connections for w in workers.values()) < HELD
+            and time.monotonic() - begun < GRACE + 6.0
+        ):
             await asyncio.sleep(0.05)
         rates = {
             n: over_room(w.arrivals, listed if n == "s-5" else None) for n, w in workers.items() if n != "s-0"
@@ -113,18 +121,18 @@
             "over_room": round(max(rates.values()), 3),
             "cold_over_room": round(rates["s-5"], 3),
             "most_held_of_level": round(
-                max(w.most_held for n, w in workers.items() if n != "s-0") / level, 3
+                max(w.max_held_connections for n, w in workers.items() if n != "s-0") / level, 3
             ),
             "closed": sum(counts.closes.values()),
             "cut": counts.unanswered,
-            "twice": ledger.twice(),
-            "bare": counts.bare,
-            "back": sum(w.held for w in workers.values()),
+            "twice": ledger.repeated_releases(),
+            "bare": counts.failed_handshakes,
+            "back": sum(w.held_connections for w in workers.values()),
         }
 
 
 @asynccontextmanager
-async def one_worker(**part: Any) -> AsyncIterator[tuple[str, Forwarder]]:
+async def one_worker(**part: Any) -> AsyncIterator[tuple[str, ForwarderProcess]]:
     """A worker in a process of its own behind a forwarder; gives the worker's address, too."""
     async with AsyncExitStack() as stack:
         child = await asyncio.create_subprocess_exec(
@@ -135,13 +143,13 @@
         assert child.stdin is not None and child.stdout is not None
         stack.callback(child.stdin.close)
         address = (await child.stdout.readline()).decode().strip()
-        discovery = Discovery()
+        discovery = SimulatedDiscovery()
         at = await discovery.start()
         stack.push_async_callback(discovery.close)
         await discovery.put("s-0", address, "a")
-        manager = Manager(at, discovery.listing(), None)
+        manager = ManagerProcess(at, discovery.listing(), None)
         stack.push_async_callback(manager.stop)
-        forwarder = Forwarder(0, at, [f"127.0.0.1:{await manager.serving()}"], None, **part)
+        forwarder = ForwarderProcess(0, at, [f"127.0.0.1:{await manager.serving()}"], None, **part)
         stack.push_async_callback(forwarder.stop)
         await forwarder.serving()
         await forwarder.logged("stream opened")
@@ -189,7 +197,7 @@
     """Resident bytes of the forwarder by held connection."""
     limits = {"client": 20_000, "worker": 20_000}
     async with one_worker(limits=limits) as (_, forwarder):
-        before, held, out = forwarder.memory(), list[asyncio.StreamWriter](), dict[int, float]()
+        before, held, out = forwarder.resident_bytes(), list[asyncio.StreamWriter](), dict[int, float]()
         head = "GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n"
         head += f"Sec-WebSocket-Key: {KEY}"
 
@@ -203,7 +211,7 @@
             while len(held) < step:
                 await asyncio.gather(*(one() for _ in range(min(100, step - len(held)))))
             await asyncio.sleep(1.0)
-            out[step] = (forwarder.memory() - before) / step
+            out[step] = (forwarder.resident_bytes() - before) / step
         for writer in held:
             writer.transport.abort()
     return out
--- a/cottonladder/cli/demo.py
+++ b/cottonladder/cli/demo.py
@@ -4,7 +4,7 @@
 
 import click
 
-from ..testbed.demo import play
+from ..testbed.demo import show_demo
 
 
 @click.command()
@@ -15,4 +15,4 @@
 @click.option("--plain", is_flag=True, help="Print a line each half second in place of a table.")
 def demo(client_count: int, plain: bool) -> None:
     """Run two managers and four forwarders on loopback, and drain one of the simulated workers."""
-    click.echo(play(client_count, plain))
+    click.echo(show_demo(client_count, plain))
--- a/cottonladder/testbed/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -10,22 +10,22 @@
 from ..weight_advice import dfp, sasp
 from ..weight_advice.tlv import AdviceError
 
-Words = Callable[[sasp.Member], int]  # a member's weight as this advisor has it
-WAIT = 15.0  # s for any answer
+WeightFunction = Callable[[sasp.Member], int]  # a member's weight as this advisor has it
+ANSWER_TIMEOUT_S = 15.0  # s for any answer
 
 
 class SaspAdvisor:
     """A workload manager that says what `words` gives.  `mode`: honest, stall (half a message, then nothing),
     cut (half a message, then the end), garble (bytes that are none), silent (reads on, answers nothing)."""
 
-    def __init__(self, words: Words, seed: int = 7) -> None:
-        self.words, self.mode = words, "honest"
+    def __init__(self, weight_of: WeightFunction, seed: int = 7) -> None:
+        self.weight_of, self.mode = weight_of, "honest"
         self.flags = sasp.CONTACT | sasp.CONFIDENT
         self.members: dict[sasp.Member, None] = {}
         self.group: sasp.Group | None = None
-        self.heard: list[int] = []  # kinds of messages
-        self.joins = 0
-        self.reorder = random.Random(seed)
+        self.received_kinds: list[int] = []  # kinds of messages
+        self.connection_count = 0
+        self.random = random.Random(seed)
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
@@ -34,7 +34,7 @@
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.joins += 1
+        self.connection_count += 1
         self._writers.add(writer)
         come = sasp.Reader()
         try:
@@ -48,7 +48,7 @@
             writer.close()
 
     def _answer(self, writer: asyncio.StreamWriter, m: sasp.Message) -> None:
-        self.heard.append(m.kind)
+        self.received_kinds.append(m.kind)
         for g in m.groups:
             if isinstance(g, sasp.Grouped):
                 self.group = g.group
@@ -65,8 +65,8 @@
     def _weights(self) -> sasp.Grouped:
         assert self.group is not None
         members = list(self.members)
-        self.reorder.shuffle(members)
-        entries = tuple(sasp.Weight(m, 0, self.flags, self.words(m)) for m in members)
+        self.random.shuffle(members)
+        entries = tuple(sasp.Weight(m, 0, self.flags, self.weight_of(m)) for m in members)
         return sasp.Grouped(self.group, entries)
 
     def _say(self, writer: asyncio.StreamWriter, m: sasp.Message) -> None:
@@ -100,7 +100,7 @@
     def __init__(
         self, hosts: Callable[[], dict[int, tuple[dfp.Host, ...]]], secret: tuple[int, bytes] | None = None
     ) -> None:
-        self.hosts, self.every, self.secret, self.silent = hosts, 0.5, secret, False
+        self.hosts, self.report_interval_s, self.secret, self.is_silent = hosts, 0.5, secret, False
         self.keep_alive: int | None = None
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -123,10 +123,10 @@
 
     async def _report(self, writer: asyncio.StreamWriter) -> None:
         while True:
-            if not self.silent:
+            if not self.is_silent:
                 loads = tuple(dfp.Load(port, 6, hosts) for port, hosts in self.hosts().items())
                 writer.write(dfp.write(dfp.Message(dfp.PREFERENCE, loads), self.secret))
-            await asyncio.sleep(self.every)
+            await asyncio.sleep(self.report_interval_s)
 
     async def close(self) -> None:
         if self._server is not None:
@@ -169,7 +169,7 @@
         answer: asyncio.Future[sasp.Message] = asyncio.get_running_loop().create_future()
         self._answers[self._number] = answer
         self.writer.write(sasp.write(sasp.Message(kind, self._number, **fields)))  # type: ignore[arg-type]
-        return await asyncio.wait_for(answer, WAIT)
+        return await asyncio.wait_for(answer, ANSWER_TIMEOUT_S)
 
     def group(self, name: bytes, *members: sasp.Member | sasp.Weight | sasp.MemberState) -> sasp.Grouped:
         return sasp.Grouped(sasp.Group(self.uid, name), members)
@@ -183,7 +183,7 @@
         groups = tuple(sasp.Group(self.uid, name) for name in names)
         reply = await self.ask(sasp.GET_WEIGHTS, groups=groups)
         assert reply.code == sasp.OK, hex(reply.code)
-        return weights_of(reply)
+        return weights_by_label(reply)
 
     async def close(self) -> None:
         if self.writer is not None:
@@ -192,7 +192,7 @@
             self._task.cancel()
 
 
-def weights_of(m: sasp.Message) -> dict[bytes, sasp.Weight]:
+def weights_by_label(m: sasp.Message) -> dict[bytes, sasp.Weight]:
     out: dict[bytes, sasp.Weight] = {}
     for g in m.groups:
         for entry in g.entries if isinstance(g, sasp.Grouped) else ():
@@ -201,13 +201,15 @@
     return out
 
 
-async def dfp_loads(port: int, count: int = 1, secret: tuple[int, bytes] | None = None) -> list[dfp.Message]:
+async def read_dfp_reports(
+    port: int, count: int = 1, secret: tuple[int, bytes] | None = None
+) -> list[dfp.Message]:
     """A DFP manager that connects, asks for a report each second, and leaves after so many of them."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(dfp.write(dfp.Message(dfp.PARAMETERS, keep_alive=2), secret))
     writer.write(dfp.write(dfp.Message(dfp.BIND_REQUEST), secret))
     come, out = dfp.Reader(dict([secret]) if secret else None), list[dfp.Message]()
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(ANSWER_TIMEOUT_S):
         while sum(m.kind == dfp.PREFERENCE for m in out) < count:
             data = await reader.read(65_536)
             if not data:
--- a/cottonladder/testbed/crash_test.py
+++ b/cottonladder/testbed/crash_test.py
@@ -34,7 +34,7 @@
         finished[:8] = struct.pack("!Q", count)
 
 
-def kill(folder: str, kills: int, seed: int) -> dict[str, int]:
+def crash_test(folder: str, kills: int, seed: int) -> dict[str, int]:
     """Counts over all kills: half written states read as whole, states lost, and leftovers of killed
     writes."""
     chance, finished, count = random.Random(seed), mmap.mmap(-1, 8), 0
@@ -79,4 +79,4 @@
     parser.add_argument("--kills", type=int, default=1000)
     parser.add_argument("--seed", type=int, default=7)
     asked = parser.parse_args()
-    print(json.dumps(kill(asked.folder, asked.kills, asked.seed)))
+    print(json.dumps(crash_test(asked.folder, asked.kills, asked.seed)))
--- a/cottonladder/testbed/discovery.py
+++ b/cottonladder/testbed/discovery.py
@@ -8,18 +8,18 @@
 
 from aiohttp import web
 
-EMPTY_EVERY = 1.0  # s between empty lines of a watch on which nothing changes
+KEEP_ALIVE_INTERVAL_S = 1.0  # s between empty lines of a watch on which nothing changes
 
 
-class Discovery:
+class SimulatedDiscovery:
     """Owns the list and its watches."""
 
     def __init__(self) -> None:
         self.version = 1
-        self.servers: dict[str, dict[str, Any]] = {}
+        self.entries: dict[str, dict[str, Any]] = {}
         self._changed = asyncio.Condition()
         self._log: list[tuple[int, dict[str, Any]]] = []
-        self.down = False
+        self.is_down = False
         self._runner: web.ServerRunner | None = None
         self.address = ""
 
@@ -53,21 +53,21 @@
         async with self._changed:
             self.version += 1
             if state == "Gone":
-                self.servers.pop(name, None)
+                self.entries.pop(name, None)
             else:
-                self.servers[name] = entry
+                self.entries[name] = entry
             self._log.append((self.version, entry))
             self._changed.notify_all()
 
-    async def state(self, name: str, state: str) -> None:
-        held = self.servers[name]
+    async def set_state(self, name: str, state: str) -> None:
+        held = self.entries[name]
         await self.put(name, held["addr"], held["zone"], state, held["weight"], held["started_ms"] / 1000.0)
 
     def listing(self) -> dict[str, Any]:
-        return {"version": self.version, "full": True, "servers": list(self.servers.values())}
+        return {"version": self.version, "full": True, "servers": list(self.entries.values())}
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        if self.down:
+        if self.is_down:
             return web.Response(status=503)
         if "watch" not in request.rel_url.query:
             return web.Response(text=json.dumps(self.listing()))
@@ -75,7 +75,7 @@
         reply = web.StreamResponse()
         await reply.prepare(request)
         first = True
-        while not self.down:
+        while not self.is_down:
             news = {entry["id"]: entry for version, entry in self._log if version > after}
             if first or news:
                 body = {"version": self.version, "full": False, "servers": list(news.values())}
@@ -84,14 +84,14 @@
                 await reply.write(b"\n")
             first, after = False, self.version
             try:
-                async with asyncio.timeout(EMPTY_EVERY), self._changed:
-                    while self.version <= after and not self.down:
+                async with asyncio.timeout(KEEP_ALIVE_INTERVAL_S), self._changed:
+                    while self.version <= after and not self.is_down:
                         await self._changed.wait()
             except TimeoutError:
                 pass
         return reply
 
-    async def fail(self, down: bool) -> None:
+    async def set_down(self, down: bool) -> None:
         async with self._changed:
-            self.down = down
+            self.is_down = down
             self._changed.notify_all()
--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -16,9 +16,9 @@
 
 import aiohttp
 
-START_WAIT = 30.0  # s for a process to say that it serves, so that a slow machine fails nothing
-STOP_WAIT = 20.0
-LINES_MOST = 5000  # log lines kept of one process
+START_TIMEOUT_S = 30.0  # s for a process to say that it serves, so that a slow machine fails nothing
+STOP_TIMEOUT_S = 20.0
+MAX_LOG_LINES = 5000  # log lines kept of one process
 ROOT = Path(__file__).parents[2]
 SETTINGS: dict[str, Any] = {
     "NInstances": 1, "Me": 0, "Zones": ["a", "b"], "Discovery": "subscribe",
@@ -30,7 +30,7 @@
     "Limits": {"Probing": False, "Peers": False}, "Prices": {"CrossZone": 0.02, "Probe": 0.02},
     "Stats": {"Via": "none", "Fields": []},
 }  # fmt: skip
-KINDS: list[dict[str, Any]] = [
+REQUEST_CLASSES: list[dict[str, Any]] = [
     {"name": "release", "match": [{"path": "/release"}], "replays": "non-replayable", "timeout": 5.0},
     {"name": "fetch", "replays": "replayable", "timeout": 5.0, "ticket": "Case-Ticket",
      "busy": {"opens": "", "ends": ""}},
@@ -72,22 +72,22 @@
         while line := await self.process.stdout.readline():
             async with self._new:
                 self.lines.append(line.decode(errors="replace"))
-                del self.lines[:-LINES_MOST]
+                del self.lines[:-MAX_LOG_LINES]
                 self._new.notify_all()
         async with self._new:
             self._new.notify_all()
 
-    def found(self, *words: str) -> str | None:
+    def find_line(self, *words: str) -> str | None:
         return next((line for line in self.lines if all(word in line for word in words)), None)
 
-    async def logged(self, *words: str, wait: float = START_WAIT) -> str:
+    async def logged(self, *words: str, wait: float = START_TIMEOUT_S) -> str:
         """The first line with all these words."""
         try:
             async with asyncio.timeout(wait), self._new:
-                await self._new.wait_for(lambda: self.found(*words) is not None or self.ended)
+                await self._new.wait_for(lambda: self.find_line(*words) is not None or self.ended)
         except TimeoutError:
             pass
-        line = self.found(*words)
+        line = self.find_line(*words)
         if line is None:
             raise AssertionError(f"no line with {words} in:\n{''.join(self.lines[-40:])}")
         return line
@@ -106,7 +106,7 @@
         self.send(signal.SIGCONT)
         self.send(number)
         try:
-            status = await asyncio.wait_for(self.process.wait(), STOP_WAIT)
+            status = await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_S)
         except TimeoutError:
             self.send(signal.SIGKILL)
             status = await self.process.wait()
@@ -115,14 +115,14 @@
         shutil.rmtree(self.folder, ignore_errors=True)
         return status
 
-    def memory(self) -> int:
+    def resident_bytes(self) -> int:
         """Resident bytes."""
         assert self.process is not None
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE")
 
 
-class Manager(Process):
+class ManagerProcess(Process):
     """A manager; what the operators' file would hold is off where it is None."""
 
     def __init__(
@@ -154,7 +154,7 @@
         return self.port
 
 
-class Forwarder(Process):
+class ForwarderProcess(Process):
     """A forwarder with a status address."""
 
     def __init__(
@@ -163,8 +163,8 @@
         super().__init__("forward")
         self.part = {
             "node": node, "zone": "a", "zones": ["a", "b"], "listen": "127.0.0.1:0", "discovery": discovery,
-            "managers": managers, "kinds": KINDS, "collector": False, "seed": node + 1, "rate": 10.0,
-            "status": "127.0.0.1:0", **part,
+            "managers": managers, "kinds": REQUEST_CLASSES, "collector": False, "seed": node + 1,
+            "rate": 10.0, "status": "127.0.0.1:0", **part,
         }  # fmt: skip
         self._upgrades = upgrades
         self._more = {name: self.part.pop(name) for name in ("memory", "control") if name in self.part}
--- a/cottonladder/testbed/holding_clients.py
+++ b/cottonladder/testbed/holding_clients.py
@@ -10,21 +10,21 @@
 
 import aiohttp
 
-WAIT = 10.0  # s for a handshake
+HANDSHAKE_TIMEOUT_S = 10.0  # s for a handshake
 BACK = re.compile(r"come back in (\d+) s")
 
 
 @dataclass(slots=True)
-class Counts:
+class ClientCounters:
     """What all desks of a run met."""
 
     closes: Counter[str] = field(default_factory=Counter)
     opened: int = 0
-    bare: int = 0  # handshakes turned away or failed
+    failed_handshakes: int = 0  # handshakes turned away or failed
     unanswered: int = 0  # closed while an answer was awaited
-    unknown: int = 0  # of these, told that the outcome is unknown
+    outcome_unknown: int = 0  # of these, told that the outcome is unknown
     answered: int = 0
-    gaps: list[float] = field(default_factory=list)  # s without a connection
+    reconnect_gaps: list[float] = field(default_factory=list)  # s without a connection
 
 
 class HoldingClient:
@@ -35,16 +35,21 @@
         self,
         session: aiohttp.ClientSession,
         url: str,
-        counts: Counts,
+        counts: ClientCounters,
         name: str,
         *,
         busy: bool = False,
         releases: bool = False,
-        hasty: bool = False,
-        every: float = 0.2,
+        reconnects_at_once: bool = False,
+        ask_interval_s: float = 0.2,
     ) -> None:
         self._session, self._url, self.counts, self.name = session, url, counts, name
-        self._busy, self._releases, self._hasty, self._every = busy, releases, hasty, every
+        self._busy, self._releases, self._hasty, self._every = (
+            busy,
+            releases,
+            reconnects_at_once,
+            ask_interval_s,
+        )
         self._numbers = itertools.count()
         self.connected = asyncio.Event()
         self.worker = ""
@@ -60,19 +65,19 @@
         while True:
             wait = 0.0
             try:
-                async with asyncio.timeout(WAIT):
+                async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                     socket = await self._session.ws_connect(self._url, autoping=True, max_msg_size=1 << 20)
             except aiohttp.WSServerHandshakeError as exc:
-                self.counts.bare += 1
+                self.counts.failed_handshakes += 1
                 wait = float(exc.headers.get("Retry-After", "1")) if exc.headers else 1.0
             except (aiohttp.ClientError, TimeoutError, OSError):
-                self.counts.bare += 1
+                self.counts.failed_handshakes += 1
                 wait = 0.5
             else:
                 self.socket = socket
                 self.counts.opened += 1
                 if left:
-                    self.counts.gaps.append(loop.time() - left)
+                    self.counts.reconnect_gaps.append(loop.time() - left)
                 self.connected.set()
                 wait = await self._hold(socket)
                 self.connected.clear()
@@ -101,7 +106,7 @@
             await socket.close()
         if self._awaited:
             self.counts.unanswered += 1
-            self.counts.unknown += "outcome unknown" in why
+            self.counts.outcome_unknown += "outcome unknown" in why
         said = BACK.search(why)
         return float(said.group(1)) if said else 0.2
 
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -34,15 +34,19 @@
 from ..planning.controller_views import capacity_views, collect_state
 from ..policy.controller import RoutingController
 
-LOOK, REPORT, LATE = 0.25, 2.0, 0.5  # s between looks, between sums, and until these arrive
-TARGET, TIMEOUT, WORK = 1.0, 2.5, 0.16  # s
-PROXIES, ZONES = 12, 2
-TERMS = DeploymentParameters(
+STEP_S, REPORT_INTERVAL_S, REPORT_DELAY_S = (
+    0.25,
+    2.0,
+    0.5,
+)  # s between looks, between sums, and until these arrive
+LATENCY_OBJECTIVE_S, DEADLINE_S, SERVICE_TIME_S = 1.0, 2.5, 0.16  # s
+PROXY_COUNT, ZONE_COUNT = 12, 2
+PARAMETERS = DeploymentParameters(
     seed=1,
     manager_count=1,
-    zone_count=ZONES,
-    request_classes=(RequestClass(TARGET, 1.0),),
-    proxy_count=PROXIES,
+    zone_count=ZONE_COUNT,
+    request_classes=(RequestClass(LATENCY_OBJECTIVE_S, 1.0),),
+    proxy_count=PROXY_COUNT,
     watches_endpoints=False,
     poll_within_s=1.0,
     health_checks=False,
@@ -63,7 +67,7 @@
     cross_zone_cost=0.02,
     health_check_cost=0.02,
 )
-Say = Callable[[float, "MonthEndRun"], Mapping[int, AdvisoryWeight] | None]
+Advisor = Callable[[float, "MonthEndRun"], Mapping[int, AdvisoryWeight] | None]
 
 
 @dataclass(slots=True)
@@ -72,45 +76,45 @@
 
     zone: int
     speed: float
-    started: float = 0.0
-    free: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
+    started_at: float = 0.0
+    cores_free_at: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
 
-    def now(self, at: float) -> float:
+    def speed_at(self, now: float) -> float:
         """What it does of its usual: a cold one begins at a fifth."""
-        age = at - self.started if self.started > 0 else math.inf
+        age = now - self.started_at if self.started_at > 0 else math.inf
         return self.speed * (1.0 if age >= 15.0 else 0.2 + 0.8 * age / 15.0)
 
 
 @dataclass(slots=True)
-class Result:
-    asked: int = 0
+class MonthEndResult:
+    requests: int = 0
     served: int = 0
-    worst: float = 1.0  # share of the worst 10 s
-    cold_over: float = 0.0  # most that a cold worker was brought in 2 s, of what would push it over
-    bare: int = 0  # looks at which a bound proxy had no usable line
+    worst_share: float = 1.0  # share of the worst 10 s
+    worst_warm_up_load: float = 0.0  # most that a cold worker was brought in 2 s, of what would push it over
+    proxies_without_worker: int = 0  # looks at which a bound proxy had no usable line
     shares: dict[int, float] = field(default_factory=dict)
     credit: dict[str, float] = field(default_factory=dict)
     factors: list[dict[int, float]] = field(default_factory=list)
 
     @property
-    def share(self) -> float:
-        return self.served / max(1, self.asked)
+    def served_share(self) -> float:
+        return self.served / max(1, self.requests)
 
 
 class MonthEndRun:
     """One seeded day of `length` s; `advisors` are asked for words each interval."""
 
     def __init__(
-        self, advisors: Mapping[str, Say], seed: int = 7, length: float = 120.0, load: float = 0.8
+        self, advisors: Mapping[str, Advisor], seed: int = 7, duration_s: float = 120.0, load: float = 0.8
     ) -> None:
         chance = random.Random(seed)
         self.random = chance
-        self.boxes = {
-            be: SimulatedWorker(be % ZONES, speed)
+        self.workers = {
+            be: SimulatedWorker(be % ZONE_COUNT, speed)
             for be, speed in enumerate([1.6, 1.5, 1.0, 1.0, 0.9, 0.9, 0.6, 0.55, 0.5, 1.4])
         }
-        self.length, self._advisors, self.load = length, advisors, load
-        self.ladder, self.advice, self.result = RoutingController(TERMS), Advice(), Result()
+        self.duration_s, self._advisors, self.load = duration_s, advisors, load
+        self.controller, self.advice, self.result = RoutingController(PARAMETERS), Advice(), MonthEndResult()
         self._tables: dict[int, dict[int, float]] = defaultdict(dict)
         self._bound: dict[int, int] = {}
         self._out: set[int] = set()
@@ -123,73 +127,77 @@
 
     def capacity(self, now: float) -> float:
         """Reqs a second that all of them do."""
-        return sum(3.0 * box.now(now) / WORK for box in self.boxes.values())
+        return sum(3.0 * box.speed_at(now) / SERVICE_TIME_S for box in self.workers.values())
 
-    def rate(self, now: float) -> float:
+    def request_rate(self, now: float) -> float:
         """Month's end: from two thirds of the load up to all of it, in waves."""
-        whole = sum(3.0 * b.speed / WORK for b in self.boxes.values())
+        whole = sum(3.0 * b.speed / SERVICE_TIME_S for b in self.workers.values())
         wave = 0.08 * math.sin(now / 9.0)
-        return whole * self.load * (0.7 + 0.3 * min(1.0, now / (self.length / 2)) + wave)
+        return whole * self.load * (0.7 + 0.3 * min(1.0, now / (self.duration_s / 2)) + wave)
 
-    def later(self, at: float, item: Input) -> None:
+    def schedule(self, at: float, message: Input) -> None:
         self._count += 1
-        heapq.heappush(self._due, (at, self._count, item))
+        heapq.heappush(self._due, (at, self._count, message))
 
-    def start(self, be: int, zone: int, speed: float, now: float) -> None:
+    def start_worker(self, worker_index: int, zone: int, speed: float, now: float) -> None:
         """A fresh worker, cold."""
-        self.boxes[be] = SimulatedWorker(zone, speed, now)
-        entry = Endpoint(be, zone, EndpointState.READY, 1.0, now)
-        self.later(now + 0.2, EndpointList(ListUpdateKind.DELTA, (entry,)))
+        self.workers[worker_index] = SimulatedWorker(zone, speed, now)
+        entry = Endpoint(worker_index, zone, EndpointState.READY, 1.0, now)
+        self.schedule(now + 0.2, EndpointList(ListUpdateKind.DELTA, (entry,)))
 
-    def drain(self, be: int, now: float) -> None:
-        entry = Endpoint(be, self.boxes[be].zone, EndpointState.DRAINING, 1.0, 0.0)
-        self.later(now, EndpointList(ListUpdateKind.DELTA, (entry,)))
+    def drain_worker(self, worker_index: int, now: float) -> None:
+        entry = Endpoint(worker_index, self.workers[worker_index].zone, EndpointState.DRAINING, 1.0, 0.0)
+        self.schedule(now, EndpointList(ListUpdateKind.DELTA, (entry,)))
 
-    def restart(self, recall: Callable[[RestoredState], RestoredState | None]) -> None:
+    def restart_manager(self, restore: Callable[[RestoredState], RestoredState | None]) -> None:
         """The manager dies and a new one starts with the list, and with what `recall` makes of the old one's
         life.  Proxies keep their tables and join anew within a second."""
-        life = recall(collect_state(self.ladder, list(self.ladder.bes), list(self.ladder.proxies)))
-        now = self.ladder.now
-        self.ladder = RoutingController(TERMS)
+        life = restore(
+            collect_state(self.controller, list(self.controller.bes), list(self.controller.proxies))
+        )
+        now = self.controller.now
+        self.controller = RoutingController(PARAMETERS)
         self._due = [row for row in self._due if not isinstance(row[2], TimerFired | Acknowledged)]
         heapq.heapify(self._due)
         entries = tuple(
-            Endpoint(be, x.zone, EndpointState.READY, 1.0, x.started) for be, x in self.boxes.items()
+            Endpoint(be, x.zone, EndpointState.READY, 1.0, x.started_at) for be, x in self.workers.items()
         )
-        self.later(now, EndpointList(ListUpdateKind.CACHED, entries))
+        self.schedule(now, EndpointList(ListUpdateKind.CACHED, entries))
         if life is not None:
-            self.later(now, life)
-        for p in range(PROXIES):
-            joined = ProxyConnected(p, p % ZONES, self.rate(now - 1000.0) / PROXIES, False)
-            self.later(now + 0.2 + self.random.random() * 0.8, joined)
+            self.schedule(now, life)
+        for p in range(PROXY_COUNT):
+            joined = ProxyConnected(p, p % ZONE_COUNT, self.request_rate(now - 1000.0) / PROXY_COUNT, False)
+            self.schedule(now + 0.2 + self.random.random() * 0.8, joined)
 
-    def play(self, events: Callable[[float, MonthEndRun], None] = lambda now, day: None) -> Result:
+    def run(self, events: Callable[[float, MonthEndRun], None] = lambda now, day: None) -> MonthEndResult:
         entries = tuple(
-            Endpoint(be, box.zone, EndpointState.READY, 1.0, 0.0) for be, box in self.boxes.items()
+            Endpoint(be, box.zone, EndpointState.READY, 1.0, 0.0) for be, box in self.workers.items()
         )
         origin = 1000.0  # module time of the day's begin: starts of 0 are long ago
-        self.later(origin, EndpointList(ListUpdateKind.FULL, entries))
-        for p in range(PROXIES):
-            self.later(origin + 0.01, ProxyConnected(p, p % ZONES, self.rate(0.0) / PROXIES, True))
-        now, report_at, advise_at, by_ten = origin, origin + REPORT, origin, dict[int, list[int]]()
+        self.schedule(origin, EndpointList(ListUpdateKind.FULL, entries))
+        for p in range(PROXY_COUNT):
+            self.schedule(
+                origin + 0.01, ProxyConnected(p, p % ZONE_COUNT, self.request_rate(0.0) / PROXY_COUNT, True)
+            )
+        now, report_at, advise_at, by_ten = origin, origin + REPORT_INTERVAL_S, origin, dict[int, list[int]]()
         came: dict[int, int] = defaultdict(int)
-        for p in range(PROXIES):
+        for p in range(PROXY_COUNT):
             self._bound[p] = -1
-        while now < origin + self.length:
+        while now < origin + self.duration_s:
             events(now - origin, self)
             inputs = self._take(now)
             if now >= advise_at:
                 advise_at = now + PERIOD
                 inputs += self._advise(now)
-            self._carry(now, self.ladder.decide(now, inputs))
-            self._standing = capacity_views(self.ladder)
+            self._carry(now, self.controller.decide(now, inputs))
+            self._standing = capacity_views(self.controller)
             self._check()
             self._reqs(now, origin, came, by_ten)
-            now += LOOK
+            now += STEP_S
             if now >= report_at:
-                report_at += REPORT
+                report_at += REPORT_INTERVAL_S
                 self._report(now, came)
-        self.result.worst = min((s / max(1, n) for n, s in by_ten.values() if n > 50), default=1.0)
+        self.result.worst_share = min((s / max(1, n) for n, s in by_ten.values() if n > 50), default=1.0)
         self.result.credit = {name: s.credit for name, s in self.advice.shown(now).items()}
         return self.result
 
@@ -222,54 +230,58 @@
                 (self._out.add if o.excluded else self._out.discard)(o.worker_index)
             elif isinstance(o, Checkpoint):
                 for p in self._bound:
-                    self.later(now + 0.2, Acknowledged(p, o.number, 0.2))
+                    self.schedule(now + 0.2, Acknowledged(p, o.number, 0.2))
             elif isinstance(o, StartTimer):
-                self.later(now + o.delay_s - 1e-6, TimerFired(o.token))
+                self.schedule(now + o.delay_s - 1e-6, TimerFired(o.token))
 
-    def lines(self, proxy: int) -> dict[int, float]:
+    def usable_weights(self, proxy: int) -> dict[int, float]:
         table = self._tables[self._bound[proxy]]
         return {be: w for be, w in table.items() if w > 0 and be not in self._out}
 
     def _check(self) -> None:
         """The rules: nobody bound is without a usable line."""
-        self.result.bare += sum(t >= 0 and not self.lines(p) for p, t in self._bound.items())
+        self.result.proxies_without_worker += sum(
+            t >= 0 and not self.usable_weights(p) for p, t in self._bound.items()
+        )
 
     def _reqs(self, now: float, origin: float, came: dict[int, int], by_ten: dict[int, list[int]]) -> None:
         """All that come until the next look, in order."""
-        at, rate = now, self.rate(now - origin)
-        weights = {p: self.lines(p) or {b: 1.0 for b in list(self.boxes)[:5]} for p in range(PROXIES)}
-        while (at := at + self.random.expovariate(rate)) < now + LOOK:
-            p = min(int(PROXIES * self.random.random() ** 2), PROXIES - 1)  # few carry most
+        at, rate = now, self.request_rate(now - origin)
+        weights = {
+            p: self.usable_weights(p) or {b: 1.0 for b in list(self.workers)[:5]} for p in range(PROXY_COUNT)
+        }
+        while (at := at + self.random.expovariate(rate)) < now + STEP_S:
+            p = min(int(PROXY_COUNT * self.random.random() ** 2), PROXY_COUNT - 1)  # few carry most
             came[p] += 1
             lines = weights[p]
             be = self.random.choices(list(lines), list(lines.values()))[0]
-            took, done = self._serve(at, be, p % ZONES)
+            took, done = self._serve(at, be, p % ZONE_COUNT)
             row = by_ten.setdefault(int((at - origin) / 10.0), [0, 0])
-            self.result.asked += 1
+            self.result.requests += 1
             row[0] += 1
-            if done and took <= TARGET:
+            if done and took <= LATENCY_OBJECTIVE_S:
                 self.result.served += 1
                 row[1] += 1
 
     def _serve(self, at: float, be: int, zone: int) -> tuple[float, bool]:
-        box = self.boxes[be]
-        speed = box.now(at)
-        if box.started > 0 and at - box.started < 15.0:
+        box = self.workers[be]
+        speed = box.speed_at(at)
+        if box.started_at > 0 and at - box.started_at < 15.0:
             brought = [pair for pair in self._brought[be] if pair[0] > at - 2.0]
-            brought.append((at, WORK))
+            brought.append((at, SERVICE_TIME_S))
             self._brought[be] = brought
             can = 3.0 * speed * 2.0
-            if at - box.started > 2.0:
+            if at - box.started_at > 2.0:
                 over = sum(w for _, w in brought) / (3.0 * can)
-                self.result.cold_over = max(self.result.cold_over, over)
-        begin = max(at, box.free[0])
-        if begin - at > TIMEOUT:  # not begun: its client has gone
-            heapq.heappush(self._ends, (at + TIMEOUT, be, zone, TIMEOUT, False))
-            return TIMEOUT, False
-        end = begin + self.random.uniform(0.9, 1.1) * WORK / speed
-        heapq.heapreplace(box.free, end)
-        took, done = end - at, end - at <= TIMEOUT
-        heapq.heappush(self._ends, (at + min(took, TIMEOUT), be, zone, took, done))
+                self.result.worst_warm_up_load = max(self.result.worst_warm_up_load, over)
+        begin = max(at, box.cores_free_at[0])
+        if begin - at > DEADLINE_S:  # not begun: its client has gone
+            heapq.heappush(self._ends, (at + DEADLINE_S, be, zone, DEADLINE_S, False))
+            return DEADLINE_S, False
+        end = begin + self.random.uniform(0.9, 1.1) * SERVICE_TIME_S / speed
+        heapq.heapreplace(box.cores_free_at, end)
+        took, done = end - at, end - at <= DEADLINE_S
+        heapq.heappush(self._ends, (at + min(took, DEADLINE_S), be, zone, took, done))
         return took, done
 
     def _report(self, now: float, came: dict[int, int]) -> None:
@@ -282,44 +294,47 @@
             row[2] += took * done
         for (be, zone), (tries, errored, took) in sums.items():
             mean = took / max(1.0, tries - errored)
-            self.later(now + LATE, LoadReport(be, zone, int(tries), int(errored), REPORT, mean, {}))
+            self.schedule(
+                now + REPORT_DELAY_S,
+                LoadReport(be, zone, int(tries), int(errored), REPORT_INTERVAL_S, mean, {}),
+            )
         for p, count in came.items():
-            self.later(now + LATE, ArrivalReport(p, 0, count, 0, REPORT))
+            self.schedule(now + REPORT_DELAY_S, ArrivalReport(p, 0, count, 0, REPORT_INTERVAL_S))
         came.clear()
 
 
-def honest(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    return {be: AdvisoryWeight(100.0 * box.now(1000.0 + now)) for be, box in day.boxes.items()}
+def honest_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    return {be: AdvisoryWeight(100.0 * box.speed_at(1000.0 + now)) for be, box in run.workers.items()}
 
 
-def lying(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+def lying_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
     """The slowest ranked best."""
-    return {be: AdvisoryWeight(100.0 / box.speed) for be, box in day.boxes.items()}
+    return {be: AdvisoryWeight(100.0 / box.speed) for be, box in run.workers.items()}
 
 
-def wild(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    return {be: AdvisoryWeight(float(day.random.randint(1, 1000))) for be in day.boxes}
+def random_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    return {be: AdvisoryWeight(float(run.random.randint(1, 1000))) for be in run.workers}
 
 
-def nothing(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    return {be: AdvisoryWeight(0.0) for be in day.boxes}
+def zero_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    return {be: AdvisoryWeight(0.0) for be in run.workers}
 
 
-def most(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    return {be: AdvisoryWeight(65535.0) for be in day.boxes}
+def maximum_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    return {be: AdvisoryWeight(65535.0) for be in run.workers}
 
 
-def stalled(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
+def stalling_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
     """Honest until the dispute's height, then silent."""
-    return honest(now, day) if now < day.length / 2 else None
+    return honest_advisor(now, run) if now < run.duration_s / 2 else None
 
 
-def stalls_then_lies(now: float, day: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
-    third = day.length / 3
-    return honest(now, day) if now < third else None if now < 2 * third else lying(now, day)
+def stalling_then_lying_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
+    third = run.duration_s / 3
+    return honest_advisor(now, run) if now < third else None if now < 2 * third else lying_advisor(now, run)
 
 
-def slows(now: float, day: MonthEndRun) -> None:
+def slow_two_workers(now: float, run: MonthEndRun) -> None:
     """Half-way two of the good boxes are shared with somebody else's month's end."""
-    if abs(now - day.length / 2) < LOOK / 2:
-        day.boxes[0].speed, day.boxes[3].speed = 0.8, 0.5
+    if abs(now - run.duration_s / 2) < STEP_S / 2:
+        run.workers[0].speed, run.workers[3].speed = 0.8, 0.5
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -34,8 +34,8 @@
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.worker_registry import WorkerRegistry
 
-KINDS = ("fetch", "release")
-TERMS = DeploymentParameters(
+REQUEST_CLASSES = ("fetch", "release")
+PARAMETERS = DeploymentParameters(
     seed=7,
     manager_count=5,
     zone_count=4,
@@ -61,13 +61,13 @@
     cross_zone_cost=0.08,
     health_check_cost=0.02,
 )
-Channel = deque[tuple[int, bytes, int]]  # proxy, message, lines: what waits, the oldest first
+ChannelQueue = deque[tuple[int, bytes, int]]  # proxy, message, lines: what waits, the oldest first
 
 
-def lines_of(message: bytes, heads: int) -> int:
+def count_lines(message: bytes, header_lines: int) -> int:
     """What a message counts in the channel, read off its bytes: one for each line, worker shut out or let
     back, level, mark and `replace`, and its head."""
-    lines = heads
+    lines = header_lines
     for words in Reader(MESSAGE_MOST).feed(message):
         said = dict(zip(words[1::2], words[2::2], strict=True))
         lines += sum(len(said[name].split(b",")) for name in (b"rows", b"drop", b"undrop") if name in said)
@@ -76,13 +76,13 @@
 
 
 @dataclass
-class Held:
+class SimulatedProxy:
     """A proxy as it stands: its weights by worker id, whom it shuts out, its reqs a second, since when."""
 
-    rows: dict[bytes, float] = field(default_factory=dict)
-    out: set[bytes] = field(default_factory=set)
-    rate: float = 0.0
-    since: float = 0.0
+    weights: dict[bytes, float] = field(default_factory=dict)
+    excluded: set[bytes] = field(default_factory=set)
+    request_rate: float = 0.0
+    joined_at: float = 0.0
 
     def apply(self, message: bytes) -> int | None:
         """The number of the message's mark, if it has one."""
@@ -90,14 +90,14 @@
         for words in Reader(MESSAGE_MOST).feed(message):
             said = dict(zip(words[1::2], words[2::2], strict=True))
             if b"replace" in said:
-                self.rows.clear()
+                self.weights.clear()
             for row in said.get(b"rows", b"").split(b","):
                 be, _, weight = row.partition(b":")
-                self.rows.pop(be, None)
+                self.weights.pop(be, None)
                 if be and float(weight) > 0:
-                    self.rows[be] = float(weight)
-            self.out |= {be for be in said.get(b"drop", b"").split(b",") if be}
-            self.out -= set(said.get(b"undrop", b"").split(b","))
+                    self.weights[be] = float(weight)
+            self.excluded |= {be for be in said.get(b"drop", b"").split(b",") if be}
+            self.excluded -= set(said.get(b"undrop", b"").split(b","))
             mark = int(said[b"stamp"]) if b"stamp" in said else mark
         return mark
 
@@ -106,44 +106,51 @@
     """`pace` is the part of the usual pace at which the channel sends, `answers` the part of marks that are
     answered.  `spent` has the worst seconds of each part of a batch, by the name that the caller gives it."""
 
-    def __init__(self, terms: DeploymentParameters, pace: float = 1.0, answers: float = 1.0) -> None:
-        self.terms, self.pace, self.answers, self.now = terms, pace, answers, 1000.0
-        self.random = random.Random(terms.seed)
+    def __init__(
+        self, parameters: DeploymentParameters, channel_speed: float = 1.0, acknowledged_share: float = 1.0
+    ) -> None:
+        self.parameters, self.channel_speed, self.acknowledged_share, self.now = (
+            parameters,
+            channel_speed,
+            acknowledged_share,
+            1000.0,
+        )
+        self.random = random.Random(parameters.seed)
         self.workers = WorkerRegistry()
-        self.ladder = RoutingController(terms)
-        self.spread = OrderDispatcher(list(KINDS), terms.manager_count, self.workers)
-        self.ladder.gate.added = self.spread.added
-        self.proxies: dict[int, Held] = {}
-        self.channel: Channel = deque()
-        self.credit, self.longest = 0.0, 0
-        self.due: list[tuple[float, Input]] = []  # answers on their way
-        self.unbooked: list[str] = []  # messages that cost more than was booked for them
-        self.spent: dict[tuple[str, str], float] = {}
-        self.took: list[float] = []  # s of each batch
-        self.written = 0
-        self.token = 0
-        self.heard: Callable[[], Iterable[Input]] = tuple  # what else comes in at each look
+        self.controller = RoutingController(parameters)
+        self.dispatcher = OrderDispatcher(list(REQUEST_CLASSES), parameters.manager_count, self.workers)
+        self.controller.gate.added = self.dispatcher.added
+        self.proxies: dict[int, SimulatedProxy] = {}
+        self.channel: ChannelQueue = deque()
+        self.credit_lines, self.longest_queue = 0.0, 0
+        self.pending_inputs: list[tuple[float, Input]] = []  # answers on their way
+        self.budget_faults: list[str] = []  # messages that cost more than was booked for them
+        self.worst_durations: dict[tuple[str, str], float] = {}
+        self.batch_durations: list[float] = []  # s of each batch
+        self.bytes_written = 0
+        self.timer_token = 0
+        self.extra_inputs: Callable[[], Iterable[Input]] = tuple  # what else comes in at each look
         self.orders: list[Order] = []
 
-    def entry(
+    def endpoint(
         self, name: str, zone: int, mode: EndpointState = EndpointState.READY, started: float = 0.0
     ) -> Endpoint:
         return Endpoint(self.workers.learn(name, "127.0.0.1:1", started), zone, mode, 1.0, started)
 
-    def waiting(self) -> int:
+    def queued_lines(self) -> int:
         return sum(lines for _, _, lines in self.channel)
 
     def step(self, name: str, inputs: Iterable[Input]) -> None:
         inputs = list(inputs)
         begun = perf_counter()
-        self.spread.hear(inputs)
+        self.dispatcher.hear(inputs)
         heard = perf_counter()
-        self.orders = self.ladder.decide(self.now, inputs)
+        self.orders = self.controller.decide(self.now, inputs)
         decided = perf_counter()
         mark = -1
         for order in self.orders:
             if isinstance(order, StartTimer):
-                self.token = order.token
+                self.timer_token = order.token
             elif type(order) not in (
                 WatchEndpoints,
                 FetchEndpoints,
@@ -151,36 +158,36 @@
                 SendGossip,
                 LogModeChange,
             ):
-                if why := self.spread.take(order):
+                if why := self.dispatcher.take(order):
                     raise AssertionError(why)
                 mark = order.number if isinstance(order, Checkpoint) else mark
-        booked = dict(self.ladder.gate.in_flight.by_checkpoint.get(mark, {}))
+        booked = dict(self.controller.gate.in_flight.by_checkpoint.get(mark, {}))
         if mark >= 0:
-            self.ladder.gate.settle(self.spread.lines())
+            self.controller.gate.settle(self.dispatcher.lines())
         spread = perf_counter()
-        messages = list(self.spread.messages())
+        messages = list(self.dispatcher.messages())
         ended = perf_counter()
         parts = {"module": decided - heard, "spread": heard - begun + spread - decided}
         parts["write"] = ended - spread
-        self.took.append(ended - begun)
+        self.batch_durations.append(ended - begun)
         for part, took in {**parts, "all": ended - begun}.items():
-            self.spent[name, part] = max(took, self.spent.get((name, part), 0.0))
-        settled = self.ladder.gate.in_flight.by_checkpoint.get(mark, {})
+            self.worst_durations[name, part] = max(took, self.worst_durations.get((name, part), 0.0))
+        settled = self.controller.gate.in_flight.by_checkpoint.get(mark, {})
         for proxy, message in messages:
-            lines = lines_of(message, self.terms.message_header_lines)
+            lines = count_lines(message, self.parameters.message_header_lines)
             self.channel.append((proxy, message, lines))
-            self.written += len(message)
+            self.bytes_written += len(message)
             if mark >= 0 and (lines > booked.get(proxy, 0) or lines != settled.get(proxy, 0)):
                 told = f"booked {booked.get(proxy, 0)}, settled {settled.get(proxy, 0)}, written {lines}"
-                self.unbooked.append(f"{self.now - 1000.0:.2f} s {name}: proxy {proxy}: {told}")
-        self.longest = max(self.longest, self.waiting())
+                self.budget_faults.append(f"{self.now - 1000.0:.2f} s {name}: proxy {proxy}: {told}")
+        self.longest_queue = max(self.longest_queue, self.queued_lines())
 
     def join(self, proxies: Iterable[int], rate: float = 1.0, fresh: bool = False) -> None:
         new = []
         for p in proxies:
-            held = self.proxies.setdefault(p, Held())
-            held.rate, held.since = rate * self.random.expovariate(1.0), self.now
-            new.append(ProxyConnected(p, p % self.terms.zone_count, held.rate, fresh))
+            held = self.proxies.setdefault(p, SimulatedProxy())
+            held.request_rate, held.joined_at = rate * self.random.expovariate(1.0), self.now
+            new.append(ProxyConnected(p, p % self.parameters.zone_count, held.request_rate, fresh))
         self.step("joins", new)
 
     def leave(self, proxies: Iterable[int]) -> None:
@@ -188,43 +195,47 @@
         gone = [p for p in proxies if self.proxies.pop(p, None) is not None]
         self.step("leaves", [ProxyDisconnected(p) for p in gone])
 
-    def send(self, seconds: float) -> None:
+    def send_for(self, seconds: float) -> None:
         """What the channel sends in this time; its messages are applied and answered."""
-        self.credit += seconds * self.terms.channel_lines_per_s * self.pace
-        while self.channel and self.channel[0][2] <= self.credit:
+        self.credit_lines += seconds * self.parameters.channel_lines_per_s * self.channel_speed
+        while self.channel and self.channel[0][2] <= self.credit_lines:
             proxy, message, lines = self.channel.popleft()
-            self.credit -= lines
+            self.credit_lines -= lines
             held = self.proxies.get(proxy)
             if held is not None and (mark := held.apply(message)) is not None:
-                if self.random.random() < self.answers:
-                    self.due.append(
+                if self.random.random() < self.acknowledged_share:
+                    self.pending_inputs.append(
                         (self.now + self.random.uniform(0.1, 0.6), Acknowledged(proxy, mark, 0.3))
                     )
         if not self.channel:
-            self.credit = 0.0
+            self.credit_lines = 0.0
 
-    def load(self) -> dict[bytes, float]:
+    def worker_load(self) -> dict[bytes, float]:
         """The reqs a second that all proxies' tables bring each worker."""
         load: dict[bytes, float] = {}
         for held in self.proxies.values():
-            open_rows = {be: weight for be, weight in held.rows.items() if be not in held.out}
+            open_rows = {be: weight for be, weight in held.weights.items() if be not in held.excluded}
             for be, weight in open_rows.items():
-                load[be] = load.get(be, 0.0) + held.rate * weight / sum(open_rows.values())
+                load[be] = load.get(be, 0.0) + held.request_rate * weight / sum(open_rows.values())
         return load
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.now += BEAT
-            self.send(BEAT)
-            came = [item for at, item in self.due if at <= self.now]
-            self.due = [(at, item) for at, item in self.due if at > self.now]
-            self.step("look", [*came, *self.heard(), TimerFired(self.token)])
+            self.send_for(BEAT)
+            came = [item for at, item in self.pending_inputs if at <= self.now]
+            self.pending_inputs = [(at, item) for at, item in self.pending_inputs if at > self.now]
+            self.step("look", [*came, *self.extra_inputs(), TimerFired(self.timer_token)])
 
 
-def site(
-    proxies: int = 1600, zones: int = 4, managers: int = 5, waiting_most: float = 50000.0
+def fleet_parameters(
+    proxies: int = 1600, zones: int = 4, managers: int = 5, max_queued_lines: float = 50000.0
 ) -> DeploymentParameters:
     return replace(
-        TERMS, proxy_count=proxies, zone_count=zones, manager_count=managers, max_queued_lines=waiting_most
+        PARAMETERS,
+        proxy_count=proxies,
+        zone_count=zones,
+        manager_count=managers,
+        max_queued_lines=max_queued_lines,
     )
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -23,9 +23,15 @@
 
 from cottonladder.planning import advice_weighting as ad
 from cottonladder.planning.advertised_weights import TOP
-from cottonladder.testbed.advisors import DfpAdvisor, SaspAdvisor, SaspBalancer, dfp_loads, weights_of
-from cottonladder.testbed.discovery import Discovery
-from cottonladder.testbed.fleet import ROOT, SETTINGS, Manager
+from cottonladder.testbed.advisors import (
+    DfpAdvisor,
+    SaspAdvisor,
+    SaspBalancer,
+    read_dfp_reports,
+    weights_by_label,
+)
+from cottonladder.testbed.discovery import SimulatedDiscovery
+from cottonladder.testbed.fleet import ROOT, SETTINGS, ManagerProcess
 from cottonladder.weight_advice import dfp, sasp
 from tests.standins import Client
 
@@ -39,7 +45,7 @@
 class Rig(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
-        self.discovery = Discovery()
+        self.discovery = SimulatedDiscovery()
         self.at = await self.discovery.start()
         self.addAsyncCleanup(self.discovery.close)
         for n in range(1, 5):
@@ -47,15 +53,15 @@
 
     async def manager(
         self, *serve: dict[str, Any], follow: list[dict[str, Any]] | None = None, **more: Any
-    ) -> Manager:
+    ) -> ManagerProcess:
         listens = [{"listen": "127.0.0.1:0", **part} for part in serve]
         advice = {"serve": listens, "follow": follow or []}
-        manager = Manager(self.at, self.discovery.listing(), None, advice, **more)
+        manager = ManagerProcess(self.at, self.discovery.listing(), None, advice, **more)
         await manager.serving()
         self.addAsyncCleanup(manager.stop)
         return manager
 
-    async def port(self, manager: Manager, protocol: str) -> int:
+    async def port(self, manager: ManagerProcess, protocol: str) -> int:
         return int((await manager.logged("advice served", protocol)).split("port=")[1])
 
     async def balancer(self, port: int, uid: bytes = b"lb-1", **more: object) -> SaspBalancer:
@@ -64,7 +70,7 @@
         self.addAsyncCleanup(balancer.close)
         return balancer
 
-    async def join(self, manager: Manager) -> Client:
+    async def join(self, manager: ManagerProcess) -> Client:
         proxy = Client(*await asyncio.open_connection("127.0.0.1", manager.port))
         self.addCleanup(proxy.close)
         proxy.join(1)
@@ -102,8 +108,8 @@
         rows = await balancer.weights(b"g")
         self.assertEqual({name: w.weight for name, w in rows.items()},
                          {b"s-1": TOP, b"another name": TOP, b"nobody": 0})  # fmt: skip
-        await self.discovery.state("s-1", "Terminating")
-        while b"s-1" not in (told := weights_of(await asyncio.wait_for(balancer.pushed.get(), WAIT))):
+        await self.discovery.set_state("s-1", "Terminating")
+        while b"s-1" not in (told := weights_by_label(await asyncio.wait_for(balancer.pushed.get(), WAIT))):
             pass
         self.assertEqual((told[b"s-1"].weight, told[b"s-1"].flags & sasp.QUIESCED), (0, sasp.QUIESCED))
         self.assertEqual(set(told), {b"s-1"})
@@ -127,14 +133,14 @@
         await manager.logged("event=serving")
         ports = [int(line.split("port=")[1]) for line in manager.lines if "advice served" in line]
         for port, key in zip(ports, ((7, b"month's end"), None), strict=True):
-            await self.discovery.state("s-2", "Ready")
-            heard = await dfp_loads(port, 2, key)
+            await self.discovery.set_state("s-2", "Ready")
+            heard = await read_dfp_reports(port, 2, key)
             self.assertIn(dfp.BIND_REPORT, {m.kind for m in heard})
             loads = [m for m in heard if m.kind == dfp.PREFERENCE][-1].loads
             weights = {(str(h.address), load.port): h.weight for load in loads for h in load.hosts}
             self.assertEqual(weights, {("127.0.0.9", 8000 + n): TOP for n in range(1, 5)})
         with self.assertRaises(ConnectionError):
-            await dfp_loads(ports[0], 1, (7, b"wrong"))
+            await read_dfp_reports(ports[0], 1, (7, b"wrong"))
         await manager.logged("advice client ended", "digest")
 
     async def test_hostile_clients_end_and_the_rest_is_served(self) -> None:
@@ -150,7 +156,7 @@
             writer.write(said)
             await self.ended(reader)
             writer.close()
-        before = manager.memory()
+        before = manager.resident_bytes()
         silent = []
         for _ in range(40):
             batch = [asyncio.open_connection("127.0.0.1", port) for _ in range(100)]
@@ -162,7 +168,7 @@
             await self.ended(reader)
         for _, writer in pairs:
             writer.close()
-        self.assertLess(manager.memory() - before, 8 << 20)
+        self.assertLess(manager.resident_bytes() - before, 8 << 20)
         await manager.logged("too many clients")
         await manager.logged("said nothing")
         self.assertLess(sum("too many clients" in line for line in manager.lines), 20)  # summed
@@ -265,7 +271,7 @@
         manager = await self.manager(follow=[follow])
         proxy, table = await self.join(manager), dict[str, float]()
         await self.rows(proxy, table, lambda: self.ratio(table) > 1.3)
-        await self.discovery.state("s-1", "Terminating")
+        await self.discovery.set_state("s-1", "Terminating")
         await self.rows(proxy, table, lambda: "s-1" not in table)
         await self.discovery.put("s-1", "127.0.0.9:8001", "a", "Gone")
         await self.discovery.put("s-5", "127.0.0.9:8005", "a")
@@ -287,9 +293,9 @@
             self.assertLess(time.monotonic(), end)
             await asyncio.sleep(0.1)
         advisor.mode = "honest"
-        joins = advisor.joins
+        joins = advisor.connection_count
         end = time.monotonic() + WAIT
-        while advisor.joins == joins:
+        while advisor.connection_count == joins:
             self.assertLess(time.monotonic(), end)
             await asyncio.sleep(0.1)
         proxy = await self.join(manager)
--- a/tests/test_advice_rules.py
+++ b/tests/test_advice_rules.py
@@ -400,33 +400,45 @@
 class MonthEnd(unittest.TestCase):
     """The module on a stand-in fleet in simulated time."""
 
-    def mean(self, *advisors: me.Say) -> float:
+    def mean(self, *advisors: me.Advisor) -> float:
         named = {str(n): say for n, say in enumerate(advisors)}
-        days = [me.MonthEndRun(named, seed=seed, length=80.0, load=0.85).play(me.slows) for seed in (7, 8, 9)]
-        self.assertEqual(sum(day.bare for day in days), 0)
-        return sum(day.share for day in days) / len(days)
+        days = [
+            me.MonthEndRun(named, seed=seed, duration_s=80.0, load=0.85).run(me.slow_two_workers)
+            for seed in (7, 8, 9)
+        ]
+        self.assertEqual(sum(day.proxies_without_worker for day in days), 0)
+        return sum(day.served_share for day in days) / len(days)
 
     def test_honest_advice_gains_and_lies_cost_little(self) -> None:
         none = self.mean()
-        self.assertGreater(self.mean(me.honest), none)
-        for lie in (me.lying, me.wild, me.nothing, me.most, me.stalled, me.stalls_then_lies):
+        self.assertGreater(self.mean(me.honest_advisor), none)
+        for lie in (
+            me.lying_advisor,
+            me.random_advisor,
+            me.zero_advisor,
+            me.maximum_advisor,
+            me.stalling_advisor,
+            me.stalling_then_lying_advisor,
+        ):
             self.assertGreater(self.mean(lie), 0.9 * none, lie.__name__)
-        self.assertGreater(self.mean(me.honest, me.lying), none)
+        self.assertGreater(self.mean(me.honest_advisor, me.lying_advisor), none)
 
     def test_a_cold_worker_ranked_highest_stays_under_its_rule_and_a_drain_stands(self) -> None:
         def flatters(now: float, day: me.MonthEndRun) -> dict[int, ad.AdvisoryWeight]:
-            return {be: ad.AdvisoryWeight(65535.0 if box.started else 1.0) for be, box in day.boxes.items()}
+            return {
+                be: ad.AdvisoryWeight(65535.0 if box.started_at else 1.0) for be, box in day.workers.items()
+            }
 
         def events(now: float, day: me.MonthEndRun) -> None:
-            if abs(now - 20.0) < me.LOOK / 2:
-                day.start(20, 0, 1.5, 1000.0 + now)
-                day.drain(0, 1000.0 + now)
+            if abs(now - 20.0) < me.STEP_S / 2:
+                day.start_worker(20, 0, 1.5, 1000.0 + now)
+                day.drain_worker(0, 1000.0 + now)
             if now > 22.0:
-                for p in range(me.PROXIES):
-                    self.assertNotIn(0, day.lines(p))
-
-        plain = me.MonthEndRun({}, length=50.0).play(events)
-        day = me.MonthEndRun({"a": flatters}, length=50.0).play(events)
-        self.assertGreater(plain.cold_over, 0.0)  # it was used while cold
-        self.assertLess(day.cold_over, 1.0)
-        self.assertEqual(day.bare, 0)
+                for p in range(me.PROXY_COUNT):
+                    self.assertNotIn(0, day.usable_weights(p))
+
+        plain = me.MonthEndRun({}, duration_s=50.0).run(events)
+        day = me.MonthEndRun({"a": flatters}, duration_s=50.0).run(events)
+        self.assertGreater(plain.worst_warm_up_load, 0.0)  # it was used while cold
+        self.assertLess(day.worst_warm_up_load, 1.0)
+        self.assertEqual(day.proxies_without_worker, 0)
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -20,10 +20,10 @@
 from cottonladder.cli import main as cli
 from cottonladder.forwarder import frame_scanner as fr
 from cottonladder.protocol.resp import MESSAGE_MOST, Reader, encode
-from cottonladder.testbed.discovery import Discovery
-from cottonladder.testbed.fleet import KINDS, Forwarder, Manager, free_port
-from cottonladder.testbed.holding_clients import Counts, HoldingClient
-from cottonladder.testbed.workers import Case, Ledger, Worker
+from cottonladder.testbed.discovery import SimulatedDiscovery
+from cottonladder.testbed.fleet import REQUEST_CLASSES, ForwarderProcess, ManagerProcess, free_port
+from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
+from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
 
 WAIT = 20.0  # s for any event, so that a slow machine fails no test
 GRACE = 6.0
@@ -35,9 +35,9 @@
 class Rig(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)  # a thousand clients would wait for its traces
-        self.ledger, self.cases, self.counts = Ledger(), dict[str, Case](), Counts()
-        self.workers: dict[str, Worker] = {}
-        self.discovery = Discovery()
+        self.ledger, self.cases, self.counts = EffectLedger(), dict[str, TicketSession](), ClientCounters()
+        self.workers: dict[str, SimulatedWorker] = {}
+        self.discovery = SimulatedDiscovery()
         self.at = await self.discovery.start()
         self.addAsyncCleanup(self.discovery.close)
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
@@ -49,25 +49,25 @@
         for desk in self.desks:
             await desk.stop()
 
-    async def worker(self, name: str, zone: str = "a", **listed: Any) -> Worker:
-        worker = self.workers[name] = Worker(name, self.ledger, self.cases)
+    async def worker(self, name: str, zone: str = "a", **listed: Any) -> SimulatedWorker:
+        worker = self.workers[name] = SimulatedWorker(name, self.ledger, self.cases)
         await worker.start()
-        self.addAsyncCleanup(worker.die)
+        self.addAsyncCleanup(worker.abort)
         await self.discovery.put(name, worker.address, zone, **listed)
         return worker
 
     async def manager(
         self, upgrades: dict[str, Any] | None = UPGRADES, port: int = 0, **more: Any
-    ) -> Manager:
-        manager = Manager(self.at, self.discovery.listing(), upgrades, **more)
+    ) -> ManagerProcess:
+        manager = ManagerProcess(self.at, self.discovery.listing(), upgrades, **more)
         await manager.serving(port)
         self.addAsyncCleanup(manager.stop)
         return manager
 
-    async def forwarder(self, *ports: int, node: int = 0, **part: Any) -> Forwarder:
+    async def forwarder(self, *ports: int, node: int = 0, **part: Any) -> ForwarderProcess:
         managers = [f"127.0.0.1:{port}" for port in ports]
         upgrades = part.pop("upgrades", UPGRADES)
-        forwarder = Forwarder(node, self.at, managers, upgrades, **part)
+        forwarder = ForwarderProcess(node, self.at, managers, upgrades, **part)
         await forwarder.serving()
         self.addAsyncCleanup(forwarder.stop)
         return forwarder
@@ -83,7 +83,7 @@
             self.assertLess(time.monotonic(), end, "did not come")
             await asyncio.sleep(0.02)
 
-    async def bound(self, forwarder: Forwarder, *names: str) -> None:
+    async def bound(self, forwarder: ForwarderProcess, *names: str) -> None:
         """Until its table names these workers and no other."""
 
         async def same() -> bool:
@@ -93,7 +93,7 @@
         await self.until(same)
 
     async def open(
-        self, forwarder: Forwarder, count: int, path: str = "/watch", **more: Any
+        self, forwarder: ForwarderProcess, count: int, path: str = "/watch", **more: Any
     ) -> list[HoldingClient]:
         first = len(self.desks)
         url = forwarder.url + path
@@ -106,12 +106,12 @@
         return new
 
     def held(self) -> dict[str, int]:
-        return {name: worker.held for name, worker in self.workers.items()}
+        return {name: worker.held_connections for name, worker in self.workers.items()}
 
     async def emptied(self, *names: str, grace: float = GRACE) -> float:
         """Waits for these workers to hold nothing; s that it took, within the grace."""
         begun = time.monotonic()
-        await self.until(lambda: not any(self.workers[name].held for name in names), grace + 1.0)
+        await self.until(lambda: not any(self.workers[name].held_connections for name in names), grace + 1.0)
         return time.monotonic() - begun
 
 
@@ -122,7 +122,7 @@
         await self.bound(forwarder, "s-1")
         async with self.session.get(f"{forwarder.url}/a%2Fb?x=1&y=%20") as reply:
             self.assertEqual((reply.status, reply.headers["Worker"]), (200, "s-1"))
-        self.assertIn("GET /a/b", worker.reqs)
+        self.assertIn("GET /a/b", worker.requests)
         async with self.session.post(f"{forwarder.url}/release", data=b"r-1") as reply:
             self.assertEqual((reply.status, await reply.read()), (200, b"r-1"))
         big = b"z" * 900_000
@@ -139,25 +139,25 @@
         await self.bound(forwarder, "s-1", "s-2")
         for method, path, sent in (("POST", "/release", 1), ("GET", "/release/x", 1), ("GET", "/fetch", 1)):
             for _ in range(3):  # over fresh and kept connections
-                worker.drop_next = other.drop_next = 1
-                worker.reqs.clear()
-                other.reqs.clear()
+                worker.requests_to_drop = other.requests_to_drop = 1
+                worker.requests.clear()
+                other.requests.clear()
                 async with self.session.request(method, forwarder.url + path) as reply:
                     self.assertEqual((reply.status, reply.headers["Outcome"]), (502, "unknown"))
                     self.assertIn("Retry-After", reply.headers)
-                self.assertEqual(sum((worker.reqs + other.reqs).values()), sent, path)
+                self.assertEqual(sum((worker.requests + other.requests).values()), sent, path)
 
     async def test_a_refused_connection_proves_that_nothing_ran(self) -> None:
         """The dead worker is still in the table; a release goes on to the other one, and runs once."""
         dead, live = await self.worker("s-1"), await self.worker("s-2")
         forwarder = await self.forwarder((await self.manager()).port)
         await self.bound(forwarder, "s-1", "s-2")
-        await dead.die()
+        await dead.abort()
         for n in range(12):
             async with self.session.post(f"{forwarder.url}/release", data=b"r-%d" % n) as reply:
                 self.assertEqual((reply.status, reply.headers["Worker"]), (200, "s-2"))
-        self.assertEqual((sum(self.ledger.releases.values()), self.ledger.twice()), (12, 0))
-        await live.die()
+        self.assertEqual((sum(self.ledger.releases.values()), self.ledger.repeated_releases()), (12, 0))
+        await live.abort()
         begun = time.monotonic()
         async with self.session.post(f"{forwarder.url}/release", data=b"r-99") as reply:
             self.assertEqual(reply.status, 503)
@@ -166,15 +166,15 @@
 
     async def test_a_worker_that_says_nothing(self) -> None:
         worker = await self.worker("s-1")
-        kinds = [{**KINDS[0], "timeout": 0.5}, KINDS[1]]
+        kinds = [{**REQUEST_CLASSES[0], "timeout": 0.5}, REQUEST_CLASSES[1]]
         forwarder = await self.forwarder((await self.manager()).port, kinds=kinds)
         await self.bound(forwarder, "s-1")
-        worker.hang = True
+        worker.hangs = True
         async with self.session.post(f"{forwarder.url}/release", data=b"r-1") as reply:
             self.assertEqual((reply.status, reply.headers["Outcome"]), (504, "unknown"))
-        self.assertEqual(sum(worker.reqs.values()), 1)
+        self.assertEqual(sum(worker.requests.values()), 1)
 
-    async def raw(self, forwarder: Forwarder, data: bytes) -> bytes:
+    async def raw(self, forwarder: ForwarderProcess, data: bytes) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", forwarder.port)
         writer.write(data)
         said = b""
@@ -217,7 +217,7 @@
         ):
             with self.subTest(data[:80]):
                 self.assertIn(status, (await self.raw(forwarder, data))[:40])
-        self.assertEqual(sum(worker.reqs.values()), 0)
+        self.assertEqual(sum(worker.requests.values()), 0)
         pieces = b"".join(b"1000\r\n" + b"x" * 4096 + b"\r\n" for _ in range(40))
         said = await self.raw(
             forwarder, b"POST / HTTP/1.1\r\n" + host + b"Transfer-Encoding: chunked\r\n\r\n" + pieces
@@ -270,7 +270,7 @@
         writer.write(fr.frame(fr.TEXT, b"no mask", False))
         self.assertEqual((await asyncio.wait_for(reader.read(), WAIT))[2:4], struct.pack("!H", 1002))
         writer.close()
-        await self.until(lambda: worker.held == 0)
+        await self.until(lambda: worker.held_connections == 0)
 
     async def test_other_protocols_are_bytes_with_half_closed_ends(self) -> None:
         await self.worker("s-1")
@@ -289,23 +289,23 @@
 
     async def test_a_client_that_reads_nothing_holds_little(self) -> None:
         worker = await self.worker("s-1")
-        worker.push_every = 0.0001
+        worker.push_interval_s = 0.0001
         forwarder = await self.forwarder((await self.manager()).port)
         await self.bound(forwarder, "s-1")
         reader, writer = await asyncio.open_connection("127.0.0.1", forwarder.port, limit=1024)
         head = "GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n"
         writer.write(f"{head}Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: {'A' * 22}==\r\n\r\n".encode())
         await reader.readuntil(b"\r\n\r\n")
-        before = forwarder.memory()
+        before = forwarder.resident_bytes()
         await asyncio.sleep(1.0)
-        self.assertLess(forwarder.memory() - before, 4 << 20)
+        self.assertLess(forwarder.resident_bytes() - before, 4 << 20)
         writer.transport.abort()
 
     async def test_a_worker_that_does_not_agree(self) -> None:
         worker = await self.worker("s-1")
         forwarder = await self.forwarder((await self.manager()).port)
         await self.bound(forwarder, "s-1")
-        worker.refuse = True
+        worker.refuses = True
         with self.assertRaises(aiohttp.WSServerHandshakeError) as raised:
             await self.session.ws_connect(forwarder.url)
         headers = raised.exception.headers
@@ -319,7 +319,7 @@
         forwarder = await self.forwarder((await self.manager()).port)
         await self.bound(forwarder, "s-1")
         await self.open(forwarder, 20)
-        worker.delay = 1.0
+        worker.delay_s = 1.0
         number = await self.desks[0].ask("release")
         self.assertEqual(await forwarder.stop(), 0)
         self.assertEqual(sum(n for why, n in self.counts.closes.items() if "forwarder stops" in why), 20)
@@ -342,20 +342,21 @@
         for n in range(1, 5):
             await self.worker(f"s-{n}", "ab"[n % 2], started=time.time() if n == 4 else 0.0)
         await self.bound(forwarders[1], "s-1", "s-3")
-        self.assertEqual(self.workers["s-0"].held, 1000)
-        self.counts.bare = 0  # all came at once: those turned away came back
-        await self.discovery.state("s-0", "Terminating")
+        self.assertEqual(self.workers["s-0"].held_connections, 1000)
+        self.counts.failed_handshakes = 0  # all came at once: those turned away came back
+        await self.discovery.set_state("s-0", "Terminating")
         took = await self.emptied("s-0", grace=10.0)
         self.assertGreater(took, 4.0)  # spread
         held = self.held()
         self.assertEqual(sum(held.values()), 1000)
         cold = self.workers["s-4"]
-        self.assertLess(cold.most_held, 200)  # of 286 that a fourth part and a slack would be
+        self.assertLess(cold.max_held_connections, 200)  # of 286 that a fourth part and a slack would be
         self.assertLess(max(held[f"s-{n}"] for n in (1, 2, 3)), 500)
         self.assertEqual(
-            (self.counts.bare, self.counts.unanswered, sum(self.counts.closes.values())), (0, 0, 0)
+            (self.counts.failed_handshakes, self.counts.unanswered, sum(self.counts.closes.values())),
+            (0, 0, 0),
         )
-        self.assertEqual(self.ledger.twice(), 0)
+        self.assertEqual(self.ledger.repeated_releases(), 0)
 
     async def test_a_release_under_way_is_not_cut(self) -> None:
         """Answered within the grace: it moves then.  Else: told that nobody knows, sent no second time."""
@@ -363,20 +364,20 @@
         forwarder = await self.forwarder((await self.manager()).port, kinds=RELEASES)
         await self.bound(forwarder, "s-1")
         soon, never = await self.open(forwarder, 2)
-        worker.delay = 2.0
+        worker.delay_s = 2.0
         first = await soon.ask("release")
         await self.until(lambda: self.ledger.releases[first] == 1)
-        worker.delay = 60.0
+        worker.delay_s = 60.0
         second = await never.ask("release")
         await self.until(lambda: self.ledger.releases[second] == 1)
         other = await self.worker("s-2")
         await self.bound(forwarder, "s-1", "s-2")
-        await self.discovery.state("s-1", "Terminating")
+        await self.discovery.set_state("s-1", "Terminating")
         await self.until(lambda: self.counts.answered == 1)
         await self.until(lambda: other.resumed == 1)
         self.assertEqual(self.counts.closes.total(), 0)
         await self.emptied("s-1")
-        await self.until(lambda: self.counts.unknown == 1)
+        await self.until(lambda: self.counts.outcome_unknown == 1)
         self.assertIn("1011 outcome unknown", self.counts.closes)
         self.assertEqual((self.ledger.releases[first], self.ledger.releases[second]), (1, 1))
 
@@ -388,17 +389,17 @@
         await self.bound(forwarder, *self.workers)
         await self.open(forwarder, 120)
         before = self.held()
-        await self.discovery.state("s-0", "Terminating")
-        await self.discovery.state("s-1", "Terminating")
-        await self.until(lambda: self.workers["s-1"].held < before["s-1"] * 0.7)
-        await self.discovery.state("s-1", "Ready")
+        await self.discovery.set_state("s-0", "Terminating")
+        await self.discovery.set_state("s-1", "Terminating")
+        await self.until(lambda: self.workers["s-1"].held_connections < before["s-1"] * 0.7)
+        await self.discovery.set_state("s-1", "Ready")
         await manager.logged("drain taken back", "be=s-1")
-        kept = self.workers["s-1"].held
+        kept = self.workers["s-1"].held_connections
         self.assertGreater(kept, 0)
         await self.emptied("s-0")
-        self.assertGreaterEqual(self.workers["s-1"].held, kept - 2)  # two may have been under way
+        self.assertGreaterEqual(self.workers["s-1"].held_connections, kept - 2)  # two may have been under way
         self.assertEqual(sum(self.held().values()), 120)
-        self.assertEqual((self.counts.bare, self.counts.closes.total()), (0, 0))
+        self.assertEqual((self.counts.failed_handshakes, self.counts.closes.total()), (0, 0))
 
     async def test_the_destination_dies_mid_move(self) -> None:
         for n in range(3):
@@ -406,12 +407,12 @@
         forwarder = await self.forwarder((await self.manager()).port)
         await self.bound(forwarder, *self.workers)
         await self.open(forwarder, 90)
-        await self.discovery.state("s-0", "Terminating")
+        await self.discovery.set_state("s-0", "Terminating")
         await self.until(lambda: self.workers["s-1"].resumed > 3)
-        await self.workers["s-1"].die()
-        await self.discovery.state("s-1", "Gone")
+        await self.workers["s-1"].abort()
+        await self.discovery.set_state("s-1", "Gone")
         await self.emptied("s-0")
-        await self.until(lambda: self.workers["s-2"].held == 90)
+        await self.until(lambda: self.workers["s-2"].held_connections == 90)
 
     async def test_a_worker_dies_without_a_word_and_all_come_back(self) -> None:
         """The rush goes to those that are left at the pace that they take up, and says when to come back."""
@@ -423,17 +424,17 @@
         await self.bound(forwarder, *self.workers)
         await forwarder.logged("stream opened")
         await self.open(forwarder, 200)
-        lost = self.workers["s-0"].held
+        lost = self.workers["s-0"].held_connections
         self.assertGreater(lost, 30)
         for worker in self.workers.values():
             worker.arrivals.clear()
-        await self.workers["s-0"].die()
+        await self.workers["s-0"].abort()
         await self.until(lambda: sum(self.held().values()) == 200)
         for name in ("s-1", "s-2"):
             came = sorted(self.workers[name].arrivals)
             most = max(sum(a <= b < a + 1.0 for b in came) for a in came)
             self.assertLessEqual(most, 2 * 10 * 1.1)  # a bucket of one second and the pace of one
-        self.assertGreater(self.counts.bare, 0)
+        self.assertGreater(self.counts.failed_handshakes, 0)
 
     async def test_the_manager_dies_and_another_knows_nothing(self) -> None:
         for n in range(3):
@@ -444,8 +445,8 @@
         await self.bound(forwarder, *self.workers)
         await self.open(forwarder, 90)
         begun = time.monotonic()
-        await self.discovery.state("s-0", "Terminating")
-        await self.until(lambda: self.workers["s-0"].held < 28)
+        await self.discovery.set_state("s-0", "Terminating")
+        await self.until(lambda: self.workers["s-0"].held_connections < 28)
         first.send(signal.SIGKILL)
         await self.manager(port=other)
         await self.emptied("s-0")
@@ -460,7 +461,7 @@
         await self.bound(forwarder, *self.workers)
         await self.open(forwarder, 60)
         manager.send(signal.SIGSTOP)  # silent, with its stream open
-        await self.discovery.state("s-0", "Terminating")
+        await self.discovery.set_state("s-0", "Terminating")
         await self.emptied("s-0")
         self.assertEqual((sum(self.held().values()), self.counts.closes.total()), (60, 0))
         await forwarder.logged("stream ended", "silent")
@@ -485,9 +486,9 @@
         other = await self.worker("s-1")
         await self.bound(forwarder, "s-0", "s-1")
         await asyncio.sleep(1.0)  # the idle ones are seen idle
-        await self.discovery.state("s-0", "Terminating")
+        await self.discovery.set_state("s-0", "Terminating")
         await self.emptied("s-0")
-        await self.until(lambda: other.held == 25)
+        await self.until(lambda: other.held_connections == 25)
         for reader, writer in rude:
             self.assertIn(struct.pack("!H", fr.RESTART), await asyncio.wait_for(reader.read(), WAIT))
             writer.close()
@@ -566,10 +567,10 @@
     async def test_a_worker_that_the_list_names_a_moment_later(self) -> None:
         forwarder = await self.forwarder(self.port)
         reader, writer, come = await self.joined()
-        self.discovery.down = True  # its watch ends; the order comes before the list can be asked again
+        self.discovery.is_down = True  # its watch ends; the order comes before the list can be asked again
         self.say(writer, "CONFIG rows s-9:1.0 stamp 4")
         await asyncio.sleep(0.3)
-        await self.discovery.fail(False)
+        await self.discovery.set_down(False)
         await self.worker("s-9")
         self.assertEqual((await self.hear(reader, come, b"ACK"))[4], b"4")
         self.assertIn("s-9", (await forwarder.status(self.session))["tables"]["fetch"])
@@ -619,7 +620,7 @@
         await self.bound(forwarder, "s-1", "s-2")
         await manager.logged("message left out", "UPGRADES: unknown kind")
         await self.open(forwarder, 20)
-        await self.discovery.state("s-1", "Terminating")
+        await self.discovery.set_state("s-1", "Terminating")
         await self.emptied("s-1")  # paced by the forwarder alone
         self.assertEqual((sum(self.held().values()), self.counts.closes.total()), (20, 0))
 
@@ -633,7 +634,7 @@
         self.say(writer, "HELD node 5 whole 1 holds s-1:50:99:0")
         await manager.logged("message left out", "more busy")
         config = await self.hear(reader, come, b"CONFIG")  # bound to a table that names it
-        await self.discovery.state("s-1", "Terminating")
+        await self.discovery.set_state("s-1", "Terminating")
         while b"s-1:0.0" not in b" ".join(config):
             config = await self.hear(reader, come, b"CONFIG")
         await asyncio.sleep(1.2)  # two plans later
@@ -648,7 +649,7 @@
 
 class File(unittest.TestCase):
     def test_faults_name_file_place_and_what_was_expected(self) -> None:
-        good = Forwarder(1, "127.0.0.1:1", ["127.0.0.1:2"], UPGRADES).part
+        good = ForwarderProcess(1, "127.0.0.1:1", ["127.0.0.1:2"], UPGRADES).part
         with TemporaryDirectory() as folder:
             path = Path(folder) / "operator.json5"
             for text, why in (
@@ -662,7 +663,7 @@
                 (json.dumps({"forwarder": {**good, "listen": "here"}}), r"\$\.forwarder\.listen: Expected"),
                 (json.dumps({"forwarder": {**good, "listen": "h:99999"}}), "listen is not an address"),
                 (json.dumps({"forwarder": {**good, "kinds": []}}), r"\$\.forwarder\.kinds: Expected"),
-                (json.dumps({"forwarder": {**good, "kinds": KINDS * 2}}), "a name comes twice"),
+                (json.dumps({"forwarder": {**good, "kinds": REQUEST_CLASSES * 2}}), "a name comes twice"),
             ):
                 with self.subTest(text[:60]):
                     path.write_text(text)
--- a/tests/test_forwarder_crossings.py
+++ b/tests/test_forwarder_crossings.py
@@ -17,40 +17,40 @@
 
 from cottonladder.forwarder import client_listener as front
 from cottonladder.forwarder.resource_limits import ResourceLimits
-from cottonladder.testbed.fleet import Forwarder
-from cottonladder.testbed.workers import Worker
+from cottonladder.testbed.fleet import ForwarderProcess
+from cottonladder.testbed.workers import SimulatedWorker
 from tests.test_forwarder import Rig
 
 
 class Stops(Rig):
-    async def carrying(self) -> tuple[Worker, Forwarder]:
+    async def carrying(self) -> tuple[SimulatedWorker, ForwarderProcess]:
         worker = await self.worker("s-1")
         forwarder = await self.forwarder((await self.manager()).port)
         await self.bound(forwarder, "s-1")
-        worker.until = asyncio.Event()
+        worker.hold_until = asyncio.Event()
         return worker, forwarder
 
-    async def sent(self, worker: Worker, **request: Any) -> asyncio.Task[tuple[int, str, bytes]]:
+    async def sent(self, worker: SimulatedWorker, **request: Any) -> asyncio.Task[tuple[int, str, bytes]]:
         """A request that its worker has read and holds."""
 
         async def ask() -> tuple[int, str, bytes]:
             async with self.session.request(**request) as reply:
                 return reply.status, reply.headers.get("Outcome", ""), await reply.read()
 
-        before = sum(worker.reqs.values())
+        before = sum(worker.requests.values())
         asking = asyncio.create_task(ask())
-        await self.until(lambda: sum(worker.reqs.values()) > before)
+        await self.until(lambda: sum(worker.requests.values()) > before)
         return asking
 
     async def test_a_stop_waits_for_requests_under_way_and_answers_kept_connections(self) -> None:
         worker, forwarder = await self.carrying()
-        assert worker.until is not None
-        worker.until.set()
+        assert worker.hold_until is not None
+        worker.hold_until.set()
         kept = aiohttp.ClientSession()
         self.addAsyncCleanup(kept.close)
         async with kept.get(forwarder.url) as reply:
             await reply.read()
-        worker.until.clear()
+        worker.hold_until.clear()
         asking = await self.sent(worker, method="POST", url=f"{forwarder.url}/release", data=b"r-1")
         forwarder.send(signal.SIGTERM)
         await forwarder.logged("event=draining")
@@ -59,7 +59,7 @@
             self.assertIn("Retry-After", reply.headers)
         status = await forwarder.status(self.session)
         self.assertIsNotNone(status["manager"])  # whose orders count to the last request's end
-        worker.until.set()
+        worker.hold_until.set()
         self.assertEqual(await asking, (200, "", b"r-1"))
         self.assertEqual(await forwarder.stop(), 0)
         self.assertEqual(self.ledger.releases["r-1"], 1)
@@ -72,7 +72,7 @@
         await forwarder.logged("event=draining")
         self.assertEqual(await forwarder.stop(), 0)
         status, outcome, _ = await asking
-        self.assertEqual((status, outcome, sum(worker.reqs.values())), (502, "unknown", 1))
+        self.assertEqual((status, outcome, sum(worker.requests.values())), (502, "unknown", 1))
 
     async def test_a_handshake_under_way_does_not_outlive_the_stop(self) -> None:
         worker, forwarder = await self.carrying()
@@ -82,11 +82,11 @@
         await forwarder.logged("event=draining")
         self.assertEqual(await forwarder.stop(), 0)
         status, outcome, _ = await asking
-        self.assertEqual((status, outcome, worker.held), (502, "unknown", 0))
+        self.assertEqual((status, outcome, worker.held_connections), (502, "unknown", 0))
 
 
 class Ends(Rig):
-    async def agreeing(self, reset: bool) -> Forwarder:
+    async def agreeing(self, reset: bool) -> ForwarderProcess:
         """A worker that agrees, says one thing and ends, all of it at once."""
 
         async def speak(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -123,7 +123,7 @@
                 if not reset:  # what a reset finds unread is thrown away by the system
                     self.assertTrue(said.startswith(b"HTTP/1.1 101") and said.endswith(b"BYE"), said)
 
-                async def let_go(forwarder: Forwarder = forwarder) -> bool:
+                async def let_go(forwarder: ForwarderProcess = forwarder) -> bool:
                     return bool((await forwarder.status(self.session))["held"] == {})
 
                 await self.until(let_go)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -43,8 +43,8 @@
 from cottonladder.policy.controller import RoutingController
 from cottonladder.snapshots import sections, store
 from cottonladder.testbed import month_end as me
-from cottonladder.testbed.discovery import Discovery
-from cottonladder.testbed.fleet import ROOT, Forwarder, Manager
+from cottonladder.testbed.discovery import SimulatedDiscovery
+from cottonladder.testbed.fleet import ROOT, ForwarderProcess, ManagerProcess
 
 BODY: dict[str, Any] = {"manager": {"v": 1, "data": {"mark": 7}}}
 
@@ -227,7 +227,7 @@
         self.assertEqual(ageing.age_of(0.0, 86_400.0), 86_400.0)
 
     def ladder(self, *pasts: WorkerHistory, started: float = 0.0) -> RoutingController:
-        ladder = RoutingController(me.TERMS)
+        ladder = RoutingController(me.PARAMETERS)
         entries = tuple(
             Endpoint(be, be % 2, EndpointState.READY, 1.0, started if be == 0 else 0.0) for be in range(6)
         )
@@ -251,12 +251,12 @@
         self.assertTrue(replaced.cold(replaced.bes[0]))  # and still cold
 
     def test_a_life_goes_round(self) -> None:
-        day = me.MonthEndRun({}, length=30.0)
-        day.play()
-        life = collect_state(day.ladder, list(day.ladder.bes), list(day.ladder.proxies))
-        self.assertEqual({p.worker_index for p in life.workers}, set(day.boxes))
+        day = me.MonthEndRun({}, duration_s=30.0)
+        day.run()
+        life = collect_state(day.controller, list(day.controller.bes), list(day.controller.proxies))
+        self.assertEqual({p.worker_index for p in life.workers}, set(day.workers))
         self.assertTrue(all(p.base_latency_s > 0 for p in life.workers))
-        self.assertEqual(len(life.proxy_rates), me.PROXIES)
+        self.assertEqual(len(life.proxy_rates), me.PROXY_COUNT)
 
     def test_the_forwarder_s(self) -> None:
         kinds = [ro.Kind("fetch", (), ro.REPLAYABLE)]
@@ -392,16 +392,16 @@
         self.folder = Path(folder.name)
         self.stack = AsyncExitStack()
         self.addAsyncCleanup(self.stack.aclose)
-        self.discovery = Discovery()
+        self.discovery = SimulatedDiscovery()
         self.at = await self.discovery.start()
         self.stack.push_async_callback(self.discovery.close)
         for n in range(4):
             await self.discovery.put(f"s-{n}", f"127.0.0.9:{8000 + n}", "a")
 
-    async def manager(self, **more: Any) -> Manager:
+    async def manager(self, **more: Any) -> ManagerProcess:
         memory = {"folder": str(self.folder / "m"), "every": 0.2}
         known = more.pop("known", self.discovery.listing())
-        manager = Manager(self.at, known, None, memory=memory, control=str(self.folder / "c"), **more)
+        manager = ManagerProcess(self.at, known, None, memory=memory, control=str(self.folder / "c"), **more)
         await manager.serving()
         return manager
 
@@ -419,13 +419,13 @@
     async def test_a_drain_is_kept_while_discovery_is_down(self) -> None:
         known = self.discovery.listing()
         manager = await self.manager()
-        await self.discovery.state("s-1", "Terminating")
+        await self.discovery.set_state("s-1", "Terminating")
         await manager.logged("be 1 well>gone")
         await self.wrote(5)
         asked = CliRunner().invoke(cli.main, ["tasks", str(self.folder / "c"), "--json"])
         self.assertEqual([row["task"] for row in json.loads(asked.output)], ["snapshot"])
         await manager.stop()
-        await self.discovery.fail(True)
+        await self.discovery.set_down(True)
         again = await self.manager(known=known)  # the configuration's list is an old one
         self.stack.push_async_callback(again.stop)
         line = await again.logged("memory used")
@@ -434,7 +434,7 @@
         self.assertNotIn("s-1", proxy_table)
         self.assertIn("s-0", proxy_table)
 
-    async def table(self, manager: Manager) -> str:
+    async def table(self, manager: ManagerProcess) -> str:
         from tests.standins import Client
 
         proxy = Client(*await asyncio.open_connection("127.0.0.1", manager.port))
@@ -478,7 +478,7 @@
         part = {"memory": {"folder": str(self.folder / "f"), "every": 0.2}}
         manager = await self.manager()
         self.stack.push_async_callback(manager.stop)
-        one = Forwarder(1, self.at, [f"127.0.0.1:{manager.port}"], None, **part)
+        one = ForwarderProcess(1, self.at, [f"127.0.0.1:{manager.port}"], None, **part)
         await one.serving()
         await one.logged("stream opened")
         kept = str(self.folder / "f")
@@ -490,7 +490,7 @@
             self.assertLess(time.monotonic(), end)
             await asyncio.sleep(0.1)
         await one.stop()
-        two = Forwarder(1, self.at, ["127.0.0.1:9"], None, **part)
+        two = ForwarderProcess(1, self.at, ["127.0.0.1:9"], None, **part)
         await two.serving()
         self.stack.push_async_callback(two.stop)
         self.assertIn("table fetch", await two.logged("memory used"))
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,19 +7,19 @@
 from cottonladder.model.inputs import EndpointList, EndpointState, ListUpdateKind
 from cottonladder.model.weight_ring import cut
 from cottonladder.policy.controller import MOVE
-from cottonladder.testbed.simulated_fleet import SimulatedFleet, site
+from cottonladder.testbed.simulated_fleet import SimulatedFleet, fleet_parameters
 
 
 class Parts(unittest.TestCase):
     def fleet(self, workers: int, proxies: int = 1600) -> SimulatedFleet:
-        fleet = SimulatedFleet(site(proxies=proxies))
-        listed = tuple(fleet.entry(f"s-{n:04x}", n % 4) for n in range(workers))
+        fleet = SimulatedFleet(fleet_parameters(proxies=proxies))
+        listed = tuple(fleet.endpoint(f"s-{n:04x}", n % 4) for n in range(workers))
         fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
         return fleet
 
     def uneven(self, fleet: SimulatedFleet, workers: int) -> tuple[float, float]:
         """The least and the most that a worker gets, of the mean over so many."""
-        load = fleet.load()
+        load = fleet.worker_load()
         mean = sum(load.values()) / workers
         return min(load.values()) / mean * (len(load) == workers), max(load.values()) / mean
 
@@ -28,8 +28,8 @@
         fleet = self.fleet(200)
         fleet.join(range(600))
         fleet.run(6)
-        self.assertTrue(all(held.rows for held in fleet.proxies.values()))
-        self.assertLess(max(len(held.rows) for held in fleet.proxies.values()), 20)
+        self.assertTrue(all(held.weights for held in fleet.proxies.values()))
+        self.assertLess(max(len(held.weights) for held in fleet.proxies.values()), 20)
         least, most = self.uneven(fleet, 200)
         self.assertGreater(least, 0.5)
         self.assertLess(most, 1.6)
@@ -39,33 +39,33 @@
         fleet.join(range(0, 1600, 4))  # all of one zone
         fleet.run(12)
         self.assertLess(self.uneven(fleet, 50)[1], 1.2)  # 50, as the others' proxies are taken to fill theirs
-        gone = tuple(fleet.entry(f"s-{n:04x}", n % 4, EndpointState.DRAINING) for n in range(0, 120))
+        gone = tuple(fleet.endpoint(f"s-{n:04x}", n % 4, EndpointState.DRAINING) for n in range(0, 120))
         fleet.step("list", [EndpointList(ListUpdateKind.DELTA, gone)])
         fleet.run(12)
-        load = fleet.load()
+        load = fleet.worker_load()
         self.assertFalse({f"s-{n:04x}".encode() for n in range(0, 120)} & load.keys())
-        self.assertTrue(all(held.rows for held in fleet.proxies.values()))
+        self.assertTrue(all(held.weights for held in fleet.proxies.values()))
         self.assertEqual(len(load), 20)
 
     def test_a_small_fleet_has_one_table_a_zone(self) -> None:
         fleet = self.fleet(24, proxies=60)
         fleet.join(range(12))
         fleet.run(3)
-        self.assertEqual([t.number for t in fleet.ladder.tables], [0, 1, 2, 3])
-        self.assertEqual({len(held.rows) for held in fleet.proxies.values()}, {6})
+        self.assertEqual([t.number for t in fleet.controller.tables], [0, 1, 2, 3])
+        self.assertEqual({len(held.weights) for held in fleet.proxies.values()}, {6})
 
     def test_a_group_that_grows_is_dealt_anew(self) -> None:
         """From one worker a zone to 64, under proxies that are bound already."""
         fleet = self.fleet(4)
         fleet.join(range(400))
         fleet.run(4)
-        self.assertEqual({len(held.rows) for held in fleet.proxies.values()}, {1})
-        more = tuple(fleet.entry(f"n-{n:04x}", n % 4) for n in range(256))
+        self.assertEqual({len(held.weights) for held in fleet.proxies.values()}, {1})
+        more = tuple(fleet.endpoint(f"n-{n:04x}", n % 4) for n in range(256))
         fleet.step("list", [EndpointList(ListUpdateKind.DELTA, more)])
         fleet.run(30)
-        self.assertTrue(all(2 <= len(held.rows) < 20 for held in fleet.proxies.values()))
-        self.assertEqual(len(fleet.load()), 260)
-        self.assertEqual(fleet.unbooked, [])
+        self.assertTrue(all(2 <= len(held.weights) < 20 for held in fleet.proxies.values()))
+        self.assertEqual(len(fleet.worker_load()), 260)
+        self.assertEqual(fleet.budget_faults, [])
 
     def test_cuts_lay_the_ring(self) -> None:
         ring = {n: 1.0 + n % 3 for n in range(30)}
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -18,7 +18,7 @@
 from cottonladder.cli import main as cli
 from cottonladder.planning import plugin_bounds as hooks
 from cottonladder.plugins import abi, chain, host
-from cottonladder.testbed.fleet import ROOT, Forwarder
+from cottonladder.testbed.fleet import ROOT, ForwarderProcess
 from tests.test_forwarder import GRACE, Rig
 
 EXAMPLE = ROOT / "deploy" / "plugins" / "audit-trail.wat"
@@ -269,13 +269,13 @@
             rows.append({"name": f"p-{n}", "path": str(path)})
         return {"chain": rows, **more}
 
-    async def start(self, plugins: dict[str, Any], **more: Any) -> Forwarder:
+    async def start(self, plugins: dict[str, Any], **more: Any) -> ForwarderProcess:
         manager = await self.manager()
         forwarder = await self.forwarder(manager.port, plugins=plugins, **more)
         await self.bound(forwarder, *self.workers)
         return forwarder
 
-    async def got(self, forwarder: Forwarder, count: int, **headers: str) -> set[str]:
+    async def got(self, forwarder: ForwarderProcess, count: int, **headers: str) -> set[str]:
         names = set()
         for _ in range(count):
             async with self.session.post(f"{forwarder.url}/release", data=b"r", headers=headers) as reply:
@@ -289,7 +289,7 @@
         forwarder = await self.start(part)
         self.assertEqual(await self.got(forwarder, 20, **{"X-Matter": "42"}), {"s-2"})
         self.assertGreater(len(await self.got(forwarder, 30)), 2)
-        await self.discovery.state("s-2", "Terminating")  # no worker carries the label any more
+        await self.discovery.set_state("s-2", "Terminating")  # no worker carries the label any more
         await self.bound(forwarder, "s-0", "s-1", "s-3")
         begun = time.monotonic()
         self.assertEqual(await self.got(forwarder, 5, **{"X-Matter": "42"}), {"503"})
@@ -321,14 +321,14 @@
 
         clients = [asyncio.create_task(client(n)) for n in range(8)]
         await self.until(lambda: len(statuses) > 100)
-        await self.discovery.state("s-1", "Terminating")
+        await self.discovery.set_state("s-1", "Terminating")
         await self.bound(forwarder, "s-0", "s-2", "s-3")
         await asyncio.sleep(0.2)
-        drained = sum(self.workers["s-1"].reqs.values())
+        drained = sum(self.workers["s-1"].requests.values())
         await asyncio.gather(*clients)
         self.assertEqual(set(statuses), {200})
-        self.assertEqual((len(self.ledger.releases), self.ledger.twice()), (480, 0))
-        self.assertEqual(sum(self.workers["s-1"].reqs.values()), drained)
+        self.assertEqual((len(self.ledger.releases), self.ledger.repeated_releases()), (480, 0))
+        self.assertEqual(sum(self.workers["s-1"].requests.values()), drained)
         self.assertLess(sorted(took)[int(len(took) * 0.99)], 0.5)
         status = await forwarder.status(self.session)
         self.assertEqual({row["breaker"] for row in status["plugins"]} - {"open", "trying"}, set())
@@ -345,10 +345,10 @@
         part = self.plugins(says("kind=fetch\nset=X-Trace:7\nset=Host:evil"), headers=["x-trace"])
         forwarder = await self.start(part)
         worker = self.workers["s-1"]
-        worker.drop_next = 1
+        worker.requests_to_drop = 1
         async with self.session.post(f"{forwarder.url}/release", data=b"r") as reply:
             self.assertEqual((reply.status, reply.headers["Outcome"]), (502, "unknown"))
-        self.assertEqual(sum(worker.reqs.values()), 1)
+        self.assertEqual(sum(worker.requests.values()), 1)
         status = await forwarder.status(self.session)
         self.assertEqual(status["plugins"][0]["clipped"], 1)  # Host
         denies = await self.start(self.plugins(says("deny=not today")))
@@ -381,17 +381,19 @@
         forwarder = await self.forwarder(manager.port)
         await self.bound(forwarder, *self.workers)
         await self.open(forwarder, 60)
-        before = self.workers["s-0"].held
-        await self.discovery.state("s-0", "Terminating")
+        before = self.workers["s-0"].held_connections
+        await self.discovery.set_state("s-0", "Terminating")
         await asyncio.sleep(0.15 * GRACE)
-        self.assertEqual(self.workers["s-0"].held, before)
+        self.assertEqual(self.workers["s-0"].held_connections, before)
         await self.emptied("s-0")
         self.assertEqual((sum(self.held().values()), self.counts.unanswered), (60, 0))
         await manager.logged("plug-in off", "out_of_fuel")  # the feed's hook loops: left alone
 
     async def test_one_that_can_not_be_loaded_is_one_line_at_the_start(self) -> None:
         await self.worker("s-1")
-        forwarder = Forwarder(0, self.at, ["127.0.0.1:9"], None, plugins=self.plugins(module(version=2)))
+        forwarder = ForwarderProcess(
+            0, self.at, ["127.0.0.1:9"], None, plugins=self.plugins(module(version=2))
+        )
         with self.assertRaisesRegex(AssertionError, "interface 2, 1 expected"):
             await forwarder.serving()
         self.assertEqual(await forwarder.stop(), 2)
