--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -22,7 +22,7 @@
 import structlog
 
 from cottonladder.control.background_scheduler import BackgroundScheduler
-from cottonladder.control.snapshot_manager import Folder, SnapshotManager
+from cottonladder.control.snapshot_manager import SnapshotFolder, SnapshotManager
 from cottonladder.model.inputs import (
     Endpoint,
     EndpointList,
@@ -134,7 +134,7 @@
     with tempfile.TemporaryDirectory() as folder:
         tasks = BackgroundScheduler(lambda: 0.0)
         keeper = SnapshotManager(folder, 0.25, placed, tasks)  # type: ignore[arg-type]
-        list(keeper.messages(0.0, ladder))
+        list(keeper.collect_messages(0.0, ladder))
         took: list[float] = []
 
         def timed() -> Iterator[Any]:
@@ -152,7 +152,7 @@
             longest, last = max(longest, now - last), now
         await tasks.close()
         out = {"snapshot_ms": 1000.0 * sorted(took)[len(took) // 2], "longest_stall_ms": 1000.0 * longest}
-        out["file_bytes"] = keeper._folder.bytes
+        out["file_bytes"] = keeper._folder.size_bytes
         keeper._folder.close()
     return out
 
@@ -179,7 +179,7 @@
         await asyncio.sleep(0.005)
         late.append(max(0.0, loop.time() - due))
         if late[-1] > 0.01:
-            tasks.late()
+            tasks.pause_for_loop_lag()
     await tasks.close()
     return sorted(late)[int(len(late) * 0.99)] * 1000.0
 
@@ -197,7 +197,7 @@
     for name, loaded in (("idle", False), ("loaded", True)):
         out[f"decision_delay_p99_ms_{name}"] = round(asyncio.run(delays(loaded)), 2)
     with tempfile.TemporaryDirectory() as folder:
-        kept = Folder(folder)
+        kept = SnapshotFolder(folder)
         kept.write({"manager": {"v": 1, "data": {}}})
         begun = time.perf_counter()
         kept.store.newest()
--- a/cottonladder/__main__.py
+++ b/cottonladder/__main__.py
@@ -6,7 +6,7 @@
 from .control import signals
 
 if __name__ == "__main__":
-    signals.hold(sys.argv)  # before the imports, which are most of a start
+    signals.install_early_handlers(sys.argv)  # before the imports, which are most of a start
     # aiohttp reads the system's certificates as it is imported, a fifth of a start.  Calls here are plain
     # HTTP, and where the operators' file asks for TLS it names the authorities itself.
     os.environ["SSL_CERT_FILE"] = os.devnull
--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -12,7 +12,7 @@
 
 import click
 
-from ..config.settings import WireError, address
+from ..config.settings import InputError, address
 from ..weight_advice import dfp, sasp
 from ..weight_advice.tlv import AdviceError, address_of
 
@@ -35,7 +35,7 @@
     host, port = address({"member": place}, "member", "--member")
     found = address_of(host.strip("[]"))
     if found is None:
-        raise WireError(f"--member: {host} is no literal address")
+        raise InputError(f"--member: {host} is no literal address")
     return sasp.Member(6, port, found, label.encode())
 
 
@@ -115,7 +115,7 @@
         return asyncio.run(bounded())
     except TimeoutError:
         return f"no answer within {WAIT:g} s"
-    except (OSError, WireError) as exc:
+    except (OSError, InputError) as exc:
         return str(exc) or type(exc).__name__
 
 
--- a/cottonladder/cli/main.py
+++ b/cottonladder/cli/main.py
@@ -13,10 +13,10 @@
 
 from .. import __version__
 from ..config.manager_config import ManagerConfig, read_manager_config
-from ..config.settings import WireError, address
+from ..config.settings import InputError, address
 from ..control import signals
-from ..control.manager import kept
 from ..control.manager import serve as serve_manager
+from ..control.manager import unchangeable_fields
 from ..protocol.messages import PING, PONG
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
 
     try:
         return read_operator_config(path)
-    except WireError as exc:
+    except InputError as exc:
         click.echo(exc, err=True)
         sys.exit(2)
 
@@ -59,13 +59,13 @@
 async def _sealed(serving: Awaitable[None]) -> None:
     """While the loop still holds the signals: closing it gives them back to the system."""
     await serving
-    signals.seal()
+    signals.block()
 
 
 def _read(path: str) -> ManagerConfig:
     try:
         return read_manager_config(path)
-    except WireError as exc:
+    except InputError as exc:
         click.echo(exc, err=True)
         sys.exit(2)
 
@@ -81,7 +81,7 @@
 def serve(path: str, operators: str) -> None:
     """Serve proxies until SIGTERM; SIGHUP has the configuration read anew."""
     _log()
-    signals.reading()
+    signals.config_is_read_now()
     placement = _read(path)
     asyncio.run(_sealed(serve_manager(placement, path, _operator(operators))))
 
@@ -93,14 +93,14 @@
     from ..forwarder.forwarder import serve as serve_forwarder
 
     _log()
-    signals.reading()
+    signals.config_is_read_now()
     operator = _operator(operators)
     if operator is None or operator.forwarder is None:
         click.echo(f"{operators}: $.forwarder: expected, as this is a forwarder's start", err=True)
         sys.exit(2)
     try:
         asyncio.run(_sealed(serve_forwarder(operator, operators)))
-    except WireError as exc:
+    except InputError as exc:
         click.echo(f"{operators}: {exc}", err=True)
         sys.exit(2)
 
@@ -258,7 +258,7 @@
 
     try:
         sys.exit(tell(operators, as_json))
-    except WireError as exc:
+    except InputError as exc:
         click.echo(exc, err=True)
         sys.exit(2)
 
@@ -294,15 +294,15 @@
         if not path:
             return
     placement = _read(path)
-    if running and (fixed := kept(_read(running), placement)):
+    if running and (fixed := unchangeable_fields(_read(running), placement)):
         click.echo(f"a reload would not change: {', '.join(fixed)}", err=True)
         sys.exit(1)
-    terms = placement.site.parameters
+    terms = placement.settings.parameters
     host, port = placement.listen
     click.echo(
         f"{placement.name}: listens on {host}:{port}, "
         f"{terms.proxy_count} proxies in {terms.zone_count} zones, "
-        f"{len(placement.known.endpoints)} workers known (version {placement.version}), "
+        f"{len(placement.known_endpoints.endpoints)} workers known (version {placement.list_version}), "
         f"{terms.manager_count} managers"
     )
 
@@ -317,7 +317,7 @@
             answer = b""
             while len(answer) < len(PONG) and (more := connection.recv(64)):
                 answer += more
-    except WireError as exc:
+    except InputError as exc:
         click.echo(exc, err=True)
         sys.exit(2)
     except OSError as exc:
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -9,10 +9,10 @@
 from ..model.inputs import EndpointList, ListUpdateKind
 from ..protocol.discovery import read_list
 from ..state.worker_registry import WorkerRegistry
-from .settings import DeploymentSettings, HostPort, WireError, address, field, number, read_settings
+from .settings import DeploymentSettings, HostPort, InputError, address, field, number, read_settings
 
 WHERE = "configuration"
-SOCKETS_LEAST = 64  # with fewer nobody could join beside what the program itself holds open
+MIN_SOCKETS = 64  # with fewer nobody could join beside what the program itself holds open
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,37 +27,37 @@
     peer_listen: HostPort | None
     peers: list[HostPort]
     peers_all: HostPort | None
-    site: DeploymentSettings
+    settings: DeploymentSettings
     workers: WorkerRegistry
-    version: int
-    known: EndpointList
+    list_version: int
+    known_endpoints: EndpointList
 
 
 def read_manager_config(path: str) -> ManagerConfig:
     if not path:
-        raise WireError(f"{WHERE}: neither --config nor ROUTER_CONFIG names a file")
+        raise InputError(f"{WHERE}: neither --config nor ROUTER_CONFIG names a file")
     try:
         with open(path, encoding="utf-8") as file:
             body = json.load(file)
     except OSError as exc:
-        raise WireError(f"{WHERE}: {path}: {exc.strerror}") from None
+        raise InputError(f"{WHERE}: {path}: {exc.strerror}") from None
     except (ValueError, RecursionError) as exc:
-        raise WireError(f"{WHERE}: not JSON ({exc})") from None
+        raise InputError(f"{WHERE}: not JSON ({exc})") from None
     try:
-        return _placement(body)
+        return _manager_config(body)
     except OverflowError as exc:
-        raise WireError(f"{WHERE}: a figure is too large ({exc})") from None
+        raise InputError(f"{WHERE}: a figure is too large ({exc})") from None
 
 
-def _placement(body: Any) -> ManagerConfig:
+def _manager_config(body: Any) -> ManagerConfig:
     seed = field(body, "seed", str, WHERE)
     try:
         chance = int(seed, 16)
     except ValueError:
-        raise WireError(f"{WHERE}: field seed is not a hexadecimal number") from None
+        raise InputError(f"{WHERE}: field seed is not a hexadecimal number") from None
     site = read_settings(field(body, "settings", dict, WHERE), chance, f"{WHERE}: settings")
     if site.parameters.slice_count:
-        raise WireError(f"{WHERE}: settings: field KeyRanges is not 0, and this protocol has no slices")
+        raise InputError(f"{WHERE}: settings: field KeyRanges is not 0, and this protocol has no slices")
     workers = WorkerRegistry()
     known = field(body, "known", dict, WHERE)
     version, listing = read_list(known, site, workers.learn, f"{WHERE}: known")
@@ -67,13 +67,13 @@
         name=field(body, "name", str, WHERE),
         listen=address(body, "listen", WHERE),
         discovery=address(body, "discovery", WHERE),
-        sockets=int(number(limits, "sockets", f"{WHERE}: limits", SOCKETS_LEAST)),
+        sockets=int(number(limits, "sockets", f"{WHERE}: limits", MIN_SOCKETS)),
         memory_mb=int(number(limits, "memory_mb", f"{WHERE}: limits", 1)),
         peer_listen=address(body, "peer_listen", WHERE) if talks else None,
         peers=[address({"peers": peer}, "peers", WHERE) for peer in peers],
         peers_all=address(body, "peers_all", WHERE) if talks else None,
-        site=site,
+        settings=site,
         workers=workers,
-        version=version,
-        known=EndpointList(ListUpdateKind.CACHED, listing.endpoints),
+        list_version=version,
+        known_endpoints=EndpointList(ListUpdateKind.CACHED, listing.endpoints),
     )
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -20,12 +20,12 @@
 from ..planning import connection_migration as moves
 from ..policy.controller import RATE_MOST
 from ..weight_advice import limits as advice_limits
-from .settings import HostPort, WireError, address
+from .settings import HostPort, InputError, address
 
-FILE_MOST = 1 << 20  # bytes of the file
+MAX_FILE_BYTES = 1 << 20  # bytes of the file
 Seconds = Annotated[float, Meta(gt=0, le=86_400, description="seconds")]
 Rate = Annotated[float, Meta(gt=0, le=RATE_MOST)]
-Many = Annotated[int, Meta(gt=0, le=10_000_000)]
+Count = Annotated[int, Meta(gt=0, le=10_000_000)]
 Bytes = Annotated[int, Meta(gt=0, le=1 << 31)]
 Name = Annotated[str, Meta(min_length=1, max_length=255, pattern=r"^[\x21-\x2b\x2d-\x39\x3b-\x7e]+$")]
 HostAndPort = Annotated[str, Meta(pattern=r"^[^\s]+:[0-9]{1,5}$", description="host:port")]
@@ -36,7 +36,7 @@
     """Connections held open: the same for managers and forwarders."""
 
     grace: Annotated[Seconds, Meta(description="s within which a leaving worker's connections are off")]
-    most: Annotated[Many, Meta(description="connections that one worker may hold")] = moves.MOST
+    most: Annotated[Count, Meta(description="connections that one worker may hold")] = moves.MOST
     arrivals: Annotated[Rate, Meta(description="new ones a second, average worker")] = moves.ARRIVALS
     load: Annotated[Rate, Meta(description="reqs a second that one stands for")] = moves.EACH
 
@@ -68,15 +68,15 @@
 
 
 class LimitsConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    connections: Many = limits.CONNECTIONS
-    worker: Many = limits.CONNECTIONS_WORKER
-    client: Many = limits.CONNECTIONS_CLIENT
+    connections: Count = limits.CONNECTIONS
+    worker: Count = limits.CONNECTIONS_WORKER
+    client: Count = limits.CONNECTIONS_CLIENT
     header_bytes: Bytes = limits.HEADER_BYTES
     body_bytes: Bytes = limits.BODY_BYTES
     connect_wait: Seconds = limits.CONNECT_WAIT
     first_byte_wait: Seconds = limits.FIRST_BYTE_WAIT
     idle_wait: Seconds = limits.IDLE_WAIT
-    pool: Many = limits.POOL_WORKER
+    pool: Count = limits.POOL_WORKER
 
 
 class PluginConfig(Struct, forbid_unknown_fields=True, frozen=True):
@@ -190,18 +190,18 @@
     """The file at `path`; a WireError of one line that names file, place and what was expected."""
     try:
         with open(path, encoding="utf-8") as file:
-            text = file.read(FILE_MOST + 1)
+            text = file.read(MAX_FILE_BYTES + 1)
     except OSError as exc:
-        raise WireError(f"{path}: {exc.strerror}") from None
+        raise InputError(f"{path}: {exc.strerror}") from None
     except UnicodeDecodeError as exc:
-        raise WireError(f"{path}: not UTF-8 (byte {exc.start})") from None
-    if len(text) > FILE_MOST:
-        raise WireError(f"{path}: over {FILE_MOST} bytes")
+        raise InputError(f"{path}: not UTF-8 (byte {exc.start})") from None
+    if len(text) > MAX_FILE_BYTES:
+        raise InputError(f"{path}: over {MAX_FILE_BYTES} bytes")
     try:
         body = json5.loads(text, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as exc:
         said = re.sub(r"^<string>:", "line ", " ".join(str(exc).split())) or "too deep"
-        raise WireError(f"{path}: not JSON5: {said}") from None
+        raise InputError(f"{path}: not JSON5: {said}") from None
     return _checked(path, body)
 
 
@@ -210,7 +210,7 @@
         operator = msgspec.convert(body, OperatorConfig)
     except msgspec.ValidationError as exc:
         what, _, where = str(exc).partition(" - at `")
-        raise WireError(f"{path}: {where.rstrip('`') or '$'}: {what}") from None
+        raise InputError(f"{path}: {where.rstrip('`') or '$'}: {what}") from None
     if operator.advice is not None:
         _check_advice(path, operator.advice)
     if (part := operator.forwarder) is None:
@@ -226,7 +226,7 @@
             faults[f"$.forwarder.kinds[{n}].name"] = "no '+' expected, as it joins kinds on the wire"
     for where, fault in faults.items():
         if fault:
-            raise WireError(f"{path}: {where}: {fault}")
+            raise InputError(f"{path}: {where}: {fault}")
     for where in ("listen", "discovery"):
         address({where: getattr(part, where)}, where, f"{path}: $.forwarder")
     for n, manager in enumerate(part.managers):
@@ -247,19 +247,19 @@
             at = row.listen if isinstance(row, AdviceServerConfig) else row.at
             address({"at": at}, "at", where)
             if at in seen and not at.endswith(":0"):
-                raise WireError(f"{where}: {at} comes twice")
+                raise InputError(f"{where}: {at} comes twice")
             seen.add(at)
             if row.tls is not None and row.protocol != "sasp":
-                raise WireError(f"{where}.tls: for sasp alone, as DFP has none")
+                raise InputError(f"{where}.tls: for sasp alone, as DFP has none")
             if row.secret is not None and row.protocol != "dfp":
-                raise WireError(f"{where}.secret: for dfp alone")
+                raise InputError(f"{where}.secret: for dfp alone")
 
 
 def host_port(text: str) -> HostPort:
     return address({"at": text}, "at", "operators' file")
 
 
-def kinds_of(part: ForwarderConfig) -> list[routing.Kind]:
+def request_classes(part: ForwarderConfig) -> list[routing.Kind]:
     """The request kinds as the routes know them."""
     return [
         routing.Kind(
@@ -275,7 +275,7 @@
     ]
 
 
-def most_of(part: LimitsConfig) -> limits.ResourceLimits:
+def resource_limits(part: LimitsConfig) -> limits.ResourceLimits:
     return limits.ResourceLimits(**msgspec.structs.asdict(part))
 
 
--- a/cottonladder/config/settings.py
+++ b/cottonladder/config/settings.py
@@ -8,28 +8,28 @@
 from ..model.parameters import DeploymentParameters, RequestClass
 
 
-class WireError(ValueError):
+class InputError(ValueError):
     """A message that the pages do not allow; its text is one plain line."""
 
 
 NUMBER = (int, float)
 HostPort = tuple[str, int]
-FIGURE_MOST = 1e12  # of any setting: figures that are multiplied stay finite
-LEAST = 1e-3  # of what is divided by
+MAX_FIGURE = 1e12  # of any setting: figures that are multiplied stay finite
+MIN_DIVISOR = 1e-3  # of what is divided by
 _MISSING = object()
 
 
 def field(body: Any, name: str, types: Any, where: str, default: Any = _MISSING) -> Any:
     """One field of a message, checked for its type; bools never pass for numbers."""
     if not isinstance(body, dict):
-        raise WireError(f"{where}: not an object")
+        raise InputError(f"{where}: not an object")
     value = body.get(name)
     if value is None:
         if default is _MISSING:
-            raise WireError(f"{where}: field {name} is missing")
+            raise InputError(f"{where}: field {name} is missing")
         return default
     if not isinstance(value, types) or (isinstance(value, bool) and types is not bool):
-        raise WireError(f"{where}: field {name} has the wrong type ({type(value).__name__})")
+        raise InputError(f"{where}: field {name} has the wrong type ({type(value).__name__})")
     return value
 
 
@@ -38,10 +38,10 @@
 ) -> float:
     """A figure from which decisions are worked out: nothing that isn't finite, too small or past all use."""
     value = field(body, name, types, where, default)
-    if value > FIGURE_MOST:
-        raise WireError(f"{where}: field {name} is too large, over {FIGURE_MOST:g}")
+    if value > MAX_FIGURE:
+        raise InputError(f"{where}: field {name} is too large, over {MAX_FIGURE:g}")
     if not value >= least:  # as what is not a number at all
-        raise WireError(f"{where}: field {name} is not a figure of {least:g} or more")
+        raise InputError(f"{where}: field {name} is not a figure of {least:g} or more")
     return float(value)
 
 
@@ -53,7 +53,7 @@
     """A list of names, each another one; one at least."""
     value = field(body, name, list, where)
     if not value or not all(isinstance(each, str) and each for each in value) or len(set(value)) < len(value):
-        raise WireError(f"{where}: field {name} is not a list of different names")
+        raise InputError(f"{where}: field {name} is not a list of different names")
     return list(value)
 
 
@@ -61,7 +61,7 @@
     """A field that holds host:port."""
     host, _, port = field(body, name, str, where).rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or int(port[:6]) > 65535:
-        raise WireError(f"{where}: field {name} is not an address (host:port)")
+        raise InputError(f"{where}: field {name} is not an address (host:port)")
     return host, int(port)
 
 
@@ -77,12 +77,12 @@
 
     def zone_index(self, name: str, where: str) -> int:
         if name not in self.zones:
-            raise WireError(f"{where}: unknown zone")
+            raise InputError(f"{where}: unknown zone")
         return self.zones[name]
 
     def class_index(self, name: str, where: str) -> int:
         if name not in self.classes:
-            raise WireError(f"{where}: unknown class")
+            raise InputError(f"{where}: unknown class")
         return self.classes[name]
 
 
@@ -92,7 +92,7 @@
     kinds = names({"Profiles": [field(p, "Name", str, where) for p in profiles]}, "Profiles", where)
     stats = field(info, "Stats", dict, where, {})
     return DeploymentSettings(
-        parameters=_terms(info, profiles, len(zones), seed, where),
+        parameters=_deployment_parameters(info, profiles, len(zones), seed, where),
         zones={name: z for z, name in enumerate(zones)},
         classes={name: k for k, name in enumerate(kinds)},
         manager_index=int(number(info, "Me", where, 0, 0, int)),
@@ -100,7 +100,7 @@
     )
 
 
-def _terms(
+def _deployment_parameters(
     info: dict[str, Any], profiles: list[Any], zones: int, seed: int, where: str
 ) -> DeploymentParameters:
     fam = field(info, "FamilyInfo", dict, where)
@@ -109,7 +109,7 @@
     prices = field(info, "Prices", dict, where)
     kinds = tuple(
         RequestClass(
-            latency_objective_s=number(p, "TargetMs", where, LEAST) / 1000.0,
+            latency_objective_s=number(p, "TargetMs", where, MIN_DIVISOR) / 1000.0,
             priority_weight=number(p, "Gain", where),
         )
         for p in profiles
@@ -127,7 +127,7 @@
         admission_mode=field(fam, "ThrottleBy", str, where, "none"),
         slice_count=field(fam, "KeyRanges", int, where, 0),
         single_owner=field(fam, "SingleWriter", bool, where, False),
-        channel_lines_per_s=number(fam, "EgressPerS", where, LEAST),
+        channel_lines_per_s=number(fam, "EgressPerS", where, MIN_DIVISOR),
         message_header_lines=int(number(fam, "Head", where)),
         max_queued_lines=number(fam, "PendingMax", where),
         max_messages=int(number(fam, "ReloadsMax", where, default=0)),
--- a/cottonladder/control/admin_socket.py
+++ b/cottonladder/control/admin_socket.py
@@ -12,30 +12,30 @@
 
 import structlog
 
-from ..config.settings import WireError
+from ..config.settings import InputError
 
-LINE_MOST = 256  # bytes of a question
-ASK_WAIT = 2.0  # s for a question to come, and for its answer to be read
-AT_ONCE = 8  # connections
+MAX_LINE_BYTES = 256  # bytes of a question
+REQUEST_TIMEOUT = 2.0  # s for a question to come, and for its answer to be read
+MAX_CONNECTIONS = 8  # connections
 
 
 class AdminSocket:
     """Owns the socket's file."""
 
     def __init__(self, path: str, answers: Mapping[str, Callable[[], object]]) -> None:
-        self._path, self._answers, self._open = path, answers, 0
+        self._path, self._answers, self._open_connections = path, answers, 0
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     async def listen(self, stack: AsyncExitStack) -> None:
         """A socket that an earlier process left is taken over; anything else at its place is not touched."""
         with suppress(FileNotFoundError):
             if not stat.S_ISSOCK(os.stat(self._path).st_mode):
-                raise WireError(f"control: {self._path} is there and is no socket")
+                raise InputError(f"control: {self._path} is there and is no socket")
             os.unlink(self._path)
         try:
-            server = await asyncio.start_unix_server(self._serve, self._path, limit=LINE_MOST)
+            server = await asyncio.start_unix_server(self._serve, self._path, limit=MAX_LINE_BYTES)
         except OSError as exc:
-            raise WireError(f"control: {self._path}: {exc.strerror or exc}") from None
+            raise InputError(f"control: {self._path}: {exc.strerror or exc}") from None
         os.chmod(self._path, 0o600)
         stack.callback(self._remove)
         stack.callback(server.close)
@@ -46,12 +46,12 @@
             os.unlink(self._path)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self._open >= AT_ONCE:
+        if self._open_connections >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
-        self._open += 1
+        self._open_connections += 1
         try:
-            async with asyncio.timeout(ASK_WAIT):
+            async with asyncio.timeout(REQUEST_TIMEOUT):
                 asked = (await reader.readline()).decode(errors="replace").strip()
                 answer = self._answers.get(asked)
                 said = answer() if answer else {"error": f"one of {', '.join(self._answers)} expected"}
@@ -60,5 +60,5 @@
         except (OSError, TimeoutError, ValueError):
             pass  # whoever asked has gone, or never did
         finally:
-            self._open -= 1
+            self._open_connections -= 1
             writer.close()
--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -18,77 +18,77 @@
 from ..planning.priority_scheduling import PriorityScheduler, ScheduledSlice, TaskPlan
 
 Work = Callable[[], Iterator[Awaitable[Any] | None]]
-LATE_FOR = 0.05  # s for which nothing runs after a batch or timer came late
-STOP_WAIT = 2.0  # s that runs under way, and those asked to run at the stop, have to end
+LOOP_LAG_PAUSE = 0.05  # s for which nothing runs after a batch or timer came late
+STOP_TIMEOUT = 2.0  # s that runs under way, and those asked to run at the stop, have to end
 
 
 class BackgroundScheduler:
     """Owns the tasks; `late` is told by the owner of the decisions."""
 
     def __init__(self, uniform: Callable[[], float]) -> None:
-        self._turns, self._work, self._uniform = PriorityScheduler(), dict[str, Work](), uniform
-        self._under_way: dict[str, Iterator[Awaitable[Any] | None]] = {}
-        self._waits: dict[str, asyncio.Task[None]] = {}
-        self._late_until = 0.0
+        self._scheduler, self._work, self._uniform = PriorityScheduler(), dict[str, Work](), uniform
+        self._running: dict[str, Iterator[Awaitable[Any] | None]] = {}
+        self._awaited: dict[str, asyncio.Task[None]] = {}
+        self._paused_until = 0.0
         self._task: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def add(self, plan: TaskPlan, work: Work) -> None:
         self._work[plan.name] = work
-        self._turns.add(time.monotonic(), plan, self._uniform())
+        self._scheduler.add(time.monotonic(), plan, self._uniform())
         self._wake.set()
 
     def start(self) -> None:
         self._task = asyncio.create_task(self._run())
 
-    def late(self) -> None:
+    def pause_for_loop_lag(self) -> None:
         """The decisions are behind: background work makes way."""
-        self._late_until = time.monotonic() + LATE_FOR
+        self._paused_until = time.monotonic() + LOOP_LAG_PAUSE
 
-    def soon(self, name: str) -> None:
-        self._turns.now_due(name, time.monotonic())
+    def run_soon(self, name: str) -> None:
+        self._scheduler.now_due(name, time.monotonic())
         self._wake.set()
 
     async def _run(self) -> None:
         while True:
             now = time.monotonic()
-            late = now < self._late_until
-            name = self._turns.next(now, late, self._waits)
+            late = now < self._paused_until
+            name = self._scheduler.next(now, late, self._awaited)
             if name is not None:
-                self._slice(name, now)
+                self._run_slice(name, now)
                 await asyncio.sleep(0)
                 continue
-            wait = max(self._late_until - now, self._turns.wait(now, self._waits))
+            wait = max(self._paused_until - now, self._scheduler.wait(now, self._awaited))
             self._wake.clear()
             try:
                 await asyncio.wait_for(self._wake.wait(), min(wait, 1.0))
             except TimeoutError:
                 pass
 
-    def _slice(self, name: str, now: float) -> None:
-        if self._turns.begun(name, now):
-            self._under_way[name] = iter(self._work[name]())
+    def _run_slice(self, name: str, now: float) -> None:
+        if self._scheduler.begun(name, now):
+            self._running[name] = iter(self._work[name]())
         begun, done, failed = time.monotonic(), False, False
         step: Awaitable[Any] | None = None
         try:
-            step = next(self._under_way[name])
+            step = next(self._running[name])
         except StopIteration:
             done = True
         except Exception as exc:  # a fault of one task is not the others'
             failed = True
-            self._failed(name, exc)
+            self._log_failure(name, exc)
         ended = time.monotonic()
-        if self._turns.sliced(name, ended, ended - begun, done, failed, self._uniform()):
-            turn = self._turns.turns[name]
+        if self._scheduler.sliced(name, ended, ended - begun, done, failed, self._uniform()):
+            turn = self._scheduler.turns[name]
             if turn.overruns & (turn.overruns - 1) == 0:  # the first, second, fourth, ...
                 self.log.info(
                     "task overran", task=name, ms=round((ended - begun) * 1000, 1), times=turn.overruns
                 )
         if done or failed:
-            self._under_way.pop(name, None)
+            self._running.pop(name, None)
         elif step is not None and inspect.isawaitable(step):
-            self._waits[name] = asyncio.ensure_future(self._await(name, step))
+            self._awaited[name] = asyncio.ensure_future(self._await(name, step))
 
     async def _await(self, name: str, step: Awaitable[Any]) -> None:
         try:
@@ -96,20 +96,20 @@
         except asyncio.CancelledError:
             raise
         except Exception as exc:
-            self._failed(name, exc)
+            self._log_failure(name, exc)
             now = time.monotonic()
-            self._under_way.pop(name, None)
-            self._turns.sliced(name, now, 0.0, True, True, self._uniform())
+            self._running.pop(name, None)
+            self._scheduler.sliced(name, now, 0.0, True, True, self._uniform())
         finally:
-            self._waits.pop(name, None)
+            self._awaited.pop(name, None)
             self._wake.set()
 
-    def _failed(self, name: str, exc: Exception) -> None:
-        row = self._turns.turns[name].failed_in_row
+    def _log_failure(self, name: str, exc: Exception) -> None:
+        row = self._scheduler.turns[name].failed_in_row
         if row & (row - 1) == 0:
             self.log.warning("task failed", task=name, why=str(exc) or type(exc).__name__, in_row=row + 1)
 
-    def shown(self) -> list[dict[str, object]]:
+    def status_rows(self) -> list[dict[str, object]]:
         """For operators: how each task stands."""
         now = time.monotonic()
 
@@ -121,7 +121,7 @@
                 "longest_ms": round(t.longest * 1000.0, 2),
             }  # fmt: skip
 
-        return [row(t) for t in self._turns.turns.values()]
+        return [row(t) for t in self._scheduler.turns.values()]
 
     async def close(self, last: tuple[str, ...] = ()) -> None:
         """Ends what runs; the tasks named in `last` run once more, within a bounded time."""
@@ -129,15 +129,15 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
         try:
-            async with asyncio.timeout(STOP_WAIT):
-                await asyncio.gather(*self._waits.values(), return_exceptions=True)
+            async with asyncio.timeout(STOP_TIMEOUT):
+                await asyncio.gather(*self._awaited.values(), return_exceptions=True)
                 for name in last:
-                    for step in self._under_way.pop(name, None) or iter(self._work[name]()):
+                    for step in self._running.pop(name, None) or iter(self._work[name]()):
                         if step is not None:
                             await step
         except TimeoutError:
-            self.log.warning("tasks cut at the stop", tasks=",".join(self._waits) or ",".join(last))
+            self.log.warning("tasks cut at the stop", tasks=",".join(self._awaited) or ",".join(last))
         except Exception as exc:
             self.log.warning("task failed", task=",".join(last), why=str(exc) or type(exc).__name__, in_row=1)
-        for wait in list(self._waits.values()):
+        for wait in list(self._awaited.values()):
             wait.cancel()
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -34,89 +34,95 @@
     """Owns the plan; a forwarder is in it from its announcement to the end of its stream."""
 
     def __init__(
-        self, site: DeploymentSettings, part: UpgradesConfig, workers: WorkerRegistry, messages: MessageReader
+        self,
+        settings: DeploymentSettings,
+        config: UpgradesConfig,
+        workers: WorkerRegistry,
+        messages: MessageReader,
     ) -> None:
-        terms = site.parameters
-        self._moves = MigrationPlanner(
+        terms = settings.parameters
+        self._planner = MigrationPlanner(
             MigrationParameters(
                 terms.zone_count,
-                part.grace,
-                part.most,
-                part.arrivals,
-                part.load,
+                config.grace,
+                config.most,
+                config.arrivals,
+                config.load,
                 terms.channel_lines_per_s,
                 terms.message_header_lines,
             )  # fmt: skip
         )
-        self._arrivals, self._workers = part.arrivals, workers
-        self._zones: dict[int, int] = {}  # of joined proxies
+        self._arrivals_per_s, self._workers = config.arrivals, workers
+        self._proxy_zones: dict[int, int] = {}  # of joined proxies
         self._announced: set[int] = set()
         self._loads: dict[int, float] = {}  # as the ladder was last told
-        self._aside = 0
-        self.vetoes: Callable[[MigrateConnections], bool] = lambda move: False
-        self._plan_at = 0.0
-        self._drains: dict[int, int] = {}  # by leaving worker: connections held when last logged
+        self._extra_lines = 0
+        self.is_vetoed: Callable[[MigrateConnections], bool] = lambda move: False
+        self._next_plan_at = 0.0
+        self._draining_connections: dict[
+            int, int
+        ] = {}  # by leaving worker: connections held when last logged
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         messages.more.update(dict.fromkeys(wire.TO_MANAGER, wire.read_for_manager))
 
     async def start(self, stack: AsyncExitStack) -> None:
         """It has nothing to open."""
 
-    def hear(self, now: float, item: Input | ExtensionMessage) -> None:
+    def observe(self, now: float, item: Input | ExtensionMessage) -> None:
         if isinstance(item, ProxyConnected):
-            self._gone(item.proxy)
-            self._zones[item.proxy] = item.zone
+            self._remove_proxy(item.proxy)
+            self._proxy_zones[item.proxy] = item.zone
         elif isinstance(item, ProxyDisconnected):
-            self._gone(item.proxy)
-        elif isinstance(item, ExtensionMessage) and item.proxy in self._zones:
-            self._said(item.proxy, item.body)
+            self._remove_proxy(item.proxy)
+        elif isinstance(item, ExtensionMessage) and item.proxy in self._proxy_zones:
+            self._handle_message(item.proxy, item.body)
 
-    def _gone(self, proxy: int) -> None:
-        self._zones.pop(proxy, None)
+    def _remove_proxy(self, proxy: int) -> None:
+        self._proxy_zones.pop(proxy, None)
         self._announced.discard(proxy)
-        self._moves.left(proxy)
+        self._planner.left(proxy)
 
-    def _said(self, proxy: int, body: object) -> None:
+    def _handle_message(self, proxy: int, body: object) -> None:
         if isinstance(body, wire.ForwarderAnnounced):
             if body.version >= wire.VERSION:  # a later one speaks ours too
-                self._moves.joined(proxy, self._zones[proxy])
+                self._planner.joined(proxy, self._proxy_zones[proxy])
                 self._announced.add(proxy)
-                self._plan_at = 0.0  # it is answered at once
+                self._next_plan_at = 0.0  # it is answered at once
         elif proxy not in self._announced:
             return
         elif isinstance(body, wire.HeldConnections):
             found = {self._workers.find(be): row for be, row in body.rows.items()}
             rows = {be: HeldConnectionCounts(*row) for be, row in found.items() if be is not None}
-            self._moves.held(proxy, body.whole, rows)
+            self._planner.held(proxy, body.whole, rows)
         elif isinstance(body, wire.MigrationDone):
-            self._moves.moved(proxy, body.number)
+            self._planner.moved(proxy, body.number)
 
-    def inputs(self, now: float) -> list[Input]:
+    def collect_inputs(self, now: float) -> list[Input]:
         """Loads that changed, each interval; and what the last messages took of the channel."""
         out: list[Input] = []
-        if self._aside:
-            out.append(ExtraLinesWritten(self._aside))
-            self._aside = 0
-        if now >= self._plan_at:
-            loads = self._moves.loads()
+        if self._extra_lines:
+            out.append(ExtraLinesWritten(self._extra_lines))
+            self._extra_lines = 0
+        if now >= self._next_plan_at:
+            loads = self._planner.loads()
             changed = {be: 0.0 for be in self._loads if be not in loads}
             changed |= {be: load for be, load in loads.items() if self._loads.get(be) != load}
             out += [HeldLoad(be, load) for be, load in changed.items()]
             self._loads = loads
         return out
 
-    def messages(self, now: float, ladder: RoutingController) -> Iterator[tuple[int, bytes]]:
-        if now < self._plan_at:
+    def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
+        if now < self._next_plan_at:
             return
-        self._plan_at = now + PLAN_EVERY
-        stand = capacity_views(ladder)
-        orders = [o for o in self._moves.plan(now, stand) if not self._vetoed(o)]
-        self._aside += self._moves.lines(orders)
-        self._tell_modes(stand)
+        self._next_plan_at = now + PLAN_EVERY
+        stand = capacity_views(controller)
+        orders = [o for o in self._planner.plan(now, stand) if not self._drop_vetoed(o)]
+        self._extra_lines += self._planner.lines(orders)
+        self._log_drains(stand)
         ids = self._workers.ids
         for order in orders:
             if isinstance(order, AdmitForwarder):
-                yield order.forwarder, wire.welcome(order.part, self._arrivals)
+                yield order.forwarder, wire.welcome(order.part, self._arrivals_per_s)
             elif order.source not in ids:
                 continue
             elif isinstance(order, StopMigration):
@@ -128,21 +134,21 @@
                     wire.move(order.number, ids[order.source], to, order.count, order.within, order.left),
                 )
 
-    def _vetoed(self, order: MigrationOrder) -> bool:
+    def _drop_vetoed(self, order: MigrationOrder) -> bool:
         """A move that a plug-in puts off counts as not ordered: the next plan has it again."""
-        if not isinstance(order, MigrateConnections) or not self.vetoes(order):
+        if not isinstance(order, MigrateConnections) or not self.is_vetoed(order):
             return False
-        self._moves.moved(order.forwarder, order.number)
+        self._planner.moved(order.forwarder, order.number)
         return True
 
-    def _tell_modes(self, standing: dict[int, WorkerCapacityView]) -> None:
+    def _log_drains(self, standing: dict[int, WorkerCapacityView]) -> None:
         """One line where the drain of held connections begins, is off, or has ended."""
-        totals = self._moves.totals()
+        totals = self._planner.totals()
         leaving = {be for be, s in standing.items() if s.draining_since >= 0}
-        for be in totals.keys() & leaving - self._drains.keys():
-            self._drains[be] = totals[be].open
+        for be in totals.keys() & leaving - self._draining_connections.keys():
+            self._draining_connections[be] = totals[be].open
             self.log.info("connections drain", be=self._workers.ids[be].decode(), open=totals[be].open)
-        for be in [be for be in self._drains if be not in leaving or be not in totals]:
-            begun, name = self._drains.pop(be), self._workers.ids.get(be, b"?").decode()
+        for be in [be for be in self._draining_connections if be not in leaving or be not in totals]:
+            begun, name = self._draining_connections.pop(be), self._workers.ids.get(be, b"?").decode()
             how = "drained" if be not in totals else "drain taken back"
             self.log.info(f"connections {how}", be=name, begun=begun)
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -30,7 +30,7 @@
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.proxy_sessions import ProxySessions
 
-BEHIND_LEAST = 0.01  # s: what is shorter nobody feels, as looks are a quarter of a second apart
+MIN_LOOP_LAG = 0.01  # s: what is shorter nobody feels, as looks are a quarter of a second apart
 
 
 class Clock:
@@ -48,18 +48,18 @@
     """The queue to the owner; what is put in here is never waited for."""
 
     def __init__(self) -> None:
-        self._waiting: deque[Input | ExtensionMessage] = deque()
-        self._some = asyncio.Event()
+        self._items: deque[Input | ExtensionMessage] = deque()
+        self._has_items = asyncio.Event()
 
     def put(self, item: Input | ExtensionMessage) -> None:
-        self._waiting.append(item)
-        self._some.set()
+        self._items.append(item)
+        self._has_items.set()
 
     async def take(self) -> list[Input | ExtensionMessage]:
-        await self._some.wait()
-        batch = list(self._waiting)
-        self._waiting.clear()
-        self._some.clear()
+        await self._has_items.wait()
+        batch = list(self._items)
+        self._items.clear()
+        self._has_items.clear()
         return batch
 
 
@@ -68,8 +68,8 @@
     """Those who carry out what isn't said to proxies."""
 
     discovery: DiscoveryClient
-    probes: HealthChecker
-    peers: GossipSocket
+    health_checker: HealthChecker
+    gossip: GossipSocket
 
 
 class ControlLoopExtension(Protocol):
@@ -77,9 +77,9 @@
     ladder has ordered it may write messages to proxies.  What `start` opens goes onto the stack."""
 
     async def start(self, stack: AsyncExitStack) -> None: ...
-    def hear(self, now: float, item: Input | ExtensionMessage) -> None: ...
-    def inputs(self, now: float) -> list[Input]: ...
-    def messages(self, now: float, ladder: RoutingController) -> Iterable[tuple[int, bytes]]: ...
+    def observe(self, now: float, item: Input | ExtensionMessage) -> None: ...
+    def collect_inputs(self, now: float) -> list[Input]: ...
+    def collect_messages(self, now: float, controller: RoutingController) -> Iterable[tuple[int, bytes]]: ...
 
 
 class ControlLoop:
@@ -87,82 +87,87 @@
 
     def __init__(
         self,
-        ladder: RoutingController,
-        inbox: InputQueue,
-        roster: ProxySessions,
-        spread: OrderDispatcher,
-        hands: Effects,
-        planners: Iterable[ControlLoopExtension] = (),
+        controller: RoutingController,
+        input_queue: InputQueue,
+        sessions: ProxySessions,
+        dispatcher: OrderDispatcher,
+        effects: Effects,
+        extensions: Iterable[ControlLoopExtension] = (),
     ) -> None:
-        self._planners = list(planners)
-        self.late: Callable[[], None] = lambda: None  # background work makes way
-        self.remarked: Callable[[str], None] = lambda words: None  # told each change of mode
-        self._ladder, self._inbox, self._roster, self._spread = ladder, inbox, roster, spread
-        ladder.gate.added = spread.added
+        self._extensions = list(extensions)
+        self.on_loop_lag: Callable[[], None] = lambda: None  # background work makes way
+        self.on_mode_change: Callable[[str], None] = lambda words: None  # told each change of mode
+        self._controller, self._input_queue, self._sessions, self._dispatcher = (
+            controller,
+            input_queue,
+            sessions,
+            dispatcher,
+        )
+        controller.gate.added = dispatcher.added
         self._clock = Clock()
-        self._set, self._timers = 0, dict[int, asyncio.TimerHandle]()
-        self._worst: dict[str, float] = {}
+        self._last_timer, self._timers = 0, dict[int, asyncio.TimerHandle]()
+        self._worst_lag_s: dict[str, float] = {}
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self._carry: dict[type, Callable[..., None]] = {
-            StartTimer: self._wake_in,
-            WatchEndpoints: lambda o: hands.discovery.follow(o.enabled),
-            FetchEndpoints: lambda o: hands.discovery.fetch(),
-            HealthCheck: lambda o: hands.probes.send(o.worker_index),
-            SendGossip: lambda o: hands.peers.tell(o.recipient, o.text),
-            LogModeChange: self._remark,
+        self._effect_handlers: dict[type, Callable[..., None]] = {
+            StartTimer: self._start_timer,
+            WatchEndpoints: lambda o: effects.discovery.follow(o.enabled),
+            FetchEndpoints: lambda o: effects.discovery.fetch(),
+            HealthCheck: lambda o: effects.health_checker.send(o.worker_index),
+            SendGossip: lambda o: effects.gossip.tell(o.recipient, o.text),
+            LogModeChange: self._log_mode_change,
         }
 
     async def run(self) -> None:
         while True:
-            batch, begun = await self._inbox.take(), time.monotonic()
+            batch, begun = await self._input_queue.take(), time.monotonic()
             self.step(batch)
-            self._behind("batch", time.monotonic() - begun)
+            self._record_loop_lag("batch", time.monotonic() - begun)
 
-    def _behind(self, what: str, seconds: float) -> None:
+    def _record_loop_lag(self, what: str, seconds: float) -> None:
         """One line where a batch took longer, or a timer came later, than any before by half."""
-        if seconds > BEHIND_LEAST:
-            self.late()
-        if seconds > max(BEHIND_LEAST, 1.5 * self._worst.get(what, 0.0)):
-            self._worst[what] = seconds
+        if seconds > MIN_LOOP_LAG:
+            self.on_loop_lag()
+        if seconds > max(MIN_LOOP_LAG, 1.5 * self._worst_lag_s.get(what, 0.0)):
+            self._worst_lag_s[what] = seconds
             self.log.info("behind", what=what, ms=round(seconds * 1000, 1))
 
     def step(self, batch: list[Input | ExtensionMessage]) -> None:
         now = self._clock.now()
         inputs = [item for item in batch if not isinstance(item, ExtensionMessage)]
-        for plan in self._planners:
+        for plan in self._extensions:
             for item in batch:
-                plan.hear(now, item)
-            inputs += plan.inputs(now)
-        self._spread.hear(inputs)
-        orders = self._ladder.decide(now, inputs)
+                plan.observe(now, item)
+            inputs += plan.collect_inputs(now)
+        self._dispatcher.hear(inputs)
+        orders = self._controller.decide(now, inputs)
         for order in orders:
-            carry = self._carry.get(type(order))
+            carry = self._effect_handlers.get(type(order))
             if carry is not None:
                 carry(order)
-            elif why := self._spread.take(order):
+            elif why := self._dispatcher.take(order):
                 self.log.error("order left out", order=type(order).__name__, why=why)
         if any(isinstance(order, Checkpoint) for order in orders):
-            self._ladder.gate.settle(self._spread.lines())
-        for proxy, data in self._spread.messages():
-            self._roster.send(proxy, data)
-        for plan in self._planners:
-            for proxy, data in plan.messages(now, self._ladder):
-                self._roster.send(proxy, data)
-
-    def _wake_in(self, order: StartTimer) -> None:
+            self._controller.gate.settle(self._dispatcher.lines())
+        for proxy, data in self._dispatcher.messages():
+            self._sessions.send(proxy, data)
+        for plan in self._extensions:
+            for proxy, data in plan.collect_messages(now, self._controller):
+                self._sessions.send(proxy, data)
+
+    def _start_timer(self, order: StartTimer) -> None:
         """Timers count up and are kept until they are due, as they can't be taken back."""
-        self._set += 1
-        self._timers[self._set] = asyncio.get_running_loop().call_later(
-            order.delay_s, self._due, self._set, order.token
+        self._last_timer += 1
+        self._timers[self._last_timer] = asyncio.get_running_loop().call_later(
+            order.delay_s, self._timer_due, self._last_timer, order.token
         )
 
-    def _due(self, timer: int, token: int) -> None:
-        self._behind("timer", asyncio.get_running_loop().time() - self._timers.pop(timer).when())
-        self._inbox.put(TimerFired(token))
+    def _timer_due(self, timer: int, token: int) -> None:
+        self._record_loop_lag("timer", asyncio.get_running_loop().time() - self._timers.pop(timer).when())
+        self._input_queue.put(TimerFired(token))
 
-    def _remark(self, order: LogModeChange) -> None:
+    def _log_mode_change(self, order: LogModeChange) -> None:
         self.log.info("mode", words=order.message)
-        self.remarked(order.message)
+        self.on_mode_change(order.message)
 
     def close(self) -> None:
         for timer in self._timers.values():
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -22,66 +22,66 @@
 from ..protocol.messages import ExtensionMessage
 from ..state.worker_registry import WorkerRegistry
 
-CHUNK = 40  # workers asked of at one step: a few ms, as looks are a quarter of a second apart
-EVENTS_MOST = 32  # told at one step; the rest are left out and counted
-SOURCE = 1  # of its factors, beside advice's 0
+WORKERS_PER_STEP = 40  # workers asked of at one step: a few ms, as looks are a quarter of a second apart
+MAX_EVENTS = 32  # told at one step; the rest are left out and counted
+FACTOR_SOURCE = 1  # of its factors, beside advice's 0
 
 
 class PluginExtension:
     """Owns the chain; a worker is asked of once an interval, some at each step."""
 
-    def __init__(self, part: ManagerPluginsConfig, workers: WorkerRegistry) -> None:
-        self._part, self._workers = part, workers
-        rows = (Wanted(p.name, p.path, False, frozenset(p.grants), p.seed) for p in part.chain)
+    def __init__(self, config: ManagerPluginsConfig, workers: WorkerRegistry) -> None:
+        self._config, self._workers = config, workers
+        rows = (Wanted(p.name, p.path, False, frozenset(p.grants), p.seed) for p in config.chain)
         self.chain = PluginChain(rows)
-        self._queue: list[int] = []
-        self._at = 0.0
-        self._standing: dict[int, WorkerCapacityView] = {}
+        self._pending_workers: list[int] = []
+        self._next_round_at = 0.0
+        self._capacity: dict[int, WorkerCapacityView] = {}
         self._factors: dict[int, float] = {}
         self._events: list[tuple[str, str]] = []
-        self.events_left_out = 0
+        self.dropped_events = 0
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     async def start(self, stack: AsyncExitStack) -> None:
         """It has nothing to open."""
 
-    def hear(self, now: float, item: Input | ExtensionMessage) -> None:
+    def observe(self, now: float, item: Input | ExtensionMessage) -> None:
         if isinstance(item, EndpointList) and item.endpoints and self.chain.has(EVENT):
             for entry in item.endpoints:
                 name = self._workers.ids.get(entry.worker_index, b"?").decode()
-                self.event("listed", f"{name} {entry.state.name.lower()}")
+                self.queue_event("listed", f"{name} {entry.state.name.lower()}")
 
-    def event(self, what: str, words: str) -> None:
+    def queue_event(self, what: str, words: str) -> None:
         """Also the ladder's own remarks: a level changed, a worker was shut out."""
         if not self.chain.has(EVENT):
             return
-        if len(self._events) >= EVENTS_MOST:
-            self.events_left_out += 1
+        if len(self._events) >= MAX_EVENTS:
+            self.dropped_events += 1
             return
         self._events.append((what, words))
 
-    def inputs(self, now: float) -> list[Input]:
+    def collect_inputs(self, now: float) -> list[Input]:
         events, self._events = self._events, []
         for what, words in events:
             self.chain.ask(EVENT, record([("hook", EVENT), ("event", what), ("words", words)]))
         if not self.chain.has(WORKER):
             return []
         out: list[Input] = []
-        for be in self._queue[:CHUNK]:
-            stands = self._standing.get(be)
+        for be in self._pending_workers[:WORKERS_PER_STEP]:
+            stands = self._capacity.get(be)
             if stands is None or be not in self._workers.ids or stands.capacity <= 0:
                 continue
-            said = self.chain.ask(WORKER, self._worker(be, stands))
+            said = self.chain.ask(WORKER, self._worker_record(be, stands))
             factor = factor_of(said.factor)
             if said.factor is not None and factor != said.factor:
                 self.chain.clipped()
             if factor != self._factors.get(be, 1.0):
                 self._factors[be] = factor
-                out.append(AdvisedFactor(be, factor, SOURCE))
-        del self._queue[:CHUNK]
+                out.append(AdvisedFactor(be, factor, FACTOR_SOURCE))
+        del self._pending_workers[:WORKERS_PER_STEP]
         return out
 
-    def _worker(self, be: int, stands: WorkerCapacityView) -> bytes:
+    def _worker_record(self, be: int, stands: WorkerCapacityView) -> bytes:
         name = self._workers.ids[be].decode()
         pairs = [
             ("hook", WORKER),
@@ -90,20 +90,20 @@
             ("cold", str(int(stands.warming_up))),
         ]
         pairs += [("estimate", f"{stands.capacity:.4f}"), ("time_ms", f"{stands.latency_s * 1000.0:.1f}")]
-        pairs += [("label", label) for label in self._part.labels.get(name, ())]
+        pairs += [("label", label) for label in self._config.labels.get(name, ())]
         return record(pairs)
 
-    def messages(self, now: float, ladder: RoutingController) -> Iterator[tuple[int, bytes]]:
+    def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
         """Writes no proxy; each interval the workers are asked of anew."""
-        if now >= self._at:
-            self._at = now + INTERVAL
-            self._standing = capacity_views(ladder)
-            self._factors = {be: f for be, f in self._factors.items() if be in self._standing}
-            self._queue = list(self._standing)
+        if now >= self._next_round_at:
+            self._next_round_at = now + INTERVAL
+            self._capacity = capacity_views(controller)
+            self._factors = {be: f for be, f in self._factors.items() if be in self._capacity}
+            self._pending_workers = list(self._capacity)
         self.chain.tell()
         yield from ()
 
-    def vetoes(self, move: MigrateConnections) -> bool:
+    def is_vetoed(self, move: MigrateConnections) -> bool:
         """A veto puts a move off; near the end of the grace there is none, as drains are kept."""
         if not self.chain.has(MOVE):
             return False
@@ -113,7 +113,7 @@
         said = self.chain.ask(MOVE, record([*pairs, ("left_s", f"{move.left:.1f}")]))
         if said.deny is None:
             return False
-        if not may_veto(move.left, self._part.grace):
+        if not may_veto(move.left, self._config.grace):
             self.chain.clipped()
             return False
         return True
--- a/cottonladder/control/signals.py
+++ b/cottonladder/control/signals.py
@@ -7,37 +7,37 @@
 import signal
 from types import FrameType
 
-LASTING = ("serve", "forward")  # commands that run until they are told to end
-ALL = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-_noted: list[int] = []  # SIGHUPs that nobody has looked after yet
+SERVICE_COMMANDS = ("serve", "forward")  # commands that run until they are told to end
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+_pending_reloads: list[int] = []  # SIGHUPs that nobody has looked after yet
 
 
-def _leave(number: int, frame: FrameType | None) -> None:
+def _exit_now(number: int, frame: FrameType | None) -> None:
     os._exit(0)  # nothing is open yet that would have to be given back
 
 
-def _note(number: int, frame: FrameType | None) -> None:
-    _noted.append(number)
+def _note_reload(number: int, frame: FrameType | None) -> None:
+    _pending_reloads.append(number)
 
 
-def hold(arguments: list[str]) -> None:
+def install_early_handlers(arguments: list[str]) -> None:
     """First of all; the loop's own handlers take over, one by one."""
-    if arguments[1:2] and arguments[1] in LASTING:
-        signal.signal(signal.SIGTERM, _leave)
-        signal.signal(signal.SIGINT, _leave)
-        signal.signal(signal.SIGHUP, _note)
+    if arguments[1:2] and arguments[1] in SERVICE_COMMANDS:
+        signal.signal(signal.SIGTERM, _exit_now)
+        signal.signal(signal.SIGINT, _exit_now)
+        signal.signal(signal.SIGHUP, _note_reload)
 
 
-def reading() -> None:
+def config_is_read_now() -> None:
     """The file is read now: what was asked for before is thereby done."""
-    _noted.clear()
+    _pending_reloads.clear()
 
 
-def missed() -> bool:
+def reload_was_requested() -> bool:
     """Whether a SIGHUP came after the file was read and before a handler stood."""
-    return bool(_noted)
+    return bool(_pending_reloads)
 
 
-def seal() -> None:
+def block() -> None:
     """Last of all: how the program ends stands, and no further signal changes it."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, ALL)
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -34,17 +34,17 @@
 from ..snapshots.store import Generation, Store, StoreError
 from .background_scheduler import BackgroundScheduler
 
-TASK = "snapshot"
-CPU = 0.05  # of a core that snapshots may take
-CHUNK = 200  # workers or proxies a slice: a millisecond or two
+SNAPSHOT_TASK = "snapshot"
+SNAPSHOT_CPU_SHARE = 0.05  # of a core that snapshots may take
+ENTRIES_PER_SLICE = 200  # workers or proxies a slice: a millisecond or two
 
 
-class Folder:
+class SnapshotFolder:
     """A store that may fail: opened again when it is next written."""
 
     def __init__(self, folder: str) -> None:
-        self.store, self._open = Store(folder), False
-        self.bytes = 0
+        self.store, self._is_open = Store(folder), False
+        self.size_bytes = 0
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def read(self) -> Generation | None:
@@ -52,7 +52,7 @@
         begun = time.monotonic()
         try:
             self.store.open()
-            self._open = True
+            self._is_open = True
             found = self.store.newest()
         except StoreError as exc:
             self.log.warning("memory not read", why=str(exc))
@@ -68,12 +68,12 @@
 
     def write(self, sections: Mapping[str, Any]) -> None:
         """In a thread.  A folder that vanished, or that another process owned, is opened anew."""
-        if not self._open or not os.path.isdir(self.store.folder):
+        if not self._is_open or not os.path.isdir(self.store.folder):
             self.store.close()
-            self._open = False
+            self._is_open = False
             self.store.open()
-            self._open = True
-        self.bytes = self.store.write(sections, time.time())
+            self._is_open = True
+        self.size_bytes = self.store.write(sections, time.time())
 
     def close(self) -> None:
         self.store.close()
@@ -83,22 +83,22 @@
     """The manager's: beside the ladder, hands it the earlier life with the first list."""
 
     def __init__(
-        self, folder: str, every: float, placement: ManagerConfig, tasks: BackgroundScheduler
+        self, folder: str, interval_s: float, config: ManagerConfig, scheduler: BackgroundScheduler
     ) -> None:
-        self._folder, self._workers, self._tasks = Folder(folder), placement.workers, tasks
-        self._every = every
-        self._ladder: RoutingController | None = None
-        self._given = False
-        self._life: RestoredState | None = None
-        self.version, self.known = placement.version, placement.known
-        self._zones = placement.site.parameters.zone_count
-        self.credits: dict[str, float] = {}
-        self.list_version: Callable[[], int] = lambda: self.version
-        self.credits_now: Callable[[], dict[str, float]] = dict
+        self._folder, self._workers, self._scheduler = SnapshotFolder(folder), config.workers, scheduler
+        self._interval_s = interval_s
+        self._controller: RoutingController | None = None
+        self._was_restored = False
+        self._restored_state: RestoredState | None = None
+        self.restored_list_version, self.known_endpoints = config.list_version, config.known_endpoints
+        self._zone_count = config.settings.parameters.zone_count
+        self.restored_credits: dict[str, float] = {}
+        self.current_list_version: Callable[[], int] = lambda: self.restored_list_version
+        self.current_credits: Callable[[], dict[str, float]] = dict
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self._recall()
+        self._restore()
 
-    def _recall(self) -> None:
+    def _restore(self) -> None:
         found = self._folder.read()
         if found is None:
             return
@@ -107,7 +107,7 @@
             self.log.warning("memory not used", why=why or "no section manager")
             return
         age = ageing.age_of(found.written, time.time())
-        self._list(life)
+        self._restore_endpoints(life)
         ids = {w.id: self._workers.find(w.id.encode()) for w in life.workers}
         pasts = tuple(
             WorkerHistory(be, w.started, w.base, w.slowness, w.out, w.leaving)
@@ -115,17 +115,17 @@
             if (be := ids[w.id]) is not None
         )
         life_then = RestoredState(life.mark % 65536, pasts, tuple(life.rates.items()))
-        self._life = ageing.aged(life_then, age)
-        self.credits = {
+        self._restored_state = ageing.aged(life_then, age)
+        self.restored_credits = {
             name: ageing.credit(value, ageing.CREDIT_START, age) for name, value in life.credits.items()
         }
 
-    def _list(self, life: ManagerSnapshot) -> None:
+    def _restore_endpoints(self, life: ManagerSnapshot) -> None:
         """The list that the earlier life had, where it is newer than the one in the configuration."""
-        if life.version <= self.version:
+        if life.version <= self.restored_list_version:
             return
-        entries = [e for e in life.listed if 0 <= e.zone < self._zones and e.mode in (0, 1) and e.id]
-        self.known = EndpointList(
+        entries = [e for e in life.listed if 0 <= e.zone < self._zone_count and e.mode in (0, 1) and e.id]
+        self.known_endpoints = EndpointList(
             ListUpdateKind.CACHED,
             tuple(
                 Endpoint(
@@ -138,40 +138,43 @@
                 for e in entries
             ),
         )
-        self.version = life.version
+        self.restored_list_version = life.version
 
     async def start(self, stack: AsyncExitStack) -> None:
         stack.callback(self._folder.close)
-        self._tasks.add(
-            TaskPlan(TASK, self._every, priority=3, cpu=CPU, deadline=self._every), self._snapshot
+        self._scheduler.add(
+            TaskPlan(
+                SNAPSHOT_TASK, self._interval_s, priority=3, cpu=SNAPSHOT_CPU_SHARE, deadline=self._interval_s
+            ),
+            self._snapshot,
         )
 
-    def hear(self, now: float, item: Input | ExtensionMessage) -> None:
+    def observe(self, now: float, item: Input | ExtensionMessage) -> None:
         """It asks the ladder, not the inputs."""
 
-    def inputs(self, now: float) -> list[Input]:
-        if self._given or self._life is None:
+    def collect_inputs(self, now: float) -> list[Input]:
+        if self._was_restored or self._restored_state is None:
             return []
-        self._given = True
-        life, self._life = self._life, None
+        self._was_restored = True
+        life, self._restored_state = self._restored_state, None
         out = sum(past.was_ejected for past in life.workers)
         leaving = sum(past.was_draining for past in life.workers)
         self.log.info("memory used", workers=len(life.workers), suspected=out, leaving=leaving)
         return [life]
 
-    def messages(self, now: float, ladder: RoutingController) -> Iterator[tuple[int, bytes]]:
-        self._ladder = ladder
+    def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
+        self._controller = controller
         yield from ()
 
     def _snapshot(self) -> Iterator[Awaitable[Any] | None]:
         """In slices of some ms; the file is written by a thread."""
-        if (ladder := self._ladder) is None:
+        if (ladder := self._controller) is None:
             return
         ids, workers, listed = self._workers.ids, list[WorkerSnapshot](), list[EndpointSnapshot]()
         bes, proxies, rates, mark = list(ladder.bes), list(ladder.proxies), dict[int, float](), 0
         yield None
-        for n in range(0, len(bes), CHUNK):
-            for p in collect_state(ladder, bes[n : n + CHUNK], ()).workers:
+        for n in range(0, len(bes), ENTRIES_PER_SLICE):
+            for p in collect_state(ladder, bes[n : n + ENTRIES_PER_SLICE], ()).workers:
                 if (name := ids.get(p.worker_index)) is None or (
                     be := ladder.bes.get(p.worker_index)
                 ) is None:
@@ -186,10 +189,12 @@
                 place = self._workers.address(p.worker_index)
                 listed.append(EndpointSnapshot(word, place, be.zone, int(mode), be.weight, p.started_at))
             yield None
-        for n in range(0, len(proxies) + 1, CHUNK):
-            life = collect_state(ladder, (), proxies[n : n + CHUNK])
+        for n in range(0, len(proxies) + 1, ENTRIES_PER_SLICE):
+            life = collect_state(ladder, (), proxies[n : n + ENTRIES_PER_SLICE])
             rates.update(life.proxy_rates)
             mark = life.last_checkpoint
             yield None
-        section = ManagerSnapshot(mark, workers, rates, self.list_version(), listed, self.credits_now())
+        section = ManagerSnapshot(
+            mark, workers, rates, self.current_list_version(), listed, self.current_credits()
+        )
         yield asyncio.to_thread(lambda: self._folder.write({"manager": packed("manager", section)}))
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -21,7 +21,7 @@
     TlsConfig,
     host_port,
 )
-from ..config.settings import WireError
+from ..config.settings import InputError
 from ..model.inputs import AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
 from ..planning.advice_weighting import PERIOD, Advice, AdvisoryWeight
@@ -39,8 +39,8 @@
 )
 from ..weight_advice.server import AdvertisedWeights, DfpServer, SaspServer, Server, tls_context
 
-SECRET_MOST = 1024  # bytes of a secret's file
-TELL_EVERY = 30.0  # s between two lines on how advisors stand
+MAX_SECRET_BYTES = 1024  # bytes of a secret's file
+LOG_INTERVAL = 30.0  # s between two lines on how advisors stand
 
 
 def _tls(part: TlsConfig | None, server: bool, where: str) -> object:
@@ -49,36 +49,36 @@
     try:
         return tls_context(part.certificate, part.key, part.authorities, server)
     except (OSError, ValueError) as exc:
-        raise WireError(f"{where}.tls: {exc}") from None
+        raise InputError(f"{where}.tls: {exc}") from None
 
 
 def _secret(part: SecretConfig | None, where: str) -> tuple[int, bytes] | None:
     if part is None:
         return None
     try:
-        secret = Path(part.file).read_bytes()[:SECRET_MOST].strip()
+        secret = Path(part.file).read_bytes()[:MAX_SECRET_BYTES].strip()
     except OSError as exc:
-        raise WireError(f"{where}.secret: {part.file}: {exc.strerror}") from None
+        raise InputError(f"{where}.secret: {part.file}: {exc.strerror}") from None
     if not secret:
-        raise WireError(f"{where}.secret: {part.file}: empty")
+        raise InputError(f"{where}.secret: {part.file}: empty")
     return part.key, secret
 
 
 class WeightAdvisor(AdviceListener):
     """Owns the board, the listeners and the followers."""
 
-    def __init__(self, part: AdviceConfig, workers: WorkerRegistry) -> None:
-        self._part, self._workers = part, workers
-        self._board, self._advice = AdvertisedWeights(), Advice()
+    def __init__(self, config: AdviceConfig, workers: WorkerRegistry) -> None:
+        self._config, self._workers = config, workers
+        self._advertised, self._advice = AdvertisedWeights(), Advice()
         self._servers: list[Server] = []
         self._followers: list[Follower] = []
-        self._trust: dict[str, float] = {}
-        self._words: list[tuple[str, list[ReportedWeight], bool]] = []  # heard since the last step
-        self._joins: list[str] = []
-        self._at = self._told_at = 0.0
-        self._listed = False  # the list has changed since the board was brought up to date
+        self._trust_by_advisor: dict[str, float] = {}
+        self._reports: list[tuple[str, list[ReportedWeight], bool]] = []  # heard since the last step
+        self._connected_advisors: list[str] = []
+        self._next_update_at = self._logged_at = 0.0
+        self._list_changed = False  # the list has changed since the board was brought up to date
         self._factors: dict[int, float] = {}
-        self._standing: dict[int, WorkerCapacityView] = {}
+        self._capacity: dict[int, WorkerCapacityView] = {}
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     @property
@@ -86,26 +86,26 @@
         return self._advice
 
     async def start(self, stack: AsyncExitStack) -> None:
-        for n, serving in enumerate(self._part.serve):
-            server = self._server(serving, f"$.advice.serve[{n}]")
+        for n, serving in enumerate(self._config.serve):
+            server = self._create_server(serving, f"$.advice.serve[{n}]")
             host, port = host_port(serving.listen)
             bound = await server.listen((host, port), stack)
             self._servers.append(server)
             self.log.info("advice served", protocol=serving.protocol, host=host, port=bound)
         chance = random.Random(time.time_ns())
-        for n, following in enumerate(self._part.follow):
-            follower = self._follower(following, f"$.advice.follow[{n}]", chance)
-            self._trust[follower.name] = following.trust
+        for n, following in enumerate(self._config.follow):
+            follower = self._create_follower(following, f"$.advice.follow[{n}]", chance)
+            self._trust_by_advisor[follower.name] = following.trust
             self._followers.append(follower)
             stack.push_async_callback(follower.close)
             follower.start()
 
-    def _server(self, part: AdviceServerConfig, where: str) -> Server:
+    def _create_server(self, part: AdviceServerConfig, where: str) -> Server:
         if part.protocol == "sasp":
-            return SaspServer(self._board, part.clients, _tls(part.tls, True, where))  # type: ignore[arg-type]
-        return DfpServer(self._board, part.clients, _secret(part.secret, where))
+            return SaspServer(self._advertised, part.clients, _tls(part.tls, True, where))  # type: ignore[arg-type]
+        return DfpServer(self._advertised, part.clients, _secret(part.secret, where))
 
-    def _follower(self, part: AdvisorFollowConfig, where: str, chance: random.Random) -> Follower:
+    def _create_follower(self, part: AdvisorFollowConfig, where: str, chance: random.Random) -> Follower:
         at = host_port(part.at)
         if part.protocol == "sasp":
             tls = _tls(part.tls, False, where)
@@ -115,22 +115,22 @@
     # the followers' listener: kept until the owner's next step
 
     def joined(self, advisor: str) -> None:
-        self._joins.append(advisor)
+        self._connected_advisors.append(advisor)
 
     def heard(self, advisor: str, words: Iterable[ReportedWeight], whole: bool) -> None:
-        self._words.append((advisor, list(words), whole))
+        self._reports.append((advisor, list(words), whole))
 
     # beside the ladder
 
-    def hear(self, now: float, item: Input | ExtensionMessage) -> None:
+    def observe(self, now: float, item: Input | ExtensionMessage) -> None:
         """Nothing of what comes to the manager's address is advice; but who leaves is told at once."""
-        self._listed |= isinstance(item, EndpointList)
+        self._list_changed |= isinstance(item, EndpointList)
 
-    def inputs(self, now: float) -> list[Input]:
-        for advisor in self._joins:
-            self._advice.joined(advisor, now, self._trust.get(advisor, 1.0))
-        self._joins.clear()
-        for advisor, said, whole in self._words:
+    def collect_inputs(self, now: float) -> list[Input]:
+        for advisor in self._connected_advisors:
+            self._advice.joined(advisor, now, self._trust_by_advisor.get(advisor, 1.0))
+        self._connected_advisors.clear()
+        for advisor, said, whole in self._reports:
             words: dict[int, AdvisoryWeight] = {}
             for s in said:
                 if s.be is not None:  # one worker under two identifications: the lower word
@@ -138,37 +138,37 @@
                     was = words.get(s.be)
                     words[s.be] = word if was is None or word.weight < was.weight or not word.usable else was
             self._advice.heard(advisor, now, words, whole)
-        self._words.clear()
-        if now < self._at:
+        self._reports.clear()
+        if now < self._next_update_at:
             return []
-        factors = self._advice.factors(now, self._standing) if self._followers else {}
+        factors = self._advice.factors(now, self._capacity) if self._followers else {}
         changed = dict.fromkeys(self._factors.keys() - factors.keys(), 1.0)
         changed |= {be: factor for be, factor in factors.items() if self._factors.get(be) != factor}
         self._factors = factors
         return [AdvisedFactor(be, factor) for be, factor in changed.items()]
 
-    def messages(self, now: float, ladder: RoutingController) -> Iterator[tuple[int, bytes]]:
+    def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
         """Writes no proxy; the board and the followers' lists are brought up to date once an interval."""
-        due = now >= self._at
-        if due or self._listed:
-            self._listed = False
-            self._standing = capacity_views(ladder)
+        due = now >= self._next_update_at
+        if due or self._list_changed:
+            self._list_changed = False
+            self._capacity = capacity_views(controller)
             places = places_of(self._workers.ids, self._workers.address)
-            self._board.update(self._standing, places)
+            self._advertised.update(self._capacity, places)
             for server in self._servers:
                 server.told()
             for follower in self._followers:
                 follower.update(places)
         if due:
-            self._at = now + PERIOD
+            self._next_update_at = now + PERIOD
             for follower in self._followers:
                 follower.tick()
-            if now - self._told_at >= TELL_EVERY:
-                self._told_at = now
-                self._tell(now)
+            if now - self._logged_at >= LOG_INTERVAL:
+                self._logged_at = now
+                self._log_state(now)
         yield from ()
 
-    def _tell(self, now: float) -> None:
+    def _log_state(self, now: float) -> None:
         for name, stands in self._advice.shown(now).items():
             follower = next((f for f in self._followers if f.name == name), None)
             unmatched = follower.unmatched if follower else 0
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -19,11 +19,11 @@
     OperatorConfig,
     PluginsConfig,
     host_port,
-    kinds_of,
-    most_of,
     read_operator_config,
+    request_classes,
+    resource_limits,
 )
-from ..config.settings import WireError
+from ..config.settings import InputError
 from ..control import signals
 from ..model.inputs import EndpointList, EndpointState, Input, ListUpdateKind
 from ..protocol import upgrade_extension as upgrades
@@ -63,7 +63,7 @@
 
     def zone_index(self, name: str, where: str) -> int:
         if name not in self._index:
-            raise WireError(f"{where}: unknown zone")
+            raise InputError(f"{where}: unknown zone")
         return self._index[name]
 
 
@@ -83,7 +83,7 @@
         self._modes: dict[int, EndpointState] = {}
         self._zone_of: dict[int, int] = {}
         self._gone: dict[int, float] = {}
-        kinds = kinds_of(part)
+        kinds = request_classes(part)
         manners = {
             k.name: UpgradePolicy(
                 None if k.busy.opens is None else k.busy.opens.encode(),
@@ -99,8 +99,8 @@
         self.arrivals = AdmissionPacer(rate, 1.0)
         self.met = LoadRecorder(part.zone, part.node, self.loop.time())
         self.carrier = RequestHandler(
-            kinds, manners, self.routes, self.drains, self.arrivals, most_of(part.limits), self.address,
-            self.met, chance,
+            kinds, manners, self.routes, self.drains, self.arrivals, resource_limits(part.limits),
+            self.address, self.met, chance,
         )  # fmt: skip
         managers = [host_port(text) for text in part.managers]
         chance.shuffle(managers)  # a fleet spreads over its managers
@@ -341,7 +341,7 @@
         return
     from ..control.admin_socket import AdminSocket
     from ..control.background_scheduler import BackgroundScheduler
-    from ..control.snapshot_manager import CPU, TASK, Folder
+    from ..control.snapshot_manager import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
     from ..planning import snapshot_staleness as ageing
     from ..planning.priority_scheduling import TaskPlan
     from ..snapshots.sections import ForwarderSnapshot, packed, unpacked
@@ -349,7 +349,7 @@
 
     tasks = BackgroundScheduler(random.random)
     if operator.memory is not None:
-        folder = Folder(operator.memory.folder)
+        folder = SnapshotFolder(operator.memory.folder)
         stack.callback(folder.close)
         found = folder.read()
         life, why = unpacked("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
@@ -376,12 +376,14 @@
             section = packed("forwarder", kept)
             yield asyncio.to_thread(folder.write, {"forwarder": section})
 
-        tasks.add(TaskPlan(TASK, operator.memory.every, priority=3, cpu=CPU), snapshot)
-        stack.push_async_callback(tasks.close, (TASK,))
+        tasks.add(
+            TaskPlan(SNAPSHOT_TASK, operator.memory.every, priority=3, cpu=SNAPSHOT_CPU_SHARE), snapshot
+        )
+        stack.push_async_callback(tasks.close, (SNAPSHOT_TASK,))
     else:
         stack.push_async_callback(tasks.close)
     if operator.control:
-        answers = {"tasks": tasks.shown, "state": forwarder.status}
+        answers = {"tasks": tasks.status_rows, "state": forwarder.status}
         await AdminSocket(operator.control, answers).listen(stack)
     tasks.start()
 
@@ -390,7 +392,7 @@
     """The file anew, of which plug-ins, labels and what they may change are taken."""
     try:
         operator = read_operator_config(path)
-    except WireError as exc:
+    except InputError as exc:
         forwarder.log.error("file not taken", why=str(exc))
         return
     forwarder.reload_plugins(operator.forwarder.plugins if operator.forwarder else None)
@@ -408,7 +410,7 @@
         forwarder.load_plugins(forwarder.part.plugins)
         await _background(forwarder, operator, stack)
         loop.add_signal_handler(signal.SIGHUP, _reload, forwarder, path)
-        if signals.missed():
+        if signals.reload_was_requested():
             _reload(forwarder, path)
         port = await forwarder.start(stack)
         status = await _status(forwarder, stack) if forwarder.part.status else 0
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from ..config.settings import HostPort, WireError
+from ..config.settings import HostPort, InputError
 from ..protocol import resp
 from ..protocol import upgrade_extension as upgrades
 from ..protocol.messages import PING, Fields, figure
@@ -44,7 +44,7 @@
     try:
         return tuple(name for name in word.decode().split(sign) if name)
     except UnicodeDecodeError:
-        raise WireError("CONFIG: a name that is not text") from None
+        raise InputError("CONFIG: a name that is not text") from None
 
 
 def read_part(words: list[bytes]) -> tuple[Part, bool]:
@@ -54,17 +54,17 @@
     for pair in _names(f.values.get(b"rows", b""), ","):
         be, sign, weight = pair.rpartition(":")
         if not sign or not be:
-            raise WireError("CONFIG: field rows is not id:weight")
+            raise InputError("CONFIG: field rows is not id:weight")
         rows.append((be, figure(weight.encode(), "CONFIG: field rows")))
     if len(rows) > ROWS_MOST:
-        raise WireError(f"CONFIG: field rows has over {ROWS_MOST} lines")
+        raise InputError(f"CONFIG: field rows has over {ROWS_MOST} lines")
     if (b"gate" in f.values) != (b"again" in f.values):
-        raise WireError("CONFIG: fields gate and again come together")
+        raise InputError("CONFIG: fields gate and again come together")
     gate = None
     if b"gate" in f.values:
         again = f.count("again")
         if again > 3:
-            raise WireError("CONFIG: field again is not 0 to 3")
+            raise InputError("CONFIG: field again is not 0 to 3")
         gate = (f.figure("gate"), again)
     part = Part(
         kinds=_names(f.values.get(b"for", b""), "+"),
@@ -139,7 +139,7 @@
                 self._write(upgrades.announce(self.node))
             self.log.info("stream opened", manager=f"{host}:{port}")
             return await self._read(reader)
-        except (WireError, Unusable, OSError) as exc:
+        except (InputError, Unusable, OSError) as exc:
             return str(exc) or type(exc).__name__
         finally:
             self._writer, self.welcome = None, False
@@ -177,7 +177,7 @@
             part, more = read_part(words[1:])
             self._parts.append(part)
             if len(self._parts) > PARTS_MOST:
-                raise WireError(f"CONFIG: over {PARTS_MOST} parts")
+                raise InputError(f"CONFIG: over {PARTS_MOST} parts")
             if not more:
                 parts, self._parts = self._parts, []
                 await self._carry_out(parts, begun)
@@ -190,7 +190,7 @@
                 self._orders.welcomed()
             self._orders.extended(said)
         else:
-            raise WireError(f"{kind[:32].decode('ascii', 'replace') or 'message'}: unknown kind of order")
+            raise InputError(f"{kind[:32].decode('ascii', 'replace') or 'message'}: unknown kind of order")
 
     async def _carry_out(self, parts: list[Part], begun: float) -> None:
         try:
--- a/cottonladder/plugins/host.py
+++ b/cottonladder/plugins/host.py
@@ -20,7 +20,7 @@
 from wasmtime import _ffi as ffi
 from wasmtime._func import maybe_raise_last_exn
 
-from ..config.settings import WireError
+from ..config.settings import InputError
 from .abi import (
     ANSWER_MOST,
     HOOKS,
@@ -45,7 +45,7 @@
 LOG_MOST = 200  # bytes of one log line; one each call
 
 
-class PluginError(WireError):
+class PluginError(InputError):
     """A plug-in that can't be loaded; one plain line."""
 
 
--- a/cottonladder/protocol/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -11,7 +11,7 @@
 import aiohttp
 import structlog
 
-from ..config.settings import NUMBER, HostPort, WireError, address, field, seconds
+from ..config.settings import NUMBER, HostPort, InputError, address, field, seconds
 from ..model.inputs import Endpoint, EndpointList, EndpointState, Input, ListUpdateKind
 from .fault_log import RateLimitedFaultLog
 
@@ -42,13 +42,13 @@
         worker_id = field(entry, "id", str, where)
         state = field(entry, "state", str, where)
         if state not in MODES:
-            raise WireError(f"{where}: field state has an unknown value")
+            raise InputError(f"{where}: field state has an unknown value")
         plain = worker_id.isascii() and worker_id.isprintable() and not set(worker_id) & set(", :")
         if not (plain and 0 < len(worker_id) <= ID_MOST):
-            raise WireError(f"{where}: field id can't stand in an order")
+            raise InputError(f"{where}: field id can't stand in an order")
         weight, started = float(field(entry, "weight", NUMBER, where)), seconds(entry, "started_ms", where)
         if not (0 <= weight < float("inf") and 0 <= started < float("inf")):
-            raise WireError(f"{where}: field weight or started_ms is not a finite figure of 0 or more")
+            raise InputError(f"{where}: field weight or started_ms is not a finite figure of 0 or more")
         zone = site.zone_index(field(entry, "zone", str, where), f"{where}: field zone")
         host, port = address(entry, "addr", where)
         rows.append((worker_id, f"{host}:{port}", zone, MODES[state], weight, started))
@@ -161,7 +161,7 @@
     async def _run(self, call: Awaitable[None], watch: EndpointWatch | None = None) -> None:
         try:
             return await call
-        except (aiohttp.ClientError, TimeoutError, OSError, WireError) as exc:
+        except (aiohttp.ClientError, TimeoutError, OSError, InputError) as exc:
             self._faults.sum_up(asyncio.get_running_loop().time())
             self._faults.note(str(exc) or type(exc).__name__)
         except Exception:  # a fault of ours: unheard, the module would think that it follows
@@ -195,7 +195,7 @@
                 elif not watch.answered:  # nothing has changed: the call is answered all the same
                     self._post(EndpointList(ListUpdateKind.DELTA, ()))
                 self._heard(watch)
-        raise WireError("watch: ended by discovery")
+        raise InputError("watch: ended by discovery")
 
     def _heard(self, watch: EndpointWatch) -> None:
         watch.answered = True
@@ -205,7 +205,7 @@
     @staticmethod
     def _expect(reply: aiohttp.ClientResponse) -> None:
         if reply.status != 200:
-            raise WireError(f"discovery: status {reply.status}")
+            raise InputError(f"discovery: status {reply.status}")
 
     def _take(self, text: bytes, origin: ListVersion, asked: int, watch: EndpointWatch | None = None) -> int:
         """The version that the text has; `asked`: the least that it may have.  One of a version back behind
@@ -216,16 +216,16 @@
             if version < asked:
                 again, origin.went_back, origin.whole = origin.went_back, True, True
                 if watch is not None or not again:
-                    raise WireError(f"list: version {version} after {asked}")
+                    raise InputError(f"list: version {version} after {asked}")
             elif version < origin.version:  # overtaken: what has come meanwhile holds all that it says
                 if watch is not None and not watch.answered:
                     self._post(EndpointList(ListUpdateKind.DELTA, ()))
                 return version
             version, listing = read_list(body, self._site, self._learn, "list")
         except (RecursionError, OverflowError) as exc:
-            raise WireError(f"list: {exc}") from None
+            raise InputError(f"list: {exc}") from None
         except json.JSONDecodeError:
-            raise WireError("list: not JSON") from None
+            raise InputError("list: not JSON") from None
         origin.version, origin.went_back = version, False
         if self._further is not None:
             for entry in body["servers"]:
@@ -257,15 +257,15 @@
         if not rest:
             begun = loop.time()
         elif end and loop.time() - begun > CALL_WAIT:  # a byte now and then would hold the call for ever
-            raise WireError("list: a line that does not end")
+            raise InputError("list: a line that does not end")
         rest += chunk
         while end and (at := rest.find(end)) >= 0:
             yield bytes(rest[:at])
             del rest[: at + len(end)]
             begun = loop.time()  # what is left is of another line
         if len(rest) > most:
-            raise WireError("list: too long")
+            raise InputError("list: too long")
     if end and rest:
-        raise WireError("list: a line cut off")
+        raise InputError("list: a line cut off")
     if rest:
         yield bytes(rest)
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from ..config.settings import WireError
+from ..config.settings import InputError
 from ..model.inputs import HealthCheckResult, Input
 from .messages import figure
 
@@ -55,7 +55,7 @@
                     body = await reply.content.read(BODY_MOST)
                     done = reply.status == 200
                     report = read_report(body.decode()) if done else {}
-            except (aiohttp.ClientError, TimeoutError, OSError, UnicodeDecodeError, WireError):
+            except (aiohttp.ClientError, TimeoutError, OSError, UnicodeDecodeError, InputError):
                 pass  # no answer or none in time: not done; a report that can't be read is left out
             if self._address_of(worker) == address:  # else it has moved meanwhile: this is not its answer
                 self._post(HealthCheckResult(worker, done, time.monotonic() - sent, report))
--- a/cottonladder/protocol/messages.py
+++ b/cottonladder/protocol/messages.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..config.settings import DeploymentSettings, WireError
+from ..config.settings import DeploymentSettings, InputError
 from ..model.inputs import Acknowledged, ArrivalReport, LoadReport, ProxyConnected
 from . import resp
 
@@ -56,29 +56,29 @@
     def __init__(self, kind: str, words: list[bytes]) -> None:
         self.kind = kind
         if len(words) % 2:
-            raise WireError(f"{kind}: a name without a value")
+            raise InputError(f"{kind}: a name without a value")
         self.values = dict(zip(words[::2], words[1::2], strict=True))
         if 2 * len(self.values) != len(words):
             names = words[::2]
             twice = next(name for name in names if names.count(name) > 1)
-            raise WireError(f"{kind}: field {shown(twice)} comes twice")
+            raise InputError(f"{kind}: field {shown(twice)} comes twice")
 
     def word(self, name: str) -> bytes:
         value = self.values.get(name.encode())
         if value is None:
-            raise WireError(f"{self.kind}: field {name} is missing")
+            raise InputError(f"{self.kind}: field {name} is missing")
         return value
 
     def text(self, name: str) -> str:
         try:
             return self.word(name).decode()
         except UnicodeDecodeError:
-            raise WireError(f"{self.kind}: field {name} is not text") from None
+            raise InputError(f"{self.kind}: field {name} is not text") from None
 
     def count(self, name: str) -> int:
         word = self.word(name)
         if not word.isdigit() or len(word) > 18:
-            raise WireError(f"{self.kind}: field {name} is not a whole number of 0 or more")
+            raise InputError(f"{self.kind}: field {name} is not a whole number of 0 or more")
         return int(word)
 
     def figure(self, name: str) -> float:
@@ -87,14 +87,14 @@
     def flag(self, name: str) -> bool:
         word = self.word(name)
         if word not in (b"0", b"1"):
-            raise WireError(f"{self.kind}: field {name} is not 1 or 0")
+            raise InputError(f"{self.kind}: field {name} is not 1 or 0")
         return word == b"1"
 
     def span(self, total: int) -> float:
         """Seconds that sums cover; none can't be, where something was counted."""
         span = self.figure("interval") / 1000.0
         if span <= 0 < total:
-            raise WireError(f"{self.kind}: field interval is none, with a total of {total}")
+            raise InputError(f"{self.kind}: field interval is none, with a total of {total}")
         return span
 
     def metrics(self, name: str) -> dict[str, float]:
@@ -111,9 +111,9 @@
     try:
         value = float(word)
     except ValueError:
-        raise WireError(f"{where} is not a figure") from None
+        raise InputError(f"{where} is not a figure") from None
     if not math.isfinite(value) or value < 0 or b"_" in word:
-        raise WireError(f"{where} is not a finite figure of 0 or more")
+        raise InputError(f"{where} is not a finite figure of 0 or more")
     return value
 
 
@@ -126,12 +126,12 @@
 
     def read(self, words: list[bytes]) -> IncomingMessage:
         if not words:
-            raise WireError("message: an array without words")
+            raise InputError("message: an array without words")
         reader = KINDS.get(words[0])
         if reader is None and words[0] in self.more:
             return ExtensionMessage(self.more[words[0]](words))
         if reader is None:
-            raise WireError(f"{shown(words[0])}: unknown kind of message")
+            raise InputError(f"{shown(words[0])}: unknown kind of message")
         return reader(self, Fields(shown(words[0]), words[1:]))
 
     def _zone(self, f: Fields) -> int:
@@ -140,7 +140,7 @@
     def _node(self, f: Fields) -> int:
         node = f.count("node")
         if node >= self.site.parameters.proxy_count:
-            raise WireError(f"{f.kind}: field node is beyond the settings")
+            raise InputError(f"{f.kind}: field node is beyond the settings")
         return node
 
     def _source(self, f: Fields) -> IncomingMessage:
@@ -150,7 +150,7 @@
         zone, worker = self._zone(f), self.find(f.word("endpoint"))
         total, errors = f.count("total"), f.count("errors")
         if errors > total:
-            raise WireError(f"{f.kind}: field errors is more than total")
+            raise InputError(f"{f.kind}: field errors is more than total")
         span, report = f.span(total), f.metrics("metrics")
         took = f.figure("rtt") / 1000.0 if total > errors or b"rtt" in f.values else 0.0
         return (
--- a/cottonladder/protocol/resp.py
+++ b/cottonladder/protocol/resp.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Iterator
 
-from ..config.settings import WireError
+from ..config.settings import InputError
 
 MESSAGE_MOST = 1 << 20  # bytes: the protocol's own limit for one message
 WORDS_MOST = 64  # the protocol's longest message that comes in has 15 words; room for later fields
@@ -30,7 +30,7 @@
                 end = rest.find(b"\r\n", at, at + HEAD_MOST + 2)
                 if end < 0:
                     if len(rest) - at >= HEAD_MOST + 2:
-                        raise WireError("message: no end of a count or length")
+                        raise InputError("message: no end of a count or length")
                     return
                 if not self._missing:
                     self._missing = self._head(rest[at:end], b"*", WORDS_MOST)
@@ -43,7 +43,7 @@
                 if len(rest) < stop + 2:
                     return
                 if rest[stop : stop + 2] != b"\r\n":
-                    raise WireError("message: a word longer than its stated length")
+                    raise InputError("message: a word longer than its stated length")
                 self._words.append(bytes(rest[end + 2 : stop]))
                 self._size, self._missing, at = self._size + length, self._missing - 1, stop + 2
                 if not self._missing:
@@ -55,9 +55,9 @@
     def _head(head: bytearray, sign: bytes, most: int) -> int:
         digits = bytes(head[1:])
         if head[:1] != sign or not digits.isdigit():
-            raise WireError(f"message: {sign.decode()} and a count expected")
+            raise InputError(f"message: {sign.decode()} and a count expected")
         if int(digits) > most:
-            raise WireError(f"message: {sign.decode()}{digits.decode()} is over the limit of {most}")
+            raise InputError(f"message: {sign.decode()}{digits.decode()} is over the limit of {most}")
         return int(digits)
 
 
--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -11,7 +11,7 @@
 
 import structlog
 
-from ..config.settings import WireError
+from ..config.settings import InputError
 from ..model.inputs import Acknowledged, ArrivalReport, Input, LoadReport, ProxyConnected
 from . import messages as m
 from .fault_log import RateLimitedFaultLog
@@ -59,11 +59,11 @@
                     return
                 try:
                     self._hear(words)
-                except WireError as exc:
+                except InputError as exc:
                     if self.state == NEW:
                         raise
                     self.address.left_out.note(str(exc), **self.shown())
-        except WireError as exc:
+        except InputError as exc:
             self.end(str(exc))
 
     def shown(self) -> dict[str, object]:
@@ -74,7 +74,7 @@
         said = self.address.messages.read(words)
         step = STEPS.get((self.state, type(said)))
         if step is None:
-            raise WireError(f"{m.shown(words[0])}: not on a connection that is {self.state}")
+            raise InputError(f"{m.shown(words[0])}: not on a connection that is {self.state}")
         step(self, said)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -118,7 +118,7 @@
 
     def _own(self, said: m.IncomingMessage) -> None:
         if cast(Acknowledged | ArrivalReport, said).proxy != self.proxy:
-            raise WireError("ACK or RATE: field node is another's than the stream's")
+            raise InputError("ACK or RATE: field node is another's than the stream's")
         self._report(said)
 
     def _beyond(self, said: m.IncomingMessage) -> None:
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..config.settings import WireError
+from ..config.settings import InputError
 from . import resp
 from .messages import Fields
 
@@ -85,16 +85,16 @@
     rows: dict[bytes, tuple[int, ...]] = {}
     words = [word for word in fields.values.get(name.encode(), b"").split(b",") if word]
     if len(words) > most:
-        raise WireError(f"{fields.kind}: field {name} has over {most} entries")
+        raise InputError(f"{fields.kind}: field {name} has over {most} entries")
     for word in words:
         be, *counts = word.rsplit(b":", figures)
         if not be or len(counts) != figures or not all(c.isdigit() and len(c) < 9 for c in counts):
-            raise WireError(f"{fields.kind}: field {name} is not {'id' + ':count' * figures}")
+            raise InputError(f"{fields.kind}: field {name} is not {'id' + ':count' * figures}")
         if be in rows:
-            raise WireError(f"{fields.kind}: field {name} names a worker twice")
+            raise InputError(f"{fields.kind}: field {name} names a worker twice")
         rows[be] = tuple(int(c) for c in counts)
         if max(rows[be]) > COUNT_MOST:
-            raise WireError(f"{fields.kind}: field {name} has a count over {COUNT_MOST}")
+            raise InputError(f"{fields.kind}: field {name} has a count over {COUNT_MOST}")
     return rows
 
 
@@ -106,7 +106,7 @@
     rows: dict[bytes, tuple[int, int, int]] = {}
     for be, (held, busy, resumable) in _pairs(f, "holds", 3, HOLDS_MOST).items():
         if max(busy, resumable) > held:
-            raise WireError("HELD: field holds has more busy or resumable than open")
+            raise InputError("HELD: field holds has more busy or resumable than open")
         rows[be] = (held, busy, resumable)
     return HeldConnections(f.count("node"), f.flag("whole"), rows)
 
@@ -118,7 +118,7 @@
 def _welcome(f: Fields) -> AnnouncementAccepted:
     part, arrivals = f.figure("part"), f.figure("arrivals")
     if part > 1.0:
-        raise WireError("UPGRADES: field part is over 1")
+        raise InputError("UPGRADES: field part is over 1")
     return AnnouncementAccepted(f.count("version"), part, arrivals)
 
 
@@ -126,12 +126,12 @@
     source = f.text("from")
     if b"stop" in f.values:
         if not f.flag("stop"):
-            raise WireError("MOVE: field stop is not 1")
+            raise InputError("MOVE: field stop is not 1")
         return MigrationStopped(source)
     to = {be.decode(): n for be, (n,) in _pairs(f, "to", 1, ROWS_MOST).items()}
     count = f.count("count")
     if not 0 < count <= COUNT_MOST or sum(to.values()) > count:
-        raise WireError("MOVE: field count is none, or less than the places named")
+        raise InputError("MOVE: field count is none, or less than the places named")
     return MigrationOrdered(
         f.count("move"), source, to, count, f.figure("within") / 1000.0, f.figure("left") / 1000.0
     )
@@ -153,13 +153,13 @@
     try:
         return TO_FORWARDER[words[0]](Fields(words[0].decode(), words[1:]))
     except UnicodeDecodeError:
-        raise WireError(f"{words[0].decode()}: a worker's id is not text") from None
+        raise InputError(f"{words[0].decode()}: a worker's id is not text") from None
 
 
 def _figure(value: float) -> bytes:
     """Never what the other side must refuse."""
     if not math.isfinite(value) or value < 0:
-        raise WireError(f"figure {value} can't stand in a message")
+        raise InputError(f"figure {value} can't stand in a message")
     return b"%r" % float(value)
 
 
--- a/cottonladder/state/worker_registry.py
+++ b/cottonladder/state/worker_registry.py
@@ -5,7 +5,7 @@
 import zlib
 from dataclasses import dataclass
 
-from ..config.settings import WireError
+from ..config.settings import InputError
 
 WORKERS_MOST = 65536  # ids known at once; some 20 MB, and far more than a list names
 PLACES = 1 << 16  # bits for the ids forgotten: 8 KiB, full after tens of thousands of them
@@ -41,7 +41,7 @@
         index = self._index.get(key)
         if index is None:
             if len(self.ids) >= WORKERS_MOST:
-                raise WireError(f"more than {WORKERS_MOST} workers listed")
+                raise InputError(f"more than {WORKERS_MOST} workers listed")
             index = self._index[key] = self._next
             self._next += 1
             self.ids[index] = key
--- a/cottonladder/weight_advice/tlv.py
+++ b/cottonladder/weight_advice/tlv.py
@@ -5,12 +5,12 @@
 import struct
 from ipaddress import IPv4Address, IPv6Address, ip_address
 
-from ..config.settings import WireError
+from ..config.settings import InputError
 
 _U16, _U32, _HEAD = struct.Struct("!H"), struct.Struct("!I"), struct.Struct("!HH")
 
 
-class AdviceError(WireError):
+class AdviceError(InputError):
     """Bytes that the protocol doesn't allow; one plain line.  After it no message can be told from the
     next."""
 
--- a/tests/policy/test_recorded_orders.py
+++ b/tests/policy/test_recorded_orders.py
@@ -15,7 +15,7 @@
 
 import structlog
 
-from cottonladder.simulator.__main__ import Host
+from cottonladder.simulator.__main__ import SimulatorHost
 from tests.support.simulated_days import DAYS, SimulatedDay
 from tests.support.wire_fleet import play_two_lives
 
@@ -30,7 +30,7 @@
     """Digest and number of actions by day."""
     played: dict[str, Any] = {}
     for name in DAYS:
-        day = SimulatedDay(name, Host().batch)
+        day = SimulatedDay(name, SimulatorHost().handle_batch)
         digest = day.play()
         played[name] = {"digest": digest, "actions": dict(sorted(day.actions.items()))}
     return played
--- a/tests/support/wire_fleet.py
+++ b/tests/support/wire_fleet.py
@@ -93,7 +93,7 @@
 
     token = 0
 
-    def _wake_in(self, order: StartTimer) -> None:
+    def _start_timer(self, order: StartTimer) -> None:
         self.token = order.token
 
 
@@ -156,7 +156,7 @@
             path = Path(place) / "config.json"
             path.write_text(json.dumps(configuration()))
             placement = read_manager_config(str(path))
-        self.site = placement.site
+        self.site = placement.settings
         self.workers = placement.workers
         self.messages = MessageReader(self.site, self.workers.find)
         self.keeper = SnapshotManager(folder, 2.0, placement, cast(BackgroundScheduler, self.tasks))
@@ -175,7 +175,7 @@
         self.owner._clock = cast(Any, self.clock)
         self.held: dict[int, dict[int, list[int]]] = defaultdict(dict)  # connections by proxy and worker
         self.list_version = 1
-        self.batch: list[Input | ExtensionMessage] = [self.keeper.known]
+        self.batch: list[Input | ExtensionMessage] = [self.keeper.known_endpoints]
 
     async def start(self, stack: AsyncExitStack) -> None:
         await self.keeper.start(stack)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -358,7 +358,7 @@
 import asyncio, os, signal, sys
 from cottonladder.cli import main as cli; from cottonladder.control import signals
 sys.argv[1:] = ["serve"]
-signals.hold(sys.argv)
+signals.install_early_handlers(sys.argv)
 async def serving():
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, print, "told")
@@ -464,7 +464,7 @@
         program.config["discovery"] = await self.host(Discovery().handle)
         (program.folder / "config.json").write_text(json.dumps(program.config))
         follower, where = mock.Mock(), mock.Mock()
-        reload = manager.Reload(str(program.folder / "config.json"), placement, follower, where)
+        reload = manager.ConfigReloader(str(program.folder / "config.json"), placement, follower, where)
         reload.close()
         reload()
         follower.move.assert_not_called()
--- a/tests/test_forwarder_rules.py
+++ b/tests/test_forwarder_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.config.settings import WireError
+from cottonladder.config.settings import InputError
 from cottonladder.forwarder import connection_drainer as dr
 from cottonladder.forwarder import frame_scanner as fr
 from cottonladder.forwarder import router as ro
@@ -344,7 +344,7 @@
             (upgrades.read_for_forwarder, "MOVE from s-1 stop 0", "stop is not 1"),
             (upgrades.read_for_forwarder, "UPGRADES version 1 part 2 arrivals 5", "part is over 1"),
         ):
-            with self.subTest(text), self.assertRaisesRegex(WireError, why):
+            with self.subTest(text), self.assertRaisesRegex(InputError, why):
                 read(text.encode().split())
 
     def test_orders_as_the_protocol_page_has_them(self) -> None:
@@ -355,5 +355,5 @@
         part, more = read_part(b"drop s-77aa0310 stamp 905".split())
         self.assertEqual((part, more), (ro.Part(drop=("s-77aa0310",), stamp=905), False))
         for text in ("gate 0.9", "rows s-1", "rows s-1:-1", "rows s-1:nan", "gate 1 again 4", "stamp x"):
-            with self.subTest(text), self.assertRaises(WireError):
+            with self.subTest(text), self.assertRaises(InputError):
                 read_part(text.encode().split())
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -359,7 +359,7 @@
         t.start()
         await asyncio.sleep(1.2)
         await t.close(("good",))
-        rows = {row["task"]: row for row in t.shown()}
+        rows = {row["task"]: row for row in t.status_rows()}
         self.assertGreater(ran["good"], 10)
         self.assertLess(ran["bad"], 10)  # backs off
         self.assertLess(ran["waits"], 10)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -20,7 +20,7 @@
 
 from cottonladder.cli import main as cli
 from cottonladder.config.manager_config import read_manager_config
-from cottonladder.config.settings import WireError, read_settings
+from cottonladder.config.settings import InputError, read_settings
 from cottonladder.control import manager
 from cottonladder.control.control_loop import Clock
 from cottonladder.model.inputs import EndpointList, GossipReceived, Input, ListUpdateKind, TimerFired
@@ -383,7 +383,7 @@
 
     async def test_a_long_message_is_refused_before_it_is_taken(self) -> None:
         begun = b"*2\r\n$600000\r\n" + b"x" * 600000 + b"\r\n$600000\r\n"
-        with self.assertRaisesRegex(WireError, "over the limit"):
+        with self.assertRaisesRegex(InputError, "over the limit"):
             list(Reader(MESSAGE_MOST).feed(begun))
 
     async def test_steps_of_the_systems_time_do_not_reach_the_module(self) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,7 +14,7 @@
 from typing import Any, cast
 
 from cottonladder.config.manager_config import read_manager_config
-from cottonladder.config.settings import WireError, read_settings
+from cottonladder.config.settings import InputError, read_settings
 from cottonladder.model.inputs import (
     Acknowledged,
     ArrivalReport,
@@ -189,12 +189,12 @@
                 with self.subTest(place=place, value=value):
                     try:
                         placement = read_manager_config(str(folder / "config.json"))
-                    except WireError as exc:
+                    except InputError as exc:
                         self.assertNotIn("\n", str(exc))
                         self.assertRegex(str(exc), "field|not JSON|object|zone|address|unknown")
                         continue
-                    ladder = RoutingController(placement.site.parameters)
-                    ladder.decide(1000.0, [placement.known, ProxyConnected(0, 0, 10.0, True)])
+                    ladder = RoutingController(placement.settings.parameters)
+                    ladder.decide(1000.0, [placement.known_endpoints, ProxyConnected(0, 0, 10.0, True)])
                     heard: list[Input] = [LoadReport(0, 0, 20, 1, 1.0, 0.1, {})]
                     heard.append(ArrivalReport(0, 0, 20, 0, 1.0))
                     for n in range(40):
