--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -12,7 +12,8 @@
 
 import click
 
-from ..config.settings import InputError, address
+from ..config.errors import InputError
+from ..config.fields import address
 from ..weight_advice import dfp, sasp
 from ..weight_advice.tlv import AdviceError, address_of
 
--- a/cottonladder/cli/main.py
+++ b/cottonladder/cli/main.py
@@ -12,8 +12,9 @@
 import structlog
 
 from .. import __version__
+from ..config.errors import InputError
+from ..config.fields import address
 from ..config.manager_config import ManagerConfig, read_manager_config
-from ..config.settings import InputError, address
 from ..control import signals
 from ..control.manager import serve as serve_manager
 from ..control.manager import unchangeable_fields
--- a/cottonladder/config/settings.py
+++ b/cottonladder/config/deployment.py
@@ -1,4 +1,4 @@
-"""The one reading of the settings object, for the simulator's front and for the real manager."""
+"""Deployment settings: the settings object that simulator and manager hand over, read and typed."""
 
 from __future__ import annotations
 
@@ -6,63 +6,10 @@
 from typing import Any
 
 from ..model.parameters import DeploymentParameters, RequestClass
+from .errors import UnknownNameError
+from .fields import field, names, number
 
-
-class InputError(ValueError):
-    """A message that the pages do not allow; its text is one plain line."""
-
-
-NUMBER = (int, float)
-HostPort = tuple[str, int]
-MAX_FIGURE = 1e12  # of any setting: figures that are multiplied stay finite
-MIN_DIVISOR = 1e-3  # of what is divided by
-_MISSING = object()
-
-
-def field(body: Any, name: str, types: Any, where: str, default: Any = _MISSING) -> Any:
-    """One field of a message, checked for its type; bools never pass for numbers."""
-    if not isinstance(body, dict):
-        raise InputError(f"{where}: not an object")
-    value = body.get(name)
-    if value is None:
-        if default is _MISSING:
-            raise InputError(f"{where}: field {name} is missing")
-        return default
-    if not isinstance(value, types) or (isinstance(value, bool) and types is not bool):
-        raise InputError(f"{where}: field {name} has the wrong type ({type(value).__name__})")
-    return value
-
-
-def number(
-    body: Any, name: str, where: str, least: float = 0.0, default: Any = _MISSING, types: Any = NUMBER
-) -> float:
-    """A figure from which decisions are worked out: nothing that isn't finite, too small or past all use."""
-    value = field(body, name, types, where, default)
-    if value > MAX_FIGURE:
-        raise InputError(f"{where}: field {name} is too large, over {MAX_FIGURE:g}")
-    if not value >= least:  # as what is not a number at all
-        raise InputError(f"{where}: field {name} is not a figure of {least:g} or more")
-    return float(value)
-
-
-def seconds(body: Any, name: str, where: str, default: Any = _MISSING) -> float:
-    return float(field(body, name, NUMBER, where, default)) / 1000.0
-
-
-def names(body: Any, name: str, where: str) -> list[str]:
-    """A list of names, each another one; one at least."""
-    value = field(body, name, list, where)
-    if not value or not all(isinstance(each, str) and each for each in value) or len(set(value)) < len(value):
-        raise InputError(f"{where}: field {name} is not a list of different names")
-    return list(value)
-
-
-def address(body: Any, name: str, where: str) -> HostPort:
-    """A field that holds host:port."""
-    host, _, port = field(body, name, str, where).rpartition(":")
-    if not host or not (port.isascii() and port.isdigit()) or int(port[:6]) > 65535:
-        raise InputError(f"{where}: field {name} is not an address (host:port)")
-    return host, int(port)
+MIN_DIVISOR = 1e-3  # of settings that are divided by
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,12 +24,12 @@
 
     def zone_index(self, name: str, where: str) -> int:
         if name not in self.zones:
-            raise InputError(f"{where}: unknown zone")
+            raise UnknownNameError(where, "zone")
         return self.zones[name]
 
     def class_index(self, name: str, where: str) -> int:
         if name not in self.classes:
-            raise InputError(f"{where}: unknown class")
+            raise UnknownNameError(where, "class")
         return self.classes[name]
 
 
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -9,7 +9,9 @@
 from ..model.inputs import EndpointList, ListUpdateKind
 from ..protocol.discovery import read_list
 from ..state.worker_registry import WorkerRegistry
-from .settings import DeploymentSettings, HostPort, InputError, address, field, number, read_settings
+from .deployment import DeploymentSettings, read_settings
+from .errors import InputError
+from .fields import HostPort, address, field, number
 
 WHERE = "configuration"
 MIN_SOCKETS = 64  # with fewer nobody could join beside what the program itself holds open
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -20,7 +20,8 @@
 from ..planning import connection_migration as moves
 from ..policy.controller import RATE_MOST
 from ..weight_advice import limits as advice_limits
-from .settings import HostPort, InputError, address
+from .errors import InputError
+from .fields import HostPort, address
 
 MAX_FILE_BYTES = 1 << 20  # bytes of the file
 Seconds = Annotated[float, Meta(gt=0, le=86_400, description="seconds")]
--- a/cottonladder/control/admin_socket.py
+++ b/cottonladder/control/admin_socket.py
@@ -12,7 +12,7 @@
 
 import structlog
 
-from ..config.settings import InputError
+from ..config.errors import InputError
 
 MAX_LINE_BYTES = 256  # bytes of a question
 REQUEST_TIMEOUT = 2.0  # s for a question to come, and for its answer to be read
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -9,8 +9,8 @@
 
 import structlog
 
+from ..config.deployment import DeploymentSettings
 from ..config.operator_config import UpgradesConfig
-from ..config.settings import DeploymentSettings
 from ..model.inputs import ExtraLinesWritten, HeldLoad, Input, ProxyConnected, ProxyDisconnected
 from ..model.views import WorkerCapacityView
 from ..planning.connection_migration import (
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -12,8 +12,8 @@
 
 import structlog
 
+from ..config.errors import InputError
 from ..config.manager_config import ManagerConfig, read_manager_config
-from ..config.settings import InputError
 from ..policy.controller import RoutingController
 from ..protocol.discovery import DiscoveryClient
 from ..protocol.gossip import GossipSocket
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -13,6 +13,7 @@
 
 import structlog
 
+from ..config.errors import InputError
 from ..config.operator_config import (
     AdviceConfig,
     AdviceServerConfig,
@@ -21,7 +22,6 @@
     TlsConfig,
     host_port,
 )
-from ..config.settings import InputError
 from ..model.inputs import AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
 from ..planning.advice_weighting import PERIOD, Advice, AdvisoryWeight
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -15,6 +15,7 @@
 import structlog
 from aiohttp import web
 
+from ..config.errors import InputError
 from ..config.operator_config import (
     OperatorConfig,
     PluginsConfig,
@@ -23,7 +24,6 @@
     request_classes,
     resource_limits,
 )
-from ..config.settings import InputError
 from ..control import signals
 from ..model.inputs import EndpointList, EndpointState, Input, ListUpdateKind
 from ..protocol import upgrade_extension as upgrades
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -13,7 +13,8 @@
 
 import structlog
 
-from ..config.settings import HostPort, InputError
+from ..config.errors import InputError
+from ..config.fields import HostPort
 from ..protocol import resp
 from ..protocol import upgrade_extension as upgrades
 from ..protocol.messages import PING, Fields, figure
--- a/cottonladder/plugins/host.py
+++ b/cottonladder/plugins/host.py
@@ -20,7 +20,7 @@
 from wasmtime import _ffi as ffi
 from wasmtime._func import maybe_raise_last_exn
 
-from ..config.settings import InputError
+from ..config.errors import InputError
 from .abi import (
     ANSWER_MOST,
     HOOKS,
--- a/cottonladder/protocol/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -11,7 +11,8 @@
 import aiohttp
 import structlog
 
-from ..config.settings import NUMBER, HostPort, InputError, address, field, seconds
+from ..config.errors import InputError
+from ..config.fields import NUMBER, HostPort, address, field, seconds
 from ..model.inputs import Endpoint, EndpointList, EndpointState, Input, ListUpdateKind
 from .fault_log import RateLimitedFaultLog
 
--- a/cottonladder/protocol/gossip.py
+++ b/cottonladder/protocol/gossip.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from ..config.settings import HostPort
+from ..config.fields import HostPort
 from ..model.inputs import GossipReceived, Input
 
 DATAGRAM_MOST = 256  # bytes: the protocol's limit; a longer one voids the run
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from ..config.settings import InputError
+from ..config.errors import InputError
 from ..model.inputs import HealthCheckResult, Input
 from .messages import figure
 
--- a/cottonladder/protocol/messages.py
+++ b/cottonladder/protocol/messages.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..config.settings import DeploymentSettings, InputError
+from ..config.deployment import DeploymentSettings
+from ..config.errors import InputError
 from ..model.inputs import Acknowledged, ArrivalReport, LoadReport, ProxyConnected
 from . import resp
 
--- a/cottonladder/protocol/resp.py
+++ b/cottonladder/protocol/resp.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Iterator
 
-from ..config.settings import InputError
+from ..config.errors import InputError
 
 MESSAGE_MOST = 1 << 20  # bytes: the protocol's own limit for one message
 WORDS_MOST = 64  # the protocol's longest message that comes in has 15 words; room for later fields
--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -11,7 +11,7 @@
 
 import structlog
 
-from ..config.settings import InputError
+from ..config.errors import InputError
 from ..model.inputs import Acknowledged, ArrivalReport, Input, LoadReport, ProxyConnected
 from . import messages as m
 from .fault_log import RateLimitedFaultLog
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..config.settings import InputError
+from ..config.errors import InputError
 from . import resp
 from .messages import Fields
 
--- a/cottonladder/simulator/__main__.py
+++ b/cottonladder/simulator/__main__.py
@@ -7,7 +7,8 @@
 import traceback
 from typing import Any
 
-from ..config.settings import InputError, field
+from ..config.errors import InputError
+from ..config.fields import field
 from ..model.orders import RemoveWorker
 from ..policy.controller import RoutingController
 from .codec import ManagerCodec
--- a/cottonladder/simulator/codec.py
+++ b/cottonladder/simulator/codec.py
@@ -5,7 +5,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..config.settings import NUMBER, DeploymentSettings, InputError, field, read_settings, seconds
+from ..config.deployment import DeploymentSettings, read_settings
+from ..config.errors import InputError
+from ..config.fields import NUMBER, field, seconds
 from ..model.inputs import (
     Acknowledged,
     ArrivalReport,
--- a/cottonladder/state/worker_registry.py
+++ b/cottonladder/state/worker_registry.py
@@ -5,7 +5,7 @@
 import zlib
 from dataclasses import dataclass
 
-from ..config.settings import InputError
+from ..config.errors import InputError
 
 WORKERS_MOST = 65536  # ids known at once; some 20 MB, and far more than a list names
 PLACES = 1 << 16  # bits for the ids forgotten: 8 KiB, full after tens of thousands of them
--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from ..config.settings import HostPort
+from ..config.fields import HostPort
 from . import dfp, limits, sasp
 from .registry import Finder
 from .server import Place
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -17,7 +17,7 @@
 
 import structlog
 
-from ..config.settings import HostPort
+from ..config.fields import HostPort
 from ..model.views import WorkerCapacityView
 from ..planning.advertised_weights import AdvertisedWeight, moved, offers
 from ..protocol.fault_log import RateLimitedFaultLog
--- a/cottonladder/weight_advice/tlv.py
+++ b/cottonladder/weight_advice/tlv.py
@@ -5,7 +5,7 @@
 import struct
 from ipaddress import IPv4Address, IPv6Address, ip_address
 
-from ..config.settings import InputError
+from ..config.errors import InputError
 
 _U16, _U32, _HEAD = struct.Struct("!H"), struct.Struct("!I"), struct.Struct("!HH")
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,8 +20,8 @@
 
 from aiohttp import web
 
+from cottonladder.config.deployment import read_settings
 from cottonladder.config.manager_config import read_manager_config
-from cottonladder.config.settings import read_settings
 from cottonladder.control import manager
 from cottonladder.model.inputs import (
     ArrivalReport,
--- a/tests/test_forwarder_rules.py
+++ b/tests/test_forwarder_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.config.settings import InputError
+from cottonladder.config.errors import InputError
 from cottonladder.forwarder import connection_drainer as dr
 from cottonladder.forwarder import frame_scanner as fr
 from cottonladder.forwarder import router as ro
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,8 +19,9 @@
 from click.testing import CliRunner
 
 from cottonladder.cli import main as cli
+from cottonladder.config.deployment import read_settings
+from cottonladder.config.errors import InputError
 from cottonladder.config.manager_config import read_manager_config
-from cottonladder.config.settings import InputError, read_settings
 from cottonladder.control import manager
 from cottonladder.control.control_loop import Clock
 from cottonladder.model.inputs import EndpointList, GossipReceived, Input, ListUpdateKind, TimerFired
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,8 +13,9 @@
 from tempfile import TemporaryDirectory
 from typing import Any, cast
 
+from cottonladder.config.deployment import read_settings
+from cottonladder.config.errors import InputError
 from cottonladder.config.manager_config import read_manager_config
-from cottonladder.config.settings import InputError, read_settings
 from cottonladder.model.inputs import (
     Acknowledged,
     ArrivalReport,
