--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -112,7 +112,7 @@
         self.workers, self.version = WorkerRegistry(), 1
         entries = tuple(
             Endpoint(
-                self.workers.learn(f"s-{n}", f"127.0.0.9:{n + 1}", 0.0),
+                self.workers.register(f"s-{n}", f"127.0.0.9:{n + 1}", 0.0),
                 n % 2,
                 EndpointState.READY,
                 1.0,
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..model.inputs import EndpointList, ListUpdateKind
-from ..protocol.discovery import read_list
+from ..protocol.discovery import read_endpoint_list
 from ..state.worker_registry import WorkerRegistry
 from .settings import DeploymentSettings, HostPort, WireError, address, field, number, read_settings
 
@@ -60,7 +60,7 @@
         raise WireError(f"{WHERE}: settings: field KeyRanges is not 0, and this protocol has no slices")
     workers = WorkerRegistry()
     known = field(body, "known", dict, WHERE)
-    version, listing = read_list(known, site, workers.learn, f"{WHERE}: known")
+    version, listing = read_endpoint_list(known, site, workers.register, f"{WHERE}: known")
     talks, limits = site.parameters.gossip, field(body, "limits", dict, WHERE)
     peers = field(body, "peers", list, WHERE) if talks else []
     return ManagerConfig(
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -57,7 +57,7 @@
         self._plan_at = 0.0
         self._drains: dict[int, int] = {}  # by leaving worker: connections held when last logged
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        messages.more.update(dict.fromkeys(wire.TO_MANAGER, wire.read_for_manager))
+        messages.extension_readers.update(dict.fromkeys(wire.TO_MANAGER, wire.read_for_manager))
 
     async def start(self, stack: AsyncExitStack) -> None:
         """It has nothing to open."""
@@ -85,9 +85,9 @@
         elif proxy not in self._announced:
             return
         elif isinstance(body, wire.HeldConnections):
-            found = {self._workers.find(be): row for be, row in body.rows.items()}
+            found = {self._workers.find_index(be): row for be, row in body.counts_by_worker.items()}
             rows = {be: HeldConnectionCounts(*row) for be, row in found.items() if be is not None}
-            self._moves.held(proxy, body.whole, rows)
+            self._moves.held(proxy, body.is_complete, rows)
         elif isinstance(body, wire.MigrationDone):
             self._moves.moved(proxy, body.number)
 
@@ -116,16 +116,18 @@
         ids = self._workers.ids
         for order in orders:
             if isinstance(order, AdmitForwarder):
-                yield order.forwarder, wire.welcome(order.part, self._arrivals)
+                yield order.forwarder, wire.encode_acceptance(order.part, self._arrivals)
             elif order.source not in ids:
                 continue
             elif isinstance(order, StopMigration):
-                yield order.forwarder, wire.stop(ids[order.source])
+                yield order.forwarder, wire.encode_migration_stop(ids[order.source])
             elif isinstance(order, MigrateConnections):
                 to = {ids[be]: n for be, n in order.to if be in ids}
                 yield (
                     order.forwarder,
-                    wire.move(order.number, ids[order.source], to, order.count, order.within, order.left),
+                    wire.encode_migration(
+                        order.number, ids[order.source], to, order.count, order.within, order.left
+                    ),
                 )
 
     def _vetoed(self, order: MigrationOrder) -> bool:
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -98,17 +98,17 @@
         self.late: Callable[[], None] = lambda: None  # background work makes way
         self.remarked: Callable[[str], None] = lambda words: None  # told each change of mode
         self._ladder, self._inbox, self._roster, self._spread = ladder, inbox, roster, spread
-        ladder.gate.added = spread.added
+        ladder.gate.added = spread.count_added_lines
         self._clock = Clock()
         self._set, self._timers = 0, dict[int, asyncio.TimerHandle]()
         self._worst: dict[str, float] = {}
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self._carry: dict[type, Callable[..., None]] = {
             StartTimer: self._wake_in,
-            WatchEndpoints: lambda o: hands.discovery.follow(o.enabled),
+            WatchEndpoints: lambda o: hands.discovery.set_watching(o.enabled),
             FetchEndpoints: lambda o: hands.discovery.fetch(),
-            HealthCheck: lambda o: hands.probes.send(o.worker_index),
-            SendGossip: lambda o: hands.peers.tell(o.recipient, o.text),
+            HealthCheck: lambda o: hands.probes.start_check(o.worker_index),
+            SendGossip: lambda o: hands.peers.send_datagram(o.recipient, o.text),
             LogModeChange: self._remark,
         }
 
@@ -133,17 +133,17 @@
             for item in batch:
                 plan.hear(now, item)
             inputs += plan.inputs(now)
-        self._spread.hear(inputs)
+        self._spread.track_proxies(inputs)
         orders = self._ladder.decide(now, inputs)
         for order in orders:
             carry = self._carry.get(type(order))
             if carry is not None:
                 carry(order)
-            elif why := self._spread.take(order):
+            elif why := self._spread.apply(order):
                 self.log.error("order left out", order=type(order).__name__, why=why)
         if any(isinstance(order, Checkpoint) for order in orders):
-            self._ladder.gate.settle(self._spread.lines())
-        for proxy, data in self._spread.messages():
+            self._ladder.gate.settle(self._spread.pending_line_counts())
+        for proxy, data in self._spread.take_messages():
             self._roster.send(proxy, data)
         for plan in self._planners:
             for proxy, data in plan.messages(now, self._ladder):
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -19,7 +19,7 @@
 from ..protocol.gossip import GossipSocket
 from ..protocol.health_checks import HealthChecker
 from ..protocol.messages import MessageReader
-from ..protocol.stream_listener import QUEUE, ConnectionLimits, StreamListener
+from ..protocol.stream_listener import ACCEPT_QUEUE_LENGTH, ConnectionLimits, StreamListener
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.proxy_sessions import ProxySessions
 from . import signals
@@ -44,7 +44,7 @@
     left = sockets - KEPT - TURNS * accepts - probes
     unread = (placement.memory_mb << 20) // (4 * max(1, terms.proxy_count))
     queue = max(
-        QUEUE, 2 * terms.proxy_count
+        ACCEPT_QUEUE_LENGTH, 2 * terms.proxy_count
     )  # each may have dialled anew before its last dial is seen to end
     return ConnectionLimits(max(2 * terms.zone_count, left), accepts, probes, unread, queue)
 
@@ -84,9 +84,9 @@
             self.log.error("configuration not taken", why=str(exc))
             return
         if new.discovery != held.discovery:
-            self._discovery.move(new.discovery)
+            self._discovery.change_address(new.discovery)
         self._held = replace(held, discovery=new.discovery, sockets=new.sockets, memory_mb=new.memory_mb)
-        self._address.shares = shares(self._held)
+        self._address.limits = shares(self._held)
         fixed, (host, port) = ",".join(kept(held, new)) or "none", new.discovery
         self.log.info("configuration taken", discovery=f"{host}:{port}", unchangeable=fixed)
 
@@ -162,17 +162,17 @@
     async with AsyncExitStack() as stack:
         tasks, keeper = await background(placement, operator, stack)
         version, known = (keeper.version, keeper.known) if keeper else (placement.version, placement.known)
-        discovery = DiscoveryClient(placement.discovery, site, workers.learn, inbox.put, version)
+        discovery = DiscoveryClient(placement.discovery, site, workers.register, inbox.put, version)
         stack.push_async_callback(discovery.close)
         path = "/load" if site.load_reports else "/healthz"
-        probing = HealthChecker(path, limits.probes, workers.address, inbox.put)
+        probing = HealthChecker(path, limits.max_health_checks, workers.address_of, inbox.put)
         stack.push_async_callback(probing.close)
         peers = GossipSocket(site.manager_index, placement.peers, placement.peers_all, inbox.put)
         stack.callback(peers.close)
         if placement.peer_listen is not None:
             await peers.listen(placement.peer_listen)
         spread = OrderDispatcher(list(site.classes), site.parameters.manager_count, workers)
-        messages = MessageReader(site, workers.find)
+        messages = MessageReader(site, workers.find_index)
         hands = Effects(discovery, probing, peers)
         plans = planners(placement, operator, messages)
         for plan in plans:
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -108,7 +108,7 @@
             return
         age = ageing.age_of(found.written, time.time())
         self._list(life)
-        ids = {w.id: self._workers.find(w.id.encode()) for w in life.workers}
+        ids = {w.id: self._workers.find_index(w.id.encode()) for w in life.workers}
         pasts = tuple(
             WorkerHistory(be, w.started, w.base, w.slowness, w.out, w.leaving)
             for w in life.workers
@@ -129,7 +129,7 @@
             ListUpdateKind.CACHED,
             tuple(
                 Endpoint(
-                    self._workers.learn(e.id, e.address, e.started),
+                    self._workers.register(e.id, e.address, e.started),
                     e.zone,
                     EndpointState(e.mode),
                     e.weight,
@@ -183,7 +183,7 @@
                     )
                 )
                 mode = EndpointState.DRAINING if p.was_draining else EndpointState.READY
-                place = self._workers.address(p.worker_index)
+                place = self._workers.address_of(p.worker_index)
                 listed.append(EndpointSnapshot(word, place, be.zone, int(mode), be.weight, p.started_at))
             yield None
         for n in range(0, len(proxies) + 1, CHUNK):
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -153,7 +153,7 @@
         if due or self._listed:
             self._listed = False
             self._standing = capacity_views(ladder)
-            places = places_of(self._workers.ids, self._workers.address)
+            places = places_of(self._workers.ids, self._workers.address_of)
             self._board.update(self._standing, places)
             for server in self._servers:
                 server.told()
--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -73,7 +73,7 @@
             handler.counted = True
             self._new[handler] = None
             return
-        self.faults.note("too many connections", client=handler.client)
+        self.faults.report("too many connections", client=handler.client)
         if handler.transport is not None:
             said = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n"
             handler.transport.write(said + b"Connection: close\r\n\r\n")
@@ -91,10 +91,10 @@
         for handler in self._late:  # late at the last sweep already: what had come by then has been read
             if handler in self._new:
                 del self._new[handler]
-                self.faults.note("no request in time", client=handler.client)
+                self.faults.report("no request in time", client=handler.client)
                 handler.force_close()
         self._late = [h for h in self._new if now - h.came >= HEADER_WAIT]
-        self.faults.sum_up(now)
+        self.faults.summarize(now)
         self._timer = loop.call_later(SWEEP, self._sweep)
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -109,7 +109,9 @@
         )
         self.collector = Collector(part.zone) if part.collector else None
         at = host_port(part.discovery)
-        self.discovery = DiscoveryClient(at, self._zones, self.known.learn, self._listed, 0, self._labelled)
+        self.discovery = DiscoveryClient(
+            at, self._zones, self.known.register, self._listed, 0, self._labelled
+        )
         self._held_at = self._report_at = 0.0
         self._list_wait = 1.0
         self.recalling: Callable[[], None] | None = None  # an earlier life, until the first list has come
@@ -118,8 +120,8 @@
     # the list
 
     def address(self, be: str) -> str | None:
-        index = self.known.find(be.encode())
-        return None if index is None else self.known.address(index)
+        index = self.known.find_index(be.encode())
+        return None if index is None else self.known.address_of(index)
 
     def _listed(self, item: Input | object) -> None:
         """Where workers are, and who drains: the list is heard even while no manager is."""
@@ -166,7 +168,7 @@
         for be in [be for be, since in self._gone.items() if now - since > FORGET_AFTER]:
             if (name := self.known.ids[be].decode()) not in held | rows:
                 del self._gone[be], self._modes[be], self._zone_of[be]
-                self.known.forget(be)
+                self.known.remove(be)
                 self.routes.leaving.discard(name)
                 self.routes.out.discard(name)
         names = {name.decode() for name in self.known.ids.values()}
@@ -174,7 +176,7 @@
         self.arrivals.forget(names)
 
     def _follow(self) -> None:
-        self.discovery.follow(True)
+        self.discovery.set_watching(True)
 
     # plug-ins
 
@@ -213,7 +215,7 @@
     # orders
 
     def check(self, parts: Sequence[Part]) -> None:
-        self.routes.check(parts, lambda be: self.known.find(be.encode()) is not None)
+        self.routes.check(parts, lambda be: self.known.find_index(be.encode()) is not None)
 
     def apply(self, parts: Sequence[Part]) -> list[int]:
         return self.routes.apply(parts)
@@ -228,19 +230,21 @@
     def extended(self, said: upgrades.FromManager) -> None:
         now = self.loop.time()
         if isinstance(said, upgrades.AnnouncementAccepted):
-            self.arrivals.part, self.arrivals.rate = said.part, said.arrivals
+            self.arrivals.part, self.arrivals.rate = said.arrival_share, said.worker_arrival_rate
             return
         if isinstance(said, upgrades.MigrationStopped):
             self.drains.stopped(now, said.source)
             return
-        for be in (said.source, *said.to):
-            if self.known.find(be.encode()) is None:
+        for be in (said.source, *said.destinations):
+            if self.known.find_index(be.encode()) is None:
                 raise Unusable(f"MOVE: worker {be[:32]!r} was never listed")
         if self.carrier.book.count(said.source):
-            left = min(said.left, self.drains.grace)
-            self.drains.ordered(now, said.source, said.number, said.to, said.count, said.within, left)
+            left = min(said.time_left_s, self.drains.grace)
+            self.drains.ordered(
+                now, said.source, said.number, said.destinations, said.count, said.duration_s, left
+            )
         else:
-            self.stream.send(upgrades.moved(self.part.node, said.number, 0, 0))
+            self.stream.send(upgrades.encode_migration_result(self.part.node, said.number, 0, 0))
 
     def stream_lost(self) -> None:
         self.drains.stream_lost()
@@ -250,14 +254,16 @@
     def _tell_held(self, whole: bool = False) -> None:
         for first, rows in self.carrier.book.news(self.loop.time(), whole):
             told = {be: (row.open, row.busy, row.resumable) for be, row in rows.items()}
-            self.stream.send(upgrades.holds(self.part.node, first, told))
+            self.stream.send(upgrades.encode_held_connections(self.part.node, first, told))
 
     def _beat(self) -> None:
         now = self.loop.time()
         self._timers["beat"] = self.loop.call_later(TICK, self._beat)
         self.carrier.tick()
         for answer in self.drains.answers:
-            self.stream.send(upgrades.moved(self.part.node, answer.number, answer.done, answer.failed))
+            self.stream.send(
+                upgrades.encode_migration_result(self.part.node, answer.number, answer.done, answer.failed)
+            )
         self.drains.answers.clear()
         if self.stream.welcome and now >= self._held_at:
             self._held_at = now + HELD_EVERY
@@ -362,7 +368,7 @@
                 age = ageing.age_of(written, time.time())
                 used = recall(
                     earlier, age, forwarder.loop.time(), forwarder.routes, forwarder.arrivals,
-                    lambda be: forwarder.known.find(be.encode()) is not None,
+                    lambda be: forwarder.known.find_index(be.encode()) is not None,
                 )  # fmt: skip
                 forwarder.stream.fresh = not forwarder.routes.ordered
                 forwarder.log.info("memory used", what=used, age=round(min(age, 1e9), 1))
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -16,7 +16,7 @@
 from ..config.settings import HostPort, WireError
 from ..protocol import resp
 from ..protocol import upgrade_extension as upgrades
-from ..protocol.messages import PING, Fields, figure
+from ..protocol.messages import PING, MessageFields, parse_number
 from .router import Part, Unusable
 
 DIAL_WAIT = 1.0  # s for a connection to a manager
@@ -49,13 +49,13 @@
 
 def read_part(words: list[bytes]) -> tuple[Part, bool]:
     """One CONFIG, and whether a further part of the same message comes next."""
-    f = Fields("CONFIG", words)
+    f = MessageFields("CONFIG", words)
     rows: list[tuple[str, float]] = []
     for pair in _names(f.values.get(b"rows", b""), ","):
         be, sign, weight = pair.rpartition(":")
         if not sign or not be:
             raise WireError("CONFIG: field rows is not id:weight")
-        rows.append((be, figure(weight.encode(), "CONFIG: field rows")))
+        rows.append((be, parse_number(weight.encode(), "CONFIG: field rows")))
     if len(rows) > ROWS_MOST:
         raise WireError(f"CONFIG: field rows has over {ROWS_MOST} lines")
     if (b"gate" in f.values) != (b"again" in f.values):
@@ -65,7 +65,7 @@
         again = f.count("again")
         if again > 3:
             raise WireError("CONFIG: field again is not 0 to 3")
-        gate = (f.figure("gate"), again)
+        gate = (f.number("gate"), again)
     part = Part(
         kinds=_names(f.values.get(b"for", b""), "+"),
         replace=b"replace" in f.values and f.flag("replace"),
@@ -136,7 +136,7 @@
         try:
             self._write(self._subscribe())
             if self._extended:
-                self._write(upgrades.announce(self.node))
+                self._write(upgrades.encode_announcement(self.node))
             self.log.info("stream opened", manager=f"{host}:{port}")
             return await self._read(reader)
         except (WireError, Unusable, OSError) as exc:
@@ -151,7 +151,7 @@
         return resp.encode(said.encode().split())
 
     async def _read(self, reader: asyncio.StreamReader) -> str:
-        messages = resp.Reader(resp.MESSAGE_MOST)
+        messages = resp.RespReader(resp.MAX_MESSAGE_SIZE)
         heard, asked = time.monotonic(), False
         while True:
             try:
--- a/cottonladder/forwarder/request_handler.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -292,7 +292,7 @@
             await asyncio.wait_for(reply.write_eof(), STALL_WAIT)
         except (aiohttp.ClientError, TimeoutError) as exc:
             # Half an answer is out: its connection ends, so that nobody takes the half for the whole.
-            self.front.faults.note(f"answer cut off: {type(exc).__name__}")
+            self.front.faults.report(f"answer cut off: {type(exc).__name__}")
             if request.transport is not None:
                 request.transport.abort()
         finally:
--- a/cottonladder/protocol/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -15,10 +15,14 @@
 from ..model.inputs import Endpoint, EndpointList, EndpointState, Input, ListUpdateKind
 from .fault_log import RateLimitedFaultLog
 
-SILENCE = 3.0  # s without a byte: discovery writes at least an empty line each 2 s, and fails calls after 2 s
-CALL_WAIT = 5.0  # s for the whole list, which must end: the wait in turn that discovery allows, and its way
-LIST_MOST = 8 << 20  # bytes of one line or list: some 50,000 workers; more is refused as unreadable
-ID_MOST = 255  # characters of a worker's id: far above any seen, and a line stays short
+SILENCE_TIMEOUT = (
+    3.0  # s without a byte: discovery writes at least an empty line each 2 s, and fails calls after 2 s
+)
+FETCH_TIMEOUT = (
+    5.0  # s for the whole list, which must end: the wait in turn that discovery allows, and its way
+)
+MAX_LIST_SIZE = 8 << 20  # bytes of one line or list: some 50,000 workers; more is refused as unreadable
+MAX_WORKER_ID_LENGTH = 255  # characters of a worker's id: far above any seen, and a line stays short
 MODES = {
     "Ready": EndpointState.READY,
     "Terminating": EndpointState.DRAINING,
@@ -33,7 +37,7 @@
     def zone_index(self, name: str, where: str) -> int: ...
 
 
-def read_list(body: Any, site: Zones, learn: Learn, where: str) -> tuple[int, EndpointList]:
+def read_endpoint_list(body: Any, site: Zones, learn: Learn, where: str) -> tuple[int, EndpointList]:
     """The version and the listing; workers are learnt only once all of it has been read."""
     version = field(body, "version", int, where)
     full = field(body, "full", bool, where)
@@ -44,7 +48,7 @@
         if state not in MODES:
             raise WireError(f"{where}: field state has an unknown value")
         plain = worker_id.isascii() and worker_id.isprintable() and not set(worker_id) & set(", :")
-        if not (plain and 0 < len(worker_id) <= ID_MOST):
+        if not (plain and 0 < len(worker_id) <= MAX_WORKER_ID_LENGTH):
             raise WireError(f"{where}: field id can't stand in an order")
         weight, started = float(field(entry, "weight", NUMBER, where)), seconds(entry, "started_ms", where)
         if not (0 <= weight < float("inf") and 0 <= started < float("inf")):
@@ -104,10 +108,10 @@
         self._faults = RateLimitedFaultLog("discovery call failed")
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self._watch: EndpointWatch | None = None
-        self._former: EndpointWatch | None = None
-        self._call: asyncio.Task[None] | None = None
+        self._former_watch: EndpointWatch | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
         self._closed = False
-        quiet = aiohttp.ClientTimeout(total=None, sock_connect=SILENCE, sock_read=SILENCE)
+        quiet = aiohttp.ClientTimeout(total=None, sock_connect=SILENCE_TIMEOUT, sock_read=SILENCE_TIMEOUT)
         self._session = aiohttp.ClientSession(
             timeout=quiet, connector=aiohttp.TCPConnector(force_close=True, limit=4)
         )
@@ -116,7 +120,7 @@
     def version(self) -> int:
         return self._origin.version
 
-    def follow(self, on: bool) -> None:
+    def set_watching(self, on: bool) -> None:
         if self._closed:
             return
         if self._watch is not None and self._watch.running():
@@ -128,30 +132,30 @@
             self._let_go()
 
     def fetch(self) -> None:
-        if not self._closed and (self._call is None or self._call.done()):
-            self._call = asyncio.create_task(self._run(self._fetch(self._origin)))
+        if not self._closed and (self._fetch_task is None or self._fetch_task.done()):
+            self._fetch_task = asyncio.create_task(self._run(self._fetch(self._origin)))
 
-    def move(self, at: HostPort) -> None:
+    def change_address(self, at: HostPort) -> None:
         """Discovery stands elsewhere now: asked at once, and for the whole list, as nobody says that the new
         one counts its versions as the old one did.  Guards against a list that stands still when the old one
         closes; harms nobody but for one list more."""
         if self._closed:
             return
         self._origin = ListVersion(_url(at), self.version, whole=True)
-        if self._call is not None:
-            self._call.cancel()
+        if self._fetch_task is not None:
+            self._fetch_task.cancel()
         if self._watch is not None:
             if self._watch.running() and self._watch.answered:
                 self._let_go()
-                self._former = self._watch
+                self._former_watch = self._watch
             else:
                 self._watch.cancel()
             self._watch = self._open()
 
     def _let_go(self) -> None:
-        if self._former is not None:
-            self._former.cancel()
-            self._former = None
+        if self._former_watch is not None:
+            self._former_watch.cancel()
+            self._former_watch = None
 
     def _open(self) -> EndpointWatch:
         watch = EndpointWatch(self._origin)
@@ -162,21 +166,23 @@
         try:
             return await call
         except (aiohttp.ClientError, TimeoutError, OSError, WireError) as exc:
-            self._faults.sum_up(asyncio.get_running_loop().time())
-            self._faults.note(str(exc) or type(exc).__name__)
+            self._faults.summarize(asyncio.get_running_loop().time())
+            self._faults.report(str(exc) or type(exc).__name__)
         except Exception:  # a fault of ours: unheard, the module would think that it follows
             self.log.exception("discovery call failed", why="a fault of this program")
-        if watch is not None and watch is self._former:
-            self._former = None  # the call at the new address speaks for itself
+        if watch is not None and watch is self._former_watch:
+            self._former_watch = None  # the call at the new address speaks for itself
         else:
             self._post(EndpointList(ListUpdateKind.FAILED, ()))
 
     async def _fetch(self, origin: ListVersion) -> None:
-        once = aiohttp.ClientTimeout(total=CALL_WAIT, sock_connect=SILENCE, sock_read=SILENCE)
+        once = aiohttp.ClientTimeout(
+            total=FETCH_TIMEOUT, sock_connect=SILENCE_TIMEOUT, sock_read=SILENCE_TIMEOUT
+        )
         asked = origin.version
         async with self._session.get(origin.url, timeout=once) as reply:
             self._expect(reply)
-            text = b"".join([line async for line in _lines(reply, LIST_MOST, b"")])
+            text = b"".join([line async for line in _lines(reply, MAX_LIST_SIZE, b"")])
             self._take(text, origin, asked)
 
     async def _follow(self, watch: EndpointWatch) -> None:
@@ -189,7 +195,7 @@
         query = {"watch": "1", "after": str(origin.version)}
         async with self._session.get(origin.url, params=query) as reply:
             self._expect(reply)
-            async for line in _lines(reply, LIST_MOST, b"\n"):
+            async for line in _lines(reply, MAX_LIST_SIZE, b"\n"):
                 if line.strip():
                     watch.last = self._take(line, origin, watch.last, watch)
                 elif not watch.answered:  # nothing has changed: the call is answered all the same
@@ -221,7 +227,7 @@
                 if watch is not None and not watch.answered:
                     self._post(EndpointList(ListUpdateKind.DELTA, ()))
                 return version
-            version, listing = read_list(body, self._site, self._learn, "list")
+            version, listing = read_endpoint_list(body, self._site, self._learn, "list")
         except (RecursionError, OverflowError) as exc:
             raise WireError(f"list: {exc}") from None
         except json.JSONDecodeError:
@@ -231,14 +237,14 @@
             for entry in body["servers"]:
                 self._further(entry)
         # What the former address says tells nothing of the call under way at the new one.
-        former = watch is not None and watch is self._former
+        former = watch is not None and watch is self._former_watch
         self._post(EndpointList(ListUpdateKind.SUPERSEDED, listing.endpoints) if former else listing)
         return version
 
     async def close(self) -> None:
         self._closed = True
-        calls = [watch.task for watch in (self._watch, self._former) if watch is not None]
-        tasks = [task for task in (*calls, self._call) if task is not None]
+        calls = [watch.task for watch in (self._watch, self._former_watch) if watch is not None]
+        tasks = [task for task in (*calls, self._fetch_task) if task is not None]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -256,7 +262,7 @@
     async for chunk in reply.content.iter_any():
         if not rest:
             begun = loop.time()
-        elif end and loop.time() - begun > CALL_WAIT:  # a byte now and then would hold the call for ever
+        elif end and loop.time() - begun > FETCH_TIMEOUT:  # a byte now and then would hold the call for ever
             raise WireError("list: a line that does not end")
         rest += chunk
         while end and (at := rest.find(end)) >= 0:
--- a/cottonladder/protocol/fault_log.py
+++ b/cottonladder/protocol/fault_log.py
@@ -6,8 +6,8 @@
 
 import structlog
 
-SUM_UP = 10.0  # s between two lines of one kind
-WHYS_MOST = 32  # kinds told apart meanwhile
+SUMMARY_INTERVAL = 10.0  # s between two lines of one kind
+MAX_REASONS = 32  # kinds told apart meanwhile
 
 
 class RateLimitedFaultLog:
@@ -19,14 +19,14 @@
         self._count: dict[str, int] = {}
         self._since = 0.0
 
-    def note(self, why: str, **shown: Any) -> None:
-        key = why if why in self._count or len(self._count) < WHYS_MOST else "others"
+    def report(self, why: str, **shown: Any) -> None:
+        key = why if why in self._count or len(self._count) < MAX_REASONS else "others"
         self._count[key] = self._count.get(key, -1) + 1
         if self._count[key] == 0:
             self.log.info(self._event, why=key, **shown)
 
-    def sum_up(self, now: float) -> None:
-        if now - self._since >= SUM_UP:
+    def summarize(self, now: float) -> None:
+        if now - self._since >= SUMMARY_INTERVAL:
             for why, more in self._count.items():
                 if more:
                     self.log.info(self._event, why=why, more=more)
--- a/cottonladder/protocol/gossip.py
+++ b/cottonladder/protocol/gossip.py
@@ -11,7 +11,7 @@
 from ..config.settings import HostPort
 from ..model.inputs import GossipReceived, Input
 
-DATAGRAM_MOST = 256  # bytes: the protocol's limit; a longer one voids the run
+MAX_DATAGRAM_SIZE = 256  # bytes: the protocol's limit; a longer one voids the run
 
 
 class GossipSocket(asyncio.DatagramProtocol):
@@ -33,20 +33,20 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         sender = self._number.get((str(addr[0]), int(addr[1])))
-        if sender is None or sender == self._me or len(data) > DATAGRAM_MOST:
+        if sender is None or sender == self._me or len(data) > MAX_DATAGRAM_SIZE:
             return
         try:
             self._post(GossipReceived(sender, data.decode()))
         except UnicodeDecodeError:
             return
 
-    def tell(self, whom: int, text: str) -> None:
+    def send_datagram(self, whom: int, text: str) -> None:
         data = text.encode()
         to = self._everyone if whom < 0 else self._to[whom] if whom < len(self._to) else None
         if to is None or self._transport is None:
             return
-        if len(data) > DATAGRAM_MOST:
-            self.log.error("datagram refused", why=f"{len(data)} bytes, {DATAGRAM_MOST} at most")
+        if len(data) > MAX_DATAGRAM_SIZE:
+            self.log.error("datagram refused", why=f"{len(data)} bytes, {MAX_DATAGRAM_SIZE} at most")
         else:
             self._transport.sendto(data, to)
 
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -10,19 +10,21 @@
 
 from ..config.settings import WireError
 from ..model.inputs import HealthCheckResult, Input
-from .messages import figure
+from .messages import parse_number
 
-PROBE_WAIT = 0.5  # s for connection and answer together: a fresh probe comes a second later at the earliest
-BODY_MOST = 4096  # bytes of a load report; a line of a few figures
+CHECK_TIMEOUT = (
+    0.5  # s for connection and answer together: a fresh probe comes a second later at the earliest
+)
+MAX_BODY_SIZE = 4096  # bytes of a load report; a line of a few figures
 
 
-def read_report(text: str) -> dict[str, float]:
+def read_load_report(text: str) -> dict[str, float]:
     """`TEXT inflight=7, queue=2` as figures by name."""
     report: dict[str, float] = {}
     for pair in text.removeprefix("TEXT").split(","):
         name, sign, value = pair.strip().partition("=")
         if sign:
-            report[name] = figure(value.strip().encode(), f"load report: field {name[:32]}")
+            report[name] = parse_number(value.strip().encode(), f"load report: field {name[:32]}")
     return report
 
 
@@ -38,11 +40,11 @@
         self._tasks: dict[int, asyncio.Task[None]] = {}  # by worker
         self._turn = asyncio.Semaphore(most)
         self._session = aiohttp.ClientSession(
-            timeout=aiohttp.ClientTimeout(total=PROBE_WAIT),
+            timeout=aiohttp.ClientTimeout(total=CHECK_TIMEOUT),
             connector=aiohttp.TCPConnector(force_close=True, limit=most),
         )
 
-    def send(self, worker: int) -> None:
+    def start_check(self, worker: int) -> None:
         if worker not in self._tasks:
             task = self._tasks[worker] = asyncio.create_task(self._probe(worker, self._address_of(worker)))
             task.add_done_callback(lambda done: self._tasks.pop(worker, None))
@@ -52,9 +54,9 @@
             sent, done, report = time.monotonic(), False, dict[str, float]()
             try:
                 async with self._session.get(f"http://{address}{self._path}") as reply:
-                    body = await reply.content.read(BODY_MOST)
+                    body = await reply.content.read(MAX_BODY_SIZE)
                     done = reply.status == 200
-                    report = read_report(body.decode()) if done else {}
+                    report = read_load_report(body.decode()) if done else {}
             except (aiohttp.ClientError, TimeoutError, OSError, UnicodeDecodeError, WireError):
                 pass  # no answer or none in time: not done; a report that can't be read is left out
             if self._address_of(worker) == address:  # else it has moved meanwhile: this is not its answer
--- a/cottonladder/protocol/resp.py
+++ b/cottonladder/protocol/resp.py
@@ -6,17 +6,17 @@
 
 from ..config.settings import WireError
 
-MESSAGE_MOST = 1 << 20  # bytes: the protocol's own limit for one message
-WORDS_MOST = 64  # the protocol's longest message that comes in has 15 words; room for later fields
-HEAD_MOST = 9  # digits and sign of a count or a length that can pass the limits above
+MAX_MESSAGE_SIZE = 1 << 20  # bytes: the protocol's own limit for one message
+MAX_WORDS = 64  # the protocol's longest message that comes in has 15 words; room for later fields
+MAX_HEADER_LENGTH = 9  # digits and sign of a count or a length that can pass the limits above
 
 
-class Reader:
+class RespReader:
     """Keeps only the unfinished rest of one connection's bytes; a bad head is refused before memory is taken.
     What it raises is a fault of framing: after it no message can be told from the next."""
 
     def __init__(self, most: int) -> None:
-        self.most = most  # bytes of one message
+        self.max_message_size = most  # bytes of one message
         self._rest = bytearray()
         self._words: list[bytes] = []
         self._missing = 0  # words that the message begun still lacks
@@ -27,18 +27,18 @@
         rest += data
         try:
             while True:
-                end = rest.find(b"\r\n", at, at + HEAD_MOST + 2)
+                end = rest.find(b"\r\n", at, at + MAX_HEADER_LENGTH + 2)
                 if end < 0:
-                    if len(rest) - at >= HEAD_MOST + 2:
+                    if len(rest) - at >= MAX_HEADER_LENGTH + 2:
                         raise WireError("message: no end of a count or length")
                     return
                 if not self._missing:
-                    self._missing = self._head(rest[at:end], b"*", WORDS_MOST)
+                    self._missing = self._head(rest[at:end], b"*", MAX_WORDS)
                     self._words, self._size, at = [], 0, end + 2
                     if not self._missing:
                         yield self._words  # whole, so the next one can be told from it, but it says nothing
                     continue
-                length = self._head(rest[at:end], b"$", self.most - self._size)
+                length = self._head(rest[at:end], b"$", self.max_message_size - self._size)
                 stop = end + 2 + length
                 if len(rest) < stop + 2:
                     return
--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -15,13 +15,20 @@
 from ..model.inputs import Acknowledged, ArrivalReport, Input, LoadReport, ProxyConnected
 from . import messages as m
 from .fault_log import RateLimitedFaultLog
-from .resp import MESSAGE_MOST, Reader
-
-QUEUE = 1024  # connections at least that the kernel holds until they are accepted: all may dial at once
-FIRST_MOST = 4096  # bytes of a message from who has not yet said who they are: the first ones are short
-JOIN_WAIT, SWEEP = 1.0, 0.25  # s: to say who one is, of the 3 that a stranger may be kept; between sweeps
-COLLECTORS_MOST = 4  # of a zone, which has one: a new one may come before the last is seen to end
-OLD_WAIT = 5.0  # s: for the end of a stream whose place was taken; one that went silent never tells
+from .resp import MAX_MESSAGE_SIZE, RespReader
+
+ACCEPT_QUEUE_LENGTH = (
+    1024  # connections at least that the kernel holds until they are accepted: all may dial at once
+)
+MAX_FIRST_MESSAGE_SIZE = (
+    4096  # bytes of a message from who has not yet said who they are: the first ones are short
+)
+IDENTIFY_TIMEOUT, SWEEP_INTERVAL = (
+    1.0,
+    0.25,
+)  # s: to say who one is, of the 3 that a stranger may be kept; between sweeps
+MAX_COLLECTORS_PER_ZONE = 4  # of a zone, which has one: a new one may come before the last is seen to end
+SUPERSEDED_TIMEOUT = 5.0  # s: for the end of a stream whose place was taken; one that went silent never tells
 STOPS = "the manager stops"
 NEW, COLLECTOR, STREAM, OLD = "new", "collector", "stream", "old"  # OLD: another stream took its place
 
@@ -29,23 +36,23 @@
 class StreamEvents(Protocol):
     """Who is told of what comes in; never waited for."""
 
-    def joined(self, stream: ProtocolConnection, joined: ProxyConnected) -> None: ...
-    def left(self, stream: ProtocolConnection) -> None: ...
-    def post(self, item: Input | m.ExtensionMessage) -> None: ...
+    def proxy_connected(self, stream: ProtocolConnection, joined: ProxyConnected) -> None: ...
+    def connection_ended(self, stream: ProtocolConnection) -> None: ...
+    def input_received(self, item: Input | m.ExtensionMessage) -> None: ...
 
 
 class ProtocolConnection(asyncio.Protocol):
     def __init__(self, address: StreamListener) -> None:
-        self.address, self.reader, self.state = address, Reader(FIRST_MOST), NEW
+        self.listener, self.reader, self.state = address, RespReader(MAX_FIRST_MESSAGE_SIZE), NEW
         self.proxy, self.zone, self.peer, self.why, self.heard = -1, -1, "", "", 0.0
-        self.number = 0  # in the order of accepts
+        self.accept_number = 0  # in the order of accepts
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
         host, port = transport.get_extra_info("peername", ("?", "?"))[:2]
         self.peer = f"{host}:{port}"
-        self.address.opened(self)
+        self.listener.opened(self)
 
     def data_received(self, data: bytes) -> None:
         """Two kinds of fault: bytes that can't be framed end a connection, as does anything wrong before it
@@ -62,7 +69,7 @@
                 except WireError as exc:
                     if self.state == NEW:
                         raise
-                    self.address.left_out.note(str(exc), **self.shown())
+                    self.listener.left_out.report(str(exc), **self.shown())
         except WireError as exc:
             self.end(str(exc))
 
@@ -71,21 +78,23 @@
         return {"peer": self.peer, "state": self.state, "proxy": self.proxy}
 
     def _hear(self, words: list[bytes]) -> None:
-        said = self.address.messages.read(words)
+        said = self.listener.messages.read(words)
         step = STEPS.get((self.state, type(said)))
         if step is None:
-            raise WireError(f"{m.shown(words[0])}: not on a connection that is {self.state}")
+            raise WireError(f"{m.printable(words[0])}: not on a connection that is {self.state}")
         step(self, said)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.address.ended(self, self.why or (str(exc) if exc else "ended by the other side"))
+        self.listener.ended(self, self.why or (str(exc) if exc else "ended by the other side"))
 
     def send(self, data: bytes) -> None:
         transport = self._transport
         if transport is None or transport.is_closing():
             return
         unread = transport.get_write_buffer_size()
-        if unread and unread + len(data) > self.address.shares.unread:  # a single message may be larger
+        if (
+            unread and unread + len(data) > self.listener.limits.max_unread_bytes
+        ):  # a single message may be larger
             self.end(f"left {unread} bytes unread")
         else:
             transport.write(data)
@@ -100,21 +109,21 @@
         self.send(m.PONG)
 
     def _source(self, said: m.IncomingMessage) -> None:
-        self.state, self.zone, self.reader.most = (
+        self.state, self.zone, self.reader.max_message_size = (
             COLLECTOR,
             cast(m.CollectorConnected, said).zone,
-            MESSAGE_MOST,
+            MAX_MESSAGE_SIZE,
         )
-        self.address.named(self, "collector")
+        self.listener.named(self, "collector")
 
     def _subscribe(self, said: m.IncomingMessage) -> None:
         joined = cast(ProxyConnected, said)
-        self.state, self.proxy, self.reader.most = STREAM, joined.proxy, MESSAGE_MOST
-        self.address.named(self, f"proxy {joined.proxy}")
-        self.address.listener.joined(self, joined)
+        self.state, self.proxy, self.reader.max_message_size = STREAM, joined.proxy, MAX_MESSAGE_SIZE
+        self.listener.named(self, f"proxy {joined.proxy}")
+        self.listener.events.proxy_connected(self, joined)
 
     def _report(self, said: m.IncomingMessage) -> None:
-        self.address.listener.post(cast(Input, said))
+        self.listener.events.input_received(cast(Input, said))
 
     def _own(self, said: m.IncomingMessage) -> None:
         if cast(Acknowledged | ArrivalReport, said).proxy != self.proxy:
@@ -122,7 +131,9 @@
         self._report(said)
 
     def _beyond(self, said: m.IncomingMessage) -> None:
-        self.address.listener.post(m.ExtensionMessage(cast(m.ExtensionMessage, said).body, self.proxy))
+        self.listener.events.input_received(
+            m.ExtensionMessage(cast(m.ExtensionMessage, said).body, self.proxy)
+        )
 
     def _nothing(self, said: m.IncomingMessage) -> None:
         pass
@@ -147,11 +158,11 @@
 class ConnectionLimits:
     """What the machine's limits leave for each use; see control/manager."""
 
-    connections: int  # accepted and open at once
-    accepts: int  # connections accepted at once
-    probes: int  # probes open at once
-    unread: int  # bytes that one proxy may leave unread here
-    queue: int = QUEUE  # connections that the kernel holds until they are accepted
+    max_connections: int  # accepted and open at once
+    accept_batch: int  # connections accepted at once
+    max_health_checks: int  # probes open at once
+    max_unread_bytes: int  # bytes that one proxy may leave unread here
+    accept_queue_length: int = ACCEPT_QUEUE_LENGTH  # connections that the kernel holds
 
 
 class StreamListener:
@@ -160,7 +171,7 @@
     place was taken; nobody who joined does.  Harms a proxy that joins later than it dials: it dials again."""
 
     def __init__(self, messages: m.MessageReader, listener: StreamEvents, shares: ConnectionLimits) -> None:
-        self.messages, self.listener, self.shares = messages, listener, shares
+        self.messages, self.events, self.limits = messages, listener, shares
         self.left_out, self.cut = (
             RateLimitedFaultLog("message left out"),
             RateLimitedFaultLog("connection ended"),
@@ -180,9 +191,9 @@
         """asyncio accepts as many at once as its backlog says: a small one; the kernel's is set after it."""
         listener = socket.create_server((host, port))
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: ProtocolConnection(self), sock=listener, backlog=self.shares.accepts
+            lambda: ProtocolConnection(self), sock=listener, backlog=self.limits.accept_batch
         )
-        listener.listen(self.shares.queue)
+        listener.listen(self.limits.accept_queue_length)
         self._sweep()
         return int(listener.getsockname()[1])
 
@@ -194,22 +205,22 @@
         for c in self._late:
             if c.state == NEW:
                 c.end("has not joined in time")
-        self._late = [c for c, came in self._new.items() if now - came >= JOIN_WAIT]
-        for c in [c for c, since in self._old.items() if now - since >= OLD_WAIT]:
+        self._late = [c for c, came in self._new.items() if now - came >= IDENTIFY_TIMEOUT]
+        for c in [c for c, since in self._old.items() if now - since >= SUPERSEDED_TIMEOUT]:
             c.end("another stream of this proxy came")
-        self.left_out.sum_up(now)
-        self.cut.sum_up(now)
-        self._timer = loop.call_later(SWEEP, self._sweep)
+        self.left_out.summarize(now)
+        self.cut.summarize(now)
+        self._timer = loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def opened(self, c: ProtocolConnection) -> None:
         self._accepted += 1
-        c.number = self._accepted
+        c.accept_number = self._accepted
         if self._closed:  # accepted in the turn of the close, opened after it
             c.end(STOPS)
             return
         self._open[c] = None
         self._new[c] = asyncio.get_running_loop().time()
-        if len(self._open) > self.shares.connections:
+        if len(self._open) > self.limits.max_connections:
             first = next(iter(self._new)) if len(self._new) > 1 else next(iter(self._old), c)
             self._forget(first)  # at once, as the end of a connection is seen a turn of the loop later
             first.end("too many connections")
@@ -224,13 +235,13 @@
         if c.state == COLLECTOR:
             others = self._collectors.setdefault(c.zone, [])
             others.append(c)
-            if len(others) > COLLECTORS_MOST:
+            if len(others) > MAX_COLLECTORS_PER_ZONE:
                 silent = min(others, key=lambda other: other.heard)
                 others.remove(silent)
                 silent.end("other collectors of its zone came")
         self.log.info("connection opened", peer=c.peer, who=who)
 
-    def superseded(self, c: ProtocolConnection) -> None:
+    def mark_superseded(self, c: ProtocolConnection) -> None:
         c.state = OLD
         self._old[c] = asyncio.get_running_loop().time()
 
@@ -239,11 +250,11 @@
         if c in (others := self._collectors.get(c.zone, [])):
             others.remove(c)
         if c.state == STREAM:
-            self.listener.left(c)
+            self.events.connection_ended(c)
         if self._closed:
             return  # told of all together
         if c.state == NEW:
-            self.cut.note(why, **c.shown())
+            self.cut.report(why, **c.shown())
         else:
             self.log.info("connection ended", **c.shown(), why=why)
 
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -20,12 +20,12 @@
 
 from ..config.settings import WireError
 from . import resp
-from .messages import Fields
+from .messages import MessageFields
 
 VERSION = 1
-HOLDS_MOST = 4096  # workers in one message
-COUNT_MOST = 10_000_000  # connections of one forwarder at one worker: over it no figure can be
-ROWS_MOST = 4096  # destinations of one move
+MAX_HELD_WORKERS = 4096  # workers in one message
+MAX_CONNECTIONS = 10_000_000  # connections of one forwarder at one worker: over it no figure can be
+MAX_DESTINATIONS = 4096  # destinations of one move
 UPGRADES, HELD, MOVE, MOVED = b"UPGRADES", b"HELD", b"MOVE", b"MOVED"
 
 
@@ -40,8 +40,8 @@
     """A forwarder's part of the arrivals, and arrivals a second that an average worker takes up."""
 
     version: int
-    part: float
-    arrivals: float
+    arrival_share: float
+    worker_arrival_rate: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,18 +49,18 @@
     """By worker's id: open, busy, resumable."""
 
     node: int
-    whole: bool
-    rows: dict[bytes, tuple[int, int, int]]
+    is_complete: bool
+    counts_by_worker: dict[bytes, tuple[int, int, int]]
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationOrdered:
     number: int
     source: str
-    to: dict[str, int]
+    destinations: dict[str, int]
     count: int
-    within: float
-    left: float
+    duration_s: float
+    time_left_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,78 +80,78 @@
 FromManager = AnnouncementAccepted | MigrationOrdered | MigrationStopped
 
 
-def _pairs(fields: Fields, name: str, figures: int, most: int) -> dict[bytes, tuple[int, ...]]:
+def _pairs(fields: MessageFields, name: str, figures: int, most: int) -> dict[bytes, tuple[int, ...]]:
     """`id:n:n,id:n:n`, each id once."""
     rows: dict[bytes, tuple[int, ...]] = {}
     words = [word for word in fields.values.get(name.encode(), b"").split(b",") if word]
     if len(words) > most:
-        raise WireError(f"{fields.kind}: field {name} has over {most} entries")
+        raise WireError(f"{fields.message_type}: field {name} has over {most} entries")
     for word in words:
         be, *counts = word.rsplit(b":", figures)
         if not be or len(counts) != figures or not all(c.isdigit() and len(c) < 9 for c in counts):
-            raise WireError(f"{fields.kind}: field {name} is not {'id' + ':count' * figures}")
+            raise WireError(f"{fields.message_type}: field {name} is not {'id' + ':count' * figures}")
         if be in rows:
-            raise WireError(f"{fields.kind}: field {name} names a worker twice")
+            raise WireError(f"{fields.message_type}: field {name} names a worker twice")
         rows[be] = tuple(int(c) for c in counts)
-        if max(rows[be]) > COUNT_MOST:
-            raise WireError(f"{fields.kind}: field {name} has a count over {COUNT_MOST}")
+        if max(rows[be]) > MAX_CONNECTIONS:
+            raise WireError(f"{fields.message_type}: field {name} has a count over {MAX_CONNECTIONS}")
     return rows
 
 
-def _announced(f: Fields) -> ForwarderAnnounced:
+def _announced(f: MessageFields) -> ForwarderAnnounced:
     return ForwarderAnnounced(f.count("node"), f.count("version"))
 
 
-def _holds(f: Fields) -> HeldConnections:
+def _holds(f: MessageFields) -> HeldConnections:
     rows: dict[bytes, tuple[int, int, int]] = {}
-    for be, (held, busy, resumable) in _pairs(f, "holds", 3, HOLDS_MOST).items():
+    for be, (held, busy, resumable) in _pairs(f, "holds", 3, MAX_HELD_WORKERS).items():
         if max(busy, resumable) > held:
             raise WireError("HELD: field holds has more busy or resumable than open")
         rows[be] = (held, busy, resumable)
     return HeldConnections(f.count("node"), f.flag("whole"), rows)
 
 
-def _done(f: Fields) -> MigrationDone:
+def _done(f: MessageFields) -> MigrationDone:
     return MigrationDone(f.count("node"), f.count("move"), f.count("done"), f.count("failed"))
 
 
-def _welcome(f: Fields) -> AnnouncementAccepted:
-    part, arrivals = f.figure("part"), f.figure("arrivals")
+def _welcome(f: MessageFields) -> AnnouncementAccepted:
+    part, arrivals = f.number("part"), f.number("arrivals")
     if part > 1.0:
         raise WireError("UPGRADES: field part is over 1")
     return AnnouncementAccepted(f.count("version"), part, arrivals)
 
 
-def _move(f: Fields) -> MigrationOrdered | MigrationStopped:
+def _move(f: MessageFields) -> MigrationOrdered | MigrationStopped:
     source = f.text("from")
     if b"stop" in f.values:
         if not f.flag("stop"):
             raise WireError("MOVE: field stop is not 1")
         return MigrationStopped(source)
-    to = {be.decode(): n for be, (n,) in _pairs(f, "to", 1, ROWS_MOST).items()}
+    to = {be.decode(): n for be, (n,) in _pairs(f, "to", 1, MAX_DESTINATIONS).items()}
     count = f.count("count")
-    if not 0 < count <= COUNT_MOST or sum(to.values()) > count:
+    if not 0 < count <= MAX_CONNECTIONS or sum(to.values()) > count:
         raise WireError("MOVE: field count is none, or less than the places named")
     return MigrationOrdered(
-        f.count("move"), source, to, count, f.figure("within") / 1000.0, f.figure("left") / 1000.0
+        f.count("move"), source, to, count, f.number("within") / 1000.0, f.number("left") / 1000.0
     )
 
 
-TO_MANAGER: dict[bytes, Callable[[Fields], FromForwarder]] = {
+TO_MANAGER: dict[bytes, Callable[[MessageFields], FromForwarder]] = {
     UPGRADES: _announced, HELD: _holds, MOVED: _done,
 }  # fmt: skip
-TO_FORWARDER: dict[bytes, Callable[[Fields], FromManager]] = {UPGRADES: _welcome, MOVE: _move}
+TO_FORWARDER: dict[bytes, Callable[[MessageFields], FromManager]] = {UPGRADES: _welcome, MOVE: _move}
 
 
 def read_for_manager(words: list[bytes]) -> FromForwarder:
     """A message of the extension, its kind one of `TO_MANAGER`."""
-    return TO_MANAGER[words[0]](Fields(words[0].decode(), words[1:]))
+    return TO_MANAGER[words[0]](MessageFields(words[0].decode(), words[1:]))
 
 
 def read_for_forwarder(words: list[bytes]) -> FromManager:
     """A message of the extension, its kind one of `TO_FORWARDER`."""
     try:
-        return TO_FORWARDER[words[0]](Fields(words[0].decode(), words[1:]))
+        return TO_FORWARDER[words[0]](MessageFields(words[0].decode(), words[1:]))
     except UnicodeDecodeError:
         raise WireError(f"{words[0].decode()}: a worker's id is not text") from None
 
@@ -163,21 +163,23 @@
     return b"%r" % float(value)
 
 
-def announce(node: int) -> bytes:
+def encode_announcement(node: int) -> bytes:
     return resp.encode([UPGRADES, b"node", b"%d" % node, b"version", b"%d" % VERSION])
 
 
-def welcome(part: float, arrivals: float) -> bytes:
+def encode_acceptance(part: float, arrivals: float) -> bytes:
     words = [UPGRADES, b"version", b"%d" % VERSION, b"part", _figure(part), b"arrivals", _figure(arrivals)]
     return resp.encode(words)
 
 
-def holds(node: int, whole: bool, rows: dict[str, tuple[int, int, int]]) -> bytes:
+def encode_held_connections(node: int, whole: bool, rows: dict[str, tuple[int, int, int]]) -> bytes:
     pairs = b",".join(b"%b:%d:%d:%d" % (be.encode(), *row) for be, row in rows.items())
     return resp.encode([HELD, b"node", b"%d" % node, b"whole", b"%d" % whole, b"holds", pairs])
 
 
-def move(number: int, source: bytes, to: dict[bytes, int], count: int, within: float, left: float) -> bytes:
+def encode_migration(
+    number: int, source: bytes, to: dict[bytes, int], count: int, within: float, left: float
+) -> bytes:
     words = [MOVE, b"move", b"%d" % number, b"from", source]
     if to:
         words += [b"to", b",".join(b"%b:%d" % pair for pair in to.items())]
@@ -185,10 +187,10 @@
     return resp.encode(words)
 
 
-def stop(source: bytes) -> bytes:
+def encode_migration_stop(source: bytes) -> bytes:
     return resp.encode([MOVE, b"from", source, b"stop", b"1"])
 
 
-def moved(node: int, number: int, done: int, failed: int) -> bytes:
+def encode_migration_result(node: int, number: int, done: int, failed: int) -> bytes:
     figures = ((b"node", node), (b"move", number), (b"done", done), (b"failed", failed))
     return resp.encode([MOVED, *(word for name, n in figures for word in (name, b"%d" % n))])
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -63,43 +63,43 @@
         self._drafts: dict[int, list[Op]] = {}
         self._gone: list[int] = []  # forgotten once all that is drafted has been encoded
 
-    def hear(self, batch: list[Input]) -> None:
+    def track_proxies(self, batch: list[Input]) -> None:
         """Joins and leaves of a batch; heard before the module sees it, so that its orders meet them."""
         for item in batch:
             if isinstance(item, ProxyConnected):
-                self.joined(item.proxy, item.is_fresh)
+                self.connect_proxy(item.proxy, item.is_fresh)
             elif isinstance(item, ProxyDisconnected):
-                self.left(item.proxy)
+                self.disconnect_proxy(item.proxy)
 
-    def joined(self, proxy: int, fresh: bool) -> None:
+    def connect_proxy(self, proxy: int, fresh: bool) -> None:
         """Its tables are its own until it is bound.  What was on its way to its last stream may be lost,
         a line that let in too, so all that it was ever told to shut out is in doubt; a line for each."""
-        self.left(proxy)
+        self.disconnect_proxy(proxy)
         self._bound[proxy] = [None] * len(self._kinds)
         known = self._told.get(proxy)
         sure = fresh or (self._alone and known is not None and known.sure)
         self._told[proxy] = ProxyView(sure, dict.fromkeys(known.out) if known else {})
 
-    def left(self, proxy: int) -> None:
+    def disconnect_proxy(self, proxy: int) -> None:
         self._bound.pop(proxy, None)
         self._drafts.pop(proxy, None)
         for users in self._users.values():
             users.pop(proxy, None)
 
-    def take(self, order: Order) -> str:
+    def apply(self, order: Order) -> str:
         """Applies one order; says why where it is one that must never be sent."""
         if isinstance(order, SetWeight) and not (math.isfinite(order.weight) and order.weight >= 0):
             return f"weight {order.weight}"
         if isinstance(order, SetAdmission) and not (math.isfinite(order.admission) and order.admission >= 0):
             return f"level {order.admission}"
-        if isinstance(order, (SetWeight, ExcludeWorker, RemoveWorker)) and not self._workers.known(
+        if isinstance(order, (SetWeight, ExcludeWorker, RemoveWorker)) and not self._workers.is_known(
             order.worker_index
         ):
             return f"worker {order.worker_index} was never listed"
         TAKE[type(order)](self, order)
         return ""
 
-    def messages(self) -> Iterator[tuple[int, bytes]]:
+    def take_messages(self) -> Iterator[tuple[int, bytes]]:
         drafts, self._drafts = self._drafts, {}
         encoded: dict[tuple[Op, ...], bytes] = {}
         for proxy, draft in drafts.items():
@@ -110,10 +110,10 @@
                 encoded[key] = self._encode(key)
             yield proxy, encoded[key]
         for worker in self._gone:
-            self._workers.forget(worker)
+            self._workers.remove(worker)
         self._gone = []
 
-    def lines(self) -> dict[int, int]:
+    def pending_line_counts(self) -> dict[int, int]:
         """What the messages drafted cost by now, without their heads."""
         return {proxy: len(draft) for proxy, draft in self._drafts.items()}
 
@@ -136,7 +136,7 @@
                 masks[level] = masks.get(level, 0) | 1 << k
         return [("gate", mask, 0, *level) for level, mask in masks.items()]
 
-    def added(self, proxy: int, workers: Iterable[int], whole: bool) -> int:
+    def count_added_lines(self, proxy: int, workers: Iterable[int], whole: bool) -> int:
         """Lines that come on top of those of these workers, none of them shut out, at this proxy; `whole`: of
         a table that it is bound to."""
         if (told := self._told.get(proxy)) is None:
@@ -151,7 +151,7 @@
         them out, under the same ids before they started, and enough others are left to pick from.  A line of
         theirs that changes lets them in.  A bind costs half as much; harms where such a worker was shut out:
         its part goes to the table's others until then."""
-        doubtful = self._workers.doubtful
+        doubtful = self._workers.was_removed_before
         put_off = {worker for worker in workers if worker not in told.out and not doubtful(worker)}
         put_off = {worker for worker in put_off if self._shut(told, worker) is None}
         sure = sum(self._shut(told, worker) is False for worker in workers)
@@ -159,7 +159,9 @@
 
     def _shut(self, told: ProxyView, worker: int) -> bool | None:
         """Whether a proxy shuts this worker out; None: in doubt."""
-        doubtful = self._workers.doubtful(worker) or (not told.sure and self._workers.restarted(worker))
+        doubtful = self._workers.was_removed_before(worker) or (
+            not told.sure and self._workers.has_restarted(worker)
+        )
         return told.out.get(worker, None if doubtful else False)
 
     def _let_in(self, proxy: int, worker: int) -> list[Op]:
@@ -257,17 +259,17 @@
                 masks.append(0)
             if mask:
                 masks[-1] = mask
-                part.kinds = self._names(mask)
+                part.classes = self._names(mask)
             if what == "row":
-                part.rows[worker] = figure
+                part.weights[worker] = figure
             elif what == "replace":
-                part.replace = True
+                part.replaces_table = True
             elif what == "gate":
-                part.gate = (figure, further)
+                part.admission = (figure, further)
             elif what == "stamp":
-                part.stamp = number
+                part.checkpoint = number
             else:
-                (part.drop if what == "drop" else part.undrop).append(worker)
+                (part.excluded if what == "drop" else part.readmitted).append(worker)
         pieces = [parts[n : n + PARTS_MOST] for n in range(0, len(parts), PARTS_MOST)]
         return b"".join(encode_parts(piece) for piece in pieces)
 
@@ -278,12 +280,12 @@
 
 
 CLASH: dict[str, Callable[[ConfigPart, bytes], bool]] = {  # what can't join a part after what it already says
-    "row": lambda part, worker: worker in part.rows or part.gate is not None,
-    "replace": lambda part, worker: part.replace or bool(part.rows) or part.gate is not None,
-    "gate": lambda part, worker: part.gate is not None,
-    "drop": lambda part, worker: worker in part.drop or worker in part.undrop,
-    "undrop": lambda part, worker: worker in part.drop or worker in part.undrop,
-    "stamp": lambda part, worker: part.stamp is not None,
+    "row": lambda part, worker: worker in part.weights or part.admission is not None,
+    "replace": lambda part, worker: part.replaces_table or bool(part.weights) or part.admission is not None,
+    "gate": lambda part, worker: part.admission is not None,
+    "drop": lambda part, worker: worker in part.excluded or worker in part.readmitted,
+    "undrop": lambda part, worker: worker in part.excluded or worker in part.readmitted,
+    "stamp": lambda part, worker: part.checkpoint is not None,
 }
 TAKE: dict[type, Callable[..., None]] = {
     SetWeight: OrderDispatcher._set_line,
--- a/cottonladder/state/proxy_sessions.py
+++ b/cottonladder/state/proxy_sessions.py
@@ -13,25 +13,25 @@
     """Hears of the address's streams; the module sees the old stream left before the new one joined."""
 
     def __init__(self, post: Callable[[Input | ExtensionMessage], None]) -> None:
-        self.post = post
+        self.input_received = post
         self._streams: dict[int, ProtocolConnection] = {}
 
-    def joined(self, stream: ProtocolConnection, joined: ProxyConnected) -> None:
+    def proxy_connected(self, stream: ProtocolConnection, joined: ProxyConnected) -> None:
         old = self._streams.get(joined.proxy)
-        if old is not None and old.number > stream.number:
+        if old is not None and old.accept_number > stream.accept_number:
             # Dialled before the one that holds and read after it, as in a late loop: its proxy has left it.
-            stream.address.superseded(stream)
+            stream.listener.mark_superseded(stream)
             return
         if old is not None:
-            old.address.superseded(old)
-            self.post(ProxyDisconnected(joined.proxy))
+            old.listener.mark_superseded(old)
+            self.input_received(ProxyDisconnected(joined.proxy))
         self._streams[joined.proxy] = stream
-        self.post(joined)
+        self.input_received(joined)
 
-    def left(self, stream: ProtocolConnection) -> None:
+    def connection_ended(self, stream: ProtocolConnection) -> None:
         if self._streams.get(stream.proxy) is stream:
             del self._streams[stream.proxy]
-            self.post(ProxyDisconnected(stream.proxy))
+            self.input_received(ProxyDisconnected(stream.proxy))
 
     def send(self, proxy: int, data: bytes) -> None:
         stream = self._streams.get(proxy)
--- a/cottonladder/state/worker_registry.py
+++ b/cottonladder/state/worker_registry.py
@@ -7,7 +7,7 @@
 
 from ..config.settings import WireError
 
-WORKERS_MOST = 65536  # ids known at once; some 20 MB, and far more than a list names
+MAX_WORKERS = 65536  # ids known at once; some 20 MB, and far more than a list names
 PLACES = 1 << 16  # bits for the ids forgotten: 8 KiB, full after tens of thousands of them
 
 
@@ -36,12 +36,12 @@
         self._next = 0
         self._forgotten = bytearray(PLACES // 8)
 
-    def learn(self, name: str, address: str, started: float) -> int:
+    def register(self, name: str, address: str, started: float) -> int:
         key = name.encode()
         index = self._index.get(key)
         if index is None:
-            if len(self.ids) >= WORKERS_MOST:
-                raise WireError(f"more than {WORKERS_MOST} workers listed")
+            if len(self.ids) >= MAX_WORKERS:
+                raise WireError(f"more than {MAX_WORKERS} workers listed")
             index = self._index[key] = self._next
             self._next += 1
             self.ids[index] = key
@@ -52,26 +52,26 @@
         worker.restarted |= started > 0
         return index
 
-    def forget(self, index: int) -> None:
+    def remove(self, index: int) -> None:
         key = self.ids.pop(index)
         del self._index[key], self._workers[index]
         byte, bit = _place(key)
         self._forgotten[byte] |= bit
 
-    def find(self, key: bytes) -> int | None:
+    def find_index(self, key: bytes) -> int | None:
         return self._index.get(key)
 
-    def known(self, index: int) -> bool:
+    def is_known(self, index: int) -> bool:
         return index in self.ids
 
-    def restarted(self, index: int) -> bool:
+    def has_restarted(self, index: int) -> bool:
         """Since it is known, as far as the list told: a start of long ago is listed as none."""
         return self._workers[index].restarted
 
-    def doubtful(self, index: int) -> bool:
+    def was_removed_before(self, index: int) -> bool:
         return self._workers[index].doubtful
 
-    def address(self, index: int) -> str:
+    def address_of(self, index: int) -> str:
         """Empty for one that was forgotten meanwhile."""
         worker = self._workers.get(index)
         return "" if worker is None else worker.address
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -30,7 +30,7 @@
 )
 from ..model.parameters import DeploymentParameters, RequestClass
 from ..policy.controller import BEAT, RoutingController
-from ..protocol.resp import MESSAGE_MOST, Reader
+from ..protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.worker_registry import WorkerRegistry
 
@@ -68,7 +68,7 @@
     """What a message counts in the channel, read off its bytes: one for each line, worker shut out or let
     back, level, mark and `replace`, and its head."""
     lines = heads
-    for words in Reader(MESSAGE_MOST).feed(message):
+    for words in RespReader(MAX_MESSAGE_SIZE).feed(message):
         said = dict(zip(words[1::2], words[2::2], strict=True))
         lines += sum(len(said[name].split(b",")) for name in (b"rows", b"drop", b"undrop") if name in said)
         lines += sum(name in said for name in (b"replace", b"gate", b"stamp"))
@@ -87,7 +87,7 @@
     def apply(self, message: bytes) -> int | None:
         """The number of the message's mark, if it has one."""
         mark = None
-        for words in Reader(MESSAGE_MOST).feed(message):
+        for words in RespReader(MAX_MESSAGE_SIZE).feed(message):
             said = dict(zip(words[1::2], words[2::2], strict=True))
             if b"replace" in said:
                 self.rows.clear()
@@ -112,7 +112,7 @@
         self.workers = WorkerRegistry()
         self.ladder = RoutingController(terms)
         self.spread = OrderDispatcher(list(KINDS), terms.manager_count, self.workers)
-        self.ladder.gate.added = self.spread.added
+        self.ladder.gate.added = self.spread.count_added_lines
         self.proxies: dict[int, Held] = {}
         self.channel: Channel = deque()
         self.credit, self.longest = 0.0, 0
@@ -128,7 +128,7 @@
     def entry(
         self, name: str, zone: int, mode: EndpointState = EndpointState.READY, started: float = 0.0
     ) -> Endpoint:
-        return Endpoint(self.workers.learn(name, "127.0.0.1:1", started), zone, mode, 1.0, started)
+        return Endpoint(self.workers.register(name, "127.0.0.1:1", started), zone, mode, 1.0, started)
 
     def waiting(self) -> int:
         return sum(lines for _, _, lines in self.channel)
@@ -136,7 +136,7 @@
     def step(self, name: str, inputs: Iterable[Input]) -> None:
         inputs = list(inputs)
         begun = perf_counter()
-        self.spread.hear(inputs)
+        self.spread.track_proxies(inputs)
         heard = perf_counter()
         self.orders = self.ladder.decide(self.now, inputs)
         decided = perf_counter()
@@ -151,14 +151,14 @@
                 SendGossip,
                 LogModeChange,
             ):
-                if why := self.spread.take(order):
+                if why := self.spread.apply(order):
                     raise AssertionError(why)
                 mark = order.number if isinstance(order, Checkpoint) else mark
         booked = dict(self.ladder.gate.in_flight.by_checkpoint.get(mark, {}))
         if mark >= 0:
-            self.ladder.gate.settle(self.spread.lines())
+            self.ladder.gate.settle(self.spread.pending_line_counts())
         spread = perf_counter()
-        messages = list(self.spread.messages())
+        messages = list(self.spread.take_messages())
         ended = perf_counter()
         parts = {"module": decided - heard, "spread": heard - begun + spread - decided}
         parts["write"] = ended - spread
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -138,7 +138,7 @@
 
     def ended(self, client: Client) -> None:
         self.clients.pop(client.number, None)
-        self.faults.note(client.why, peer=client.peer)
+        self.faults.report(client.why, peer=client.peer)
 
     def told(self) -> None:
         """The board is another one."""
@@ -149,7 +149,7 @@
     def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
         self.told()
-        self.faults.sum_up(time.monotonic())
+        self.faults.summarize(time.monotonic())
         self._timer = loop.call_later(SWEEP, self._sweep)
 
     def shown(self) -> list[dict[str, object]]:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -16,7 +16,7 @@
 
 from aiohttp import web
 
-from cottonladder.protocol.resp import MESSAGE_MOST, Reader, encode
+from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader, encode
 
 T = TypeVar("T")
 WAIT = 15.0  # s for any event, so that a slow machine fails no test
@@ -85,7 +85,7 @@
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.resp, self.come = Reader(MESSAGE_MOST), list[list[bytes]]()
+        self.resp, self.come = RespReader(MAX_MESSAGE_SIZE), list[list[bytes]]()
 
     def say(self, text: str) -> None:
         self.writer.write(encode(text.encode().split()))
--- a/tests/support/wire_fleet.py
+++ b/tests/support/wire_fleet.py
@@ -37,7 +37,7 @@
 )
 from cottonladder.model.orders import StartTimer
 from cottonladder.policy.controller import RoutingController
-from cottonladder.protocol.discovery import read_list
+from cottonladder.protocol.discovery import read_endpoint_list
 from cottonladder.protocol.messages import ExtensionMessage, MessageReader
 from cottonladder.state.order_dispatcher import OrderDispatcher
 from cottonladder.state.proxy_sessions import ProxySessions
@@ -63,20 +63,20 @@
 
     # as the control loop calls those who carry its orders out
 
-    def follow(self, on: bool) -> None:
+    def set_watching(self, on: bool) -> None:
         self.note("watch", b"%d" % on)
 
     def fetch(self) -> None:
         self.note("poll", b"")
 
-    def send(self, number: int, data: bytes = b"") -> None:
-        if data:
-            self.sent.append((number, data))
-            self.note(f"proxy {number}", data)
-        else:
-            self.note("health check", b"%d" % number)
+    def send(self, proxy: int, data: bytes) -> None:
+        self.sent.append((proxy, data))
+        self.note(f"proxy {proxy}", data)
 
-    def tell(self, whom: int, text: str) -> None:
+    def start_check(self, worker: int) -> None:
+        self.note("health check", b"%d" % worker)
+
+    def send_datagram(self, whom: int, text: str) -> None:
         self.note(f"datagram {whom}", text.encode())
 
 
@@ -158,7 +158,7 @@
             placement = read_manager_config(str(path))
         self.site = placement.site
         self.workers = placement.workers
-        self.messages = MessageReader(self.site, self.workers.find)
+        self.messages = MessageReader(self.site, self.workers.find_index)
         self.keeper = SnapshotManager(folder, 2.0, placement, cast(BackgroundScheduler, self.tasks))
         upgrades = UpgradesConfig(grace=8.0, most=500, arrivals=40.0, load=0.05)
         mover = ConnectionMigrator(self.site, upgrades, self.workers, self.messages)
@@ -195,7 +195,7 @@
     def list_says(self, workers: Any, full: bool = False, **changes: Any) -> None:
         self.list_version += 1
         body = listing(self.list_version, workers, full, **changes)
-        _, found = read_list(body, self.site, self.workers.learn, "list")
+        _, found = read_endpoint_list(body, self.site, self.workers.register, "list")
         self.batch.append(found)
 
     def join(self, proxy: int) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -75,7 +75,7 @@
         self.follower = discovery.DiscoveryClient(
             self.at,
             SITE,
-            self.workers.learn,
+            self.workers.register,
             lambda item: self.heard.put_nowait(cast(EndpointList, item)),
             41,
         )
@@ -94,7 +94,7 @@
             self.assertEqual((came.kind, came.endpoints[0].state if came.endpoints else None), (news, mode))
 
     async def following(self) -> None:
-        self.follower.follow(True)
+        self.follower.set_watching(True)
         await self.news((ListUpdateKind.DELTA, None))
 
     async def test_an_answer_that_the_watch_overtook_is_left_out(self) -> None:
@@ -108,7 +108,7 @@
         await self.there.tell(listing(44, DRAINING))
         await self.news((ListUpdateKind.DELTA, EndpointState.DRAINING))
         late.set()
-        await soon(cast(asyncio.Task[None], self.follower._call))
+        await soon(cast(asyncio.Task[None], self.follower._fetch_task))
         self.assertEqual(self.follower.version, 44)
         await self.there.tell(listing(45, entry("s-2")))
         await self.news((ListUpdateKind.DELTA, EndpointState.READY))
@@ -134,7 +134,7 @@
             return reply
 
         self.there.script = [watch, answer(listing(45, DRAINING, full=True))]
-        self.follower.follow(True)
+        self.follower.set_watching(True)
         await soon(self.there.calls.get())
         self.follower.fetch()
         await self.news((ListUpdateKind.FULL, EndpointState.DRAINING))
@@ -164,14 +164,14 @@
         await self.following()
         there, at = await self.discovery()
         there.script = [answer(listing(12, entry("s-7"), full=True)) for _ in range(2)]
-        self.follower.move(at)
+        self.follower.change_address(at)
         await self.news((ListUpdateKind.FAILED, None))
         await self.there.tell(listing(52, DRAINING))
         await self.news((ListUpdateKind.SUPERSEDED, EndpointState.DRAINING))
-        self.follower.follow(True)
+        self.follower.set_watching(True)
         await self.news((ListUpdateKind.FULL, EndpointState.READY))
         self.assertEqual(self.follower.version, 12)
-        self.assertIsNone(self.follower._former)
+        self.assertIsNone(self.follower._former_watch)
 
     async def test_a_byte_now_and_then_is_no_answer(self) -> None:
         """Bytes come in time, the line's end never does: the call is over all the same."""
@@ -184,8 +184,8 @@
                 await asyncio.sleep(0.01)
 
         self.there.script = [trickling]
-        with mock.patch.object(discovery, "CALL_WAIT", 0.1):
-            self.follower.follow(True)
+        with mock.patch.object(discovery, "FETCH_TIMEOUT", 0.1):
+            self.follower.set_watching(True)
             await self.news((ListUpdateKind.FAILED, None))
 
     async def test_lines_whose_ends_never_fall_together_with_a_piece_s(self) -> None:
@@ -204,8 +204,8 @@
             return reply
 
         self.there.script = [in_pieces]
-        with mock.patch.object(discovery, "CALL_WAIT", 0.1):
-            self.follower.follow(True)
+        with mock.patch.object(discovery, "FETCH_TIMEOUT", 0.1):
+            self.follower.set_watching(True)
             await self.news(*[(ListUpdateKind.DELTA, EndpointState.READY)] * 30)
 
     async def test_answers_that_are_none(self) -> None:
@@ -233,7 +233,7 @@
 
                 server = await asyncio.start_server(speak, "127.0.0.1", 0)
                 self.follower._origin.url = discovery._url(server.sockets[0].getsockname()[:2])
-                self.follower.follow(True)
+                self.follower.set_watching(True)
                 await self.news((ListUpdateKind.FAILED, None))
                 self.assertEqual(self.follower.version, 41)
                 server.close()
@@ -247,14 +247,14 @@
             self.addCleanup(waiting.close)
             waiting.setblocking(False)
             waiting.connect_ex(full.getsockname())
-        with mock.patch.object(discovery, "SILENCE", 0.2):
+        with mock.patch.object(discovery, "SILENCE_TIMEOUT", 0.2):
             follower = discovery.DiscoveryClient(
-                full.getsockname(), SITE, self.workers.learn, self.heard.put_nowait, 41  # type: ignore
+                full.getsockname(), SITE, self.workers.register, self.heard.put_nowait, 41  # type: ignore
             )  # fmt: skip
         self.addAsyncCleanup(follower.close)
-        follower.follow(True)
+        follower.set_watching(True)
         await self.news((ListUpdateKind.FAILED, None))
-        follower.follow(True)
+        follower.set_watching(True)
         await self.news((ListUpdateKind.FAILED, None))
         self.assertEqual(list(follower._faults._count.values()), [1])  # beside the one that was told at once
 
@@ -271,13 +271,13 @@
         }  # fmt: skip
         for fault, lines in faults.items():
             with (
-                self.subTest(fault), mock.patch.object(discovery, "LIST_MOST", 900),
-                mock.patch.object(discovery, "SILENCE", 0.2),
+                self.subTest(fault), mock.patch.object(discovery, "MAX_LIST_SIZE", 900),
+                mock.patch.object(discovery, "SILENCE_TIMEOUT", 0.2),
             ):  # fmt: skip
                 (there, at), (new, elsewhere) = await self.discovery(), await self.discovery()
                 heard: asyncio.Queue[EndpointList] = asyncio.Queue()
                 follower = discovery.DiscoveryClient(
-                    at, SITE, WorkerRegistry().learn, lambda item, to=heard: to.put_nowait(item), 41  # type: ignore
+                    at, SITE, WorkerRegistry().register, lambda item, to=heard: to.put_nowait(item), 41  # type: ignore
                 )  # fmt: skip
                 self.addAsyncCleanup(follower.close)
 
@@ -295,10 +295,10 @@
 
                 there.script = [watch]
                 new.script = [answer(listing(43, DRAINING, entry("s-2"), full=True))]
-                follower.follow(True)
+                follower.set_watching(True)
                 first = await soon(heard.get())
                 self.assertEqual(first.kind, ListUpdateKind.DELTA if lines else ListUpdateKind.FAILED)
-                follower.move(elsewhere)
+                follower.change_address(elsewhere)
                 seen = [first]
                 while seen[-1].kind != ListUpdateKind.FULL:
                     seen.append(await soon(heard.get()))
@@ -312,8 +312,8 @@
         await soon(self.there.calls.get())
         before = asyncio.all_tasks()
         await self.follower.close()
-        self.follower.move(self.at)
-        self.follower.follow(True)
+        self.follower.change_address(self.at)
+        self.follower.set_watching(True)
         self.follower.fetch()
         self.assertEqual(asyncio.all_tasks() - before, set())
 
@@ -467,7 +467,7 @@
         reload = manager.Reload(str(program.folder / "config.json"), placement, follower, where)
         reload.close()
         reload()
-        follower.move.assert_not_called()
+        follower.change_address.assert_not_called()
 
 
 class Lives(Rig):
@@ -571,14 +571,14 @@
         old, new = await self.host(handler), await self.host(handler)
         places = {5: old}
         probes = await self.probing(places.__getitem__)
-        probes.send(5)
+        probes.start_check(5)
         await soon(asked.get())
         places[5] = new
         moved.set_result(None)
         await soon(probes._tasks[5])
         self.assertTrue(self.heard.empty())
         await asyncio.sleep(0)  # the turn in which the task's end is heard of
-        probes.send(5)
+        probes.start_check(5)
         self.assertTrue(cast(HealthCheckResult, await soon(self.heard.get())).succeeded)
 
     async def test_one_probe_of_a_worker_at_a_time(self) -> None:
@@ -588,7 +588,7 @@
         at = await self.host(handler)
         probes = await self.probing(lambda worker: at)
         for _ in range(3):
-            probes.send(5)
+            probes.start_check(5)
         await soon(asked.get())
         until.set_result(None)
         await soon(self.heard.get())
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -121,7 +121,7 @@
         fleet.run(1.5)
         load, ladder = fleet.load(), fleet.ladder
         for n in range(60):
-            be = fleet.workers.learn(f"n-{n:04x}", "127.0.0.1:1", 0.0)
+            be = fleet.workers.register(f"n-{n:04x}", "127.0.0.1:1", 0.0)
             part = ladder.bes[be].planned * ladder.part[n % 4]
             self.assertLess(load.get(b"n-%04x" % n, 0.0), 1.5 * part)
 
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -19,7 +19,7 @@
 
 from cottonladder.cli import main as cli
 from cottonladder.forwarder import frame_scanner as fr
-from cottonladder.protocol.resp import MESSAGE_MOST, Reader, encode
+from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader, encode
 from cottonladder.testbed.discovery import Discovery
 from cottonladder.testbed.fleet import KINDS, Forwarder, Manager, free_port
 from cottonladder.testbed.holding_clients import Counts, HoldingClient
@@ -509,7 +509,7 @@
         await self.worker("s-1")
         await self.worker("s-2")
 
-    async def hear(self, reader: asyncio.StreamReader, come: Reader, kind: bytes) -> list[bytes]:
+    async def hear(self, reader: asyncio.StreamReader, come: RespReader, kind: bytes) -> list[bytes]:
         data = b""  # first what came behind the last message that was waited for
         while True:
             for words in come.feed(data):
@@ -518,10 +518,10 @@
             data = await asyncio.wait_for(reader.read(65536), WAIT)
             self.assertTrue(data, "the stream ended")
 
-    async def joined(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, Reader]:
+    async def joined(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, RespReader]:
         reader, writer = await asyncio.wait_for(self.streams.get(), WAIT)
         self.addCleanup(writer.close)
-        come = Reader(MESSAGE_MOST)
+        come = RespReader(MAX_MESSAGE_SIZE)
         self.assertEqual(
             (await self.hear(reader, come, b"SUBSCRIBE"))[1:5], [b"node", b"0", b"locality", b"a"]
         )
@@ -626,7 +626,7 @@
     async def test_a_manager_hears_only_who_announced_itself(self) -> None:
         manager = await self.manager()
         reader, writer = await asyncio.open_connection("127.0.0.1", manager.port)
-        come = Reader(MESSAGE_MOST)
+        come = RespReader(MAX_MESSAGE_SIZE)
         self.say(writer, "SUBSCRIBE node 5 locality a w 10.0 cold 1")
         self.say(writer, "HELD node 5 whole 1 holds s-1:50:0:0")
         self.say(writer, "MOVED node 5 move 1 done 1 failed 0")
--- a/tests/test_forwarder_rules.py
+++ b/tests/test_forwarder_rules.py
@@ -17,7 +17,7 @@
 from cottonladder.forwarder.manager_stream import read_part
 from cottonladder.forwarder.resource_limits import AdmissionPacer, ConnectionSlots, come_back
 from cottonladder.protocol import upgrade_extension as upgrades
-from cottonladder.protocol.resp import MESSAGE_MOST, Reader
+from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 
 FETCH = ro.Kind("fetch", (), ro.REPLAYABLE)
 RELEASE = ro.Kind("release", (ro.Rule(frozenset({"POST"}), "/release"),))
@@ -309,24 +309,24 @@
 
 class Messages(unittest.TestCase):
     def words(self, data: bytes) -> list[bytes]:
-        return next(Reader(MESSAGE_MOST).feed(data))
+        return next(RespReader(MAX_MESSAGE_SIZE).feed(data))
 
     def test_each_message_is_read_as_it_was_written(self) -> None:
         manager, forwarder = upgrades.read_for_manager, upgrades.read_for_forwarder
         rows = {"s-1": (3, 1, 2), "a:b": (1, 0, 0)}
         for read, data, said in (
-            (manager, upgrades.announce(7), upgrades.ForwarderAnnounced(7, 1)),
-            (manager, upgrades.moved(7, 3, 2, 1), upgrades.MigrationDone(7, 3, 2, 1)),
-            (forwarder, upgrades.welcome(0.25, 50.0), upgrades.AnnouncementAccepted(1, 0.25, 50.0)),
-            (forwarder, upgrades.stop(b"s-1"), upgrades.MigrationStopped("s-1")),
+            (manager, upgrades.encode_announcement(7), upgrades.ForwarderAnnounced(7, 1)),
+            (manager, upgrades.encode_migration_result(7, 3, 2, 1), upgrades.MigrationDone(7, 3, 2, 1)),
+            (forwarder, upgrades.encode_acceptance(0.25, 50.0), upgrades.AnnouncementAccepted(1, 0.25, 50.0)),
+            (forwarder, upgrades.encode_migration_stop(b"s-1"), upgrades.MigrationStopped("s-1")),
             (
                 forwarder,
-                upgrades.move(9, b"s-1", {b"s-2": 3}, 4, 0.5, 20.0),
+                upgrades.encode_migration(9, b"s-1", {b"s-2": 3}, 4, 0.5, 20.0),
                 upgrades.MigrationOrdered(9, "s-1", {"s-2": 3}, 4, 0.5, 20.0),
             ),
         ):
             self.assertEqual(read(self.words(data)), said)
-        held = upgrades.read_for_manager(self.words(upgrades.holds(7, True, rows)))
+        held = upgrades.read_for_manager(self.words(upgrades.encode_held_connections(7, True, rows)))
         self.assertEqual(held, upgrades.HeldConnections(7, True, {k.encode(): v for k, v in rows.items()}))
 
     def test_garbled_ones_are_one_clear_line(self) -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -29,7 +29,7 @@
 from cottonladder.protocol import stream_listener as address
 from cottonladder.protocol.discovery import DiscoveryClient as WireDiscovery
 from cottonladder.protocol.gossip import GossipSocket
-from cottonladder.protocol.resp import MESSAGE_MOST, Reader
+from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from cottonladder.state.proxy_sessions import ProxySessions
 from tests.standins import SETTINGS, Discovery, Handler, Program, Rig, entry, listing, soon
 
@@ -237,7 +237,7 @@
         heard: asyncio.Queue[Input] = asyncio.Queue()
         where = ("127.0.0.1", int(self.at.split(":")[1]))
         follower = WireDiscovery(where, read_settings(SETTINGS, 1, ""), faulty, heard.put_nowait, 41)
-        follower.follow(True)
+        follower.set_watching(True)
         await self.discovery.tell(listing(42, entry("s-1")))
         news = [cast(EndpointList, await soon(heard.get())).kind for _ in range(2)]
         self.assertEqual(news, [ListUpdateKind.DELTA, ListUpdateKind.FAILED])
@@ -376,7 +376,7 @@
         transport.is_closing.return_value = False
         late.connection_made(transport)
         for sweeps, ended in ((1, False), (2, True)):
-            with mock.patch.object(address, "JOIN_WAIT", -1.0):
+            with mock.patch.object(address, "IDENTIFY_TIMEOUT", -1.0):
                 where._sweep()
             self.assertEqual(transport.abort.called, ended, sweeps)
         await where.close()
@@ -384,7 +384,7 @@
     async def test_a_long_message_is_refused_before_it_is_taken(self) -> None:
         begun = b"*2\r\n$600000\r\n" + b"x" * 600000 + b"\r\n$600000\r\n"
         with self.assertRaisesRegex(WireError, "over the limit"):
-            list(Reader(MESSAGE_MOST).feed(begun))
+            list(RespReader(MAX_MESSAGE_SIZE).feed(begun))
 
     async def test_steps_of_the_systems_time_do_not_reach_the_module(self) -> None:
         clock = Clock()
@@ -399,7 +399,9 @@
         transport = mock.Mock(spec=asyncio.Transport)
         transport.is_closing.return_value = False
         transport.get_extra_info.return_value = ("127.0.0.1", 1)
-        shares = address.ConnectionLimits(connections=8, accepts=4, probes=4, unread=1000)
+        shares = address.ConnectionLimits(
+            max_connections=8, accept_batch=4, max_health_checks=4, max_unread_bytes=1000
+        )
         connection = address.ProtocolConnection(
             address.StreamListener(mock.Mock(), ProxySessions(mock.Mock()), shares)
         )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -36,9 +36,9 @@
     WatchEndpoints,
 )
 from cottonladder.policy.controller import RoutingController
-from cottonladder.protocol.discovery import read_list
+from cottonladder.protocol.discovery import read_endpoint_list
 from cottonladder.protocol.messages import MessageReader
-from cottonladder.protocol.resp import MESSAGE_MOST, Reader
+from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from cottonladder.state.order_dispatcher import OrderDispatcher
 from cottonladder.state.worker_registry import WorkerRegistry
 from tests.standins import Program, Rig, soon
@@ -59,19 +59,19 @@
             settings[part] = {**settings[part], **values} if isinstance(values, dict) else values
         self.site = read_settings(settings, 7, "settings")
         self.workers = WorkerRegistry()
-        self.messages = MessageReader(self.site, self.workers.find)
+        self.messages = MessageReader(self.site, self.workers.find_index)
         self.ladder = RoutingController(self.site.parameters)
         self.spread = OrderDispatcher(
             list(self.site.classes), self.site.parameters.manager_count, self.workers
         )
-        self.ladder.gate.added = self.spread.added
+        self.ladder.gate.added = self.spread.count_added_lines
         self.lines, self.said = lines, list[str]()
         self.due: tuple[float, int] = (BEGAN, 0)
         self.marks: list[Input] = []
 
     def input(self, verb: str, words: str) -> Input:
         if verb == "list":
-            listing = read_list(json.loads(words), self.site, self.workers.learn, "list")[1]
+            listing = read_endpoint_list(json.loads(words), self.site, self.workers.register, "list")[1]
             first = not self.ladder.listed
             return EndpointList(ListUpdateKind.CACHED, listing.endpoints) if first else listing
         if verb == "leave":
@@ -94,7 +94,7 @@
             yield
 
     def feed(self, now: float, inputs: list[Input]) -> None:
-        self.spread.hear(inputs)
+        self.spread.track_proxies(inputs)
         orders = self.ladder.decide(now, inputs)
         for order in orders:
             if isinstance(order, StartTimer):
@@ -102,11 +102,11 @@
             elif isinstance(order, (LogModeChange, SendGossip)):
                 self.said.append(f"{now:.2f} {order}")
             elif not isinstance(order, (WatchEndpoints, HealthCheck)):
-                assert self.spread.take(order) == "", order
+                assert self.spread.apply(order) == "", order
         if any(isinstance(order, Checkpoint) for order in orders):
-            self.ladder.gate.settle(self.spread.lines())
-        for proxy, data in self.spread.messages():
-            for words in Reader(MESSAGE_MOST).feed(data):
+            self.ladder.gate.settle(self.spread.pending_line_counts())
+        for proxy, data in self.spread.take_messages():
+            for words in RespReader(MAX_MESSAGE_SIZE).feed(data):
                 said = b" ".join(words).decode()
                 self.said.append(f"{now:.2f} to {proxy}: {said}")
                 if "stamp " in said:
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -49,7 +49,7 @@
     WatchEndpoints,
 )
 from cottonladder.policy.controller import RoutingController
-from cottonladder.protocol.resp import MESSAGE_MOST, Reader
+from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from cottonladder.state.order_dispatcher import OrderDispatcher
 from cottonladder.state.worker_registry import WorkerRegistry
 from tests.test_scenarios import USUAL
@@ -71,33 +71,33 @@
         elif verb == "listed":
             for arg in args:
                 name, _, started = arg.partition("^")
-                self.workers.learn(name, "", float(started or 0))
+                self.workers.register(name, "", float(started or 0))
             self.spread = self.spread or OrderDispatcher(self.kinds, self.managers, self.workers)
         elif self.spread is None:
             raise ValueError("nobody is listed yet")
         elif verb == "join":
-            self.spread.joined(int(args[0][1:]), args[1:] == ["fresh"])
+            self.spread.connect_proxy(int(args[0][1:]), args[1:] == ["fresh"])
             self.seen.pop(int(args[0][1:]), None)
         elif verb == "left":
-            self.spread.left(int(args[0][1:]))
+            self.spread.disconnect_proxy(int(args[0][1:]))
             self.seen.pop(int(args[0][1:]), None)
         elif verb == "costs":
-            lines = self.spread.lines()
+            lines = self.spread.pending_line_counts()
             costs = {p: n - self.seen.get(p, 0) for p, n in lines.items() if n > self.seen.get(p, 0)}
             expect(costs, {int(p[1:]): int(n) for p, _, n in (a.partition("=") for a in args)})
             self.seen = lines
         elif verb == "sends":
-            self.sent.update(self.spread.messages())
+            self.sent.update(self.spread.take_messages())
             self.seen = {}
-            messages = list(Reader(MESSAGE_MOST).feed(self.sent.pop(int(args[0][1:]), b"")))
+            messages = list(RespReader(MAX_MESSAGE_SIZE).feed(self.sent.pop(int(args[0][1:]), b"")))
             expect({m[0] for m in messages} or {b"CONFIG"}, {b"CONFIG"})
             parts = [b" ".join(m[1:]).decode() for m in messages]
             expect(" | ".join(parts) or "nothing", " ".join(args[1:]))
         elif verb == "refused":
-            if not self.spread.take(self.order(args[0], args[1:])):
+            if not self.spread.apply(self.order(args[0], args[1:])):
                 raise AssertionError("was taken")
         else:
-            expect(self.spread.take(self.order(verb, args)), "")
+            expect(self.spread.apply(self.order(verb, args)), "")
 
     def order(self, verb: str, args: list[str]) -> Order:
         if verb == "line":
@@ -132,7 +132,7 @@
         self.rows, self.out, self.waiting = dict[bytes, float](), set[bytes](), list[bytes]()
 
     def arrive(self) -> None:
-        for message in Reader(MESSAGE_MOST).feed(b"".join(self.waiting)):
+        for message in RespReader(MAX_MESSAGE_SIZE).feed(b"".join(self.waiting)):
             fields = dict(zip(message[1::2], message[2::2], strict=True))
             if b"replace" in fields:
                 self.rows = {}
@@ -167,7 +167,7 @@
     def entry(self, n: int) -> Endpoint:
         started = self.draw.choice([0.0, 0.0, self.now - 5.0])
         mode = self.draw.choice([EndpointState.READY] * 4 + [EndpointState.DRAINING, EndpointState.GONE])
-        return Endpoint(self.workers.learn(f"s-{n}", "", started), n % 3, mode, 1.0, started)
+        return Endpoint(self.workers.register(f"s-{n}", "", started), n % 3, mode, 1.0, started)
 
     def listing(self, news: ListUpdateKind) -> EndpointList:
         names = [self.draw.randrange(14) for _ in range(self.draw.choice([1, 14]))]
@@ -179,7 +179,7 @@
         holder.waiting = holder.waiting[: self.draw.randrange(3)]  # the rest is lost with the stream
         holder.arrive()
         if self.managers > 1 and not fresh:
-            restarted = [i for i in self.workers.ids if self.workers.restarted(i)]
+            restarted = [i for i in self.workers.ids if self.workers.has_restarted(i)]
             holder.out |= {self.workers.ids[i] for i in self.draw.sample(restarted, min(3, len(restarted)))}
         again: list[Input] = [left] if p in self.holders else []
         self.holders[p] = holder
@@ -206,13 +206,13 @@
         ]
 
     def step(self, inputs: list[Input]) -> None:
-        self.spread.hear(inputs)
+        self.spread.track_proxies(inputs)
         for order in self.ladder.decide(self.now, inputs):
             if isinstance(order, StartTimer):
                 self.token = order.token
             elif not isinstance(order, (WatchEndpoints, HealthCheck, SendGossip, LogModeChange)):
-                expect(self.spread.take(order), "")
-        for p, data in self.spread.messages():
+                expect(self.spread.apply(order), "")
+        for p, data in self.spread.take_messages():
             self.holders[p].waiting.append(data)
 
     def agree(self) -> None:
@@ -244,15 +244,15 @@
         """All its lines arrive, in parts that the protocol takes; the last says that none follows."""
         workers = WorkerRegistry()
         spread = OrderDispatcher(["fetch"], 1, workers)
-        spread.joined(0, True)
+        spread.connect_proxy(0, True)
         for n in range(50_000):
-            spread.take(SetWeight(1, workers.learn(f"s-{n:040}", "", 0.0), 1.5))
-        spread.take(BindProxy(0, 1, 0))
-        ((_, data),) = spread.messages()
-        parts = list(Reader(MESSAGE_MOST).feed(data))
+            spread.apply(SetWeight(1, workers.register(f"s-{n:040}", "", 0.0), 1.5))
+        spread.apply(BindProxy(0, 1, 0))
+        ((_, data),) = spread.take_messages()
+        parts = list(RespReader(MAX_MESSAGE_SIZE).feed(data))
         self.assertEqual(sum(part[part.index(b"rows") + 1].count(b":") for part in parts), 50_000)
         self.assertEqual([b"part" in part for part in parts], [True] * (len(parts) - 1) + [False])
-        self.assertTrue(all(sum(map(len, part)) < MESSAGE_MOST for part in parts))
+        self.assertTrue(all(sum(map(len, part)) < MAX_MESSAGE_SIZE for part in parts))
 
     def test_scenarios(self) -> None:
         paths = sorted((Path(__file__).parent / "spread").glob("*.txt"))
