--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..model.inputs import EndpointList, ListUpdateKind
-from ..protocol.discovery import read_list
+from ..protocol.discovery import read_endpoint_list
 from ..state.worker_registry import WorkerRegistry
 from .deployment import DeploymentSettings, read_settings
 from .errors import InputError
@@ -62,7 +62,7 @@
         raise InputError(f"{WHERE}: settings: field KeyRanges is not 0, and this protocol has no slices")
     workers = WorkerRegistry()
     known = field(body, "known", dict, WHERE)
-    version, listing = read_list(known, site, workers.learn, f"{WHERE}: known")
+    version, listing = read_endpoint_list(known, site, workers.register, f"{WHERE}: known")
     talks, limits = site.parameters.gossip, field(body, "limits", dict, WHERE)
     peers = field(body, "peers", list, WHERE) if talks else []
     return ManagerConfig(
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -19,7 +19,7 @@
 from ..protocol.gossip import GossipSocket
 from ..protocol.health_checks import HealthChecker
 from ..protocol.messages import MessageReader
-from ..protocol.stream_listener import QUEUE, ConnectionLimits, StreamListener
+from ..protocol.stream_listener import ACCEPT_QUEUE_LENGTH, ConnectionLimits, StreamListener
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.proxy_sessions import ProxySessions
 from . import signals
@@ -44,7 +44,7 @@
     left = sockets - RESERVED_DESCRIPTORS - CLOSE_LAG_TURNS * accepts - probes
     unread = (config.memory_mb << 20) // (4 * max(1, terms.proxy_count))
     queue = max(
-        QUEUE, 2 * terms.proxy_count
+        ACCEPT_QUEUE_LENGTH, 2 * terms.proxy_count
     )  # each may have dialled anew before its last dial is seen to end
     return ConnectionLimits(max(2 * terms.zone_count, left), accepts, probes, unread, queue)
 
@@ -84,9 +84,9 @@
             self.log.error("configuration not taken", why=str(exc))
             return
         if new.discovery != held.discovery:
-            self._discovery.move(new.discovery)
+            self._discovery.change_address(new.discovery)
         self._running = replace(held, discovery=new.discovery, sockets=new.sockets, memory_mb=new.memory_mb)
-        self._listener.shares = connection_limits(self._running)
+        self._listener.limits = connection_limits(self._running)
         fixed, (host, port) = ",".join(unchangeable_fields(held, new)) or "none", new.discovery
         self.log.info("configuration taken", discovery=f"{host}:{port}", unchangeable=fixed)
 
@@ -168,17 +168,17 @@
             if keeper
             else (config.list_version, config.known_endpoints)
         )
-        discovery = DiscoveryClient(config.discovery, site, workers.learn, inbox.put, version)
+        discovery = DiscoveryClient(config.discovery, site, workers.register, inbox.put, version)
         stack.push_async_callback(discovery.close)
         path = "/load" if site.load_reports else "/healthz"
-        probing = HealthChecker(path, limits.probes, workers.address, inbox.put)
+        probing = HealthChecker(path, limits.max_health_checks, workers.address_of, inbox.put)
         stack.push_async_callback(probing.close)
         peers = GossipSocket(site.manager_index, config.peers, config.peers_all, inbox.put)
         stack.callback(peers.close)
         if config.peer_listen is not None:
             await peers.listen(config.peer_listen)
         spread = OrderDispatcher(list(site.classes), site.parameters.manager_count, workers)
-        messages = MessageReader(site, workers.find)
+        messages = MessageReader(site, workers.find_index)
         hands = Effects(discovery, probing, peers)
         plans = configured_extensions(config, operator, messages)
         for plan in plans:
