--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -68,15 +68,15 @@
 
 
 class LimitsConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    connections: Many = limits.CONNECTIONS
-    worker: Many = limits.CONNECTIONS_WORKER
-    client: Many = limits.CONNECTIONS_CLIENT
-    header_bytes: Bytes = limits.HEADER_BYTES
-    body_bytes: Bytes = limits.BODY_BYTES
-    connect_wait: Seconds = limits.CONNECT_WAIT
-    first_byte_wait: Seconds = limits.FIRST_BYTE_WAIT
-    idle_wait: Seconds = limits.IDLE_WAIT
-    pool: Many = limits.POOL_WORKER
+    connections: Many = limits.MAX_CONNECTIONS
+    worker: Many = limits.MAX_CONNECTIONS_PER_WORKER
+    client: Many = limits.MAX_CONNECTIONS_PER_CLIENT
+    header_bytes: Bytes = limits.MAX_HEADER_BYTES
+    body_bytes: Bytes = limits.MAX_BODY_BYTES
+    connect_wait: Seconds = limits.CONNECT_TIMEOUT
+    first_byte_wait: Seconds = limits.FIRST_BYTE_TIMEOUT
+    idle_wait: Seconds = limits.IDLE_TIMEOUT
+    pool: Many = limits.POOL_SIZE_PER_WORKER
 
 
 class PluginConfig(Struct, forbid_unknown_fields=True, frozen=True):
@@ -259,13 +259,13 @@
     return address({"at": text}, "at", "operators' file")
 
 
-def kinds_of(part: ForwarderConfig) -> list[routing.Kind]:
+def kinds_of(part: ForwarderConfig) -> list[routing.RequestClass]:
     """The request kinds as the routes know them."""
     return [
-        routing.Kind(
+        routing.RequestClass(
             kind.name,
             tuple(
-                routing.Rule(frozenset(m.methods), m.path, tuple((k, v) for k, v in m.headers.items()))
+                routing.MatchRule(frozenset(m.methods), m.path, tuple((k, v) for k, v in m.headers.items()))
                 for m in kind.match
             ),
             kind.replays,
@@ -276,7 +276,17 @@
 
 
 def most_of(part: LimitsConfig) -> limits.ResourceLimits:
-    return limits.ResourceLimits(**msgspec.structs.asdict(part))
+    return limits.ResourceLimits(
+        connections=part.connections,
+        connections_per_worker=part.worker,
+        connections_per_client=part.client,
+        header_bytes=part.header_bytes,
+        body_bytes=part.body_bytes,
+        connect_timeout=part.connect_wait,
+        first_byte_timeout=part.first_byte_wait,
+        idle_timeout=part.idle_wait,
+        pool_size=part.pool,
+    )
 
 
 def schema() -> str:
--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -11,31 +11,34 @@
 from aiohttp.web_protocol import RequestHandler
 
 from ..protocol.fault_log import RateLimitedFaultLog
-from .resource_limits import HEADER_WAIT, STALL_WAIT, ConnectionSlots, ResourceLimits
-from .tunnel import End, Reply
+from .resource_limits import HEADER_TIMEOUT, STALL_TIMEOUT, ConnectionSlots, ResourceLimits
+from .tunnel import ClientEnd, HandshakeReply
 
-SWEEP = 0.5  # s between looks at who has not sent a head yet
-STOP_WAIT = 5.0  # s that plain reqs under way have at the stop
+SWEEP_INTERVAL = 0.5  # s between looks at who has not sent a head yet
+STOP_TIMEOUT = 5.0  # s that plain reqs under way have at the stop
 
 
-class Guarded(RequestHandler):
+class LimitedRequestHandler(RequestHandler):
     """aiohttp's handler of one connection, counted from accept to end, and closed if no head comes."""
 
-    __slots__ = ("front", "client", "came", "heads", "counted")
+    __slots__ = ("listener", "client", "accepted_at", "has_slot")
 
-    def __init__(self, front: ClientListener, manager: web.Server, **kwargs: Any) -> None:
+    def __init__(self, listener: ClientListener, manager: web.Server, **kwargs: Any) -> None:
         super().__init__(manager, **kwargs)
-        self.front, self.client, self.came, self.heads, self.counted = front, "", 0.0, 0, False
+        self.listener = listener
+        self.client = ""
+        self.accepted_at = 0.0
+        self.has_slot = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         peer = transport.get_extra_info("peername")
         self.client = str(peer[0]) if peer else "?"
-        self.came = asyncio.get_running_loop().time()
-        self.front.opened(self)
+        self.accepted_at = asyncio.get_running_loop().time()
+        self.listener.connection_opened(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        self.front.closed(self)
+        self.listener.connection_closed(self)
         super().connection_lost(exc)
 
 
@@ -43,13 +46,13 @@
     """Owns the listener and counts its connections; a tunnel takes its connection's place over."""
 
     def __init__(
-        self, most: ResourceLimits, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
+        self, limits: ResourceLimits, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
     ) -> None:
-        self.most, self._handle = most, handle
-        self.places = ConnectionSlots(most.connections, most.client)
+        self.limits, self._handle = limits, handle
+        self.slots = ConnectionSlots(limits.connections, limits.connections_per_client)
         self.faults = RateLimitedFaultLog("client fault")
-        self._new: dict[Guarded, None] = {}
-        self._late: list[Guarded] = []  # had sent no head by the last sweep
+        self._awaiting_head: dict[LimitedRequestHandler, None] = {}
+        self._overdue: list[LimitedRequestHandler] = []  # had sent no head by the last sweep
         self._server = web.Server(self._answer, handler_cancellation=True)
         self._listener: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -57,66 +60,66 @@
     async def listen(self, host: str, port: int) -> int:
         loop = asyncio.get_running_loop()
 
-        def handler() -> Guarded:
-            return Guarded(
-                self, self._server, loop=loop, keepalive_timeout=self.most.idle_wait, access_log=None,
-                max_line_size=self.most.header_bytes, max_field_size=self.most.header_bytes,
+        def handler() -> LimitedRequestHandler:
+            return LimitedRequestHandler(
+                self, self._server, loop=loop, keepalive_timeout=self.limits.idle_timeout, access_log=None,
+                max_line_size=self.limits.header_bytes, max_field_size=self.limits.header_bytes,
                 lingering_time=0.5, auto_decompress=False,
             )  # fmt: skip
 
         self._listener = await loop.create_server(handler, host, port, backlog=1024)
-        self._sweep()
+        self._close_overdue()
         return int(self._listener.sockets[0].getsockname()[1])
 
-    def opened(self, handler: Guarded) -> None:
-        if self.places.take(handler.client):
-            handler.counted = True
-            self._new[handler] = None
+    def connection_opened(self, handler: LimitedRequestHandler) -> None:
+        if self.slots.acquire(handler.client):
+            handler.has_slot = True
+            self._awaiting_head[handler] = None
             return
         self.faults.note("too many connections", client=handler.client)
         if handler.transport is not None:
-            said = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n"
-            handler.transport.write(said + b"Connection: close\r\n\r\n")
+            head = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n"
+            handler.transport.write(head + b"Connection: close\r\n\r\n")
         handler.force_close()
 
-    def closed(self, handler: Guarded) -> None:
-        self._new.pop(handler, None)
-        if handler.counted:
-            handler.counted = False
-            self.places.give_back(handler.client)
+    def connection_closed(self, handler: LimitedRequestHandler) -> None:
+        self._awaiting_head.pop(handler, None)
+        if handler.has_slot:
+            handler.has_slot = False
+            self.slots.release(handler.client)
 
-    def _sweep(self) -> None:
+    def _close_overdue(self) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
-        for handler in self._late:  # late at the last sweep already: what had come by then has been read
-            if handler in self._new:
-                del self._new[handler]
+        for handler in self._overdue:  # late at the last sweep already: what had come by then has been read
+            if handler in self._awaiting_head:
+                del self._awaiting_head[handler]
                 self.faults.note("no request in time", client=handler.client)
                 handler.force_close()
-        self._late = [h for h in self._new if now - h.came >= HEADER_WAIT]
+        self._overdue = [h for h in self._awaiting_head if now - h.accepted_at >= HEADER_TIMEOUT]
         self.faults.sum_up(now)
-        self._timer = loop.call_later(SWEEP, self._sweep)
+        self._timer = loop.call_later(SWEEP_INTERVAL, self._close_overdue)
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._new.pop(cast(Guarded, request.protocol), None)
+        self._awaiting_head.pop(cast(LimitedRequestHandler, request.protocol), None)
         return await self._handle(request)
 
-    def take_over(self, request: web.BaseRequest) -> tuple[End, bytes, str]:
+    def detach(self, request: web.BaseRequest) -> tuple[ClientEnd, bytes, str]:
         """The client's connection leaves aiohttp: its transport speaks to an end of a tunnel from now on.
         Gives that end, what had come already, and whose place the tunnel gives back."""
-        handler = cast(Guarded, request.protocol)
+        handler = cast(LimitedRequestHandler, request.protocol)
         transport = request.transport
         if transport is None or transport.is_closing():
             raise ConnectionResetError("the client has gone")
-        rest = _Rest()
-        handler.set_parser(cast(Any, rest))  # gives what came behind the head
-        end = End()
-        handler.counted, client = False, handler.client
+        collector = _ByteCollector()
+        handler.set_parser(cast(Any, collector))  # gives what came behind the head
+        end = ClientEnd()
+        handler.has_slot, client = False, handler.client
         transport.set_protocol(end)
         end.connection_made(transport)
         handler.transport = None  # no longer aiohttp's to close
         handler.connection_lost(None)  # it gives back what it keeps of the connection
-        return end, bytes(rest.data), client
+        return end, bytes(collector.data), client
 
     async def close(self) -> None:
         if self._timer is not None:
@@ -124,14 +127,14 @@
         if self._listener is not None:
             self._listener.close()
         with suppress(TimeoutError):
-            await asyncio.wait_for(self._server.shutdown(STOP_WAIT), STOP_WAIT + 1.0)
+            await asyncio.wait_for(self._server.shutdown(STOP_TIMEOUT), STOP_TIMEOUT + 1.0)
 
     def stop_listening(self) -> None:
         if self._listener is not None:
             self._listener.close()
 
 
-class _Rest:
+class _ByteCollector:
     """A parser for aiohttp that keeps the bytes."""
 
     def __init__(self) -> None:
@@ -145,32 +148,32 @@
         pass
 
 
-def agreed(reply: Reply) -> bytes:
+def switching_protocols_head(reply: HandshakeReply) -> bytes:
     """A worker's 101 as it came."""
     lines = [b"HTTP/1.1 101 " + (reply.reason or b"Switching Protocols")]
     lines += [name + b": " + value for name, value in reply.headers]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-class HandedOver(web.StreamResponse):
+class UpgradedResponse(web.StreamResponse):
     """Nothing more to answer: the connection is a tunnel's by now, or has ended."""
 
     async def prepare(self, request: web.BaseRequest) -> None:
         raise ConnectionResetError("handed over")
 
 
-class BodyTooLarge(Exception):
+class BodyTooLargeError(Exception):
     pass
 
 
-async def body_of(request: web.BaseRequest, most: int) -> AsyncIterator[bytes]:
+async def body_pieces(request: web.BaseRequest, max_bytes: int) -> AsyncIterator[bytes]:
     """The req's body in pieces, as the client sends it; reading on is what lets the client send more."""
     read = 0
     while True:
-        piece = await asyncio.wait_for(request.content.readany(), STALL_WAIT)
+        piece = await asyncio.wait_for(request.content.readany(), STALL_TIMEOUT)
         if not piece:
             return
         read += len(piece)
-        if read > most:
-            raise BodyTooLarge
+        if read > max_bytes:
+            raise BodyTooLargeError
         yield piece
--- a/cottonladder/forwarder/connection_registry.py
+++ b/cottonladder/forwarder/connection_registry.py
@@ -10,24 +10,24 @@
 from dataclasses import dataclass
 from typing import Generic, Protocol, TypeVar
 
-ROWS_MOST = 2000  # workers in one message: some 60 KB, far under the protocol's megabyte
+MAX_WORKERS_PER_MESSAGE = 2000  # workers in one message: some 60 KB, far under the protocol's megabyte
 
 
-class Held(Protocol):
+class HeldConnection(Protocol):
     """A connection, as far as it is counted here; `held`: it is not under way from its worker."""
 
     @property
-    def held(self) -> bool: ...
+    def is_held(self) -> bool: ...
     @property
-    def resumable(self) -> bool: ...
-    def busy(self, now: float) -> bool: ...
+    def is_resumable(self) -> bool: ...
+    def is_busy(self, now: float) -> bool: ...
 
 
-T = TypeVar("T", bound=Held)
+T = TypeVar("T", bound=HeldConnection)
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class WorkerConnectionCounts:
     """What a manager is told of one worker: all, busy and resumable connections."""
 
     open: int
@@ -39,55 +39,74 @@
     """Owns the count; each connection is entered once and struck out once."""
 
     def __init__(self) -> None:
-        self._at: dict[str, dict[T, None]] = {}
-        self._told: dict[str, Row] = {}
+        self._by_worker: dict[str, dict[T, None]] = {}
+        self._reported: dict[str, WorkerConnectionCounts] = {}
 
-    def enter(self, be: str, connection: T) -> None:
-        self._at.setdefault(be, {})[connection] = None
+    def add(self, worker_id: str, connection: T) -> None:
+        self._by_worker.setdefault(worker_id, {})[connection] = None
 
-    def strike(self, be: str, connection: T) -> None:
-        held = self._at[be]
-        del held[connection]
-        if not held:
-            del self._at[be]
+    def remove(self, worker_id: str, connection: T) -> None:
+        connections = self._by_worker[worker_id]
+        del connections[connection]
+        if not connections:
+            del self._by_worker[worker_id]
 
-    def move(self, source: str, be: str, connection: T) -> None:
-        self.strike(source, connection)
-        self.enter(be, connection)
+    def move(self, source: str, worker_id: str, connection: T) -> None:
+        self.remove(source, connection)
+        self.add(worker_id, connection)
 
-    def count(self, be: str) -> int:
-        return len(self._at.get(be, ()))
+    def count(self, worker_id: str) -> int:
+        return len(self._by_worker.get(worker_id, ()))
 
     def total(self) -> int:
-        return sum(len(held) for held in self._at.values())
+        return sum(len(connections) for connections in self._by_worker.values())
 
     def workers(self) -> set[str]:
-        return set(self._at)
+        return set(self._by_worker)
 
-    def at(self, be: str) -> list[T]:
-        return list(self._at.get(be, ()))
+    def connections_of(self, worker_id: str) -> list[T]:
+        return list(self._by_worker.get(worker_id, ()))
 
-    def split(self, be: str, now: float) -> tuple[list[T], int]:
+    def idle_and_held(self, worker_id: str, now: float) -> tuple[list[T], int]:
         """Those that may be moved now, the ones entered first in front, and how many are held in all."""
-        held = [c for c in self._at.get(be, ()) if c.held]
-        return [c for c in held if not c.busy(now)], len(held)
+        connections = [c for c in self._by_worker.get(worker_id, ()) if c.is_held]
+        return [c for c in connections if not c.is_busy(now)], len(connections)
 
-    def rows(self, now: float) -> dict[str, Row]:
+    def counts(self, now: float) -> dict[str, WorkerConnectionCounts]:
         return {
-            be: Row(len(held), sum(c.busy(now) for c in held), sum(c.resumable for c in held))
-            for be, held in self._at.items()
+            worker_id: WorkerConnectionCounts(
+                len(connections),
+                sum(c.is_busy(now) for c in connections),
+                sum(c.is_resumable for c in connections),
+            )
+            for worker_id, connections in self._by_worker.items()
         }
 
-    def joined(self) -> None:
+    def reset_reported(self) -> None:
         """A new stream: its manager has been told nothing."""
-        self._told.clear()
+        self._reported.clear()
 
-    def news(self, now: float, whole: bool) -> Iterator[tuple[bool, dict[str, Row]]]:
+    def changes(self, now: float, is_full: bool) -> Iterator[tuple[bool, dict[str, WorkerConnectionCounts]]]:
         """What is to be told, in pieces, as (is it the whole, rows); a worker left behind has none."""
-        rows = self.rows(now)
-        gone = {be: Row(0, 0, 0) for be in self._told if be not in rows}
-        changed = rows if whole else {be: r for be, r in (rows | gone).items() if self._told.get(be) != r}
-        self._told = rows
+        rows = self.counts(now)
+        emptied = {
+            worker_id: WorkerConnectionCounts(0, 0, 0)
+            for worker_id in self._reported
+            if worker_id not in rows
+        }
+        changed = (
+            rows
+            if is_full
+            else {
+                worker_id: r
+                for worker_id, r in (rows | emptied).items()
+                if self._reported.get(worker_id) != r
+            }
+        )
+        self._reported = rows
         names = list(changed)
-        for n in range(0, len(names), ROWS_MOST) or ([0] if whole else []):
-            yield whole and n == 0, {be: changed[be] for be in names[n : n + ROWS_MOST]}
+        for n in range(0, len(names), MAX_WORKERS_PER_MESSAGE) or ([0] if is_full else []):
+            yield (
+                is_full and n == 0,
+                {worker_id: changed[worker_id] for worker_id in names[n : n + MAX_WORKERS_PER_MESSAGE]},
+            )
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -29,30 +29,36 @@
 from ..protocol import upgrade_extension as upgrades
 from ..protocol.discovery import DiscoveryClient
 from ..state.worker_registry import WorkerRegistry as Known
-from .connection_drainer import TICK, ConnectionDrainer
-from .load_recorder import REPORT_EVERY, LoadRecorder
-from .manager_stream import Collector, Stream
+from .connection_drainer import TICK_INTERVAL, ConnectionDrainer
+from .load_recorder import REPORT_INTERVAL, LoadRecorder
+from .manager_stream import LoadReporter, ManagerStream
 from .request_handler import RequestHandler
 from .resource_limits import AdmissionPacer
-from .router import Part, Router, Unusable
+from .router import ConfigPart, OrderRejected, Router
 from .tunnel import UpgradePolicy
 
 if TYPE_CHECKING:
     from ..plugins.chain import Wanted
 
-LIST_AGAIN = (0.3, 1.0)  # s, dealt by chance, until a failed call to discovery is made again
-LIST_WAIT_MOST = 8.0  # times that, doubled with each call that fails: a fleet's calls keep discovery down
-HELD_EVERY = 0.25  # s between words on held connections: managers plan each half second
-FORGET_AFTER = 600.0  # s after which a worker that is gone and in no table is known no more
-STOP_MOST = 10.0  # s that connections have at SIGTERM, or the grace if that is less
-LABELS_MOST = 64  # of one worker
-QUIET_GRACE = 30.0  # s for drains where the file has no grace: upgraded connections are carried all the same
+LIST_RETRY_DELAY = (0.3, 1.0)  # s, dealt by chance, until a failed call to discovery is made again
+MAX_LIST_BACKOFF = 8.0  # times that, doubled with each call that fails: a fleet's calls keep discovery down
+HELD_REPORT_INTERVAL = 0.25  # s between words on held connections: managers plan each half second
+REMOVED_WORKER_TTL = 600.0  # s after which a worker that is gone and in no table is known no more
+MAX_STOP_TIME = 10.0  # s that connections have at SIGTERM, or the grace if that is less
+MAX_LABELS = 64  # of one worker
+DEFAULT_GRACE = (
+    30.0  # s for drains where the file has no grace: upgraded connections are carried all the same
+)
 
 
-def wanted(part: PluginsConfig) -> list[Wanted]:
+def plugin_specs(config: PluginsConfig) -> list[Wanted]:
     from ..plugins.chain import Wanted
 
-    return [Wanted(p.name, p.path, p.fail == "closed", frozenset(p.grants), p.seed) for p in part.chain]
+    return [Wanted(p.name, p.path, p.fail == "closed", frozenset(p.grants), p.seed) for p in config.chain]
+
+
+def _rounded(weights: dict[str, float]) -> dict[str, float]:
+    return {worker_id: round(weight, 4) for worker_id, weight in weights.items()}
 
 
 class Zones:
@@ -71,236 +77,249 @@
     """Who the stream and the list speak to; one task and one loop, so nothing here waits."""
 
     def __init__(self, operator: OperatorConfig) -> None:
-        part = operator.forwarder
-        assert part is not None
-        self.part, self.upgrades = part, operator.upgrades
+        config = operator.forwarder
+        assert config is not None
+        self.config, self.upgrades = config, operator.upgrades
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self.loop = asyncio.get_running_loop()
-        chance = random.Random(part.seed or time.time_ns())
-        self._chance = chance
-        self.known, self._zones = Known(), Zones(part.zones)
-        self._home = self._zones.zone_index(part.zone, "forwarder")
-        self._modes: dict[int, EndpointState] = {}
+        rng = random.Random(config.seed or time.time_ns())
+        self._random = rng
+        self.registry, self._zones = Known(), Zones(config.zones)
+        self._home = self._zones.zone_index(config.zone, "forwarder")
+        self._endpoint_states: dict[int, EndpointState] = {}
         self._zone_of: dict[int, int] = {}
-        self._gone: dict[int, float] = {}
-        kinds = kinds_of(part)
-        manners = {
+        self._removed_at: dict[int, float] = {}
+        classes = kinds_of(config)
+        policies = {
             k.name: UpgradePolicy(
                 None if k.busy.opens is None else k.busy.opens.encode(),
                 k.busy.ends.encode(),
                 k.busy.quiet,
                 k.ticket,
             )  # fmt: skip
-            for k in part.kinds
+            for k in config.kinds
         }
-        self.routes = Router(kinds, part.levels, chance.random)
-        self.drains = ConnectionDrainer(self.upgrades.grace if self.upgrades else QUIET_GRACE)
-        rate = self.upgrades.arrivals if self.upgrades else float(part.limits.worker)
-        self.arrivals = AdmissionPacer(rate, 1.0)
-        self.met = LoadRecorder(part.zone, part.node, self.loop.time())
-        self.carrier = RequestHandler(
-            kinds, manners, self.routes, self.drains, self.arrivals, most_of(part.limits), self.address,
-            self.met, chance,
+        self.router = Router(classes, config.levels, rng.random)
+        self.drainer = ConnectionDrainer(self.upgrades.grace if self.upgrades else DEFAULT_GRACE)
+        rate = self.upgrades.arrivals if self.upgrades else float(config.limits.worker)
+        self.pacer = AdmissionPacer(rate, 1.0)
+        self.recorder = LoadRecorder(config.zone, config.node, self.loop.time())
+        self.handler = RequestHandler(
+            classes, policies, self.router, self.drainer, self.pacer, most_of(config.limits), self.address,
+            self.recorder, rng,
         )  # fmt: skip
-        managers = [host_port(text) for text in part.managers]
-        chance.shuffle(managers)  # a fleet spreads over its managers
-        self.stream = Stream(
-            part.node, part.zone, part.rate, managers, self, chance.uniform, self.upgrades is not None
+        managers = [host_port(text) for text in config.managers]
+        rng.shuffle(managers)  # a fleet spreads over its managers
+        self.stream = ManagerStream(
+            config.node, config.zone, config.rate, managers, self, rng.uniform, self.upgrades is not None
+        )
+        self.load_reporter = LoadReporter(config.zone) if config.collector else None
+        at = host_port(config.discovery)
+        self.discovery = DiscoveryClient(
+            at, self._zones, self.registry.learn, self._on_list, 0, self._on_labels
+        )
+        self._held_report_at = self._report_at = 0.0
+        self._list_backoff = 1.0
+        self.restore_snapshot: Callable[[], None] | None = (
+            None  # an earlier life, until the first list has come
         )
-        self.collector = Collector(part.zone) if part.collector else None
-        at = host_port(part.discovery)
-        self.discovery = DiscoveryClient(at, self._zones, self.known.learn, self._listed, 0, self._labelled)
-        self._held_at = self._report_at = 0.0
-        self._list_wait = 1.0
-        self.recalling: Callable[[], None] | None = None  # an earlier life, until the first list has come
         self._timers: dict[str, asyncio.TimerHandle] = {}
 
     # the list
 
-    def address(self, be: str) -> str | None:
-        index = self.known.find(be.encode())
-        return None if index is None else self.known.address(index)
+    def address(self, worker_id: str) -> str | None:
+        index = self.registry.find(worker_id.encode())
+        return None if index is None else self.registry.address(index)
 
-    def _listed(self, item: Input | object) -> None:
+    def _on_list(self, item: Input | object) -> None:
         """Where workers are, and who drains: the list is heard even while no manager is."""
         if not isinstance(item, EndpointList):
             return
         if item.kind == ListUpdateKind.FAILED:
             if (due := self._timers.get("list")) is not None:
                 due.cancel()  # a call and the watch may fail together
-            wait = self._chance.uniform(*LIST_AGAIN) * self._list_wait
+            wait = self._random.uniform(*LIST_RETRY_DELAY) * self._list_backoff
             self._timers["list"] = self.loop.call_later(wait, self._follow)
-            self._list_wait = min(LIST_WAIT_MOST, 2.0 * self._list_wait)
+            self._list_backoff = min(MAX_LIST_BACKOFF, 2.0 * self._list_backoff)
             return
-        self._list_wait = 1.0
+        self._list_backoff = 1.0
         now, named = self.loop.time(), {e.worker_index for e in item.endpoints}
         if item.kind == ListUpdateKind.FULL:
-            for be in [be for be in self._modes if be not in named]:
-                self._mode(be, EndpointState.GONE, now)
+            for worker_id in [worker_id for worker_id in self._endpoint_states if worker_id not in named]:
+                self._set_state(worker_id, EndpointState.GONE, now)
         for entry in item.endpoints:
             self._zone_of[entry.worker_index] = entry.zone
-            self._mode(entry.worker_index, entry.state, now)
-        ready = [be for be, mode in self._modes.items() if mode == EndpointState.READY]
-        near = [be for be in ready if self._zone_of[be] == self._home] or ready
-        self._chance.shuffle(near)
-        if self.recalling is not None and ready:
-            recalling, self.recalling = self.recalling, None
-            recalling()
-        self.routes.begin(self.known.ids[be].decode() for be in near)
-        self._forget(now)
-
-    def _mode(self, be: int, mode: EndpointState, now: float) -> None:
-        name = self.known.ids[be].decode()
-        self._modes[be] = mode
+            self._set_state(entry.worker_index, entry.state, now)
+        ready = [
+            worker_id for worker_id, mode in self._endpoint_states.items() if mode == EndpointState.READY
+        ]
+        near = [worker_id for worker_id in ready if self._zone_of[worker_id] == self._home] or ready
+        self._random.shuffle(near)
+        if self.restore_snapshot is not None and ready:
+            restore_now, self.restore_snapshot = self.restore_snapshot, None
+            restore_now()
+        self.router.use_default_table(self.registry.ids[worker_id].decode() for worker_id in near)
+        self._forget_removed(now)
+
+    def _set_state(self, worker_id: int, mode: EndpointState, now: float) -> None:
+        name = self.registry.ids[worker_id].decode()
+        self._endpoint_states[worker_id] = mode
         if mode == EndpointState.READY:
-            self.routes.leaving.discard(name)
-            self._gone.pop(be, None)
+            self.router.leaving.discard(name)
+            self._removed_at.pop(worker_id, None)
         else:
-            self.routes.leaving.add(name)
+            self.router.leaving.add(name)
             if mode == EndpointState.GONE:
-                self._gone.setdefault(be, now)
-
-    def _forget(self, now: float) -> None:
-        held = self.carrier.book.workers()
-        rows = {be for table in self.routes.tables.values() for be in table.rows}
-        for be in [be for be, since in self._gone.items() if now - since > FORGET_AFTER]:
-            if (name := self.known.ids[be].decode()) not in held | rows:
-                del self._gone[be], self._modes[be], self._zone_of[be]
-                self.known.forget(be)
-                self.routes.leaving.discard(name)
-                self.routes.out.discard(name)
-        names = {name.decode() for name in self.known.ids.values()}
-        self.routes.forget(names)
-        self.arrivals.forget(names)
+                self._removed_at.setdefault(worker_id, now)
+
+    def _forget_removed(self, now: float) -> None:
+        held_workers = self.handler.registry.workers()
+        rows = {worker_id for table in self.router.tables.values() for worker_id in table.weights}
+        for worker_id in [
+            worker_id for worker_id, since in self._removed_at.items() if now - since > REMOVED_WORKER_TTL
+        ]:
+            if (name := self.registry.ids[worker_id].decode()) not in held_workers | rows:
+                del self._removed_at[worker_id], self._endpoint_states[worker_id], self._zone_of[worker_id]
+                self.registry.forget(worker_id)
+                self.router.leaving.discard(name)
+                self.router.excluded.discard(name)
+        names = {name.decode() for name in self.registry.ids.values()}
+        self.router.forget_unlisted(names)
+        self.pacer.forget_unlisted(names)
 
     def _follow(self) -> None:
         self.discovery.follow(True)
 
     # plug-ins
 
-    def _labelled(self, entry: dict[str, Any]) -> None:
+    def _on_labels(self, entry: dict[str, Any]) -> None:
         """Labels as the list has them, beside those of the operators' file."""
-        said = entry.get("labels")
-        if self.part.plugins is None or not isinstance(said, list):
+        message = entry.get("labels")
+        if self.config.plugins is None or not isinstance(message, list):
             return
-        listed = {str(label)[:255] for label in said[:LABELS_MOST]}
-        held = frozenset(listed | set(self.part.plugins.labels.get(entry["id"], ())))
-        self.carrier.labels = {**self.carrier.labels, entry["id"]: held}
+        listed = {str(label)[:255] for label in message[:MAX_LABELS]}
+        held_workers = frozenset(listed | set(self.config.plugins.labels.get(entry["id"], ())))
+        self.handler.labels = {**self.handler.labels, entry["id"]: held_workers}
 
-    def load_plugins(self, part: PluginsConfig | None) -> None:
+    def load_plugins(self, config: PluginsConfig | None) -> None:
         """At the start; raises for one that can't be loaded."""
-        if part is None:
+        if config is None:
             return
         from ..plugins.chain import PluginChain
 
-        self.carrier.hooks = PluginChain(wanted(part))
-        self._take_plugins(part)
+        self.handler.plugins = PluginChain(plugin_specs(config))
+        self._apply_plugin_config(config)
 
-    def _take_plugins(self, part: PluginsConfig) -> None:
-        self.carrier.labels = {
-            **self.carrier.labels, **{be: frozenset(labels) for be, labels in part.labels.items()}
-        }  # fmt: skip
-        self.carrier.fall_back = part.missing == "fall back"
-        self.carrier.headers_allowed = frozenset(name.lower() for name in part.headers)
+    def _apply_plugin_config(self, config: PluginsConfig) -> None:
+        configured = {worker_id: frozenset(labels) for worker_id, labels in config.labels.items()}
+        self.handler.labels = {**self.handler.labels, **configured}
+        self.handler.falls_back = config.missing == "fall back"
+        self.handler.allowed_headers = frozenset(name.lower() for name in config.headers)
 
-    def reload_plugins(self, part: PluginsConfig | None) -> None:
+    def reload_plugins(self, config: PluginsConfig | None) -> None:
         """On SIGHUP: the old ones serve until the new ones are proved."""
-        if part is None or self.carrier.hooks is None:
-            self.log.error("plug-ins not taken", why="they can be changed, but not switched on or off")
-        elif not self.carrier.hooks.reload(wanted(part)):
-            self._take_plugins(part)
+        if config is None or self.handler.plugins is None:
+            self.log.error("plug-ins not taken", reason="they can be changed, but not switched on or off")
+        elif not self.handler.plugins.reload(plugin_specs(config)):
+            self._apply_plugin_config(config)
 
     # orders
 
-    def check(self, parts: Sequence[Part]) -> None:
-        self.routes.check(parts, lambda be: self.known.find(be.encode()) is not None)
+    def check(self, parts: Sequence[ConfigPart]) -> None:
+        self.router.check(parts, lambda worker_id: self.registry.find(worker_id.encode()) is not None)
 
-    def apply(self, parts: Sequence[Part]) -> list[int]:
-        return self.routes.apply(parts)
+    def apply(self, parts: Sequence[ConfigPart]) -> list[int]:
+        return self.router.apply(parts)
 
-    def list_again(self) -> None:
+    def refresh_list(self) -> None:
         self.discovery.fetch()
 
-    def welcomed(self) -> None:
-        self.carrier.book.joined()
-        self._tell_held(whole=True)
+    def extension_accepted(self) -> None:
+        self.handler.registry.reset_reported()
+        self._report_held(whole=True)
 
-    def extended(self, said: upgrades.FromManager) -> None:
+    def apply_extension(self, message: upgrades.FromManager) -> None:
         now = self.loop.time()
-        if isinstance(said, upgrades.AnnouncementAccepted):
-            self.arrivals.part, self.arrivals.rate = said.part, said.arrivals
+        if isinstance(message, upgrades.AnnouncementAccepted):
+            self.pacer.share, self.pacer.rate = message.part, message.arrivals
             return
-        if isinstance(said, upgrades.MigrationStopped):
-            self.drains.stopped(now, said.source)
+        if isinstance(message, upgrades.MigrationStopped):
+            self.drainer.orders_stopped(now, message.source)
             return
-        for be in (said.source, *said.to):
-            if self.known.find(be.encode()) is None:
-                raise Unusable(f"MOVE: worker {be[:32]!r} was never listed")
-        if self.carrier.book.count(said.source):
-            left = min(said.left, self.drains.grace)
-            self.drains.ordered(now, said.source, said.number, said.to, said.count, said.within, left)
+        for worker_id in (message.source, *message.to):
+            if self.registry.find(worker_id.encode()) is None:
+                raise OrderRejected(f"MOVE: worker {worker_id[:32]!r} was never listed")
+        if self.handler.registry.count(message.source):
+            left = min(message.left, self.drainer.grace)
+            self.drainer.add_order(
+                now, message.source, message.number, message.to, message.count, message.within, left
+            )
         else:
-            self.stream.send(upgrades.moved(self.part.node, said.number, 0, 0))
+            self.stream.send_extension(upgrades.moved(self.config.node, message.number, 0, 0))
 
     def stream_lost(self) -> None:
-        self.drains.stream_lost()
+        self.drainer.stream_lost()
 
     # reports
 
-    def _tell_held(self, whole: bool = False) -> None:
-        for first, rows in self.carrier.book.news(self.loop.time(), whole):
-            told = {be: (row.open, row.busy, row.resumable) for be, row in rows.items()}
-            self.stream.send(upgrades.holds(self.part.node, first, told))
+    def _report_held(self, whole: bool = False) -> None:
+        for first, rows in self.handler.registry.changes(self.loop.time(), whole):
+            counts = {worker_id: (row.open, row.busy, row.resumable) for worker_id, row in rows.items()}
+            self.stream.send_extension(upgrades.holds(self.config.node, first, counts))
 
-    def _beat(self) -> None:
+    def _tick(self) -> None:
         now = self.loop.time()
-        self._timers["beat"] = self.loop.call_later(TICK, self._beat)
-        self.carrier.tick()
-        for answer in self.drains.answers:
-            self.stream.send(upgrades.moved(self.part.node, answer.number, answer.done, answer.failed))
-        self.drains.answers.clear()
-        if self.stream.welcome and now >= self._held_at:
-            self._held_at = now + HELD_EVERY
-            self._tell_held()
+        self._timers["beat"] = self.loop.call_later(TICK_INTERVAL, self._tick)
+        self.handler.tick_drains()
+        for answer in self.drainer.results:
+            self.stream.send_extension(
+                upgrades.moved(self.config.node, answer.number, answer.succeeded, answer.failed)
+            )
+        self.drainer.results.clear()
+        if self.stream.speaks_extension and now >= self._held_report_at:
+            self._held_report_at = now + HELD_REPORT_INTERVAL
+            self._report_held()
         if now >= self._report_at:
-            self._report_at = now + REPORT_EVERY
-            loads, rates = self.met.report(now)
+            self._report_at = now + REPORT_INTERVAL
+            loads, rates = self.recorder.report(now)
             for message in rates:
-                self.stream.tell(message)
-            if self.collector is not None:
-                self.collector.say(self.stream.manager, b"".join(loads))
-            self.carrier.log_ends()
-            if self.carrier.hooks is not None:
-                self.carrier.hooks.tell()
+                self.stream.send_message(message)
+            if self.load_reporter is not None:
+                self.load_reporter.send(self.stream.manager, b"".join(loads))
+            self.handler.log_ended_connections()
+            if self.handler.plugins is not None:
+                self.handler.plugins.tell()
 
     def status(self) -> dict[str, object]:
         """What a person would ask of it: for the status address and the demo."""
-        now, tables = self.loop.time(), self.routes.tables
+        now, tables = self.loop.time(), self.router.tables
+        held = self.handler.registry.counts(now)
         return {
-            "node": self.part.node, "zone": self.part.zone,
+            "node": self.config.node,
+            "zone": self.config.zone,
             "manager": ":".join(map(str, self.stream.manager)) if self.stream.manager else None,
-            "tables": {k: {be: round(w, 4) for be, w in t.rows.items()} for k, t in tables.items()},
-            "levels": {k: t.gate for k, t in tables.items()},
-            "shut": sorted(self.routes.out | self.routes.leaving),
-            "held": {be: [r.open, r.busy, r.resumable] for be, r in self.carrier.book.rows(now).items()},
-            "drains": {be: self.drains.state(be) for be in self.drains.workers()},
-            "connections": self.carrier.front.places.total,
-            "plugins": self.carrier.hooks.shown() if self.carrier.hooks else [],
-            **self.carrier.counts,
-        }  # fmt: skip
+            "tables": {name: _rounded(table.weights) for name, table in tables.items()},
+            "levels": {name: table.admission for name, table in tables.items()},
+            "shut": sorted(self.router.excluded | self.router.leaving),
+            "held": {worker_id: [row.open, row.busy, row.resumable] for worker_id, row in held.items()},
+            "drains": {worker_id: self.drainer.state(worker_id) for worker_id in self.drainer.workers()},
+            "connections": self.handler.listener.slots.total,
+            "plugins": self.handler.plugins.shown() if self.handler.plugins else [],
+            **self.handler.counts,
+        }
 
     async def start(self, stack: AsyncExitStack) -> int:
         stack.push_async_callback(self.discovery.close)
-        stack.push_async_callback(self.carrier.close)
+        stack.push_async_callback(self.handler.close)
         stack.push_async_callback(self.stream.close)
-        if self.collector is not None:
-            stack.push_async_callback(self.collector.close)
+        if self.load_reporter is not None:
+            stack.push_async_callback(self.load_reporter.close)
         stack.callback(self._stop_timers)
         self.discovery.fetch()
         self._follow()
-        port = await self.carrier.front.listen(*host_port(self.part.listen))
+        port = await self.handler.listener.listen(*host_port(self.config.listen))
         self.stream.start()
-        self._beat()
+        self._tick()
         return port
 
     def _stop_timers(self) -> None:
@@ -309,16 +328,16 @@
 
     async def drain(self) -> None:
         """Its own drain: nobody new, connections closed evenly, the busy ones last."""
-        self.carrier.stopping = True
-        self.carrier.front.stop_listening()
-        end = self.loop.time() + min(STOP_MOST, self.drains.grace) * 0.8
-        while self.carrier.book.total() or self.carrier.underway:
-            if not self.carrier.book.total() and self.loop.time() > end:
+        self.handler.stopping = True
+        self.handler.listener.stop_listening()
+        end = self.loop.time() + min(MAX_STOP_TIME, self.drainer.grace) * 0.8
+        while self.handler.registry.total() or self.handler.in_flight:
+            if not self.handler.registry.total() and self.loop.time() > end:
                 return  # what is left of the requests is answered by the carrier's close
-            left = max(TICK, end - self.loop.time())
-            if not self.carrier.let_go(min(1.0, TICK / left)) and self.loop.time() > end + 2.0:
+            left = max(TICK_INTERVAL, end - self.loop.time())
+            if not self.handler.close_part(min(1.0, TICK_INTERVAL / left)) and self.loop.time() > end + 2.0:
                 return
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL)
 
 
 async def _status(forwarder: Forwarder, stack: AsyncExitStack) -> int:
@@ -330,7 +349,7 @@
     runner = web.ServerRunner(web.Server(answer))
     await runner.setup()
     stack.push_async_callback(runner.cleanup)
-    site = web.TCPSite(runner, *host_port(forwarder.part.status))
+    site = web.TCPSite(runner, *host_port(forwarder.config.status))
     await site.start()
     return int(runner.addresses[0][1])
 
@@ -345,38 +364,38 @@
     from ..planning import snapshot_staleness as ageing
     from ..planning.priority_scheduling import TaskPlan
     from ..snapshots.sections import ForwarderSnapshot, packed, unpacked
-    from .restored_state import life_of, recall
+    from .restored_state import restore, snapshot_of
 
     tasks = BackgroundScheduler(random.random)
     if operator.memory is not None:
         folder = Folder(operator.memory.folder)
         stack.callback(folder.close)
         found = folder.read()
-        life, why = unpacked("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
-        if why:
-            forwarder.log.warning("memory not used", why=why)
-        if life is not None and found is not None:
-            earlier, written = life, found.written
+        snapshot, reason = unpacked("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
+        if reason:
+            forwarder.log.warning("memory not used", reason=reason)
+        if snapshot is not None and found is not None:
+            earlier, written = snapshot, found.written
 
-            def recalling() -> None:
+            def restore_now() -> None:
                 age = ageing.age_of(written, time.time())
-                used = recall(
-                    earlier, age, forwarder.loop.time(), forwarder.routes, forwarder.arrivals,
-                    lambda be: forwarder.known.find(be.encode()) is not None,
+                used = restore(
+                    earlier, age, forwarder.loop.time(), forwarder.router, forwarder.pacer,
+                    lambda worker_id: forwarder.registry.find(worker_id.encode()) is not None,
                 )  # fmt: skip
-                forwarder.stream.fresh = not forwarder.routes.ordered
+                forwarder.stream.is_cold = not forwarder.router.has_ordered_table
                 forwarder.log.info("memory used", what=used, age=round(min(age, 1e9), 1))
 
-            forwarder.recalling = recalling
+            forwarder.restore_snapshot = restore_now
 
-        def snapshot() -> Iterator[Awaitable[object] | None]:
+        def write_snapshot() -> Iterator[Awaitable[object] | None]:
             now = forwarder.loop.time()
-            kept = life_of(forwarder.routes, forwarder.carrier.book.rows(now), now)
+            kept = snapshot_of(forwarder.router, forwarder.handler.registry.counts(now), now)
             yield None
             section = packed("forwarder", kept)
             yield asyncio.to_thread(folder.write, {"forwarder": section})
 
-        tasks.add(TaskPlan(TASK, operator.memory.every, priority=3, cpu=CPU), snapshot)
+        tasks.add(TaskPlan(TASK, operator.memory.every, priority=3, cpu=CPU), write_snapshot)
         stack.push_async_callback(tasks.close, (TASK,))
     else:
         stack.push_async_callback(tasks.close)
@@ -391,7 +410,7 @@
     try:
         operator = read_operator_config(path)
     except WireError as exc:
-        forwarder.log.error("file not taken", why=str(exc))
+        forwarder.log.error("file not taken", reason=str(exc))
         return
     forwarder.reload_plugins(operator.forwarder.plugins if operator.forwarder else None)
 
@@ -405,20 +424,20 @@
         loop.add_signal_handler(number, lambda: again.set() if stop.is_set() else stop.set())
     async with AsyncExitStack() as stack:
         forwarder = Forwarder(operator)
-        forwarder.load_plugins(forwarder.part.plugins)
+        forwarder.load_plugins(forwarder.config.plugins)
         await _background(forwarder, operator, stack)
         loop.add_signal_handler(signal.SIGHUP, _reload, forwarder, path)
         if signals.missed():
             _reload(forwarder, path)
         port = await forwarder.start(stack)
-        status = await _status(forwarder, stack) if forwarder.part.status else 0
+        status = await _status(forwarder, stack) if forwarder.config.status else 0
         gc.freeze()  # what a start made stays: collections pass over it
-        host = host_port(forwarder.part.listen)[0]
-        log.info("forwarding", node=forwarder.part.node, host=host, port=port, status=status)
+        host = host_port(forwarder.config.listen)[0]
+        log.info("forwarding", node=forwarder.config.node, host=host, port=port, status=status)
         await stop.wait()
-        log.info("draining", held=forwarder.carrier.book.total())
+        log.info("draining", held_workers=forwarder.handler.registry.total())
         draining, cut = asyncio.create_task(forwarder.drain()), asyncio.create_task(again.wait())
         await asyncio.wait((draining, cut), return_when=asyncio.FIRST_COMPLETED)
         for task in (draining, cut):
             task.cancel()
-        log.info("stopping", node=forwarder.part.node)
+        log.info("stopping", node=forwarder.config.node)
--- a/cottonladder/forwarder/load_recorder.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -6,14 +6,14 @@
 
 from ..protocol import resp
 
-REPORT_EVERY = 1.0  # s between reports: managers solve each 2 s
+REPORT_INTERVAL = 1.0  # s between reports: managers solve each 2 s
 
 
 @dataclass(slots=True)
-class Sums:
-    total: int = 0
-    errors: int = 0
-    took: float = 0.0  # s, of those that were done
+class WorkerCounts:
+    attempts: int = 0
+    failures: int = 0
+    duration_s: float = 0.0  # s, of those that were done
 
 
 @dataclass(slots=True)
@@ -22,33 +22,34 @@
 
     zone: str
     node: int
-    since: float
-    _at: dict[str, Sums] = field(default_factory=dict)
-    _came: dict[str, list[int]] = field(default_factory=dict)
+    started_at: float
+    _by_worker: dict[str, WorkerCounts] = field(default_factory=dict)
+    _by_class: dict[str, list[int]] = field(default_factory=dict)
 
-    def tried(self, be: str, done: bool, took: float) -> None:
-        sums = self._at.setdefault(be, Sums())
-        sums.total += 1
-        sums.errors += not done
-        sums.took += took if done else 0.0
+    def record_attempt(self, worker_id: str, succeeded: bool, duration_s: float) -> None:
+        sums = self._by_worker.setdefault(worker_id, WorkerCounts())
+        sums.attempts += 1
+        sums.failures += not succeeded
+        sums.duration_s += duration_s if succeeded else 0.0
 
-    def came(self, kind: str) -> None:
-        self._came.setdefault(kind, [0, 0])[0] += 1
+    def record_arrival(self, request_class: str) -> None:
+        self._by_class.setdefault(request_class, [0, 0])[0] += 1
 
-    def failed(self, kind: str) -> None:
+    def record_failure(self, request_class: str) -> None:
         """Let in, and could not be served."""
-        self._came.setdefault(kind, [0, 0])[1] += 1
+        self._by_class.setdefault(request_class, [0, 0])[1] += 1
 
     def report(self, now: float) -> tuple[list[bytes], list[bytes]]:
         """LOAD and RATE messages; the counts begin anew."""
-        interval = max(1.0, (now - self.since) * 1000.0)
+        interval = max(1.0, (now - self.started_at) * 1000.0)
         loads, rates = list[bytes](), list[bytes]()
-        for be, s in self._at.items():
-            rtt = s.took * 1000.0 / max(1, s.total - s.errors)
-            said = f"LOAD locality {self.zone} endpoint {be} total {s.total} errors {s.errors}"
-            loads.append(resp.encode(f"{said} rtt {rtt:.3f} interval {interval:.1f}".encode().split()))
-        for kind, (total, errors) in self._came.items():
-            said = f"RATE node {self.node} route {kind} total {total} errors {errors} interval {interval:.1f}"
-            rates.append(resp.encode(said.encode().split()))
-        self._at, self._came, self.since = {}, {}, now
+        for worker_id, s in self._by_worker.items():
+            rtt = s.duration_s * 1000.0 / max(1, s.attempts - s.failures)
+            text = f"LOAD locality {self.zone} endpoint {worker_id} total {s.attempts} errors {s.failures}"
+            loads.append(resp.encode(f"{text} rtt {rtt:.3f} interval {interval:.1f}".encode().split()))
+        for request_class, (total, errors) in self._by_class.items():
+            text = f"RATE node {self.node} route {request_class} total {total} errors {errors}"
+            text += f" interval {interval:.1f}"
+            rates.append(resp.encode(text.encode().split()))
+        self._by_worker, self._by_class, self.started_at = {}, {}, now
         return loads, rates
--- a/cottonladder/forwarder/resource_limits.py
+++ b/cottonladder/forwarder/resource_limits.py
@@ -8,60 +8,60 @@
 import math
 from dataclasses import dataclass, field
 
-CONNECTIONS = 20_000  # clients' connections in all: two descriptors each while upgraded
-CONNECTIONS_WORKER = 8_000  # upgraded connections held at one worker
-CONNECTIONS_CLIENT = 2_000  # of one client address: a desk behind one gateway has hundreds
-HEADER_BYTES = 16_384  # of one req's heads, and of one line: far above any browser's
-BODY_BYTES = 8 << 20  # of one req
-REPLAY_BYTES = 65_536  # of a body kept for a further try; a longer one is sent once
-CONNECT_WAIT = 1.0  # s: a worker in another zone answers in a few ms, a dead one never
-FIRST_BYTE_WAIT = 30.0  # s from a req's end to the answer's head where its kind states no client timeout
-IDLE_WAIT = 75.0  # s that a kept-alive connection may say nothing
-HEADER_WAIT = 10.0  # s from accept to the end of the first head: slow clients hold no place for long
-STALL_WAIT = 30.0  # s that either end may leave bytes unread before its connection is given up
-POOL_WORKER = 64  # open connections to one worker for plain reqs
-BUFFER_BYTES = 65_536  # of either direction of a tunnel before its other end is paused
-COME_BACK_LEAST, COME_BACK_MOST = 1, 30  # s: bounds of every Retry-After
+MAX_CONNECTIONS = 20_000  # clients' connections in all: two descriptors each while upgraded
+MAX_CONNECTIONS_PER_WORKER = 8_000  # upgraded connections held at one worker
+MAX_CONNECTIONS_PER_CLIENT = 2_000  # of one client address: a desk behind one gateway has hundreds
+MAX_HEADER_BYTES = 16_384  # of one req's heads, and of one line: far above any browser's
+MAX_BODY_BYTES = 8 << 20  # of one req
+MAX_BUFFERED_BODY_BYTES = 65_536  # of a body kept for a further try; a longer one is sent once
+CONNECT_TIMEOUT = 1.0  # s: a worker in another zone answers in a few ms, a dead one never
+FIRST_BYTE_TIMEOUT = 30.0  # s from a req's end to the answer's head where its kind states no client timeout
+IDLE_TIMEOUT = 75.0  # s that a kept-alive connection may say nothing
+HEADER_TIMEOUT = 10.0  # s from accept to the end of the first head: slow clients hold no place for long
+STALL_TIMEOUT = 30.0  # s that either end may leave bytes unread before its connection is given up
+POOL_SIZE_PER_WORKER = 64  # open connections to one worker for plain reqs
+RELAY_BUFFER_BYTES = 65_536  # of either direction of a tunnel before its other end is paused
+MIN_RETRY_AFTER, MAX_RETRY_AFTER = 1, 30  # s: bounds of every Retry-After
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
     """The limits in force."""
 
-    connections: int = CONNECTIONS
-    worker: int = CONNECTIONS_WORKER
-    client: int = CONNECTIONS_CLIENT
-    header_bytes: int = HEADER_BYTES
-    body_bytes: int = BODY_BYTES
-    connect_wait: float = CONNECT_WAIT
-    first_byte_wait: float = FIRST_BYTE_WAIT
-    idle_wait: float = IDLE_WAIT
-    pool: int = POOL_WORKER
+    connections: int = MAX_CONNECTIONS
+    connections_per_worker: int = MAX_CONNECTIONS_PER_WORKER
+    connections_per_client: int = MAX_CONNECTIONS_PER_CLIENT
+    header_bytes: int = MAX_HEADER_BYTES
+    body_bytes: int = MAX_BODY_BYTES
+    connect_timeout: float = CONNECT_TIMEOUT
+    first_byte_timeout: float = FIRST_BYTE_TIMEOUT
+    idle_timeout: float = IDLE_TIMEOUT
+    pool_size: int = POOL_SIZE_PER_WORKER
 
 
 @dataclass(slots=True)
 class ConnectionSlots:
     """Who has how many of the places there are; each taken place is given back once."""
 
-    most: int
-    each: int
-    taken: dict[str, int] = field(default_factory=dict)
+    max_total: int
+    max_per_client: int
+    by_client: dict[str, int] = field(default_factory=dict)
     total: int = 0
 
-    def take(self, who: str) -> bool:
-        if self.total >= self.most or self.taken.get(who, 0) >= self.each:
+    def acquire(self, client: str) -> bool:
+        if self.total >= self.max_total or self.by_client.get(client, 0) >= self.max_per_client:
             return False
-        self.taken[who] = self.taken.get(who, 0) + 1
+        self.by_client[client] = self.by_client.get(client, 0) + 1
         self.total += 1
         return True
 
-    def give_back(self, who: str) -> None:
-        left = self.taken[who] - 1
+    def release(self, client: str) -> None:
+        left = self.by_client[client] - 1
         self.total -= 1
         if left:
-            self.taken[who] = left
+            self.by_client[client] = left
         else:
-            del self.taken[who]
+            del self.by_client[client]
 
 
 class AdmissionPacer:
@@ -70,57 +70,61 @@
     with a thousand connections dies and all come back at once.  Places that a manager's order named are free
     of it, as the manager has counted them."""
 
-    BURST = 1.0  # s of arrivals that may come at once
-    ORDERED_FOR = 15.0  # s that a place an order named is kept for whoever comes back
+    BURST_WINDOW = 1.0  # s of arrivals that may come at once
+    RESERVATION_TTL = 15.0  # s that a place an order named is kept for whoever comes back
 
-    def __init__(self, rate: float, part: float) -> None:
-        self.rate, self.part = rate, part
+    def __init__(self, rate: float, share: float) -> None:
+        self.rate, self.share = rate, share
         self._buckets: dict[str, tuple[float, float]] = {}  # tokens, when
-        self._ordered: dict[str, list[float]] = {}  # until when each place is kept
+        self._reserved_until: dict[str, list[float]] = {}  # until when each place is kept
 
-    def _tokens(self, now: float, be: str, pace: float) -> float:
-        most = max(1.0, pace * self.BURST)
-        tokens, at = self._buckets.get(be, (most, now))
-        return min(most, tokens + (now - at) * pace)
+    def _tokens(self, now: float, worker_id: str, rate: float) -> float:
+        burst = max(1.0, rate * self.BURST_WINDOW)
+        tokens, at = self._buckets.get(worker_id, (burst, now))
+        return min(burst, tokens + (now - at) * rate)
 
-    def ordered(self, now: float, be: str, count: int) -> None:
-        self._ordered.setdefault(be, []).extend([now + self.ORDERED_FOR] * count)
+    def reserve(self, now: float, worker_id: str, count: int) -> None:
+        self._reserved_until.setdefault(worker_id, []).extend([now + self.RESERVATION_TTL] * count)
 
-    def withdrawn(self, be: str) -> None:
-        self._ordered.pop(be, None)
+    def cancel_reservations(self, worker_id: str) -> None:
+        self._reserved_until.pop(worker_id, None)
 
-    def place(self, now: float) -> str | None:
+    def reserved_worker(self, now: float) -> str | None:
         """A worker that an order named a place at; the place stays until it is `used`."""
-        for be in list(self._ordered):
-            self._ordered[be] = [until for until in self._ordered[be] if until > now]
-            if not self._ordered[be]:
-                del self._ordered[be]
-        return max(self._ordered, key=lambda be: len(self._ordered[be]), default=None)
-
-    def used(self, be: str) -> None:
-        if places := self._ordered.get(be):
+        for worker_id in list(self._reserved_until):
+            self._reserved_until[worker_id] = [
+                until for until in self._reserved_until[worker_id] if until > now
+            ]
+            if not self._reserved_until[worker_id]:
+                del self._reserved_until[worker_id]
+        return max(
+            self._reserved_until, key=lambda worker_id: len(self._reserved_until[worker_id]), default=None
+        )
+
+    def use_reservation(self, worker_id: str) -> None:
+        if places := self._reserved_until.get(worker_id):
             places.pop(0)
 
-    def pace(self, weight: float, mean: float) -> float:
+    def worker_rate(self, weight: float, mean_weight: float) -> float:
         """New connections a second that this forwarder may bring to a worker of this weight."""
-        return self.rate * self.part * min(1.0, weight / mean if mean > 0 else 1.0)
+        return self.rate * self.share * min(1.0, weight / mean_weight if mean_weight > 0 else 1.0)
 
-    def take(self, now: float, be: str, pace: float) -> float:
+    def acquire(self, now: float, worker_id: str, rate: float) -> float:
         """0 where one may come now, which then counts; else s until one may."""
-        tokens = self._tokens(now, be, pace)
+        tokens = self._tokens(now, worker_id, rate)
         if tokens >= 1.0:
-            self._buckets[be] = (tokens - 1.0, now)
+            self._buckets[worker_id] = (tokens - 1.0, now)
             return 0.0
-        self._buckets[be] = (tokens, now)
-        return (1.0 - tokens) / pace if pace > 0 else math.inf
+        self._buckets[worker_id] = (tokens, now)
+        return (1.0 - tokens) / rate if rate > 0 else math.inf
 
-    def forget(self, known: set[str]) -> None:
-        for be in [be for be in self._buckets if be not in known]:
-            del self._buckets[be]
+    def forget_unlisted(self, known: set[str]) -> None:
+        for worker_id in [worker_id for worker_id in self._buckets if worker_id not in known]:
+            del self._buckets[worker_id]
 
 
-def come_back(wait: float, spread: float) -> int:
+def retry_after(delay_s: float, jitter: float) -> int:
     """Whole seconds of a Retry-After; `spread` in 0 to 1 deals those who were turned away together over as
     long again, so that they don't return together."""
-    least = max(float(COME_BACK_LEAST), min(wait, float(COME_BACK_MOST)))
-    return min(COME_BACK_MOST, math.ceil(least * (1.0 + spread)))
+    least = max(float(MIN_RETRY_AFTER), min(delay_s, float(MAX_RETRY_AFTER)))
+    return min(MAX_RETRY_AFTER, math.ceil(least * (1.0 + jitter)))
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -6,29 +6,31 @@
 
 from ..planning import snapshot_staleness as ageing
 from ..snapshots.sections import ForwarderSnapshot, TableSnapshot
-from .connection_registry import Row
+from .connection_registry import WorkerConnectionCounts
 from .resource_limits import AdmissionPacer
 from .router import Router
 
 
-def life_of(routes: Router, held: Mapping[str, Row], now: float) -> ForwarderSnapshot:
+def snapshot_of(
+    router: Router, held_connections: Mapping[str, WorkerConnectionCounts], now: float
+) -> ForwarderSnapshot:
     """`now` on the routes' own clock: what is kept away from is kept as s left."""
     return ForwarderSnapshot(
-        {k: TableSnapshot(dict(t.rows), t.gate, t.again) for k, t in routes.tables.items()}
-        if routes.ordered
+        {k: TableSnapshot(dict(t.weights), t.admission, t.retry_policy) for k, t in router.tables.items()}
+        if router.has_ordered_table
         else {},
-        sorted(routes.out),
-        {be: until - now for be, until in routes.avoided().items() if until > now},
-        {be: row.open for be, row in held.items()},
+        sorted(router.excluded),
+        {worker_id: until - now for worker_id, until in router.avoided_until().items() if until > now},
+        {worker_id: row.open for worker_id, row in held_connections.items()},
     )
 
 
-def recall(
-    life: ForwarderSnapshot,
+def restore(
+    snapshot: ForwarderSnapshot,
     age: float,
     now: float,
-    routes: Router,
-    arrivals: AdmissionPacer,
+    router: Router,
+    pacer: AdmissionPacer,
     known: Callable[[str], bool],
 ) -> str:
     """Gives an earlier life's knowledge to the routes.  Withdrawals stand whatever their age: whoever ordered
@@ -36,20 +38,28 @@
     is kept away from no longer than was meant; clients that come back find places where they were.  Tells
     what was used."""
     used: list[str] = []
-    routes.out |= {be for be in life.out if known(be)}
-    if age <= ageing.TABLE_MOST and not routes.ordered:  # what was ordered meanwhile is newer
-        for kind, table in life.tables.items():
-            rows = {be: w for be, w in table.rows.items() if w > 0 and known(be)}
-            if kind in routes.tables and rows and any(be not in routes.out for be in rows):
-                routes.restore(kind, rows, table.gate, table.again)
-                used.append(f"table {kind}")
+    router.excluded |= {worker_id for worker_id in snapshot.out if known(worker_id)}
+    if age <= ageing.TABLE_MOST and not router.has_ordered_table:  # what was ordered meanwhile is newer
+        for request_class, table in snapshot.tables.items():
+            weights = {worker_id: w for worker_id, w in table.rows.items() if w > 0 and known(worker_id)}
+            if (
+                request_class in router.tables
+                and weights
+                and any(worker_id not in router.excluded for worker_id in weights)
+            ):
+                router.restore(request_class, weights, table.gate, table.again)
+                used.append(f"table {request_class}")
     if age <= ageing.SUSPECT_MOST:
-        listed = {be for t in routes.tables.values() for be in t.rows}
-        avoid = {be: left - age for be, left in life.avoid.items() if left > age and known(be)}
+        listed = {worker_id for t in router.tables.values() for worker_id in t.weights}
+        avoid = {
+            worker_id: left - age
+            for worker_id, left in snapshot.avoid.items()
+            if left > age and known(worker_id)
+        }
         if len(avoid) <= len(listed) * ageing.OUT_MOST:  # all of them: it was this forwarder that was cut off
-            routes.avoid(now, avoid)
+            router.avoid(now, avoid)
             used.append(f"{len(avoid)} avoided")
-        for be, count in life.held.items():
-            if known(be) and not routes.shut(be):
-                arrivals.ordered(now, be, min(count, 10_000))
+        for worker_id, count in snapshot.held.items():
+            if known(worker_id) and not router.is_excluded(worker_id):
+                pacer.reserve(now, worker_id, min(count, 10_000))
     return ", ".join(used) or "nothing"
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -13,14 +13,21 @@
 
 import httptools
 
-from .frame_scanner import PROTOCOL_ERROR, RESTART, UNEXPECTED, FrameError, FrameScanner, close_frame
-from .resource_limits import BUFFER_BYTES, HEADER_BYTES, STALL_WAIT
-
-CLOSE_WAIT = 2.0  # s that a client may take to answer a close, and a worker to end, before both are cut
-HAND_WAIT = 1.0  # s that the old worker has for its last frames once the new one has agreed to go on
-KEPT_HEAD = 8192  # bytes of a handshake that are kept for a worker to resume with
-UNREAD = "left bytes unread"
-OPEN, MOVING, HANDING, CLOSING, CLOSED = "open", "moving", "handing", "closing", "closed"
+from .frame_scanner import (
+    INTERNAL_ERROR,
+    PROTOCOL_ERROR,
+    SERVICE_RESTART,
+    FrameError,
+    FrameScanner,
+    encode_close_frame,
+)
+from .resource_limits import MAX_HEADER_BYTES, RELAY_BUFFER_BYTES, STALL_TIMEOUT
+
+CLOSE_TIMEOUT = 2.0  # s that a client may take to answer a close, and a worker to end, before both are cut
+HANDOVER_TIMEOUT = 1.0  # s that the old worker has for its last frames once the new one has agreed to go on
+MAX_KEPT_HEAD_BYTES = 8192  # bytes of a handshake that are kept for a worker to resume with
+UNREAD_REASON = "left bytes unread"
+OPEN, MOVING, HANDING_OVER, CLOSING, CLOSED = "open", "moving", "handing", "closing", "closed"
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,22 +36,22 @@
     message that asks and of a worker's that answers (None: not told apart, so `quiet` s without data are
     waited for)."""
 
-    opens: bytes | None = None
-    ends: bytes = b""
-    quiet: float = 1.0
-    ticket: str = ""  # header by which a worker lets another take the connection over; empty: none can
+    request_prefix: bytes | None = None
+    response_prefix: bytes = b""
+    quiet_time: float = 1.0
+    ticket_header: str = ""  # header by which a worker lets another take the connection over; empty: none can
 
 
 class HandshakeError(Exception):
     """A worker that did not agree to an upgrade; `ran`: it may have seen the req."""
 
-    def __init__(self, why: str, ran: bool) -> None:
-        super().__init__(why)
-        self.ran = ran
+    def __init__(self, reason: str, may_have_run: bool) -> None:
+        super().__init__(reason)
+        self.may_have_run = may_have_run
 
 
 @dataclass(slots=True)
-class Reply:
+class HandshakeReply:
     """A worker's answer to a handshake: its head as it came, and its status and headers."""
 
     status: int
@@ -56,68 +63,77 @@
         return next((v.decode("latin-1") for k, v in self.headers if k.lower() == wanted), "")
 
 
-class Owner(Protocol):
+class TunnelOwner(Protocol):
     """Who keeps count of a tunnel's worker and of its end."""
 
-    def moved(self, tunnel: Tunnel, source: str, order: int) -> None: ...
-    def stayed(self, tunnel: Tunnel, order: int, why: str) -> None: ...
-    def ended(self, tunnel: Tunnel, why: str) -> None: ...
+    def tunnel_migrated(self, tunnel: Tunnel, source: str, order: int) -> None: ...
+    def tunnel_stayed(self, tunnel: Tunnel, order: int, reason: str) -> None: ...
+    def tunnel_ended(self, tunnel: Tunnel, reason: str) -> None: ...
 
 
-class End(asyncio.Protocol):
+class ClientEnd(asyncio.Protocol):
     """The client's end."""
 
-    __slots__ = ("tunnel", "transport", "said_all", "gone")
+    __slots__ = ("tunnel", "transport", "has_eof", "is_lost")
 
     def __init__(self) -> None:
-        self.said_all, self.gone = False, False  # before it had its tunnel: told once it has
+        self.has_eof, self.is_lost = False, False  # before it had its tunnel: told once it has
         self.tunnel: Tunnel | None = None
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=BUFFER_BYTES)
+        self.transport.set_write_buffer_limits(high=RELAY_BUFFER_BYTES)
 
     def data_received(self, data: bytes) -> None:
         if self.tunnel is not None:
-            self.tunnel.data(self, data)
+            self.tunnel.data_received(self, data)
 
     def eof_received(self) -> bool:
         if self.tunnel is not None:
-            self.tunnel.eof(self)
+            self.tunnel.eof_received(self)
         else:
-            self.said_all = True
+            self.has_eof = True
         return True  # the other direction may go on
 
     def pause_writing(self) -> None:
         if self.tunnel is not None:
-            self.tunnel.full(self)
+            self.tunnel.writing_paused(self)
 
     def resume_writing(self) -> None:
         if self.tunnel is not None:
-            self.tunnel.drained(self)
+            self.tunnel.writing_resumed(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.tunnel is not None:
-            self.tunnel.lost(self, exc)
+            self.tunnel.connection_lost(self, exc)
         else:
-            self.gone = True
+            self.is_lost = True
 
 
-class WorkerEnd(End):
+class WorkerEnd(ClientEnd):
     """The worker's end; until the answer's head is whole it reads the handshake."""
 
-    __slots__ = ("be", "reply", "rest", "_parser", "_status", "_headers", "_answer", "_size")
-
-    def __init__(self, be: str) -> None:
+    __slots__ = (
+        "worker_id",
+        "reply",
+        "buffered",
+        "_parser",
+        "_status",
+        "_headers",
+        "_reply_future",
+        "_head_bytes",
+    )
+
+    def __init__(self, worker_id: str) -> None:
         super().__init__()
-        self.be = be
-        self.reply: Reply | None = None
-        self.rest = b""
+        self.worker_id = worker_id
+        self.reply: HandshakeReply | None = None
+        self.buffered = b""
         self._parser: Any = httptools.HttpResponseParser(self)
-        self._status, self._size = b"", 0
+        self._status, self._head_bytes = b"", 0
         self._headers: list[tuple[bytes, bytes]] = []
-        self._answer: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
+        self._reply_future: asyncio.Future[HandshakeReply] = asyncio.get_running_loop().create_future()
 
     def on_status(self, status: bytes) -> None:
         self._status = status
@@ -128,43 +144,43 @@
     def on_headers_complete(self) -> None:
         status = int(self._parser.get_status_code())
         if status >= 200 or status == 101:
-            self._done(Reply(status, self._status, self._headers))
+            self._head_complete(HandshakeReply(status, self._status, self._headers))
         else:
             self._headers = []
 
-    def _done(self, reply: Reply) -> None:
+    def _head_complete(self, reply: HandshakeReply) -> None:
         self.reply = reply
-        if not self._answer.done():
-            self._answer.set_result(reply)
+        if not self._reply_future.done():
+            self._reply_future.set_result(reply)
 
     def data_received(self, data: bytes) -> None:
         if self.reply is not None:
             if self.tunnel is not None:
-                self.tunnel.data(self, data)
+                self.tunnel.data_received(self, data)
             else:
-                self._keep(data)
+                self.buffer(data)
             return
-        self._size += len(data)
+        self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
-            if self._size > HEADER_BYTES and self.reply is None:
+            if self._head_bytes > MAX_HEADER_BYTES and self.reply is None:
                 raise httptools.HttpParserError("head over its size")
         except httptools.HttpParserUpgrade as exc:
-            self._keep(data[exc.args[0] :])
+            self.buffer(data[exc.args[0] :])
         except httptools.HttpParserError as exc:
             if self.reply is None:
                 self._fail(HandshakeError(f"answer can't be read: {exc}", True))
         if self.reply is not None:
             self._parser = None
 
-    def _keep(self, data: bytes) -> None:
-        self.rest += data
-        if len(self.rest) >= BUFFER_BYTES and self.transport is not None:
+    def buffer(self, data: bytes) -> None:
+        self.buffered += data
+        if len(self.buffered) >= RELAY_BUFFER_BYTES and self.transport is not None:
             self.transport.pause_reading()
 
-    def _fail(self, why: Exception) -> None:
-        if not self._answer.done():
-            self._answer.set_exception(why)
+    def _fail(self, reason: Exception) -> None:
+        if not self._reply_future.done():
+            self._reply_future.set_exception(reason)
         if self.transport is not None:
             self.transport.abort()
 
@@ -173,26 +189,26 @@
             self._fail(HandshakeError(f"ended before its answer: {exc or 'closed'}", True))
         super().connection_lost(exc)
 
-    async def shake(self, head: bytes, wait: float) -> Reply:
+    async def handshake(self, head: bytes, timeout_s: float) -> HandshakeReply:
         """Sends the handshake and waits for the answer's head."""
         assert self.transport is not None
         self.transport.write(head)
         try:
-            return await asyncio.wait_for(self._answer, wait)
+            return await asyncio.wait_for(self._reply_future, timeout_s)
         except TimeoutError:
-            self.cut()
-            raise HandshakeError(f"no answer within {wait:g} s", True) from None
+            self.abort()
+            raise HandshakeError(f"no answer within {timeout_s:g} s", True) from None
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
 
-async def dial(be: str, host: str, port: int, wait: float) -> WorkerEnd:
+async def connect(worker_id: str, host: str, port: int, timeout_s: float) -> WorkerEnd:
     """A connection to a worker; a HandshakeError with the proof that nothing ran if there is none."""
     try:
-        connecting = asyncio.get_running_loop().create_connection(lambda: WorkerEnd(be), host, port)
-        _, end = await asyncio.wait_for(connecting, wait)
+        connecting = asyncio.get_running_loop().create_connection(lambda: WorkerEnd(worker_id), host, port)
+        _, end = await asyncio.wait_for(connecting, timeout_s)
     except (OSError, TimeoutError) as exc:
         raise HandshakeError(f"no connection: {exc or 'timed out'}", False) from None
     return end
@@ -202,255 +218,276 @@
     """Owns both ends from the worker's 101 on."""
 
     __slots__ = (
-        "near", "far", "be", "kind", "manner", "head", "ticket", "state", "owner", "pending", "active",
-        "up", "down", "_loop", "_timer", "_order", "_new", "_why", "_code", "_reason", "_stalled",
-        "_eofs", "client",
+        "client_end", "worker_end", "worker_id", "request_class", "policy", "handshake_head", "ticket",
+        "state", "owner", "pending_requests", "active_at", "from_client", "from_worker", "client", "_loop",
+        "_timer", "_order", "_new_end", "_close_reason", "_close_code", "_close_message", "_stall_timers",
+        "_eof_count",
     )  # fmt: skip
 
     def __init__(
         self,
-        near: End,
-        far: WorkerEnd,
-        kind: str,
-        manner: UpgradePolicy,
+        client_end: ClientEnd,
+        worker_end: WorkerEnd,
+        request_class: str,
+        policy: UpgradePolicy,
         websocket: bool,
         head: bytes,
-        owner: Owner,
+        owner: TunnelOwner,
         client: str,
     ) -> None:
-        self.near, self.far, self.be, self.kind, self.manner = near, far, far.be, kind, manner
+        self.client_end, self.worker_end, self.worker_id, self.request_class, self.policy = (
+            client_end,
+            worker_end,
+            worker_end.worker_id,
+            request_class,
+            policy,
+        )
         self.owner, self.state, self.client = owner, OPEN, client
-        self.head = head if manner.ticket and len(head) <= KEPT_HEAD else b""
-        self.ticket = far.reply.header(manner.ticket) if far.reply and manner.ticket else ""
-        self.up: FrameScanner | None = FrameScanner(masked=True) if websocket else None
-        self.down: FrameScanner | None = FrameScanner(masked=False) if websocket else None
-        self.pending = 0
+        self.handshake_head = head if policy.ticket_header and len(head) <= MAX_KEPT_HEAD_BYTES else b""
+        self.ticket = (
+            worker_end.reply.header(policy.ticket_header) if worker_end.reply and policy.ticket_header else ""
+        )
+        self.from_client: FrameScanner | None = FrameScanner(masked=True) if websocket else None
+        self.from_worker: FrameScanner | None = FrameScanner(masked=False) if websocket else None
+        self.pending_requests = 0
         self._loop = asyncio.get_running_loop()
-        self.active = self._loop.time()
+        self.active_at = self._loop.time()
         self._timer: asyncio.TimerHandle | None = None
-        self._order, self._new, self._why, self._code = -1, cast(WorkerEnd | None, None), "", 0
-        self._reason = ""
-        self._stalled: dict[End, asyncio.TimerHandle] = {}
-        self._eofs = 0
+        self._order, self._new_end, self._close_reason, self._close_code = (
+            -1,
+            cast(WorkerEnd | None, None),
+            "",
+            0,
+        )
+        self._close_message = ""
+        self._stall_timers: dict[ClientEnd, asyncio.TimerHandle] = {}
+        self._eof_count = 0
 
     def start(self) -> None:
         """From here on bytes pass; what the worker sent with its answer goes first."""
-        self.near.tunnel = self.far.tunnel = self
-        rest, self.far.rest = self.far.rest, b""
-        if self.far.transport is not None:
-            self.far.transport.resume_reading()
-        if rest:
-            self.data(self.far, rest)
-        if self.far.gone:  # as it was agreeing: nobody will tell of it again
-            self.lost(self.far, None)
-        elif self.far.said_all:
-            self.eof(self.far)
+        self.client_end.tunnel = self.worker_end.tunnel = self
+        buffered, self.worker_end.buffered = self.worker_end.buffered, b""
+        if self.worker_end.transport is not None:
+            self.worker_end.transport.resume_reading()
+        if buffered:
+            self.data_received(self.worker_end, buffered)
+        if self.worker_end.is_lost:  # as it was agreeing: nobody will tell of it again
+            self.connection_lost(self.worker_end, None)
+        elif self.worker_end.has_eof:
+            self.eof_received(self.worker_end)
 
     @property
-    def resumable(self) -> bool:
-        return bool(self.ticket and self.head)
+    def is_resumable(self) -> bool:
+        return bool(self.ticket and self.handshake_head)
 
     @property
-    def held(self) -> bool:
+    def is_held(self) -> bool:
         """It counts as the worker's and is not under way from there."""
         return self.state == OPEN
 
-    def busy(self, now: float) -> bool:
+    def is_busy(self, now: float) -> bool:
         """Something is under way that must not be cut: a req that was not answered, half a message."""
         if (
-            self.pending > 0
-            or not (self.up is None or self.up.idle)
-            or not (self.down is None or self.down.idle)
+            self.pending_requests > 0
+            or not (self.from_client is None or self.from_client.is_idle)
+            or not (self.from_worker is None or self.from_worker.is_idle)
         ):
             return True
-        return self.manner.opens is None and now - self.active < self.manner.quiet
+        return self.policy.request_prefix is None and now - self.active_at < self.policy.quiet_time
 
-    def data(self, end: End, data: bytes) -> None:
-        self.active = self._loop.time()
+    def data_received(self, end: ClientEnd, data: bytes) -> None:
+        self.active_at = self._loop.time()
         try:
-            if end is self.near:
-                self._from_client(data)
-            elif end is self.far:
-                self._from_worker(data)
+            if end is self.client_end:
+                self._relay_from_client(data)
+            elif end is self.worker_end:
+                self._relay_from_worker(data)
             elif isinstance(end, WorkerEnd):
-                end._keep(data)  # the new worker speaks before the old one has ended
+                end.buffer(data)  # the new worker speaks before the old one has ended
         except FrameError as exc:
-            if end is self.near:
-                self._say_close(PROTOCOL_ERROR, str(exc))
+            if end is self.client_end:
+                self._send_close(PROTOCOL_ERROR, str(exc))
             self._end(
-                f"{'client' if end is self.near else 'worker'}: {exc}", 0.0 if end is not self.near else 0.2
+                f"{'client' if end is self.client_end else 'worker'}: {exc}",
+                0.0 if end is not self.client_end else 0.2,
             )
 
-    def _from_client(self, data: bytes) -> None:
+    def _relay_from_client(self, data: bytes) -> None:
         if self.state == CLOSING:
-            if self.up is not None and self._code:
-                self.up.feed(data)
-                if self.up.closed:
-                    self._end(self._why, 0.0)
+            if self.from_client is not None and self._close_code:
+                self.from_client.feed(data)
+                if self.from_client.is_closed:
+                    self._end(self._close_reason, 0.0)
             return
-        if self.up is None:
-            self._write(self.far, data)
+        if self.from_client is None:
+            self._write(self.worker_end, data)
             return
-        fed = self.up.feed(data)
-        opens = self.manner.opens
-        if opens is not None:
-            self.pending += sum(first.startswith(opens) for first in fed.begun)
-        self._write(self.far, fed.out + fed.closing if fed.closing else fed.out)
-
-    def _from_worker(self, data: bytes) -> None:
+        result = self.from_client.feed(data)
+        request_prefix = self.policy.request_prefix
+        if request_prefix is not None:
+            self.pending_requests += sum(first.startswith(request_prefix) for first in result.message_starts)
+        self._write(
+            self.worker_end, result.forwarded + result.closing if result.closing else result.forwarded
+        )
+
+    def _relay_from_worker(self, data: bytes) -> None:
         if self.state == CLOSING:
-            if self.down is not None and self._code and not self.down.between:
-                self._write(self.near, self.down.feed(data).out)  # the rest of a frame that had begun
+            if self.from_worker is not None and self._close_code and not self.from_worker.is_between_frames:
+                self._write(
+                    self.client_end, self.from_worker.feed(data).forwarded
+                )  # the rest of a frame that had begun
                 self._finish_close()
             return
-        if self.down is None:
-            self._write(self.near, data)
+        if self.from_worker is None:
+            self._write(self.client_end, data)
             return
-        fed = self.down.feed(data)
-        if self.manner.opens is not None and self.pending:
-            answered = sum(first.startswith(self.manner.ends) for first in fed.begun)
-            self.pending = max(0, self.pending - answered)
-        self._write(self.near, fed.out)
-        if fed.closing:
-            if self.state == HANDING:
-                self._switch()
+        result = self.from_worker.feed(data)
+        if self.policy.request_prefix is not None and self.pending_requests:
+            answered = sum(first.startswith(self.policy.response_prefix) for first in result.message_starts)
+            self.pending_requests = max(0, self.pending_requests - answered)
+        self._write(self.client_end, result.forwarded)
+        if result.closing:
+            if self.state == HANDING_OVER:
+                self._complete_migration()
             else:
-                self._write(self.near, fed.closing)
+                self._write(self.client_end, result.closing)
 
-    def _write(self, end: End, data: bytes) -> None:
+    def _write(self, end: ClientEnd, data: bytes) -> None:
         if data and end.transport is not None and not end.transport.is_closing():
             end.transport.write(data)
 
-    def _other(self, end: End) -> End:
-        return self.far if end is self.near else self.near
+    def _other(self, end: ClientEnd) -> ClientEnd:
+        return self.worker_end if end is self.client_end else self.client_end
 
-    def full(self, end: End) -> None:
+    def writing_paused(self, end: ClientEnd) -> None:
         """An end leaves bytes unread: the other one is not read until it has caught up, or gives up."""
         other = self._other(end)
         if other.transport is not None and not other.transport.is_closing():
             other.transport.pause_reading()
-        if end not in self._stalled:
-            self._stalled[end] = self._loop.call_later(STALL_WAIT, self._end, UNREAD, 0.0)
+        if end not in self._stall_timers:
+            self._stall_timers[end] = self._loop.call_later(STALL_TIMEOUT, self._end, UNREAD_REASON, 0.0)
 
-    def drained(self, end: End) -> None:
-        if (stalled := self._stalled.pop(end, None)) is not None:
+    def writing_resumed(self, end: ClientEnd) -> None:
+        if (stalled := self._stall_timers.pop(end, None)) is not None:
             stalled.cancel()
         other = self._other(end)
-        if self.state in (MOVING, HANDING) and other is self.near:
+        if self.state in (MOVING, HANDING_OVER) and other is self.client_end:
             return  # the client is read again once it has its worker
         if other.transport is not None and not other.transport.is_closing():
             other.transport.resume_reading()
 
-    def eof(self, end: End) -> None:
+    def eof_received(self, end: ClientEnd) -> None:
         """One side has said all: told on, the other direction goes on."""
-        self._eofs += 1
-        if end is self.far and self.state == HANDING:
-            self._switch()
+        self._eof_count += 1
+        if end is self.worker_end and self.state == HANDING_OVER:
+            self._complete_migration()
             return
-        if end is not self.near and end is not self.far:
+        if end is not self.client_end and end is not self.worker_end:
             return
         other = self._other(end).transport
-        if self._eofs >= 2 or other is None or other.is_closing() or not other.can_write_eof():
-            self._end("ended by both sides" if self._eofs >= 2 else "ended", 0.0)
+        if self._eof_count >= 2 or other is None or other.is_closing() or not other.can_write_eof():
+            self._end("ended by both sides" if self._eof_count >= 2 else "ended", 0.0)
         elif not other.is_closing():
             other.write_eof()
 
-    def lost(self, end: End, exc: Exception | None) -> None:
-        if end is self.far and self.state == HANDING:
-            self._switch()
-        elif end is self._new:
-            self._stay("the new worker ended the connection")
-        elif end is self.near or end is self.far:
-            who = "client" if end is self.near else "worker"
+    def connection_lost(self, end: ClientEnd, exc: Exception | None) -> None:
+        if end is self.worker_end and self.state == HANDING_OVER:
+            self._complete_migration()
+        elif end is self._new_end:
+            self._abandon_migration("the new worker ended the connection")
+        elif end is self.client_end or end is self.worker_end:
+            who = "client" if end is self.client_end else "worker"
             if self.state == OPEN and who == "worker" and exc is not None:
-                self._say_close(UNEXPECTED, "worker lost")
-            self._end(self._why or f"{who}: {exc or 'closed'}", 0.0)
+                self._send_close(INTERNAL_ERROR, "worker lost")
+            self._end(self._close_reason or f"{who}: {exc or 'closed'}", 0.0)
 
     # moving
 
-    def move(self, order: int, connecting: Callable[[bytes], Any]) -> None:
+    def migrate(self, order: int, connecting: Callable[[bytes], Any]) -> None:
         """Below the client, which is not read meanwhile: the new worker must agree to take over first."""
         if self.state != OPEN:
             return
         self.state, self._order = MOVING, order
-        if self.near.transport is not None and not self.near.transport.is_closing():
-            self.near.transport.pause_reading()
-        head = self.head[:-2] + f"{self.manner.ticket}: {self.ticket}\r\n\r\n".encode("latin-1")
+        if self.client_end.transport is not None and not self.client_end.transport.is_closing():
+            self.client_end.transport.pause_reading()
+        head = self.handshake_head[:-2] + f"{self.policy.ticket_header}: {self.ticket}\r\n\r\n".encode(
+            "latin-1"
+        )
         task = asyncio.ensure_future(connecting(head))
-        task.add_done_callback(self._connected)
+        task.add_done_callback(self._on_connected)
 
-    def _connected(self, task: asyncio.Future[WorkerEnd]) -> None:
+    def _on_connected(self, task: asyncio.Future[WorkerEnd]) -> None:
         new = None if task.cancelled() or task.exception() else task.result()
         if self.state != MOVING:
             if new is not None:
-                new.cut()
+                new.abort()
             return
         if new is None or new.reply is None or new.reply.status != 101:
             if new is not None:
-                new.cut()
-            self._stay(
+                new.abort()
+            self._abandon_migration(
                 str(task.exception()) if not task.cancelled() and task.exception() else "not taken over"
             )
             return
-        if new.gone or new.said_all:
-            new.cut()
-            self._stay("the new worker ended the connection")
+        if new.is_lost or new.has_eof:
+            new.abort()
+            self._abandon_migration("the new worker ended the connection")
             return
-        ticket = new.reply.header(self.manner.ticket)
-        if not ticket or self.busy(self.active + self.manner.quiet):
-            new.cut()
-            self._stay("busy again" if ticket else "not taken over")
+        ticket = new.reply.header(self.policy.ticket_header)
+        if not ticket or self.is_busy(self.active_at + self.policy.quiet_time):
+            new.abort()
+            self._abandon_migration("busy again" if ticket else "not taken over")
             return
-        self._new, new.tunnel, self.ticket, self.state = new, self, ticket, HANDING
-        self._write(self.far, close_frame(RESTART, "moved", True))
-        self._timer = self._loop.call_later(HAND_WAIT, self._switch)
+        self._new_end, new.tunnel, self.ticket, self.state = new, self, ticket, HANDING_OVER
+        self._write(self.worker_end, encode_close_frame(SERVICE_RESTART, "moved", True))
+        self._timer = self._loop.call_later(HANDOVER_TIMEOUT, self._complete_migration)
 
-    def _stay(self, why: str) -> None:
-        self.state, order, self._order, self._new = OPEN, self._order, -1, None
-        if self.near.transport is not None and not self.near.transport.is_closing():
-            self.near.transport.resume_reading()
-        self.owner.stayed(self, order, why)
+    def _abandon_migration(self, reason: str) -> None:
+        self.state, order, self._order, self._new_end = OPEN, self._order, -1, None
+        if self.client_end.transport is not None and not self.client_end.transport.is_closing():
+            self.client_end.transport.resume_reading()
+        self.owner.tunnel_stayed(self, order, reason)
 
-    def _switch(self) -> None:
+    def _complete_migration(self) -> None:
         """The old worker has said its last: the new one goes on where it ended."""
-        if self.state != HANDING or self._new is None:
+        if self.state != HANDING_OVER or self._new_end is None:
             return
-        self._cancel()
-        old, source, order = self.far, self.be, self._order
-        half = self.down is not None and not self.down.idle
+        self._cancel_timers()
+        old, source, order = self.worker_end, self.worker_id, self._order
+        half = self.from_worker is not None and not self.from_worker.is_idle
         old.tunnel = None
-        old.cut()
+        old.abort()
         if half:  # it died amid a message: the client's bytes can't be mended
-            self._say_close(UNEXPECTED, "worker lost")
+            self._send_close(INTERNAL_ERROR, "worker lost")
             self._end("the old worker ended amid a message", 0.0)
             return
-        self.far, self.be, self._new = self._new, self._new.be, None
-        self.down, self.state, self._order = FrameScanner(masked=False), OPEN, -1
-        self.owner.moved(self, source, order)
+        self.worker_end, self.worker_id, self._new_end = self._new_end, self._new_end.worker_id, None
+        self.from_worker, self.state, self._order = FrameScanner(masked=False), OPEN, -1
+        self.owner.tunnel_migrated(self, source, order)
         self.start()
-        if self.near.transport is not None and not self.near.transport.is_closing():
-            self.near.transport.resume_reading()
+        if self.client_end.transport is not None and not self.client_end.transport.is_closing():
+            self.client_end.transport.resume_reading()
 
     # closing
 
-    def close(self, order: int, code: int, reason: str, why: str, wait: float) -> None:
+    def close(self, order: int, code: int, message: str, reason: str, timeout_s: float) -> None:
         """In order: a close to both sides where frames are spoken, their ends else; then a bounded wait."""
         if self.state in (CLOSING, CLOSED):
             return
-        if self.state in (MOVING, HANDING) and self._new is not None:
-            self._new.tunnel = None
-            self._new.cut()
-            self._new = None
-        self._cancel()
-        self.state, self._order, self._code, self._why = CLOSING, order, code, why
-        for end in (self.near, self.far):
+        if self.state in (MOVING, HANDING_OVER) and self._new_end is not None:
+            self._new_end.tunnel = None
+            self._new_end.abort()
+            self._new_end = None
+        self._cancel_timers()
+        self.state, self._order, self._close_code, self._close_reason = CLOSING, order, code, reason
+        for end in (self.client_end, self.worker_end):
             if end.transport is not None and not end.transport.is_closing():
                 end.transport.resume_reading()
-        self._timer = self._loop.call_later(wait, self._end, why, 0.0)
-        if self.down is None:
-            self._end(why, 0.0)
+        self._timer = self._loop.call_later(timeout_s, self._end, reason, 0.0)
+        if self.from_worker is None:
+            self._end(reason, 0.0)
             return
-        self._reason = reason
+        self._close_message = message
         self._finish_close()
 
     def abort(self) -> None:
@@ -459,41 +496,49 @@
 
     def _finish_close(self) -> None:
         """Once no frame is half sent to the client."""
-        if self.down is not None and self.down.between and self.near.transport is not None:
-            self._say_close(self._code, self._reason)
-            self.down = FrameScanner(masked=False)
-            self._code = self._code or RESTART
-            if self.up is not None and self.up.between:
-                self._write(self.far, close_frame(self._code, "", True))
-
-    def _say_close(self, code: int, reason: str) -> None:
-        if self.down is not None and not self.down.closed and self.down.between:
-            self._write(self.near, close_frame(code, reason, False))
-
-    def _cancel(self) -> None:
-        for timer in (self._timer, *self._stalled.values()):
+        if (
+            self.from_worker is not None
+            and self.from_worker.is_between_frames
+            and self.client_end.transport is not None
+        ):
+            self._send_close(self._close_code, self._close_message)
+            self.from_worker = FrameScanner(masked=False)
+            self._close_code = self._close_code or SERVICE_RESTART
+            if self.from_client is not None and self.from_client.is_between_frames:
+                self._write(self.worker_end, encode_close_frame(self._close_code, "", True))
+
+    def _send_close(self, code: int, message: str) -> None:
+        if (
+            self.from_worker is not None
+            and not self.from_worker.is_closed
+            and self.from_worker.is_between_frames
+        ):
+            self._write(self.client_end, encode_close_frame(code, message, False))
+
+    def _cancel_timers(self) -> None:
+        for timer in (self._timer, *self._stall_timers.values()):
             if timer is not None:
                 timer.cancel()
-        self._timer, self._stalled = None, {}
+        self._timer, self._stall_timers = None, {}
 
-    def _end(self, why: str, linger: float) -> None:
+    def _end(self, reason: str, linger: float) -> None:
         """The one place where both transports are given back."""
         if self.state == CLOSED:
             return
-        self._cancel()
+        self._cancel_timers()
         self.state = CLOSED
-        if self._new is not None:
-            self._new.tunnel = None
-            self._new.cut()
-        for end in (self.near, self.far):
+        if self._new_end is not None:
+            self._new_end.tunnel = None
+            self._new_end.abort()
+        for end in (self.client_end, self.worker_end):
             end.tunnel = None
             if (transport := end.transport) is not None:
-                if why == UNREAD:
+                if reason == UNREAD_REASON:
                     transport.abort()
                 else:
                     transport.close()  # what is written still goes out
-                    self._loop.call_later(CLOSE_WAIT + linger, transport.abort)
-        self.owner.ended(self, why)
+                    self._loop.call_later(CLOSE_TIMEOUT + linger, transport.abort)
+        self.owner.tunnel_ended(self, reason)
 
     @property
     def order(self) -> int:
--- a/cottonladder/forwarder/worker_connections.py
+++ b/cottonladder/forwarder/worker_connections.py
@@ -13,7 +13,7 @@
 from .resource_limits import ResourceLimits
 
 # Heads that belong to one connection and not to the req (RFC 9110, 7.6.1).
-HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te",
      "trailer", "transfer-encoding", "upgrade"}
 )  # fmt: skip
@@ -22,23 +22,23 @@
 class WorkerError(Exception):
     """A try that brought no answer; `ran`: there is no proof that it never ran."""
 
-    def __init__(self, why: str, ran: bool, late: bool = False) -> None:
-        super().__init__(why)
-        self.ran, self.late = ran, late
+    def __init__(self, reason: str, may_have_run: bool, timed_out: bool = False) -> None:
+        super().__init__(reason)
+        self.may_have_run, self.timed_out = may_have_run, timed_out
 
 
-def passed_on(headers: Mapping[str, str] | CIMultiDictProxy[str]) -> CIMultiDict[str]:
+def forwarded_headers(headers: Mapping[str, str] | CIMultiDictProxy[str]) -> CIMultiDict[str]:
     """The heads that go on: all but those of the connection, and those that `Connection` names."""
-    named = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
-    out: CIMultiDict[str] = CIMultiDict()
+    connection_headers = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
+    forwarded: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
-        if name.lower() not in HOP and name.lower() not in named:
-            out.add(name, value)
-    return out
+        if name.lower() not in HOP_BY_HOP_HEADERS and name.lower() not in connection_headers:
+            forwarded.add(name, value)
+    return forwarded
 
 
 @dataclass(frozen=True, slots=True)
-class Req:
+class WorkerRequest:
     """What is sent to whichever worker is picked."""
 
     method: str
@@ -47,50 +47,54 @@
     body: bytes | AsyncIterator[bytes] | None
 
 
-class Workers:
+class WorkerConnections:
     """Owns the session."""
 
-    def __init__(self, most: ResourceLimits) -> None:
-        self._most = most
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=most.connect_wait, sock_read=None)
+    def __init__(self, limits: ResourceLimits) -> None:
+        self._limits = limits
+        timeout = aiohttp.ClientTimeout(total=None, sock_connect=limits.connect_timeout, sock_read=None)
         self._session = aiohttp.ClientSession(
             timeout=timeout,
-            connector=aiohttp.TCPConnector(limit=0, limit_per_host=most.pool, keepalive_timeout=15.0),
+            connector=aiohttp.TCPConnector(limit=0, limit_per_host=limits.pool_size, keepalive_timeout=15.0),
             auto_decompress=False,
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
             cookie_jar=aiohttp.DummyCookieJar(),
             read_bufsize=65_536,
-            max_line_size=most.header_bytes,
-            max_field_size=most.header_bytes,
+            max_line_size=limits.header_bytes,
+            max_field_size=limits.header_bytes,
         )
         # aiohttp sends idempotent methods again by itself when a kept-alive connection was closed.  Here only
         # the managers' orders and the req's kind say whether a req may be sent twice; a test counts it.
         self._session._retry_connection = False
 
-    async def send(self, address: str, req: Req, wait: float) -> aiohttp.ClientResponse:
+    async def send(self, address: str, request: WorkerRequest, timeout_s: float) -> aiohttp.ClientResponse:
         """The answer's head; its body is read by the caller, who releases it.  Raises WorkerError."""
-        url = URL(f"http://{address}{req.target}", encoded=True)
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=self._most.connect_wait, sock_read=wait)
+        url = URL(f"http://{address}{request.target}", encoded=True)
+        timeout = aiohttp.ClientTimeout(
+            total=None, sock_connect=self._limits.connect_timeout, sock_read=timeout_s
+        )
         try:
             return await asyncio.wait_for(
                 self._session.request(
-                    req.method,
+                    request.method,
                     url,
-                    headers=req.headers,
-                    data=req.body,
+                    headers=request.headers,
+                    data=request.body,
                     allow_redirects=False,
                     timeout=timeout,
                 ),
-                wait,
+                timeout_s,
             )
         except aiohttp.ConnectionTimeoutError as exc:
-            raise WorkerError(f"no connection: {exc}", ran=False) from None
+            raise WorkerError(f"no connection: {exc}", may_have_run=False) from None
         except aiohttp.ClientConnectorError as exc:
-            raise WorkerError(f"no connection: {exc}", ran=False) from None
+            raise WorkerError(f"no connection: {exc}", may_have_run=False) from None
         except (TimeoutError, aiohttp.ServerTimeoutError):
-            raise WorkerError(f"no answer within {wait:g} s", ran=True, late=True) from None
+            raise WorkerError(
+                f"no answer within {timeout_s:g} s", may_have_run=True, timed_out=True
+            ) from None
         except (aiohttp.ClientError, OSError, ValueError) as exc:
-            raise WorkerError(f"{type(exc).__name__}: {exc}", ran=True) from None
+            raise WorkerError(f"{type(exc).__name__}: {exc}", may_have_run=True) from None
 
     async def close(self) -> None:
         await self._session.close()
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -267,7 +267,7 @@
         writer.write((head + key).encode())
         agreed = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), WAIT)
         self.assertIn(b"s3pPLMBiTxaQ9kYGzzhZRbK+xOo=", agreed)  # RFC 6455, 1.3: as the worker answered
-        writer.write(fr.frame(fr.TEXT, b"no mask", False))
+        writer.write(fr.encode_frame(fr.TEXT, b"no mask", False))
         self.assertEqual((await asyncio.wait_for(reader.read(), WAIT))[2:4], struct.pack("!H", 1002))
         writer.close()
         await self.until(lambda: worker.held == 0)
@@ -489,7 +489,7 @@
         await self.emptied("s-0")
         await self.until(lambda: other.held == 25)
         for reader, writer in rude:
-            self.assertIn(struct.pack("!H", fr.RESTART), await asyncio.wait_for(reader.read(), WAIT))
+            self.assertIn(struct.pack("!H", fr.SERVICE_RESTART), await asyncio.wait_for(reader.read(), WAIT))
             writer.close()
 
 
--- a/tests/test_forwarder_crossings.py
+++ b/tests/test_forwarder_crossings.py
@@ -141,13 +141,13 @@
         self.addAsyncCleanup(here.close)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         silent, other = await asyncio.open_connection("127.0.0.1", port)
-        while len(here._new) < 2:
+        while len(here._awaiting_head) < 2:
             await asyncio.sleep(0)
-        with mock.patch.object(front, "HEADER_WAIT", -1.0):
+        with mock.patch.object(front, "HEADER_TIMEOUT", -1.0):
             writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")  # is there, and the loop has not read it yet
-            here._sweep()
+            here._close_overdue()
             self.assertIn(b"200 OK", await asyncio.wait_for(reader.readline(), 15.0))
-            here._sweep()
+            here._close_overdue()
         self.assertEqual(await asyncio.wait_for(silent.read(), 15.0), b"")
         writer.close()
         other.close()
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -259,18 +259,20 @@
         self.assertEqual(len(life.proxy_rates), me.PROXIES)
 
     def test_the_forwarder_s(self) -> None:
-        kinds = [ro.Kind("fetch", (), ro.REPLAYABLE)]
+        kinds = [ro.RequestClass("fetch", (), ro.IDEMPOTENT)]
         before = ro.Router(kinds, "ratio", lambda: 0.5)
-        before.apply([ro.Part(replace=True, rows=tuple((f"s-{n}", 1.0) for n in range(6)), drop=("s-5",))])
-        for _ in range(ro.STRIKES):
-            before.met(100.0, "s-0", False)
-        life = fr.life_of(before, {}, 100.0)
+        before.apply(
+            [ro.ConfigPart(replace=True, weights=tuple((f"s-{n}", 1.0) for n in range(6)), exclude=("s-5",))]
+        )
+        for _ in range(ro.MAX_CONSECUTIVE_FAILURES):
+            before.record_result(100.0, "s-0", False)
+        life = fr.snapshot_of(before, {}, 100.0)
         for age, avoided, table in ((1.0, True, True), (60.0, False, True), (7200.0, False, False)):
             after, arrivals = ro.Router(kinds, "ratio", lambda: 0.5), AdmissionPacer(10.0, 1.0)
-            fr.recall(life, age, 500.0, after, arrivals, lambda be: be != "s-4")
-            self.assertEqual(after.out, {"s-5"})
-            self.assertEqual("s-0" in after.avoided(), avoided)
-            self.assertEqual(set(after.lines("fetch")), {"s-0", "s-1", "s-2", "s-3"} if table else set())
+            fr.restore(life, age, 500.0, after, arrivals, lambda be: be != "s-4")
+            self.assertEqual(after.excluded, {"s-5"})
+            self.assertEqual("s-0" in after.avoided_until(), avoided)
+            self.assertEqual(set(after.candidates("fetch")), {"s-0", "s-1", "s-2", "s-3"} if table else set())
 
 
 class Turns(unittest.TestCase):
