--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -8,43 +8,10 @@
 from collections.abc import Callable, Iterable
 from statistics import fmean
 
+from ..model import inputs, orders
 from ..model.gossip_text import decode_zone_figures, encode_zone_figures
 from ..model.in_flight import InFlightLines
-from ..model.inputs import (
-    Acknowledged,
-    AdvisedFactor,
-    ArrivalReport,
-    EndpointList,
-    EndpointState,
-    ExtraLinesWritten,
-    GossipReceived,
-    HealthCheckResult,
-    HeldLoad,
-    Input,
-    ListUpdateKind,
-    LoadReport,
-    ProxyConnected,
-    ProxyDisconnected,
-    RestoredState,
-    TimerFired,
-)
 from ..model.min_cost_flow import min_cost_flow
-from ..model.orders import (
-    ALL_TABLES,
-    BindProxy,
-    Checkpoint,
-    ExcludeWorker,
-    HealthCheck,
-    LogModeChange,
-    Order,
-    RemoveWorker,
-    RetryPolicy,
-    SendGossip,
-    SetAdmission,
-    SetWeight,
-    StartTimer,
-    WatchEndpoints,
-)
 from ..model.parameters import DeploymentParameters
 from ..model.records import ABSENT, IDLE, ProxyRecord, RoutingTable, WorkerRecord
 from ..model.statistics import median_or_zero
@@ -90,7 +57,7 @@
         self.at = self.waiting = 0.0  # lines that wait: by time or answers
         self.in_flight = InFlightLines()  # by answers alone
         self.written: dict[int, list[float]] = {}
-        self.orders: list[Order] = []
+        self.orders: list[orders.Order] = []
         self.lines, self.total = dict[int, int](), 0  # by proxy written by these orders; over all
         self.added: Callable[[int, Iterable[int], bool], int] = lambda proxy, bes, whole: 0  # by the front
 
@@ -117,12 +84,12 @@
             min(self.terms.max_queued_lines * way[0], self.terms.channel_lines_per_s * way[1]) - taken - heads
         )
 
-    def put(self, orders: list[Order], cost: dict[int, int], way: tuple[float, float]) -> bool:
+    def put(self, changes: list[orders.Order], cost: dict[int, int], way: tuple[float, float]) -> bool:
         """Take the orders if they fit; cost is lines by proxy, to which heads and marks are added."""
         fits = not cost or sum(cost.values()) <= self.room(cost, way)
         if not fits or not all(p in self.lines or self._may_write(p, way != DELTAS) for p in cost):
             return False
-        self.orders += orders
+        self.orders += changes
         for p, lines in cost.items():
             self.total += lines + (self.terms.message_header_lines + 1) * (p not in self.lines)
             self.lines[p] = self.lines.get(p, self.terms.message_header_lines + 1) + lines
@@ -132,17 +99,17 @@
         lines = {p: count + self.terms.message_header_lines for p, count in written.items()}
         self.waiting += self.in_flight.replace(self.number, lines)
 
-    def close(self) -> tuple[list[Order], int]:
+    def close(self) -> tuple[list[orders.Order], int]:
         """What goes out now, and the number of its mark (-1 where no proxy is written)."""
-        orders, mark = self.orders, -1
+        changes, mark = self.orders, -1
         if self.lines:
             self.number = mark = (self.number + 1) % 65536
-            orders.append(Checkpoint(mark, False))
+            changes.append(orders.Checkpoint(mark, False))
             self.waiting += self.total
             self.written.update({p: [*self.written.get(p, []), self.at][-self.kept :] for p in self.lines})
             self.in_flight.add(mark, self.lines, MARKS_MOST)
         self.orders, self.lines, self.total = [], {}, 0
-        return orders, mark
+        return changes, mark
 
 
 class RoutingController:
@@ -155,7 +122,10 @@
             [RoutingTable(z, z) for z in self.zones],
             terms.zone_count,
         )  # of tables so far
-        self.told, self.out = dict[int, tuple[float, list[float]]](), list[Order]()  # by others; to others
+        self.told, self.out = (
+            dict[int, tuple[float, list[float]]](),
+            list[orders.Order](),
+        )  # by others; to others
         self.now = self.solve_at = self.measure_at = self.follow_at = self.usual = 0.0
         self.beat, self.probe_at, self.striking = 0, -math.inf, False  # striking: proxies avoid by themselves
         self.urgent = self.listed = self.due = False
@@ -169,9 +139,9 @@
             [1.0] * terms.zone_count for _ in range(2)
         )  # how servers do, slowly; by now
 
-    def decide(self, now: float, inputs: Iterable[Input]) -> list[Order]:
+    def decide(self, now: float, arrived: Iterable[inputs.Input]) -> list[orders.Order]:
         self.now, self.due = now, False  # sums, joins and most answers wait for the next beat
-        for item in [TimerFired(0), *inputs] if self.beat == 0 else inputs:
+        for item in [inputs.TimerFired(0), *arrived] if self.beat == 0 else arrived:
             if type(item) in TAKE:  # of slices it knows nothing: where they are, no table is ordered
                 TAKE[type(item)](self, item)
         if self.due:
@@ -181,26 +151,26 @@
         out, self.out = self.out, []
         return out
 
-    def _wake(self, wake: TimerFired) -> None:
+    def _wake(self, wake: inputs.TimerFired) -> None:
         if wake.token != self.beat:
             return
         self.beat, self.due = self.beat + 1, True
-        self.out.append(StartTimer(BEAT, self.beat))
+        self.out.append(orders.StartTimer(BEAT, self.beat))
         if self.terms.watches_endpoints and self.now >= self.follow_at:
-            self.out.append(WatchEndpoints(True))
+            self.out.append(orders.WatchEndpoints(True))
             self.follow_at = self.now + 5.0  # a call that was never answered is asked again
         self.usual = max(self.usual, here := sum(p.rate for p in self.proxies.values()))  # as they joined
         self._probe(here) if self.terms.health_checks and self.listed else None
         self._judge()
 
-    def _listing(self, listing: EndpointList) -> None:
+    def _listing(self, listing: inputs.EndpointList) -> None:
         if listing.kind not in (
-            ListUpdateKind.CACHED,
-            ListUpdateKind.SUPERSEDED,
+            inputs.ListUpdateKind.CACHED,
+            inputs.ListUpdateKind.SUPERSEDED,
         ):  # a call that failed is made again
             again = self.now + self.terms.poll_within_s * self.uniform(0.1, 0.2)
-            self.follow_at = again if listing.kind == ListUpdateKind.FAILED else math.inf
-        whole = listing.kind in (ListUpdateKind.FULL, ListUpdateKind.CACHED)
+            self.follow_at = again if listing.kind == inputs.ListUpdateKind.FAILED else math.inf
+        whole = listing.kind in (inputs.ListUpdateKind.FULL, inputs.ListUpdateKind.CACHED)
         named = {e.worker_index for e in listing.endpoints} if whole else self.bes.keys()
         for index in [i for i in self.bes if i not in named]:
             self._step(index, "leaving", "not listed")
@@ -210,7 +180,7 @@
             )
             anew = be.started < e.started_at > self.now - self.terms.warm_up_s
             be.zone, be.weight, be.started = e.zone, max(e.weight, 1e-6), e.started_at
-            event = "leaving" if e.state != EndpointState.READY else "started" if anew else "seen"
+            event = "leaving" if e.state != inputs.EndpointState.READY else "started" if anew else "seen"
             why = f"{e.state.name.lower()}, up {self.now - e.started_at:.1f} s"
             self._step(e.worker_index, event if self.listed or event != "seen" else "listed", why)
         self.listed = self.due = True
@@ -221,7 +191,7 @@
             return
         state, effect = LIFE[be.state, event]
         if be.state not in (state, ABSENT):
-            self.out.append(LogModeChange(f"be {index} {be.state}>{state} {event}: {why}"))
+            self.out.append(orders.LogModeChange(f"be {index} {be.state}>{state} {event}: {why}"))
         be.state, self.urgent = state, True
         effect(self, be) if effect is not None else None
 
@@ -232,16 +202,16 @@
     def _shut(self, be: WorkerRecord) -> None:
         be.due, be.planned = self.now + (OUT_WAIT * self.uniform(0.9, 1.1) if be.state == OUT else 0.0), 0.0
 
-    def _laid(self, laid: HeldLoad) -> None:
+    def _laid(self, laid: inputs.HeldLoad) -> None:
         if (be := self.bes.get(laid.worker_index)) is not None:
             be.laid = min(laid.requests_per_s, RATE_MOST)
 
-    def _advise(self, advised: AdvisedFactor) -> None:
+    def _advise(self, advised: inputs.AdvisedFactor) -> None:
         if (be := self.bes.get(advised.worker_index)) is not None:
             be.factors[advised.source] = advised.factor
             be.advised = min(ADVISED_MOST, max(1.0 / ADVISED_MOST, math.prod(be.factors.values())))
 
-    def _remembered(self, life: RestoredState) -> None:
+    def _remembered(self, life: inputs.RestoredState) -> None:
         """Before anything is heard: who left is out until listed again, suspects as if shut out."""
         self.gate.number, self.rates = life.last_checkpoint, dict(life.proxy_rates)
         for past in life.workers:
@@ -250,10 +220,10 @@
                 if past.was_draining or past.was_ejected:
                     self._step(past.worker_index, "leaving" if past.was_draining else "bad", "remembered")
 
-    def _aside(self, aside: ExtraLinesWritten) -> None:
+    def _aside(self, aside: inputs.ExtraLinesWritten) -> None:
         self.gate.waiting += aside.line_count
 
-    def _tally(self, t: LoadReport) -> None:
+    def _tally(self, t: inputs.LoadReport) -> None:
         if (
             (be := self.bes.get(t.worker_index)) is None
             or t.attempts <= 0
@@ -271,7 +241,7 @@
         load = min(t.metrics.get("util", be.load), NEVER_OVER)
         be.load = load if be.load < 0 else (be.load + load) / 2
 
-    def _ingress(self, u: ArrivalReport) -> None:
+    def _ingress(self, u: inputs.ArrivalReport) -> None:
         """Counts over the time they cover: small proxies are heard of seldom; late sums leave them as is."""
         if (p := self.proxies.get(u.proxy)) is not None and likely(u.requests, u.interval_s, p.rate):
             keep = min(1.0, max(0.0, DEMAND_SPAN - u.interval_s) / p.spans[u.class_index])
@@ -285,9 +255,9 @@
         price = len(listed) * self.terms.health_check_cost / max(1.0, here, came)
         if due := self.now >= self.probe_at + max(PROBE_EVERY, price / PROBE_POINTS):
             self.probe_at = self.now + PROBE_EVERY * self.uniform(-0.1, 0.1)
-        self.out += [HealthCheck(i) for i, be in listed.items() if due or 0 < be.lost < PROBES_LOST]
+        self.out += [orders.HealthCheck(i) for i, be in listed.items() if due or 0 < be.lost < PROBES_LOST]
 
-    def _probed(self, p: HealthCheckResult) -> None:
+    def _probed(self, p: inputs.HealthCheckResult) -> None:
         if (be := self.bes.get(p.worker_index)) is None:
             return
         be.lost, told = (
@@ -299,19 +269,19 @@
         if p.succeeded and be.state == OUT and self.now >= be.due:
             self._step(p.worker_index, "due", f"probe answered in {p.duration_s * 1000:.0f} ms")
 
-    def _joined(self, j: ProxyConnected) -> None:
-        self._left(ProxyDisconnected(j.proxy))
+    def _joined(self, j: inputs.ProxyConnected) -> None:
+        self._left(inputs.ProxyDisconnected(j.proxy))
         rate = min(self.rates.pop(j.proxy, j.requests_per_s), RATE_MOST)
         self.proxies[j.proxy] = ProxyRecord(j.zone, rate, len(self.terms.request_classes), self.now)
         self.heard[j.zone] = self.now
         self.gate.written.pop(j.proxy, None)
         self.solve_at = self.now
 
-    def _left(self, left: ProxyDisconnected) -> None:
+    def _left(self, left: inputs.ProxyDisconnected) -> None:
         if (proxy := self.proxies.pop(left.proxy, None)) is not None:
             proxy.table.users.pop(left.proxy, None) if proxy.table else None
 
-    def _answered(self, a: Acknowledged) -> None:
+    def _answered(self, a: inputs.Acknowledged) -> None:
         self.gate.answered(a.checkpoint, a.proxy)
         if (proxy := self.proxies.get(a.proxy)) is not None:
             self.heard[proxy.zone] = self.now
@@ -393,7 +363,9 @@
         step = LEVEL_STEP * (LEVEL_CALM - strained) * (not LEVEL_CALM <= strained <= 1.0)
         self.let_in = min(1.0, max(LEVEL_FLOOR, before + max(-LEVEL_MOST, step)))
         if (before < 1.0) != (self.let_in < 1.0):
-            self.out.append(LogModeChange(f"levels {before:.2f}>{self.let_in:.2f}: overload {strained:.2f}"))
+            self.out.append(
+                orders.LogModeChange(f"levels {before:.2f}>{self.let_in:.2f}: overload {strained:.2f}")
+            )
         self.least = [[[math.inf, *least[:-1]] for least in row] for row in self.least]
 
     def _forget(self) -> None:
@@ -403,7 +375,7 @@
         for i, be in self._in(GONE).items() if bound else ():
             if self.now - be.due > GONE_FOR and i not in held and not be.laid:
                 del self.bes[i]
-                self.out += [ExcludeWorker(i, False), RemoveWorker(i)]
+                self.out += [orders.ExcludeWorker(i, False), orders.RemoveWorker(i)]
 
     def _overload(self, live: list[WorkerRecord]) -> float:
         """How far most servers show overload, from 1: errors, time, reqs held over rate (Little), load."""
@@ -471,9 +443,9 @@
         """Proxies and demand by zone, for those who can't see them; a lost word is a guess again."""
         at = [p.zone for p in self.proxies.values()]
         counts = [at.count(z) for z in self.zones]
-        self.out += [SendGossip(-1, text) for text in encode_zone_figures(counts, own, WORDS_MOST)]
+        self.out += [orders.SendGossip(-1, text) for text in encode_zone_figures(counts, own, WORDS_MOST)]
 
-    def _hint(self, hint: GossipReceived) -> None:
+    def _hint(self, hint: inputs.GossipReceived) -> None:
         told = decode_zone_figures(hint.text, len(self.zones), WORDS_MOST)
         whole = self.told.get(hint.sender, (0.0, [0.0] * 2 * len(self.zones)))[1]
         if told is not None:
@@ -533,7 +505,7 @@
         if parts > 2 * len(tables) or (parts != len(tables) and not any(t.users for t in tables)):
             for p in [p for t in tables for p in t.users]:
                 self.proxies[p].table = None
-            tables = [RoutingTable((self.numbers + n) % ALL_TABLES, z) for n in range(parts)]
+            tables = [RoutingTable((self.numbers + n) % orders.ALL_TABLES, z) for n in range(parts)]
             self.numbers += parts
             self.tables = [t for t in self.tables if t.zone != z] + tables
         return tables
@@ -575,7 +547,7 @@
         for i, be in self.bes.items():  # a line for who holds it: others get no message, so answer no mark
             if be.cordoned != (on := be.state == GONE) and (stuck or not on):
                 cost = {p: 1 for p, x in self.proxies.items() if x.table is None or i in x.table.sent}
-                be.cordoned = on == self.gate.put([ExcludeWorker(i, on)], cost, RULES)
+                be.cordoned = on == self.gate.put([orders.ExcludeWorker(i, on)], cost, RULES)
         self._send_binds() if not self.terms.slice_count else None
         hold = math.inf if all(x.table for x in here) else self.now - GONE_WAIT * self.terms.drain_grace_s
         told = [(min((self.bes[i].due for i in self._gone(t)), default=math.inf), t) for t in self.tables]
@@ -584,8 +556,8 @@
         heavy = self._heavy()  # of cold ones, also by what those that left have left to them
         for table in self.tables:
             self._send_delta(table, [i for i in table.sent if i in heavy], False)
-        wrote, (orders, mark) = self.gate.lines, self.gate.close()
-        self.out += orders
+        wrote, (changes, mark) = self.gate.lines, self.gate.close()
+        self.out += changes
         for table in self.tables:
             if asked := sum(p in wrote for p in table.users):
                 table.mark, table.at, table.answers, table.asked = mark, self.now, 0, asked
@@ -620,7 +592,7 @@
                 self.gate.put(self._changes(table, 0.0, 65536, []), {}, RULES)
             told = [i for i in table.sent if not self.bes[i].cordoned]  # others are told of as shut out
             lines = 1 + 2 * len(table.sent) - len(told) + len(table.levels) + self.gate.added(p, told, True)
-            if table.sent and self.gate.put([BindProxy(p, table.number, 0)], {p: lines}, way):
+            if table.sent and self.gate.put([orders.BindProxy(p, table.number, 0)], {p: lines}, way):
                 table.users[p], x.table, table.reqs = None, table, table.reqs + x.rate
 
     def _send_delta(self, table: RoutingTable, heavy: list[int], gone: bool) -> None:
@@ -638,29 +610,31 @@
         room = max(0, self.gate.room(table.users, way) // len(table.users))
         if heavy and stays:  # what is left takes the part of what goes, cold ones too: the rest comes along
             room = min(room, max(len(heavy), self.gate.room(table.users, DELTAS) // len(table.users)))
-        orders = self._changes(table, MOVE, room, heavy if stays else [])
-        laid = [o.worker_index for o in orders if isinstance(o, SetWeight) and o.weight > 0]
-        cost = {p: len(orders) + self.gate.added(p, laid, False) for p in table.users} if orders else {}
-        if not self.gate.put(orders, cost, way):
+        changes = self._changes(table, MOVE, room, heavy if stays else [])
+        laid = [o.worker_index for o in changes if isinstance(o, orders.SetWeight) and o.weight > 0]
+        cost = {p: len(changes) + self.gate.added(p, laid, False) for p in table.users} if changes else {}
+        if not self.gate.put(changes, cost, way):
             table.sent, table.levels = sent, levels
 
-    def _changes(self, table: RoutingTable, past: float, most: int, first: list[int]) -> list[Order]:
+    def _changes(self, table: RoutingTable, past: float, most: int, first: list[int]) -> list[orders.Order]:
         """At most so many orders that turn what was sent into what is wanted, which then count as sent."""
-        orders: list[Order] = []
+        changes: list[orders.Order] = []
         for k, (share, level) in self.levels.items():
             if abs(share - table.levels.get(k, -1.0)) > past or (share >= 1.0 > table.levels.get(k, 1.0)):
                 table.levels[k] = share
-                orders.append(SetAdmission(table.number, level, 1 << k, RetryPolicy.IF_NOT_STARTED))
+                changes.append(
+                    orders.SetAdmission(table.number, level, 1 << k, orders.RetryPolicy.IF_NOT_STARTED)
+                )
         moves = {i: table.want.get(i, 0.0) - table.sent.get(i, 0.0) for i in table.want | table.sent}
         moves = {i: d for i, d in moves.items() if abs(d) > past * table.sent.get(i, 0.0)}
         bare = not any(i in table.want for i in table.sent)
         size = {i: -abs(d) * (not self.bes[i].cordoned) for i, d in moves.items()}
         rank = {i: (i not in first, bare and d < 0, size[i]) for i, d in moves.items()}
-        for i in sorted(moves, key=rank.__getitem__)[: max(0, most - len(orders))]:
-            orders.append(SetWeight(table.number, i, table.want.get(i, 0.0)))
+        for i in sorted(moves, key=rank.__getitem__)[: max(0, most - len(changes))]:
+            changes.append(orders.SetWeight(table.number, i, table.want.get(i, 0.0)))
             table.sent.pop(i, None)
             table.sent.update({i: table.want[i]} if i in table.want else {})
-        return orders
+        return changes
 
     def _levels(self) -> dict[int, tuple[float, float]]:
         """What is let in of each kind: the kinds worth least for their response target are denied first."""
@@ -700,17 +674,17 @@
 PACE = dict.fromkeys([(IDLE, "sent"), (WAITING, "sent")], WAITING)
 PACE |= dict.fromkeys([(WAITING, "answered"), (WAITING, "late")], IDLE)
 TAKE: dict[type, Callable[..., None]] = {
-    EndpointList: RoutingController._listing,
-    TimerFired: RoutingController._wake,
-    HealthCheckResult: RoutingController._probed,
-    ProxyConnected: RoutingController._joined,
-    ProxyDisconnected: RoutingController._left,
-    LoadReport: RoutingController._tally,
-    ArrivalReport: RoutingController._ingress,
-    GossipReceived: RoutingController._hint,
-    Acknowledged: RoutingController._answered,
-    HeldLoad: RoutingController._laid,
-    ExtraLinesWritten: RoutingController._aside,
-    AdvisedFactor: RoutingController._advise,
-    RestoredState: RoutingController._remembered,
+    inputs.EndpointList: RoutingController._listing,
+    inputs.TimerFired: RoutingController._wake,
+    inputs.HealthCheckResult: RoutingController._probed,
+    inputs.ProxyConnected: RoutingController._joined,
+    inputs.ProxyDisconnected: RoutingController._left,
+    inputs.LoadReport: RoutingController._tally,
+    inputs.ArrivalReport: RoutingController._ingress,
+    inputs.GossipReceived: RoutingController._hint,
+    inputs.Acknowledged: RoutingController._answered,
+    inputs.HeldLoad: RoutingController._laid,
+    inputs.ExtraLinesWritten: RoutingController._aside,
+    inputs.AdvisedFactor: RoutingController._advise,
+    inputs.RestoredState: RoutingController._remembered,
 }
