--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -677,7 +677,7 @@
         said = CliRunner().invoke(cli.main, ["check", "--operator", str(example)])
         self.assertEqual((said.exit_code, said.output), (0, f"{example}: upgrades, advice, forwarder on\n"))
         schema = json.loads(CliRunner().invoke(cli.main, ["schema"]).output)
-        self.assertIn("UpgradesPart", schema["$defs"])
+        self.assertIn("UpgradesConfig", schema["$defs"])
 
     def test_a_manager_without_the_file_imports_none_of_it(self) -> None:
         code = "import sys, cottonladder.cli.main as c; print(*sys.modules)"
