--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -10,7 +10,8 @@
 
 import click
 
-from ..config.settings import WireError, address
+from ..config.errors import InputError
+from ..config.fields import address
 from ..weight_advice.query import MemberWeight, query_dfp, query_sasp
 from .errors import CommandError
 from .options import AS_JSON
@@ -102,5 +103,5 @@
         return asyncio.run(bounded())
     except TimeoutError as exc:
         raise NoAnswer(f"no answer within {QUERY_TIMEOUT_S:g} s") from exc
-    except (OSError, WireError) as exc:
+    except (OSError, InputError) as exc:
         raise NoAnswer(str(exc) or type(exc).__name__) from exc
--- a/cottonladder/cli/configuration.py
+++ b/cottonladder/cli/configuration.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
+from ..config.errors import InputError
 from ..config.manager_config import ManagerConfig, read_manager_config
-from ..config.settings import WireError
 from .errors import BadInputError
 
 if TYPE_CHECKING:
@@ -15,7 +15,7 @@
 def load_manager_config(path: str) -> ManagerConfig:
     try:
         return read_manager_config(path)
-    except WireError as exc:
+    except InputError as exc:
         raise BadInputError(str(exc)) from exc
 
 
@@ -29,5 +29,5 @@
 
     try:
         return read_operator_config(path)
-    except WireError as exc:
+    except InputError as exc:
         raise BadInputError(str(exc)) from exc
--- a/cottonladder/cli/forwarder.py
+++ b/cottonladder/cli/forwarder.py
@@ -6,7 +6,7 @@
 
 import click
 
-from ..config.settings import WireError
+from ..config.errors import InputError
 from ..control import signals
 from .configuration import load_operator_config
 from .errors import BadInputError
@@ -22,12 +22,12 @@
     from ..forwarder.forwarder import serve  # by optional dependencies, without which --help still works
 
     configure_logging()
-    signals.reading()
+    signals.config_is_read_now()
     operator_config = load_operator_config(operator_path)
     if operator_config is None or operator_config.forwarder is None:
         message = f"{operator_path}: $.forwarder: expected, as this is a forwarder's start"
         raise BadInputError(message)
     try:
         asyncio.run(serve_then_block_signals(serve(operator_config, operator_path)))
-    except WireError as exc:
+    except InputError as exc:
         raise BadInputError(f"{operator_path}: {exc}") from exc
--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -7,11 +7,12 @@
 
 import click
 
+from ..config.errors import InputError
+from ..config.fields import address
 from ..config.manager_config import ManagerConfig
-from ..config.settings import WireError, address
 from ..control import signals
-from ..control.manager import kept
 from ..control.manager import serve as serve_manager
+from ..control.manager import unchangeable_fields
 from ..protocol.messages import PING, PONG
 from .configuration import load_manager_config, load_operator_config
 from .errors import BadInputError, CommandError
@@ -28,7 +29,7 @@
 def serve(config_path: str, operator_path: str) -> None:
     """Serve proxies until SIGTERM; SIGHUP reloads the configuration."""
     configure_logging()
-    signals.reading()
+    signals.config_is_read_now()
     manager_config = load_manager_config(config_path)
     operator_config = load_operator_config(operator_path)
     asyncio.run(serve_then_block_signals(serve_manager(manager_config, config_path, operator_config)))
@@ -65,18 +66,18 @@
 
 
 def _check_reload(running: ManagerConfig, new: ManagerConfig) -> None:
-    fixed = kept(running, new)
+    fixed = unchangeable_fields(running, new)
     if fixed:
         raise CommandError(f"a reload would not change: {', '.join(fixed)}")
 
 
 def _summary(config: ManagerConfig) -> str:
-    parameters = config.site.parameters
+    parameters = config.settings.parameters
     host, port = config.listen
     return (
         f"{config.name}: listens on {host}:{port}, "
         f"{parameters.proxy_count} proxies in {parameters.zone_count} zones, "
-        f"{len(config.known.endpoints)} workers known (version {config.version}), "
+        f"{len(config.known_endpoints.endpoints)} workers known (version {config.list_version}), "
         f"{parameters.manager_count} managers"
     )
 
@@ -87,7 +88,7 @@
     """Ask a manager whether it serves; status 1 if it gives no answer."""
     try:
         manager_address = address({"where": host_port}, "where", "ping")
-    except WireError as exc:
+    except InputError as exc:
         raise BadInputError(str(exc)) from exc
     try:
         answer = _ask_for_pong(manager_address)
--- a/cottonladder/cli/plugin.py
+++ b/cottonladder/cli/plugin.py
@@ -11,7 +11,7 @@
 
 import click
 
-from ..config.settings import WireError
+from ..config.errors import InputError
 from .errors import BadInputError
 from .options import AS_JSON
 from .output import print_rows, print_table
@@ -83,6 +83,6 @@
 
     try:
         rows = configured_plugins(operator_path)
-    except WireError as exc:
+    except InputError as exc:
         raise BadInputError(str(exc)) from exc
     print_rows(LIST_COLUMNS, rows, as_json)
--- a/cottonladder/cli/serving.py
+++ b/cottonladder/cli/serving.py
@@ -28,4 +28,4 @@
     """Blocks signals while the loop still holds them: closing it gives them back to the system, and a second
     SIGTERM would then change the status of a program that has already ended well."""
     await serving
-    signals.seal()
+    signals.block()
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -30,7 +30,7 @@
 )
 from ..model.parameters import DeploymentParameters, RequestClass
 from ..policy.controller import BEAT, RoutingController
-from ..protocol.resp import MESSAGE_MOST, Reader
+from ..protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.worker_registry import WorkerRegistry
 
@@ -68,7 +68,7 @@
     """What a message counts in the channel, read off its bytes: one for each line, worker shut out or let
     back, level, mark and `replace`, and its head."""
     lines = header_lines
-    for words in Reader(MESSAGE_MOST).feed(message):
+    for words in RespReader(MAX_MESSAGE_SIZE).feed(message):
         said = dict(zip(words[1::2], words[2::2], strict=True))
         lines += sum(len(said[name].split(b",")) for name in (b"rows", b"drop", b"undrop") if name in said)
         lines += sum(name in said for name in (b"replace", b"gate", b"stamp"))
@@ -87,7 +87,7 @@
     def apply(self, message: bytes) -> int | None:
         """The number of the message's mark, if it has one."""
         mark = None
-        for words in Reader(MESSAGE_MOST).feed(message):
+        for words in RespReader(MAX_MESSAGE_SIZE).feed(message):
             said = dict(zip(words[1::2], words[2::2], strict=True))
             if b"replace" in said:
                 self.weights.clear()
@@ -119,7 +119,7 @@
         self.workers = WorkerRegistry()
         self.controller = RoutingController(parameters)
         self.dispatcher = OrderDispatcher(list(REQUEST_CLASSES), parameters.manager_count, self.workers)
-        self.controller.gate.added = self.dispatcher.added
+        self.controller.gate.added = self.dispatcher.count_added_lines
         self.proxies: dict[int, SimulatedProxy] = {}
         self.channel: ChannelQueue = deque()
         self.credit_lines, self.longest_queue = 0.0, 0
@@ -135,7 +135,7 @@
     def endpoint(
         self, name: str, zone: int, mode: EndpointState = EndpointState.READY, started: float = 0.0
     ) -> Endpoint:
-        return Endpoint(self.workers.learn(name, "127.0.0.1:1", started), zone, mode, 1.0, started)
+        return Endpoint(self.workers.register(name, "127.0.0.1:1", started), zone, mode, 1.0, started)
 
     def queued_lines(self) -> int:
         return sum(lines for _, _, lines in self.channel)
@@ -143,7 +143,7 @@
     def step(self, name: str, inputs: Iterable[Input]) -> None:
         inputs = list(inputs)
         begun = perf_counter()
-        self.dispatcher.hear(inputs)
+        self.dispatcher.track_proxies(inputs)
         heard = perf_counter()
         self.orders = self.controller.decide(self.now, inputs)
         decided = perf_counter()
@@ -158,14 +158,14 @@
                 SendGossip,
                 LogModeChange,
             ):
-                if why := self.dispatcher.take(order):
+                if why := self.dispatcher.apply(order):
                     raise AssertionError(why)
                 mark = order.number if isinstance(order, Checkpoint) else mark
         booked = dict(self.controller.gate.in_flight.by_checkpoint.get(mark, {}))
         if mark >= 0:
-            self.controller.gate.settle(self.dispatcher.lines())
+            self.controller.gate.settle(self.dispatcher.pending_line_counts())
         spread = perf_counter()
-        messages = list(self.dispatcher.messages())
+        messages = list(self.dispatcher.take_messages())
         ended = perf_counter()
         parts = {"module": decided - heard, "spread": heard - begun + spread - decided}
         parts["write"] = ended - spread
--- a/cottonladder/weight_advice/query.py
+++ b/cottonladder/weight_advice/query.py
@@ -6,7 +6,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ..config.settings import WireError, address
+from ..config.errors import InputError
+from ..config.fields import address
 from . import dfp, sasp
 from .tlv import AdviceError, address_of
 
@@ -39,7 +40,7 @@
     host, port = address({"member": place}, "member", "--member")
     ip_address = address_of(host.strip("[]"))
     if ip_address is None:
-        raise WireError(f"--member: {host} is no literal address")
+        raise InputError(f"--member: {host} is no literal address")
     return sasp.Member(TCP, port, ip_address, label.encode())
 
 
