--- /dev/null
+++ b/benchmarks/harness.py
@@ -0,0 +1,75 @@
+"""What all benchmarks share: arguments, how figures are printed, an older checkout beside this one."""
+
+from __future__ import annotations
+
+import argparse
+import json
+import os
+import subprocess
+import sys
+from collections.abc import Mapping, Sequence
+from contextlib import AsyncExitStack
+from pathlib import Path
+from typing import Any
+
+from cottonladder.testbed.discovery import SimulatedDiscovery
+
+TREE = Path(__file__).resolve().parents[1]
+MILLISECONDS_PER_S = 1000.0
+MICROSECONDS_PER_S = 1e6
+BYTES_PER_MB = 2**20
+
+
+def argument_parser(doc: str | None) -> argparse.ArgumentParser:
+    """A parser with the options that every benchmark has; its help is the module's first line."""
+    parser = argparse.ArgumentParser(description=(doc or "").split("\n")[0])
+    parser.add_argument("--json", action="store_true", help="print JSON in place of lines")
+    return parser
+
+
+def add_baseline_argument(parser: argparse.ArgumentParser) -> None:
+    """`--before TREE`, for benchmarks that can measure an older checkout beside this one."""
+    parser.add_argument("--before", metavar="TREE", help="an older checkout, measured by its own benchmark")
+
+
+def print_figures(figures: Mapping[str, Any], as_json: bool) -> None:
+    """Prints figures as one JSON object or as aligned lines."""
+    if as_json:
+        print(json.dumps(figures))
+        return
+    width = max(len(name) for name in figures)
+    for name, value in figures.items():
+        print(f"{name:{width}} {value}")
+
+
+def run_in_tree(tree: str, module: str, *arguments: str, timeout_s: float | None = None) -> Any:
+    """Runs a benchmark module of a checkout as a process of its own and reads the JSON that it prints.
+
+    An older checkout's modules have other names, so its own text of the benchmark measures it.
+    """
+    command = [sys.executable, "-B", "-m", module, *arguments]
+    environment = {**os.environ, "PYTHONPATH": tree}
+    done = subprocess.run(
+        command,
+        cwd=tree,
+        env=environment,
+        stdout=subprocess.PIPE,
+        text=True,
+        check=True,
+        timeout=timeout_s,
+    )
+    return json.loads(done.stdout)
+
+
+def percentile(values: Sequence[float], share: float) -> float:
+    """The value below which this share of all values lies."""
+    ordered = sorted(values)
+    return ordered[int(len(ordered) * share)]
+
+
+async def start_discovery(stack: AsyncExitStack) -> tuple[SimulatedDiscovery, str]:
+    """A simulated discovery, closed with the stack, and its address."""
+    discovery = SimulatedDiscovery()
+    address = await discovery.start()
+    stack.push_async_callback(discovery.close)
+    return discovery, address
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,13 +1,14 @@
-"""What a manager's decisions cost as the fleet grows: seeded inputs straight into ladder and spread.
+"""What a manager's decisions cost as the fleet grows: seeded inputs into controller and dispatcher.
 
     python -m benchmarks.scale --json [--before TREE]
 
 One axis at a time grows from a fleet of 400 proxies and 200 workers in 4 zones under 5 managers; each point
-is a process of its own.  A point: the list comes, all proxies join at once, 8 s of looks with reports, probes
-and other managers' words, half of the workers are replaced, 4 s more.  The channel's pace grows with the
-proxies, so that all are bound.  `solve_ms` and `look_ms` are medians, `batch_worst_ms` and `replace_half_ms`
-worst batches, `joins_all_ms` all CPU until everybody is bound.  What was before is measured on the text that
-TREE holds, a worktree of an older commit; a point that takes over a minute has no figures.
+is a process of its own.  A point: the list comes, all proxies join at once, 8 s of steps with reports, health
+checks and other managers' gossip, half of the workers are replaced, 4 s more.  The channel's speed grows with
+the proxies, so that all are bound.  `solve_ms` and `look_ms` (a step's batch) are medians, `batch_worst_ms`
+and `replace_half_ms` worst batches, `joins_all_ms` all CPU until everybody is bound.  What was before is
+measured by the benchmark that TREE holds, a worktree of an older commit; a point that takes over a minute has
+no figures.
 """
 
 from __future__ import annotations
@@ -15,17 +16,21 @@
 import argparse
 import json
 import math
-import os
 import resource
 import subprocess
-import sys
 import time
-from collections.abc import Iterable
-from dataclasses import replace
-from pathlib import Path
+from collections.abc import Iterable, Iterator
+from dataclasses import dataclass, replace
 from statistics import median
 from typing import Any
 
+from benchmarks.harness import (
+    MILLISECONDS_PER_S,
+    TREE,
+    add_baseline_argument,
+    argument_parser,
+    run_in_tree,
+)
 from cottonladder.model.inputs import (
     ArrivalReport,
     EndpointList,
@@ -38,9 +43,6 @@
 )
 from cottonladder.testbed.simulated_fleet import SimulatedFleet, fleet_parameters
 
-HERE = Path(__file__).resolve()
-
-
 USUAL = {"proxies": 400, "workers": 200, "zones": 4, "managers": 5}
 AXES = {
     "proxies": (150, 400, 1600, 6400),
@@ -48,136 +50,198 @@
     "zones": (3, 8, 16, 24),
     "managers": (2, 16, 64, 256),
 }
-REPORTS = 30  # lines that a look brings, as the settings limit them: of workers a fifth, of proxies the rest
-PROBED = 8  # looks until each worker has been probed
-KEYS = (
-    "solve_ms", "look_ms", "batch_worst_ms", "joins_all_ms", "replace_half_ms", "bytes_per_join", "peak_mb",
-)  # fmt: skip
-WAIT = 60.0  # s that a point may take
-
-
-class Fleet(SimulatedFleet):
-    def __init__(self, proxies: int, workers: int, zones: int, managers: int) -> None:
-        terms = fleet_parameters(
-            proxies=max(proxies * managers // 2, proxies), zones=zones, managers=managers
+FIGURES = (
+    "solve_ms",
+    "look_ms",
+    "batch_worst_ms",
+    "joins_all_ms",
+    "replace_half_ms",
+    "bytes_per_join",
+    "peak_mb",
+)
+LOAD_REPORTS_PER_STEP = 6  # a fifth of the 30 reports that a step may bring by the settings
+ARRIVAL_REPORTS_PER_STEP = 24
+STEPS_PER_HEALTH_CHECK = 8  # until each worker has been checked
+GOSSIP_PROBABILITY = 1 / 8  # of a step: once an interval
+MIN_CHANNEL_LINES_PER_S = 3200.0
+CHANNEL_LINES_PER_PROXY_S = 4.0
+JOIN_DEADLINE_S = 1060.0  # of the fleet's clock, which begins at 1000
+STEADY_S = 8.0
+AFTER_REPLACEMENT_S = 4.0
+POINT_TIMEOUT_S = 60.0
+MIN_DURATION_MS = 1e-6  # whose logarithm can still be taken
+
+
+@dataclass(frozen=True, slots=True)
+class FleetSize:
+    """One point: how large the fleet is along each axis."""
+
+    proxies: int
+    workers: int
+    zones: int
+    managers: int
+
+
+class MeasuredFleet(SimulatedFleet):
+    """A simulated fleet under seeded reports, whose solver runs and steps are timed."""
+
+    def __init__(self, size: FleetSize) -> None:
+        parameters = fleet_parameters(
+            proxies=max(size.proxies * size.managers // 2, size.proxies),
+            zones=size.zones,
+            managers=size.managers,
+        )
+        channel_lines_per_s = max(MIN_CHANNEL_LINES_PER_S, CHANNEL_LINES_PER_PROXY_S * size.proxies)
+        super().__init__(
+            replace(parameters, channel_lines_per_s=channel_lines_per_s, proxy_count=size.proxies)
         )
-        super().__init__(replace(terms, channel_lines_per_s=max(3200.0, 4.0 * proxies), proxy_count=proxies))
-        self.count, self.zones, self.managers = workers, zones, managers
-        self.solves, self.looks = list[float](), list[float]()
+        self.size = size
+        self.solve_durations: list[float] = []
+        self.step_durations: list[float] = []
         self.extra_inputs = self.reports
+        self._time_solver()
+
+    def _time_solver(self) -> None:
         solve = self.controller._solve
 
         def timed() -> None:
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             solve()
-            self.solves.append(time.perf_counter() - begun)
+            self.solve_durations.append(time.perf_counter() - started_at)
 
         self.controller._solve = timed  # type: ignore[method-assign]
 
-    def reports(self) -> Iterable[Input]:
-        rnd, known = self.random, list(self.controller.bes)
-        here = list(self.proxies)
-        for _ in range(REPORTS // 5):
-            yield LoadReport(rnd.choice(known), rnd.randrange(self.zones), 20, 0, 2.0, 0.2, {})
-        for _ in range(REPORTS * 4 // 5 if here else 0):
-            yield ArrivalReport(rnd.choice(here), rnd.randrange(2), 5, 0, 4.0)
-        for be in rnd.sample(known, len(known) // PROBED):
-            yield HealthCheckResult(be, True, 0.05, {"inflight": float(rnd.randrange(6))})
-        if rnd.random() < 1 / 8:  # once an interval, from each
-            for m in range(1, self.managers):
-                words = [f"{self.count // self.zones} 99.5"] * self.zones
-                yield GossipReceived(m, " ".join(words))
+    def reports(self) -> Iterator[Input]:
+        """What a step brings from collectors, proxies, health checks and other managers."""
+        workers = list(self.controller.bes)
+        proxies = list(self.proxies)
+        zones = self.size.zones
+        for _ in range(LOAD_REPORTS_PER_STEP):
+            yield LoadReport(self.random.choice(workers), self.random.randrange(zones), 20, 0, 2.0, 0.2, {})
+        for _ in range(ARRIVAL_REPORTS_PER_STEP if proxies else 0):
+            yield ArrivalReport(self.random.choice(proxies), self.random.randrange(2), 5, 0, 4.0)
+        for worker in self.random.sample(workers, len(workers) // STEPS_PER_HEALTH_CHECK):
+            yield HealthCheckResult(worker, True, 0.05, {"inflight": float(self.random.randrange(6))})
+        if self.random.random() < GOSSIP_PROBABILITY:
+            text = " ".join([f"{self.size.workers // zones} 99.5"] * zones)
+            for manager in range(1, self.size.managers):
+                yield GossipReceived(manager, text)
 
     def step(self, name: str, inputs: Iterable[Input]) -> None:
         super().step(name, inputs)
         if name == "look":
-            self.looks.append(self.batch_durations[-1])
-
-
-def point(proxies: int, workers: int, zones: int, managers: int) -> dict[str, float]:
-    fleet = Fleet(proxies, workers, zones, managers)
-    listed = tuple(fleet.endpoint(f"s-{n:04x}", n % zones) for n in range(workers))
+            self.step_durations.append(self.batch_durations[-1])
+
+    def join_all(self) -> None:
+        """All proxies join at once; returns when each has a table, or it took too long."""
+        self.join(range(self.size.proxies))
+        while self.now < JOIN_DEADLINE_S and any(not proxy.weights for proxy in self.proxies.values()):
+            self.run(0.25)
+
+    def replace_half_of_the_workers(self) -> None:
+        zones = self.size.zones
+        numbers = range(0, self.size.workers, 2)
+        leaving = [self.endpoint(f"s-{n:04x}", n % zones, EndpointState.DRAINING) for n in numbers]
+        coming = [self.endpoint(f"n-{n:04x}", n % zones, started=self.now - 1.0) for n in numbers]
+        self.step("list", [EndpointList(ListUpdateKind.DELTA, (*leaving, *coming))])
+
+
+def measure_point(size: FleetSize) -> dict[str, float]:
+    """Plays one point in this process."""
+    fleet = MeasuredFleet(size)
+    listed = tuple(fleet.endpoint(f"s-{n:04x}", n % size.zones) for n in range(size.workers))
     fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
-    fleet.join(range(proxies))
-    while any(not held.weights for held in fleet.proxies.values()) and fleet.now < 1060.0:
-        fleet.run(0.25)
-    joins, bytes_joined = sum(fleet.batch_durations), fleet.bytes_written / proxies
-    fleet.looks.clear()
-    fleet.run(8.0)
-    looks = list(fleet.looks)
+    fleet.join_all()
+    joins_s = sum(fleet.batch_durations)
+    bytes_per_join = fleet.bytes_written / size.proxies
+    fleet.step_durations.clear()
+    fleet.run(STEADY_S)
+    step_s = median(fleet.step_durations)
     fleet.batch_durations.clear()
-    half = range(0, workers, 2)
-    old = tuple(fleet.endpoint(f"s-{n:04x}", n % zones, EndpointState.DRAINING) for n in half)
-    new = tuple(fleet.endpoint(f"n-{n:04x}", n % zones, started=fleet.now - 1.0) for n in half)
-    fleet.step("list", [EndpointList(ListUpdateKind.DELTA, old + new)])
-    fleet.run(4.0)
+    fleet.replace_half_of_the_workers()
+    fleet.run(AFTER_REPLACEMENT_S)
+    worst_s = max(duration for (_, part), duration in fleet.worst_durations.items() if part == "all")
     return {
-        "solve_ms": 1000 * median(fleet.solves),
-        "look_ms": 1000 * median(looks),
-        "batch_worst_ms": 1000
-        * max(took for (_, part), took in fleet.worst_durations.items() if part == "all"),
-        "joins_all_ms": 1000 * joins,
-        "replace_half_ms": 1000 * max(fleet.batch_durations),
-        "bytes_per_join": bytes_joined,
+        "solve_ms": MILLISECONDS_PER_S * median(fleet.solve_durations),
+        "look_ms": MILLISECONDS_PER_S * step_s,
+        "batch_worst_ms": MILLISECONDS_PER_S * worst_s,
+        "joins_all_ms": MILLISECONDS_PER_S * joins_s,
+        "replace_half_ms": MILLISECONDS_PER_S * max(fleet.batch_durations),
+        "bytes_per_join": bytes_per_join,
         "peak_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0,
     }
 
 
-def measure(sizes: dict[str, int], tree: str) -> dict[str, float] | None:
-    """A point in a process of its own, on the decisions and the state of a tree."""
-    words = [sys.executable, "-B", str(HERE), "--point", json.dumps(sizes)]
-    env = {**os.environ, "PYTHONPATH": tree}
+def measure_in_process(size: dict[str, int], tree: str) -> dict[str, float] | None:
+    """A point in a process of its own, by the benchmark of a tree; None if it takes too long."""
+    arguments = ("--point", json.dumps(size))
     try:
-        done = subprocess.run(words, env=env, capture_output=True, text=True, check=True, timeout=WAIT)
+        figures: dict[str, float] = run_in_tree(
+            tree, "benchmarks.scale", *arguments, timeout_s=POINT_TIMEOUT_S
+        )
     except subprocess.TimeoutExpired:
         return None
-    result: dict[str, float] = json.loads(done.stdout)
-    return result
+    return figures
 
 
-def exponent(sizes: Iterable[int], times: Iterable[float]) -> float:
-    """The slope of the times over the sizes, both as logarithms, by least squares."""
-    pairs = [(math.log(s), math.log(max(t, 1e-6))) for s, t in zip(sizes, times, strict=True)]
-    x, y = (sum(c) / len(pairs) for c in zip(*pairs, strict=True))
-    return float(sum((a - x) * (b - y) for a, b in pairs) / sum((a - x) ** 2 for a, _ in pairs))
+def growth_exponent(durations: dict[int, float]) -> float | None:
+    """The slope of durations over sizes, both as logarithms, by least squares."""
+    if len(durations) < 2:
+        return None
+    points = [(math.log(size), math.log(max(ms, MIN_DURATION_MS))) for size, ms in durations.items()]
+    mean_x = sum(x for x, _ in points) / len(points)
+    mean_y = sum(y for _, y in points) / len(points)
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    variance = sum((x - mean_x) ** 2 for x, _ in points)
+    return covariance / variance
 
 
-def run(tree: str) -> dict[str, Any]:
+def measure_axes(tree: str) -> dict[str, Any]:
     axes: dict[str, Any] = {}
     for axis, sizes in AXES.items():
-        points = {size: measure({**USUAL, axis: size}, tree) for size in sizes}
-        looks = {size: told["look_ms"] for size, told in points.items() if told is not None}
+        points = {size: measure_in_process({**USUAL, axis: size}, tree) for size in sizes}
+        durations = {size: figures["look_ms"] for size, figures in points.items() if figures is not None}
         axes[axis] = {
-            "points": {str(size): told for size, told in points.items()},
-            "growth_exponent": exponent(looks, looks.values()) if len(looks) > 1 else None,
+            "points": {str(size): figures for size, figures in points.items()},
+            "growth_exponent": growth_exponent(durations),
         }
     return axes
 
 
+def add_baseline(axes: dict[str, Any], baseline: dict[str, Any]) -> None:
+    """Writes the older tree's figures beside this one's, as `..._before`."""
+    for axis, older in baseline.items():
+        axes[axis]["growth_exponent_before"] = older["growth_exponent"]
+        for size, figures in axes[axis]["points"].items():
+            older_figures = older["points"][size] or {}
+            if figures is not None:
+                figures.update({f"{name}_before": older_figures.get(name) for name in FIGURES})
+
+
+def print_axes(axes: dict[str, Any]) -> None:
+    for axis, measured in axes.items():
+        exponent = measured["growth_exponent"]
+        print(f"{axis}: a step grows with the power {math.nan if exponent is None else exponent:.2f}")
+        for size, figures in measured["points"].items():
+            shown = [f"{name} {value:.1f}" for name, value in (figures or {}).items() if value is not None]
+            print(f"  {size:>5}  " + "  ".join(shown))
+
+
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("--json", action="store_true")
-    parser.add_argument("--before", metavar="TREE", help="a checkout whose text is measured beside this one")
+    parser = argument_parser(__doc__)
+    add_baseline_argument(parser)
     parser.add_argument("--point", help=argparse.SUPPRESS)
-    given = parser.parse_args()
-    if given.point:
-        print(json.dumps(point(**json.loads(given.point))))
+    arguments = parser.parse_args()
+    if arguments.point:
+        print(json.dumps(measure_point(FleetSize(**json.loads(arguments.point)))))
         return
-    axes = run(str(HERE.parents[1]))
-    before = run(given.before) if given.before else {}
-    for axis, old in before.items():
-        axes[axis]["growth_exponent_before"] = old["growth_exponent"]
-        for size, figures in axes[axis]["points"].items():
-            was = old["points"][size] or {}
-            (figures or {}).update({f"{key}_before": was.get(key) for key in KEYS})
-    if given.json:
+    axes = measure_axes(str(TREE))
+    if arguments.before:
+        add_baseline(axes, measure_axes(arguments.before))
+    if arguments.json:
         print(json.dumps({"usual": USUAL, "axes": axes}, indent=1))
         return
-    for axis, told in axes.items():
-        print(f"{axis}: a look grows with the power {told['growth_exponent'] or math.nan:.2f}")
-        for size, figures in told["points"].items():
-            shown = (f"{key} {value:.1f}" for key, value in (figures or {}).items() if value is not None)
-            print(f"  {size:>5}  " + "  ".join(shown))
+    print_axes(axes)
 
 
 if __name__ == "__main__":
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -6,12 +6,11 @@
 that; `configuration`, of `check` over that; `decision`, to the first PONG over that; `whole`, all of it.  The
 configuration names 200 workers, 1,600 proxies, and a discovery that nobody runs.  `ready_s` is the time from
 exec to PONG, `stop_s` from SIGTERM to the end with 400 proxies joined, by the clock.  What was before is
-measured on the text that TREE holds, a worktree of an older commit, turn about with this one.
+measured by the benchmark that TREE holds, a worktree of an older commit, turn about with this one.
 """
 
 from __future__ import annotations
 
-import argparse
 import json
 import os
 import signal
@@ -20,14 +19,22 @@
 import sys
 import tempfile
 import time
+from contextlib import ExitStack
 from pathlib import Path
 from statistics import median
 from typing import Any
 
-HERE = Path(__file__).resolve().parents[1]
-PROXIES, WORKERS, JOINED = 1600, 200, 400
-WAIT = 30.0  # s for an answer
-PING, PONG = b"*1\r\n$4\r\nPING\r\n", b"PONG"
+from benchmarks.harness import TREE, add_baseline_argument, argument_parser, run_in_tree
+
+PROXIES = 1600
+WORKERS = 200
+JOINED_PROXIES = 400
+TIMEOUT_S = 30.0  # for any answer
+CONNECT_TIMEOUT_S = 1.0
+RETRY_INTERVAL_S = 0.002
+NANOSECONDS_PER_S = 1e9
+PING = b"*1\r\n$4\r\nPING\r\n"
+PONG = b"PONG"
 SETTINGS: dict[str, Any] = {
     "NInstances": 5, "Me": 0, "Zones": ["a", "b", "c", "d"], "Discovery": "subscribe",
     "Profiles": [{"Name": n, "TargetMs": 1000.0, "Gain": g} for n, g in (("fetch", 1.0), ("release", 3.0))],
@@ -37,6 +44,10 @@
     "Limits": {"Probing": False, "Peers": False}, "Prices": {"CrossZone": 0.02, "Probe": 0.02},
     "Stats": {"Via": "none", "Fields": []},
 }  # fmt: skip
+AT_EXIT = """
+import atexit, os, time
+atexit.register(lambda: open(os.environ["CPU_TIME_FILE"], "w").write(str(time.process_time())))
+"""
 
 
 def free_port() -> int:
@@ -44,7 +55,8 @@
         return int(listener.getsockname()[1])
 
 
-def configuration(folder: str, port: int) -> str:
+def write_configuration(folder: str, port: int) -> str:
+    """A manager's file with all workers known and a discovery that nobody runs; its path."""
     servers = [
         {"id": f"s-{n:04x}", "addr": f"127.0.0.1:{1 + n}", "zone": "abcd"[n % 4], "kind": "m", "cell": 0,
          "state": "Ready", "weight": 1.0, "started_ms": 0}
@@ -60,100 +72,110 @@
     return str(path)
 
 
-AT_END = """
-import atexit, os, time
-atexit.register(lambda: open(os.environ["SPENT"], "w").write(str(time.process_time())))
-"""
+def cpu_time_of_command(arguments: list[str], folder: str) -> float:
+    """CPU seconds of an interpreter up to its end, without what it spends on tidying up."""
+    (Path(folder) / "sitecustomize.py").write_text(AT_EXIT)
+    result = Path(folder) / "cpu_time"
+    environment = {**os.environ, "PYTHONPATH": folder, "CPU_TIME_FILE": str(result)}
+    command = [sys.executable, "-B", *arguments]
+    subprocess.run(command, cwd=TREE, stdout=subprocess.DEVNULL, check=True, env=environment)
+    return float(result.read_text())
 
 
-def spent(words: list[str], tree: str, folder: str) -> float:
-    """CPU seconds of a command up to its end, without what an interpreter spends on tidying up."""
-    (Path(folder) / "sitecustomize.py").write_text(AT_END)
-    told = Path(folder) / "spent"
-    env = {**os.environ, "PYTHONPATH": folder, "SPENT": str(told)}
-    subprocess.run([sys.executable, "-B", *words], cwd=tree, stdout=subprocess.DEVNULL, check=True, env=env)
-    return float(told.read_text())
+def cpu_time_of_process(pid: int) -> float:
+    """CPU seconds of a process with one thread, to the nanosecond."""
+    nanoseconds = int(Path(f"/proc/{pid}/schedstat").read_text().split()[0])
+    return nanoseconds / NANOSECONDS_PER_S
 
 
-def cpu_of(pid: int) -> float:
-    """Of its one thread, to the nanosecond."""
-    return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
-
-
-def ask(port: int, end: float) -> None:
-    """Until somebody listens and answers."""
+def wait_for_pong(port: int, deadline: float) -> None:
+    """Asks again and again until a manager listens and answers."""
     while True:
         try:
-            with socket.create_connection(("127.0.0.1", port), 1.0) as connection:
+            with socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S) as connection:
                 connection.sendall(PING)
                 if PONG in connection.recv(64):
                     return
         except OSError:
-            if time.monotonic() > end:
+            if time.monotonic() > deadline:
                 raise
-            time.sleep(0.002)
+            time.sleep(RETRY_INTERVAL_S)
+
 
+def join_as_proxy(port: int, node: int) -> socket.socket:
+    """Opens a proxy's stream and asks for orders."""
+    stream = socket.create_connection(("127.0.0.1", port), TIMEOUT_S)
+    words = f"SUBSCRIBE node {node} locality a w 5.0 cold 1".split()
+    encoded = b"".join(b"$%d\r\n%b\r\n" % (len(word), word.encode()) for word in words)
+    stream.sendall(b"*%d\r\n" % len(words) + encoded)
+    return stream
 
-def serving(tree: str, folder: str) -> dict[str, float]:
+
+def measure_manager(folder: str) -> dict[str, float]:
+    """A manager from its start to its end: CPU until it answers, and both times by the clock."""
     port = free_port()
-    path = configuration(folder, port)
-    begun = time.monotonic()
-    words = [sys.executable, "-B", "-m", "cottonladder", "serve", "--config", path]
-    process = subprocess.Popen(words, cwd=tree, stdout=subprocess.DEVNULL)
-    ask(port, begun + WAIT)
-    ready, cpu = time.monotonic() - begun, cpu_of(process.pid)
-    streams = []
-    for node in range(JOINED):
-        stream = socket.create_connection(("127.0.0.1", port), WAIT)
-        said = f"SUBSCRIBE node {node} locality a w 5.0 cold 1".split()
-        words_said = b"".join(b"$%d\r\n%b\r\n" % (len(word), word.encode()) for word in said)
-        stream.sendall(b"*%d\r\n" % len(said) + words_said)
-        streams.append(stream)
-    for stream in streams:
-        stream.recv(1)  # its first order has come
-    told = time.monotonic()
-    process.send_signal(signal.SIGTERM)
-    if status := process.wait(WAIT):
-        raise RuntimeError(f"the manager ended with status {status}")
-    stop = time.monotonic() - told
-    for stream in streams:
-        stream.close()
-    return {"whole": cpu, "ready_s": ready, "stop_s": stop}
-
-
-def once(tree: str) -> dict[str, float]:
+    path = write_configuration(folder, port)
+    command = [sys.executable, "-B", "-m", "cottonladder", "serve", "--config", path]
+    with ExitStack() as stack:
+        started_at = time.monotonic()
+        process = stack.enter_context(subprocess.Popen(command, cwd=TREE, stdout=subprocess.DEVNULL))
+        stack.callback(process.kill)
+        wait_for_pong(port, started_at + TIMEOUT_S)
+        ready_s = time.monotonic() - started_at
+        cpu_s = cpu_time_of_process(process.pid)
+        streams = [stack.enter_context(join_as_proxy(port, node)) for node in range(JOINED_PROXIES)]
+        for stream in streams:
+            stream.recv(1)  # its first order has come
+        stop_at = time.monotonic()
+        process.send_signal(signal.SIGTERM)
+        if status := process.wait(TIMEOUT_S):
+            raise RuntimeError(f"the manager ended with status {status}")
+        stop_s = time.monotonic() - stop_at
+    return {"whole": cpu_s, "ready_s": ready_s, "stop_s": stop_s}
+
+
+def measure_once() -> dict[str, float]:
+    """One run of each command, and what each adds to the one before it."""
     with tempfile.TemporaryDirectory() as folder:
-        path = configuration(folder, 1)
-        interpreter = spent(["-c", "pass"], tree, folder)
-        imported = spent(["-m", "cottonladder", "serve", "--help"], tree, folder)
-        checked = spent(["-m", "cottonladder", "check", "--config", path], tree, folder)
-        told = serving(tree, folder)
+        path = write_configuration(folder, 1)
+        interpreter = cpu_time_of_command(["-c", "pass"], folder)
+        imported = cpu_time_of_command(["-m", "cottonladder", "serve", "--help"], folder)
+        checked = cpu_time_of_command(["-m", "cottonladder", "check", "--config", path], folder)
+        manager = measure_manager(folder)
     return {
-        "interpreter": interpreter, "imports": imported - interpreter, "configuration": checked - imported,
-        "decision": told["whole"] - checked, **told,
-    }  # fmt: skip
+        "interpreter": interpreter,
+        "imports": imported - interpreter,
+        "configuration": checked - imported,
+        "decision": manager["whole"] - checked,
+        **manager,
+    }
+
+
+def medians(runs: list[dict[str, float]]) -> dict[str, float]:
+    return {name: round(median(run[name] for run in runs), 4) for name in runs[0]}
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("--json", action="store_true")
-    parser.add_argument("--before", metavar="TREE", help="a checkout whose text is measured beside this one")
+    parser = argument_parser(__doc__)
+    add_baseline_argument(parser)
     parser.add_argument("--runs", type=int, default=7)
-    given = parser.parse_args()
-    trees = {"now": str(HERE), **({"before": given.before} if given.before else {})}
-    runs: dict[str, list[dict[str, float]]] = {name: [] for name in trees}
-    for _ in range(given.runs):
-        for name, tree in trees.items():
-            runs[name].append(once(tree))
-    told = {
-        name: {key: round(median(run[key] for run in of_it), 4) for key in of_it[0]}
-        for name, of_it in runs.items()
-    }
-    if given.json:
-        print(json.dumps({"runs": given.runs, "proxies": PROXIES, "workers": WORKERS, **told}, indent=1))
+    arguments = parser.parse_args()
+    runs: list[dict[str, float]] = []
+    runs_before: list[dict[str, float]] = []
+    for _ in range(arguments.runs):
+        runs.append(measure_once())
+        if arguments.before:
+            older = run_in_tree(arguments.before, "benchmarks.starts", "--json", "--runs", "1")
+            runs_before.append(older["now"])
+    figures = {"now": medians(runs)}
+    if runs_before:
+        figures["before"] = medians(runs_before)
+    if arguments.json:
+        counts = {"runs": arguments.runs, "proxies": PROXIES, "workers": WORKERS}
+        print(json.dumps({**counts, **figures}, indent=1))
         return
-    for name, figures in told.items():
-        print(f"{name:>7}  " + "  ".join(f"{key} {value:.3f}" for key, value in figures.items()))
+    for name, row in figures.items():
+        print(f"{name:>7}  " + "  ".join(f"{key} {value:.3f}" for key, value in row.items()))
 
 
 if __name__ == "__main__":
