--- a/cottonladder/testbed/crash_test.py
+++ b/cottonladder/testbed/crash_test.py
@@ -1,9 +1,9 @@
-"""Kills a writer of memory files at drawn instants, again and again, and looks at what is left each time.
+"""Kills a writer of snapshots at random instants, again and again, and reads what is left each time.
 
     python -m cottonladder.testbed.crash_test FOLDER --kills 1000 --seed 7
 
-Each time a child writes generations as fast as it can and says, through shared memory, which it has finished;
-the parent kills it (SIGKILL) and reads the folder as a start would.
+Each time a child writes generations as fast as it can and tells, through shared memory, which it has
+finished; the parent kills it (SIGKILL) and reads the folder as a start would.
 """
 
 from __future__ import annotations
@@ -16,67 +16,111 @@
 import signal
 import struct
 import time
+from dataclasses import asdict, dataclass
 
-from ..snapshots.store import Store, StoreError
+from ..snapshots.store import Generation, Store, StoreError
 
-LONGEST = 0.012  # s until the kill: some ten generations
-ROWS = 120  # workers in each generation
+MAX_LIFE_S = 0.012  # of a writer: some ten generations
+WORKERS_PER_GENERATION = 120
+FINISHED = struct.Struct("!Q")  # the last finished count, in shared memory
+UNFINISHED_SUFFIX = ".new"
 
 
-def _child(folder: str, first: int, finished: mmap.mmap) -> None:
-    store = Store(folder)
-    store.open()
-    count = first
-    while True:
-        count += 1
-        rows = [[f"s-{n}", 0.0, 0.01 * n, 1.0, False, False] for n in range(ROWS)]
-        store.write({"manager": {"v": 1, "data": {"count": count, "workers": rows}}}, time.time())
-        finished[:8] = struct.pack("!Q", count)
+@dataclass(slots=True)
+class CrashCounts:
+    """Over all kills: incomplete states read as whole, states lost, most leftovers at once, and kills amid a
+    write."""
 
+    kills: int = 0
+    half_written: int = 0
+    states_lost: int = 0
+    leftovers: int = 0
+    mid_write: int = 0
 
-def crash_test(folder: str, kills: int, seed: int) -> dict[str, int]:
-    """Counts over all kills: half written states read as whole, states lost, and leftovers of killed
-    writes."""
-    chance, finished, count = random.Random(seed), mmap.mmap(-1, 8), 0
-    out = {"kills": 0, "half_written": 0, "states_lost": 0, "leftovers": 0, "mid_write": 0}
-    for _ in range(kills):
+
+class CrashTest:
+    """Writers of one folder that are killed one after another."""
+
+    def __init__(self, folder: str, seed: int) -> None:
+        self.counts = CrashCounts()
+        self._folder = folder
+        self._random = random.Random(seed)
+        self._finished = mmap.mmap(-1, FINISHED.size)
+        self._last_count = 0
+
+    def kill_one(self) -> None:
+        """Starts a writer, kills it, and counts what it left."""
         child = os.fork()
         if child == 0:
             try:
-                _child(folder, count, finished)
+                write_generations(self._folder, self._last_count, self._finished)
             finally:
                 os._exit(1)
-        time.sleep(chance.uniform(0.0, LONGEST))
+        time.sleep(self._random.uniform(0.0, MAX_LIFE_S))
         os.kill(child, signal.SIGKILL)
         os.waitpid(child, 0)
-        out["kills"] += 1
-        done = struct.unpack("!Q", finished[:8])[0]
-        left = [name for name in os.listdir(folder) if name.endswith(".new")]
-        out["leftovers"] = max(out["leftovers"], len(left))
-        out["mid_write"] += bool(left)
-        store = Store(folder)
-        try:
-            store.open()
-            found = store.newest()
-        except StoreError:
-            found = None
-        finally:
-            store.close()
+        self.counts.kills += 1
+        self._count_leftovers()
+        self._count_losses()
+
+    def _count_leftovers(self) -> None:
+        leftovers = [name for name in os.listdir(self._folder) if name.endswith(UNFINISHED_SUFFIX)]
+        self.counts.leftovers = max(self.counts.leftovers, len(leftovers))
+        self.counts.mid_write += bool(leftovers)
+
+    def _count_losses(self) -> None:
+        (finished_count,) = FINISHED.unpack(self._finished[: FINISHED.size])
+        store = Store(self._folder)
+        generation = open_newest(store)
         if store.faults:
-            out["half_written"] += 1
-        data = found.sections["manager"]["data"] if found else {"count": 0, "workers": []}
-        if found and len(data["workers"]) != ROWS:
-            out["half_written"] += 1
-        if data["count"] < done:
-            out["states_lost"] += 1
-        count = max(count, data["count"], done)
-    return out
+            self.counts.half_written += 1
+        data = generation.sections["manager"]["data"] if generation else {"count": 0, "workers": []}
+        if generation and len(data["workers"]) != WORKERS_PER_GENERATION:
+            self.counts.half_written += 1
+        if data["count"] < finished_count:
+            self.counts.states_lost += 1
+        self._last_count = max(self._last_count, data["count"], finished_count)
 
 
-if __name__ == "__main__":
+def write_generations(folder: str, first: int, finished: mmap.mmap) -> None:
+    """Writes generations without end and notes the count of each once it is finished."""
+    store = Store(folder)
+    store.open()
+    count = first
+    while True:
+        count += 1
+        workers = [[f"s-{n}", 0.0, 0.01 * n, 1.0, False, False] for n in range(WORKERS_PER_GENERATION)]
+        store.write({"manager": {"v": 1, "data": {"count": count, "workers": workers}}}, time.time())
+        finished[: FINISHED.size] = FINISHED.pack(count)
+
+
+def open_newest(store: Store) -> Generation | None:
+    """The newest whole generation, as a start would read it."""
+    try:
+        store.open()
+        return store.newest()
+    except StoreError:
+        return None
+    finally:
+        store.close()
+
+
+def crash_test(folder: str, kills: int, seed: int) -> dict[str, int]:
+    """Counts over so many kills, by name."""
+    test = CrashTest(folder, seed)
+    for _ in range(kills):
+        test.kill_one()
+    return asdict(test.counts)
+
+
+def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("folder")
     parser.add_argument("--kills", type=int, default=1000)
     parser.add_argument("--seed", type=int, default=7)
-    asked = parser.parse_args()
-    print(json.dumps(crash_test(asked.folder, asked.kills, asked.seed)))
+    arguments = parser.parse_args()
+    print(json.dumps(crash_test(arguments.folder, arguments.kills, arguments.seed)))
+
+
+if __name__ == "__main__":
+    main()
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -1,8 +1,9 @@
-"""A month's end in simulated time: the real module on unequal stand-in workers, with or without an advisor.
+"""A month's end in simulated time: the real controller on unequal workers, with or without an advisor.
 
-Nothing here knows a wire.  Workers take reqs in order on a few cores; how fast each is nobody lists; some
-grow slower half-way.  Proxies deal by the tables that the module orders; what they met comes back summed and
-late."""
+No wire is involved.  Workers take requests in order on a few cores; how fast each is nobody lists, and some
+grow slower half-way.  Proxies route by the tables that the controller orders; what they met comes back summed
+and late.
+"""
 
 from __future__ import annotations
 
@@ -34,13 +35,29 @@
 from ..planning.controller_views import capacity_views, collect_state
 from ..policy.controller import RoutingController
 
-STEP_S, REPORT_INTERVAL_S, REPORT_DELAY_S = (
-    0.25,
-    2.0,
-    0.5,
-)  # s between looks, between sums, and until these arrive
-LATENCY_OBJECTIVE_S, DEADLINE_S, SERVICE_TIME_S = 1.0, 2.5, 0.16  # s
-PROXY_COUNT, ZONE_COUNT = 12, 2
+STEP_S = 0.25
+START_TIME_S = 1000.0  # of the manager's clock: starts of 0 are long ago
+REPORT_INTERVAL_S = 2.0
+REPORT_DELAY_S = 0.5
+ORDER_DELAY_S = 0.2  # until proxies have applied an order
+LIST_DELAY_S = 0.2
+LATENCY_OBJECTIVE_S = 1.0
+DEADLINE_S = 2.5
+SERVICE_TIME_S = 0.16  # of one request on one core of a worker of speed 1
+SERVICE_TIME_SPREAD = (0.9, 1.1)  # of it, drawn from this range
+CORES = 3
+WARM_UP_S = 15.0
+WARM_UP_START = 0.2  # of a worker's usual speed
+COLLAPSE_MULTIPLE = 3.0  # of its capacity: a warming worker that is brought so much collapses
+LOAD_WINDOW_S = 2.0  # over which a warming worker's load is counted
+WORST_WINDOW_S = 10.0
+MIN_WINDOW_REQUESTS = 50  # a window with no more tells nothing
+TIMER_TOLERANCE_S = 1e-6
+PROXY_COUNT = 12
+ZONE_COUNT = 2
+WORKER_SPEEDS = (1.6, 1.5, 1.0, 1.0, 0.9, 0.9, 0.6, 0.55, 0.5, 1.4)
+FALLBACK_WORKERS = 5  # where a proxy has no usable weight, its requests go to the first few workers
+MAX_ADVISORY_WEIGHT = 65535.0
 PARAMETERS = DeploymentParameters(
     seed=1,
     manager_count=1,
@@ -72,27 +89,33 @@
 
 @dataclass(slots=True)
 class SimulatedWorker:
-    """One stand-in worker: `speed` as it is, `cores` free from when."""
+    """One worker: its `speed` once warm, and when each of its cores is free again."""
 
     zone: int
     speed: float
     started_at: float = 0.0
-    cores_free_at: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
+    cores_free_at: list[float] = field(default_factory=lambda: [0.0] * CORES)
+
+    def is_warming_up(self, now: float) -> bool:
+        return self.started_at > 0 and now - self.started_at < WARM_UP_S
 
     def speed_at(self, now: float) -> float:
-        """What it does of its usual: a cold one begins at a fifth."""
-        age = now - self.started_at if self.started_at > 0 else math.inf
-        return self.speed * (1.0 if age >= 15.0 else 0.2 + 0.8 * age / 15.0)
+        """Its speed now, which rises from a fifth while it warms up."""
+        if not self.is_warming_up(now):
+            return self.speed
+        age_s = now - self.started_at
+        return self.speed * (WARM_UP_START + (1.0 - WARM_UP_START) * age_s / WARM_UP_S)
 
 
 @dataclass(slots=True)
 class MonthEndResult:
+    """What a run came to; times are in seconds, shares of all requests."""
+
     requests: int = 0
-    served: int = 0
-    worst_share: float = 1.0  # share of the worst 10 s
-    worst_warm_up_load: float = 0.0  # most that a cold worker was brought in 2 s, of what would push it over
-    proxies_without_worker: int = 0  # looks at which a bound proxy had no usable line
-    shares: dict[int, float] = field(default_factory=dict)
+    served: int = 0  # within the latency objective
+    worst_share: float = 1.0  # served in the worst 10 s
+    worst_warm_up_load: float = 0.0  # most brought to a warming worker in 2 s, of what would collapse it
+    proxies_without_worker: int = 0  # steps at which a bound proxy had no usable weight
     credit: dict[str, float] = field(default_factory=dict)
     factors: list[dict[int, float]] = field(default_factory=list)
 
@@ -101,240 +124,328 @@
         return self.served / max(1, self.requests)
 
 
+@dataclass(slots=True)
+class RequestCounts:
+    """Requests of one window."""
+
+    requests: int = 0
+    served: int = 0
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class FinishedRequest:
+    """One attempt, in order of its end, for the reports."""
+
+    ended_at: float
+    worker_index: int
+    zone: int
+    duration_s: float
+    succeeded: bool
+
+
+@dataclass(slots=True)
+class AttemptSums:
+    """What a load report says of one worker and zone."""
+
+    attempts: int = 0
+    failed: int = 0
+    succeeded_duration_s: float = 0.0
+
+    def add(self, request: FinishedRequest) -> None:
+        self.attempts += 1
+        if request.succeeded:
+            self.succeeded_duration_s += request.duration_s
+        else:
+            self.failed += 1
+
+    def mean_duration_s(self) -> float:
+        return self.succeeded_duration_s / max(1.0, self.attempts - self.failed)
+
+
 class MonthEndRun:
-    """One seeded day of `length` s; `advisors` are asked for words each interval."""
+    """One seeded run of `duration_s`; `advisors` are asked for weights each interval."""
 
     def __init__(
         self, advisors: Mapping[str, Advisor], seed: int = 7, duration_s: float = 120.0, load: float = 0.8
     ) -> None:
-        chance = random.Random(seed)
-        self.random = chance
+        self.random = random.Random(seed)
         self.workers = {
-            be: SimulatedWorker(be % ZONE_COUNT, speed)
-            for be, speed in enumerate([1.6, 1.5, 1.0, 1.0, 0.9, 0.9, 0.6, 0.55, 0.5, 1.4])
+            index: SimulatedWorker(index % ZONE_COUNT, speed) for index, speed in enumerate(WORKER_SPEEDS)
         }
-        self.duration_s, self._advisors, self.load = duration_s, advisors, load
-        self.controller, self.advice, self.result = RoutingController(PARAMETERS), Advice(), MonthEndResult()
-        self._tables: dict[int, dict[int, float]] = defaultdict(dict)
-        self._bound: dict[int, int] = {}
-        self._out: set[int] = set()
-        self._due: list[tuple[float, int, Input]] = []  # inputs on their way
-        self._count = 0
-        self._ends: list[tuple[float, int, int, float, bool]] = []  # end, worker, zone, took, done
-        self._standing: dict[int, WorkerCapacityView] = {}
+        self.duration_s = duration_s
+        self.load = load
+        self.controller = RoutingController(PARAMETERS)
+        self.advice = Advice()
+        self.result = MonthEndResult()
+        self._advisors = advisors
+        self._tables: dict[int, dict[int, float]] = defaultdict(dict)  # weights by table and worker
+        self._bound_tables = {proxy: -1 for proxy in range(PROXY_COUNT)}  # -1: not bound yet
+        self._excluded: set[int] = set()
+        self._scheduled: list[tuple[float, int, Input]] = []  # a heap of inputs on their way
+        self._schedule_count = 0
+        self._finished: list[FinishedRequest] = []  # a heap
+        self._capacity_views: dict[int, WorkerCapacityView] = {}
         self._factors: dict[int, float] = {}
-        self._brought: dict[int, list[tuple[float, float]]] = defaultdict(list)
-
-    def capacity(self, now: float) -> float:
-        """Reqs a second that all of them do."""
-        return sum(3.0 * box.speed_at(now) / SERVICE_TIME_S for box in self.workers.values())
+        self._warm_up_arrivals: dict[int, list[float]] = defaultdict(list)
+        self._windows: dict[int, RequestCounts] = defaultdict(RequestCounts)
+        self._arrivals: dict[int, int] = defaultdict(int)  # by proxy, since the last report
 
-    def request_rate(self, now: float) -> float:
+    def request_rate(self, elapsed_s: float) -> float:
         """Month's end: from two thirds of the load up to all of it, in waves."""
-        whole = sum(3.0 * b.speed / SERVICE_TIME_S for b in self.workers.values())
-        wave = 0.08 * math.sin(now / 9.0)
-        return whole * self.load * (0.7 + 0.3 * min(1.0, now / (self.duration_s / 2)) + wave)
+        capacity = sum(CORES * worker.speed / SERVICE_TIME_S for worker in self.workers.values())
+        wave = 0.08 * math.sin(elapsed_s / 9.0)
+        return capacity * self.load * (0.7 + 0.3 * min(1.0, elapsed_s / (self.duration_s / 2)) + wave)
 
     def schedule(self, at: float, message: Input) -> None:
-        self._count += 1
-        heapq.heappush(self._due, (at, self._count, message))
+        """Has the manager receive an input at a time."""
+        self._schedule_count += 1
+        heapq.heappush(self._scheduled, (at, self._schedule_count, message))
 
     def start_worker(self, worker_index: int, zone: int, speed: float, now: float) -> None:
-        """A fresh worker, cold."""
+        """A new worker, which warms up."""
         self.workers[worker_index] = SimulatedWorker(zone, speed, now)
-        entry = Endpoint(worker_index, zone, EndpointState.READY, 1.0, now)
-        self.schedule(now + 0.2, EndpointList(ListUpdateKind.DELTA, (entry,)))
+        endpoint = Endpoint(worker_index, zone, EndpointState.READY, 1.0, now)
+        self.schedule(now + LIST_DELAY_S, EndpointList(ListUpdateKind.DELTA, (endpoint,)))
 
     def drain_worker(self, worker_index: int, now: float) -> None:
-        entry = Endpoint(worker_index, self.workers[worker_index].zone, EndpointState.DRAINING, 1.0, 0.0)
-        self.schedule(now, EndpointList(ListUpdateKind.DELTA, (entry,)))
+        zone = self.workers[worker_index].zone
+        endpoint = Endpoint(worker_index, zone, EndpointState.DRAINING, 1.0, 0.0)
+        self.schedule(now, EndpointList(ListUpdateKind.DELTA, (endpoint,)))
 
     def restart_manager(self, restore: Callable[[RestoredState], RestoredState | None]) -> None:
-        """The manager dies and a new one starts with the list, and with what `recall` makes of the old one's
-        life.  Proxies keep their tables and join anew within a second."""
-        life = restore(
-            collect_state(self.controller, list(self.controller.bes), list(self.controller.proxies))
-        )
+        """The manager dies and a new one starts with the list, and with what `restore` makes of the old one's
+        state.  Proxies keep their tables and join anew within a second."""
+        workers = list(self.controller.bes)
+        state = restore(collect_state(self.controller, workers, list(self.controller.proxies)))
         now = self.controller.now
         self.controller = RoutingController(PARAMETERS)
-        self._due = [row for row in self._due if not isinstance(row[2], TimerFired | Acknowledged)]
-        heapq.heapify(self._due)
-        entries = tuple(
-            Endpoint(be, x.zone, EndpointState.READY, 1.0, x.started_at) for be, x in self.workers.items()
-        )
-        self.schedule(now, EndpointList(ListUpdateKind.CACHED, entries))
-        if life is not None:
-            self.schedule(now, life)
-        for p in range(PROXY_COUNT):
-            joined = ProxyConnected(p, p % ZONE_COUNT, self.request_rate(now - 1000.0) / PROXY_COUNT, False)
+        self._scheduled = [
+            entry for entry in self._scheduled if not isinstance(entry[2], TimerFired | Acknowledged)
+        ]
+        heapq.heapify(self._scheduled)
+        self.schedule(now, EndpointList(ListUpdateKind.CACHED, self._endpoints()))
+        if state is not None:
+            self.schedule(now, state)
+        request_rate = self.request_rate(now - START_TIME_S) / PROXY_COUNT
+        for proxy in range(PROXY_COUNT):
+            joined = ProxyConnected(proxy, proxy % ZONE_COUNT, request_rate, False)
             self.schedule(now + 0.2 + self.random.random() * 0.8, joined)
 
-    def run(self, events: Callable[[float, MonthEndRun], None] = lambda now, day: None) -> MonthEndResult:
-        entries = tuple(
-            Endpoint(be, box.zone, EndpointState.READY, 1.0, 0.0) for be, box in self.workers.items()
+    def _endpoints(self) -> tuple[Endpoint, ...]:
+        return tuple(
+            Endpoint(index, worker.zone, EndpointState.READY, 1.0, worker.started_at)
+            for index, worker in self.workers.items()
         )
-        origin = 1000.0  # module time of the day's begin: starts of 0 are long ago
-        self.schedule(origin, EndpointList(ListUpdateKind.FULL, entries))
-        for p in range(PROXY_COUNT):
-            self.schedule(
-                origin + 0.01, ProxyConnected(p, p % ZONE_COUNT, self.request_rate(0.0) / PROXY_COUNT, True)
-            )
-        now, report_at, advise_at, by_ten = origin, origin + REPORT_INTERVAL_S, origin, dict[int, list[int]]()
-        came: dict[int, int] = defaultdict(int)
-        for p in range(PROXY_COUNT):
-            self._bound[p] = -1
-        while now < origin + self.duration_s:
-            events(now - origin, self)
-            inputs = self._take(now)
+
+    def run(
+        self, events: Callable[[float, MonthEndRun], None] = lambda elapsed_s, run: None
+    ) -> MonthEndResult:
+        """Plays the run; `events` is called at each step, with the seconds since its begin."""
+        self._start()
+        now = START_TIME_S
+        report_at = START_TIME_S + REPORT_INTERVAL_S
+        advise_at = START_TIME_S
+        while now < START_TIME_S + self.duration_s:
+            events(now - START_TIME_S, self)
+            inputs = self._take_scheduled(now)
             if now >= advise_at:
                 advise_at = now + PERIOD
-                inputs += self._advise(now)
-            self._carry(now, self.controller.decide(now, inputs))
-            self._standing = capacity_views(self.controller)
-            self._check()
-            self._reqs(now, origin, came, by_ten)
+                inputs += self._ask_advisors(now)
+            self._apply_orders(now, self.controller.decide(now, inputs))
+            self._capacity_views = capacity_views(self.controller)
+            self._count_proxies_without_worker()
+            self._send_requests(now)
             now += STEP_S
             if now >= report_at:
                 report_at += REPORT_INTERVAL_S
-                self._report(now, came)
-        self.result.worst_share = min((s / max(1, n) for n, s in by_ten.values() if n > 50), default=1.0)
-        self.result.credit = {name: s.credit for name, s in self.advice.shown(now).items()}
+                self._report(now)
+        self._finish(now)
         return self.result
 
-    def _take(self, now: float) -> list[Input]:
+    def _start(self) -> None:
+        self.schedule(START_TIME_S, EndpointList(ListUpdateKind.FULL, self._endpoints()))
+        request_rate = self.request_rate(0.0) / PROXY_COUNT
+        for proxy in range(PROXY_COUNT):
+            joined = ProxyConnected(proxy, proxy % ZONE_COUNT, request_rate, True)
+            self.schedule(START_TIME_S + 0.01, joined)
+
+    def _finish(self, now: float) -> None:
+        shares = [
+            window.served / window.requests
+            for window in self._windows.values()
+            if window.requests > MIN_WINDOW_REQUESTS
+        ]
+        self.result.worst_share = min(shares, default=1.0)
+        self.result.credit = {name: view.credit for name, view in self.advice.shown(now).items()}
+
+    def _take_scheduled(self, now: float) -> list[Input]:
         inputs: list[Input] = []
-        while self._due and self._due[0][0] <= now:
-            inputs.append(heapq.heappop(self._due)[2])
+        while self._scheduled and self._scheduled[0][0] <= now:
+            inputs.append(heapq.heappop(self._scheduled)[2])
         return inputs
 
-    def _advise(self, now: float) -> list[Input]:
-        for name, say in self._advisors.items():
-            words = say(now - 1000.0, self)
-            if words is not None:
-                self.advice.heard(name, now, words, whole=True)
-        factors = self.advice.factors(now, self._standing) if self._standing else {}
-        changed = {be: 1.0 for be in self._factors if be not in factors} | factors
+    def _ask_advisors(self, now: float) -> list[Input]:
+        """Takes the advisors' weights in; gives the factors that changed."""
+        for name, advisor in self._advisors.items():
+            weights = advisor(now - START_TIME_S, self)
+            if weights is not None:
+                self.advice.heard(name, now, weights, whole=True)
+        factors = self.advice.factors(now, self._capacity_views) if self._capacity_views else {}
+        withdrawn = {index: 1.0 for index in self._factors if index not in factors}
         self._factors = factors
         self.result.factors.append(factors)
-        return [AdvisedFactor(be, factor) for be, factor in changed.items()]
-
-    def _carry(self, now: float, orders: list[Order]) -> None:
-        for o in orders:
-            if isinstance(o, SetWeight):
-                self._tables[o.table][o.worker_index] = o.weight
-            elif isinstance(o, ClearTable):
-                self._tables[o.table].clear()
-            elif isinstance(o, BindProxy):
-                self._bound[o.proxy] = o.table
-            elif isinstance(o, ExcludeWorker):
-                (self._out.add if o.excluded else self._out.discard)(o.worker_index)
-            elif isinstance(o, Checkpoint):
-                for p in self._bound:
-                    self.schedule(now + 0.2, Acknowledged(p, o.number, 0.2))
-            elif isinstance(o, StartTimer):
-                self.schedule(now + o.delay_s - 1e-6, TimerFired(o.token))
+        return [AdvisedFactor(index, factor) for index, factor in (withdrawn | factors).items()]
+
+    def _apply_orders(self, now: float, orders: list[Order]) -> None:
+        for order in orders:
+            if isinstance(order, SetWeight):
+                self._tables[order.table][order.worker_index] = order.weight
+            elif isinstance(order, ClearTable):
+                self._tables[order.table].clear()
+            elif isinstance(order, BindProxy):
+                self._bound_tables[order.proxy] = order.table
+            elif isinstance(order, ExcludeWorker):
+                self._exclude(order)
+            elif isinstance(order, Checkpoint):
+                for proxy in self._bound_tables:
+                    acknowledged = Acknowledged(proxy, order.number, ORDER_DELAY_S)
+                    self.schedule(now + ORDER_DELAY_S, acknowledged)
+            elif isinstance(order, StartTimer):
+                fires_at = now + order.delay_s - TIMER_TOLERANCE_S
+                self.schedule(fires_at, TimerFired(order.token))
+
+    def _exclude(self, order: ExcludeWorker) -> None:
+        if order.excluded:
+            self._excluded.add(order.worker_index)
+        else:
+            self._excluded.discard(order.worker_index)
 
     def usable_weights(self, proxy: int) -> dict[int, float]:
-        table = self._tables[self._bound[proxy]]
-        return {be: w for be, w in table.items() if w > 0 and be not in self._out}
-
-    def _check(self) -> None:
-        """The rules: nobody bound is without a usable line."""
-        self.result.proxies_without_worker += sum(
-            t >= 0 and not self.usable_weights(p) for p, t in self._bound.items()
-        )
-
-    def _reqs(self, now: float, origin: float, came: dict[int, int], by_ten: dict[int, list[int]]) -> None:
-        """All that come until the next look, in order."""
-        at, rate = now, self.request_rate(now - origin)
-        weights = {
-            p: self.usable_weights(p) or {b: 1.0 for b in list(self.workers)[:5]} for p in range(PROXY_COUNT)
+        """A proxy's weights by worker, without what it must not use."""
+        table = self._tables[self._bound_tables[proxy]]
+        return {
+            index: weight for index, weight in table.items() if weight > 0 and index not in self._excluded
         }
-        while (at := at + self.random.expovariate(rate)) < now + STEP_S:
-            p = min(int(PROXY_COUNT * self.random.random() ** 2), PROXY_COUNT - 1)  # few carry most
-            came[p] += 1
-            lines = weights[p]
-            be = self.random.choices(list(lines), list(lines.values()))[0]
-            took, done = self._serve(at, be, p % ZONE_COUNT)
-            row = by_ten.setdefault(int((at - origin) / 10.0), [0, 0])
-            self.result.requests += 1
-            row[0] += 1
-            if done and took <= LATENCY_OBJECTIVE_S:
-                self.result.served += 1
-                row[1] += 1
-
-    def _serve(self, at: float, be: int, zone: int) -> tuple[float, bool]:
-        box = self.workers[be]
-        speed = box.speed_at(at)
-        if box.started_at > 0 and at - box.started_at < 15.0:
-            brought = [pair for pair in self._brought[be] if pair[0] > at - 2.0]
-            brought.append((at, SERVICE_TIME_S))
-            self._brought[be] = brought
-            can = 3.0 * speed * 2.0
-            if at - box.started_at > 2.0:
-                over = sum(w for _, w in brought) / (3.0 * can)
-                self.result.worst_warm_up_load = max(self.result.worst_warm_up_load, over)
-        begin = max(at, box.cores_free_at[0])
-        if begin - at > DEADLINE_S:  # not begun: its client has gone
-            heapq.heappush(self._ends, (at + DEADLINE_S, be, zone, DEADLINE_S, False))
-            return DEADLINE_S, False
-        end = begin + self.random.uniform(0.9, 1.1) * SERVICE_TIME_S / speed
-        heapq.heapreplace(box.cores_free_at, end)
-        took, done = end - at, end - at <= DEADLINE_S
-        heapq.heappush(self._ends, (at + min(took, DEADLINE_S), be, zone, took, done))
-        return took, done
-
-    def _report(self, now: float, came: dict[int, int]) -> None:
-        sums: dict[tuple[int, int], list[float]] = defaultdict(lambda: [0.0, 0.0, 0.0])
-        while self._ends and self._ends[0][0] <= now:
-            _, be, zone, took, done = heapq.heappop(self._ends)
-            row = sums[be, zone]
-            row[0] += 1
-            row[1] += not done
-            row[2] += took * done
-        for (be, zone), (tries, errored, took) in sums.items():
-            mean = took / max(1.0, tries - errored)
-            self.schedule(
-                now + REPORT_DELAY_S,
-                LoadReport(be, zone, int(tries), int(errored), REPORT_INTERVAL_S, mean, {}),
-            )
-        for p, count in came.items():
-            self.schedule(now + REPORT_DELAY_S, ArrivalReport(p, 0, count, 0, REPORT_INTERVAL_S))
-        came.clear()
-
-
-def honest_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    return {be: AdvisoryWeight(100.0 * box.speed_at(1000.0 + now)) for be, box in run.workers.items()}
-
-
-def lying_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+
+    def _count_proxies_without_worker(self) -> None:
+        """The rule that must hold at each step: no bound proxy is without a usable weight."""
+        for proxy, table in self._bound_tables.items():
+            if table >= 0 and not self.usable_weights(proxy):
+                self.result.proxies_without_worker += 1
+
+    def _send_requests(self, now: float) -> None:
+        """All requests that come until the next step, in order."""
+        fallback = {index: 1.0 for index in list(self.workers)[:FALLBACK_WORKERS]}
+        weights = [self.usable_weights(proxy) or fallback for proxy in range(PROXY_COUNT)]
+        request_rate = self.request_rate(now - START_TIME_S)
+        at = now + self.random.expovariate(request_rate)
+        while at < now + STEP_S:
+            proxy = min(int(PROXY_COUNT * self.random.random() ** 2), PROXY_COUNT - 1)  # few carry most
+            self._arrivals[proxy] += 1
+            worker_index = self.random.choices(list(weights[proxy]), list(weights[proxy].values()))[0]
+            self._count(at, self._serve(at, worker_index, proxy % ZONE_COUNT))
+            at += self.random.expovariate(request_rate)
+
+    def _count(self, at: float, request: FinishedRequest) -> None:
+        window = self._windows[int((at - START_TIME_S) / WORST_WINDOW_S)]
+        window.requests += 1
+        self.result.requests += 1
+        if request.succeeded and request.duration_s <= LATENCY_OBJECTIVE_S:
+            window.served += 1
+            self.result.served += 1
+
+    def _serve(self, at: float, worker_index: int, zone: int) -> FinishedRequest:
+        """A worker takes a request in as soon as a core is free, unless its client has gone by then."""
+        worker = self.workers[worker_index]
+        if worker.is_warming_up(at):
+            self._note_warm_up_load(at, worker_index)
+        begins_at = max(at, worker.cores_free_at[0])
+        if begins_at - at > DEADLINE_S:
+            duration_s = DEADLINE_S
+        else:
+            service_time = self.random.uniform(*SERVICE_TIME_SPREAD) * SERVICE_TIME_S / worker.speed_at(at)
+            heapq.heapreplace(worker.cores_free_at, begins_at + service_time)
+            duration_s = begins_at + service_time - at
+        succeeded = begins_at - at <= DEADLINE_S and duration_s <= DEADLINE_S
+        ended_at = at + min(duration_s, DEADLINE_S)
+        request = FinishedRequest(ended_at, worker_index, zone, duration_s, succeeded)
+        heapq.heappush(self._finished, request)
+        return request
+
+    def _note_warm_up_load(self, at: float, worker_index: int) -> None:
+        worker = self.workers[worker_index]
+        arrivals = [
+            arrived for arrived in self._warm_up_arrivals[worker_index] if arrived > at - LOAD_WINDOW_S
+        ]
+        arrivals.append(at)
+        self._warm_up_arrivals[worker_index] = arrivals
+        if at - worker.started_at <= LOAD_WINDOW_S:
+            return
+        capacity = CORES * worker.speed_at(at) * LOAD_WINDOW_S
+        load = sum(SERVICE_TIME_S for _ in arrivals) / (COLLAPSE_MULTIPLE * capacity)
+        self.result.worst_warm_up_load = max(self.result.worst_warm_up_load, load)
+
+    def _report(self, now: float) -> None:
+        """Sends what proxies met since the last report, summed."""
+        sums: dict[tuple[int, int], AttemptSums] = defaultdict(AttemptSums)
+        while self._finished and self._finished[0].ended_at <= now:
+            request = heapq.heappop(self._finished)
+            sums[request.worker_index, request.zone].add(request)
+        arrives_at = now + REPORT_DELAY_S
+        for (worker_index, zone), row in sums.items():
+            mean_s = row.mean_duration_s()
+            report = LoadReport(worker_index, zone, row.attempts, row.failed, REPORT_INTERVAL_S, mean_s, {})
+            self.schedule(arrives_at, report)
+        for proxy, count in self._arrivals.items():
+            self.schedule(arrives_at, ArrivalReport(proxy, 0, count, 0, REPORT_INTERVAL_S))
+        self._arrivals.clear()
+
+
+def honest_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    """Weights as the workers' speeds are now."""
+    now = START_TIME_S + elapsed_s
+    return {index: AdvisoryWeight(100.0 * worker.speed_at(now)) for index, worker in run.workers.items()}
+
+
+def lying_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
     """The slowest ranked best."""
-    return {be: AdvisoryWeight(100.0 / box.speed) for be, box in run.workers.items()}
+    return {index: AdvisoryWeight(100.0 / worker.speed) for index, worker in run.workers.items()}
 
 
-def random_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    return {be: AdvisoryWeight(float(run.random.randint(1, 1000))) for be in run.workers}
+def random_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    return {index: AdvisoryWeight(float(run.random.randint(1, 1000))) for index in run.workers}
 
 
-def zero_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    return {be: AdvisoryWeight(0.0) for be in run.workers}
+def zero_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    return {index: AdvisoryWeight(0.0) for index in run.workers}
 
 
-def maximum_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    return {be: AdvisoryWeight(65535.0) for be in run.workers}
+def maximum_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
+    return {index: AdvisoryWeight(MAX_ADVISORY_WEIGHT) for index in run.workers}
 
 
-def stalling_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
-    """Honest until the dispute's height, then silent."""
-    return honest_advisor(now, run) if now < run.duration_s / 2 else None
+def stalling_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
+    """Honest for the first half, then silent."""
+    return honest_advisor(elapsed_s, run) if elapsed_s < run.duration_s / 2 else None
 
 
-def stalling_then_lying_advisor(now: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
+def stalling_then_lying_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
+    """Honest for a third, silent for a third, then lying."""
     third = run.duration_s / 3
-    return honest_advisor(now, run) if now < third else None if now < 2 * third else lying_advisor(now, run)
+    if elapsed_s < third:
+        return honest_advisor(elapsed_s, run)
+    if elapsed_s < 2 * third:
+        return None
+    return lying_advisor(elapsed_s, run)
+
+
+def happens_at(time_s: float, elapsed_s: float) -> bool:
+    """Whether this is the one step that falls on a time."""
+    return abs(elapsed_s - time_s) < STEP_S / 2
 
 
-def slow_two_workers(now: float, run: MonthEndRun) -> None:
-    """Half-way two of the good boxes are shared with somebody else's month's end."""
-    if abs(now - run.duration_s / 2) < STEP_S / 2:
-        run.workers[0].speed, run.workers[3].speed = 0.8, 0.5
+def slow_two_workers(elapsed_s: float, run: MonthEndRun) -> None:
+    """Half-way two of the good workers share their machines with somebody else's month's end."""
+    if happens_at(run.duration_s / 2, elapsed_s):
+        run.workers[0].speed = 0.8
+        run.workers[3].speed = 0.5
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -1,11 +1,12 @@
-"""One manager of a large fleet in memory: its ladder and spread, the channel that its messages wait in, and
-the proxies that apply and answer them.  Seeded; time is the caller's, and nothing touches a socket."""
+"""One manager of a large fleet in memory: its controller and dispatcher, the channel that its messages wait
+in, and the proxies that apply and acknowledge them.  Seeded; time is the caller's, and nothing touches a
+socket."""
 
 from __future__ import annotations
 
 import random
 from collections import deque
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field, replace
 from time import perf_counter
 
@@ -61,23 +62,66 @@
     cross_zone_cost=0.08,
     health_check_cost=0.02,
 )
-ChannelQueue = deque[tuple[int, bytes, int]]  # proxy, message, lines: what waits, the oldest first
+START_TIME_S = 1000.0  # of the fleet's clock
+ACKNOWLEDGEMENT_DELAY_S = (0.1, 0.6)  # drawn from this range
+ACKNOWLEDGED_LATENCY_S = 0.3  # that proxies report with it
+CLOCK_TOLERANCE_S = 1e-9  # steps of a fraction of a second don't add up exactly
+LISTED_FIELDS = (b"rows", b"drop", b"undrop")  # each of their items is a line
+SINGLE_FIELDS = (b"replace", b"gate", b"stamp")  # each is one line
+UNDISPATCHED_ORDERS = (WatchEndpoints, FetchEndpoints, HealthCheck, SendGossip, LogModeChange)
+
+
+@dataclass(frozen=True, slots=True)
+class QueuedMessage:
+    """A message that waits in the channel, and the lines that it takes there."""
+
+    proxy: int
+    message: bytes
+    lines: int
+
+
+@dataclass(frozen=True, slots=True)
+class BatchTimes:
+    """When each part of one batch began, by the process's clock; `ended_at` closes the last."""
+
+    started_at: float
+    decided_from: float
+    dispatched_from: float
+    written_from: float
+    ended_at: float
+
+    def durations(self) -> dict[str, float]:
+        """Seconds by part of the batch."""
+        tracking = self.decided_from - self.started_at
+        dispatching = self.written_from - self.dispatched_from
+        return {
+            "module": self.dispatched_from - self.decided_from,
+            "spread": tracking + dispatching,
+            "write": self.ended_at - self.written_from,
+            "all": self.ended_at - self.started_at,
+        }
+
+
+def message_fields(message: bytes) -> Iterator[dict[bytes, bytes]]:
+    """The named fields of each command in a message's bytes."""
+    for words in RespReader(MAX_MESSAGE_SIZE).feed(message):
+        yield dict(zip(words[1::2], words[2::2], strict=True))
 
 
 def count_lines(message: bytes, header_lines: int) -> int:
-    """What a message counts in the channel, read off its bytes: one for each line, worker shut out or let
-    back, level, mark and `replace`, and its head."""
+    """What a message counts in the channel, read off its bytes: its header, and one for each weight, worker
+    excluded or let back, admission rate, checkpoint and `replace`."""
     lines = header_lines
-    for words in RespReader(MAX_MESSAGE_SIZE).feed(message):
-        said = dict(zip(words[1::2], words[2::2], strict=True))
-        lines += sum(len(said[name].split(b",")) for name in (b"rows", b"drop", b"undrop") if name in said)
-        lines += sum(name in said for name in (b"replace", b"gate", b"stamp"))
+    for fields in message_fields(message):
+        lines += sum(len(fields[name].split(b",")) for name in LISTED_FIELDS if name in fields)
+        lines += sum(name in fields for name in SINGLE_FIELDS)
     return lines
 
 
 @dataclass
 class SimulatedProxy:
-    """A proxy as it stands: its weights by worker id, whom it shuts out, its reqs a second, since when."""
+    """A proxy as it stands: its weights by worker id, the workers that it excludes, its requests a second,
+    and when it joined."""
 
     weights: dict[bytes, float] = field(default_factory=dict)
     excluded: set[bytes] = field(default_factory=set)
@@ -85,148 +129,194 @@
     joined_at: float = 0.0
 
     def apply(self, message: bytes) -> int | None:
-        """The number of the message's mark, if it has one."""
-        mark = None
-        for words in RespReader(MAX_MESSAGE_SIZE).feed(message):
-            said = dict(zip(words[1::2], words[2::2], strict=True))
-            if b"replace" in said:
+        """Applies a message; gives the number of its checkpoint, if it has one."""
+        checkpoint = None
+        for fields in message_fields(message):
+            if b"replace" in fields:
                 self.weights.clear()
-            for row in said.get(b"rows", b"").split(b","):
-                be, _, weight = row.partition(b":")
-                self.weights.pop(be, None)
-                if be and float(weight) > 0:
-                    self.weights[be] = float(weight)
-            self.excluded |= {be for be in said.get(b"drop", b"").split(b",") if be}
-            self.excluded -= set(said.get(b"undrop", b"").split(b","))
-            mark = int(said[b"stamp"]) if b"stamp" in said else mark
-        return mark
+            self._apply_weights(fields.get(b"rows", b""))
+            self.excluded |= {worker_id for worker_id in fields.get(b"drop", b"").split(b",") if worker_id}
+            self.excluded -= set(fields.get(b"undrop", b"").split(b","))
+            if b"stamp" in fields:
+                checkpoint = int(fields[b"stamp"])
+        return checkpoint
+
+    def _apply_weights(self, rows: bytes) -> None:
+        for row in rows.split(b","):
+            worker_id, _, weight = row.partition(b":")
+            self.weights.pop(worker_id, None)
+            if worker_id and float(weight) > 0:
+                self.weights[worker_id] = float(weight)
+
+    def usable_weights(self) -> dict[bytes, float]:
+        return {
+            worker_id: weight for worker_id, weight in self.weights.items() if worker_id not in self.excluded
+        }
 
 
 class SimulatedFleet:
-    """`pace` is the part of the usual pace at which the channel sends, `answers` the part of marks that are
-    answered.  `spent` has the worst seconds of each part of a batch, by the name that the caller gives it."""
+    """One manager, the channel that its messages wait in, and the proxies that apply them.
+
+    `channel_speed` is the part of the usual speed at which the channel sends, `acknowledged_share` the part
+    of checkpoints that proxies acknowledge.  `worst_durations` has the longest seconds of each part of a
+    batch, by the name that the caller gives the batch.
+    """
 
     def __init__(
         self, parameters: DeploymentParameters, channel_speed: float = 1.0, acknowledged_share: float = 1.0
     ) -> None:
-        self.parameters, self.channel_speed, self.acknowledged_share, self.now = (
-            parameters,
-            channel_speed,
-            acknowledged_share,
-            1000.0,
-        )
+        self.parameters = parameters
+        self.channel_speed = channel_speed
+        self.acknowledged_share = acknowledged_share
+        self.now = START_TIME_S
         self.random = random.Random(parameters.seed)
         self.workers = WorkerRegistry()
         self.controller = RoutingController(parameters)
         self.dispatcher = OrderDispatcher(list(REQUEST_CLASSES), parameters.manager_count, self.workers)
         self.controller.gate.added = self.dispatcher.count_added_lines
         self.proxies: dict[int, SimulatedProxy] = {}
-        self.channel: ChannelQueue = deque()
-        self.credit_lines, self.longest_queue = 0.0, 0
-        self.pending_inputs: list[tuple[float, Input]] = []  # answers on their way
-        self.budget_faults: list[str] = []  # messages that cost more than was booked for them
+        self.channel: deque[QueuedMessage] = deque()  # the oldest first
+        self.credit_lines = 0.0  # what the channel may send now
+        self.longest_queue = 0  # lines
+        self.pending_inputs: list[tuple[float, Input]] = []  # acknowledgements, and when they arrive
+        self.budget_faults: list[str] = []  # messages that cost more than was reserved for them
         self.worst_durations: dict[tuple[str, str], float] = {}
         self.batch_durations: list[float] = []  # s of each batch
         self.bytes_written = 0
         self.timer_token = 0
-        self.extra_inputs: Callable[[], Iterable[Input]] = tuple  # what else comes in at each look
+        self.extra_inputs: Callable[[], Iterable[Input]] = tuple  # what else comes in at each step of `run`
         self.orders: list[Order] = []
 
     def endpoint(
         self, name: str, zone: int, mode: EndpointState = EndpointState.READY, started: float = 0.0
     ) -> Endpoint:
+        """A list entry of a worker, which is registered under its name."""
         return Endpoint(self.workers.register(name, "127.0.0.1:1", started), zone, mode, 1.0, started)
 
     def queued_lines(self) -> int:
-        return sum(lines for _, _, lines in self.channel)
+        return sum(queued.lines for queued in self.channel)
 
     def step(self, name: str, inputs: Iterable[Input]) -> None:
+        """Gives the manager one batch of inputs and queues the messages that its orders make."""
         inputs = list(inputs)
-        begun = perf_counter()
+        started_at = perf_counter()
         self.dispatcher.track_proxies(inputs)
-        heard = perf_counter()
+        decided_from = perf_counter()
         self.orders = self.controller.decide(self.now, inputs)
-        decided = perf_counter()
-        mark = -1
-        for order in self.orders:
-            if isinstance(order, StartTimer):
-                self.timer_token = order.token
-            elif type(order) not in (
-                WatchEndpoints,
-                FetchEndpoints,
-                HealthCheck,
-                SendGossip,
-                LogModeChange,
-            ):
-                if why := self.dispatcher.apply(order):
-                    raise AssertionError(why)
-                mark = order.number if isinstance(order, Checkpoint) else mark
-        booked = dict(self.controller.gate.in_flight.by_checkpoint.get(mark, {}))
-        if mark >= 0:
+        dispatched_from = perf_counter()
+        checkpoint = self._dispatch()
+        reserved = self._reserved_lines(checkpoint)
+        if checkpoint is not None:
             self.controller.gate.settle(self.dispatcher.pending_line_counts())
-        spread = perf_counter()
+        written_from = perf_counter()
         messages = list(self.dispatcher.take_messages())
-        ended = perf_counter()
-        parts = {"module": decided - heard, "spread": heard - begun + spread - decided}
-        parts["write"] = ended - spread
-        self.batch_durations.append(ended - begun)
-        for part, took in {**parts, "all": ended - begun}.items():
-            self.worst_durations[name, part] = max(took, self.worst_durations.get((name, part), 0.0))
-        settled = self.controller.gate.in_flight.by_checkpoint.get(mark, {})
+        times = BatchTimes(started_at, decided_from, dispatched_from, written_from, perf_counter())
+        self._note_durations(name, times)
+        settled = self._reserved_lines(checkpoint)
         for proxy, message in messages:
-            lines = count_lines(message, self.parameters.message_header_lines)
-            self.channel.append((proxy, message, lines))
-            self.bytes_written += len(message)
-            if mark >= 0 and (lines > booked.get(proxy, 0) or lines != settled.get(proxy, 0)):
-                told = f"booked {booked.get(proxy, 0)}, settled {settled.get(proxy, 0)}, written {lines}"
-                self.budget_faults.append(f"{self.now - 1000.0:.2f} s {name}: proxy {proxy}: {told}")
+            queued = self._queue(proxy, message)
+            if checkpoint is not None:
+                self._check_budget(name, queued, reserved.get(proxy, 0), settled.get(proxy, 0))
         self.longest_queue = max(self.longest_queue, self.queued_lines())
 
+    def _dispatch(self) -> int | None:
+        """Hands the orders to the dispatcher; gives the number of the last checkpoint among them."""
+        checkpoint = None
+        for order in self.orders:
+            if isinstance(order, StartTimer):
+                self.timer_token = order.token
+                continue
+            if isinstance(order, UNDISPATCHED_ORDERS):
+                continue
+            if reason := self.dispatcher.apply(order):
+                raise AssertionError(reason)
+            if isinstance(order, Checkpoint):
+                checkpoint = order.number
+        return checkpoint
+
+    def _reserved_lines(self, checkpoint: int | None) -> dict[int, int]:
+        """Lines by proxy that the controller holds reserved under a checkpoint."""
+        if checkpoint is None:
+            return {}
+        return dict(self.controller.gate.in_flight.by_checkpoint.get(checkpoint, {}))
+
+    def _note_durations(self, name: str, times: BatchTimes) -> None:
+        durations = times.durations()
+        self.batch_durations.append(durations["all"])
+        for part, duration in durations.items():
+            self.worst_durations[name, part] = max(duration, self.worst_durations.get((name, part), 0.0))
+
+    def _queue(self, proxy: int, message: bytes) -> QueuedMessage:
+        queued = QueuedMessage(proxy, message, count_lines(message, self.parameters.message_header_lines))
+        self.channel.append(queued)
+        self.bytes_written += len(message)
+        return queued
+
+    def _check_budget(self, name: str, queued: QueuedMessage, reserved: int, settled: int) -> None:
+        """Notes a message of more lines than were reserved for it, or of others than were settled."""
+        if queued.lines <= reserved and queued.lines == settled:
+            return
+        self.budget_faults.append(
+            f"{self.now - START_TIME_S:.2f} s {name}: proxy {queued.proxy}: "
+            f"reserved {reserved}, settled {settled}, written {queued.lines}"
+        )
+
     def join(self, proxies: Iterable[int], rate: float = 1.0, fresh: bool = False) -> None:
-        new = []
-        for p in proxies:
-            held = self.proxies.setdefault(p, SimulatedProxy())
-            held.request_rate, held.joined_at = rate * self.random.expovariate(1.0), self.now
-            new.append(ProxyConnected(p, p % self.parameters.zone_count, held.request_rate, fresh))
-        self.step("joins", new)
+        """Proxies connect; a `fresh` one has no table, others bring the one that they have."""
+        joined = []
+        for number in proxies:
+            proxy = self.proxies.setdefault(number, SimulatedProxy())
+            proxy.request_rate = rate * self.random.expovariate(1.0)
+            proxy.joined_at = self.now
+            zone = number % self.parameters.zone_count
+            joined.append(ProxyConnected(number, zone, proxy.request_rate, fresh))
+        self.step("joins", joined)
 
     def leave(self, proxies: Iterable[int]) -> None:
         """Their streams break; what waits for them is still sent, and is lost."""
-        gone = [p for p in proxies if self.proxies.pop(p, None) is not None]
-        self.step("leaves", [ProxyDisconnected(p) for p in gone])
+        gone = [number for number in proxies if self.proxies.pop(number, None) is not None]
+        self.step("leaves", [ProxyDisconnected(number) for number in gone])
 
     def send_for(self, seconds: float) -> None:
-        """What the channel sends in this time; its messages are applied and answered."""
+        """Sends what the channel can in this time; its messages are applied and acknowledged."""
         self.credit_lines += seconds * self.parameters.channel_lines_per_s * self.channel_speed
-        while self.channel and self.channel[0][2] <= self.credit_lines:
-            proxy, message, lines = self.channel.popleft()
-            self.credit_lines -= lines
-            held = self.proxies.get(proxy)
-            if held is not None and (mark := held.apply(message)) is not None:
-                if self.random.random() < self.acknowledged_share:
-                    self.pending_inputs.append(
-                        (self.now + self.random.uniform(0.1, 0.6), Acknowledged(proxy, mark, 0.3))
-                    )
+        while self.channel and self.channel[0].lines <= self.credit_lines:
+            queued = self.channel.popleft()
+            self.credit_lines -= queued.lines
+            self._deliver(queued)
         if not self.channel:
             self.credit_lines = 0.0
 
+    def _deliver(self, queued: QueuedMessage) -> None:
+        proxy = self.proxies.get(queued.proxy)
+        if proxy is None:
+            return
+        checkpoint = proxy.apply(queued.message)
+        if checkpoint is None or self.random.random() >= self.acknowledged_share:
+            return
+        arrives_at = self.now + self.random.uniform(*ACKNOWLEDGEMENT_DELAY_S)
+        acknowledged = Acknowledged(queued.proxy, checkpoint, ACKNOWLEDGED_LATENCY_S)
+        self.pending_inputs.append((arrives_at, acknowledged))
+
     def worker_load(self) -> dict[bytes, float]:
-        """The reqs a second that all proxies' tables bring each worker."""
+        """The requests a second that all proxies' tables bring each worker."""
         load: dict[bytes, float] = {}
-        for held in self.proxies.values():
-            open_rows = {be: weight for be, weight in held.weights.items() if be not in held.excluded}
-            for be, weight in open_rows.items():
-                load[be] = load.get(be, 0.0) + held.request_rate * weight / sum(open_rows.values())
+        for proxy in self.proxies.values():
+            weights = proxy.usable_weights()
+            for worker_id, weight in weights.items():
+                share = proxy.request_rate * weight / sum(weights.values())
+                load[worker_id] = load.get(worker_id, 0.0) + share
         return load
 
     def run(self, seconds: float) -> None:
+        """Lets time pass, in steps of the controller's own interval."""
         end = self.now + seconds
-        while self.now < end - 1e-9:
+        while self.now < end - CLOCK_TOLERANCE_S:
             self.now += BEAT
             self.send_for(BEAT)
-            came = [item for at, item in self.pending_inputs if at <= self.now]
-            self.pending_inputs = [(at, item) for at, item in self.pending_inputs if at > self.now]
-            self.step("look", [*came, *self.extra_inputs(), TimerFired(self.timer_token)])
+            arrived = [message for at, message in self.pending_inputs if at <= self.now]
+            self.pending_inputs = [(at, message) for at, message in self.pending_inputs if at > self.now]
+            self.step("look", [*arrived, *self.extra_inputs(), TimerFired(self.timer_token)])
 
 
 def fleet_parameters(
