--- a/cottonladder/testbed/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -1,4 +1,4 @@
-"""Stand-in advisors and balancers for SASP and DFP, scripted to stall, lie, flap, reorder and cut bytes."""
+"""Simulated advisors and balancers for SASP and DFP.  Advisors stall, lie and cut bytes on command."""
 
 from __future__ import annotations
 
@@ -6,40 +6,72 @@
 import random
 from collections.abc import Callable
 from contextlib import suppress
+from enum import StrEnum
 
 from ..weight_advice import dfp, sasp
 from ..weight_advice.tlv import AdviceError
 
 WeightFunction = Callable[[sasp.Member], int]  # a member's weight as this advisor has it
-ANSWER_TIMEOUT_S = 15.0  # s for any answer
+ANSWER_TIMEOUT_S = 15.0
+READ_SIZE_BYTES = 65_536
+LOOPBACK = "127.0.0.1"
+GARBAGE_SEED = 3
+GARBAGE_SIZE_BYTES = 64
+
+
+def server_address(server: asyncio.Server) -> str:
+    return f"{LOOPBACK}:{server.sockets[0].getsockname()[1]}"
+
+
+class AdvisorMode(StrEnum):
+    """How an advisor answers."""
+
+    HONEST = "honest"
+    STALL = "stall"  # half a message, then nothing
+    CUT = "cut"  # half a message, then the end of the connection
+    GARBLE = "garble"  # bytes that are no message
+    SILENT = "silent"  # reads on and answers nothing
 
 
 class SaspAdvisor:
-    """A workload manager that says what `words` gives.  `mode`: honest, stall (half a message, then nothing),
-    cut (half a message, then the end), garble (bytes that are none), silent (reads on, answers nothing)."""
+    """A SASP workload manager whose members have the weights that `weight_of` gives."""
 
     def __init__(self, weight_of: WeightFunction, seed: int = 7) -> None:
-        self.weight_of, self.mode = weight_of, "honest"
+        self.weight_of = weight_of
+        self.mode = AdvisorMode.HONEST
         self.flags = sasp.CONTACT | sasp.CONFIDENT
         self.members: dict[sasp.Member, None] = {}
         self.group: sasp.Group | None = None
-        self.received_kinds: list[int] = []  # kinds of messages
+        self.received_kinds: list[int] = []  # of messages
         self.connection_count = 0
-        self.random = random.Random(seed)
+        self.random = random.Random(seed)  # reorders the members of each message
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> str:
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
-        return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
+        self._server = await asyncio.start_server(self._serve, LOOPBACK, port)
+        return server_address(self._server)
+
+    async def close(self) -> None:
+        if self._server is not None:
+            self._server.close()
+        for writer in list(self._writers):
+            writer.transport.abort()
+
+    def push(self) -> None:
+        """Sends the weights unasked to whoever is connected."""
+        if self.group is None:
+            return
+        for writer in self._writers:
+            self._send(writer, sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(self._weights(),)))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connection_count += 1
         self._writers.add(writer)
-        come = sasp.Reader()
+        decoder = sasp.Reader()
         try:
-            while data := await reader.read(65_536):
-                for message in come.feed(data):
+            while data := await reader.read(READ_SIZE_BYTES):
+                for message in decoder.feed(data):
                     self._answer(writer, message)
         except (ConnectionError, AdviceError):
             pass
@@ -47,76 +79,77 @@
             self._writers.discard(writer)
             writer.close()
 
-    def _answer(self, writer: asyncio.StreamWriter, m: sasp.Message) -> None:
-        self.received_kinds.append(m.kind)
-        for g in m.groups:
-            if isinstance(g, sasp.Grouped):
-                self.group = g.group
-                for member in g.entries:
-                    assert isinstance(member, sasp.Member)
-                    if m.kind == sasp.REGISTER:
-                        self.members[member] = None
-                    else:
-                        self.members.pop(member, None)
-        groups = (self._weights(),) if m.kind == sasp.GET_WEIGHTS and self.group else ()
-        interval = 1 if m.kind == sasp.GET_WEIGHTS else 0
-        self._say(writer, sasp.Message(sasp.REPLIES[m.kind], m.number, interval=interval, groups=groups))
+    def _answer(self, writer: asyncio.StreamWriter, message: sasp.Message) -> None:
+        self.received_kinds.append(message.kind)
+        for group in message.groups:
+            if isinstance(group, sasp.Grouped):
+                self._change_members(group, is_registration=message.kind == sasp.REGISTER)
+        groups: tuple[sasp.Grouped, ...] = ()
+        interval = 0
+        if message.kind == sasp.GET_WEIGHTS:
+            interval = 1
+            groups = (self._weights(),) if self.group else ()
+        reply_kind = sasp.REPLIES[message.kind]
+        self._send(writer, sasp.Message(reply_kind, message.number, interval=interval, groups=groups))
+
+    def _change_members(self, group: sasp.Grouped, is_registration: bool) -> None:
+        self.group = group.group
+        for member in group.entries:
+            assert isinstance(member, sasp.Member)
+            if is_registration:
+                self.members[member] = None
+            else:
+                self.members.pop(member, None)
 
     def _weights(self) -> sasp.Grouped:
         assert self.group is not None
         members = list(self.members)
         self.random.shuffle(members)
-        entries = tuple(sasp.Weight(m, 0, self.flags, self.weight_of(m)) for m in members)
-        return sasp.Grouped(self.group, entries)
-
-    def _say(self, writer: asyncio.StreamWriter, m: sasp.Message) -> None:
-        data = sasp.write(m)
-        if self.mode == "silent":
-            return
-        if self.mode in ("stall", "cut"):
-            writer.write(data[: len(data) // 2])
-            if self.mode == "cut":
-                writer.close()
-            else:
-                self.mode = "silent"
-        else:
-            writer.write(random.Random(3).randbytes(64) if self.mode == "garble" else data)
-
-    def push(self) -> None:
-        for writer in self._writers:
-            if self.group is not None:
-                self._say(writer, sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(self._weights(),)))
-
-    async def close(self) -> None:
-        if self._server is not None:
-            self._server.close()
-        for writer in list(self._writers):
-            writer.transport.abort()
+        weights = tuple(sasp.Weight(member, 0, self.flags, self.weight_of(member)) for member in members)
+        return sasp.Grouped(self.group, weights)
+
+    def _send(self, writer: asyncio.StreamWriter, message: sasp.Message) -> None:
+        data = sasp.write(message)
+        half = data[: len(data) // 2]
+        if self.mode == AdvisorMode.HONEST:
+            writer.write(data)
+        elif self.mode == AdvisorMode.GARBLE:
+            writer.write(random.Random(GARBAGE_SEED).randbytes(GARBAGE_SIZE_BYTES))
+        elif self.mode == AdvisorMode.CUT:
+            writer.write(half)
+            writer.close()
+        elif self.mode == AdvisorMode.STALL:
+            writer.write(half)
+            self.mode = AdvisorMode.SILENT
 
 
 class DfpAdvisor:
-    """An agent that reports `hosts` by port each `every` seconds."""
+    """A DFP agent that reports `hosts` by port each `report_interval_s`."""
 
     def __init__(
         self, hosts: Callable[[], dict[int, tuple[dfp.Host, ...]]], secret: tuple[int, bytes] | None = None
     ) -> None:
-        self.hosts, self.report_interval_s, self.secret, self.is_silent = hosts, 0.5, secret, False
+        self.hosts = hosts
+        self.secret = secret
+        self.report_interval_s = 0.5
+        self.is_silent = False
         self.keep_alive: int | None = None
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> str:
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
+        self._server = await asyncio.start_server(self._serve, LOOPBACK, 0)
+        return server_address(self._server)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.create_task(self._report(writer))
         self._tasks.add(task)
-        come = dfp.Reader(dict([self.secret]) if self.secret else None)
+        decoder = dfp.Reader(dict([self.secret]) if self.secret else None)
         with suppress(ConnectionError, AdviceError):
-            while data := await reader.read(65_536):
-                for m in come.feed(data):
-                    self.keep_alive = m.keep_alive if m.keep_alive is not None else self.keep_alive
+            while data := await reader.read(READ_SIZE_BYTES):
+                for message in decoder.feed(data):
+                    if message.keep_alive is not None:
+                        self.keep_alive = message.keep_alive
         task.cancel()
         self._tasks.discard(task)
         writer.close()
@@ -136,34 +169,36 @@
 
 
 class SaspBalancer:
-    """A balancer that asks us; what is pushed to it is kept by number 0."""
+    """A SASP balancer; `pushed` has what it is sent unasked."""
 
     def __init__(self, uid: bytes = b"lb-1") -> None:
-        self.uid, self._number = uid, 0
+        self.uid = uid
         self.pushed: asyncio.Queue[sasp.Message] = asyncio.Queue()
+        self.writer: asyncio.StreamWriter | None = None
+        self._number = 0
         self._answers: dict[int, asyncio.Future[sasp.Message]] = {}
         self._task: asyncio.Task[None] | None = None
-        self.writer: asyncio.StreamWriter | None = None
 
     async def connect(self, port: int, **more: object) -> None:
-        reader, self.writer = await asyncio.open_connection("127.0.0.1", port, **more)  # type: ignore[arg-type]
+        reader, self.writer = await asyncio.open_connection(LOOPBACK, port, **more)  # type: ignore[arg-type]
         self._task = asyncio.create_task(self._read(reader))
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
-        come = sasp.Reader()
+        decoder = sasp.Reader()
         with suppress(ConnectionError):
-            while data := await reader.read(65_536):
-                for m in come.feed(data):
-                    answer = self._answers.pop(m.number, None)
+            while data := await reader.read(READ_SIZE_BYTES):
+                for message in decoder.feed(data):
+                    answer = self._answers.pop(message.number, None)
                     if answer is not None and not answer.done():
-                        answer.set_result(m)
+                        answer.set_result(message)
                     else:
-                        self.pushed.put_nowait(m)
+                        self.pushed.put_nowait(message)
         for answer in self._answers.values():
             if not answer.done():
                 answer.set_exception(ConnectionResetError())
 
     async def ask(self, kind: int, **fields: object) -> sasp.Message:
+        """Sends a request and waits for the reply to it."""
         assert self.writer is not None
         self._number += 1
         answer: asyncio.Future[sasp.Message] = asyncio.get_running_loop().create_future()
@@ -179,7 +214,7 @@
         return reply.code
 
     async def weights(self, *names: bytes) -> dict[bytes, sasp.Weight]:
-        """By the member's label."""
+        """Asks for the weights of groups; by the member's label."""
         groups = tuple(sasp.Group(self.uid, name) for name in names)
         reply = await self.ask(sasp.GET_WEIGHTS, groups=groups)
         assert reply.code == sasp.OK, hex(reply.code)
@@ -192,28 +227,31 @@
             self._task.cancel()
 
 
-def weights_by_label(m: sasp.Message) -> dict[bytes, sasp.Weight]:
-    out: dict[bytes, sasp.Weight] = {}
-    for g in m.groups:
-        for entry in g.entries if isinstance(g, sasp.Grouped) else ():
+def weights_by_label(message: sasp.Message) -> dict[bytes, sasp.Weight]:
+    weights: dict[bytes, sasp.Weight] = {}
+    for group in message.groups:
+        if not isinstance(group, sasp.Grouped):
+            continue
+        for entry in group.entries:
             assert isinstance(entry, sasp.Weight)
-            out[entry.member.label] = entry
-    return out
+            weights[entry.member.label] = entry
+    return weights
 
 
 async def read_dfp_reports(
     port: int, count: int = 1, secret: tuple[int, bytes] | None = None
 ) -> list[dfp.Message]:
     """A DFP manager that connects, asks for a report each second, and leaves after so many of them."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    reader, writer = await asyncio.open_connection(LOOPBACK, port)
     writer.write(dfp.write(dfp.Message(dfp.PARAMETERS, keep_alive=2), secret))
     writer.write(dfp.write(dfp.Message(dfp.BIND_REQUEST), secret))
-    come, out = dfp.Reader(dict([secret]) if secret else None), list[dfp.Message]()
+    decoder = dfp.Reader(dict([secret]) if secret else None)
+    messages: list[dfp.Message] = []
     async with asyncio.timeout(ANSWER_TIMEOUT_S):
-        while sum(m.kind == dfp.PREFERENCE for m in out) < count:
-            data = await reader.read(65_536)
+        while sum(message.kind == dfp.PREFERENCE for message in messages) < count:
+            data = await reader.read(READ_SIZE_BYTES)
             if not data:
                 raise ConnectionResetError("ended by the agent")
-            out += come.feed(data)
+            messages += decoder.feed(data)
     writer.close()
-    return out
+    return messages
--- a/cottonladder/testbed/demo.py
+++ b/cottonladder/testbed/demo.py
@@ -1,4 +1,4 @@
-"""The demo: two managers, some forwarders and stand-ins on loopback; one worker drains while one looks on."""
+"""The demo: managers and forwarders on loopback before simulated workers, of which one drains."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import time
 from collections.abc import Callable
 from contextlib import AsyncExitStack
+from dataclasses import dataclass
 from typing import Any
 
 import aiohttp
@@ -16,146 +17,243 @@
 from .workers import EffectLedger, SimulatedWorker, TicketSession
 
 ZONES = ("a", "b")
-WORKERS, FORWARDERS, MANAGERS = 6, 4, 2
-GRACE = 12.0  # s: short enough to watch
-CALM, AFTER, EVERY = 4.0, 3.0, 0.5  # s before the drain, after it, and between two tables
-UPGRADES: dict[str, Any] = {"grace": GRACE, "arrivals": 100.0}
-Row = tuple[str, ...]
-HEADS: Row = ("worker", "zone", "state", "share a", "share b", "held", "came below", "most held")
+WORKER_COUNT = 6
+FORWARDER_COUNT = 4
+MANAGER_COUNT = 2
+COLLECTOR_COUNT = 2  # forwarders that report for all
+GRACE_S = 12.0  # short enough to watch
+CALM_S = 4.0  # before the drain
+AFTER_S = 3.0  # after it
+CONNECT_TIMEOUT_S = 30.0
+REFRESH_INTERVAL_S = 0.5
+DRAINED_WORKER = "s-0"
+UPGRADES: dict[str, Any] = {"grace": GRACE_S, "arrivals": 100.0}
+COLUMNS = ("worker", "zone", "state", "share a", "share b", "held", "came below", "most held")
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerRow:
+    """What the table shows of one worker; `shares` of each zone's requests, in the order of ZONES."""
+
+    name: str
+    zone: str
+    state: str
+    shares: tuple[str, ...]
+    held: int
+    resumed: int
+    max_held: int
+
+    def cells(self) -> tuple[str, ...]:
+        counts = (str(self.held), str(self.resumed), str(self.max_held))
+        return (self.name, self.zone, self.state, *self.shares, *counts)
+
+
+Show = Callable[[str, list[WorkerRow], str], None]  # a title, rows, and a line below them
 
 
 class DemoFleet:
     """The whole fleet; owned by the stack that it was entered on."""
 
     def __init__(self) -> None:
-        self.ledger, self.counts, self.cases = EffectLedger(), ClientCounters(), dict[str, TicketSession]()
+        self.ledger = EffectLedger()
+        self.counts = ClientCounters()
         self.discovery = SimulatedDiscovery()
         self.workers: dict[str, SimulatedWorker] = {}
         self.forwarders: list[ForwarderProcess] = []
         self.managers: list[ManagerProcess] = []
         self.clients: list[HoldingClient] = []
-        self.words = "starting"
-        self._session: aiohttp.ClientSession | None = None
+        self._sessions: dict[str, TicketSession] = {}
+        self._http: aiohttp.ClientSession | None = None
 
     async def start(self, stack: AsyncExitStack, client_count: int) -> None:
-        at = await self.discovery.start()
+        """Starts everything; the stack ends it in the opposite order."""
+        discovery_address = await self.discovery.start()
         stack.push_async_callback(self.discovery.close)
-        for n in range(WORKERS):
-            worker = self.workers[f"s-{n}"] = SimulatedWorker(f"s-{n}", self.ledger, self.cases)
-            await worker.start()
-            stack.push_async_callback(worker.abort)
-            weight = (1.0, 1.5)[n % 3 == 0]
-            started = time.time() if n == WORKERS - 1 else 0.0
-            await self.discovery.put(
-                worker.name, worker.address, ZONES[n % 2], weight=weight, started=started
-            )
-        family = {**SETTINGS["FamilyInfo"], "Proxies": FORWARDERS}
-        settings: dict[str, Any] = {"NInstances": MANAGERS, "FamilyInfo": family}
-        ports = [free_port() for _ in range(MANAGERS)]
-        for n, port in enumerate(ports):
-            manager = ManagerProcess(at, self.discovery.listing(), UPGRADES, Me=n, **settings)
-            stack.push_async_callback(manager.stop)
-            await manager.serving(port)
-            self.managers.append(manager)
-        for n in range(FORWARDERS):
-            order = ports[n % MANAGERS :] + ports[: n % MANAGERS]
-            managers = [f"127.0.0.1:{port}" for port in order]
-            forwarder = ForwarderProcess(n, at, managers, UPGRADES, zone=ZONES[n % 2], collector=n < 2)
-            stack.push_async_callback(forwarder.stop)
-            await forwarder.serving()
-            self.forwarders.append(forwarder)
-        self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
-        stack.push_async_callback(self._session.close)
-        for n in range(client_count):
-            url = self.forwarders[n % FORWARDERS].url + "/watch"
-            busy = n % 10 == 0
-            self.clients.append(
-                HoldingClient(self._session, url, self.counts, f"d{n}", busy=busy, releases=busy)
-            )
-        stack.push_async_callback(self._stop_desks)
-        for desk in self.clients:
-            desk.start()
-
-    async def _stop_desks(self) -> None:
-        await asyncio.gather(*(desk.stop() for desk in self.clients))
-
-    async def table(self) -> tuple[list[Row], str]:
-        """Rows by worker, and a line on managers, levels and drains."""
-        assert self._session is not None
-        states = await asyncio.gather(*(f.status(self._session) for f in self.forwarders))
-        shares: dict[str, dict[str, float]] = {zone: {} for zone in ZONES}
-        for state in states:
-            rows = state["tables"]["fetch"]
-            whole = sum(rows.values()) or 1.0
-            shares[state["zone"]] = {be: weight / whole for be, weight in rows.items()}
-        rows = [
-            (
-                name, entry["zone"], entry["state"],
-                *(f"{shares[zone].get(name, 0.0):.0%}" for zone in ZONES),
-                str(worker.held_connections), str(worker.resumed), str(worker.max_held_connections),
-            )
-            for name, worker in self.workers.items()
-            if (entry := self.discovery.entries.get(name))
-        ]  # fmt: skip
-        levels = {
-            f"{kind} {gate:.2f}" for s in states for kind, gate in s["levels"].items() if gate is not None
-        }
-        drains = {f"{be} {how}" for s in states for be, how in s["drains"].items()}
-        joined = sum(s["manager"] is not None for s in states)
-        line = f"{joined}/{len(states)} forwarders joined; levels {', '.join(sorted(levels)) or 'none'}"
-        return rows, f"{line}; drains {', '.join(sorted(drains)) or 'none'}"
-
-
-async def run_demo(client_count: int, show: Callable[[str, list[Row], str], None]) -> str:
-    """Plays the scene; the closing line."""
-    async with AsyncExitStack() as stack:
-        scene = DemoFleet()
-        await scene.start(stack, client_count)
-        loop = asyncio.get_running_loop()
-
-        async def look(until: Callable[[], bool], most: float, words: str) -> float:
-            begun = loop.time()
-            while not until() and loop.time() - begun < most:
-                show(f"{words} ({loop.time() - begun:.1f} s)", *await scene.table())
-                await asyncio.sleep(EVERY)
-            return loop.time() - begun
-
-        held = scene.workers["s-0"]
-        await look(lambda: all(d.connected.is_set() for d in scene.clients), 30.0, "the desks connect")
-        await look(lambda: False, CALM, "calm")
-        count = held.held_connections
-        await scene.discovery.set_state("s-0", "Terminating")
-        took = await look(lambda: not held.held_connections, GRACE + 2.0, f"s-0 drains, grace {GRACE:g} s")
-        await look(lambda: False, AFTER, "after it")
+        for number in range(WORKER_COUNT):
+            await self._start_worker(stack, number)
+        manager_ports = [free_port() for _ in range(MANAGER_COUNT)]
+        for number, port in enumerate(manager_ports):
+            await self._start_manager(stack, number, port, discovery_address)
+        for number in range(FORWARDER_COUNT):
+            await self._start_forwarder(stack, number, manager_ports, discovery_address)
+        self._http = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
+        stack.push_async_callback(self._http.close)
+        self._start_clients(stack, self._http, client_count)
+
+    async def _start_worker(self, stack: AsyncExitStack, number: int) -> None:
+        worker = SimulatedWorker(f"s-{number}", self.ledger, self._sessions)
+        self.workers[worker.name] = worker
+        await worker.start()
+        stack.push_async_callback(worker.abort)
+        weight = 1.5 if number % 3 == 0 else 1.0
+        started = time.time() if number == WORKER_COUNT - 1 else 0.0
+        zone = ZONES[number % len(ZONES)]
+        await self.discovery.put(worker.name, worker.address, zone, weight=weight, started=started)
+
+    async def _start_manager(
+        self, stack: AsyncExitStack, number: int, port: int, discovery_address: str
+    ) -> None:
+        family = {**SETTINGS["FamilyInfo"], "Proxies": FORWARDER_COUNT}
+        settings: dict[str, Any] = {"NInstances": MANAGER_COUNT, "FamilyInfo": family, "Me": number}
+        manager = ManagerProcess(discovery_address, self.discovery.listing(), UPGRADES, **settings)
+        stack.push_async_callback(manager.stop)
+        await manager.serving(port)
+        self.managers.append(manager)
+
+    async def _start_forwarder(
+        self, stack: AsyncExitStack, number: int, manager_ports: list[int], discovery_address: str
+    ) -> None:
+        first = number % MANAGER_COUNT
+        ports = manager_ports[first:] + manager_ports[:first]
+        forwarder = ForwarderProcess(
+            number,
+            discovery_address,
+            [f"127.0.0.1:{port}" for port in ports],
+            UPGRADES,
+            zone=ZONES[number % len(ZONES)],
+            collector=number < COLLECTOR_COUNT,
+        )
+        stack.push_async_callback(forwarder.stop)
+        await forwarder.serving()
+        self.forwarders.append(forwarder)
+
+    def _start_clients(self, stack: AsyncExitStack, http: aiohttp.ClientSession, client_count: int) -> None:
+        for number in range(client_count):
+            url = self.forwarders[number % FORWARDER_COUNT].url + "/watch"
+            is_busy = number % 10 == 0
+            client = HoldingClient(http, url, self.counts, f"d{number}", busy=is_busy, releases=is_busy)
+            self.clients.append(client)
+        stack.push_async_callback(self._stop_clients)
+        for client in self.clients:
+            client.start()
+
+    async def _stop_clients(self) -> None:
+        await asyncio.gather(*(client.stop() for client in self.clients))
+
+    async def table(self) -> tuple[list[WorkerRow], str]:
+        """Rows by worker, and a line on managers, admission rates and drains."""
+        assert self._http is not None
+        http = self._http
+        states = await asyncio.gather(*(forwarder.status(http) for forwarder in self.forwarders))
+        shares = {zone: zone_shares(zone, states) for zone in ZONES}
+        rows = []
+        for name, worker in self.workers.items():
+            entry = self.discovery.entries.get(name)
+            if entry is not None:
+                rows.append(worker_row(worker, entry, shares))
+        return rows, fleet_line(states)
+
+    def summary(self, connection_count: int, duration_s: float) -> str:
+        """The closing line."""
+        resumed = sum(worker.resumed for worker in self.workers.values())
         return (
-            f"s-0 was rid of {count} connections in {took:.1f} of {GRACE:g} s: "
-            f"{sum(w.resumed for w in scene.workers.values())} moved below their clients, "
-            f"{sum(scene.counts.closes.values())} closed, {scene.counts.unanswered} cut amid a req, "
-            f"{scene.ledger.repeated_releases()} of {len(scene.ledger.releases)} releases done twice "
+            f"{DRAINED_WORKER} was rid of {connection_count} connections "
+            f"in {duration_s:.1f} of {GRACE_S:g} s: "
+            f"{resumed} moved below their clients, "
+            f"{sum(self.counts.closes.values())} closed, {self.counts.unanswered} cut amid a req, "
+            f"{self.ledger.repeated_releases()} of {len(self.ledger.releases)} releases done twice "
             "(stand-in workers)"
         )
 
 
+def zone_shares(zone: str, states: list[dict[str, Any]]) -> dict[str, float]:
+    """Each worker's share of a zone's requests, by the table of the zone's last forwarder."""
+    shares: dict[str, float] = {}
+    for state in states:
+        if state["zone"] == zone:
+            weights = state["tables"]["fetch"]
+            total = sum(weights.values()) or 1.0
+            shares = {worker_id: weight / total for worker_id, weight in weights.items()}
+    return shares
+
+
+def worker_row(
+    worker: SimulatedWorker, entry: dict[str, Any], shares: dict[str, dict[str, float]]
+) -> WorkerRow:
+    return WorkerRow(
+        name=worker.name,
+        zone=entry["zone"],
+        state=entry["state"],
+        shares=tuple(f"{shares[zone].get(worker.name, 0.0):.0%}" for zone in ZONES),
+        held=worker.held_connections,
+        resumed=worker.resumed,
+        max_held=worker.max_held_connections,
+    )
+
+
+def fleet_line(states: list[dict[str, Any]]) -> str:
+    """How many forwarders have a manager, what they admit, and which workers drain."""
+    levels = set()
+    drains = set()
+    for state in states:
+        levels |= {f"{name} {level:.2f}" for name, level in state["levels"].items() if level is not None}
+        drains |= {f"{worker_id} {phase}" for worker_id, phase in state["drains"].items()}
+    joined = sum(state["manager"] is not None for state in states)
+    return (
+        f"{joined}/{len(states)} forwarders joined; levels {', '.join(sorted(levels)) or 'none'}; "
+        f"drains {', '.join(sorted(drains)) or 'none'}"
+    )
+
+
+async def watch(
+    fleet: DemoFleet, show: Show, title: str, timeout_s: float, until: Callable[[], bool] = lambda: False
+) -> float:
+    """Shows the table again and again until something has come about or the time is over; seconds taken."""
+    loop = asyncio.get_running_loop()
+    started_at = loop.time()
+    while not until() and loop.time() - started_at < timeout_s:
+        show(f"{title} ({loop.time() - started_at:.1f} s)", *await fleet.table())
+        await asyncio.sleep(REFRESH_INTERVAL_S)
+    return loop.time() - started_at
+
+
+async def run_demo(client_count: int, show: Show) -> str:
+    """Starts the fleet, drains one worker, and ends it all; gives the closing line."""
+    async with AsyncExitStack() as stack:
+        fleet = DemoFleet()
+        await fleet.start(stack, client_count)
+        drained = fleet.workers[DRAINED_WORKER]
+        await watch(
+            fleet,
+            show,
+            "the desks connect",
+            CONNECT_TIMEOUT_S,
+            until=lambda: all(client.connected.is_set() for client in fleet.clients),
+        )
+        await watch(fleet, show, "calm", CALM_S)
+        connection_count = drained.held_connections
+        await fleet.discovery.set_state(DRAINED_WORKER, "Terminating")
+        duration_s = await watch(
+            fleet,
+            show,
+            f"{DRAINED_WORKER} drains, grace {GRACE_S:g} s",
+            GRACE_S + 2.0,
+            until=lambda: not drained.held_connections,
+        )
+        await watch(fleet, show, "after it", AFTER_S)
+        return fleet.summary(connection_count, duration_s)
+
+
 def show_demo(client_count: int, plain: bool) -> str:
     """On the terminal by rich, where it is installed and wanted; else a line each half second."""
-    if not plain:
-        try:
-            from rich.live import Live
-            from rich.table import Table
-        except ImportError:
-            plain = True
     if plain:
-
-        def show_line(words: str, rows: list[Row], line: str) -> None:
-            print(f"{words}: held {' '.join(f'{row[0]}={row[5]}' for row in rows)}; {line}", flush=True)
-
-        return asyncio.run(run_demo(client_count, show_line))
+        return asyncio.run(run_demo(client_count, print_line))
+    try:
+        from rich.live import Live
+        from rich.table import Table
+    except ImportError:
+        return asyncio.run(run_demo(client_count, print_line))
     with Live(auto_refresh=False) as live:
 
-        def show(words: str, rows: list[Row], line: str) -> None:
-            table = Table(*HEADS, title=words, caption=line)
+        def show(title: str, rows: list[WorkerRow], line: str) -> None:
+            table = Table(*COLUMNS, title=title, caption=line)
             for row in rows:
-                table.add_row(*row, style="yellow" if row[2] != "Ready" else "")
+                table.add_row(*row.cells(), style="yellow" if row.state != "Ready" else "")
             live.update(table, refresh=True)
 
         return asyncio.run(run_demo(client_count, show))
+
+
+def print_line(title: str, rows: list[WorkerRow], line: str) -> None:
+    held = " ".join(f"{row.name}={row.held}" for row in rows)
+    print(f"{title}: held {held}; {line}", flush=True)
--- a/cottonladder/testbed/discovery.py
+++ b/cottonladder/testbed/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in discovery: the list, watches on its changes, and faults on command."""
+"""A simulated discovery service: the list, watches on its changes, and faults on command."""
 
 from __future__ import annotations
 
@@ -8,28 +8,26 @@
 
 from aiohttp import web
 
-KEEP_ALIVE_INTERVAL_S = 1.0  # s between empty lines of a watch on which nothing changes
+from .http_server import start_server
+
+KEEP_ALIVE_INTERVAL_S = 1.0  # between empty lines of a watch on which nothing changes
+MILLISECONDS_PER_S = 1000.0
 
 
 class SimulatedDiscovery:
-    """Owns the list and its watches."""
+    """Owns the list and the watches on it; changes are kept for watches that begin at an older version."""
 
     def __init__(self) -> None:
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self._changed = asyncio.Condition()
-        self._log: list[tuple[int, dict[str, Any]]] = []
+        self._changes: list[tuple[int, dict[str, Any]]] = []
         self.is_down = False
         self._runner: web.ServerRunner | None = None
         self.address = ""
 
     async def start(self) -> str:
-        self._runner = web.ServerRunner(
-            web.Server(self._handle, handler_cancellation=True), shutdown_timeout=0.1
-        )
-        await self._runner.setup()
-        await web.TCPSite(self._runner, "127.0.0.1", 0).start()
-        self.address = f"127.0.0.1:{self._runner.addresses[0][1]}"
+        self._runner, self.address = await start_server(self._handle)
         return self.address
 
     async def close(self) -> None:
@@ -48,7 +46,7 @@
         """Lists a worker, or changes its entry; `started` in Unix seconds, 0: long ago."""
         entry = {
             "id": name, "addr": address, "zone": zone, "kind": "stand-in", "cell": 0, "state": state,
-            "weight": weight, "started_ms": round(started * 1000.0),
+            "weight": weight, "started_ms": round(started * MILLISECONDS_PER_S),
         }  # fmt: skip
         async with self._changed:
             self.version += 1
@@ -56,14 +54,17 @@
                 self.entries.pop(name, None)
             else:
                 self.entries[name] = entry
-            self._log.append((self.version, entry))
+            self._changes.append((self.version, entry))
             self._changed.notify_all()
 
     async def set_state(self, name: str, state: str) -> None:
-        held = self.entries[name]
-        await self.put(name, held["addr"], held["zone"], state, held["weight"], held["started_ms"] / 1000.0)
+        """Lists a worker in another state, else as it is."""
+        entry = self.entries[name]
+        started = entry["started_ms"] / MILLISECONDS_PER_S
+        await self.put(name, entry["addr"], entry["zone"], state, entry["weight"], started)
 
     def listing(self) -> dict[str, Any]:
+        """The whole list, as the service answers."""
         return {"version": self.version, "full": True, "servers": list(self.entries.values())}
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -71,27 +72,36 @@
             return web.Response(status=503)
         if "watch" not in request.rel_url.query:
             return web.Response(text=json.dumps(self.listing()))
-        after = int(request.rel_url.query["after"])
-        reply = web.StreamResponse()
-        await reply.prepare(request)
-        first = True
+        return await self._watch(request, int(request.rel_url.query["after"]))
+
+    async def _watch(self, request: web.BaseRequest, after: int) -> web.StreamResponse:
+        """Sends what changed after a version, at once and at each change; an empty line in between."""
+        response = web.StreamResponse()
+        await response.prepare(request)
+        is_first = True
         while not self.is_down:
-            news = {entry["id"]: entry for version, entry in self._log if version > after}
-            if first or news:
-                body = {"version": self.version, "full": False, "servers": list(news.values())}
-                await reply.write(json.dumps(body).encode() + b"\n")
+            changes = {entry["id"]: entry for version, entry in self._changes if version > after}
+            if is_first or changes:
+                body = {"version": self.version, "full": False, "servers": list(changes.values())}
+                await response.write(json.dumps(body).encode() + b"\n")
             else:
-                await reply.write(b"\n")
-            first, after = False, self.version
-            try:
-                async with asyncio.timeout(KEEP_ALIVE_INTERVAL_S), self._changed:
-                    while self.version <= after and not self.is_down:
-                        await self._changed.wait()
-            except TimeoutError:
-                pass
-        return reply
+                await response.write(b"\n")
+            is_first = False
+            after = self.version
+            await self._wait_for_change(after)
+        return response
+
+    async def _wait_for_change(self, version: int) -> None:
+        """Until the list is newer than a version, or an empty line is due."""
+        try:
+            async with asyncio.timeout(KEEP_ALIVE_INTERVAL_S), self._changed:
+                while self.version <= version and not self.is_down:
+                    await self._changed.wait()
+        except TimeoutError:
+            pass
 
     async def set_down(self, down: bool) -> None:
+        """While it is down, requests get 503 and watches end."""
         async with self._changed:
             self.is_down = down
             self._changed.notify_all()
--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -1,4 +1,4 @@
-"""Managers and forwarders as processes by their own command line, with their files, ports and log lines."""
+"""Managers and forwarders as processes of their own command line, with their files, ports and log lines."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 import aiohttp
 
-START_TIMEOUT_S = 30.0  # s for a process to say that it serves, so that a slow machine fails nothing
+START_TIMEOUT_S = 30.0  # until a process says that it serves: a slow machine fails nothing
 STOP_TIMEOUT_S = 20.0
 MAX_LOG_LINES = 5000  # log lines kept of one process
 ROOT = Path(__file__).parents[2]
@@ -37,7 +37,12 @@
 ]  # fmt: skip
 
 
+MANAGER_PARTS = ("memory", "control", "plugins")  # of the operators' file, beside upgrades and advice
+FORWARDER_PARTS = ("memory", "control")  # of the operators' file, beside the forwarder's own part
+
+
 def free_port() -> int:
+    """A port of loopback on which nobody listens now."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return int(listener.getsockname()[1])
 
@@ -46,15 +51,16 @@
     """One program under its own command line; its log lines are kept and can be waited for."""
 
     def __init__(self, *arguments: str) -> None:
-        self._arguments = arguments
         self.folder = Path(tempfile.mkdtemp())
         self.lines: list[str] = []
-        self._new = asyncio.Condition()
         self.process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
         self.port = 0
+        self._arguments = arguments
+        self._line_added = asyncio.Condition()
+        self._reading: asyncio.Task[None] | None = None
 
     def write(self, name: str, body: object) -> str:
+        """Writes a JSON file into the process's own folder; gives its path."""
         path = self.folder / name
         path.write_text(json.dumps(body))
         return str(path)
@@ -70,21 +76,22 @@
     async def _read(self) -> None:
         assert self.process is not None and self.process.stdout is not None
         while line := await self.process.stdout.readline():
-            async with self._new:
+            async with self._line_added:
                 self.lines.append(line.decode(errors="replace"))
                 del self.lines[:-MAX_LOG_LINES]
-                self._new.notify_all()
-        async with self._new:
-            self._new.notify_all()
+                self._line_added.notify_all()
+        async with self._line_added:
+            self._line_added.notify_all()
 
     def find_line(self, *words: str) -> str | None:
+        """The first line so far with all these words."""
         return next((line for line in self.lines if all(word in line for word in words)), None)
 
     async def logged(self, *words: str, wait: float = START_TIMEOUT_S) -> str:
-        """The first line with all these words."""
+        """Waits for the first line with all these words."""
         try:
-            async with asyncio.timeout(wait), self._new:
-                await self._new.wait_for(lambda: self.find_line(*words) is not None or self.ended)
+            async with asyncio.timeout(wait), self._line_added:
+                await self._line_added.wait_for(lambda: self.find_line(*words) is not None or self.ended)
         except TimeoutError:
             pass
         line = self.find_line(*words)
@@ -94,14 +101,18 @@
 
     @property
     def ended(self) -> bool:
+        """Whether the process has closed its output."""
         return self._reading is not None and self._reading.done()
 
     def send(self, number: signal.Signals) -> None:
+        """Sends a signal, not by asyncio's own method: that reaps a process that has just ended, and its
+        status is lost."""
         if self.process is not None and self.process.returncode is None:
-            with suppress(ProcessLookupError):  # its own send_signal reaps who has just ended: no status then
+            with suppress(ProcessLookupError):
                 os.kill(self.process.pid, number)
 
     async def stop(self, number: signal.Signals = signal.SIGTERM) -> int:
+        """Ends the process, by force after a time; gives its status."""
         assert self.process is not None
         self.send(signal.SIGCONT)
         self.send(number)
@@ -116,7 +127,7 @@
         return status
 
     def resident_bytes(self) -> int:
-        """Resident bytes."""
+        """The memory that the process holds now."""
         assert self.process is not None
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE")
@@ -134,13 +145,15 @@
         **settings: Any,
     ) -> None:
         super().__init__("serve")
-        self._discovery, self._known = discovery, known
-        more = {name: settings.pop(name) for name in ("memory", "control", "plugins") if name in settings}
+        self._discovery = discovery
+        self._known = known
+        more = {name: settings.pop(name) for name in MANAGER_PARTS if name in settings}
         parts = {"upgrades": upgrades, "advice": advice, **more}
         self._operator = {name: part for name, part in parts.items() if part is not None}
         self._settings = {**SETTINGS, **settings}
 
     async def serving(self, port: int = 0) -> int:
+        """Starts the manager and waits until it serves; gives its port."""
         config = {
             "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": self._discovery,
             "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -167,10 +180,11 @@
             "rate": 10.0, "status": "127.0.0.1:0", **part,
         }  # fmt: skip
         self._upgrades = upgrades
-        self._more = {name: self.part.pop(name) for name in ("memory", "control") if name in self.part}
+        self._more = {name: self.part.pop(name) for name in FORWARDER_PARTS if name in self.part}
         self.status_port = 0
 
     async def serving(self) -> int:
+        """Starts the forwarder and waits until it serves; gives its port."""
         body: dict[str, Any] = {"forwarder": self.part, **self._more}
         if self._upgrades is not None:
             body["upgrades"] = self._upgrades
@@ -185,5 +199,6 @@
         return f"http://127.0.0.1:{self.port}"
 
     async def status(self, session: aiohttp.ClientSession) -> dict[str, Any]:
+        """What its status address tells."""
         async with session.get(f"http://127.0.0.1:{self.status_port}/") as reply:
             return dict(await reply.json())
--- a/cottonladder/testbed/holding_clients.py
+++ b/cottonladder/testbed/holding_clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: customer care desks that hold a connection for hours and come back when told to."""
+"""Simulated clients that hold a connection for hours and come back when they are told to."""
 
 from __future__ import annotations
 
@@ -10,26 +10,38 @@
 
 import aiohttp
 
-HANDSHAKE_TIMEOUT_S = 10.0  # s for a handshake
-BACK = re.compile(r"come back in (\d+) s")
+HANDSHAKE_TIMEOUT_S = 10.0
+MAX_MESSAGE_BYTES = 1 << 20
+RECONNECT_DELAY_S = 0.2  # where the close names none
+FAULT_DELAY_S = 0.5  # after a failed connection attempt
+RECONNECT_REASON = re.compile(r"come back in (\d+) s")
+OUTCOME_UNKNOWN = "outcome unknown"  # of a close's reason
 
 
 @dataclass(slots=True)
 class ClientCounters:
-    """What all desks of a run met."""
+    """What all clients of a run met."""
 
     closes: Counter[str] = field(default_factory=Counter)
     opened: int = 0
-    failed_handshakes: int = 0  # handshakes turned away or failed
+    failed_handshakes: int = 0  # turned away or failed
     unanswered: int = 0  # closed while an answer was awaited
     outcome_unknown: int = 0  # of these, told that the outcome is unknown
     answered: int = 0
     reconnect_gaps: list[float] = field(default_factory=list)  # s without a connection
 
 
+class HandshakeFailed(Exception):
+    """No connection came about; `delay_s` is how long to wait before the next attempt."""
+
+    def __init__(self, delay_s: float) -> None:
+        super().__init__(f"handshake failed, next in {delay_s:g} s")
+        self.delay_s = delay_s
+
+
 class HoldingClient:
-    """One client.  `busy`: it asks again as soon as it is answered, every `every` seconds; `rude`: it ignores
-    closes; `hasty`: it comes back at once."""
+    """One client.  `busy`: it asks again as soon as it is answered, every `ask_interval_s`; `releases`: what
+    it asks takes effect; `reconnects_at_once`: whatever it is told to wait."""
 
     def __init__(
         self,
@@ -43,98 +55,114 @@
         reconnects_at_once: bool = False,
         ask_interval_s: float = 0.2,
     ) -> None:
-        self._session, self._url, self.counts, self.name = session, url, counts, name
-        self._busy, self._releases, self._hasty, self._every = (
-            busy,
-            releases,
-            reconnects_at_once,
-            ask_interval_s,
-        )
-        self._numbers = itertools.count()
+        self.counts = counts
+        self.name = name
         self.connected = asyncio.Event()
         self.worker = ""
+        self.socket: aiohttp.ClientWebSocketResponse | None = None
+        self._session = session
+        self._url = url
+        self._busy = busy
+        self._releases = releases
+        self._reconnects_at_once = reconnects_at_once
+        self._ask_interval_s = ask_interval_s
+        self._numbers = itertools.count()
         self._awaited = ""
         self._task: asyncio.Task[None] | None = None
-        self.socket: aiohttp.ClientWebSocketResponse | None = None
 
     def start(self) -> None:
         self._task = asyncio.create_task(self._run())
 
+    async def stop(self) -> None:
+        if self._task is not None:
+            self._task.cancel()
+            await asyncio.gather(self._task, return_exceptions=True)
+
     async def _run(self) -> None:
-        loop, left = asyncio.get_running_loop(), 0.0
+        loop = asyncio.get_running_loop()
+        disconnected_at: float | None = None
         while True:
-            wait = 0.0
             try:
-                async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
-                    socket = await self._session.ws_connect(self._url, autoping=True, max_msg_size=1 << 20)
-            except aiohttp.WSServerHandshakeError as exc:
-                self.counts.failed_handshakes += 1
-                wait = float(exc.headers.get("Retry-After", "1")) if exc.headers else 1.0
-            except (aiohttp.ClientError, TimeoutError, OSError):
-                self.counts.failed_handshakes += 1
-                wait = 0.5
+                self.socket = await self._connect()
+            except HandshakeFailed as exc:
+                delay_s = exc.delay_s
             else:
-                self.socket = socket
-                self.counts.opened += 1
-                if left:
-                    self.counts.reconnect_gaps.append(loop.time() - left)
+                if disconnected_at is not None:
+                    self.counts.reconnect_gaps.append(loop.time() - disconnected_at)
                 self.connected.set()
-                wait = await self._hold(socket)
+                delay_s = await self._hold(self.socket)
                 self.connected.clear()
-                left = loop.time()
-            await asyncio.sleep(0.0 if self._hasty else wait)
+                disconnected_at = loop.time()
+            await asyncio.sleep(0.0 if self._reconnects_at_once else delay_s)
+
+    async def _connect(self) -> aiohttp.ClientWebSocketResponse:
+        """Opens the connection; after a failure, raises HandshakeFailed with how long to wait."""
+        try:
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
+                socket = await self._session.ws_connect(
+                    self._url, autoping=True, max_msg_size=MAX_MESSAGE_BYTES
+                )
+        except aiohttp.WSServerHandshakeError as exc:
+            self.counts.failed_handshakes += 1
+            delay_s = exc.headers.get("Retry-After", "1") if exc.headers else "1"
+            raise HandshakeFailed(float(delay_s)) from exc
+        except (aiohttp.ClientError, TimeoutError, OSError) as exc:
+            self.counts.failed_handshakes += 1
+            raise HandshakeFailed(FAULT_DELAY_S) from exc
+        self.counts.opened += 1
+        return socket
 
     async def _hold(self, socket: aiohttp.ClientWebSocketResponse) -> float:
+        """Reads until the connection ends; gives how long to wait before the next."""
         self._awaited = ""
-        asking = asyncio.create_task(self._ask(socket)) if self._busy else None
-        why = ""
+        asking = asyncio.create_task(self._ask_repeatedly(socket)) if self._busy else None
         try:
-            while True:
-                message = await socket.receive()
-                if message.type is aiohttp.WSMsgType.TEXT:
-                    self._heard(message.data)
-                elif message.type is aiohttp.WSMsgType.CLOSE:
-                    why = str(message.extra or "")
-                    self.counts.closes[f"{message.data} {BACK.sub('come back', why)}"] += 1
-                    break
-                else:
-                    self.counts.closes[message.type.name] += 1
-                    break
+            reason = await self._read_until_closed(socket)
         finally:
             if asking is not None:
                 asking.cancel()
             await socket.close()
         if self._awaited:
             self.counts.unanswered += 1
-            self.counts.outcome_unknown += "outcome unknown" in why
-        said = BACK.search(why)
-        return float(said.group(1)) if said else 0.2
-
-    def _heard(self, text: str) -> None:
-        what, number, *_ = text.split(":")
-        if what in ("answer", "done"):
-            self.counts.answered += 1
-            if number == self._awaited:
-                self._awaited = ""
-
-    async def ask(self, what: str = "ask") -> str:
-        """Says one message; its number."""
+            self.counts.outcome_unknown += OUTCOME_UNKNOWN in reason
+        delay = RECONNECT_REASON.search(reason)
+        return float(delay.group(1)) if delay else RECONNECT_DELAY_S
+
+    async def _read_until_closed(self, socket: aiohttp.ClientWebSocketResponse) -> str:
+        """The reason that the close gives; empty where it has none."""
+        while True:
+            message = await socket.receive()
+            if message.type is aiohttp.WSMsgType.TEXT:
+                self._take_answer(message.data)
+                continue
+            if message.type is not aiohttp.WSMsgType.CLOSE:
+                self.counts.closes[message.type.name] += 1
+                return ""
+            reason = str(message.extra or "")
+            self.counts.closes[f"{message.data} {RECONNECT_REASON.sub('come back', reason)}"] += 1
+            return reason
+
+    def _take_answer(self, text: str) -> None:
+        verb, number, *_ = text.split(":")
+        if verb not in ("answer", "done"):
+            return
+        self.counts.answered += 1
+        if number == self._awaited:
+            self._awaited = ""
+
+    async def ask(self, verb: str = "ask") -> str:
+        """Sends one message; gives its number."""
         assert self.socket is not None
         number = f"{self.name}-{next(self._numbers)}"
         self._awaited = number
-        await self.socket.send_str(f"{what}:{number}")
+        await self.socket.send_str(f"{verb}:{number}")
         return number
 
-    async def _ask(self, socket: aiohttp.ClientWebSocketResponse) -> None:
+    async def _ask_repeatedly(self, socket: aiohttp.ClientWebSocketResponse) -> None:
         while not socket.closed:
             if not self._awaited:
                 try:
                     await self.ask("release" if self._releases else "ask")
                 except (ConnectionError, RuntimeError):
                     return
-            await asyncio.sleep(self._every)
-
-    async def stop(self) -> None:
-        if self._task is not None:
-            self._task.cancel()
-            await asyncio.gather(self._task, return_exceptions=True)
+            await asyncio.sleep(self._ask_interval_s)
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -24,6 +24,7 @@
 from cottonladder.planning import advice_weighting as ad
 from cottonladder.planning.advertised_weights import TOP
 from cottonladder.testbed.advisors import (
+    AdvisorMode,
     DfpAdvisor,
     SaspAdvisor,
     SaspBalancer,
@@ -260,7 +261,7 @@
         proxy, table = await self.join(manager), dict[str, float]()
         await self.rows(proxy, table, lambda: self.ratio(table) > 1.5)
         self.assertEqual(set(table), {"s-1", "s-2", "s-3", "s-4"})
-        advisor.mode = "stall"
+        advisor.mode = AdvisorMode.STALL
         begun = time.monotonic()
         await self.rows(proxy, table, lambda: self.ratio(table) < 1.15)
         self.assertLess(time.monotonic() - begun, ad.FADED + 12.0)
@@ -285,14 +286,14 @@
         advisor, follow = await self.advisor(lambda m: 10)
         manager = await self.manager(follow=[follow])
         await manager.logged("advisor joined")
-        advisor.mode = "garble"
+        advisor.mode = AdvisorMode.GARBLE
         await manager.logged("advisor left", "no header")
-        advisor.mode = "cut"  # an end or a reset, as it falls
+        advisor.mode = AdvisorMode.CUT  # an end or a reset, as it falls
         end = time.monotonic() + 60.0
         while not [x for x in manager.lines if "advisor left" in x and "no header" not in x]:
             self.assertLess(time.monotonic(), end)
             await asyncio.sleep(0.1)
-        advisor.mode = "honest"
+        advisor.mode = AdvisorMode.HONEST
         joins = advisor.connection_count
         end = time.monotonic() + WAIT
         while advisor.connection_count == joins:
