--- a/cottonladder/forwarder/frame_scanner.py
+++ b/cottonladder/forwarder/frame_scanner.py
@@ -76,7 +76,7 @@
                     self._incomplete_head = data[offset:]
                     return ScanResult(data[:offset], b"", tuple(message_starts), messages_ended)
                 if self.is_closed:
-                    self._left = 0
+                    self._payload_left = 0
                     return ScanResult(data[:offset], data[offset:], tuple(message_starts), messages_ended)
                 offset += size
             size_taken = min(self._payload_left, len(data) - offset)
