--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -28,7 +28,7 @@
 
 SEEDS, LOAD = (7, 8, 9, 10), 0.85
 BALANCERS, PUSHES = 200, 8
-GROUP = sasp.Group(b"lb", b"workers")
+GROUP = sasp.GroupData(b"lb", b"workers")
 
 
 def served(*advisors: me.Say) -> tuple[float, float, int]:
@@ -69,22 +69,25 @@
 def codecs() -> dict[str, float]:
     """Small messages a second, and members a second in large ones."""
     rows = [
-        sasp.Weight(sasp.Member(6, n % 65536, IPv4Address(0x0A000000 + n), b"s-%d" % n), 0, 9, n % 65536)
+        sasp.WeightEntry(
+            sasp.MemberData(6, n % 65536, IPv4Address(0x0A000000 + n), b"s-%d" % n), 0, 9, n % 65536
+        )
         for n in range(10_000)
     ]
     small, large = (
-        sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(sasp.Grouped(GROUP, tuple(rows[:n])),)) for n in (10, 1000)
+        sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, tuple(rows[:n])),))
+        for n in (10, 1000)
     )
-    whole = sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(sasp.Grouped(GROUP, tuple(rows)),))
-    bytes_of = {id(m): sasp.write(m) for m in (small, large, whole)}
-    hosts = tuple(dfp.Host(IPv4Address(0x0A000000 + n), 0, n) for n in range(10_000))
-    report = dfp.write(dfp.Message(dfp.PREFERENCE, (dfp.Load(80, 6, hosts),)))
+    whole = sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, tuple(rows)),))
+    bytes_of = {id(m): sasp.encode_message(m) for m in (small, large, whole)}
+    hosts = tuple(dfp.HostPreference(IPv4Address(0x0A000000 + n), 0, n) for n in range(10_000))
+    report = dfp.encode_message(dfp.Message(dfp.PREFERENCE_INFORMATION, (dfp.Load(80, 6, hosts),)))
     return {
-        "encode_per_s": pace(lambda: sasp.write(small)),
-        "decode_per_s": pace(lambda: sasp.read(bytes_of[id(small)])),
-        "members_per_s_1000": 1000 * pace(lambda: sasp.read(bytes_of[id(large)])),
-        "members_per_s_10000": 10_000 * pace(lambda: sasp.read(bytes_of[id(whole)])),
-        "dfp_hosts_per_s_10000": 10_000 * pace(lambda: dfp.read(report)),
+        "encode_per_s": pace(lambda: sasp.encode_message(small)),
+        "decode_per_s": pace(lambda: sasp.decode_message(bytes_of[id(small)])),
+        "members_per_s_1000": 1000 * pace(lambda: sasp.decode_message(bytes_of[id(large)])),
+        "members_per_s_10000": 10_000 * pace(lambda: sasp.decode_message(bytes_of[id(whole)])),
+        "dfp_hosts_per_s_10000": 10_000 * pace(lambda: dfp.decode_message(report)),
     }
 
 
@@ -101,12 +104,16 @@
         stack.push_async_callback(manager.stop)
         await manager.serving()
         port = int((await manager.logged("advice served")).split("port=")[1])
-        members = [sasp.Member(6, 8000 + n, IPv4Address("127.0.0.9"), b"s-%d" % n) for n in range(20)]
+        members = [sasp.MemberData(6, 8000 + n, IPv4Address("127.0.0.9"), b"s-%d" % n) for n in range(20)]
         balancers = [SaspBalancer(b"lb-%d" % n) for n in range(BALANCERS)]
         for balancer in balancers:
             await balancer.connect(port)
             stack.push_async_callback(balancer.close)
-            await balancer.ask(sasp.SET_BALANCER, uid=balancer.uid, flags=sasp.PUSH | sasp.NO_CHANGE)
+            await balancer.ask(
+                sasp.SET_LB_STATE_REQUEST,
+                lb_uid=balancer.uid,
+                flags=sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG,
+            )
             await balancer.register(b"g", *members)
         await asyncio.sleep(3.0)
         took: list[float] = []
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -78,7 +78,7 @@
         return None
 
     def fresh(life: RestoredState) -> RestoredState:
-        return ageing.aged(life, 2.0)
+        return ageing.discount(life, 2.0)
 
     def stale(life: RestoredState) -> RestoredState:
         """Twelve hours old, and its suspicions no longer hold: three good workers suspected and slow."""
@@ -87,7 +87,7 @@
             replace(p, was_ejected=True, latency_factor=0.05) if p.worker_index in wrong else p
             for p in life.workers
         )
-        return ageing.aged(replace(life, workers=pasts), 12 * 3600.0)
+        return ageing.discount(replace(life, workers=pasts), 12 * 3600.0)
 
     cases: dict[str, Recall | None] = {"no_restart": None, "without": none, "with": fresh, "stale": stale}
     rows = {name: [bad_after(recall, seed) for seed in SEEDS] for name, recall in cases.items()}
@@ -142,7 +142,7 @@
             yield from keeper._snapshot()
             took.append(time.perf_counter() - begun)
 
-        tasks.add(TaskPlan("snapshot", 0.25, cpu=0.5, jitter=0.0), timed)
+        tasks.add(TaskPlan("snapshot", 0.25, cpu_fraction=0.5, jitter_ratio=0.0), timed)
         longest, last = 0.0, time.perf_counter()
         tasks.start()
         end = last + 3.0
@@ -170,7 +170,7 @@
 
     if loaded:
         for n in range(20):
-            tasks.add(TaskPlan(f"busy-{n}", 0.01, priority=n % 3, cpu=0.02), busy)
+            tasks.add(TaskPlan(f"busy-{n}", 0.01, priority=n % 3, cpu_fraction=0.02), busy)
     tasks.start()
     late: list[float] = []
     loop = asyncio.get_running_loop()
@@ -200,7 +200,7 @@
         kept = Folder(folder)
         kept.write({"manager": {"v": 1, "data": {}}})
         begun = time.perf_counter()
-        kept.store.newest()
+        kept.store.read_newest()
         out["read_ms"] = round((time.perf_counter() - begun) * 1000.0, 2)
         kept.close()
     out["of"] = f"simulated workers, seeds {SEEDS}; this machine's disk and loop"
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -21,7 +21,7 @@
 import aiohttp
 
 from benchmarks.upgraded import load
-from cottonladder.plugins.chain import req_record
+from cottonladder.plugins.chain import request_record
 from cottonladder.plugins.host import Plugin
 from cottonladder.testbed.discovery import Discovery
 from cottonladder.testbed.fleet import ROOT, Forwarder, Manager
@@ -47,7 +47,7 @@
     plugin = Plugin("audit", str(EXAMPLE), frozenset(), 0, lambda name, words: None)
     ms = (time.perf_counter() - begun) * 1000.0
     headers = {**{f"x-{n}": "v" * 20 for n in range(12)}, "X-Matter": "42"}
-    data, took = req_record("route", "POST", "/release/42", "release", headers), list[float]()
+    data, took = request_record("route", "POST", "/release/42", "release", headers), list[float]()
     for _ in range(3000):
         begun = time.perf_counter()
         plugin.call("route", data)
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -220,20 +220,20 @@
     }
     per = connections / forwarders
     for f in range(forwarders):
-        moves.joined(f, f % zones)
+        moves.add_forwarder(f, f % zones)
         rows: dict[int, int] = {}
         for _ in range(round(per)):
             be = chance.randrange(workers)
             rows[be] = rows.get(be, 0) + 1
-        moves.held(f, True, {be: mv.HeldConnectionCounts(n) for be, n in rows.items()})
+        moves.update_connections(f, True, {be: mv.HeldConnectionCounts(n) for be, n in rows.items()})
     took = []
     for n in range(10):
         begun = time.perf_counter()
-        orders = moves.plan(n * mv.PLAN_EVERY, standing)
+        orders = moves.plan(n * mv.PLAN_INTERVAL, standing)
         took.append((time.perf_counter() - begun) * 1000.0)
         for order in orders:
             if isinstance(order, mv.MigrateConnections):
-                moves.moved(order.forwarder, order.number)
+                moves.complete_migration(order.forwarder, order.number)
     return statistics.median(took)
 
 
--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -14,7 +14,7 @@
 
 from ..config.settings import WireError, address
 from ..weight_advice import dfp, sasp
-from ..weight_advice.tlv import AdviceError, address_of
+from ..weight_advice.tlv import AdviceError, parse_address
 
 WAIT = 5.0  # s for the whole of it
 UID = b"cottonladder-show"
@@ -29,50 +29,58 @@
     flags: str
 
 
-def member(text: str) -> sasp.Member:
+def member(text: str) -> sasp.MemberData:
     """`[LABEL@]HOST:PORT`."""
     label, _, place = text.rpartition("@")
     host, port = address({"member": place}, "member", "--member")
-    found = address_of(host.strip("[]"))
+    found = parse_address(host.strip("[]"))
     if found is None:
         raise WireError(f"--member: {host} is no literal address")
-    return sasp.Member(6, port, found, label.encode())
+    return sasp.MemberData(6, port, found, label.encode())
 
 
 async def _sasp(host: str, port: int, members: tuple[str, ...]) -> list[Row]:
     reader, writer = await asyncio.open_connection(host, port)
-    come, number = sasp.Reader(), 0
+    come, number = sasp.MessageReader(), 0
 
     async def ask(kind: int, **fields: object) -> sasp.Message:
         nonlocal number
         number += 1
-        writer.write(sasp.write(sasp.Message(kind, number, **fields)))  # type: ignore[arg-type]
+        writer.write(sasp.encode_message(sasp.Message(kind, number, **fields)))  # type: ignore[arg-type]
         while True:
             data = await reader.read(65_536)
             if not data:
                 raise AdviceError("ended before its answer")
             for m in come.feed(data):
-                if m.number == number and m.kind == sasp.REPLIES[kind]:
-                    if m.code != sasp.OK:
-                        raise AdviceError(f"refused: {sasp.WORDS.get(m.code, hex(m.code))}")
+                if m.message_id == number and m.message_type == sasp.REPLY_TYPES[kind]:
+                    if m.response_code != sasp.SUCCESSFUL:
+                        raise AdviceError(
+                            f"refused: {sasp.RESPONSE_TEXTS.get(m.response_code, hex(m.response_code))}"
+                        )
                     return m
 
     try:
-        group = sasp.Group(UID, b"shown")
-        await ask(sasp.SET_BALANCER, uid=UID, health=0x7F)
+        group = sasp.GroupData(UID, b"shown")
+        await ask(sasp.SET_LB_STATE_REQUEST, lb_uid=UID, lb_health=0x7F)
         if not members:
             return []
         rows = tuple(member(text) for text in members)
-        await ask(sasp.REGISTER, flags=sasp.BY_BALANCER, groups=(sasp.Grouped(group, rows),))
-        reply = await ask(sasp.GET_WEIGHTS, groups=(group,))
+        await ask(
+            sasp.REGISTRATION_REQUEST,
+            flags=sasp.LOAD_BALANCER_FLAG,
+            groups=(sasp.GroupOfEntries(group, rows),),
+        )
+        reply = await ask(sasp.GET_WEIGHTS_REQUEST, groups=(group,))
         out: list[Row] = []
         for g in reply.groups:
-            for e in g.entries if isinstance(g, sasp.Grouped) else ():
-                assert isinstance(e, sasp.Weight)
+            for e in g.entries if isinstance(g, sasp.GroupOfEntries) else ():
+                assert isinstance(e, sasp.WeightEntry)
                 names = {
-                    sasp.CONTACT: "contact", sasp.QUIESCED: "quiesced", sasp.BY_MEMBER: "by itself",
-                    sasp.CONFIDENT: "confident",
-                }  # fmt: skip
+                    sasp.CONTACT_SUCCESS_FLAG: "contact",
+                    sasp.QUIESCE_FLAG: "quiesced",
+                    sasp.REGISTRATION_FLAG: "by itself",
+                    sasp.CONFIDENT_FLAG: "confident",
+                }
                 flags = ", ".join(name for bit, name in names.items() if e.flags & bit)
                 place = f"{e.member.address}:{e.member.port}"
                 out.append(Row(e.member.label.decode(errors="replace"), place, e.weight, flags))
@@ -84,17 +92,17 @@
 async def _dfp(host: str, port: int, once: bool) -> list[Row]:
     reader, writer = await asyncio.open_connection(host, port)
     try:
-        writer.write(dfp.write(dfp.Message(dfp.PARAMETERS, keep_alive=1)))
-        writer.write(dfp.write(dfp.Message(dfp.BIND_REQUEST)))
-        come = dfp.Reader()
+        writer.write(dfp.encode_message(dfp.Message(dfp.DFP_PARAMETERS, keep_alive_s=1)))
+        writer.write(dfp.encode_message(dfp.Message(dfp.BIND_ID_REQUEST)))
+        come = dfp.MessageReader()
         while True:
             data = await reader.read(65_536)
             if not data:
                 raise AdviceError("ended before its answer")
             for m in come.feed(data):
-                if m.kind == dfp.PREFERENCE:
+                if m.message_type == dfp.PREFERENCE_INFORMATION:
                     hosts: list[tuple[IPv4Address, int, int, int]] = [
-                        (h.address, load.port, h.bind, h.weight) for load in m.loads for h in load.hosts
+                        (h.address, load.port, h.bind_id, h.weight) for load in m.loads for h in load.hosts
                     ]
                     return [Row("", f"{a}:{p}", weight, f"BindID {bind}") for a, p, bind, weight in hosts]
                 if once:
--- a/cottonladder/cli/memory.py
+++ b/cottonladder/cli/memory.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ..snapshots.store import Generation, Store, StoreError
+from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 
 ASK_WAIT = 3.0  # s for the control's answer
 ANSWER_MOST = 4 << 20  # bytes of it
@@ -24,12 +24,12 @@
         click.echo("  ".join(word.ljust(width) for word, width in zip(row, widths, strict=True)).rstrip())
 
 
-def _read_all(store: Store) -> list[tuple[int, Generation | None, str]]:
+def _read_all(store: SnapshotStore) -> list[tuple[int, Generation | None, str]]:
     out: list[tuple[int, Generation | None, str]] = []
     for number in store.numbers():
         try:
             out.append((number, store.read(number), ""))
-        except StoreError as exc:
+        except SnapshotError as exc:
             out.append((number, None, str(exc)))
     return out
 
@@ -38,19 +38,19 @@
     """A fault is one line and status 1."""
     try:
         return call()
-    except (StoreError, OSError) as exc:
+    except (SnapshotError, OSError) as exc:
         click.echo(str(exc), err=True)
         return 1
 
 
 def show(folder: str, as_json: bool) -> int:
     def call() -> int:
-        store = Store(folder)
+        store = SnapshotStore(folder)
         rows = [
             {
                 "generation": number,
-                "age_s": round(time.time() - found.written, 1) if found else None,
-                "bytes": store.path(number).stat().st_size,
+                "age_s": round(time.time() - found.written_at, 1) if found else None,
+                "bytes": store.path_of(number).stat().st_size,
                 "sections": sorted(found.sections) if found else [],
                 "fault": why,
             }
@@ -70,7 +70,7 @@
 
 def verify(folder: str) -> int:
     def call() -> int:
-        found = _read_all(Store(folder))
+        found = _read_all(SnapshotStore(folder))
         for _, _, why in found:
             if why:
                 click.echo(why, err=True)
@@ -81,30 +81,30 @@
     return _said(call)
 
 
-def _newest(store: Store, number: int | None) -> Generation:
+def _newest(store: SnapshotStore, number: int | None) -> Generation:
     if number is not None:
         return store.read(number)
     found = next((g for _, g, _ in _read_all(store) if g is not None), None)
     if found is None:
-        raise StoreError(f"{store.folder}: no generation that holds")
+        raise SnapshotError(f"{store.folder}: no generation that holds")
     return found
 
 
 def export(folder: str, number: int | None) -> int:
     def call() -> int:
-        found = _newest(Store(folder), number)
-        body = {"generation": found.number, "written": found.written, "sections": found.sections}
+        found = _newest(SnapshotStore(folder), number)
+        body = {"generation": found.number, "written": found.written_at, "sections": found.sections}
         click.echo(json.dumps(body, indent=2, sort_keys=True))
         return 0
 
     return _said(call)
 
 
-def _owned(folder: str, change: Callable[[Store], str]) -> int:
+def _owned(folder: str, change: Callable[[SnapshotStore], str]) -> int:
     """A change, with the folder's lock held."""
 
     def call() -> int:
-        store = Store(folder)
+        store = SnapshotStore(folder)
         store.open()
         try:
             click.echo(change(store))
@@ -116,11 +116,11 @@
 
 
 def compact(folder: str) -> int:
-    def change(store: Store) -> str:
-        found = store.newest()
+    def change(store: SnapshotStore) -> str:
+        found = store.read_newest()
         if found is None:
-            raise StoreError(f"{folder}: no generation that holds")
-        return f"{folder}: generation {found.number} stays, {store.retain(1)} removed"
+            raise SnapshotError(f"{folder}: no generation that holds")
+        return f"{folder}: generation {found.number} stays, {store.remove_old_generations(1)} removed"
 
     return _owned(folder, change)
 
@@ -140,14 +140,14 @@
 
 
 def forget(folder: str, worker: str) -> int:
-    def change(store: Store) -> str:
-        found = store.newest()
+    def change(store: SnapshotStore) -> str:
+        found = store.read_newest()
         if found is None:
-            raise StoreError(f"{folder}: no generation that holds")
+            raise SnapshotError(f"{folder}: no generation that holds")
         kept = without(found.sections, worker)
         if kept == found.sections:
-            raise StoreError(f"{folder}: nothing about {worker}")
-        store.write(kept, found.written)  # as old as it was: forgetting makes nothing fresh
+            raise SnapshotError(f"{folder}: nothing about {worker}")
+        store.write(kept, found.written_at)  # as old as it was: forgetting makes nothing fresh
         return f"{folder}: written without {worker}"
 
     return _owned(folder, change)
--- a/cottonladder/cli/plugin.py
+++ b/cottonladder/cli/plugin.py
@@ -11,8 +11,8 @@
 import click
 
 from ..config.operator_config import read_operator_config
-from ..plugins.chain import req_record
-from ..plugins.host import Fault, Plugin, PluginError
+from ..plugins.chain import request_record
+from ..plugins.host import Plugin, PluginError, PluginFault
 from .memory import table
 
 REQS_MOST = 100_000  # recorded reqs replayed at once
@@ -43,7 +43,7 @@
     for n, line in enumerate(Path(reqs).read_text().splitlines()[:REQS_MOST]):
         try:
             req = json.loads(line)
-            data = req_record(
+            data = request_record(
                 "route", str(req["method"]), str(req["path"]), str(req.get("kind", "")), dict(req["headers"])
             )
         except (ValueError, KeyError, TypeError) as exc:
@@ -53,7 +53,7 @@
         try:
             answer = plugin.call("route" if "route" in plugin.hooks else plugin.hooks[0], data)
             row |= {name: getattr(answer, name) for name in answer.__slots__}
-        except Fault as exc:
+        except PluginFault as exc:
             row["fault"] = f"{exc.kind}: {exc}"
         rows.append(row)
     if as_json:
@@ -72,12 +72,12 @@
     if plugin is None:
         return 1
     headers = {f"x-{n}": "v" * 20 for n in range(12)}
-    data, took, faults = req_record("route", "GET", "/cases/42", "fetch", headers), list[float](), 0
+    data, took, faults = request_record("route", "GET", "/cases/42", "fetch", headers), list[float](), 0
     for _ in range(calls):
         begun = time.perf_counter()
         try:
             plugin.call(plugin.hooks[0], data)
-        except Fault:
+        except PluginFault:
             faults += 1
         took.append((time.perf_counter() - begun) * 1e6)
     cuts = statistics.quantiles(took, n=100)
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -36,9 +36,15 @@
     """Connections held open: the same for managers and forwarders."""
 
     grace: Annotated[Seconds, Meta(description="s within which a leaving worker's connections are off")]
-    most: Annotated[Many, Meta(description="connections that one worker may hold")] = moves.MOST
-    arrivals: Annotated[Rate, Meta(description="new ones a second, average worker")] = moves.ARRIVALS
-    load: Annotated[Rate, Meta(description="reqs a second that one stands for")] = moves.EACH
+    most: Annotated[Many, Meta(description="connections that one worker may hold")] = (
+        moves.DEFAULT_MAX_CONNECTIONS
+    )
+    arrivals: Annotated[Rate, Meta(description="new ones a second, average worker")] = (
+        moves.DEFAULT_ARRIVALS_PER_S
+    )
+    load: Annotated[Rate, Meta(description="reqs a second that one stands for")] = (
+        moves.DEFAULT_LOAD_PER_CONNECTION
+    )
 
 
 class Match(Struct, forbid_unknown_fields=True, frozen=True):
@@ -146,7 +152,7 @@
 
     protocol: Literal["sasp", "dfp"]
     listen: HostAndPort
-    clients: Annotated[int, Meta(gt=0, le=4096)] = advice_limits.CLIENTS
+    clients: Annotated[int, Meta(gt=0, le=4096)] = advice_limits.DEFAULT_MAX_CLIENTS
     tls: TlsConfig | None = None
     secret: SecretConfig | None = None
 
--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -47,19 +47,19 @@
         self._late_until = time.monotonic() + LATE_FOR
 
     def soon(self, name: str) -> None:
-        self._turns.now_due(name, time.monotonic())
+        self._turns.make_due(name, time.monotonic())
         self._wake.set()
 
     async def _run(self) -> None:
         while True:
             now = time.monotonic()
             late = now < self._late_until
-            name = self._turns.next(now, late, self._waits)
+            name = self._turns.next_task(now, late, self._waits)
             if name is not None:
                 self._slice(name, now)
                 await asyncio.sleep(0)
                 continue
-            wait = max(self._late_until - now, self._turns.wait(now, self._waits))
+            wait = max(self._late_until - now, self._turns.time_until_next(now, self._waits))
             self._wake.clear()
             try:
                 await asyncio.wait_for(self._wake.wait(), min(wait, 1.0))
@@ -67,7 +67,7 @@
                 pass
 
     def _slice(self, name: str, now: float) -> None:
-        if self._turns.begun(name, now):
+        if self._turns.slice_started(name, now):
             self._under_way[name] = iter(self._work[name]())
         begun, done, failed = time.monotonic(), False, False
         step: Awaitable[Any] | None = None
@@ -79,8 +79,8 @@
             failed = True
             self._failed(name, exc)
         ended = time.monotonic()
-        if self._turns.sliced(name, ended, ended - begun, done, failed, self._uniform()):
-            turn = self._turns.turns[name]
+        if self._turns.slice_finished(name, ended, ended - begun, done, failed, self._uniform()):
+            turn = self._turns.tasks[name]
             if turn.overruns & (turn.overruns - 1) == 0:  # the first, second, fourth, ...
                 self.log.info(
                     "task overran", task=name, ms=round((ended - begun) * 1000, 1), times=turn.overruns
@@ -99,13 +99,13 @@
             self._failed(name, exc)
             now = time.monotonic()
             self._under_way.pop(name, None)
-            self._turns.sliced(name, now, 0.0, True, True, self._uniform())
+            self._turns.slice_finished(name, now, 0.0, True, True, self._uniform())
         finally:
             self._waits.pop(name, None)
             self._wake.set()
 
     def _failed(self, name: str, exc: Exception) -> None:
-        row = self._turns.turns[name].failed_in_row
+        row = self._turns.tasks[name].consecutive_failures
         if row & (row - 1) == 0:
             self.log.warning("task failed", task=name, why=str(exc) or type(exc).__name__, in_row=row + 1)
 
@@ -115,13 +115,20 @@
 
         def row(t: ScheduledSlice) -> dict[str, object]:
             return {
-                "task": t.plan.name, "priority": t.plan.priority, "period": t.plan.period,
-                "due_in": round(t.due - now, 3), "runs": t.runs, "slices": t.slices, "overruns": t.overruns,
-                "failures": t.failures, "missed": t.missed, "cpu_s": round(t.took, 4),
-                "longest_ms": round(t.longest * 1000.0, 2),
-            }  # fmt: skip
-
-        return [row(t) for t in self._turns.turns.values()]
+                "task": t.plan.name,
+                "priority": t.plan.priority,
+                "period": t.plan.period_s,
+                "due_in": round(t.due_at - now, 3),
+                "runs": t.runs,
+                "slices": t.slices,
+                "overruns": t.overruns,
+                "failures": t.failures,
+                "missed": t.missed_deadlines,
+                "cpu_s": round(t.cpu_s, 4),
+                "longest_ms": round(t.longest_slice_s * 1000.0, 2),
+            }
+
+        return [row(t) for t in self._turns.tasks.values()]
 
     async def close(self, last: tuple[str, ...] = ()) -> None:
         """Ends what runs; the tasks named in `last` run once more, within a bounded time."""
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -14,7 +14,7 @@
 from ..model.inputs import ExtraLinesWritten, HeldLoad, Input, ProxyConnected, ProxyDisconnected
 from ..model.views import WorkerCapacityView
 from ..planning.connection_migration import (
-    PLAN_EVERY,
+    PLAN_INTERVAL,
     AdmitForwarder,
     HeldConnectionCounts,
     MigrateConnections,
@@ -74,12 +74,12 @@
     def _gone(self, proxy: int) -> None:
         self._zones.pop(proxy, None)
         self._announced.discard(proxy)
-        self._moves.left(proxy)
+        self._moves.remove_forwarder(proxy)
 
     def _said(self, proxy: int, body: object) -> None:
         if isinstance(body, wire.ForwarderAnnounced):
             if body.version >= wire.VERSION:  # a later one speaks ours too
-                self._moves.joined(proxy, self._zones[proxy])
+                self._moves.add_forwarder(proxy, self._zones[proxy])
                 self._announced.add(proxy)
                 self._plan_at = 0.0  # it is answered at once
         elif proxy not in self._announced:
@@ -87,9 +87,9 @@
         elif isinstance(body, wire.HeldConnections):
             found = {self._workers.find(be): row for be, row in body.rows.items()}
             rows = {be: HeldConnectionCounts(*row) for be, row in found.items() if be is not None}
-            self._moves.held(proxy, body.whole, rows)
+            self._moves.update_connections(proxy, body.whole, rows)
         elif isinstance(body, wire.MigrationDone):
-            self._moves.moved(proxy, body.number)
+            self._moves.complete_migration(proxy, body.number)
 
     def inputs(self, now: float) -> list[Input]:
         """Loads that changed, each interval; and what the last messages took of the channel."""
@@ -98,7 +98,7 @@
             out.append(ExtraLinesWritten(self._aside))
             self._aside = 0
         if now >= self._plan_at:
-            loads = self._moves.loads()
+            loads = self._moves.load_by_worker()
             changed = {be: 0.0 for be in self._loads if be not in loads}
             changed |= {be: load for be, load in loads.items() if self._loads.get(be) != load}
             out += [HeldLoad(be, load) for be, load in changed.items()]
@@ -108,36 +108,38 @@
     def messages(self, now: float, ladder: RoutingController) -> Iterator[tuple[int, bytes]]:
         if now < self._plan_at:
             return
-        self._plan_at = now + PLAN_EVERY
+        self._plan_at = now + PLAN_INTERVAL
         stand = capacity_views(ladder)
         orders = [o for o in self._moves.plan(now, stand) if not self._vetoed(o)]
-        self._aside += self._moves.lines(orders)
+        self._aside += self._moves.channel_lines(orders)
         self._tell_modes(stand)
         ids = self._workers.ids
         for order in orders:
             if isinstance(order, AdmitForwarder):
-                yield order.forwarder, wire.welcome(order.part, self._arrivals)
+                yield order.forwarder, wire.welcome(order.arrival_fraction, self._arrivals)
             elif order.source not in ids:
                 continue
             elif isinstance(order, StopMigration):
                 yield order.forwarder, wire.stop(ids[order.source])
             elif isinstance(order, MigrateConnections):
-                to = {ids[be]: n for be, n in order.to if be in ids}
+                to = {ids[be]: n for be, n in order.destinations if be in ids}
                 yield (
                     order.forwarder,
-                    wire.move(order.number, ids[order.source], to, order.count, order.within, order.left),
+                    wire.move(
+                        order.number, ids[order.source], to, order.count, order.within_s, order.grace_left_s
+                    ),
                 )
 
     def _vetoed(self, order: MigrationOrder) -> bool:
         """A move that a plug-in puts off counts as not ordered: the next plan has it again."""
         if not isinstance(order, MigrateConnections) or not self.vetoes(order):
             return False
-        self._moves.moved(order.forwarder, order.number)
+        self._moves.complete_migration(order.forwarder, order.number)
         return True
 
     def _tell_modes(self, standing: dict[int, WorkerCapacityView]) -> None:
         """One line where the drain of held connections begins, is off, or has ended."""
-        totals = self._moves.totals()
+        totals = self._moves.connections_by_worker()
         leaving = {be for be, s in standing.items() if s.draining_since >= 0}
         for be in totals.keys() & leaving - self._drains.keys():
             self._drains[be] = totals[be].open
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -123,7 +123,7 @@
     keeper.list_version = lambda: discovery.version
     for plan in plans:
         if (advice := getattr(plan, "advice", None)) is not None:
-            advice.recall(keeper.credits)
+            advice.restore_credits(keeper.credits)
             keeper.credits_now = advice.credits
 
 
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -15,9 +15,9 @@
 from ..model.views import WorkerCapacityView
 from ..planning.connection_migration import MigrateConnections
 from ..planning.controller_views import capacity_views
-from ..planning.plugin_bounds import factor_of, may_veto
-from ..plugins.abi import EVENT, MOVE, WORKER, record
-from ..plugins.chain import PluginChain, Wanted
+from ..planning.plugin_bounds import bounded_factor, may_veto
+from ..plugins.abi import EVENT, MOVE, WORKER, encode_record
+from ..plugins.chain import PluginChain, PluginSpec
 from ..policy.controller import INTERVAL, RoutingController
 from ..protocol.messages import ExtensionMessage
 from ..state.worker_registry import WorkerRegistry
@@ -32,7 +32,7 @@
 
     def __init__(self, part: ManagerPluginsConfig, workers: WorkerRegistry) -> None:
         self._part, self._workers = part, workers
-        rows = (Wanted(p.name, p.path, False, frozenset(p.grants), p.seed) for p in part.chain)
+        rows = (PluginSpec(p.name, p.path, False, frozenset(p.grants), p.seed) for p in part.chain)
         self.chain = PluginChain(rows)
         self._queue: list[int] = []
         self._at = 0.0
@@ -46,14 +46,14 @@
         """It has nothing to open."""
 
     def hear(self, now: float, item: Input | ExtensionMessage) -> None:
-        if isinstance(item, EndpointList) and item.endpoints and self.chain.has(EVENT):
+        if isinstance(item, EndpointList) and item.endpoints and self.chain.has_hook(EVENT):
             for entry in item.endpoints:
                 name = self._workers.ids.get(entry.worker_index, b"?").decode()
                 self.event("listed", f"{name} {entry.state.name.lower()}")
 
     def event(self, what: str, words: str) -> None:
         """Also the ladder's own remarks: a level changed, a worker was shut out."""
-        if not self.chain.has(EVENT):
+        if not self.chain.has_hook(EVENT):
             return
         if len(self._events) >= EVENTS_MOST:
             self.events_left_out += 1
@@ -63,18 +63,18 @@
     def inputs(self, now: float) -> list[Input]:
         events, self._events = self._events, []
         for what, words in events:
-            self.chain.ask(EVENT, record([("hook", EVENT), ("event", what), ("words", words)]))
-        if not self.chain.has(WORKER):
+            self.chain.call_hook(EVENT, encode_record([("hook", EVENT), ("event", what), ("words", words)]))
+        if not self.chain.has_hook(WORKER):
             return []
         out: list[Input] = []
         for be in self._queue[:CHUNK]:
             stands = self._standing.get(be)
             if stands is None or be not in self._workers.ids or stands.capacity <= 0:
                 continue
-            said = self.chain.ask(WORKER, self._worker(be, stands))
-            factor = factor_of(said.factor)
+            said = self.chain.call_hook(WORKER, self._worker(be, stands))
+            factor = bounded_factor(said.factor)
             if said.factor is not None and factor != said.factor:
-                self.chain.clipped()
+                self.chain.record_clipped()
             if factor != self._factors.get(be, 1.0):
                 self._factors[be] = factor
                 out.append(AdvisedFactor(be, factor, SOURCE))
@@ -91,7 +91,7 @@
         ]
         pairs += [("estimate", f"{stands.capacity:.4f}"), ("time_ms", f"{stands.latency_s * 1000.0:.1f}")]
         pairs += [("label", label) for label in self._part.labels.get(name, ())]
-        return record(pairs)
+        return encode_record(pairs)
 
     def messages(self, now: float, ladder: RoutingController) -> Iterator[tuple[int, bytes]]:
         """Writes no proxy; each interval the workers are asked of anew."""
@@ -100,20 +100,20 @@
             self._standing = capacity_views(ladder)
             self._factors = {be: f for be, f in self._factors.items() if be in self._standing}
             self._queue = list(self._standing)
-        self.chain.tell()
+        self.chain.log_status()
         yield from ()
 
     def vetoes(self, move: MigrateConnections) -> bool:
         """A veto puts a move off; near the end of the grace there is none, as drains are kept."""
-        if not self.chain.has(MOVE):
+        if not self.chain.has_hook(MOVE):
             return False
         ids = self._workers.ids
         pairs = [("hook", MOVE), ("from", ids.get(move.source, b"?").decode()), ("count", str(move.count))]
-        pairs += [("to", f"{ids[be].decode()}:{n}") for be, n in move.to if be in ids]
-        said = self.chain.ask(MOVE, record([*pairs, ("left_s", f"{move.left:.1f}")]))
+        pairs += [("to", f"{ids[be].decode()}:{n}") for be, n in move.destinations if be in ids]
+        said = self.chain.call_hook(MOVE, encode_record([*pairs, ("left_s", f"{move.grace_left_s:.1f}")]))
         if said.deny is None:
             return False
-        if not may_veto(move.left, self._part.grace):
-            self.chain.clipped()
+        if not may_veto(move.grace_left_s, self._part.grace):
+            self.chain.record_clipped()
             return False
         return True
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -26,12 +26,19 @@
     WorkerHistory,
 )
 from ..planning import snapshot_staleness as ageing
+from ..planning.advice_weighting import INITIAL_CREDIT
 from ..planning.controller_views import collect_state
 from ..planning.priority_scheduling import TaskPlan
 from ..policy.controller import RoutingController
 from ..protocol.messages import ExtensionMessage
-from ..snapshots.sections import EndpointSnapshot, ManagerSnapshot, WorkerSnapshot, packed, unpacked
-from ..snapshots.store import Generation, Store, StoreError
+from ..snapshots.sections import (
+    EndpointSnapshot,
+    ManagerSnapshot,
+    WorkerSnapshot,
+    decode_section,
+    encode_section,
+)
+from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 from .background_scheduler import BackgroundScheduler
 
 TASK = "snapshot"
@@ -43,7 +50,7 @@
     """A store that may fail: opened again when it is next written."""
 
     def __init__(self, folder: str) -> None:
-        self.store, self._open = Store(folder), False
+        self.store, self._open = SnapshotStore(folder), False
         self.bytes = 0
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
@@ -53,15 +60,15 @@
         try:
             self.store.open()
             self._open = True
-            found = self.store.newest()
-        except StoreError as exc:
+            found = self.store.read_newest()
+        except SnapshotError as exc:
             self.log.warning("memory not read", why=str(exc))
             return None
-        aside, self.store.faults = "; ".join(self.store.faults), []
+        aside, self.store.quarantine_messages = "; ".join(self.store.quarantine_messages), []
         if found is None:
             self.log.info("memory empty", aside=aside or "none")
             return None
-        age = time.time() - found.written
+        age = time.time() - found.written_at
         self.log.info("memory read", generation=found.number, age=round(age, 1), aside=aside or "none",
                       ms=round((time.monotonic() - begun) * 1000, 1))  # fmt: skip
         return found
@@ -102,48 +109,49 @@
         found = self._folder.read()
         if found is None:
             return
-        life, why = unpacked("manager", found.sections, ManagerSnapshot)
+        life, why = decode_section("manager", found.sections, ManagerSnapshot)
         if life is None:
             self.log.warning("memory not used", why=why or "no section manager")
             return
-        age = ageing.age_of(found.written, time.time())
+        age = ageing.snapshot_age(found.written_at, time.time())
         self._list(life)
         ids = {w.id: self._workers.find(w.id.encode()) for w in life.workers}
         pasts = tuple(
-            WorkerHistory(be, w.started, w.base, w.slowness, w.out, w.leaving)
+            WorkerHistory(be, w.started_at, w.base_latency_s, w.latency_factor, w.was_ejected, w.was_draining)
             for w in life.workers
             if (be := ids[w.id]) is not None
         )
-        life_then = RestoredState(life.mark % 65536, pasts, tuple(life.rates.items()))
-        self._life = ageing.aged(life_then, age)
+        life_then = RestoredState(life.last_checkpoint % 65536, pasts, tuple(life.proxy_rates.items()))
+        self._life = ageing.discount(life_then, age)
         self.credits = {
-            name: ageing.credit(value, ageing.CREDIT_START, age) for name, value in life.credits.items()
+            name: ageing.discounted_credit(value, INITIAL_CREDIT, age)
+            for name, value in life.advisor_credits.items()
         }
 
     def _list(self, life: ManagerSnapshot) -> None:
         """The list that the earlier life had, where it is newer than the one in the configuration."""
-        if life.version <= self.version:
+        if life.list_version <= self.version:
             return
-        entries = [e for e in life.listed if 0 <= e.zone < self._zones and e.mode in (0, 1) and e.id]
+        entries = [e for e in life.endpoints if 0 <= e.zone < self._zones and e.state in (0, 1) and e.id]
         self.known = EndpointList(
             ListUpdateKind.CACHED,
             tuple(
                 Endpoint(
-                    self._workers.learn(e.id, e.address, e.started),
+                    self._workers.learn(e.id, e.address, e.started_at),
                     e.zone,
-                    EndpointState(e.mode),
+                    EndpointState(e.state),
                     e.weight,
-                    e.started,
+                    e.started_at,
                 )
                 for e in entries
             ),
         )
-        self.version = life.version
+        self.version = life.list_version
 
     async def start(self, stack: AsyncExitStack) -> None:
         stack.callback(self._folder.close)
         self._tasks.add(
-            TaskPlan(TASK, self._every, priority=3, cpu=CPU, deadline=self._every), self._snapshot
+            TaskPlan(TASK, self._every, priority=3, cpu_fraction=CPU, deadline_s=self._every), self._snapshot
         )
 
     def hear(self, now: float, item: Input | ExtensionMessage) -> None:
@@ -192,4 +200,4 @@
             mark = life.last_checkpoint
             yield None
         section = ManagerSnapshot(mark, workers, rates, self.list_version(), listed, self.credits_now())
-        yield asyncio.to_thread(lambda: self._folder.write({"manager": packed("manager", section)}))
+        yield asyncio.to_thread(lambda: self._folder.write({"manager": encode_section("manager", section)}))
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -24,20 +24,20 @@
 from ..config.settings import WireError
 from ..model.inputs import AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
-from ..planning.advice_weighting import PERIOD, Advice, AdvisoryWeight
+from ..planning.advice_weighting import UPDATE_INTERVAL, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views
 from ..policy.controller import RoutingController
 from ..protocol.messages import ExtensionMessage
 from ..state.worker_registry import WorkerRegistry
 from ..weight_advice.client import (
     AdviceListener,
-    DfpFollower,
-    Follower,
+    AdvisorClient,
+    DfpAdvisorClient,
     ReportedWeight,
-    SaspFollower,
-    places_of,
+    SaspAdvisorClient,
+    worker_locations,
 )
-from ..weight_advice.server import AdvertisedWeights, DfpServer, SaspServer, Server, tls_context
+from ..weight_advice.server import AdvertisedWeights, AdviceServer, DfpServer, SaspServer, tls_context
 
 SECRET_MOST = 1024  # bytes of a secret's file
 TELL_EVERY = 30.0  # s between two lines on how advisors stand
@@ -69,9 +69,9 @@
 
     def __init__(self, part: AdviceConfig, workers: WorkerRegistry) -> None:
         self._part, self._workers = part, workers
-        self._board, self._advice = AdvertisedWeights(), Advice()
-        self._servers: list[Server] = []
-        self._followers: list[Follower] = []
+        self._board, self._advice = AdvertisedWeights(), AdviceWeighting()
+        self._servers: list[AdviceServer] = []
+        self._followers: list[AdvisorClient] = []
         self._trust: dict[str, float] = {}
         self._words: list[tuple[str, list[ReportedWeight], bool]] = []  # heard since the last step
         self._joins: list[str] = []
@@ -82,7 +82,7 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     @property
-    def advice(self) -> Advice:
+    def advice(self) -> AdviceWeighting:
         return self._advice
 
     async def start(self, stack: AsyncExitStack) -> None:
@@ -100,25 +100,25 @@
             stack.push_async_callback(follower.close)
             follower.start()
 
-    def _server(self, part: AdviceServerConfig, where: str) -> Server:
+    def _server(self, part: AdviceServerConfig, where: str) -> AdviceServer:
         if part.protocol == "sasp":
             return SaspServer(self._board, part.clients, _tls(part.tls, True, where))  # type: ignore[arg-type]
         return DfpServer(self._board, part.clients, _secret(part.secret, where))
 
-    def _follower(self, part: AdvisorFollowConfig, where: str, chance: random.Random) -> Follower:
+    def _follower(self, part: AdvisorFollowConfig, where: str, chance: random.Random) -> AdvisorClient:
         at = host_port(part.at)
         if part.protocol == "sasp":
             tls = _tls(part.tls, False, where)
-            return SaspFollower(at, self, tls, chance.random, part.uid, part.group)  # type: ignore[arg-type]
-        return DfpFollower(at, self, chance.random, _secret(part.secret, where))
+            return SaspAdvisorClient(at, self, tls, chance.random, part.uid, part.group)  # type: ignore[arg-type]
+        return DfpAdvisorClient(at, self, chance.random, _secret(part.secret, where))
 
     # the followers' listener: kept until the owner's next step
 
-    def joined(self, advisor: str) -> None:
+    def advisor_connected(self, advisor: str) -> None:
         self._joins.append(advisor)
 
-    def heard(self, advisor: str, words: Iterable[ReportedWeight], whole: bool) -> None:
-        self._words.append((advisor, list(words), whole))
+    def weights_received(self, advisor: str, weights: Iterable[ReportedWeight], is_complete: bool) -> None:
+        self._words.append((advisor, list(weights), is_complete))
 
     # beside the ladder
 
@@ -128,20 +128,22 @@
 
     def inputs(self, now: float) -> list[Input]:
         for advisor in self._joins:
-            self._advice.joined(advisor, now, self._trust.get(advisor, 1.0))
+            self._advice.advisor_connected(advisor, now, self._trust.get(advisor, 1.0))
         self._joins.clear()
         for advisor, said, whole in self._words:
             words: dict[int, AdvisoryWeight] = {}
             for s in said:
-                if s.be is not None:  # one worker under two identifications: the lower word
-                    word = AdvisoryWeight(float(s.weight), s.usable)
-                    was = words.get(s.be)
-                    words[s.be] = word if was is None or word.weight < was.weight or not word.usable else was
-            self._advice.heard(advisor, now, words, whole)
+                if s.worker_index is not None:  # one worker under two identifications: the lower word
+                    word = AdvisoryWeight(float(s.weight), s.is_usable)
+                    was = words.get(s.worker_index)
+                    words[s.worker_index] = (
+                        word if was is None or word.weight < was.weight or not word.is_usable else was
+                    )
+            self._advice.receive(advisor, now, words, whole)
         self._words.clear()
         if now < self._at:
             return []
-        factors = self._advice.factors(now, self._standing) if self._followers else {}
+        factors = self._advice.update_factors(now, self._standing) if self._followers else {}
         changed = dict.fromkeys(self._factors.keys() - factors.keys(), 1.0)
         changed |= {be: factor for be, factor in factors.items() if self._factors.get(be) != factor}
         self._factors = factors
@@ -153,29 +155,29 @@
         if due or self._listed:
             self._listed = False
             self._standing = capacity_views(ladder)
-            places = places_of(self._workers.ids, self._workers.address)
+            places = worker_locations(self._workers.ids, self._workers.address)
             self._board.update(self._standing, places)
             for server in self._servers:
-                server.told()
+                server.weights_changed()
             for follower in self._followers:
                 follower.update(places)
         if due:
-            self._at = now + PERIOD
+            self._at = now + UPDATE_INTERVAL
             for follower in self._followers:
-                follower.tick()
+                follower.poll()
             if now - self._told_at >= TELL_EVERY:
                 self._told_at = now
                 self._tell(now)
         yield from ()
 
     def _tell(self, now: float) -> None:
-        for name, stands in self._advice.shown(now).items():
+        for name, stands in self._advice.status(now).items():
             follower = next((f for f in self._followers if f.name == name), None)
             unmatched = follower.unmatched if follower else 0
             self.log.info(
-                "advisor stands", advisor=name, credit=round(stands.credit, 3), words=stands.words,
-                unmatched=unmatched, age=round(min(stands.age, 1e6), 1),
+                "advisor stands", advisor=name, credit=round(stands.credit, 3), words=stands.weight_count,
+                unmatched=unmatched, age=round(min(stands.age_s, 1e6), 1),
             )  # fmt: skip
         for server in self._servers:
-            for row in server.shown():
+            for row in server.status():
                 self.log.info("balancer stands", **row)
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -38,7 +38,7 @@
 from .tunnel import UpgradePolicy
 
 if TYPE_CHECKING:
-    from ..plugins.chain import Wanted
+    from ..plugins.chain import PluginSpec
 
 LIST_AGAIN = (0.3, 1.0)  # s, dealt by chance, until a failed call to discovery is made again
 LIST_WAIT_MOST = 8.0  # times that, doubled with each call that fails: a fleet's calls keep discovery down
@@ -49,10 +49,10 @@
 QUIET_GRACE = 30.0  # s for drains where the file has no grace: upgraded connections are carried all the same
 
 
-def wanted(part: PluginsConfig) -> list[Wanted]:
-    from ..plugins.chain import Wanted
+def wanted(part: PluginsConfig) -> list[PluginSpec]:
+    from ..plugins.chain import PluginSpec
 
-    return [Wanted(p.name, p.path, p.fail == "closed", frozenset(p.grants), p.seed) for p in part.chain]
+    return [PluginSpec(p.name, p.path, p.fail == "closed", frozenset(p.grants), p.seed) for p in part.chain]
 
 
 class Zones:
@@ -271,7 +271,7 @@
                 self.collector.say(self.stream.manager, b"".join(loads))
             self.carrier.log_ends()
             if self.carrier.hooks is not None:
-                self.carrier.hooks.tell()
+                self.carrier.hooks.log_status()
 
     def status(self) -> dict[str, object]:
         """What a person would ask of it: for the status address and the demo."""
@@ -285,7 +285,7 @@
             "held": {be: [r.open, r.busy, r.resumable] for be, r in self.carrier.book.rows(now).items()},
             "drains": {be: self.drains.state(be) for be in self.drains.workers()},
             "connections": self.carrier.front.places.total,
-            "plugins": self.carrier.hooks.shown() if self.carrier.hooks else [],
+            "plugins": self.carrier.hooks.status() if self.carrier.hooks else [],
             **self.carrier.counts,
         }  # fmt: skip
 
@@ -344,7 +344,7 @@
     from ..control.snapshot_manager import CPU, TASK, Folder
     from ..planning import snapshot_staleness as ageing
     from ..planning.priority_scheduling import TaskPlan
-    from ..snapshots.sections import ForwarderSnapshot, packed, unpacked
+    from ..snapshots.sections import ForwarderSnapshot, decode_section, encode_section
     from .restored_state import life_of, recall
 
     tasks = BackgroundScheduler(random.random)
@@ -352,14 +352,14 @@
         folder = Folder(operator.memory.folder)
         stack.callback(folder.close)
         found = folder.read()
-        life, why = unpacked("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
+        life, why = decode_section("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
         if why:
             forwarder.log.warning("memory not used", why=why)
         if life is not None and found is not None:
-            earlier, written = life, found.written
+            earlier, written = life, found.written_at
 
             def recalling() -> None:
-                age = ageing.age_of(written, time.time())
+                age = ageing.snapshot_age(written, time.time())
                 used = recall(
                     earlier, age, forwarder.loop.time(), forwarder.routes, forwarder.arrivals,
                     lambda be: forwarder.known.find(be.encode()) is not None,
@@ -373,10 +373,10 @@
             now = forwarder.loop.time()
             kept = life_of(forwarder.routes, forwarder.carrier.book.rows(now), now)
             yield None
-            section = packed("forwarder", kept)
+            section = encode_section("forwarder", kept)
             yield asyncio.to_thread(folder.write, {"forwarder": section})
 
-        tasks.add(TaskPlan(TASK, operator.memory.every, priority=3, cpu=CPU), snapshot)
+        tasks.add(TaskPlan(TASK, operator.memory.every, priority=3, cpu_fraction=CPU), snapshot)
         stack.push_async_callback(tasks.close, (TASK,))
     else:
         stack.push_async_callback(tasks.close)
--- a/cottonladder/forwarder/request_handler.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -17,7 +17,7 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from ..planning.plugin_bounds import RoutePreference, narrowed
+from ..planning.plugin_bounds import RoutePreference, narrow_candidates
 from .client_listener import BodyTooLarge, ClientListener, HandedOver, agreed, body_of
 from .connection_drainer import Act, ConnectionDrainer, Cut
 from .connection_registry import ConnectionRegistry
@@ -145,9 +145,9 @@
         chain, upgrade = self.hooks, "Upgrade" in request.headers
         assert chain is not None
         hook = "upgrade" if upgrade else "route"
-        if not chain.has(hook):
+        if not chain.has_hook(hook):
             return kind, None
-        said = chain.ask(hook, self._told(hook, request, kind))
+        said = chain.call_hook(hook, self._told(hook, request, kind))
         if said.changes_nothing:
             return kind, None
         if said.deny is not None:
@@ -155,19 +155,21 @@
         if said.kind is not None:
             other = next((k for k in self._kinds if k.name == said.kind), None)
             if other is None:
-                chain.clipped()
+                chain.record_clipped()
             else:  # another table and time, never another right to be repeated
                 replays = kind.replays if kind.replays == NON_REPLAYABLE else other.replays
                 kind = replace(other, replays=replays)
         among: dict[str, float] | None = None
         if said.need or said.prefer:
             lines = self.routes.lines(kind.name)
-            choice = narrowed(lines, self.labels, RoutePreference(said.need, said.prefer), self.fall_back)
-            if choice.clipped:
-                chain.clipped()
-            if choice.let < 1.0 and self._chance.random() >= choice.let:
+            choice = narrow_candidates(
+                lines, self.labels, RoutePreference(said.need, said.prefer), self.fall_back
+            )
+            if choice.was_limited:
+                chain.record_clipped()
+            if choice.admitted_fraction < 1.0 and self._chance.random() >= choice.admitted_fraction:
                 return self._away(503, "no worker with what is needed")
-            among = choice.lines
+            among = choice.weights
         if said.set_headers or said.drop_headers:
             request["headers"] = self._changed(request, said.set_headers, said.drop_headers)
         return kind, among
@@ -176,7 +178,9 @@
         self, hook: str, request: web.BaseRequest, kind: Kind, more: Iterable[tuple[str, str]] = ()
     ) -> bytes:
         assert self.hooks is not None
-        return self.hooks.told(hook, request.method, request.raw_path, kind.name, request.headers, more)
+        return self.hooks.request_record(
+            hook, request.method, request.raw_path, kind.name, request.headers, more
+        )
 
     def _changed(
         self, request: web.BaseRequest, sets: Iterable[tuple[str, str]], drops: Iterable[str]
@@ -186,7 +190,7 @@
         for name, value in [*((name, "") for name in drops), *sets]:
             if name.lower() not in self.headers_allowed:
                 if self.hooks is not None:
-                    self.hooks.clipped()
+                    self.hooks.record_clipped()
                 continue
             headers.popall(name, None)
             if value:
@@ -195,10 +199,10 @@
 
     def _forbidden(self, request: web.BaseRequest, kind: Kind, tries: int, ran: bool) -> bool:
         """A plug-in may forbid a further try, never ask for one."""
-        if self.hooks is None or not self.hooks.has("further"):
+        if self.hooks is None or not self.hooks.has_hook("further"):
             return False
         more = (("tries", str(tries)), ("ran", str(int(ran))))
-        return self.hooks.ask("further", self._told("further", request, kind, more)).forbid
+        return self.hooks.call_hook("further", self._told("further", request, kind, more)).forbid
 
     async def _plain(
         self, request: web.BaseRequest, kind: Kind, among: dict[str, float] | None
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -36,20 +36,20 @@
     is kept away from no longer than was meant; clients that come back find places where they were.  Tells
     what was used."""
     used: list[str] = []
-    routes.out |= {be for be in life.out if known(be)}
-    if age <= ageing.TABLE_MOST and not routes.ordered:  # what was ordered meanwhile is newer
+    routes.out |= {be for be in life.excluded if known(be)}
+    if age <= ageing.MAX_TABLE_AGE and not routes.ordered:  # what was ordered meanwhile is newer
         for kind, table in life.tables.items():
-            rows = {be: w for be, w in table.rows.items() if w > 0 and known(be)}
+            rows = {be: w for be, w in table.weights.items() if w > 0 and known(be)}
             if kind in routes.tables and rows and any(be not in routes.out for be in rows):
-                routes.restore(kind, rows, table.gate, table.again)
+                routes.restore(kind, rows, table.admission_ratio, table.retry_policy)
                 used.append(f"table {kind}")
-    if age <= ageing.SUSPECT_MOST:
+    if age <= ageing.MAX_SUSPICION_AGE:
         listed = {be for t in routes.tables.values() for be in t.rows}
-        avoid = {be: left - age for be, left in life.avoid.items() if left > age and known(be)}
+        avoid = {be: left - age for be, left in life.avoid_for_s.items() if left > age and known(be)}
         if len(avoid) <= len(listed) * ageing.OUT_MOST:  # all of them: it was this forwarder that was cut off
             routes.avoid(now, avoid)
             used.append(f"{len(avoid)} avoided")
-        for be, count in life.held.items():
+        for be, count in life.held_connections.items():
             if known(be) and not routes.shut(be):
                 arrivals.ordered(now, be, min(count, 10_000))
     return ", ".join(used) or "nothing"
--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -15,8 +15,10 @@
 from ..model.views import WorkerCapacityView
 from ..policy.controller import COLD_OVER
 
-TOP = 10_000  # weight of the heaviest member: shares of a hundredth of a percent can be told apart
-QUIET_CHANGE = 0.05  # part by which a weight must move to be pushed again: balancers chase what they are told
+MAX_WEIGHT = 10_000  # weight of the heaviest member: shares of a hundredth of a percent can be told apart
+MIN_WEIGHT_CHANGE = (
+    0.05  # part by which a weight must move to be pushed again: balancers chase what they are told
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,18 +26,18 @@
     """`weight` 0: nothing new; `contact`: it answers, as far as is known; `leaving`: it drains or is gone."""
 
     weight: int
-    contact: bool
-    leaving: bool
+    is_reachable: bool
+    is_leaving: bool
 
 
-def offers(
-    standing: Mapping[int, WorkerCapacityView], members: Iterable[int], quiesced: frozenset[int] = frozenset()
+def advertise_weights(
+    views: Mapping[int, WorkerCapacityView], members: Iterable[int], quiesced: frozenset[int] = frozenset()
 ) -> dict[int, AdvertisedWeight]:
     """Offers to one group.  Who is not known, drains, is gone or was quiesced by the balancer gets 0."""
-    known = [be for be in members if be in standing and be not in quiesced]
-    live = {be: standing[be].capacity for be in known if standing[be].capacity > 0}
-    whole = sum(s.capacity for s in standing.values()) or 1.0
-    warm = {be: e for be, e in live.items() if not standing[be].warming_up}
+    known = [be for be in members if be in views and be not in quiesced]
+    live = {be: views[be].capacity for be in known if views[be].capacity > 0}
+    whole = sum(s.capacity for s in views.values()) or 1.0
+    warm = {be: e for be, e in live.items() if not views[be].warming_up}
     shares = dict(live)
     if warm:
         level = sum(warm.values())
@@ -48,18 +50,22 @@
     most = max(shares.values(), default=1.0)
     out: dict[int, AdvertisedWeight] = {}
     for be in members:
-        leaving = be not in standing or standing[be].draining_since >= 0
-        exact = TOP * shares[be] / most if be in shares else 0.0
+        leaving = be not in views or views[be].draining_since >= 0
+        exact = MAX_WEIGHT * shares[be] / most if be in shares else 0.0
         least = int(be in shares)
         weight = math.ceil(exact) if be in warm else max(least, int(exact))  # rounding lifts no cold one
         out[be] = AdvertisedWeight(weight, be in live or be in quiesced, leaving)
     return out
 
 
-def moved(was: AdvertisedWeight | None, now: AdvertisedWeight) -> bool:
+def has_changed(previous: AdvertisedWeight | None, current: AdvertisedWeight) -> bool:
     """Whether a balancer must hear of it: what leaves or comes at once, weights past a part."""
-    if was is None or was.contact != now.contact or was.leaving != now.leaving:
+    if (
+        previous is None
+        or previous.is_reachable != current.is_reachable
+        or previous.is_leaving != current.is_leaving
+    ):
         return True
-    if (was.weight == 0) != (now.weight == 0):
+    if (previous.weight == 0) != (current.weight == 0):
         return True
-    return abs(now.weight - was.weight) > QUIET_CHANGE * max(was.weight, 1)
+    return abs(current.weight - previous.weight) > MIN_WEIGHT_CHANGE * max(previous.weight, 1)
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -23,16 +23,22 @@
 from ..model.views import WorkerCapacityView
 from ..policy.controller import CROSS_COST
 
-PLAN_EVERY = 0.5  # s between plans, and the span of one slice: a worker's takings are seen in time
-MARGIN = 0.15  # part of the grace kept free at its end: for the busy, the slow and what failed once
-ROOM_SLACK = 0.1  # over the mean level that a worker may be filled to: less leaves no way to place the last
-LINES_PART = 0.1  # of what the channel sends that moves may take: the rules' own orders come first
-BUCKET = PLAN_EVERY  # s of arrivals that a worker that was left alone may take at once: one slice's
-LATE = 4.0  # slices after which an order that was not answered counts as lost
-TELL_AGAIN = 0.25  # a forwarder's part of the arrivals is told anew past this change
-MOST, ARRIVALS, EACH = 8_000, 50.0, 0.05  # where operators state nothing: connections that a worker may
+PLAN_INTERVAL = 0.5  # s between plans, and the span of one slice: a worker's takings are seen in time
+GRACE_MARGIN = 0.15  # part of the grace kept free at its end: for the busy, the slow and what failed once
+CAPACITY_SLACK = (
+    0.1  # over the mean level that a worker may be filled to: less leaves no way to place the last
+)
+CHANNEL_FRACTION = 0.1  # of what the channel sends that moves may take: the rules' own orders come first
+ARRIVAL_BURST = PLAN_INTERVAL  # s of arrivals that a worker that was left alone may take at once: one slice's
+ORDER_TIMEOUT_SLICES = 4.0  # slices after which an order that was not answered counts as lost
+MIN_ADMISSION_CHANGE = 0.25  # a forwarder's part of the arrivals is told anew past this change
+DEFAULT_MAX_CONNECTIONS, DEFAULT_ARRIVALS_PER_S, DEFAULT_LOAD_PER_CONNECTION = (
+    8_000,
+    50.0,
+    0.05,
+)  # where operators state nothing: connections that a worker may
 # hold, new ones a second that an average one takes up, reqs a second that one stands for
-UNTOLD_WORKERS_MOST = 4096  # unlisted workers that holders may name
+MAX_UNLISTED_WORKERS = 4096  # unlisted workers that holders may name
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,13 +49,13 @@
     estimate takes up well; `each`: reqs a second that one held connection stands for.
     """
 
-    zones: int
-    grace: float
-    most: int
-    arrivals: float
-    each: float
-    lines_per_s: float
-    head_lines: int
+    zone_count: int
+    grace_s: float
+    max_connections: int
+    arrivals_per_s: float
+    load_per_connection: float
+    channel_lines_per_s: float
+    message_header_lines: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,10 +75,10 @@
     forwarder: int
     number: int
     source: int
-    to: tuple[tuple[int, int], ...]
+    destinations: tuple[tuple[int, int], ...]
     count: int
-    within: float
-    left: float
+    within_s: float
+    grace_left_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,37 +94,37 @@
     """This forwarder's part of the new connections that each worker takes up."""
 
     forwarder: int
-    part: float
+    arrival_fraction: float
 
 
 MigrationOrder = MigrateConnections | StopMigration | AdmitForwarder
 
 
 @dataclass(slots=True)
-class _Flight:
+class _PendingMigration:
     forwarder: int
     source: int
     count: int
-    to: dict[int, int]
-    expires: float
+    destinations: dict[int, int]
+    expires_at: float
 
 
 @dataclass(slots=True)
-class _Holder:
+class _ForwarderHoldings:
     zone: int
-    at: dict[int, HeldConnectionCounts] = field(default_factory=dict)
-    part: float = 0.0  # as told
+    connections: dict[int, HeldConnectionCounts] = field(default_factory=dict)
+    announced_fraction: float = 0.0  # as told
 
 
 @dataclass(slots=True)
-class _Leave:
+class _WorkerDrain:
     """One leaving worker in a plan: who holds how many that are not ordered yet, what the slice takes."""
 
     source: int
-    left: float  # s of grace
-    rest: dict[int, int]
-    slice: int
-    last: bool
+    grace_left_s: float  # s of grace
+    unordered: dict[int, int]
+    slice_size: int
+    is_last_slice: bool
 
 
 def apportion(total: int, weights: Mapping[int, float]) -> dict[int, int]:
@@ -137,77 +143,86 @@
 class MigrationPlanner:
     """Plans the moves of one manager's forwarders."""
 
-    def __init__(self, terms: MigrationParameters) -> None:
-        self.terms, self.number = terms, 0
-        self._holders: dict[int, _Holder] = {}
-        self._flights: dict[int, _Flight] = {}
+    def __init__(self, parameters: MigrationParameters) -> None:
+        self.parameters, self.last_order_number = parameters, 0
+        self._forwarders: dict[int, _ForwarderHoldings] = {}
+        self._pending: dict[int, _PendingMigration] = {}
         self._buckets: dict[int, float] = {}  # connections that a worker may take now
-        self._gone: dict[int, float] = {}  # held workers that the module no longer knows: since when
-        self._at = -math.inf
+        self._missing_since: dict[int, float] = {}  # held workers that the module no longer knows: since when
+        self._planned_at = -math.inf
 
-    def joined(self, forwarder: int, zone: int) -> None:
+    def add_forwarder(self, forwarder: int, zone: int) -> None:
         """A forwarder that announced itself: what an earlier stream was ordered is off."""
-        self.left(forwarder)
-        self._holders[forwarder] = _Holder(zone)
+        self.remove_forwarder(forwarder)
+        self._forwarders[forwarder] = _ForwarderHoldings(zone)
 
-    def left(self, forwarder: int) -> None:
-        self._holders.pop(forwarder, None)
-        for number in [n for n, f in self._flights.items() if f.forwarder == forwarder]:
-            del self._flights[number]
+    def remove_forwarder(self, forwarder: int) -> None:
+        self._forwarders.pop(forwarder, None)
+        for number in [n for n, f in self._pending.items() if f.forwarder == forwarder]:
+            del self._pending[number]
 
-    def held(self, forwarder: int, whole: bool, rows: Mapping[int, HeldConnectionCounts]) -> None:
+    def update_connections(
+        self, forwarder: int, is_complete: bool, rows: Mapping[int, HeldConnectionCounts]
+    ) -> None:
         """Absolute figures, so a row told twice harms nothing; `whole`: there are no others."""
-        if (holder := self._holders.get(forwarder)) is None:
+        if (holder := self._forwarders.get(forwarder)) is None:
             return
-        if whole:
-            holder.at.clear()
-        holder.at.update(rows)
-        for be in [be for be, holding in holder.at.items() if holding.open <= 0]:
-            del holder.at[be]
+        if is_complete:
+            holder.connections.clear()
+        holder.connections.update(rows)
+        for be in [be for be, holding in holder.connections.items() if holding.open <= 0]:
+            del holder.connections[be]
 
-    def moved(self, forwarder: int, number: int) -> None:
+    def complete_migration(self, forwarder: int, number: int) -> None:
         """An order is carried out, as far as it went; what it left behind is planned anew."""
-        flight = self._flights.get(number)
+        flight = self._pending.get(number)
         if flight is not None and flight.forwarder == forwarder:
-            del self._flights[number]
+            del self._pending[number]
 
-    def totals(self) -> dict[int, HeldConnectionCounts]:
+    def connections_by_worker(self) -> dict[int, HeldConnectionCounts]:
         """By worker, over all forwarders."""
         sums: dict[int, list[int]] = {}
-        for holder in self._holders.values():
-            for be, held in holder.at.items():
+        for holder in self._forwarders.values():
+            for be, held in holder.connections.items():
                 row = sums.setdefault(be, [0, 0, 0])
                 row[0] += held.open
                 row[1] += held.busy
                 row[2] += held.resumable
         return {be: HeldConnectionCounts(*row) for be, row in sums.items()}
 
-    def loads(self) -> dict[int, float]:
+    def load_by_worker(self) -> dict[int, float]:
         """Reqs a second that held connections stand for, by worker."""
-        return {be: held.open * self.terms.each for be, held in self.totals().items()}
+        return {
+            be: held.open * self.parameters.load_per_connection
+            for be, held in self.connections_by_worker().items()
+        }
 
-    def plan(self, now: float, standing: Mapping[int, WorkerCapacityView]) -> list[MigrationOrder]:
+    def plan(self, now: float, views: Mapping[int, WorkerCapacityView]) -> list[MigrationOrder]:
         """The orders of this slice."""
-        for number in [n for n, flight in self._flights.items() if now >= flight.expires]:
-            del self._flights[number]
-        totals = self.totals()
-        leaving = self._leaving(now, standing, totals)
-        orders: list[MigrationOrder] = [*self._stops(leaving)]
-        budget = int(self.terms.lines_per_s * PLAN_EVERY * LINES_PART)
-        spent = len(orders) * (self.terms.head_lines + 1)
-        takes = self._takes(now, standing, leaving, totals)
-        drains = self._drains(now, leaving, budget)
+        for number in [n for n, flight in self._pending.items() if now >= flight.expires_at]:
+            del self._pending[number]
+        totals = self.connections_by_worker()
+        leaving = self._leaving(now, views, totals)
+        orders: list[MigrationOrder] = [*self._stop_orders(leaving)]
+        budget = int(self.parameters.channel_lines_per_s * PLAN_INTERVAL * CHANNEL_FRACTION)
+        spent = len(orders) * (self.parameters.message_header_lines + 1)
+        takes = self._acceptable_connections(now, views, leaving, totals)
+        drains = self._due_drains(now, leaving, budget)
         if drains:
-            orders += self._place(now, drains, takes, standing, max(1, budget - spent))
-        spent = sum(self._cost(order) for order in orders)
-        return orders + self._admits(budget - spent)
-
-    def _cost(self, order: MigrationOrder) -> int:
-        return self.terms.head_lines + 1 + (len(order.to) if isinstance(order, MigrateConnections) else 0)
-
-    def lines(self, orders: Iterable[MigrationOrder]) -> int:
+            orders += self._migrations(now, drains, takes, views, max(1, budget - spent))
+        spent = sum(self._order_lines(order) for order in orders)
+        return orders + self._admission_orders(budget - spent)
+
+    def _order_lines(self, order: MigrationOrder) -> int:
+        return (
+            self.parameters.message_header_lines
+            + 1
+            + (len(order.destinations) if isinstance(order, MigrateConnections) else 0)
+        )
+
+    def channel_lines(self, orders: Iterable[MigrationOrder]) -> int:
         """What the orders take of the channel."""
-        return sum(self._cost(order) for order in orders)
+        return sum(self._order_lines(order) for order in orders)
 
     def _leaving(
         self,
@@ -217,25 +232,25 @@
     ) -> dict[int, float]:
         """Held workers that drain or are gone, with the instant their grace ends.  One that the module has
         forgotten counts from when it was first missed."""
-        self._gone = {
-            be: self._gone.get(be, now)
-            for be in [be for be in totals if be not in standing][:UNTOLD_WORKERS_MOST]
+        self._missing_since = {
+            be: self._missing_since.get(be, now)
+            for be in [be for be in totals if be not in standing][:MAX_UNLISTED_WORKERS]
         }
-        ends = {be: since + self.terms.grace for be, since in self._gone.items()}
+        ends = {be: since + self.parameters.grace_s for be, since in self._missing_since.items()}
         for be in totals:
             if be in standing and standing[be].draining_since >= 0:
-                ends[be] = standing[be].draining_since + self.terms.grace
+                ends[be] = standing[be].draining_since + self.parameters.grace_s
         return ends
 
-    def _stops(self, leaving: Mapping[int, float]) -> list[StopMigration]:
+    def _stop_orders(self, leaving: Mapping[int, float]) -> list[StopMigration]:
         """For workers that were taken back: a `Ready` half-way."""
-        back = {(f.forwarder, f.source): n for n, f in self._flights.items() if f.source not in leaving}
-        sources = {(f.forwarder, f.source) for f in self._flights.values() if f.source in leaving}
-        for number in [n for n, f in self._flights.items() if (f.forwarder, f.source) in back]:
-            del self._flights[number]
+        back = {(f.forwarder, f.source): n for n, f in self._pending.items() if f.source not in leaving}
+        sources = {(f.forwarder, f.source) for f in self._pending.values() if f.source in leaving}
+        for number in [n for n, f in self._pending.items() if (f.forwarder, f.source) in back]:
+            del self._pending[number]
         return [StopMigration(*pair) for pair in back if pair not in sources]
 
-    def _takes(
+    def _acceptable_connections(
         self,
         now: float,
         standing: Mapping[int, WorkerCapacityView],
@@ -247,111 +262,120 @@
         whole = sum(s.capacity for s in live.values())
         warm = [s.capacity for s in live.values() if not s.warming_up] or [s.capacity for s in live.values()]
         average = sum(warm) / len(warm) if warm else 1.0
-        span, self._at = min(BUCKET, max(0.0, now - self._at)), now
+        span, self._planned_at = min(ARRIVAL_BURST, max(0.0, now - self._planned_at)), now
         coming: dict[int, int] = {}
-        for flight in self._flights.values():
-            for be, n in flight.to.items():
+        for flight in self._pending.values():
+            for be, n in flight.destinations.items():
                 coming[be] = coming.get(be, 0) + n
         level = sum(held.open for held in totals.values()) / whole if whole > 0 else 0.0
         takes: dict[int, int] = {}
         buckets: dict[int, float] = {}
         for be, s in live.items():
-            rate = self.terms.arrivals * min(1.0, s.capacity / average)
-            full = max(1.0, rate * BUCKET)
-            buckets[be] = min(full, self._buckets.get(be, rate * PLAN_EVERY) + rate * span)
-            most = min(float(self.terms.most), (1.0 + ROOM_SLACK) * level * s.capacity + (not s.warming_up))
+            rate = self.parameters.arrivals_per_s * min(1.0, s.capacity / average)
+            full = max(1.0, rate * ARRIVAL_BURST)
+            buckets[be] = min(full, self._buckets.get(be, rate * PLAN_INTERVAL) + rate * span)
+            most = min(
+                float(self.parameters.max_connections),
+                (1.0 + CAPACITY_SLACK) * level * s.capacity + (not s.warming_up),
+            )
             spare = most - coming.get(be, 0) - (totals[be].open if be in totals else 0)
             takes[be] = max(0, int(min(spare, buckets[be])))
         self._buckets = buckets
         return {be: n for be, n in takes.items() if n}
 
-    def _drains(self, now: float, leaving: Mapping[int, float], budget: int) -> list[_Leave]:
+    def _due_drains(self, now: float, leaving: Mapping[int, float], budget: int) -> list[_WorkerDrain]:
         """What the slice owes of each drain; the ones that end first come first."""
         ordered: dict[tuple[int, int], int] = {}
-        for f in self._flights.values():
+        for f in self._pending.values():
             ordered[f.forwarder, f.source] = ordered.get((f.forwarder, f.source), 0) + f.count
         drains = []
         for be, end in sorted(leaving.items(), key=lambda item: (item[1], item[0])):
             rest = {
                 forwarder: left
-                for forwarder, holder in self._holders.items()
-                if be in holder.at and (left := holder.at[be].open - ordered.get((forwarder, be), 0)) > 0
+                for forwarder, holder in self._forwarders.items()
+                if be in holder.connections
+                and (left := holder.connections[be].open - ordered.get((forwarder, be), 0)) > 0
             }
             if not rest:
                 continue
-            slices = (end - MARGIN * self.terms.grace - now) / PLAN_EVERY
+            slices = (end - GRACE_MARGIN * self.parameters.grace_s - now) / PLAN_INTERVAL
             owed = math.ceil(sum(rest.values()) / max(1.0, slices))
-            drains.append(_Leave(be, max(0.0, end - now), rest, owed, slices <= 1.0))
+            drains.append(_WorkerDrain(be, max(0.0, end - now), rest, owed, slices <= 1.0))
         return drains
 
-    def _shares(self, leave: _Leave, orders_most: int) -> dict[int, int]:
+    def _share_slice(self, leave: _WorkerDrain, orders_most: int) -> dict[int, int]:
         """The slice by forwarder.  Where they are many, each order takes as much as lets all of them have had
         one in time: a head costs as much as ten lines, and one connection each would fill the channel."""
-        slices = max(1.0, leave.left / PLAN_EVERY * (1.0 - MARGIN))
-        chunk = math.ceil(sum(leave.rest.values()) / max(1.0, orders_most * slices))
+        slices = max(1.0, leave.grace_left_s / PLAN_INTERVAL * (1.0 - GRACE_MARGIN))
+        chunk = math.ceil(sum(leave.unordered.values()) / max(1.0, orders_most * slices))
         shares: dict[int, int] = {}
-        owed, held = leave.slice, sum(leave.rest.values())
-        for forwarder in sorted(leave.rest, key=lambda f: (-leave.rest[f], f)):
+        owed, held = leave.slice_size, sum(leave.unordered.values())
+        for forwarder in sorted(leave.unordered, key=lambda f: (-leave.unordered[f], f)):
             if owed <= 0:
                 break
-            fair = math.ceil(leave.slice * leave.rest[forwarder] / held)
-            shares[forwarder] = min(leave.rest[forwarder], owed, max(fair, chunk))
+            fair = math.ceil(leave.slice_size * leave.unordered[forwarder] / held)
+            shares[forwarder] = min(leave.unordered[forwarder], owed, max(fair, chunk))
             owed -= shares[forwarder]
         return shares
 
-    def _place(
+    def _migrations(
         self,
         now: float,
-        drains: list[_Leave],
+        drains: list[_WorkerDrain],
         takes: dict[int, int],
         standing: Mapping[int, WorkerCapacityView],
         budget: int,
     ) -> list[MigrateConnections]:
-        zones = range(self.terms.zones)
-        orders_most = max(1, budget // (self.terms.head_lines + 4))
+        zones = range(self.parameters.zone_count)
+        orders_most = max(1, budget // (self.parameters.message_header_lines + 4))
         each = max(1, orders_most // len(drains))
-        shares = [self._shares(leave, each) for leave in drains]
-        demand = [0.0] * self.terms.zones
+        shares = [self._share_slice(leave, each) for leave in drains]
+        demand = [0.0] * self.parameters.zone_count
         for share in shares:
             for forwarder, n in share.items():
-                demand[self._holders[forwarder].zone] += n
+                demand[self._forwarders[forwarder].zone] += n
         caps = [float(sum(n for be, n in takes.items() if standing[be].zone == g)) for g in zones]
         cost: list[list[float | None]] = [[CROSS_COST * (z != g) for g in zones] for z in zones]
         flow = min_cost_flow(demand, caps, cost)
-        slots = self._slots(flow, takes, standing)
+        slots = self._place_flow(flow, takes, standing)
         orders: list[MigrateConnections] = []
         lines = 0
         for leave, share in zip(drains, shares, strict=True):
             for forwarder, n in share.items():
-                to = self._draw(slots[self._holders[forwarder].zone], n)
+                to = self._take_places(slots[self._forwarders[forwarder].zone], n)
                 placed = sum(to.values())
-                if not placed and not leave.last:
+                if not placed and not leave.is_last_slice:
                     continue
-                count = n if leave.last else placed
+                count = n if leave.is_last_slice else placed
                 move = MigrateConnections(
-                    forwarder, (self.number + 1) % (1 << 31), leave.source, tuple(to.items()), count,
-                    PLAN_EVERY, leave.left,
-                )  # fmt: skip
-                if orders and lines + self._cost(move) > budget:
+                    forwarder,
+                    (self.last_order_number + 1) % (1 << 31),
+                    leave.source,
+                    tuple(to.items()),
+                    count,
+                    PLAN_INTERVAL,
+                    leave.grace_left_s,
+                )
+                if orders and lines + self._order_lines(move) > budget:
                     return orders
-                lines += self._cost(move)
-                self.number = move.number
+                lines += self._order_lines(move)
+                self.last_order_number = move.number
                 orders.append(move)
-                expires = now + LATE * PLAN_EVERY
-                self._flights[move.number] = _Flight(forwarder, leave.source, count, to, expires)
+                expires = now + ORDER_TIMEOUT_SLICES * PLAN_INTERVAL
+                self._pending[move.number] = _PendingMigration(forwarder, leave.source, count, to, expires)
                 for be, taken in to.items():
                     self._buckets[be] = self._buckets.get(be, 0.0) - taken
         return orders
 
-    def _slots(
+    def _place_flow(
         self, flow: list[list[float]], takes: dict[int, int], standing: Mapping[int, WorkerCapacityView]
     ) -> list[deque[list[int]]]:
         """By zone of holders: places at workers, as [worker, how many], that add up to the flow."""
         free = dict(takes)
         slots: list[deque[list[int]]] = []
-        for z in range(self.terms.zones):
+        for z in range(self.parameters.zone_count):
             line: deque[list[int]] = deque()
-            for g in sorted(range(self.terms.zones), key=lambda g: (g != z, g)):
+            for g in sorted(range(self.parameters.zone_count), key=lambda g: (g != z, g)):
                 group = {be: float(n) for be, n in free.items() if n and standing[be].zone == g}
                 parts = apportion(min(int(flow[z][g] + 0.5), int(sum(group.values()))), group)
                 for be, n in parts.items():
@@ -362,7 +386,7 @@
         return slots
 
     @staticmethod
-    def _draw(line: deque[list[int]], count: int) -> dict[int, int]:
+    def _take_places(line: deque[list[int]], count: int) -> dict[int, int]:
         """Takes so many places, a part of each worker's in turn: no forwarder fills one worker alone."""
         taken: dict[int, int] = {}
         each = math.ceil(count / max(1, len(line)))
@@ -378,15 +402,15 @@
                 line.remove(place)
         return taken
 
-    def _admits(self, room: int) -> list[MigrationOrder]:
+    def _admission_orders(self, room: int) -> list[MigrationOrder]:
         """Who came or left changes every forwarder's part; told where it moved far, as lines allow."""
-        part, orders = 1.0 / max(1, len(self._holders)), list[MigrationOrder]()
-        for forwarder, holder in self._holders.items():
-            if abs(part - holder.part) <= TELL_AGAIN * holder.part:
+        part, orders = 1.0 / max(1, len(self._forwarders)), list[MigrationOrder]()
+        for forwarder, holder in self._forwarders.items():
+            if abs(part - holder.announced_fraction) <= MIN_ADMISSION_CHANGE * holder.announced_fraction:
                 continue
-            room -= self.terms.head_lines + 1
+            room -= self.parameters.message_header_lines + 1
             if room < 0:
                 break
-            holder.part = part
+            holder.announced_fraction = part
             orders.append(AdmitForwarder(forwarder, part))
         return orders
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -10,27 +10,29 @@
 from ..policy.controller import GONE, LIVE, OUT, RoutingController
 
 
-def capacity_views(ladder: RoutingController) -> dict[int, WorkerCapacityView]:
+def capacity_views(controller: RoutingController) -> dict[int, WorkerCapacityView]:
     """Each server as last solved."""
     return {
         i: WorkerCapacityView(
             be.zone,
-            ladder.full.get(i, 0.0) if be.state in LIVE else 0.0,
-            ladder.cold(be),
+            controller.full.get(i, 0.0) if be.state in LIVE else 0.0,
+            controller.cold(be),
             be.due if be.state == GONE else -1.0,
             math.sqrt(be.base * be.mean()),
         )
-        for i, be in ladder.bes.items()
+        for i, be in controller.bes.items()
     }
 
 
-def collect_state(ladder: RoutingController, bes: Iterable[int], proxies: Iterable[int]) -> RestoredState:
+def collect_state(
+    controller: RoutingController, worker_indices: Iterable[int], proxies: Iterable[int]
+) -> RestoredState:
     """What the next life may start from, of these; in parts, as all of a large fleet takes too long."""
     pasts = tuple(
         WorkerHistory(i, be.started, be.base, be.slowness, be.state == OUT, be.state == GONE)
-        for i in bes
-        if (be := ladder.bes.get(i)) is not None
+        for i in worker_indices
+        if (be := controller.bes.get(i)) is not None
     )
-    here = ((p, ladder.proxies[p]) for p in proxies if p in ladder.proxies)
+    here = ((p, controller.proxies[p]) for p in proxies if p in controller.proxies)
     rates = tuple((p, sum(map(x.came, range(len(x.count))))) for p, x in here)
-    return RestoredState(ladder.gate.number, pasts, rates)
+    return RestoredState(controller.gate.number, pasts, rates)
--- a/cottonladder/planning/plugin_bounds.py
+++ b/cottonladder/planning/plugin_bounds.py
@@ -10,12 +10,16 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-PREFER = 4.0  # times its weight that a preferred worker gets: most reqs, and the rest keep it honest
-FACTOR_MOST = 2.0  # that a plug-in may lift or lower a worker's estimate by
-VETO_UNTIL = 0.5  # part of the grace that must be left for a veto: the other half is enough to drain in
-FAULTS_MOST, FAULT_SPAN = 5, 10.0  # faults within so many s open a breaker
-OPEN_LEAST, OPEN_MOST = 2.0, 120.0  # s that it stays open, doubled each time it opens again
-PART_MOST = 0.1  # of a second that all plug-ins together may take in a second
+PREFERENCE_MULTIPLIER = (
+    4.0  # times its weight that a preferred worker gets: most reqs, and the rest keep it honest
+)
+MAX_CAPACITY_FACTOR = 2.0  # that a plug-in may lift or lower a worker's estimate by
+VETO_GRACE_FRACTION = (
+    0.5  # part of the grace that must be left for a veto: the other half is enough to drain in
+)
+MAX_FAULTS, FAULT_WINDOW = 5, 10.0  # faults within so many s open a breaker
+MIN_OPEN_DURATION, MAX_OPEN_DURATION = 2.0, 120.0  # s that it stays open, doubled each time it opens again
+MAX_CPU_FRACTION = 0.1  # of a second that all plug-ins together may take in a second
 CLOSED, OPEN, TRYING = "closed", "open", "trying"
 
 
@@ -28,91 +32,100 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class RoutingChoice:
     """The lines to pick from; `let`: the part of the reqs that may go there, the others are refused."""
 
-    lines: dict[str, float]
-    clipped: bool = False
-    let: float = 1.0
+    weights: dict[str, float]
+    was_limited: bool = False
+    admitted_fraction: float = 1.0
 
 
-LIGHT = 0.5  # of the table's heaviest line, under which a worker is taken for one that must not get more
+LIGHT_WEIGHT_RATIO = (
+    0.5  # of the table's heaviest line, under which a worker is taken for one that must not get more
+)
 
 
-def narrowed(
-    lines: Mapping[str, float], labels: Mapping[str, Collection[str]], wish: RoutePreference, fall_back: bool
-) -> Choice:
+def narrow_candidates(
+    weights: Mapping[str, float],
+    labels: Mapping[str, Collection[str]],
+    preference: RoutePreference,
+    fall_back: bool,
+) -> RoutingChoice:
     """`lines`: what the orders let a proxy pick from, so nobody that drains is among them.
 
     A forwarder isn't told who is cold; a cold worker's line is small beside the others'.  So a light line
     keeps the share that it has of the whole table, whatever else is left out: what that leaves goes to the
     heavy among the chosen, and if there are none, to the whole table or to nobody."""
-    chosen = {be: w for be, w in lines.items() if all(label in labels.get(be, ()) for label in wish.need)}
-    whole = sum(lines.values())
+    chosen = {
+        be: w for be, w in weights.items() if all(label in labels.get(be, ()) for label in preference.need)
+    }
+    whole = sum(weights.values())
     if whole <= 0 or (not chosen and fall_back):
-        return Choice(dict(lines), clipped=bool(lines))
+        return RoutingChoice(dict(weights), was_limited=bool(weights))
     if not chosen:
-        return Choice({}, clipped=True, let=0.0)
-    least = LIGHT * max(lines.values())
+        return RoutingChoice({}, was_limited=True, admitted_fraction=0.0)
+    least = LIGHT_WEIGHT_RATIO * max(weights.values())
     shares = {be: w / whole for be, w in chosen.items()}
     heavy = {be: share for be, share in shares.items() if chosen[be] >= least}
     light = {be: share for be, share in shares.items() if be not in heavy}
     for be in heavy:
-        if any(label in labels.get(be, ()) for label in wish.prefer):
-            heavy[be] *= PREFER
+        if any(label in labels.get(be, ()) for label in preference.prefer):
+            heavy[be] *= PREFERENCE_MULTIPLIER
     spare = 1.0 - sum(light.values())
     if heavy:
         scale = spare / sum(heavy.values())
-        return Choice({be: share * scale for be, share in heavy.items()} | light, clipped=bool(light))
+        return RoutingChoice(
+            {be: share * scale for be, share in heavy.items()} | light, was_limited=bool(light)
+        )
     if not fall_back:
-        return Choice(light, clipped=True, let=1.0 - spare)
-    others = {be: w for be, w in lines.items() if be not in light}
+        return RoutingChoice(light, was_limited=True, admitted_fraction=1.0 - spare)
+    others = {be: w for be, w in weights.items() if be not in light}
     scale = spare / sum(others.values()) if others else 0.0
-    return Choice(light | {be: w * scale for be, w in others.items()}, clipped=True)
+    return RoutingChoice(light | {be: w * scale for be, w in others.items()}, was_limited=True)
 
 
-def factor_of(value: float | None) -> float:
+def bounded_factor(value: float | None) -> float:
     """A worker's factor as it may be: none is 1, nothing takes a worker out or lifts it past what advice
     may."""
-    return 1.0 if value is None else min(FACTOR_MOST, max(1.0 / FACTOR_MOST, value))
+    return 1.0 if value is None else min(MAX_CAPACITY_FACTOR, max(1.0 / MAX_CAPACITY_FACTOR, value))
 
 
-def may_veto(left: float, grace: float) -> bool:
+def may_veto(grace_left_s: float, grace_s: float) -> bool:
     """Whether a move may still be put off; near the end of the grace drains come first."""
-    return left > VETO_UNTIL * grace
+    return grace_left_s > VETO_GRACE_FRACTION * grace_s
 
 
 @dataclass(slots=True)
-class Breaker:
+class CircuitBreaker:
     """Leaves a plug-in alone that keeps failing."""
 
     state: str = CLOSED
-    faults: list[float] = field(default_factory=list)
-    until: float = 0.0
-    wait: float = OPEN_LEAST
-    opened: int = 0
+    fault_times: list[float] = field(default_factory=list)
+    open_until: float = 0.0
+    open_duration: float = MIN_OPEN_DURATION
+    open_count: int = 0
 
-    def lets(self, now: float) -> bool:
+    def allows(self, now: float) -> bool:
         """Whether it may be called now; one call tries whether it is sound again."""
-        if self.state == OPEN and now >= self.until:
+        if self.state == OPEN and now >= self.open_until:
             self.state = TRYING
             return True
         return self.state == CLOSED
 
-    def good(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         if self.state == TRYING:
-            self.state, self.faults = CLOSED, []
-        elif not self.faults and now > self.until + OPEN_MOST:
-            self.wait = OPEN_LEAST
+            self.state, self.fault_times = CLOSED, []
+        elif not self.fault_times and now > self.open_until + MAX_OPEN_DURATION:
+            self.open_duration = MIN_OPEN_DURATION
 
-    def bad(self, now: float) -> bool:
+    def record_fault(self, now: float) -> bool:
         """True where this fault opens it."""
-        self.faults = [at for at in self.faults if now - at < FAULT_SPAN] + [now]
-        if self.state == TRYING or len(self.faults) >= FAULTS_MOST:
+        self.fault_times = [at for at in self.fault_times if now - at < FAULT_WINDOW] + [now]
+        if self.state == TRYING or len(self.fault_times) >= MAX_FAULTS:
             if self.state == TRYING:
-                self.wait = min(OPEN_MOST, 2.0 * self.wait)
-            self.state, self.until, self.faults = OPEN, now + self.wait, []
-            self.opened += 1
+                self.open_duration = min(MAX_OPEN_DURATION, 2.0 * self.open_duration)
+            self.state, self.open_until, self.fault_times = OPEN, now + self.open_duration, []
+            self.open_count += 1
             return True
         return False
 
@@ -121,13 +134,15 @@
 class CpuBudget:
     """Time that all plug-ins together may take, as a bucket of one second's part."""
 
-    left: float = PART_MOST
-    at: float = 0.0
+    remaining_s: float = MAX_CPU_FRACTION
+    refilled_at: float = 0.0
 
-    def lets(self, now: float) -> bool:
-        self.left = min(PART_MOST, self.left + (now - self.at) * PART_MOST)
-        self.at = now
-        return self.left > 0
+    def allows(self, now: float) -> bool:
+        self.remaining_s = min(
+            MAX_CPU_FRACTION, self.remaining_s + (now - self.refilled_at) * MAX_CPU_FRACTION
+        )
+        self.refilled_at = now
+        return self.remaining_s > 0
 
-    def took(self, seconds: float) -> None:
-        self.left -= seconds
+    def consume(self, seconds: float) -> None:
+        self.remaining_s -= seconds
--- a/cottonladder/plugins/abi.py
+++ b/cottonladder/plugins/abi.py
@@ -13,17 +13,17 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-VERSION = 1
-MODULE = "cottonladder"
-ROUTE, FURTHER, UPGRADE = "route", "further", "upgrade"  # a forwarder's
+INTERFACE_VERSION = 1
+IMPORT_MODULE = "cottonladder"
+ROUTE, RETRY, UPGRADE = "route", "further", "upgrade"  # a forwarder's
 WORKER, MOVE, EVENT = "worker", "move", "event"  # a manager's
-HOOKS = (ROUTE, FURTHER, UPGRADE, WORKER, MOVE, EVENT)
+HOOKS = (ROUTE, RETRY, UPGRADE, WORKER, MOVE, EVENT)
 SELF_TEST = "self_test"  # optional: gives 0 where the plug-in finds itself sound
-NAMES = {"need", "prefer", "deny", "kind", "forbid", "set", "drop", "factor"}  # of an answer's lines
-RECORD_MOST = 8192  # bytes; headers that fit no more are left out
-ANSWER_MOST = 4096
-LINES_MOST = 64  # of an answer
-WORD_MOST = 512  # bytes of one line of an answer
+ANSWER_FIELDS = {"need", "prefer", "deny", "kind", "forbid", "set", "drop", "factor"}  # of an answer's lines
+MAX_RECORD_SIZE = 8192  # bytes; headers that fit no more are left out
+MAX_ANSWER_SIZE = 4096
+MAX_ANSWER_LINES = 64  # of an answer
+MAX_ANSWER_LINE_LENGTH = 512  # bytes of one line of an answer
 
 
 class AnswerError(ValueError):
@@ -46,18 +46,18 @@
     factor: float | None = None
 
 
-NOTHING = Answer()
+EMPTY_ANSWER = Answer()
 
 
-def record(pairs: Iterable[tuple[str, str]]) -> bytes:
+def encode_record(pairs: Iterable[tuple[str, str]]) -> bytes:
     """Lines of a record; what would break a line or the bound is left out."""
     lines = [f"{name}={value}" for name, value in pairs if "\n" not in value and "\n" not in name]
     data = ("\n".join(lines) + "\n").encode("utf-8", "replace")
-    if len(data) <= RECORD_MOST:
+    if len(data) <= MAX_RECORD_SIZE:
         return data
     out, size = list[bytes](), 0
     for line in (line.encode("utf-8", "replace") for line in lines):
-        if size + len(line) < RECORD_MOST:
+        if size + len(line) < MAX_RECORD_SIZE:
             out.append(line)
             size += len(line) + 1
     return b"\n".join(out) + b"\n"
@@ -73,26 +73,26 @@
     return value
 
 
-def answer(data: bytes) -> Answer:
+def parse_answer(data: bytes) -> Answer:
     """Reads an answer; contradictory or unknown lines make all of it none."""
-    if len(data) > ANSWER_MOST:
-        raise AnswerError(f"an answer of {len(data)} bytes, {ANSWER_MOST} at most")
+    if len(data) > MAX_ANSWER_SIZE:
+        raise AnswerError(f"an answer of {len(data)} bytes, {MAX_ANSWER_SIZE} at most")
     try:
         lines = [line for line in data.decode().split("\n") if line]
     except UnicodeDecodeError:
         raise AnswerError("an answer that is not UTF-8") from None
-    if len(lines) > LINES_MOST:
-        raise AnswerError(f"an answer of {len(lines)} lines, {LINES_MOST} at most")
+    if len(lines) > MAX_ANSWER_LINES:
+        raise AnswerError(f"an answer of {len(lines)} lines, {MAX_ANSWER_LINES} at most")
     said: dict[str, list[str]] = {}
     for line in lines:
         name, sign, value = line.partition("=")
-        if not sign or len(line) > WORD_MOST or not value.isprintable():
+        if not sign or len(line) > MAX_ANSWER_LINE_LENGTH or not value.isprintable():
             raise AnswerError("an answer's line is not name=value")
         said.setdefault(name, []).append(value)
     for once in ("deny", "kind", "forbid", "factor"):
         if len(said.get(once, [])) > 1:
             raise AnswerError(f"{once} comes twice")
-    if unknown := said.keys() - NAMES:
+    if unknown := said.keys() - ANSWER_FIELDS:
         raise AnswerError(f"unknown name {sorted(unknown)[0][:32]}")
     headers = [value.partition(":") for value in said.get("set", [])]
     if any(not sign or not name.isascii() for name, sign, _ in headers):
--- a/cottonladder/plugins/chain.py
+++ b/cottonladder/plugins/chain.py
@@ -9,31 +9,31 @@
 
 import structlog
 
-from ..planning.plugin_bounds import Breaker, CpuBudget
-from .abi import FURTHER, NOTHING, ROUTE, UPGRADE, Answer, record
-from .host import Fault, Plugin, PluginError
+from ..planning.plugin_bounds import CircuitBreaker, CpuBudget
+from .abi import EMPTY_ANSWER, RETRY, ROUTE, UPGRADE, Answer, encode_record
+from .host import Plugin, PluginError, PluginFault
 
-HEADERS_MOST = 48  # of a req, told to a plug-in
+MAX_HEADERS = 48  # of a req, told to a plug-in
 Pairs = Iterable[tuple[str, str]]
-SUM_UP = 10.0  # s between two lines on how plug-ins stand
+STATUS_INTERVAL = 10.0  # s between two lines on how plug-ins stand
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class PluginSpec:
     """One plug-in as the operators' file names it; `closed`: a req that it can't judge is refused."""
 
     name: str
     path: str
-    closed: bool = False
+    fails_closed: bool = False
     grants: frozenset[str] = frozenset()
     seed: int = 0
 
 
 @dataclass(slots=True)
-class _Link:
-    wanted: Wanted
+class _LoadedPlugin:
+    spec: PluginSpec
     plugin: Plugin
-    breaker: Breaker = field(default_factory=Breaker)
+    breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,23 +61,23 @@
 class PluginChain:
     """Owns the plug-ins; calls never wait and never raise."""
 
-    def __init__(self, wanted: Iterable[Wanted]) -> None:
+    def __init__(self, wanted: Iterable[PluginSpec]) -> None:
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self._budget = CpuBudget(at=time.monotonic())
-        self._told = time.monotonic()
-        self._links = [self._load(w) for w in wanted]
+        self._budget = CpuBudget(refilled_at=time.monotonic())
+        self._status_logged_at = time.monotonic()
+        self._plugins = [self._load(w) for w in wanted]
 
-    def _load(self, wanted: Wanted) -> _Link:
+    def _load(self, wanted: PluginSpec) -> _LoadedPlugin:
         begun = time.perf_counter()
-        plugin = Plugin(wanted.name, wanted.path, wanted.grants, wanted.seed, self._said)
+        plugin = Plugin(wanted.name, wanted.path, wanted.grants, wanted.seed, self._log_message)
         ms = round((time.perf_counter() - begun) * 1000.0, 1)
         self.log.info("plug-in loaded", plugin=wanted.name, hooks=",".join(plugin.hooks), ms=ms)
-        return _Link(wanted, plugin)
+        return _LoadedPlugin(wanted, plugin)
 
-    def _said(self, name: str, words: str) -> None:
+    def _log_message(self, name: str, words: str) -> None:
         self.log.info("plug-in says", plugin=name, words=words)
 
-    def reload(self, wanted: Iterable[Wanted]) -> str:
+    def reload(self, wanted: Iterable[PluginSpec]) -> str:
         """All of them new, each proved by its own self-test before any takes over; else all stay as they
         were."""
         try:
@@ -85,47 +85,47 @@
         except PluginError as exc:
             self.log.error("plug-ins not taken", why=str(exc))
             return str(exc)
-        self._links = links
-        self.log.info("plug-ins taken", plugins=",".join(link.wanted.name for link in links) or "none")
+        self._plugins = links
+        self.log.info("plug-ins taken", plugins=",".join(link.spec.name for link in links) or "none")
         return ""
 
-    def _call(self, link: _Link, hook: str, data: bytes) -> Answer | None:
+    def _call(self, link: _LoadedPlugin, hook: str, data: bytes) -> Answer | None:
         """An answer, or none where there is no judgement."""
         now = time.monotonic()
         plugin, breaker = link.plugin, link.breaker
-        if not self._budget.lets(now) or not breaker.lets(now):
+        if not self._budget.allows(now) or not breaker.allows(now):
             plugin.counts.skipped += 1
             return None
         begun = time.perf_counter()
         try:
             said = plugin.call(hook, data)
-        except Fault as exc:
-            if breaker.bad(now):
+        except PluginFault as exc:
+            if breaker.record_fault(now):
                 self.log.warning("plug-in off", plugin=plugin.name, why=f"{exc.kind}: {exc}",
-                                 s=round(breaker.until - now, 1))  # fmt: skip
+                                 s=round(breaker.open_until - now, 1))  # fmt: skip
             return None
         except Exception as exc:  # the engine's own: a plug-in's fault as much as a trap
-            breaker.bad(now)
+            breaker.record_fault(now)
             self.log.error("plug-in fault", plugin=plugin.name, why=f"{type(exc).__name__}: {exc}")
             return None
         finally:
-            self._budget.took(time.perf_counter() - begun)
-        breaker.good(now)
+            self._budget.consume(time.perf_counter() - begun)
+        breaker.record_success(now)
         return said
 
-    def ask(self, hook: str, data: bytes) -> Verdict:
+    def call_hook(self, hook: str, data: bytes) -> Verdict:
         """Every plug-in with this hook, in order."""
         need, prefer, deny, kind, forbid = list[str](), list[str](), None, None, False
         factor: float | None = None
         sets, drops = list[tuple[str, str]](), list[str]()
-        links = [link for link in self._links if hook in link.plugin.hooks]
+        links = [link for link in self._plugins if hook in link.plugin.hooks]
         answers = [(link, self._call(link, hook, data)) for link in links]
-        if all(said is NOTHING for _, said in answers):
+        if all(said is EMPTY_ANSWER for _, said in answers):
             return UNCHANGED
         for link, said in answers:
             if said is None:
-                if link.wanted.closed:
-                    deny = deny if deny is not None else f"{link.wanted.name} can't judge"
+                if link.spec.fails_closed:
+                    deny = deny if deny is not None else f"{link.spec.name} can't judge"
                     forbid = True
                 continue
             need += said.need
@@ -139,43 +139,43 @@
             drops += said.drop_headers
         return Verdict(tuple(need), tuple(prefer), deny, kind, forbid, tuple(sets), tuple(drops), factor)
 
-    def told(
+    def request_record(
         self, hook: str, method: str, path: str, kind: str, headers: Mapping[str, str], more: Pairs = ()
     ) -> bytes:
         """The record of a req."""
-        return req_record(hook, method, path, kind, headers, more)
+        return request_record(hook, method, path, kind, headers, more)
 
-    def has(self, hook: str) -> bool:
-        return any(hook in link.plugin.hooks for link in self._links)
+    def has_hook(self, hook: str) -> bool:
+        return any(hook in link.plugin.hooks for link in self._plugins)
 
-    def clipped(self) -> None:
+    def record_clipped(self) -> None:
         """An answer asked for more than may be."""
-        for link in self._links:
+        for link in self._plugins:
             link.plugin.counts.clipped += 1
 
-    def shown(self) -> list[dict[str, object]]:
+    def status(self) -> list[dict[str, object]]:
         return [
             {
-                "plugin": link.wanted.name, "breaker": link.breaker.state, "opened": link.breaker.opened,
+                "plugin": link.spec.name, "breaker": link.breaker.state, "opened": link.breaker.open_count,
                 "calls": (c := link.plugin.counts).calls, "faults": c.faults, "skipped": c.skipped,
                 "clipped": c.clipped, "ms": round(c.seconds * 1000.0, 1), "fuel": c.fuel,
-                "longest_ms": round(c.longest * 1000.0, 2),
+                "longest_ms": round(c.longest_s * 1000.0, 2),
             }
-            for link in self._links
+            for link in self._plugins
         ]  # fmt: skip
 
-    def tell(self) -> None:
+    def log_status(self) -> None:
         """One line each where something happened, now and then."""
         now = time.monotonic()
-        if now - self._told < SUM_UP:
+        if now - self._status_logged_at < STATUS_INTERVAL:
             return
-        self._told = now
-        for row in self.shown():
+        self._status_logged_at = now
+        for row in self.status():
             if row["faults"] or row["skipped"] or row["clipped"]:
                 self.log.info("plug-in stands", **row)
 
 
-def req_record(
+def request_record(
     hook: str,
     method: str,
     path: str,
@@ -185,8 +185,17 @@
 ) -> bytes:
     """What a plug-in is told of a req; names of headers in small letters."""
     pairs = [("hook", hook), ("method", method), ("path", path), ("kind", kind), *more]
-    pairs += [("header:" + name.lower(), value) for name, value in islice(headers.items(), HEADERS_MOST)]
-    return record(pairs)
-
-
-__all__ = ["FURTHER", "ROUTE", "UPGRADE", "PluginChain", "PluginError", "Verdict", "Wanted", "req_record"]
+    pairs += [("header:" + name.lower(), value) for name, value in islice(headers.items(), MAX_HEADERS)]
+    return encode_record(pairs)
+
+
+__all__ = [
+    "RETRY",
+    "ROUTE",
+    "UPGRADE",
+    "PluginChain",
+    "PluginError",
+    "PluginSpec",
+    "Verdict",
+    "request_record",
+]
--- a/cottonladder/plugins/host.py
+++ b/cottonladder/plugins/host.py
@@ -22,34 +22,34 @@
 
 from ..config.settings import WireError
 from .abi import (
-    ANSWER_MOST,
+    EMPTY_ANSWER,
     HOOKS,
-    MODULE,
-    NOTHING,
-    RECORD_MOST,
+    IMPORT_MODULE,
+    INTERFACE_VERSION,
+    MAX_ANSWER_SIZE,
+    MAX_RECORD_SIZE,
     SELF_TEST,
-    VERSION,
     Answer,
     AnswerError,
-    answer,
+    parse_answer,
 )
 
-FUEL = 200_000  # instructions a call: under a millisecond
-FUEL_EVERY = 16  # calls of which one's fuel is counted for all: asking costs as much as setting it
-FUEL_START = 2_000_000  # of an instance's making and its self-test
-MEMORY_MOST = 1 << 20  # bytes
-TABLE_MOST = 4096  # elements
-STACK_MOST = 256 << 10  # bytes of a call's stack
-MODULE_MOST = 4 << 20  # bytes of a file
-HOST_CALLS_MOST = 64  # of one call
-LOG_MOST = 200  # bytes of one log line; one each call
+FUEL_PER_CALL = 200_000  # instructions a call: under a millisecond
+FUEL_SAMPLE_INTERVAL = 16  # calls of which one's fuel is counted for all: asking costs as much as setting it
+FUEL_AT_START = 2_000_000  # of an instance's making and its self-test
+MAX_MEMORY = 1 << 20  # bytes
+MAX_TABLE_ELEMENTS = 4096  # elements
+MAX_STACK = 256 << 10  # bytes of a call's stack
+MAX_MODULE_SIZE = 4 << 20  # bytes of a file
+MAX_HOST_CALLS = 64  # of one call
+MAX_LOG_LENGTH = 200  # bytes of one log line; one each call
 
 
 class PluginError(WireError):
     """A plug-in that can't be loaded; one plain line."""
 
 
-class Fault(Exception):
+class PluginFault(Exception):
     """A call that failed: `kind` is short, for counts."""
 
     def __init__(self, kind: str, why: str) -> None:
@@ -58,20 +58,20 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class CallCounts:
     calls: int = 0
     faults: int = 0
     clipped: int = 0
     skipped: int = 0  # left alone by the breaker or the budget
     seconds: float = 0.0
-    longest: float = 0.0
+    longest_s: float = 0.0
     fuel: int = 0
 
 
-def engine() -> wasmtime.Engine:
+def create_engine() -> wasmtime.Engine:
     config = wasmtime.Config()
     config.consume_fuel = True
-    config.max_wasm_stack = STACK_MOST
+    config.max_wasm_stack = MAX_STACK
     config.wasm_bulk_memory = False
     config.wasm_threads = False
     config.wasm_multi_memory = False
@@ -88,20 +88,20 @@
     ) -> None:
         self.name, self.path, self._grants, self._log = name, path, grants, log
         self._chance = random.Random(seed)
-        self.counts = Counts()
+        self.counts = CallCounts()
         self._host_calls = self._logged = 0
         try:
             data = Path(path).read_bytes()
         except OSError as exc:
             raise PluginError(f"{path}: {exc.strerror}") from None
-        if len(data) > MODULE_MOST:
-            raise PluginError(f"{path}: over {MODULE_MOST} bytes")
-        self._engine = engine()
+        if len(data) > MAX_MODULE_SIZE:
+            raise PluginError(f"{path}: over {MAX_MODULE_SIZE} bytes")
+        self._engine = create_engine()
         try:
             text = data if data.startswith(b"\0asm") else bytes(wasmtime.wat2wasm(data.decode()))
             self._module = wasmtime.Module(self._engine, text)
         except (wasmtime.WasmtimeError, UnicodeDecodeError) as exc:
-            raise PluginError(f"{path}: {_line(exc)}") from None
+            raise PluginError(f"{path}: {_summary_line(exc)}") from None
         self._verify()
         self._store: wasmtime.Store | None = None
         self._exports: Any = None
@@ -109,7 +109,7 @@
         try:
             self._instance()
             self._self_test()
-        except Fault as exc:
+        except PluginFault as exc:
             raise PluginError(f"{path}: {exc}") from None
 
     def _verify(self) -> None:
@@ -130,20 +130,20 @@
                 raise PluginError(f"{self.path}: {hook} is not (i32) -> i64")
         allowed = {"log"} | (self._grants & {"random"})
         for wanted in self._module.imports:
-            if wanted.module != MODULE or wanted.name not in allowed:
+            if wanted.module != IMPORT_MODULE or wanted.name not in allowed:
                 raise PluginError(f"{self.path}: imports {wanted.module}.{wanted.name}, which is not granted")
 
     def _instance(self) -> None:
         """A fresh one."""
         store = wasmtime.Store(self._engine)
         store.set_limits(
-            memory_size=MEMORY_MOST, table_elements=TABLE_MOST, instances=1, tables=1, memories=1
+            memory_size=MAX_MEMORY, table_elements=MAX_TABLE_ELEMENTS, instances=1, tables=1, memories=1
         )
-        store.set_fuel(FUEL_START)
+        store.set_fuel(FUEL_AT_START)
         linker = wasmtime.Linker(self._engine)
         i32, i64 = wasmtime.ValType.i32(), wasmtime.ValType.i64()
-        linker.define_func(MODULE, "log", wasmtime.FuncType([i32, i32], []), self._host_log)
-        linker.define_func(MODULE, "random", wasmtime.FuncType([], [i64]), self._host_random)
+        linker.define_func(IMPORT_MODULE, "log", wasmtime.FuncType([i32, i32], []), self._host_log)
+        linker.define_func(IMPORT_MODULE, "random", wasmtime.FuncType([], [i64]), self._host_random)
         self._host_calls = self._logged = 0
         try:
             instance = linker.instantiate(store, self._module)
@@ -151,16 +151,16 @@
             version, at = exports["interface"](store), exports["input"](store)  # type: ignore[operator]
             capacity = exports["capacity"](store)  # type: ignore[operator]
         except (wasmtime.WasmtimeError, wasmtime.Trap) as exc:
-            raise Fault("start", f"does not start: {_line(exc)}") from None
-        if version != VERSION:
-            raise Fault("start", f"interface {version}, {VERSION} expected")
+            raise PluginFault("start", f"does not start: {_summary_line(exc)}") from None
+        if version != INTERFACE_VERSION:
+            raise PluginFault("start", f"interface {version}, {INTERFACE_VERSION} expected")
         memory = exports["memory"]
         assert isinstance(memory, wasmtime.Memory)
         if not (0 <= at and 0 < capacity and at + capacity <= memory.data_len(store)):
-            raise Fault("start", "its input is not within its memory")
+            raise PluginFault("start", "its input is not within its memory")
         self._calls = {hook: _Hook(exports[hook]) for hook in self.hooks}  # type: ignore[arg-type]
         self._store, self._exports, self._memory = store, exports, memory
-        self._at, self._capacity = at, min(capacity, RECORD_MOST)
+        self._at, self._capacity = at, min(capacity, MAX_RECORD_SIZE)
 
     def _self_test(self) -> None:
         test = self._exports.get(SELF_TEST) if hasattr(self._exports, "get") else None
@@ -170,21 +170,21 @@
         try:
             said = test(self._store)
         except (wasmtime.WasmtimeError, wasmtime.Trap) as exc:
-            raise Fault("self-test", f"its self-test fails: {_line(exc)}") from None
+            raise PluginFault("self-test", f"its self-test fails: {_summary_line(exc)}") from None
         if said != 0:
-            raise Fault("self-test", f"its self-test gives {said}")
+            raise PluginFault("self-test", f"its self-test gives {said}")
 
     def _count(self) -> None:
         self._host_calls += 1
-        if self._host_calls > HOST_CALLS_MOST:
-            raise Fault("host calls", f"over {HOST_CALLS_MOST} calls to the host")
+        if self._host_calls > MAX_HOST_CALLS:
+            raise PluginFault("host calls", f"over {MAX_HOST_CALLS} calls to the host")
 
     def _host_log(self, at: int, size: int) -> None:
         self._count()
         if self._logged or self._store is None:
             return
         self._logged = 1
-        if 0 <= at and 0 <= size <= LOG_MOST and at + size <= self._memory.data_len(self._store):
+        if 0 <= at and 0 <= size <= MAX_LOG_LENGTH and at + size <= self._memory.data_len(self._store):
             words = bytes(self._memory.read(self._store, at, at + size)).decode("utf-8", "replace")
             self._log(self.name, "".join(c if c.isprintable() else "?" for c in words))
 
@@ -205,7 +205,7 @@
         finally:
             took = time.perf_counter() - begun
             self.counts.seconds += took
-            self.counts.longest = max(self.counts.longest, took)
+            self.counts.longest_s = max(self.counts.longest_s, took)
 
     def _call(self, hook: str, data: bytes) -> Answer:
         if self._store is None:
@@ -215,25 +215,25 @@
         self._host_calls = self._logged = 0
         data = data[: self._capacity]
         try:
-            store.set_fuel(FUEL)
+            store.set_fuel(FUEL_PER_CALL)
             ctypes.memmove(self._memory.get_buffer_ptr(store, len(data), self._at), data, len(data))
             packed = self._calls[hook](store, len(data))
-            if self.counts.calls % FUEL_EVERY == 1:
-                self.counts.fuel += FUEL_EVERY * (FUEL - store.get_fuel())
+            if self.counts.calls % FUEL_SAMPLE_INTERVAL == 1:
+                self.counts.fuel += FUEL_SAMPLE_INTERVAL * (FUEL_PER_CALL - store.get_fuel())
         except wasmtime.Trap as exc:
             kind = str(exc.trap_code).rsplit(".", 1)[-1].lower() if exc.trap_code is not None else "trap"
-            raise Fault(kind, _line(exc)) from None
+            raise PluginFault(kind, _summary_line(exc)) from None
         except wasmtime.WasmtimeError as exc:
-            raise Fault("trap", _line(exc)) from None
+            raise PluginFault("trap", _summary_line(exc)) from None
         at, size = (packed >> 32) & 0xFFFFFFFF, packed & 0xFFFFFFFF
         if size == 0:
-            return NOTHING
-        if size > ANSWER_MOST or at + size > self._memory.data_len(store):
-            raise Fault("answer", f"an answer of {size} bytes at {at}")
+            return EMPTY_ANSWER
+        if size > MAX_ANSWER_SIZE or at + size > self._memory.data_len(store):
+            raise PluginFault("answer", f"an answer of {size} bytes at {at}")
         try:
-            return answer(bytes(self._memory.read(store, at, at + size)))
+            return parse_answer(bytes(self._memory.read(store, at, at + size)))
         except AnswerError as exc:
-            raise Fault("answer", str(exc)) from None
+            raise PluginFault("answer", str(exc)) from None
 
 
 class _Hook:
@@ -267,7 +267,7 @@
         return int(self._results[0].of.i64)
 
 
-def _line(exc: Exception) -> str:
+def _summary_line(exc: Exception) -> str:
     """The telling line of an engine's long words."""
     lines = [line.strip() for line in str(exc).splitlines() if line.strip()]
     return (lines[-1] if lines else type(exc).__name__)[:200]
--- a/cottonladder/snapshots/store.py
+++ b/cottonladder/snapshots/store.py
@@ -25,20 +25,20 @@
 import msgspec
 
 MAGIC = b"CTNLMEM\0"
-FORMAT = 2  # 1 had no reading of a section's own version; see MIGRATIONS
-HEAD = struct.Struct("!8sHHQII16s")  # magic, format, flags, ms of writing, raw and packed length, digest
-DIGEST = 16
-GENERATIONS = 3  # kept: one may be bad for a reason that its successor shares
-ASIDE_MOST = 4  # files set aside that are kept: enough to look into, and bounded
-RAW_MOST = 64 << 20  # bytes of the sections: some hundred thousand workers and proxies
-LEVEL = 1  # of zlib: the file is small, the loop's machine has one core
-NAME = re.compile(r"^state-(\d{1,12})\.clm$")
-LOCK = "lock"
+FORMAT_VERSION = 2  # 1 had no reading of a section's own version; see MIGRATIONS
+HEADER = struct.Struct("!8sHHQII16s")  # magic, format, flags, ms of writing, raw and packed length, digest
+DIGEST_SIZE = 16
+KEPT_GENERATIONS = 3  # kept: one may be bad for a reason that its successor shares
+MAX_QUARANTINED_FILES = 4  # files set aside that are kept: enough to look into, and bounded
+MAX_UNCOMPRESSED_SIZE = 64 << 20  # bytes of the sections: some hundred thousand workers and proxies
+COMPRESSION_LEVEL = 1  # of zlib: the file is small, the loop's machine has one core
+FILE_NAME = re.compile(r"^state-(\d{1,12})\.clm$")
+LOCK_FILE = "lock"
 
 Sections = dict[str, Any]
 
 
-class StoreError(Exception):
+class SnapshotError(Exception):
     """The folder or a file can't be used; one plain line."""
 
 
@@ -47,7 +47,7 @@
     """One file as read: its number, when it was written (Unix s), its sections."""
 
     number: int
-    written: float
+    written_at: float
     sections: Sections
 
 
@@ -59,66 +59,70 @@
 MIGRATIONS: dict[int, Callable[[Sections], Sections]] = {1: _from_1}  # from a format to the next
 
 
-def pack(sections: Mapping[str, Any], written: float, form: int = FORMAT) -> bytes:
+def encode_file(
+    sections: Mapping[str, Any], written_at: float, format_version: int = FORMAT_VERSION
+) -> bytes:
     raw = msgspec.msgpack.encode(dict(sections))
-    if len(raw) > RAW_MOST:
-        raise StoreError(f"{len(raw)} bytes to keep, {RAW_MOST} at most")
-    packed = zlib.compress(raw, LEVEL)
-    head = HEAD.pack(MAGIC, form, 0, int(written * 1000), len(raw), len(packed), b"\0" * DIGEST)
-    digest = hashlib.blake2b(head + packed, digest_size=DIGEST).digest()
-    return head[:-DIGEST] + digest + packed
+    if len(raw) > MAX_UNCOMPRESSED_SIZE:
+        raise SnapshotError(f"{len(raw)} bytes to keep, {MAX_UNCOMPRESSED_SIZE} at most")
+    packed = zlib.compress(raw, COMPRESSION_LEVEL)
+    head = HEADER.pack(
+        MAGIC, format_version, 0, int(written_at * 1000), len(raw), len(packed), b"\0" * DIGEST_SIZE
+    )
+    digest = hashlib.blake2b(head + packed, digest_size=DIGEST_SIZE).digest()
+    return head[:-DIGEST_SIZE] + digest + packed
 
 
-def unpack(data: bytes) -> tuple[float, Sections]:
+def decode_file(data: bytes) -> tuple[float, Sections]:
     """When it was written, and its sections in today's format; raises StoreError for anything else."""
-    if len(data) < HEAD.size:
-        raise StoreError(f"cut short: {len(data)} bytes")
-    magic, form, _, written, raw_size, packed_size, digest = HEAD.unpack_from(data)
+    if len(data) < HEADER.size:
+        raise SnapshotError(f"cut short: {len(data)} bytes")
+    magic, form, _, written, raw_size, packed_size, digest = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise StoreError("not a memory file")
-    if form > FORMAT:
-        raise StoreError(f"of a newer format, {form}")
-    if form not in MIGRATIONS and form != FORMAT:
-        raise StoreError(f"of an unknown format, {form}")
-    if len(data) != HEAD.size + packed_size or raw_size > RAW_MOST:
-        raise StoreError(f"{len(data)} bytes where {HEAD.size + packed_size} are expected")
-    bare = data[: HEAD.size - DIGEST] + b"\0" * DIGEST + data[HEAD.size :]
-    if hashlib.blake2b(bare, digest_size=DIGEST).digest() != digest:
-        raise StoreError("bad checksum")
+        raise SnapshotError("not a memory file")
+    if form > FORMAT_VERSION:
+        raise SnapshotError(f"of a newer format, {form}")
+    if form not in MIGRATIONS and form != FORMAT_VERSION:
+        raise SnapshotError(f"of an unknown format, {form}")
+    if len(data) != HEADER.size + packed_size or raw_size > MAX_UNCOMPRESSED_SIZE:
+        raise SnapshotError(f"{len(data)} bytes where {HEADER.size + packed_size} are expected")
+    bare = data[: HEADER.size - DIGEST_SIZE] + b"\0" * DIGEST_SIZE + data[HEADER.size :]
+    if hashlib.blake2b(bare, digest_size=DIGEST_SIZE).digest() != digest:
+        raise SnapshotError("bad checksum")
     try:
         reader = zlib.decompressobj()
-        raw = reader.decompress(data[HEAD.size :], raw_size + 1)
+        raw = reader.decompress(data[HEADER.size :], raw_size + 1)
         sections = msgspec.msgpack.decode(raw, type=dict[str, Any])
     except (zlib.error, msgspec.DecodeError, msgspec.ValidationError, RecursionError) as exc:
-        raise StoreError(f"can't be read: {exc}") from None
+        raise SnapshotError(f"can't be read: {exc}") from None
     if len(raw) != raw_size:
-        raise StoreError("can't be read: another length than stated")
-    while form < FORMAT:
+        raise SnapshotError("can't be read: another length than stated")
+    while form < FORMAT_VERSION:
         sections, form = MIGRATIONS[form](sections), form + 1
     return written / 1000.0, sections
 
 
-class Store:
+class SnapshotStore:
     """Owns the folder from `open` to `close`."""
 
     def __init__(self, folder: str) -> None:
         self.folder = Path(folder)
         self._lock = -1
-        self._number = 0
-        self.faults: list[str] = []  # what was set aside, for the log; the caller empties it
+        self._newest_number = 0
+        self.quarantine_messages: list[str] = []  # what was set aside, for the log; the caller empties it
 
     def open(self) -> None:
         """Makes the folder if it must, and takes its lock."""
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
-            self._lock = os.open(self.folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            self._lock = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             self.close()
-            raise StoreError(f"{self.folder}: another process owns it") from None
+            raise SnapshotError(f"{self.folder}: another process owns it") from None
         except OSError as exc:
             self.close()
-            raise StoreError(f"{self.folder}: {exc.strerror}") from None
+            raise SnapshotError(f"{self.folder}: {exc.strerror}") from None
 
     def close(self) -> None:
         if self._lock >= 0:
@@ -130,64 +134,64 @@
         try:
             names = os.listdir(self.folder)
         except OSError as exc:
-            raise StoreError(f"{self.folder}: {exc.strerror}") from None
-        return sorted((int(m.group(1)) for m in map(NAME.match, names) if m), reverse=True)
+            raise SnapshotError(f"{self.folder}: {exc.strerror}") from None
+        return sorted((int(m.group(1)) for m in map(FILE_NAME.match, names) if m), reverse=True)
 
-    def path(self, number: int) -> Path:
+    def path_of(self, number: int) -> Path:
         return self.folder / f"state-{number}.clm"
 
     def read(self, number: int) -> Generation:
-        path = self.path(number)
+        path = self.path_of(number)
         try:
-            if path.stat().st_size > RAW_MOST + HEAD.size:
-                raise StoreError(f"{path.name}: over its size")
+            if path.stat().st_size > MAX_UNCOMPRESSED_SIZE + HEADER.size:
+                raise SnapshotError(f"{path.name}: over its size")
             data = path.read_bytes()
         except OSError as exc:
-            raise StoreError(f"{path.name}: {exc.strerror}") from None
+            raise SnapshotError(f"{path.name}: {exc.strerror}") from None
         try:
-            written, sections = unpack(data)
-        except StoreError as exc:
-            raise StoreError(f"{path.name}: {exc}") from None
+            written, sections = decode_file(data)
+        except SnapshotError as exc:
+            raise SnapshotError(f"{path.name}: {exc}") from None
         return Generation(number, written, sections)
 
-    def newest(self) -> Generation | None:
+    def read_newest(self) -> Generation | None:
         """The newest generation that holds; whatever is newer and doesn't is set aside."""
         for number in self.numbers():
-            self._number = max(self._number, number)
+            self._newest_number = max(self._newest_number, number)
             try:
                 return self.read(number)
-            except StoreError as exc:
-                self.faults.append(str(exc))
-                self._set_aside(number)
+            except SnapshotError as exc:
+                self.quarantine_messages.append(str(exc))
+                self._quarantine(number)
         return None
 
-    def _set_aside(self, number: int) -> None:
-        path = self.path(number)
+    def _quarantine(self, number: int) -> None:
+        path = self.path_of(number)
         try:
             os.rename(path, self.folder / f"{path.name}.aside-{time.time_ns()}")
             aside = sorted(name for name in os.listdir(self.folder) if ".aside-" in name)
-            for name in aside[:-ASIDE_MOST]:
+            for name in aside[:-MAX_QUARANTINED_FILES]:
                 os.unlink(self.folder / name)
         except OSError as exc:
-            self.faults.append(f"{path.name}: can't be set aside: {exc.strerror}")
+            self.quarantine_messages.append(f"{path.name}: can't be set aside: {exc.strerror}")
 
     def write(self, sections: Mapping[str, Any], now: float) -> int:
         """A new generation; its size in bytes.  May be called from a thread, by one at a time."""
-        data = pack(sections, now)
-        number = max([self._number, *self.numbers()]) + 1
+        data = encode_file(sections, now)
+        number = max([self._newest_number, *self.numbers()]) + 1
         new = self.folder / f".state-{number}.new"
         try:
             with open(new, "wb") as file:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
-            os.rename(new, self.path(number))
+            os.rename(new, self.path_of(number))
             self._sync_folder()
         except OSError as exc:
             self._remove(new)
-            raise StoreError(f"{new.name}: {exc.strerror}") from None
-        self._number = number
-        self.retain(GENERATIONS)
+            raise SnapshotError(f"{new.name}: {exc.strerror}") from None
+        self._newest_number = number
+        self.remove_old_generations(KEPT_GENERATIONS)
         return len(data)
 
     def _sync_folder(self) -> None:
@@ -204,11 +208,11 @@
         except OSError:
             pass  # what can't be removed is overwritten by the next try of the same number
 
-    def retain(self, count: int) -> int:
+    def remove_old_generations(self, count: int) -> int:
         """Removes all but the newest generations, and what writes that were killed left; how many went."""
         gone = self.numbers()[count:]
         for number in gone:
-            self._remove(self.path(number))
+            self._remove(self.path_of(number))
         for name in os.listdir(self.folder):
             if name.startswith(".state-") and name.endswith(".new"):
                 self._remove(self.folder / name)
--- a/cottonladder/testbed/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -10,7 +10,7 @@
 from ..weight_advice import dfp, sasp
 from ..weight_advice.tlv import AdviceError
 
-Words = Callable[[sasp.Member], int]  # a member's weight as this advisor has it
+Words = Callable[[sasp.MemberData], int]  # a member's weight as this advisor has it
 WAIT = 15.0  # s for any answer
 
 
@@ -20,9 +20,9 @@
 
     def __init__(self, words: Words, seed: int = 7) -> None:
         self.words, self.mode = words, "honest"
-        self.flags = sasp.CONTACT | sasp.CONFIDENT
-        self.members: dict[sasp.Member, None] = {}
-        self.group: sasp.Group | None = None
+        self.flags = sasp.CONTACT_SUCCESS_FLAG | sasp.CONFIDENT_FLAG
+        self.members: dict[sasp.MemberData, None] = {}
+        self.group: sasp.GroupData | None = None
         self.heard: list[int] = []  # kinds of messages
         self.joins = 0
         self.reorder = random.Random(seed)
@@ -36,7 +36,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.joins += 1
         self._writers.add(writer)
-        come = sasp.Reader()
+        come = sasp.MessageReader()
         try:
             while data := await reader.read(65_536):
                 for message in come.feed(data):
@@ -48,29 +48,32 @@
             writer.close()
 
     def _answer(self, writer: asyncio.StreamWriter, m: sasp.Message) -> None:
-        self.heard.append(m.kind)
+        self.heard.append(m.message_type)
         for g in m.groups:
-            if isinstance(g, sasp.Grouped):
+            if isinstance(g, sasp.GroupOfEntries):
                 self.group = g.group
                 for member in g.entries:
-                    assert isinstance(member, sasp.Member)
-                    if m.kind == sasp.REGISTER:
+                    assert isinstance(member, sasp.MemberData)
+                    if m.message_type == sasp.REGISTRATION_REQUEST:
                         self.members[member] = None
                     else:
                         self.members.pop(member, None)
-        groups = (self._weights(),) if m.kind == sasp.GET_WEIGHTS and self.group else ()
-        interval = 1 if m.kind == sasp.GET_WEIGHTS else 0
-        self._say(writer, sasp.Message(sasp.REPLIES[m.kind], m.number, interval=interval, groups=groups))
-
-    def _weights(self) -> sasp.Grouped:
+        groups = (self._weights(),) if m.message_type == sasp.GET_WEIGHTS_REQUEST and self.group else ()
+        interval = 1 if m.message_type == sasp.GET_WEIGHTS_REQUEST else 0
+        self._say(
+            writer,
+            sasp.Message(sasp.REPLY_TYPES[m.message_type], m.message_id, interval_s=interval, groups=groups),
+        )
+
+    def _weights(self) -> sasp.GroupOfEntries:
         assert self.group is not None
         members = list(self.members)
         self.reorder.shuffle(members)
-        entries = tuple(sasp.Weight(m, 0, self.flags, self.words(m)) for m in members)
-        return sasp.Grouped(self.group, entries)
+        entries = tuple(sasp.WeightEntry(m, 0, self.flags, self.words(m)) for m in members)
+        return sasp.GroupOfEntries(self.group, entries)
 
     def _say(self, writer: asyncio.StreamWriter, m: sasp.Message) -> None:
-        data = sasp.write(m)
+        data = sasp.encode_message(m)
         if self.mode == "silent":
             return
         if self.mode in ("stall", "cut"):
@@ -98,7 +101,9 @@
     """An agent that reports `hosts` by port each `every` seconds."""
 
     def __init__(
-        self, hosts: Callable[[], dict[int, tuple[dfp.Host, ...]]], secret: tuple[int, bytes] | None = None
+        self,
+        hosts: Callable[[], dict[int, tuple[dfp.HostPreference, ...]]],
+        secret: tuple[int, bytes] | None = None,
     ) -> None:
         self.hosts, self.every, self.secret, self.silent = hosts, 0.5, secret, False
         self.keep_alive: int | None = None
@@ -112,11 +117,11 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.create_task(self._report(writer))
         self._tasks.add(task)
-        come = dfp.Reader(dict([self.secret]) if self.secret else None)
+        come = dfp.MessageReader(dict([self.secret]) if self.secret else None)
         with suppress(ConnectionError, AdviceError):
             while data := await reader.read(65_536):
                 for m in come.feed(data):
-                    self.keep_alive = m.keep_alive if m.keep_alive is not None else self.keep_alive
+                    self.keep_alive = m.keep_alive_s if m.keep_alive_s is not None else self.keep_alive
         task.cancel()
         self._tasks.discard(task)
         writer.close()
@@ -125,7 +130,7 @@
         while True:
             if not self.silent:
                 loads = tuple(dfp.Load(port, 6, hosts) for port, hosts in self.hosts().items())
-                writer.write(dfp.write(dfp.Message(dfp.PREFERENCE, loads), self.secret))
+                writer.write(dfp.encode_message(dfp.Message(dfp.PREFERENCE_INFORMATION, loads), self.secret))
             await asyncio.sleep(self.every)
 
     async def close(self) -> None:
@@ -150,11 +155,11 @@
         self._task = asyncio.create_task(self._read(reader))
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
-        come = sasp.Reader()
+        come = sasp.MessageReader()
         with suppress(ConnectionError):
             while data := await reader.read(65_536):
                 for m in come.feed(data):
-                    answer = self._answers.pop(m.number, None)
+                    answer = self._answers.pop(m.message_id, None)
                     if answer is not None and not answer.done():
                         answer.set_result(m)
                     else:
@@ -168,21 +173,25 @@
         self._number += 1
         answer: asyncio.Future[sasp.Message] = asyncio.get_running_loop().create_future()
         self._answers[self._number] = answer
-        self.writer.write(sasp.write(sasp.Message(kind, self._number, **fields)))  # type: ignore[arg-type]
+        self.writer.write(sasp.encode_message(sasp.Message(kind, self._number, **fields)))  # type: ignore[arg-type]
         return await asyncio.wait_for(answer, WAIT)
 
-    def group(self, name: bytes, *members: sasp.Member | sasp.Weight | sasp.MemberState) -> sasp.Grouped:
-        return sasp.Grouped(sasp.Group(self.uid, name), members)
+    def group(
+        self, name: bytes, *members: sasp.MemberData | sasp.WeightEntry | sasp.MemberStateInstance
+    ) -> sasp.GroupOfEntries:
+        return sasp.GroupOfEntries(sasp.GroupData(self.uid, name), members)
 
-    async def register(self, name: bytes, *members: sasp.Member) -> int:
-        reply = await self.ask(sasp.REGISTER, flags=sasp.BY_BALANCER, groups=(self.group(name, *members),))
-        return reply.code
+    async def register(self, name: bytes, *members: sasp.MemberData) -> int:
+        reply = await self.ask(
+            sasp.REGISTRATION_REQUEST, flags=sasp.LOAD_BALANCER_FLAG, groups=(self.group(name, *members),)
+        )
+        return reply.response_code
 
-    async def weights(self, *names: bytes) -> dict[bytes, sasp.Weight]:
+    async def weights(self, *names: bytes) -> dict[bytes, sasp.WeightEntry]:
         """By the member's label."""
-        groups = tuple(sasp.Group(self.uid, name) for name in names)
-        reply = await self.ask(sasp.GET_WEIGHTS, groups=groups)
-        assert reply.code == sasp.OK, hex(reply.code)
+        groups = tuple(sasp.GroupData(self.uid, name) for name in names)
+        reply = await self.ask(sasp.GET_WEIGHTS_REQUEST, groups=groups)
+        assert reply.response_code == sasp.SUCCESSFUL, hex(reply.response_code)
         return weights_of(reply)
 
     async def close(self) -> None:
@@ -192,11 +201,11 @@
             self._task.cancel()
 
 
-def weights_of(m: sasp.Message) -> dict[bytes, sasp.Weight]:
-    out: dict[bytes, sasp.Weight] = {}
+def weights_of(m: sasp.Message) -> dict[bytes, sasp.WeightEntry]:
+    out: dict[bytes, sasp.WeightEntry] = {}
     for g in m.groups:
-        for entry in g.entries if isinstance(g, sasp.Grouped) else ():
-            assert isinstance(entry, sasp.Weight)
+        for entry in g.entries if isinstance(g, sasp.GroupOfEntries) else ():
+            assert isinstance(entry, sasp.WeightEntry)
             out[entry.member.label] = entry
     return out
 
@@ -204,11 +213,11 @@
 async def dfp_loads(port: int, count: int = 1, secret: tuple[int, bytes] | None = None) -> list[dfp.Message]:
     """A DFP manager that connects, asks for a report each second, and leaves after so many of them."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(dfp.write(dfp.Message(dfp.PARAMETERS, keep_alive=2), secret))
-    writer.write(dfp.write(dfp.Message(dfp.BIND_REQUEST), secret))
-    come, out = dfp.Reader(dict([secret]) if secret else None), list[dfp.Message]()
+    writer.write(dfp.encode_message(dfp.Message(dfp.DFP_PARAMETERS, keep_alive_s=2), secret))
+    writer.write(dfp.encode_message(dfp.Message(dfp.BIND_ID_REQUEST), secret))
+    come, out = dfp.MessageReader(dict([secret]) if secret else None), list[dfp.Message]()
     async with asyncio.timeout(WAIT):
-        while sum(m.kind == dfp.PREFERENCE for m in out) < count:
+        while sum(m.message_type == dfp.PREFERENCE_INFORMATION for m in out) < count:
             data = await reader.read(65_536)
             if not data:
                 raise ConnectionResetError("ended by the agent")
--- a/cottonladder/testbed/crash_test.py
+++ b/cottonladder/testbed/crash_test.py
@@ -17,14 +17,14 @@
 import struct
 import time
 
-from ..snapshots.store import Store, StoreError
+from ..snapshots.store import SnapshotError, SnapshotStore
 
 LONGEST = 0.012  # s until the kill: some ten generations
 ROWS = 120  # workers in each generation
 
 
 def _child(folder: str, first: int, finished: mmap.mmap) -> None:
-    store = Store(folder)
+    store = SnapshotStore(folder)
     store.open()
     count = first
     while True:
@@ -54,15 +54,15 @@
         left = [name for name in os.listdir(folder) if name.endswith(".new")]
         out["leftovers"] = max(out["leftovers"], len(left))
         out["mid_write"] += bool(left)
-        store = Store(folder)
+        store = SnapshotStore(folder)
         try:
             store.open()
-            found = store.newest()
-        except StoreError:
+            found = store.read_newest()
+        except SnapshotError:
             found = None
         finally:
             store.close()
-        if store.faults:
+        if store.quarantine_messages:
             out["half_written"] += 1
         data = found.sections["manager"]["data"] if found else {"count": 0, "workers": []}
         if found and len(data["workers"]) != ROWS:
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -30,7 +30,7 @@
 from ..model.orders import BindProxy, Checkpoint, ClearTable, ExcludeWorker, Order, SetWeight, StartTimer
 from ..model.parameters import DeploymentParameters, RequestClass
 from ..model.views import WorkerCapacityView
-from ..planning.advice_weighting import PERIOD, Advice, AdvisoryWeight
+from ..planning.advice_weighting import UPDATE_INTERVAL, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views, collect_state
 from ..policy.controller import RoutingController
 
@@ -110,7 +110,7 @@
             for be, speed in enumerate([1.6, 1.5, 1.0, 1.0, 0.9, 0.9, 0.6, 0.55, 0.5, 1.4])
         }
         self.length, self._advisors, self.load = length, advisors, load
-        self.ladder, self.advice, self.result = RoutingController(TERMS), Advice(), Result()
+        self.ladder, self.advice, self.result = RoutingController(TERMS), AdviceWeighting(), Result()
         self._tables: dict[int, dict[int, float]] = defaultdict(dict)
         self._bound: dict[int, int] = {}
         self._out: set[int] = set()
@@ -179,7 +179,7 @@
             events(now - origin, self)
             inputs = self._take(now)
             if now >= advise_at:
-                advise_at = now + PERIOD
+                advise_at = now + UPDATE_INTERVAL
                 inputs += self._advise(now)
             self._carry(now, self.ladder.decide(now, inputs))
             self._standing = capacity_views(self.ladder)
@@ -190,7 +190,7 @@
                 report_at += REPORT
                 self._report(now, came)
         self.result.worst = min((s / max(1, n) for n, s in by_ten.values() if n > 50), default=1.0)
-        self.result.credit = {name: s.credit for name, s in self.advice.shown(now).items()}
+        self.result.credit = {name: s.credit for name, s in self.advice.status(now).items()}
         return self.result
 
     def _take(self, now: float) -> list[Input]:
@@ -203,8 +203,8 @@
         for name, say in self._advisors.items():
             words = say(now - 1000.0, self)
             if words is not None:
-                self.advice.heard(name, now, words, whole=True)
-        factors = self.advice.factors(now, self._standing) if self._standing else {}
+                self.advice.receive(name, now, words, is_complete=True)
+        factors = self.advice.update_factors(now, self._standing) if self._standing else {}
         changed = {be: 1.0 for be in self._factors if be not in factors} | factors
         self._factors = factors
         self.result.factors.append(factors)
--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -15,44 +15,48 @@
 
 from ..config.settings import HostPort
 from . import dfp, limits, sasp
-from .registry import Finder
-from .server import Place
-from .tlv import AdviceError, address_of
+from .registry import MemberIndex
+from .server import WorkerLocation
+from .tlv import AdviceError, parse_address
 
-ASK_FOR = 10  # s of keep-alive that an agent is asked for
+REQUESTED_KEEP_ALIVE = 10  # s of keep-alive that an agent is asked for
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedWeight:
     """An advisor's word on one member: `be` where it is one of ours."""
 
-    be: int | None
+    worker_index: int | None
     weight: int
-    usable: bool
+    is_usable: bool
 
 
 class AdviceListener:
     """Where words go: the adviser, in the owner's own loop."""
 
-    def joined(self, advisor: str) -> None:
+    def advisor_connected(self, advisor: str) -> None:
         raise NotImplementedError
 
-    def heard(self, advisor: str, words: Iterable[ReportedWeight], whole: bool) -> None:
+    def weights_received(self, advisor: str, weights: Iterable[ReportedWeight], is_complete: bool) -> None:
         raise NotImplementedError
 
 
-class Follower:
+class AdvisorClient:
     """Keeps one advisor's connection; a subclass speaks its protocol.  `places` are our workers as listed."""
 
     def __init__(
-        self, at: HostPort, listener: AdviceListener, tls: ssl.SSLContext | None, uniform: Callable[[], float]
+        self,
+        address: HostPort,
+        listener: AdviceListener,
+        tls: ssl.SSLContext | None,
+        uniform: Callable[[], float],
     ) -> None:
-        self.at, self.name, self.listener = at, f"{at[0]}:{at[1]}", listener
+        self.address, self.name, self.listener = address, f"{address[0]}:{address[1]}", listener
         self._tls, self._uniform = tls, uniform
-        self.places: list[Place] = []
-        self.find = Finder(())
+        self.locations: list[WorkerLocation] = []
+        self.lookup = MemberIndex(())
         self.unmatched = 0  # members of the last words that are none of ours
-        self.up = False
+        self.is_connected = False
         self._writer: asyncio.StreamWriter | None = None
         self._task: asyncio.Task[None] | None = None
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
@@ -60,65 +64,65 @@
     def start(self) -> None:
         self._task = asyncio.create_task(self._run())
 
-    def update(self, places: list[Place]) -> None:
-        if places != self.places:
-            self.places, self.find = places, Finder(places)
-            self.changed()
+    def update(self, places: list[WorkerLocation]) -> None:
+        if places != self.locations:
+            self.locations, self.lookup = places, MemberIndex(places)
+            self.locations_changed()
 
-    def changed(self) -> None:
+    def locations_changed(self) -> None:
         """Our list is another one."""
 
     async def _run(self) -> None:
-        wait = limits.BACK_LEAST
+        wait = limits.MIN_BACKOFF
         while True:
             begun = time.monotonic()
             why = await self._follow()
-            self.up, self._writer = False, None
+            self.is_connected, self._writer = False, None
             self.log.info("advisor left", advisor=self.name, why=why)
-            wait = limits.BACK_LEAST if time.monotonic() - begun > limits.BACK_MOST else wait
+            wait = limits.MIN_BACKOFF if time.monotonic() - begun > limits.MAX_BACKOFF else wait
             await asyncio.sleep(wait * (0.5 + 0.5 * self._uniform()))
-            wait = min(limits.BACK_MOST, 2.0 * wait)
+            wait = min(limits.MAX_BACKOFF, 2.0 * wait)
 
     async def _follow(self) -> str:
         try:
-            dialling = asyncio.open_connection(*self.at, ssl=self._tls)
-            reader, writer = await asyncio.wait_for(dialling, limits.DIAL_WAIT)
+            dialling = asyncio.open_connection(*self.address, ssl=self._tls)
+            reader, writer = await asyncio.wait_for(dialling, limits.CONNECT_TIMEOUT)
         except (OSError, TimeoutError, ssl.SSLError) as exc:
             return f"no connection: {exc or 'timed out'}"
-        self._writer, self.up = writer, True
+        self._writer, self.is_connected = writer, True
         self.log.info("advisor joined", advisor=self.name)
-        self.listener.joined(self.name)
+        self.listener.advisor_connected(self.name)
         try:
-            self.greet()
+            self.start_session()
             while True:
-                data = await asyncio.wait_for(reader.read(65_536), self.patience())
+                data = await asyncio.wait_for(reader.read(65_536), self.silence_timeout())
                 if not data:
                     return "ended by the advisor"
-                self.take(data)
+                self.receive(data)
         except (AdviceError, OSError) as exc:
             return str(exc) or type(exc).__name__
         except TimeoutError:
-            return f"silent for {self.patience():g} s"
+            return f"silent for {self.silence_timeout():g} s"
         finally:
             writer.transport.abort()
 
     def send(self, data: bytes) -> None:
         if self._writer is not None and not self._writer.transport.is_closing():
-            if self._writer.transport.get_write_buffer_size() > limits.UNREAD_MOST:
+            if self._writer.transport.get_write_buffer_size() > limits.MAX_UNREAD_BYTES:
                 self._writer.transport.abort()
             else:
                 self._writer.write(data)
 
-    def patience(self) -> float:
-        return limits.SILENT_MOST
+    def silence_timeout(self) -> float:
+        return limits.SILENCE_TIMEOUT
 
-    def greet(self) -> None:
+    def start_session(self) -> None:
         raise NotImplementedError
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         raise NotImplementedError
 
-    def tick(self) -> None:
+    def poll(self) -> None:
         """Called each interval."""
 
     async def close(self) -> None:
@@ -127,135 +131,150 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
 
-class SaspFollower(Follower):
+class SaspAdvisorClient(AdvisorClient):
     """Registers our workers as one group, asks to be pushed to, and asks by itself as often as it was
     told."""
 
     def __init__(
         self,
-        at: HostPort,
+        address: HostPort,
         listener: AdviceListener,
         tls: ssl.SSLContext | None,
         uniform: Callable[[], float],
         uid: str,
         group: str,
     ) -> None:
-        super().__init__(at, listener, tls, uniform)
-        self._group = sasp.Group(uid.encode(), group.encode())
-        self._reader, self._number = sasp.Reader(), 0
-        self._registered: dict[sasp.Member, None] = {}
-        self._asked, self._every = 0.0, float(limits.ASK_EVERY)
+        super().__init__(address, listener, tls, uniform)
+        self._group = sasp.GroupData(uid.encode(), group.encode())
+        self._reader, self._number = sasp.MessageReader(), 0
+        self._registered: dict[sasp.MemberData, None] = {}
+        self._polled_at, self._poll_interval = 0.0, float(limits.POLL_INTERVAL)
 
-    def _say(self, kind: int, **fields: object) -> None:
+    def _send_message(self, kind: int, **fields: object) -> None:
         self._number = (self._number + 1) & 0xFFFFFFFF
-        self.send(sasp.write(sasp.Message(kind, self._number, **fields)))  # type: ignore[arg-type]
-
-    def greet(self) -> None:
-        self._reader, self._registered = sasp.Reader(), {}
-        self._say(sasp.SET_BALANCER, uid=self._group.uid, health=0x7F, flags=sasp.PUSH | sasp.NO_CHANGE)
-        self.changed()
+        self.send(sasp.encode_message(sasp.Message(kind, self._number, **fields)))  # type: ignore[arg-type]
+
+    def start_session(self) -> None:
+        self._reader, self._registered = sasp.MessageReader(), {}
+        self._send_message(
+            sasp.SET_LB_STATE_REQUEST,
+            lb_uid=self._group.lb_uid,
+            lb_health=0x7F,
+            flags=sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG,
+        )
+        self.locations_changed()
 
-    def changed(self) -> None:
+    def locations_changed(self) -> None:
         """Registers who came and deregisters who went."""
-        if not self.up:
+        if not self.is_connected:
             return
-        members = {sasp.Member(6, port, a, name): None for _, name, a, port in self.places if a is not None}
+        members = {
+            sasp.MemberData(6, port, a, name): None for _, name, a, port in self.locations if a is not None
+        }
         came = [m for m in members if m not in self._registered]
         went = [m for m in self._registered if m not in members]
-        for kind, rows in ((sasp.DEREGISTER, went), (sasp.REGISTER, came)):
+        for kind, rows in ((sasp.DEREGISTRATION_REQUEST, went), (sasp.REGISTRATION_REQUEST, came)):
             if rows:
-                grouped = sasp.Grouped(self._group, tuple(rows))
-                reason = sasp.PURPOSE_LEARNED if kind == sasp.DEREGISTER else 0
-                self._say(kind, flags=sasp.BY_BALANCER, reason=reason, groups=(grouped,))
+                grouped = sasp.GroupOfEntries(self._group, tuple(rows))
+                reason = sasp.REASON_LEARNED_PURPOSEFUL if kind == sasp.DEREGISTRATION_REQUEST else 0
+                self._send_message(kind, flags=sasp.LOAD_BALANCER_FLAG, reason=reason, groups=(grouped,))
         self._registered = members
-        self._asked = 0.0
+        self._polled_at = 0.0
 
-    def tick(self) -> None:
+    def poll(self) -> None:
         now = time.monotonic()
-        if self.up and self._registered and now - self._asked >= self._every:
-            self._asked = now
-            self._say(sasp.GET_WEIGHTS, groups=(self._group,))
+        if self.is_connected and self._registered and now - self._polled_at >= self._poll_interval:
+            self._polled_at = now
+            self._send_message(sasp.GET_WEIGHTS_REQUEST, groups=(self._group,))
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         for m in self._reader.feed(data):
-            if m.kind in (sasp.WEIGHTS_REPLY, sasp.SEND_WEIGHTS):
-                if m.code != sasp.OK:
+            if m.message_type in (sasp.GET_WEIGHTS_REPLY, sasp.SEND_WEIGHTS):
+                if m.response_code != sasp.SUCCESSFUL:
                     self.log.info(
-                        "advisor refuses", advisor=self.name, why=sasp.WORDS.get(m.code, hex(m.code))
+                        "advisor refuses",
+                        advisor=self.name,
+                        why=sasp.RESPONSE_TEXTS.get(m.response_code, hex(m.response_code)),
                     )
                     continue
-                if m.kind == sasp.WEIGHTS_REPLY and m.interval:
-                    self._every = min(float(m.interval), limits.SILENT_MOST / 3)
-                self._words(m)
-            elif m.kind in sasp.REPLIES.values():
-                if m.code != sasp.OK:
+                if m.message_type == sasp.GET_WEIGHTS_REPLY and m.interval_s:
+                    self._poll_interval = min(float(m.interval_s), limits.SILENCE_TIMEOUT / 3)
+                self._report_weights(m)
+            elif m.message_type in sasp.REPLY_TYPES.values():
+                if m.response_code != sasp.SUCCESSFUL:
                     self.log.info(
-                        "advisor refuses", advisor=self.name, why=sasp.WORDS.get(m.code, hex(m.code))
+                        "advisor refuses",
+                        advisor=self.name,
+                        why=sasp.RESPONSE_TEXTS.get(m.response_code, hex(m.response_code)),
                     )
             else:
-                raise AdviceError(f"message {m.kind:#06x} is not an advisor's")
+                raise AdviceError(f"message {m.message_type:#06x} is not an advisor's")
 
-    def _words(self, m: sasp.Message) -> None:
+    def _report_weights(self, m: sasp.Message) -> None:
         out: list[ReportedWeight] = []
         for g in m.groups:
-            if not isinstance(g, sasp.Grouped) or g.group.name != self._group.name:
+            if not isinstance(g, sasp.GroupOfEntries) or g.group.group_name != self._group.group_name:
                 continue
             for entry in g.entries:
-                assert isinstance(entry, sasp.Weight)
-                usable = bool(entry.flags & sasp.CONTACT) and not entry.flags & sasp.QUIESCED
-                out.append(ReportedWeight(self.find(entry.member), entry.weight, usable))
-        self.unmatched = sum(said.be is None for said in out)
-        self.listener.heard(self.name, out, whole=m.kind == sasp.WEIGHTS_REPLY)
+                assert isinstance(entry, sasp.WeightEntry)
+                usable = bool(entry.flags & sasp.CONTACT_SUCCESS_FLAG) and not entry.flags & sasp.QUIESCE_FLAG
+                out.append(ReportedWeight(self.lookup(entry.member), entry.weight, usable))
+        self.unmatched = sum(said.worker_index is None for said in out)
+        self.listener.weights_received(self.name, out, is_complete=m.message_type == sasp.GET_WEIGHTS_REPLY)
 
 
-class DfpFollower(Follower):
+class DfpAdvisorClient(AdvisorClient):
     """A manager: states how often it wants to hear, then listens."""
 
     def __init__(
-        self, at: HostPort, listener: AdviceListener, uniform: Callable[[], float],
+        self, address: HostPort, listener: AdviceListener, uniform: Callable[[], float],
         secret: tuple[int, bytes] | None,
     ) -> None:  # fmt: skip
-        super().__init__(at, listener, None, uniform)
+        super().__init__(address, listener, None, uniform)
         self._secret = secret
-        self._reader = dfp.Reader()
-
-    def greet(self) -> None:
-        self._reader = dfp.Reader(dict([self._secret]) if self._secret else None)
-        self.send(dfp.write(dfp.Message(dfp.PARAMETERS, keep_alive=ASK_FOR), self._secret))
+        self._reader = dfp.MessageReader()
+
+    def start_session(self) -> None:
+        self._reader = dfp.MessageReader(dict([self._secret]) if self._secret else None)
+        self.send(
+            dfp.encode_message(
+                dfp.Message(dfp.DFP_PARAMETERS, keep_alive_s=REQUESTED_KEEP_ALIVE), self._secret
+            )
+        )
 
-    def patience(self) -> float:
-        return 2.0 * ASK_FOR
+    def silence_timeout(self) -> float:
+        return 2.0 * REQUESTED_KEEP_ALIVE
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         for m in self._reader.feed(data):
-            if m.kind == dfp.PREFERENCE:
-                self._words(m)
-            elif m.kind not in (dfp.BIND_REPORT, dfp.BIND_CHANGE):
-                raise AdviceError(f"{dfp.KINDS[m.kind]}: not an agent's")
+            if m.message_type == dfp.PREFERENCE_INFORMATION:
+                self._report_weights(m)
+            elif m.message_type not in (dfp.BIND_ID_REPORT, dfp.BIND_ID_CHANGE_NOTICE):
+                raise AdviceError(f"{dfp.MESSAGE_TYPES[m.message_type]}: not an agent's")
 
-    def _words(self, m: dfp.Message) -> None:
+    def _report_weights(self, m: dfp.Message) -> None:
         """Port 0 stands for all ports of a host.  Weights of several BindIDs for one worker: the lowest."""
         hosts: dict[object, list[int]] = {}
-        for be, _, a, _ in self.places:
+        for be, _, a, _ in self.locations:
             hosts.setdefault(a, []).append(be)
         lowest: dict[int, int] = {}
         self.unmatched = 0
         for load in m.loads:
             for host in load.hosts:
-                one = self.find(sasp.Member(load.protocol, load.port, host.address))
+                one = self.lookup(sasp.MemberData(load.protocol, load.port, host.address))
                 found = hosts.get(host.address, []) if load.port == 0 else [] if one is None else [one]
                 self.unmatched += not found
                 for be in found:
                     lowest[be] = min(lowest.get(be, host.weight), host.weight)
-        self.listener.heard(
-            self.name, [ReportedWeight(be, weight, True) for be, weight in lowest.items()], whole=False
+        self.listener.weights_received(
+            self.name, [ReportedWeight(be, weight, True) for be, weight in lowest.items()], is_complete=False
         )
 
 
-def places_of(ids: Mapping[int, bytes], address: Callable[[int], str]) -> list[Place]:
+def worker_locations(ids: Mapping[int, bytes], address: Callable[[int], str]) -> list[WorkerLocation]:
     """Workers as listed; one whose address is a name can be matched by its label alone."""
-    out: list[Place] = []
+    out: list[WorkerLocation] = []
     for be, name in ids.items():
         host, _, port = address(be).rpartition(":")
-        out.append((be, name, address_of(host.strip("[]")), int(port)))
+        out.append((be, name, parse_address(host.strip("[]")), int(port)))
     return out
--- a/cottonladder/weight_advice/tlv.py
+++ b/cottonladder/weight_advice/tlv.py
@@ -18,47 +18,47 @@
 class Cursor:
     """Reads on in `data` up to `end`; whatever would pass it is an AdviceError."""
 
-    __slots__ = ("data", "at", "end")
+    __slots__ = ("data", "position", "end")
 
     def __init__(self, data: bytes, at: int = 0, end: int | None = None) -> None:
-        self.data, self.at, self.end = data, at, len(data) if end is None else end
+        self.data, self.position, self.end = data, at, len(data) if end is None else end
 
     @property
-    def left(self) -> int:
-        return self.end - self.at
+    def remaining(self) -> int:
+        return self.end - self.position
 
-    def take(self, size: int) -> int:
+    def advance(self, size: int) -> int:
         """Where the next `size` bytes begin; the cursor stands behind them."""
-        at = self.at
+        at = self.position
         if at + size > self.end:
             raise AdviceError(f"cut short: {size} bytes expected, {self.end - at} left")
-        self.at = at + size
+        self.position = at + size
         return at
 
-    def u8(self) -> int:
-        return self.data[self.take(1)]
+    def read_u8(self) -> int:
+        return self.data[self.advance(1)]
 
-    def u16(self) -> int:
-        return int(_U16.unpack_from(self.data, self.take(2))[0])
+    def read_u16(self) -> int:
+        return int(_U16.unpack_from(self.data, self.advance(2))[0])
 
-    def u32(self) -> int:
-        return int(_U32.unpack_from(self.data, self.take(4))[0])
+    def read_u32(self) -> int:
+        return int(_U32.unpack_from(self.data, self.advance(4))[0])
 
-    def raw(self, size: int) -> bytes:
-        at = self.take(size)
+    def read_bytes(self, size: int) -> bytes:
+        at = self.advance(size)
         return self.data[at : at + size]
 
-    def head(self) -> tuple[int, int]:
+    def read_header(self) -> tuple[int, int]:
         """A component's type and length."""
-        kind, length = _HEAD.unpack_from(self.data, self.take(4))
+        kind, length = _HEAD.unpack_from(self.data, self.advance(4))
         return int(kind), int(length)
 
-    def label(self) -> bytes:
+    def read_label(self) -> bytes:
         """A length of one byte and so many bytes."""
-        return self.raw(self.u8())
+        return self.read_bytes(self.read_u8())
 
 
-def labelled(word: bytes) -> bytes:
+def encode_label(word: bytes) -> bytes:
     if len(word) > 255:
         raise AdviceError(f"a label of {len(word)} bytes, 255 at most")
     return bytes([len(word)]) + word
@@ -67,21 +67,21 @@
 Address = IPv4Address | IPv6Address
 
 
-def packed(address: Address) -> bytes:
+def encode_address(address: Address) -> bytes:
     """16 bytes; an IPv4 address is written as an IPv4-mapped one (RFC 4291, 2.5.5.2)."""
     if isinstance(address, IPv4Address):
         return b"\0" * 10 + b"\xff\xff" + address.packed
     return address.packed
 
 
-def unpacked(data: bytes) -> Address:
+def decode_address(data: bytes) -> Address:
     """Mapped and compatible forms of an IPv4 address are read as the address itself."""
     if data[:10] == b"\0" * 10 and data[10:12] in (b"\xff\xff", b"\0\0") and data[12:] > b"\0\0\0\1":
         return IPv4Address(data[12:])
     return IPv6Address(data)
 
 
-def address_of(host: str) -> Address | None:
+def parse_address(host: str) -> Address | None:
     """A literal address, or none: names are not looked up here."""
     try:
         return ip_address(host)
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -22,7 +22,7 @@
 from cryptography.x509.oid import NameOID
 
 from cottonladder.planning import advice_weighting as ad
-from cottonladder.planning.advertised_weights import TOP
+from cottonladder.planning.advertised_weights import MAX_WEIGHT
 from cottonladder.testbed.advisors import DfpAdvisor, SaspAdvisor, SaspBalancer, dfp_loads, weights_of
 from cottonladder.testbed.discovery import Discovery
 from cottonladder.testbed.fleet import ROOT, SETTINGS, Manager
@@ -32,8 +32,8 @@
 WAIT = 20.0
 
 
-def member(name: str, port: int = 80) -> sasp.Member:
-    return sasp.Member(6, port, IPv4Address("127.0.0.9"), name.encode())
+def member(name: str, port: int = 80) -> sasp.MemberData:
+    return sasp.MemberData(6, port, IPv4Address("127.0.0.9"), name.encode())
 
 
 class Rig(unittest.IsolatedAsyncioTestCase):
@@ -95,17 +95,26 @@
     async def test_sasp_balancers_ask_and_are_pushed_to(self) -> None:
         manager = await self.manager({"protocol": "sasp"})
         balancer = await self.balancer(await self.port(manager, "sasp"))
-        flags = sasp.PUSH | sasp.NO_CHANGE
-        self.assertEqual((await balancer.ask(sasp.SET_BALANCER, uid=b"lb-1", health=9, flags=flags)).code, 0)
-        by_place = sasp.Member(6, 8002, IPv4Address("127.0.0.9"), b"another name")
-        self.assertEqual(await balancer.register(b"g", member("s-1"), by_place, member("nobody")), sasp.OK)
+        flags = sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG
+        self.assertEqual(
+            (
+                await balancer.ask(sasp.SET_LB_STATE_REQUEST, lb_uid=b"lb-1", lb_health=9, flags=flags)
+            ).response_code,
+            0,
+        )
+        by_place = sasp.MemberData(6, 8002, IPv4Address("127.0.0.9"), b"another name")
+        self.assertEqual(
+            await balancer.register(b"g", member("s-1"), by_place, member("nobody")), sasp.SUCCESSFUL
+        )
         rows = await balancer.weights(b"g")
         self.assertEqual({name: w.weight for name, w in rows.items()},
-                         {b"s-1": TOP, b"another name": TOP, b"nobody": 0})  # fmt: skip
+                         {b"s-1": MAX_WEIGHT, b"another name": MAX_WEIGHT, b"nobody": 0})  # fmt: skip
         await self.discovery.state("s-1", "Terminating")
         while b"s-1" not in (told := weights_of(await asyncio.wait_for(balancer.pushed.get(), WAIT))):
             pass
-        self.assertEqual((told[b"s-1"].weight, told[b"s-1"].flags & sasp.QUIESCED), (0, sasp.QUIESCED))
+        self.assertEqual(
+            (told[b"s-1"].weight, told[b"s-1"].flags & sasp.QUIESCE_FLAG), (0, sasp.QUIESCE_FLAG)
+        )
         self.assertEqual(set(told), {b"s-1"})
 
     async def test_a_fresh_worker_is_told_in_its_small_part(self) -> None:
@@ -115,8 +124,8 @@
         balancer = await self.balancer(await self.port(manager, "sasp"))
         await balancer.register(b"g", member("s-1"), member("s-9"))
         rows = await balancer.weights(b"g")
-        self.assertEqual(rows[b"s-1"].weight, TOP)
-        self.assertTrue(0 < rows[b"s-9"].weight < 0.4 * TOP, rows)
+        self.assertEqual(rows[b"s-1"].weight, MAX_WEIGHT)
+        self.assertTrue(0 < rows[b"s-9"].weight < 0.4 * MAX_WEIGHT, rows)
 
     async def test_dfp_managers_are_told_under_a_secret(self) -> None:
         with TemporaryDirectory() as folder:
@@ -129,10 +138,10 @@
         for port, key in zip(ports, ((7, b"month's end"), None), strict=True):
             await self.discovery.state("s-2", "Ready")
             heard = await dfp_loads(port, 2, key)
-            self.assertIn(dfp.BIND_REPORT, {m.kind for m in heard})
-            loads = [m for m in heard if m.kind == dfp.PREFERENCE][-1].loads
+            self.assertIn(dfp.BIND_ID_REPORT, {m.message_type for m in heard})
+            loads = [m for m in heard if m.message_type == dfp.PREFERENCE_INFORMATION][-1].loads
             weights = {(str(h.address), load.port): h.weight for load in loads for h in load.hosts}
-            self.assertEqual(weights, {("127.0.0.9", 8000 + n): TOP for n in range(1, 5)})
+            self.assertEqual(weights, {("127.0.0.9", 8000 + n): MAX_WEIGHT for n in range(1, 5)})
         with self.assertRaises(ConnectionError):
             await dfp_loads(ports[0], 1, (7, b"wrong"))
         await manager.logged("advice client ended", "digest")
@@ -142,9 +151,9 @@
         port = await self.port(manager, "sasp")
         good = await self.balancer(port)
         await good.register(b"g", member("s-1"))
-        data = sasp.write(sasp.Message(sasp.SET_BALANCER, 1, uid=b"lb-1"))
+        data = sasp.encode_message(sasp.Message(sasp.SET_LB_STATE_REQUEST, 1, lb_uid=b"lb-1"))
         bad = [data[:4] + b"\x09" + data[5:], data[:13] + b"\x99" + data[14:]]
-        bad += [b"GET / HTTP/1.1\r\n\r\n", sasp.write(sasp.Message(sasp.SEND_WEIGHTS, 1))]
+        bad += [b"GET / HTTP/1.1\r\n\r\n", sasp.encode_message(sasp.Message(sasp.SEND_WEIGHTS, 1))]
         for said in bad:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(said)
@@ -157,7 +166,7 @@
             silent += await asyncio.gather(*batch, return_exceptions=True)
         pairs = [pair for pair in silent if isinstance(pair, tuple)]
         self.assertGreater(len(pairs), 3900)
-        self.assertEqual((await good.weights(b"g"))[b"s-1"].weight, TOP)
+        self.assertEqual((await good.weights(b"g"))[b"s-1"].weight, MAX_WEIGHT)
         for reader, _ in pairs:
             await self.ended(reader)
         for _, writer in pairs:
@@ -181,15 +190,17 @@
         port = await self.port(manager, "sasp")
         reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1024)
         rows = tuple(member(f"x-{n}", n) for n in range(10_000))
-        group = sasp.Group(b"lb-1", b"g")
-        asked = sasp.Message(sasp.REGISTER, 1, flags=1, groups=(sasp.Grouped(group, rows),))
-        writer.write(sasp.write(asked))
+        group = sasp.GroupData(b"lb-1", b"g")
+        asked = sasp.Message(
+            sasp.REGISTRATION_REQUEST, 1, flags=1, groups=(sasp.GroupOfEntries(group, rows),)
+        )
+        writer.write(sasp.encode_message(asked))
         for _ in range(60):
-            writer.write(sasp.write(sasp.Message(sasp.GET_WEIGHTS, 2, groups=(group,))))
+            writer.write(sasp.encode_message(sasp.Message(sasp.GET_WEIGHTS_REQUEST, 2, groups=(group,))))
         await manager.logged("advice client ended", "unread")
         writer.transport.abort()
         other = await self.balancer(port)
-        self.assertEqual(await other.register(b"g", member("s-1")), sasp.OK)
+        self.assertEqual(await other.register(b"g", member("s-1")), sasp.SUCCESSFUL)
 
     async def test_tls_with_certificates_of_both_sides(self) -> None:
         with TemporaryDirectory() as name:
@@ -204,7 +215,7 @@
             context = ssl.create_default_context(cafile=str(folder / "ca.pem"))
             context.load_cert_chain(folder / "client.pem", folder / "client.key")
             balancer = await self.balancer(port, ssl=context, server_hostname="localhost")
-            self.assertEqual(await balancer.register(b"g", member("s-1")), sasp.OK)
+            self.assertEqual(await balancer.register(b"g", member("s-1")), sasp.SUCCESSFUL)
             bare = ssl.create_default_context(cafile=str(folder / "ca.pem"))
             stranger = await self.balancer(port, b"lb-2", ssl=bare, server_hostname="localhost")
             with self.assertRaises((ConnectionError, ssl.SSLError)):
@@ -237,7 +248,7 @@
 
 
 class Following(Rig):
-    async def advisor(self, words: Callable[[sasp.Member], int]) -> tuple[SaspAdvisor, dict[str, Any]]:
+    async def advisor(self, words: Callable[[sasp.MemberData], int]) -> tuple[SaspAdvisor, dict[str, Any]]:
         advisor = SaspAdvisor(words)
         at = await advisor.start()
         self.addAsyncCleanup(advisor.close)
@@ -257,7 +268,7 @@
         advisor.mode = "stall"
         begun = time.monotonic()
         await self.rows(proxy, table, lambda: self.ratio(table) < 1.15)
-        self.assertLess(time.monotonic() - begun, ad.FADED + 12.0)
+        self.assertLess(time.monotonic() - begun, ad.MAX_AGE + 12.0)
         self.assertEqual(set(table), {"s-1", "s-2", "s-3", "s-4"})
 
     async def test_a_drain_stands_and_members_follow_the_list(self) -> None:
@@ -299,10 +310,10 @@
         """The same worker under two BindIDs, a host that is nobody's, and one by all its ports."""
         at = IPv4Address("127.0.0.9")
         hosts = {
-            8001: (dfp.Host(at, 0, 100), dfp.Host(at, 3, 90)),
-            8002: (dfp.Host(at, 0, 100),),
-            8003: (dfp.Host(at, 0, 10), dfp.Host(IPv4Address("127.0.0.77"), 0, 50)),
-            8004: (dfp.Host(at, 0, 100), dfp.Host(at, 1, 10)),
+            8001: (dfp.HostPreference(at, 0, 100), dfp.HostPreference(at, 3, 90)),
+            8002: (dfp.HostPreference(at, 0, 100),),
+            8003: (dfp.HostPreference(at, 0, 10), dfp.HostPreference(IPv4Address("127.0.0.77"), 0, 50)),
+            8004: (dfp.HostPreference(at, 0, 100), dfp.HostPreference(at, 1, 10)),
         }
         agent = DfpAdvisor(lambda: hosts)
         follow = {"protocol": "dfp", "at": await agent.start()}
@@ -330,7 +341,9 @@
         shown = await self.run_cli("show", places["sasp"], "--member", "s-1@127.0.0.9:80", "--member",
                                    "127.0.0.9:8002", "--json")  # fmt: skip
         self.assertEqual(shown[0], 0, shown[1])
-        self.assertEqual([(r["label"], r["weight"]) for r in json.loads(shown[1])], [("s-1", TOP), ("", TOP)])
+        self.assertEqual(
+            [(r["label"], r["weight"]) for r in json.loads(shown[1])], [("s-1", MAX_WEIGHT), ("", MAX_WEIGHT)]
+        )
         status, text = await self.run_cli("show", places["dfp"], "--protocol", "dfp")
         self.assertEqual((status, text.count("127.0.0.9:800")), (0, 4), text)
         for protocol, where in places.items():
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -24,7 +24,7 @@
             ("epochs", "higher"), ("versions", "revived"), ("keys", "twice"), ("hand_over", "ignorant"),
         ):  # fmt: skip
             with self.subTest(guard):
-                found = checker.explore(2, 11, replace(f.ALL, **{guard: False}))
+                found = checker.explore(2, 11, replace(f.ALL_GUARDS, **{guard: False}))
                 self.assertEqual(found.fault, fault)
                 self.assertEqual(len(found.trace), found.depth)
 
@@ -32,26 +32,26 @@
     @given(st.lists(st.integers(0, 10_000), min_size=60, max_size=60))
     def test_long_walks(self, choices: list[int]) -> None:
         """Three managers, claims without end, far past what can be explored."""
-        state = checker.start(3)
+        state = checker.initial_state(3)
         for choice in choices:
-            after = list(checker.steps(state, f.ALL, 50))
+            after = list(checker.successors(state, f.ALL_GUARDS, 50))
             word, state = after[choice % len(after)]
             self.assertEqual(state.fault, "", word)
 
     def test_a_manager_that_slept_orders_nothing_until_it_has_claimed(self) -> None:
-        view, claim = f.claim(f.View(0))
-        held, grant, _ = f.take(f.Held(), claim)
+        view, claim = f.request_lease(f.ManagerLease(0))
+        held, grant, _ = f.apply_message(f.ForwarderLease(), claim)
         assert grant is not None
-        view = f.learned(f.heard(view, grant), 3, 1, True)
-        self.assertEqual(f.orders(view), (f.Withdraw((1, 0), 3, 1),))
-        view = f.woke(view, 60.0)
-        self.assertEqual(f.orders(view), ())
-        heir, claim = f.claim(f.heard(f.View(1), f.Refusal(f.NONE, (1, 0))))
-        held, _, _ = f.take(f.take(held, f.Withdraw((1, 0), 3, 1))[0], claim)
-        _, refusal, done = f.take(held, f.LetIn((1, 0), 3, 9))
-        self.assertEqual((refusal, done), (f.Refusal((1, 0), (2, 1)), False))
+        view = f.apply_list_update(f.receive_reply(view, grant), 3, 1, True)
+        self.assertEqual(f.orders_to_send(view), (f.ExcludeWorker((1, 0), 3, 1),))
+        view = f.resume_after_pause(view, 60.0)
+        self.assertEqual(f.orders_to_send(view), ())
+        heir, claim = f.request_lease(f.receive_reply(f.ManagerLease(1), f.LeaseRejected(f.NO_EPOCH, (1, 0))))
+        held, _, _ = f.apply_message(f.apply_message(held, f.ExcludeWorker((1, 0), 3, 1))[0], claim)
+        _, refusal, done = f.apply_message(held, f.ReadmitWorker((1, 0), 3, 9))
+        self.assertEqual((refusal, done), (f.LeaseRejected((1, 0), (2, 1)), False))
         assert refusal is not None
-        self.assertEqual(f.claim(f.heard(view, refusal))[1].epoch, (3, 0))
+        self.assertEqual(f.request_lease(f.receive_reply(view, refusal))[1].epoch, (3, 0))
 
 
 if __name__ == "__main__":
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -55,13 +55,13 @@
         self.addCleanup(self.folder.cleanup)
         self.store = self.open()
 
-    def open(self) -> store.Store:
-        opened = store.Store(self.folder.name)
+    def open(self) -> store.SnapshotStore:
+        opened = store.SnapshotStore(self.folder.name)
         opened.open()
         self.addCleanup(opened.close)
         return opened
 
-    def again(self) -> store.Store:
+    def again(self) -> store.SnapshotStore:
         self.store.close()
         self.store = self.open()
         return self.store
@@ -75,65 +75,65 @@
         for n in range(6):
             self.store.write({"manager": n}, 1000.0 + n)
         self.assertEqual(self.store.numbers(), [6, 5, 4])
-        data = self.store.path(6).read_bytes()
-        self.store.path(6).write_bytes(data[:-1])
-        found = self.again().newest()
+        data = self.store.path_of(6).read_bytes()
+        self.store.path_of(6).write_bytes(data[:-1])
+        found = self.again().read_newest()
         assert found is not None
-        self.assertEqual((found.number, found.written, found.sections), (5, 1004.0, {"manager": 4}))
-        self.assertIn("state-6.clm", self.store.faults[0])
+        self.assertEqual((found.number, found.written_at, found.sections), (5, 1004.0, {"manager": 4}))
+        self.assertIn("state-6.clm", self.store.quarantine_messages[0])
         self.assertEqual(sum(".aside-" in name for name in self.names()), 1)  # not overwritten, set aside
         self.store.write({"manager": 9}, 2000.0)
         self.assertEqual(self.store.numbers()[0], 7)
 
     def test_cut_at_every_byte(self) -> None:
-        data = store.pack(BODY, 5.0)
-        self.assertEqual(store.unpack(data), (5.0, BODY))
+        data = store.encode_file(BODY, 5.0)
+        self.assertEqual(store.decode_file(data), (5.0, BODY))
         for n in range(len(data)):
-            with self.assertRaises(store.StoreError):
-                store.unpack(data[:n])
+            with self.assertRaises(store.SnapshotError):
+                store.decode_file(data[:n])
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.data())
     def test_flipped_bytes_never_pass(self, data: st.DataObject) -> None:
-        good = bytearray(store.pack(BODY, 5.0))
+        good = bytearray(store.encode_file(BODY, 5.0))
         for at in data.draw(st.sets(st.integers(0, len(good) - 1), min_size=1, max_size=4)):
             good[at] ^= data.draw(st.integers(1, 255))
-        with self.assertRaises(store.StoreError):
-            store.unpack(bytes(good))
+        with self.assertRaises(store.SnapshotError):
+            store.decode_file(bytes(good))
 
     def test_older_newer_and_alien_ones(self) -> None:
-        older = store.pack({"manager": {"mark": 7}}, 5.0, form=1)
-        self.assertEqual(store.unpack(older)[1], BODY)  # by the table of migrations
+        older = store.encode_file({"manager": {"mark": 7}}, 5.0, format_version=1)
+        self.assertEqual(store.decode_file(older)[1], BODY)  # by the table of migrations
         for data, why in (
-            (store.pack(BODY, 5.0, form=9), "newer format, 9"),
-            (store.pack(BODY, 5.0, form=0), "unknown format"),
+            (store.encode_file(BODY, 5.0, format_version=9), "newer format, 9"),
+            (store.encode_file(BODY, 5.0, format_version=0), "unknown format"),
             (b"", "cut short"),
             (b"x" * 200, "not a memory file"),
         ):
-            with self.subTest(why), self.assertRaisesRegex(store.StoreError, why):
-                store.unpack(data)
+            with self.subTest(why), self.assertRaisesRegex(store.SnapshotError, why):
+                store.decode_file(data)
 
     def test_a_folder_in_a_file_s_place_and_an_owner_elsewhere(self) -> None:
         self.store.write(BODY, 5.0)
-        self.store.path(9).mkdir()
-        found = self.again().newest()
+        self.store.path_of(9).mkdir()
+        found = self.again().read_newest()
         assert found is not None
         self.assertEqual(found.number, 1)
-        with self.assertRaisesRegex(store.StoreError, "another process owns it"):
-            store.Store(self.folder.name).open()
+        with self.assertRaisesRegex(store.SnapshotError, "another process owns it"):
+            store.SnapshotStore(self.folder.name).open()
         blocked = Path(self.folder.name) / "file"
         blocked.write_text("")
-        with self.assertRaises(store.StoreError):
-            store.Store(str(blocked)).open()
+        with self.assertRaises(store.SnapshotError):
+            store.SnapshotStore(str(blocked)).open()
 
     def test_a_full_disk_and_errors_of_sync_lose_nothing(self) -> None:
         self.store.write(BODY, 5.0)
         for name in ("fsync", "rename"):
             with mock.patch(f"os.{name}", side_effect=OSError(errno.ENOSPC, "No space left on device")):
-                with self.assertRaisesRegex(store.StoreError, "No space left"):
+                with self.assertRaisesRegex(store.SnapshotError, "No space left"):
                     self.store.write({"manager": 2}, 6.0)
             self.assertEqual([n for n in self.names() if n.endswith(".new")], [])
-            found = self.again().newest()
+            found = self.again().read_newest()
             assert found is not None
             self.assertEqual(found.sections, BODY)
         self.store.write({"manager": 3}, 7.0)
@@ -156,19 +156,26 @@
         self.assertLessEqual(counts["leftovers"], 1)
 
     def test_sections_that_can_not_be_used_are_left_out(self) -> None:
-        kept = store.pack(
-            {"forwarder": sections.packed("forwarder", sections.ForwarderSnapshot({}, ["s-1"], {}, {}))}, 1
+        kept = store.encode_file(
+            {
+                "forwarder": sections.encode_section(
+                    "forwarder", sections.ForwarderSnapshot({}, ["s-1"], {}, {})
+                )
+            },
+            1,
         )
-        good = store.unpack(kept)[1]["forwarder"]
-        life, why = sections.unpacked("forwarder", {"forwarder": good}, sections.ForwarderSnapshot)
-        self.assertEqual((life and life.out, why), (["s-1"], ""))
+        good = store.decode_file(kept)[1]["forwarder"]
+        life, why = sections.decode_section("forwarder", {"forwarder": good}, sections.ForwarderSnapshot)
+        self.assertEqual((life and life.excluded, why), (["s-1"], ""))
         for section, said in (
             ({"v": 9, "data": {}}, "newer version"),
             ({"v": 1, "data": {"out": 3}}, "section forwarder"),
             ({"v": 0, "data": {}}, "section forwarder"),
             ([], "no version"),
         ):
-            life, why = sections.unpacked("forwarder", {"forwarder": section}, sections.ForwarderSnapshot)
+            life, why = sections.decode_section(
+                "forwarder", {"forwarder": section}, sections.ForwarderSnapshot
+            )
             self.assertIsNone(life)
             self.assertIn(said, why)
 
@@ -191,7 +198,7 @@
         self.assertEqual([w[0] for w in exported["sections"]["manager"]["data"]["workers"]], ["s-2"])
         self.assertEqual(exported["written"], 1001.0)  # no fresher than it was
         self.assertEqual(run("forget", self.folder.name, "--worker", "s-9")[0], 1)
-        self.store.path(3).write_bytes(b"x")
+        self.store.path_of(3).write_bytes(b"x")
         self.assertEqual(run("verify", self.folder.name)[0], 1)
         self.assertEqual(run("compact", self.folder.name)[0], 0)
         self.assertEqual(self.again().numbers(), [2])
@@ -205,26 +212,26 @@
     def test_each_figure_by_its_kind(self) -> None:
         life = RestoredState(9, (past(0, out=True), past(1), past(2), past(3, leaving=True)), ((4, 2.5),))
         for age, out, rates in ((1.0, True, 1), (60.0, False, 1), (7200.0, False, 0), (math.inf, False, 0)):
-            aged = ageing.aged(life, age)
+            aged = ageing.discount(life, age)
             self.assertEqual(
                 (aged.workers[0].was_ejected, len(aged.proxy_rates), aged.last_checkpoint), (out, rates, 9)
             )
             self.assertEqual(
                 [p.was_draining for p in aged.workers], [False, False, False, True]
             )  # drains stand
-        self.assertAlmostEqual(ageing.aged(life, 30.0).workers[1].latency_factor, 0.6)
-        self.assertEqual(ageing.aged(life, math.inf).workers[1].latency_factor, 1.0)
-        self.assertEqual(ageing.aged(life, 8 * 86_400.0).workers[1].base_latency_s, 0.0)
+        self.assertAlmostEqual(ageing.discount(life, 30.0).workers[1].latency_factor, 0.6)
+        self.assertEqual(ageing.discount(life, math.inf).workers[1].latency_factor, 1.0)
+        self.assertEqual(ageing.discount(life, 8 * 86_400.0).workers[1].base_latency_s, 0.0)
 
     def test_a_file_that_suspects_everybody_suspects_nobody(self) -> None:
         pasts = tuple(past(n, out=n < 4) for n in range(8))
-        self.assertEqual(ageing.suspicions(pasts, 1.0), set())
-        self.assertEqual(ageing.suspicions(pasts[2:], 1.0), {2, 3})
+        self.assertEqual(ageing.valid_suspicions(pasts, 1.0), set())
+        self.assertEqual(ageing.valid_suspicions(pasts[2:], 1.0), {2, 3})
 
     def test_clocks_that_were_stepped(self) -> None:
-        self.assertEqual(ageing.age_of(1000.0, 999.0), 0.0)
-        self.assertEqual(ageing.age_of(86_400.0, 0.0), math.inf)
-        self.assertEqual(ageing.age_of(0.0, 86_400.0), 86_400.0)
+        self.assertEqual(ageing.snapshot_age(1000.0, 999.0), 0.0)
+        self.assertEqual(ageing.snapshot_age(86_400.0, 0.0), math.inf)
+        self.assertEqual(ageing.snapshot_age(0.0, 86_400.0), 86_400.0)
 
     def ladder(self, *pasts: WorkerHistory, started: float = 0.0) -> RoutingController:
         ladder = RoutingController(me.TERMS)
@@ -281,47 +288,49 @@
         """Each slice takes its cost and is a whole run."""
         now, ran = 0.0, Counter[str]()
         while now < until:
-            name = self.turns.next(now, late)
+            name = self.turns.next_task(now, late)
             if name is None:
-                now += self.turns.wait(now)
+                now += self.turns.time_until_next(now)
                 continue
-            self.turns.begun(name, now)
+            self.turns.slice_started(name, now)
             now += cost[name]
-            self.turns.sliced(name, now, cost[name], True, False, 0.0)
+            self.turns.slice_finished(name, now, cost[name], True, False, 0.0)
             ran[name] += 1
         return ran
 
     def test_budgets_and_priorities(self) -> None:
-        self.turns.add(0.0, turns.TaskPlan("first", 0.1, priority=1, cpu=0.1, jitter=0.0), 0.0)
-        self.turns.add(0.0, turns.TaskPlan("greedy", 0.01, priority=2, cpu=0.05, jitter=0.0), 0.0)
+        self.turns.add(0.0, turns.TaskPlan("first", 0.1, priority=1, cpu_fraction=0.1, jitter_ratio=0.0), 0.0)
+        self.turns.add(
+            0.0, turns.TaskPlan("greedy", 0.01, priority=2, cpu_fraction=0.05, jitter_ratio=0.0), 0.0
+        )
         ran = self.run_for(20.0, {"first": 0.002, "greedy": 0.004})
         self.assertGreater(ran["first"], 180)
         self.assertLessEqual(ran["greedy"] * 0.004, 20.0 * 0.05 + 0.05 + 0.004)
 
     def test_late_decisions_hold_everything_but_the_starved(self) -> None:
-        self.turns.add(0.0, turns.TaskPlan("one", 1.0, jitter=0.0), 0.0)
+        self.turns.add(0.0, turns.TaskPlan("one", 1.0, jitter_ratio=0.0), 0.0)
         ran = self.run_for(20.0, {"one": 0.001}, late=True)
         self.assertTrue(2 <= ran["one"] <= 4, ran)  # each five periods
 
     def test_a_hundred_due_at_once_all_run_by_priority(self) -> None:
         for n in range(100):
-            self.turns.add(0.0, turns.TaskPlan(f"t-{n}", 10.0, priority=n % 3, jitter=0.0), 0.0)
+            self.turns.add(0.0, turns.TaskPlan(f"t-{n}", 10.0, priority=n % 3, jitter_ratio=0.0), 0.0)
         order = []
         now = 0.0
-        while (name := self.turns.next(now, False)) is not None:
-            order.append(self.turns.turns[name].plan.priority)
-            self.turns.sliced(name, now, 0.001, True, False, 0.0)
+        while (name := self.turns.next_task(now, False)) is not None:
+            order.append(self.turns.tasks[name].plan.priority)
+            self.turns.slice_finished(name, now, 0.001, True, False, 0.0)
         self.assertEqual((len(order), order), (100, sorted(order)))
 
     def test_failing_tasks_back_off(self) -> None:
-        self.turns.add(0.0, turns.TaskPlan("bad", 1.0, jitter=0.0), 0.0)
+        self.turns.add(0.0, turns.TaskPlan("bad", 1.0, jitter_ratio=0.0), 0.0)
         now, runs = 0.0, 0
         while now < 500.0:
-            if (name := self.turns.next(now, False)) is None:
-                now += self.turns.wait(now)
+            if (name := self.turns.next_task(now, False)) is None:
+                now += self.turns.time_until_next(now)
                 continue
             runs += 1
-            self.turns.sliced(name, now, 0.001, False, True, 0.0)
+            self.turns.slice_finished(name, now, 0.001, False, True, 0.0)
         self.assertLess(runs, 16)
 
 
@@ -355,7 +364,7 @@
 
         t = tasks.BackgroundScheduler(lambda: 0.0)
         for name, work in (("good", good), ("bad", bad), ("hog", hog), ("waits", waits)):
-            t.add(turns.TaskPlan(name, 0.02, cpu=0.2), work)
+            t.add(turns.TaskPlan(name, 0.02, cpu_fraction=0.2), work)
         t.start()
         await asyncio.sleep(1.2)
         await t.close(("good",))
@@ -409,9 +418,9 @@
         end = time.monotonic() + 20.0
         while True:
             try:
-                if max(store.Store(str(self.folder / "m")).numbers(), default=0) >= number:
+                if max(store.SnapshotStore(str(self.folder / "m")).numbers(), default=0) >= number:
                     return
-            except store.StoreError:
+            except store.SnapshotError:
                 pass  # no such folder, yet
             self.assertLess(time.monotonic(), end)
             await asyncio.sleep(0.05)
@@ -448,14 +457,14 @@
             (lambda: folder.mkdir(), "memory empty"),
             (lambda: (folder / "state-3.clm").write_bytes(b"what"), "state-3.clm: cut short"),
             (lambda: (folder / "state-9.clm").mkdir(), "state-9.clm"),
-            (lambda: (folder / "state-12.clm").write_bytes(store.pack(BODY, 1.0, 9)), "newer format"),
+            (lambda: (folder / "state-12.clm").write_bytes(store.encode_file(BODY, 1.0, 9)), "newer format"),
         ):
             prepare()
             manager = await self.manager()
             await manager.logged("memory", why)
             self.assertIn("s-0", await self.table(manager))
             self.assertEqual(await manager.stop(), 0)
-        owner = store.Store(str(folder))
+        owner = store.SnapshotStore(str(folder))
         owner.open()
         self.addCleanup(owner.close)
         manager = await self.manager()
