--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -32,11 +32,13 @@
         self.now, self.most_lines, self.closed = 0.0, 0, 0
         self.took: Counter[int] = Counter()  # by worker, in the last step
         for f, zone in zones.items():
-            self.moves.joined(f, zone)
+            self.moves.add_forwarder(f, zone)
 
     def tell(self, forwarder: int | None = None) -> None:
         for f in self.zones if forwarder is None else [forwarder]:
-            self.moves.held(f, True, {be: mv.HeldConnectionCounts(n) for be, n in self.held[f].items() if n})
+            self.moves.update_connections(
+                f, True, {be: mv.HeldConnectionCounts(n) for be, n in self.held[f].items() if n}
+            )
 
     def total(self, be: int) -> int:
         return sum(held[be] for held in self.held.values())
@@ -44,21 +46,21 @@
     def step(self, lose: bool = False, carry: bool = True) -> list[mv.MigrationOrder]:
         self.tell()
         orders = self.moves.plan(self.now, self.standing)
-        self.most_lines = max(self.most_lines, self.moves.lines(orders))
+        self.most_lines = max(self.most_lines, self.moves.channel_lines(orders))
         self.took = Counter()
         for order in orders:
             if isinstance(order, mv.MigrateConnections) and carry and not lose:
                 held = self.held[order.forwarder]
                 assert 0 < order.count <= held[order.source], order
-                assert sum(n for _, n in order.to) <= order.count
+                assert sum(n for _, n in order.destinations) <= order.count
                 held[order.source] -= order.count
-                for be, n in order.to:
+                for be, n in order.destinations:
                     assert self.standing[be].draining_since < 0, "a move to a worker that leaves"
                     held[be] += n
                     self.took[be] += n
-                self.closed += order.count - sum(n for _, n in order.to)
-                self.moves.moved(order.forwarder, order.number)
-        self.now += mv.PLAN_EVERY
+                self.closed += order.count - sum(n for _, n in order.destinations)
+                self.moves.complete_migration(order.forwarder, order.number)
+        self.now += mv.PLAN_INTERVAL
         return orders
 
     def room(self, be: int) -> float:
@@ -66,7 +68,9 @@
         live = {b: s for b, s in self.standing.items() if s.draining_since < 0 and s.capacity > 0}
         level = sum(self.total(b) for b in self.standing) / sum(s.capacity for s in live.values())
         s = self.standing[be]
-        return min(self.terms.most, (1 + mv.ROOM_SLACK) * level * s.capacity + (not s.warming_up))
+        return min(
+            self.terms.max_connections, (1 + mv.CAPACITY_SLACK) * level * s.capacity + (not s.warming_up)
+        )
 
 
 class MovesTest(unittest.TestCase):
@@ -81,19 +85,21 @@
             for be in (1, 2, 3, 4):
                 self.assertLessEqual(fleet.total(be), fleet.room(be))
                 pace[be] = max(pace[be], fleet.took[be])
-            self.assertLess(fleet.now, TERMS.grace * (1 - mv.MARGIN) + 1.0)
+            self.assertLess(fleet.now, TERMS.grace_s * (1 - mv.GRACE_MARGIN) + 1.0)
         self.assertEqual(fleet.closed, 0)
-        self.assertGreater(fleet.now, TERMS.grace / 2)  # the rush is spread
+        self.assertGreater(fleet.now, TERMS.grace_s / 2)  # the rush is spread
         for be, most in ((1, 1.0), (4, 0.1)):
-            self.assertLessEqual(pace[be], max(1, TERMS.arrivals * most))  # a bucket of one second
-        self.assertLessEqual(fleet.most_lines, TERMS.lines_per_s * mv.PLAN_EVERY * mv.LINES_PART + 20)
+            self.assertLessEqual(pace[be], max(1, TERMS.arrivals_per_s * most))  # a bucket of one second
+        self.assertLessEqual(
+            fleet.most_lines, TERMS.channel_lines_per_s * mv.PLAN_INTERVAL * mv.CHANNEL_FRACTION + 20
+        )
 
     def test_own_zone_first_and_others_where_it_is_full(self) -> None:
         standing = {0: stands(0, since=0.0), 1: stands(0), 2: stands(1)}
         fleet = Fleet(TERMS, standing, {0: 0})
         fleet.held[0].update({0: 40, 1: 10, 2: 10})
         first = [order for order in fleet.step() if isinstance(order, mv.MigrateConnections)]
-        self.assertEqual([[be for be, _ in order.to] for order in first], [[1]])
+        self.assertEqual([[be for be, _ in order.destinations] for order in first], [[1]])
         while fleet.total(0):
             fleet.step()
         self.assertGreater(fleet.total(2), 10)
@@ -131,7 +137,7 @@
         fleet.held[0].update({0: 100})
         while fleet.total(0):
             fleet.step()
-        self.assertLessEqual(fleet.now, TERMS.grace)
+        self.assertLessEqual(fleet.now, TERMS.grace_s)
 
     def test_a_destination_that_dies_is_planned_anew(self) -> None:
         standing = {0: stands(since=0.0), 1: stands(), 2: stands()}
@@ -139,7 +145,7 @@
         fleet.held[0].update({0: 60})
         ordered = [o for o in fleet.step(carry=False) if isinstance(o, mv.MigrateConnections)]
         for order in ordered:
-            fleet.moves.moved(0, order.number)  # answered: failed
+            fleet.moves.complete_migration(0, order.number)  # answered: failed
         standing[1] = stands(since=fleet.now)
         for _ in range(60):
             fleet.step()
@@ -154,7 +160,7 @@
         self.assertLessEqual(sum(o.count for o in quiet if isinstance(o, mv.MigrateConnections)), 1)
         while fleet.total(0):
             fleet.step()
-            self.assertLess(fleet.now, TERMS.grace)
+            self.assertLess(fleet.now, TERMS.grace_s)
 
     def test_many_small_holders_fit_the_channel(self) -> None:
         """A thousand connections over 400 forwarders: a head each slice would fill the channel."""
@@ -164,30 +170,34 @@
             held.update({0: 2 + (held is fleet.held[0])})
         while fleet.total(0):
             fleet.step()
-            self.assertLessEqual(fleet.most_lines, TERMS.lines_per_s * mv.PLAN_EVERY * mv.LINES_PART + 20)
-            self.assertLess(fleet.now, TERMS.grace)
+            self.assertLessEqual(
+                fleet.most_lines, TERMS.channel_lines_per_s * mv.PLAN_INTERVAL * mv.CHANNEL_FRACTION + 20
+            )
+            self.assertLess(fleet.now, TERMS.grace_s)
 
     def test_a_forwarder_that_left_is_forgotten_and_one_that_comes_back_begins_anew(self) -> None:
         fleet = Fleet(TERMS, {0: stands(since=0.0), 1: stands()}, {0: 0, 1: 0})
         fleet.held[0].update({0: 10})
         fleet.step(carry=False)
-        fleet.moves.left(0)
-        self.assertEqual(fleet.moves.totals(), {})
-        fleet.moves.held(0, False, {0: mv.HeldConnectionCounts(5)})  # a word that was on its way
-        self.assertEqual(fleet.moves.totals(), {})
-        fleet.moves.joined(0, 0)
+        fleet.moves.remove_forwarder(0)
+        self.assertEqual(fleet.moves.connections_by_worker(), {})
+        fleet.moves.update_connections(
+            0, False, {0: mv.HeldConnectionCounts(5)}
+        )  # a word that was on its way
+        self.assertEqual(fleet.moves.connections_by_worker(), {})
+        fleet.moves.add_forwarder(0, 0)
         self.assertTrue(
             [o for o in fleet.step(carry=False) if isinstance(o, mv.MigrateConnections) and o.forwarder == 0]
         )
 
     def test_parts_of_the_arrivals_are_told_where_they_changed(self) -> None:
         fleet = Fleet(TERMS, {0: stands()}, {f: 0 for f in range(4)})
-        told = {o.forwarder: o.part for o in fleet.step() if isinstance(o, mv.AdmitForwarder)}
+        told = {o.forwarder: o.arrival_fraction for o in fleet.step() if isinstance(o, mv.AdmitForwarder)}
         self.assertEqual(told, dict.fromkeys(range(4), 0.25))
         self.assertEqual(fleet.step(), [])
-        fleet.moves.left(3)
+        fleet.moves.remove_forwarder(3)
         told = {
-            o.forwarder: o.part
+            o.forwarder: o.arrival_fraction
             for o in fleet.moves.plan(9.0, fleet.standing)
             if isinstance(o, mv.AdmitForwarder)
         }
@@ -195,13 +205,15 @@
 
     def test_rows_replace_and_vanish(self) -> None:
         moves = mv.MigrationPlanner(TERMS)
-        moves.joined(7, 0)
-        moves.held(7, True, {1: mv.HeldConnectionCounts(5, 1, 2), 2: mv.HeldConnectionCounts(3)})
-        moves.held(7, False, {1: mv.HeldConnectionCounts(4), 2: mv.HeldConnectionCounts(0)})
-        self.assertEqual(moves.totals(), {1: mv.HeldConnectionCounts(4)})
-        self.assertEqual(moves.loads(), {1: 0.2})
-        moves.held(7, True, {})
-        self.assertEqual(moves.totals(), {})
+        moves.add_forwarder(7, 0)
+        moves.update_connections(
+            7, True, {1: mv.HeldConnectionCounts(5, 1, 2), 2: mv.HeldConnectionCounts(3)}
+        )
+        moves.update_connections(7, False, {1: mv.HeldConnectionCounts(4), 2: mv.HeldConnectionCounts(0)})
+        self.assertEqual(moves.connections_by_worker(), {1: mv.HeldConnectionCounts(4)})
+        self.assertEqual(moves.load_by_worker(), {1: 0.2})
+        moves.update_connections(7, True, {})
+        self.assertEqual(moves.connections_by_worker(), {})
 
     @settings(max_examples=60, derandomize=True, deadline=None)
     @given(
@@ -234,7 +246,7 @@
             be: data.draw(st.sampled_from([0.0, 3.0, 8.0])) for be in list(standing)[:-1] if be % 3 == 0
         }
         before = sum(fleet.total(be) for be in standing)
-        while fleet.now < 8.0 + TERMS.grace:
+        while fleet.now < 8.0 + TERMS.grace_s:
             for be, at in leaves.items():
                 if at <= fleet.now and standing[be].draining_since < 0:
                     standing[be] = stands(be % 2, since=fleet.now)
@@ -246,7 +258,9 @@
                 self.assertLessEqual(fleet.total(be), room)
         self.assertEqual(sum(fleet.total(be) for be in leaves), 0)
         self.assertEqual(sum(fleet.total(be) for be in standing) + fleet.closed, before)
-        self.assertLessEqual(fleet.most_lines, TERMS.lines_per_s * mv.PLAN_EVERY * mv.LINES_PART + 20)
+        self.assertLessEqual(
+            fleet.most_lines, TERMS.channel_lines_per_s * mv.PLAN_INTERVAL * mv.CHANNEL_FRACTION + 20
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -86,7 +86,7 @@
             ({}, ()),
             ({f"H{n}": "v" * 150 for n in range(48)}, ()),
         ):
-            record = chain.req_record("route", "POST", "/release", "release", headers)
+            record = chain.request_record("route", "POST", "/release", "release", headers)
             self.assertEqual(plugin.call("route", record).need, need, headers)
 
     def test_hostile_calls_are_faults_and_the_next_call_is_fresh(self) -> None:
@@ -95,7 +95,7 @@
                 plugin = self.load(text)
                 for _ in range(2):
                     begun = time.perf_counter()
-                    with self.assertRaises(host.Fault) as raised:
+                    with self.assertRaises(host.PluginFault) as raised:
                         plugin.call("route", b"x")
                     self.assertEqual(raised.exception.kind, kind, raised.exception)
                     self.assertLess(time.perf_counter() - begun, 0.1)
@@ -115,7 +115,7 @@
             try:
                 plugin.call("route", b"x")
                 outcome.append(True)
-            except host.Fault:
+            except host.PluginFault:
                 outcome.append(False)
         self.assertEqual(outcome, [True, True, False, True, True, False])
 
@@ -156,21 +156,21 @@
         for n, (text, closed) in enumerate(parts):
             path = self.folder / f"{n}.wat"
             path.write_text(text)
-            rows.append(chain.Wanted(f"p-{n}", str(path), closed))
+            rows.append(chain.PluginSpec(f"p-{n}", str(path), closed))
         self.rows = rows
         return chain.PluginChain(rows)
 
     def test_a_breaker_leaves_a_faulty_one_alone_and_open_or_closed_is_the_operators(self) -> None:
         c = self.chain((HOSTILE["traps"][0], False), (says("need=x"), False))
         for _ in range(40):
-            verdict = c.ask("route", b"")
+            verdict = c.call_hook("route", b"")
             self.assertEqual((verdict.need, verdict.deny), (("x",), None))
-        first, second = c.shown()
+        first, second = c.status()
         self.assertEqual((first["breaker"], second["breaker"]), ("open", "closed"))
-        self.assertLessEqual(int(str(first["calls"])), hooks.FAULTS_MOST)
+        self.assertLessEqual(int(str(first["calls"])), hooks.MAX_FAULTS)
         closed = self.chain((HOSTILE["traps"][0], True))
         for _ in range(10):
-            self.assertEqual(closed.ask("route", b"").deny, "p-0 can't judge")
+            self.assertEqual(closed.call_hook("route", b"").deny, "p-0 can't judge")
 
     def test_one_that_is_slow_just_under_its_limit_is_bounded_by_the_budget(self) -> None:
         slow = """(local $i i32) (loop $l (local.set $i (i32.add (local.get $i) (i32.const 1)))
@@ -178,20 +178,20 @@
         c = self.chain((module(slow), False))
         begun, spent = time.monotonic(), 0.0
         while time.monotonic() - begun < 1.0:
-            c.ask("route", b"")
-        (row,) = c.shown()
+            c.call_hook("route", b"")
+        (row,) = c.status()
         spent = float(str(row["ms"])) / 1000.0
-        self.assertLess(spent, 2.5 * hooks.PART_MOST)  # a bucket of one second's part, and one second
+        self.assertLess(spent, 2.5 * hooks.MAX_CPU_FRACTION)  # a bucket of one second's part, and one second
         self.assertGreater(int(str(row["skipped"])), 0)
 
     def test_a_reload_takes_all_or_nothing(self) -> None:
         c = self.chain((says("need=x"), False))
         (self.folder / "0.wat").write_text(module(version=2))
         self.assertIn("interface 2", c.reload(self.rows))
-        self.assertEqual(c.ask("route", b"").need, ("x",))
+        self.assertEqual(c.call_hook("route", b"").need, ("x",))
         (self.folder / "0.wat").write_text(says("need=y"))
         self.assertEqual(c.reload(self.rows), "")
-        self.assertEqual(c.ask("route", b"").need, ("y",))
+        self.assertEqual(c.call_hook("route", b"").need, ("y",))
 
     def test_the_command_line(self) -> None:
         reqs = self.folder / "reqs.jsonl"
@@ -216,7 +216,7 @@
     @given(st.binary(max_size=300))
     def test_any_bytes_are_an_answer_or_none(self, data: bytes) -> None:
         try:
-            abi.answer(data)
+            abi.parse_answer(data)
         except abi.AnswerError:
             pass
 
@@ -238,20 +238,22 @@
     ) -> None:
         """Only workers of the table; somebody to pick, or a refusal where operators want it; a light line (a
         cold worker's is one) never gets more than its share of the whole table."""
-        choice = hooks.narrowed(lines, labels, hooks.RoutePreference(tuple(need), tuple(prefer)), fall_back)
-        self.assertLessEqual(choice.lines.keys(), lines.keys())
-        self.assertTrue(choice.lines or (not fall_back and choice.let == 0.0))
-        whole, total = sum(lines.values()), sum(choice.lines.values())
-        for be, weight in choice.lines.items():
-            if lines[be] < hooks.LIGHT * max(lines.values()):
-                share = choice.let * weight / total
+        choice = hooks.narrow_candidates(
+            lines, labels, hooks.RoutePreference(tuple(need), tuple(prefer)), fall_back
+        )
+        self.assertLessEqual(choice.weights.keys(), lines.keys())
+        self.assertTrue(choice.weights or (not fall_back and choice.admitted_fraction == 0.0))
+        whole, total = sum(lines.values()), sum(choice.weights.values())
+        for be, weight in choice.weights.items():
+            if lines[be] < hooks.LIGHT_WEIGHT_RATIO * max(lines.values()):
+                share = choice.admitted_fraction * weight / total
                 self.assertLessEqual(share, lines[be] / whole + 1e-9)
 
     def test_breakers_back_off(self) -> None:
-        breaker, opened = hooks.Breaker(), []
+        breaker, opened = hooks.CircuitBreaker(), []
         now = 0.0
         while now < 300.0:
-            if breaker.lets(now) and breaker.bad(now):
+            if breaker.allows(now) and breaker.record_fault(now):
                 opened.append(now)
             now += 0.1
         self.assertLess(len(opened), 10)
