--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -12,7 +12,8 @@
 
 import click
 
-from ..config.settings import WireError, address
+from ..config.errors import InputError
+from ..config.fields import address
 from ..weight_advice import dfp, sasp
 from ..weight_advice.tlv import AdviceError, parse_address
 
@@ -35,7 +36,7 @@
     host, port = address({"member": place}, "member", "--member")
     found = parse_address(host.strip("[]"))
     if found is None:
-        raise WireError(f"--member: {host} is no literal address")
+        raise InputError(f"--member: {host} is no literal address")
     return sasp.MemberData(6, port, found, label.encode())
 
 
@@ -123,7 +124,7 @@
         return asyncio.run(bounded())
     except TimeoutError:
         return f"no answer within {WAIT:g} s"
-    except (OSError, WireError) as exc:
+    except (OSError, InputError) as exc:
         return str(exc) or type(exc).__name__
 
 
--- a/cottonladder/plugins/host.py
+++ b/cottonladder/plugins/host.py
@@ -20,7 +20,7 @@
 from wasmtime import _ffi as ffi
 from wasmtime._func import maybe_raise_last_exn
 
-from ..config.settings import WireError
+from ..config.errors import InputError
 from .abi import (
     EMPTY_ANSWER,
     HOOKS,
@@ -45,7 +45,7 @@
 MAX_LOG_LENGTH = 200  # bytes of one log line; one each call
 
 
-class PluginError(WireError):
+class PluginError(InputError):
     """A plug-in that can't be loaded; one plain line."""
 
 
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -17,7 +17,7 @@
 
 import structlog
 
-from ..config.settings import HostPort
+from ..config.fields import HostPort
 from ..model.views import WorkerCapacityView
 from ..planning.advertised_weights import AdvertisedWeight, advertise_weights, has_changed
 from ..protocol.fault_log import RateLimitedFaultLog
@@ -148,7 +148,7 @@
 
     def client_disconnected(self, client: ClientConnection) -> None:
         self.clients.pop(client.number, None)
-        self.faults.note(client.end_reason, peer=client.peer)
+        self.faults.report(client.end_reason, peer=client.peer)
 
     def weights_changed(self) -> None:
         """The board is another one."""
@@ -159,7 +159,7 @@
     def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
         self.weights_changed()
-        self.faults.sum_up(time.monotonic())
+        self.faults.summarize(time.monotonic())
         self._timer = loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def status(self) -> list[dict[str, object]]:
