--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -152,7 +152,11 @@
         stack.callback(self._folder.close)
         self._scheduler.add(
             TaskPlan(
-                SNAPSHOT_TASK, self._interval_s, priority=3, cpu_fraction=SNAPSHOT_CPU_SHARE, deadline_s=self._interval_s
+                SNAPSHOT_TASK,
+                self._interval_s,
+                priority=3,
+                cpu_fraction=SNAPSHOT_CPU_SHARE,
+                deadline_s=self._interval_s,
             ),
             self._snapshot,
         )
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -252,10 +252,18 @@
         if self.handler.registry.count(message.source):
             left = min(message.time_left_s, self.drainer.grace)
             self.drainer.add_order(
-                now, message.source, message.number, message.destinations, message.count, message.duration_s, left
+                now,
+                message.source,
+                message.number,
+                message.destinations,
+                message.count,
+                message.duration_s,
+                left,
             )
         else:
-            self.stream.send_extension(upgrades.encode_migration_result(self.config.node, message.number, 0, 0))
+            self.stream.send_extension(
+                upgrades.encode_migration_result(self.config.node, message.number, 0, 0)
+            )
 
     def stream_lost(self) -> None:
         self.drainer.stream_lost()
@@ -273,7 +281,9 @@
         self.handler.tick_drains()
         for answer in self.drainer.results:
             self.stream.send_extension(
-                upgrades.encode_migration_result(self.config.node, answer.number, answer.succeeded, answer.failed)
+                upgrades.encode_migration_result(
+                    self.config.node, answer.number, answer.succeeded, answer.failed
+                )
             )
         self.drainer.results.clear()
         if self.stream.speaks_extension and now >= self._held_report_at:
@@ -371,7 +381,9 @@
         folder = SnapshotFolder(operator.memory.folder)
         stack.callback(folder.close)
         found = folder.read()
-        snapshot, reason = decode_section("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
+        snapshot, reason = (
+            decode_section("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
+        )
         if reason:
             forwarder.log.warning("memory not used", reason=reason)
         if snapshot is not None and found is not None:
@@ -396,7 +408,9 @@
             yield asyncio.to_thread(folder.write, {"forwarder": section})
 
         tasks.add(
-            TaskPlan(SNAPSHOT_TASK, operator.memory.every, priority=3, cpu_fraction=SNAPSHOT_CPU_SHARE), write_snapshot)
+            TaskPlan(SNAPSHOT_TASK, operator.memory.every, priority=3, cpu_fraction=SNAPSHOT_CPU_SHARE),
+            write_snapshot,
+        )
         stack.push_async_callback(tasks.close, (SNAPSHOT_TASK,))
     else:
         stack.push_async_callback(tasks.close)
