--- a/cottonladder/cli/memory.py
+++ b/cottonladder/cli/memory.py
@@ -11,7 +11,7 @@
 
 import click
 
-from ..snapshots.store import Generation, Store, StoreError
+from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 from .errors import CommandError
 from .options import AS_JSON
 from .output import print_rows, print_table
@@ -40,7 +40,7 @@
 def show(folder: str, as_json: bool) -> None:
     """List the generations: which are whole, how old and how large they are."""
     with store_errors():
-        store = Store(folder)
+        store = SnapshotStore(folder)
         rows = [_row(store, generation) for generation in _read_all(store)]
     if as_json:
         print_rows(COLUMNS, rows, as_json)
@@ -50,11 +50,11 @@
     print_table([COLUMNS, *([row[name] for name in COLUMNS] for row in rows)])
 
 
-def _row(store: Store, generation: StoredGeneration) -> dict[str, Any]:
+def _row(store: SnapshotStore, generation: StoredGeneration) -> dict[str, Any]:
     content = generation.content
     return {
         "generation": generation.number,
-        "age_s": round(time.time() - content.written, 1) if content else None,
+        "age_s": round(time.time() - content.written_at, 1) if content else None,
         "bytes": store.path(generation.number).stat().st_size,
         "sections": sorted(content.sections) if content else [],
         "fault": generation.fault,
@@ -66,7 +66,7 @@
 def verify(folder: str) -> None:
     """Read every generation; status 1 if one is not whole."""
     with store_errors():
-        generations = _read_all(Store(folder))
+        generations = _read_all(SnapshotStore(folder))
     faults = [generation.fault for generation in generations if generation.fault]
     for fault in faults:
         click.echo(fault, err=True)
@@ -81,11 +81,11 @@
 def export(folder: str, number: int | None) -> None:
     """Print a generation's sections as JSON."""
     with store_errors():
-        store = Store(folder)
+        store = SnapshotStore(folder)
         generation = _newest_readable(store) if number is None else store.read(number)
     body = {
         "generation": generation.number,
-        "written": generation.written,
+        "written": generation.written_at,
         "sections": generation.sections,
     }
     click.echo(json.dumps(body, indent=2, sort_keys=True))
@@ -110,8 +110,8 @@
         generation = _newest(store)
         remaining = without_worker(generation.sections, worker_id)
         if remaining == generation.sections:
-            raise StoreError(f"{folder}: nothing about {worker_id}")
-        store.write(remaining, generation.written)  # as old as it was: forgetting makes nothing fresh
+            raise SnapshotError(f"{folder}: nothing about {worker_id}")
+        store.write(remaining, generation.written_at)  # as old as it was: forgetting makes nothing fresh
         click.echo(f"{folder}: written without {worker_id}")
 
 
@@ -136,14 +136,14 @@
     """Turns a store's faults into one line and status 1."""
     try:
         yield
-    except (StoreError, OSError) as exc:
+    except (SnapshotError, OSError) as exc:
         raise CommandError(str(exc)) from exc
 
 
 @contextmanager
-def _locked_store(folder: str) -> Iterator[Store]:
+def _locked_store(folder: str) -> Iterator[SnapshotStore]:
     """A store whose folder no other process may own meanwhile."""
-    store = Store(folder)
+    store = SnapshotStore(folder)
     store.open()
     try:
         yield store
@@ -151,27 +151,27 @@
         store.close()
 
 
-def _read_all(store: Store) -> list[StoredGeneration]:
+def _read_all(store: SnapshotStore) -> list[StoredGeneration]:
     generations = []
     for number in store.numbers():
         try:
             generations.append(StoredGeneration(number, store.read(number)))
-        except StoreError as exc:
+        except SnapshotError as exc:
             generations.append(StoredGeneration(number, None, str(exc)))
     return generations
 
 
-def _newest_readable(store: Store) -> Generation:
+def _newest_readable(store: SnapshotStore) -> Generation:
     """The newest generation that can be read; nothing in the folder is changed."""
     for generation in _read_all(store):
         if generation.content is not None:
             return generation.content
-    raise StoreError(f"{store.folder}: no generation that holds")
+    raise SnapshotError(f"{store.folder}: no generation that holds")
 
 
-def _newest(store: Store) -> Generation:
+def _newest(store: SnapshotStore) -> Generation:
     """The newest whole generation; those that are not whole are set aside."""
     generation = store.newest()
     if generation is None:
-        raise StoreError(f"{store.folder}: no generation that holds")
+        raise SnapshotError(f"{store.folder}: no generation that holds")
     return generation
--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -47,19 +47,19 @@
         self._paused_until = time.monotonic() + LOOP_LAG_PAUSE
 
     def run_soon(self, name: str) -> None:
-        self._scheduler.now_due(name, time.monotonic())
+        self._scheduler.make_due(name, time.monotonic())
         self._wake.set()
 
     async def _run(self) -> None:
         while True:
             now = time.monotonic()
             late = now < self._paused_until
-            name = self._scheduler.next(now, late, self._awaited)
+            name = self._scheduler.next_task(now, late, self._awaited)
             if name is not None:
                 self._run_slice(name, now)
                 await asyncio.sleep(0)
                 continue
-            wait = max(self._paused_until - now, self._scheduler.wait(now, self._awaited))
+            wait = max(self._paused_until - now, self._scheduler.time_until_next(now, self._awaited))
             self._wake.clear()
             try:
                 await asyncio.wait_for(self._wake.wait(), min(wait, 1.0))
@@ -67,7 +67,7 @@
                 pass
 
     def _run_slice(self, name: str, now: float) -> None:
-        if self._scheduler.begun(name, now):
+        if self._scheduler.slice_started(name, now):
             self._running[name] = iter(self._work[name]())
         begun, done, failed = time.monotonic(), False, False
         step: Awaitable[Any] | None = None
@@ -79,8 +79,8 @@
             failed = True
             self._log_failure(name, exc)
         ended = time.monotonic()
-        if self._scheduler.sliced(name, ended, ended - begun, done, failed, self._uniform()):
-            turn = self._scheduler.turns[name]
+        if self._scheduler.slice_finished(name, ended, ended - begun, done, failed, self._uniform()):
+            turn = self._scheduler.tasks[name]
             if turn.overruns & (turn.overruns - 1) == 0:  # the first, second, fourth, ...
                 self.log.info(
                     "task overran", task=name, ms=round((ended - begun) * 1000, 1), times=turn.overruns
@@ -99,13 +99,13 @@
             self._log_failure(name, exc)
             now = time.monotonic()
             self._running.pop(name, None)
-            self._scheduler.sliced(name, now, 0.0, True, True, self._uniform())
+            self._scheduler.slice_finished(name, now, 0.0, True, True, self._uniform())
         finally:
             self._awaited.pop(name, None)
             self._wake.set()
 
     def _log_failure(self, name: str, exc: Exception) -> None:
-        row = self._scheduler.turns[name].failed_in_row
+        row = self._scheduler.tasks[name].consecutive_failures
         if row & (row - 1) == 0:
             self.log.warning("task failed", task=name, why=str(exc) or type(exc).__name__, in_row=row + 1)
 
@@ -115,13 +115,20 @@
 
         def row(t: ScheduledSlice) -> dict[str, object]:
             return {
-                "task": t.plan.name, "priority": t.plan.priority, "period": t.plan.period,
-                "due_in": round(t.due - now, 3), "runs": t.runs, "slices": t.slices, "overruns": t.overruns,
-                "failures": t.failures, "missed": t.missed, "cpu_s": round(t.took, 4),
-                "longest_ms": round(t.longest * 1000.0, 2),
-            }  # fmt: skip
-
-        return [row(t) for t in self._scheduler.turns.values()]
+                "task": t.plan.name,
+                "priority": t.plan.priority,
+                "period": t.plan.period_s,
+                "due_in": round(t.due_at - now, 3),
+                "runs": t.runs,
+                "slices": t.slices,
+                "overruns": t.overruns,
+                "failures": t.failures,
+                "missed": t.missed_deadlines,
+                "cpu_s": round(t.cpu_s, 4),
+                "longest_ms": round(t.longest_slice_s * 1000.0, 2),
+            }
+
+        return [row(t) for t in self._scheduler.tasks.values()]
 
     async def close(self, last: tuple[str, ...] = ()) -> None:
         """Ends what runs; the tasks named in `last` run once more, within a bounded time."""
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -125,7 +125,7 @@
     keeper.current_list_version = lambda: discovery.version
     for plan in plans:
         if (advice := getattr(plan, "advice", None)) is not None:
-            advice.recall(keeper.restored_credits)
+            advice.restore_credits(keeper.restored_credits)
             keeper.current_credits = advice.credits
 
 
