--- a/cottonladder/config/deployment.py
+++ b/cottonladder/config/deployment.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """What the settings say: the module's terms, and the names that a front maps to small indices."""
+    """The policy's parameters, and the indices that stand for the names of zones and request classes."""
 
     parameters: DeploymentParameters
     zones: dict[str, int]
@@ -23,66 +23,71 @@
     load_reports: bool
 
     def zone_index(self, name: str, where: str) -> int:
+        """The index of the zone called `name`; UnknownNameError if the settings list none."""
         if name not in self.zones:
             raise UnknownNameError(where, "zone")
         return self.zones[name]
 
     def class_index(self, name: str, where: str) -> int:
+        """The index of the request class called `name`; UnknownNameError if the settings list none."""
         if name not in self.classes:
             raise UnknownNameError(where, "class")
         return self.classes[name]
 
 
 def read_settings(info: dict[str, Any], seed: int, where: str) -> DeploymentSettings:
+    """The settings object `info`, checked; `where` it stands begins the text of every error."""
     zones = names(info, "Zones", where)
     profiles = field(info, "Profiles", list, where)
-    kinds = names({"Profiles": [field(p, "Name", str, where) for p in profiles]}, "Profiles", where)
+    class_names = [field(profile, "Name", str, where) for profile in profiles]
+    classes = names({"Profiles": class_names}, "Profiles", where)
     stats = field(info, "Stats", dict, where, {})
     return DeploymentSettings(
         parameters=_deployment_parameters(info, profiles, len(zones), seed, where),
-        zones={name: z for z, name in enumerate(zones)},
-        classes={name: k for k, name in enumerate(kinds)},
+        zones={name: index for index, name in enumerate(zones)},
+        classes={name: index for index, name in enumerate(classes)},
         manager_index=int(number(info, "Me", where, 0, 0, int)),
         load_reports=field(stats, "Via", str, where, "none") != "none",
     )
 
 
+def _request_class(profile: Any, where: str) -> RequestClass:
+    return RequestClass(
+        latency_objective_s=number(profile, "TargetMs", where, MIN_DIVISOR) / 1000.0,
+        priority_weight=number(profile, "Gain", where),
+    )
+
+
 def _deployment_parameters(
-    info: dict[str, Any], profiles: list[Any], zones: int, seed: int, where: str
+    info: dict[str, Any], profiles: list[Any], zone_count: int, seed: int, where: str
 ) -> DeploymentParameters:
-    fam = field(info, "FamilyInfo", dict, where)
+    family = field(info, "FamilyInfo", dict, where)
     rules = field(info, "Rules", dict, where)
     limits = field(info, "Limits", dict, where)
     prices = field(info, "Prices", dict, where)
-    kinds = tuple(
-        RequestClass(
-            latency_objective_s=number(p, "TargetMs", where, MIN_DIVISOR) / 1000.0,
-            priority_weight=number(p, "Gain", where),
-        )
-        for p in profiles
-    )
+    request_classes = tuple(_request_class(profile, where) for profile in profiles)
     return DeploymentParameters(
         seed=seed,
         manager_count=int(number(info, "NInstances", where, 1, types=int)),
-        zone_count=zones,
-        request_classes=kinds,
-        proxy_count=int(number(fam, "Proxies", where, 1, types=int)),
+        zone_count=zone_count,
+        request_classes=request_classes,
+        proxy_count=int(number(family, "Proxies", where, 1, types=int)),
         watches_endpoints=field(info, "Discovery", str, where) == "subscribe",
         poll_within_s=number(rules, "AskWithinMs", where, default=0.0) / 1000.0,
         health_checks=field(limits, "Probing", bool, where, False),
         gossip=field(limits, "Peers", bool, where, False),
-        admission_mode=field(fam, "ThrottleBy", str, where, "none"),
-        slice_count=field(fam, "KeyRanges", int, where, 0),
-        single_owner=field(fam, "SingleWriter", bool, where, False),
-        channel_lines_per_s=number(fam, "EgressPerS", where, MIN_DIVISOR),
-        message_header_lines=int(number(fam, "Head", where)),
-        max_queued_lines=number(fam, "PendingMax", where),
-        max_messages=int(number(fam, "ReloadsMax", where, default=0)),
-        message_window_s=number(fam, "ReloadSpanMs", where, default=0.0) / 1000.0,
+        admission_mode=field(family, "ThrottleBy", str, where, "none"),
+        slice_count=field(family, "KeyRanges", int, where, 0),
+        single_owner=field(family, "SingleWriter", bool, where, False),
+        channel_lines_per_s=number(family, "EgressPerS", where, MIN_DIVISOR),
+        message_header_lines=int(number(family, "Head", where)),
+        max_queued_lines=number(family, "PendingMax", where),
+        max_messages=int(number(family, "ReloadsMax", where, default=0)),
+        message_window_s=number(family, "ReloadSpanMs", where, default=0.0) / 1000.0,
         drain_grace_s=number(rules, "DrainGraceMs", where, default=0.0) / 1000.0,
         warm_up_start_ratio=number(rules, "ColdFrom", where),
         collapse_multiple=number(rules, "FallMultiple", where),
-        proxies_eject_outliers=number(fam, "Strikes", where, default=0) > 0,
+        proxies_eject_outliers=number(family, "Strikes", where, default=0) > 0,
         warm_up_s=number(rules, "WarmAfterMs", where) / 1000.0,
         cross_zone_cost=number(prices, "CrossZone", where, default=0.0),
         health_check_cost=number(prices, "Probe", where, default=0.0),
--- a/cottonladder/config/errors.py
+++ b/cottonladder/config/errors.py
@@ -24,6 +24,15 @@
     """A file that can't be read at all: absent, not text, too large, or not in its format."""
 
 
+class OperatorFileError(ConfigError):
+    """A fault at one place of the operators' file; `place` is a path such as `$.forwarder.zone`."""
+
+    def __init__(self, path: str, place: str, fault: str) -> None:
+        super().__init__(f"{path}: {place}", fault)
+        self.path = path
+        self.place = place
+
+
 class NotAnObjectError(ConfigError):
     """A value that should be a JSON object."""
 
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -1,4 +1,4 @@
-"""What a manager is told at its start, read once from the file that ROUTER_CONFIG names."""
+"""The manager's file, which ROUTER_CONFIG names: read once at the start and again at each reload."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from ..protocol.discovery import read_list
 from ..state.worker_registry import WorkerRegistry
 from .deployment import DeploymentSettings, read_settings
-from .errors import InputError
+from .errors import ConfigError, ConfigFileError, FieldValueError
 from .fields import HostPort, address, field, number
 
-WHERE = "configuration"
+WHERE = "configuration"  # what messages call the file
 MIN_SOCKETS = 64  # with fewer nobody could join beside what the program itself holds open
 
 
 @dataclass(frozen=True, slots=True)
 class ManagerConfig:
-    """Where this manager stands and what it starts from; `known` is the list as it was last held."""
+    """A manager's addresses, limits and settings, and the list of endpoints as it was last known."""
 
     name: str
     listen: HostPort
@@ -36,46 +36,53 @@
 
 
 def read_manager_config(path: str) -> ManagerConfig:
+    """The file at `path`; a ConfigError names the first fault."""
     if not path:
-        raise InputError(f"{WHERE}: neither --config nor ROUTER_CONFIG names a file")
+        raise ConfigFileError(WHERE, "neither --config nor ROUTER_CONFIG names a file")
     try:
         with open(path, encoding="utf-8") as file:
             body = json.load(file)
     except OSError as exc:
-        raise InputError(f"{WHERE}: {path}: {exc.strerror}") from None
+        raise ConfigFileError(f"{WHERE}: {path}", str(exc.strerror)) from None
     except (ValueError, RecursionError) as exc:
-        raise InputError(f"{WHERE}: not JSON ({exc})") from None
+        raise ConfigFileError(WHERE, f"not JSON ({exc})") from None
     try:
         return _manager_config(body)
     except OverflowError as exc:
-        raise InputError(f"{WHERE}: a figure is too large ({exc})") from None
+        raise ConfigError(WHERE, f"a figure is too large ({exc})") from None
 
 
 def _manager_config(body: Any) -> ManagerConfig:
-    seed = field(body, "seed", str, WHERE)
-    try:
-        chance = int(seed, 16)
-    except ValueError:
-        raise InputError(f"{WHERE}: field seed is not a hexadecimal number") from None
-    site = read_settings(field(body, "settings", dict, WHERE), chance, f"{WHERE}: settings")
-    if site.parameters.slice_count:
-        raise InputError(f"{WHERE}: settings: field KeyRanges is not 0, and this protocol has no slices")
+    seed = _read_seed(body)
+    settings_body = field(body, "settings", dict, WHERE)
+    settings = read_settings(settings_body, seed, f"{WHERE}: settings")
+    if settings.parameters.slice_count:
+        raise FieldValueError(f"{WHERE}: settings", "KeyRanges", "0, and this protocol has no slices")
     workers = WorkerRegistry()
-    known = field(body, "known", dict, WHERE)
-    version, listing = read_list(known, site, workers.learn, f"{WHERE}: known")
-    talks, limits = site.parameters.gossip, field(body, "limits", dict, WHERE)
-    peers = field(body, "peers", list, WHERE) if talks else []
+    known_body = field(body, "known", dict, WHERE)
+    list_version, known = read_list(known_body, settings, workers.learn, f"{WHERE}: known")
+    limits = field(body, "limits", dict, WHERE)
+    has_gossip = settings.parameters.gossip
+    peers = field(body, "peers", list, WHERE) if has_gossip else []
     return ManagerConfig(
         name=field(body, "name", str, WHERE),
         listen=address(body, "listen", WHERE),
         discovery=address(body, "discovery", WHERE),
         sockets=int(number(limits, "sockets", f"{WHERE}: limits", MIN_SOCKETS)),
         memory_mb=int(number(limits, "memory_mb", f"{WHERE}: limits", 1)),
-        peer_listen=address(body, "peer_listen", WHERE) if talks else None,
+        peer_listen=address(body, "peer_listen", WHERE) if has_gossip else None,
         peers=[address({"peers": peer}, "peers", WHERE) for peer in peers],
-        peers_all=address(body, "peers_all", WHERE) if talks else None,
-        settings=site,
+        peers_all=address(body, "peers_all", WHERE) if has_gossip else None,
+        settings=settings,
         workers=workers,
-        list_version=version,
-        known_endpoints=EndpointList(ListUpdateKind.CACHED, listing.endpoints),
+        list_version=list_version,
+        known_endpoints=EndpointList(ListUpdateKind.CACHED, known.endpoints),
     )
+
+
+def _read_seed(body: Any) -> int:
+    text = field(body, "seed", str, WHERE)
+    try:
+        return int(text, 16)
+    except ValueError:
+        raise FieldValueError(WHERE, "seed", "a hexadecimal number") from None
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -1,7 +1,7 @@
-"""The operators' own file (JSON5), for manager and forwarder: what it may say, read and checked by a schema.
+"""The operators' own file (JSON5), for manager and forwarder: read and checked by a schema.
 
-Types carry the field's range; defaults stand where they act and are only named here.  Read once at a start,
-and only where a file is given, so that a manager without one imports neither JSON5 nor the schema library.
+The types carry each field's range.  The module is imported only where a file is given, so that a manager
+without one loads neither JSON5 nor the schema library.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from ..planning import connection_migration as moves
 from ..policy.controller import RATE_MOST
 from ..weight_advice import limits as advice_limits
-from .errors import InputError
+from .errors import ConfigFileError, OperatorFileError
 from .fields import HostPort, address
 
 MAX_FILE_BYTES = 1 << 20  # bytes of the file
@@ -188,75 +188,92 @@
 
 
 def read_operator_config(path: str) -> OperatorConfig:
-    """The file at `path`; a WireError of one line that names file, place and what was expected."""
+    """The file at `path`; a ConfigError of one line names file, place and what was expected."""
+    body = _read_json5(path)
+    try:
+        config = msgspec.convert(body, OperatorConfig)
+    except msgspec.ValidationError as exc:
+        fault, _, place = str(exc).partition(" - at `")
+        raise OperatorFileError(path, place.rstrip("`") or "$", fault) from None
+    if config.advice is not None:
+        _check_advice(path, config.advice)
+    if config.forwarder is not None:
+        _check_forwarder(path, config.forwarder)
+    return config
+
+
+def _read_json5(path: str) -> Any:
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read(MAX_FILE_BYTES + 1)
     except OSError as exc:
-        raise InputError(f"{path}: {exc.strerror}") from None
+        raise ConfigFileError(path, str(exc.strerror)) from None
     except UnicodeDecodeError as exc:
-        raise InputError(f"{path}: not UTF-8 (byte {exc.start})") from None
+        raise ConfigFileError(path, f"not UTF-8 (byte {exc.start})") from None
     if len(text) > MAX_FILE_BYTES:
-        raise InputError(f"{path}: over {MAX_FILE_BYTES} bytes")
+        raise ConfigFileError(path, f"over {MAX_FILE_BYTES} bytes")
     try:
-        body = json5.loads(text, allow_duplicate_keys=False)
+        return json5.loads(text, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as exc:
-        said = re.sub(r"^<string>:", "line ", " ".join(str(exc).split())) or "too deep"
-        raise InputError(f"{path}: not JSON5: {said}") from None
-    return _checked(path, body)
-
-
-def _checked(path: str, body: Any) -> OperatorConfig:
-    try:
-        operator = msgspec.convert(body, OperatorConfig)
-    except msgspec.ValidationError as exc:
-        what, _, where = str(exc).partition(" - at `")
-        raise InputError(f"{path}: {where.rstrip('`') or '$'}: {what}") from None
-    if operator.advice is not None:
-        _check_advice(path, operator.advice)
-    if (part := operator.forwarder) is None:
-        return operator
-    faults = {
-        "$.forwarder.zone": part.zone not in part.zones and f"one of zones expected, got {part.zone!r}",
-        "$.forwarder.zones": len(set(part.zones)) < len(part.zones) and "a zone comes twice",
-        "$.forwarder.kinds": len({k.name for k in part.kinds}) < len(part.kinds) and "a name comes twice",
-        "$.forwarder.managers": len(set(part.managers)) < len(part.managers) and "a manager comes twice",
-    }
-    for n, kind in enumerate(part.kinds):
-        if "+" in kind.name:
-            faults[f"$.forwarder.kinds[{n}].name"] = "no '+' expected, as it joins kinds on the wire"
-    for where, fault in faults.items():
-        if fault:
-            raise InputError(f"{path}: {where}: {fault}")
-    for where in ("listen", "discovery"):
-        address({where: getattr(part, where)}, where, f"{path}: $.forwarder")
-    for n, manager in enumerate(part.managers):
-        address({f"managers[{n}]": manager}, f"managers[{n}]", f"{path}: $.forwarder")
-    return operator
-
-
-def _check_advice(path: str, part: AdviceConfig) -> None:
-    """What a schema can't tell: one advisor once, TLS for SASP alone, secrets for DFP alone."""
-    both: dict[str, Sequence[AdviceServerConfig | AdvisorFollowConfig]] = {
-        "serve": part.serve,
-        "follow": part.follow,
-    }
-    for list_name, rows in both.items():
-        seen: set[str] = set()
-        for n, row in enumerate(rows):
-            where = f"{path}: $.advice.{list_name}[{n}]"
-            at = row.listen if isinstance(row, AdviceServerConfig) else row.at
-            address({"at": at}, "at", where)
-            if at in seen and not at.endswith(":0"):
-                raise InputError(f"{where}: {at} comes twice")
-            seen.add(at)
-            if row.tls is not None and row.protocol != "sasp":
-                raise InputError(f"{where}.tls: for sasp alone, as DFP has none")
-            if row.secret is not None and row.protocol != "dfp":
-                raise InputError(f"{where}.secret: for dfp alone")
+        one_line = " ".join(str(exc).split())
+        fault = re.sub(r"^<string>:", "line ", one_line) or "too deep"
+        raise ConfigFileError(path, f"not JSON5: {fault}") from None
+
+
+def _check_forwarder(path: str, config: ForwarderConfig) -> None:
+    """What a schema can't tell: names that are listed and differ, and addresses."""
+    if config.zone not in config.zones:
+        raise OperatorFileError(path, "$.forwarder.zone", f"one of zones expected, got {config.zone!r}")
+    if _has_duplicates(config.zones):
+        raise OperatorFileError(path, "$.forwarder.zones", "a zone comes twice")
+    if _has_duplicates([request_class.name for request_class in config.kinds]):
+        raise OperatorFileError(path, "$.forwarder.kinds", "a name comes twice")
+    if _has_duplicates(config.managers):
+        raise OperatorFileError(path, "$.forwarder.managers", "a manager comes twice")
+    for index, request_class in enumerate(config.kinds):
+        if "+" in request_class.name:
+            place = f"$.forwarder.kinds[{index}].name"
+            raise OperatorFileError(path, place, "no '+' expected, as it joins kinds on the wire")
+    where = f"{path}: $.forwarder"
+    address({"listen": config.listen}, "listen", where)
+    address({"discovery": config.discovery}, "discovery", where)
+    for index, manager in enumerate(config.managers):
+        name = f"managers[{index}]"
+        address({name: manager}, name, where)
+
+
+def _has_duplicates(names: Sequence[str]) -> bool:
+    return len(set(names)) < len(names)
+
+
+def _check_advice(path: str, config: AdviceConfig) -> None:
+    """What a schema can't tell: each address once, TLS with SASP alone, secrets with DFP alone."""
+    _check_advice_peers(path, "$.advice.serve", config.serve, [row.listen for row in config.serve])
+    _check_advice_peers(path, "$.advice.follow", config.follow, [row.at for row in config.follow])
+
+
+def _check_advice_peers(
+    path: str,
+    list_place: str,
+    rows: Sequence[AdviceServerConfig | AdvisorFollowConfig],
+    addresses: Sequence[str],
+) -> None:
+    seen: set[str] = set()
+    for index, (row, row_address) in enumerate(zip(rows, addresses, strict=True)):
+        place = f"{list_place}[{index}]"
+        address({"at": row_address}, "at", f"{path}: {place}")
+        is_any_port = row_address.endswith(":0")
+        if row_address in seen and not is_any_port:
+            raise OperatorFileError(path, place, f"{row_address} comes twice")
+        seen.add(row_address)
+        if row.tls is not None and row.protocol != "sasp":
+            raise OperatorFileError(path, f"{place}.tls", "for sasp alone, as DFP has none")
+        if row.secret is not None and row.protocol != "dfp":
+            raise OperatorFileError(path, f"{place}.secret", "for dfp alone")
 
 
 def host_port(text: str) -> HostPort:
+    """An address of the operators' file, which was checked when the file was read."""
     return address({"at": text}, "at", "operators' file")
 
 
