--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..model.inputs import EndpointList, ListUpdateKind
-from ..protocol.discovery import read_list
+from ..protocol.discovery import read_endpoint_list
 from ..state.worker_registry import WorkerRegistry
 from .deployment import DeploymentSettings, read_settings
 from .errors import ConfigError, ConfigFileError, FieldValueError
@@ -60,7 +60,7 @@
         raise FieldValueError(f"{WHERE}: settings", "KeyRanges", "0, and this protocol has no slices")
     workers = WorkerRegistry()
     known_body = field(body, "known", dict, WHERE)
-    list_version, known = read_list(known_body, settings, workers.learn, f"{WHERE}: known")
+    list_version, known = read_endpoint_list(known_body, settings, workers.register, f"{WHERE}: known")
     limits = field(body, "limits", dict, WHERE)
     has_gossip = settings.parameters.gossip
     peers = field(body, "peers", list, WHERE) if has_gossip else []
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -103,17 +103,17 @@
             sessions,
             dispatcher,
         )
-        controller.gate.added = dispatcher.added
+        controller.gate.added = dispatcher.count_added_lines
         self._clock = Clock()
         self._last_timer, self._timers = 0, dict[int, asyncio.TimerHandle]()
         self._worst_lag_s: dict[str, float] = {}
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self._effect_handlers: dict[type, Callable[..., None]] = {
             StartTimer: self._start_timer,
-            WatchEndpoints: lambda o: effects.discovery.follow(o.enabled),
+            WatchEndpoints: lambda o: effects.discovery.set_watching(o.enabled),
             FetchEndpoints: lambda o: effects.discovery.fetch(),
-            HealthCheck: lambda o: effects.health_checker.send(o.worker_index),
-            SendGossip: lambda o: effects.gossip.tell(o.recipient, o.text),
+            HealthCheck: lambda o: effects.health_checker.start_check(o.worker_index),
+            SendGossip: lambda o: effects.gossip.send_datagram(o.recipient, o.text),
             LogModeChange: self._log_mode_change,
         }
 
@@ -138,17 +138,17 @@
             for item in batch:
                 plan.observe(now, item)
             inputs += plan.collect_inputs(now)
-        self._dispatcher.hear(inputs)
+        self._dispatcher.track_proxies(inputs)
         orders = self._controller.decide(now, inputs)
         for order in orders:
             carry = self._effect_handlers.get(type(order))
             if carry is not None:
                 carry(order)
-            elif why := self._dispatcher.take(order):
+            elif why := self._dispatcher.apply(order):
                 self.log.error("order left out", order=type(order).__name__, why=why)
         if any(isinstance(order, Checkpoint) for order in orders):
-            self._controller.gate.settle(self._dispatcher.lines())
-        for proxy, data in self._dispatcher.messages():
+            self._controller.gate.settle(self._dispatcher.pending_line_counts())
+        for proxy, data in self._dispatcher.take_messages():
             self._sessions.send(proxy, data)
         for plan in self._extensions:
             for proxy, data in plan.collect_messages(now, self._controller):
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -153,7 +153,7 @@
         if due or self._list_changed:
             self._list_changed = False
             self._capacity = capacity_views(controller)
-            places = places_of(self._workers.ids, self._workers.address)
+            places = places_of(self._workers.ids, self._workers.address_of)
             self._advertised.update(self._capacity, places)
             for server in self._servers:
                 server.told()
