--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -109,7 +109,7 @@
     """As much of a placement as a keeper asks for."""
 
     def __init__(self, workers: int) -> None:
-        self.workers, self.version = WorkerRegistry(), 1
+        self.workers, self.list_version = WorkerRegistry(), 1
         entries = tuple(
             Endpoint(
                 self.workers.register(f"s-{n}", f"127.0.0.9:{n + 1}", 0.0),
@@ -120,8 +120,8 @@
             )
             for n in range(workers)
         )
-        self.known = EndpointList(ListUpdateKind.CACHED, entries)
-        self.site = type("Site", (), {"terms": me.TERMS})
+        self.known_endpoints = EndpointList(ListUpdateKind.CACHED, entries)
+        self.settings = type("Settings", (), {"parameters": me.TERMS})
 
 
 async def snapshots(workers: int, proxies: int) -> dict[str, float]:
@@ -130,7 +130,7 @@
     placed, out = Placed(workers), dict[str, float]()
     ladder = RoutingController(replace(me.TERMS, proxy_count=proxies))
     joins = [ProxyConnected(p, p % 2, 2.0, True) for p in range(proxies)]
-    ladder.decide(1000.0, [placed.known, *joins])
+    ladder.decide(1000.0, [placed.known_endpoints, *joins])
     with tempfile.TemporaryDirectory() as folder:
         tasks = BackgroundScheduler(lambda: 0.0)
         keeper = SnapshotManager(folder, 0.25, placed, tasks)  # type: ignore[arg-type]
--- a/cottonladder/cli/main.py
+++ b/cottonladder/cli/main.py
@@ -17,7 +17,7 @@
 from ..config.manager_config import ManagerConfig, read_manager_config
 from ..control import signals
 from ..control.manager import serve as serve_manager
-from ..control.manager import unchangeable_fields
+from ..control.reload import unchangeable_fields
 from ..protocol.messages import PING, PONG
 
 if TYPE_CHECKING:
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -1,4 +1,4 @@
-"""The owner of the decisions: one task, one queue in, every order handed out from here."""
+"""The control loop: one task that feeds inputs to the routing policy and carries out the orders it gives."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from contextlib import AsyncExitStack
 from dataclasses import dataclass
-from typing import Protocol
+from typing import Any, Protocol
 
 import structlog
 
@@ -18,6 +18,7 @@
     FetchEndpoints,
     HealthCheck,
     LogModeChange,
+    Order,
     SendGossip,
     StartTimer,
     WatchEndpoints,
@@ -30,32 +31,38 @@
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.proxy_sessions import ProxySessions
 
-MIN_LOOP_LAG = 0.01  # s: what is shorter nobody feels, as looks are a quarter of a second apart
+MIN_LOOP_LAG = 0.01  # s: what is shorter nobody feels, as the policy looks each quarter of a second
+LAG_GROWTH = 1.5  # a lag is logged where it is this many times the longest one before
 
 
 class Clock:
-    """Unix time as it was at the start, led on by a clock that only advances: steps of the system's time
-    don't reach it, and the starts that the list tells of stand on it as they are."""
+    """Unix time at the start, advanced by a monotonic clock.
+
+    Steps of the system's time don't reach it, and the start times of workers can be compared with it.
+    """
 
     def __init__(self) -> None:
         self._offset = time.time() - time.monotonic()
 
     def now(self) -> float:
+        """Seconds since 1970."""
         return self._offset + time.monotonic()
 
 
 class InputQueue:
-    """The queue to the owner; what is put in here is never waited for."""
+    """The unbounded queue into the control loop; `put` never waits."""
 
     def __init__(self) -> None:
         self._items: deque[Input | ExtensionMessage] = deque()
         self._has_items = asyncio.Event()
 
     def put(self, item: Input | ExtensionMessage) -> None:
+        """Adds an input and wakes the loop."""
         self._items.append(item)
         self._has_items.set()
 
     async def take(self) -> list[Input | ExtensionMessage]:
+        """Waits until there is something, and takes all of it."""
         await self._has_items.wait()
         batch = list(self._items)
         self._items.clear()
@@ -65,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Effects:
-    """Those who carry out what isn't said to proxies."""
+    """The objects that carry out orders which are not messages to proxies."""
 
     discovery: DiscoveryClient
     health_checker: HealthChecker
@@ -73,17 +80,40 @@
 
 
 class ControlLoopExtension(Protocol):
-    """Who plans beside the ladder, in the same task: told what comes in, it may add inputs, and once the
-    ladder has ordered it may write messages to proxies.  What `start` opens goes onto the stack."""
+    """A planner beside the routing policy, in the same task.
+
+    In each step it observes the inputs, may add inputs of its own, and may send messages to proxies once the
+    policy has decided.
+    """
+
+    async def start(self, stack: AsyncExitStack) -> None:
+        """Opens what the extension needs; `stack` closes it."""
+
+    def observe(self, now: float, item: Input | ExtensionMessage) -> None:
+        """Called with each input, before the policy decides."""
+
+    def collect_inputs(self, now: float) -> list[Input]:
+        """Inputs for the policy in this step."""
+        ...
+
+    def collect_messages(self, now: float, controller: RoutingController) -> Iterable[tuple[int, bytes]]:
+        """Messages to proxies, each with the proxy's number, after the policy has decided."""
+        ...
+
+
+def _ignore_loop_lag() -> None:
+    """For a manager without background work."""
 
-    async def start(self, stack: AsyncExitStack) -> None: ...
-    def observe(self, now: float, item: Input | ExtensionMessage) -> None: ...
-    def collect_inputs(self, now: float) -> list[Input]: ...
-    def collect_messages(self, now: float, controller: RoutingController) -> Iterable[tuple[int, bytes]]: ...
+
+def _ignore_mode_change(message: str) -> None:
+    """For a manager without plug-ins."""
 
 
 class ControlLoop:
-    """Owns the ladder and its timers; `beside` holds what the operators' file switched on."""
+    """Owns the routing controller and its timers.
+
+    `on_loop_lag` is called when a batch or timer was late; `on_mode_change` with each mode change's text.
+    """
 
     def __init__(
         self,
@@ -93,83 +123,117 @@
         dispatcher: OrderDispatcher,
         effects: Effects,
         extensions: Iterable[ControlLoopExtension] = (),
+        on_loop_lag: Callable[[], None] = _ignore_loop_lag,
+        on_mode_change: Callable[[str], None] = _ignore_mode_change,
     ) -> None:
+        self._controller = controller
+        self._input_queue = input_queue
+        self._sessions = sessions
+        self._dispatcher = dispatcher
+        self._effects = effects
         self._extensions = list(extensions)
-        self.on_loop_lag: Callable[[], None] = lambda: None  # background work makes way
-        self.on_mode_change: Callable[[str], None] = lambda words: None  # told each change of mode
-        self._controller, self._input_queue, self._sessions, self._dispatcher = (
-            controller,
-            input_queue,
-            sessions,
-            dispatcher,
-        )
+        self._on_loop_lag = on_loop_lag
+        self._on_mode_change = on_mode_change
         controller.gate.added = dispatcher.count_added_lines
         self._clock = Clock()
-        self._last_timer, self._timers = 0, dict[int, asyncio.TimerHandle]()
-        self._worst_lag_s: dict[str, float] = {}
-        self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self._effect_handlers: dict[type, Callable[..., None]] = {
+        self._last_timer = 0
+        self._timers: dict[int, asyncio.TimerHandle] = {}
+        self._worst_lag_s: dict[str, float] = {}  # by what was late
+        self._effect_handlers: dict[type, Callable[[Any], None]] = {
             StartTimer: self._start_timer,
-            WatchEndpoints: lambda o: effects.discovery.set_watching(o.enabled),
-            FetchEndpoints: lambda o: effects.discovery.fetch(),
-            HealthCheck: lambda o: effects.health_checker.start_check(o.worker_index),
-            SendGossip: lambda o: effects.gossip.send_datagram(o.recipient, o.text),
+            WatchEndpoints: self._watch_endpoints,
+            FetchEndpoints: self._fetch_endpoints,
+            HealthCheck: self._check_health,
+            SendGossip: self._send_gossip,
             LogModeChange: self._log_mode_change,
         }
+        self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     async def run(self) -> None:
+        """Handles batches of inputs until it is cancelled; a fault of the policy is raised from here."""
         while True:
-            batch, begun = await self._input_queue.take(), time.monotonic()
+            batch = await self._input_queue.take()
+            started_at = time.monotonic()
             self.step(batch)
-            self._record_loop_lag("batch", time.monotonic() - begun)
-
-    def _record_loop_lag(self, what: str, seconds: float) -> None:
-        """One line where a batch took longer, or a timer came later, than any before by half."""
-        if seconds > MIN_LOOP_LAG:
-            self.on_loop_lag()
-        if seconds > max(MIN_LOOP_LAG, 1.5 * self._worst_lag_s.get(what, 0.0)):
-            self._worst_lag_s[what] = seconds
-            self.log.info("behind", what=what, ms=round(seconds * 1000, 1))
+            self._record_loop_lag("batch", time.monotonic() - started_at)
 
     def step(self, batch: list[Input | ExtensionMessage]) -> None:
+        """One batch: inputs in, the policy's orders carried out, messages sent."""
         now = self._clock.now()
-        inputs = [item for item in batch if not isinstance(item, ExtensionMessage)]
-        for plan in self._extensions:
-            for item in batch:
-                plan.observe(now, item)
-            inputs += plan.collect_inputs(now)
+        inputs = self._collect_inputs(now, batch)
         self._dispatcher.track_proxies(inputs)
         orders = self._controller.decide(now, inputs)
         for order in orders:
-            carry = self._effect_handlers.get(type(order))
-            if carry is not None:
-                carry(order)
-            elif why := self._dispatcher.apply(order):
-                self.log.error("order left out", order=type(order).__name__, why=why)
+            self._carry_out(order)
         if any(isinstance(order, Checkpoint) for order in orders):
             self._controller.gate.settle(self._dispatcher.pending_line_counts())
+        self._send_messages(now)
+
+    def close(self) -> None:
+        """Cancels the timers."""
+        for timer in self._timers.values():
+            timer.cancel()
+        self._timers.clear()
+
+    def _collect_inputs(self, now: float, batch: list[Input | ExtensionMessage]) -> list[Input]:
+        inputs = [item for item in batch if not isinstance(item, ExtensionMessage)]
+        for extension in self._extensions:
+            for item in batch:
+                extension.observe(now, item)
+            inputs += extension.collect_inputs(now)
+        return inputs
+
+    def _carry_out(self, order: Order) -> None:
+        handler = self._effect_handlers.get(type(order))
+        if handler is None:
+            self._dispatch(order)
+        else:
+            handler(order)
+
+    def _dispatch(self, order: Order) -> None:
+        fault = self._dispatcher.apply(order)
+        if fault:
+            self.log.error("order left out", order=type(order).__name__, why=fault)
+
+    def _send_messages(self, now: float) -> None:
         for proxy, data in self._dispatcher.take_messages():
             self._sessions.send(proxy, data)
-        for plan in self._extensions:
-            for proxy, data in plan.collect_messages(now, self._controller):
+        for extension in self._extensions:
+            for proxy, data in extension.collect_messages(now, self._controller):
                 self._sessions.send(proxy, data)
 
     def _start_timer(self, order: StartTimer) -> None:
-        """Timers count up and are kept until they are due, as they can't be taken back."""
+        """The policy can't cancel a timer, so each is kept by a number of its own until it is due."""
         self._last_timer += 1
-        self._timers[self._last_timer] = asyncio.get_running_loop().call_later(
-            order.delay_s, self._timer_due, self._last_timer, order.token
-        )
+        loop = asyncio.get_running_loop()
+        handle = loop.call_later(order.delay_s, self._timer_due, self._last_timer, order.token)
+        self._timers[self._last_timer] = handle
 
     def _timer_due(self, timer: int, token: int) -> None:
-        self._record_loop_lag("timer", asyncio.get_running_loop().time() - self._timers.pop(timer).when())
+        due_at = self._timers.pop(timer).when()
+        self._record_loop_lag("timer", asyncio.get_running_loop().time() - due_at)
         self._input_queue.put(TimerFired(token))
 
+    def _watch_endpoints(self, order: WatchEndpoints) -> None:
+        self._effects.discovery.set_watching(order.enabled)
+
+    def _fetch_endpoints(self, order: FetchEndpoints) -> None:
+        self._effects.discovery.fetch()
+
+    def _check_health(self, order: HealthCheck) -> None:
+        self._effects.health_checker.start_check(order.worker_index)
+
+    def _send_gossip(self, order: SendGossip) -> None:
+        self._effects.gossip.send_datagram(order.recipient, order.text)
+
     def _log_mode_change(self, order: LogModeChange) -> None:
         self.log.info("mode", words=order.message)
-        self.on_mode_change(order.message)
-
-    def close(self) -> None:
-        for timer in self._timers.values():
-            timer.cancel()
-        self._timers.clear()
+        self._on_mode_change(order.message)
+
+    def _record_loop_lag(self, source: str, lag_s: float) -> None:
+        """Logs a batch that took longer, or a timer that came later, than all before by half."""
+        if lag_s > MIN_LOOP_LAG:
+            self._on_loop_lag()
+        if lag_s > max(MIN_LOOP_LAG, LAG_GROWTH * self._worst_lag_s.get(source, 0.0)):
+            self._worst_lag_s[source] = lag_s
+            self.log.info("behind", what=source, ms=round(lag_s * 1000, 1))
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -1,214 +1,164 @@
-"""Start and stop of one manager: everything opened here is given back here, in the opposite order."""
+"""Start and stop of one manager: what `serve` opens is closed in the opposite order."""
 
 from __future__ import annotations
 
 import asyncio
-import resource
 import signal
-from contextlib import AsyncExitStack
-from dataclasses import replace
-from functools import partial
-from typing import TYPE_CHECKING
+from collections.abc import AsyncIterator, Callable, Coroutine
+from contextlib import AsyncExitStack, asynccontextmanager
+from typing import TYPE_CHECKING, Any
 
 import structlog
 
-from ..config.errors import InputError
-from ..config.manager_config import ManagerConfig, read_manager_config
+from ..config.manager_config import ManagerConfig
+from ..model.inputs import EndpointList
 from ..policy.controller import RoutingController
 from ..protocol.discovery import DiscoveryClient
 from ..protocol.gossip import GossipSocket
 from ..protocol.health_checks import HealthChecker
 from ..protocol.messages import MessageReader
-from ..protocol.stream_listener import ACCEPT_QUEUE_LENGTH, ConnectionLimits, StreamListener
+from ..protocol.stream_listener import ConnectionLimits, StreamListener
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.proxy_sessions import ProxySessions
 from . import signals
-from .control_loop import ControlLoop, ControlLoopExtension, Effects, InputQueue
+from .connection_limits import connection_limits
+from .control_loop import ControlLoop, Effects, InputQueue
+from .extensions import (
+    BackgroundWork,
+    Extensions,
+    connect_snapshots,
+    create_extensions,
+    start_background_work,
+)
+from .reload import ConfigReloader
 
 if TYPE_CHECKING:
     from ..config.operator_config import OperatorConfig
-    from .background_scheduler import BackgroundScheduler
-    from .snapshot_manager import SnapshotManager
-
-RESERVED_DESCRIPTORS = 20  # for log, loop, listener, discovery, datagrams and the like, with some to spare
-CLOSE_LAG_TURNS = 4  # of the loop from an accept to the closing of whoever is one too many
-
-
-def connection_limits(config: ManagerConfig) -> ConnectionLimits:
-    """Accepts in flight and probes get a part of the descriptors, connections what is left, strangers only
-    what nobody who joined needs; what proxies leave unread may hold a quarter of the memory, over all."""
-    terms, sockets = config.settings.parameters, config.sockets
-    most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)  # the system may allow less
-    sockets = sockets if most == resource.RLIM_INFINITY else min(sockets, most)
-    accepts, probes = min(64, max(2, sockets // 64)), min(64, max(4, sockets // 16))
-    left = sockets - RESERVED_DESCRIPTORS - CLOSE_LAG_TURNS * accepts - probes
-    unread = (config.memory_mb << 20) // (4 * max(1, terms.proxy_count))
-    queue = max(
-        ACCEPT_QUEUE_LENGTH, 2 * terms.proxy_count
-    )  # each may have dialled anew before its last dial is seen to end
-    return ConnectionLimits(max(2 * terms.zone_count, left), accepts, probes, unread, queue)
-
-
-FIXED_FIELDS = ("name", "listen", "peer_listen", "peers", "peers_all", "settings")  # until the program ends
-
-
-def unchangeable_fields(running: ManagerConfig, new: ManagerConfig) -> list[str]:
-    """Fields that the new configuration changes and a reload can't; a seed is for starts alone."""
-    parameters = replace(new.settings.parameters, seed=running.settings.parameters.seed)
-    new = replace(new, settings=replace(new.settings, parameters=parameters))
-    return [name for name in FIXED_FIELDS if getattr(running, name) != getattr(new, name)]
-
-
-class ConfigReloader:
-    """Reads the file anew; the one place where what can change while running does.  A file with any fault is
-    not taken at all: what it lacks nobody can tell from what it means to change."""
-
-    def __init__(
-        self, path: str, running: ManagerConfig, discovery: DiscoveryClient, listener: StreamListener
-    ) -> None:
-        self._path, self._running, self._discovery, self._listener = path, running, discovery, listener
-        self._closed = False
-        self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-
-    def close(self) -> None:
-        """The handler stands until the loop is closed, longer than what it changes."""
-        self._closed = True
-
-    def __call__(self) -> None:
-        if self._closed:
-            return
-        held = self._running
-        try:
-            new = read_manager_config(self._path)
-        except InputError as exc:
-            self.log.error("configuration not taken", why=str(exc))
-            return
-        if new.discovery != held.discovery:
-            self._discovery.change_address(new.discovery)
-        self._running = replace(held, discovery=new.discovery, sockets=new.sockets, memory_mb=new.memory_mb)
-        self._listener.limits = connection_limits(self._running)
-        fixed, (host, port) = ",".join(unchangeable_fields(held, new)) or "none", new.discovery
-        self.log.info("configuration taken", discovery=f"{host}:{port}", unchangeable=fixed)
-
-
-async def start_background_work(
-    placement: ManagerConfig, operator: OperatorConfig | None, stack: AsyncExitStack
-) -> tuple[BackgroundScheduler | None, SnapshotManager | None]:
-    """The scheduler, where something needs it, and the memory of an earlier life."""
-    if operator is None or not (operator.memory or operator.control):
-        return None, None
-    import random
-
-    from .admin_socket import AdminSocket
-    from .background_scheduler import BackgroundScheduler
-
-    tasks = BackgroundScheduler(random.Random(placement.settings.parameters.seed).random)
-    keeper: SnapshotManager | None = None
-    if operator.memory is not None:
-        from .snapshot_manager import SNAPSHOT_TASK, SnapshotManager
-
-        keeper = SnapshotManager(operator.memory.folder, operator.memory.every, placement, tasks)
-        await keeper.start(stack)
-        stack.push_async_callback(tasks.close, (SNAPSHOT_TASK,))
-    else:
-        stack.push_async_callback(tasks.close)
-    if operator.control:
-        await AdminSocket(operator.control, {"tasks": tasks.status_rows}).listen(stack)
-    tasks.start()
-    return tasks, keeper
-
-
-def link_snapshots(
-    keeper: SnapshotManager, plans: list[ControlLoopExtension], discovery: DiscoveryClient
-) -> None:
-    """What is kept of others' knowledge, and given back to them."""
-    keeper.current_list_version = lambda: discovery.version
-    for plan in plans:
-        if (advice := getattr(plan, "advice", None)) is not None:
-            advice.recall(keeper.restored_credits)
-            keeper.current_credits = advice.credits
-
-
-def configured_extensions(
-    placement: ManagerConfig, operator: OperatorConfig | None, messages: MessageReader
-) -> list[ControlLoopExtension]:
-    """What the operators' file switches on; imported only then, as managers live in little memory."""
-    plans: list[ControlLoopExtension] = []
-    if operator is not None and operator.upgrades is not None:
-        from .connection_migrator import ConnectionMigrator
-
-        plans.append(ConnectionMigrator(placement.settings, operator.upgrades, placement.workers, messages))
-    if operator is not None and operator.advice is not None:
-        from .weight_advisor import WeightAdvisor
-
-        plans.append(WeightAdvisor(operator.advice, placement.workers))
-    if operator is not None and operator.plugins is not None:
-        from .plugin_extension import PluginExtension
-
-        plugged = PluginExtension(operator.plugins, placement.workers)
-        for plan in plans:
-            if hasattr(plan, "is_vetoed"):
-                plan.is_vetoed = plugged.is_vetoed
-        plans.append(plugged)
-    return plans
 
 
 async def serve(config: ManagerConfig, config_path: str, operator: OperatorConfig | None = None) -> None:
-    """Until SIGTERM or SIGINT; a fault of the module is raised from here."""
+    """Runs one manager until SIGTERM or SIGINT; a fault of the policy is raised from here."""
     log: structlog.stdlib.BoundLogger = structlog.get_logger()
-    site, workers, inbox, limits = config.settings, config.workers, InputQueue(), connection_limits(config)
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    roster = ProxySessions(inbox.put)
+    stop = _stop_event()
+    limits = connection_limits(config)
+    input_queue = InputQueue()
+    sessions = ProxySessions(input_queue.put)
+    messages = MessageReader(config.settings, config.workers.find_index)
     async with AsyncExitStack() as stack:
-        tasks, keeper = await start_background_work(config, operator, stack)
-        version, known = (
-            (keeper.restored_list_version, keeper.known_endpoints)
-            if keeper
-            else (config.list_version, config.known_endpoints)
-        )
-        discovery = DiscoveryClient(config.discovery, site, workers.register, inbox.put, version)
-        stack.push_async_callback(discovery.close)
-        path = "/load" if site.load_reports else "/healthz"
-        probing = HealthChecker(path, limits.max_health_checks, workers.address_of, inbox.put)
-        stack.push_async_callback(probing.close)
-        peers = GossipSocket(site.manager_index, config.peers, config.peers_all, inbox.put)
-        stack.callback(peers.close)
-        if config.peer_listen is not None:
-            await peers.listen(config.peer_listen)
-        spread = OrderDispatcher(list(site.classes), site.parameters.manager_count, workers)
-        messages = MessageReader(site, workers.find_index)
-        hands = Effects(discovery, probing, peers)
-        plans = configured_extensions(config, operator, messages)
-        for plan in plans:
-            await plan.start(stack)
-        if keeper is not None:
-            link_snapshots(keeper, plans, discovery)
-            plans.insert(0, keeper)
-        owner = ControlLoop(RoutingController(site.parameters), inbox, roster, spread, hands, plans)
-        stack.callback(owner.close)
-        for plan in plans:
-            if (event := getattr(plan, "queue_event", None)) is not None:
-                owner.on_mode_change = partial(event, "mode")
-        if tasks is not None:
-            owner.on_loop_lag = tasks.pause_for_loop_lag
-        owner.step([known])  # it can decide from here on, so from here on it answers
-        address = StreamListener(messages, roster, limits)
-        stack.push_async_callback(address.close)
-        port = await address.listen(*config.listen)
+        background = await start_background_work(config, operator, stack)
+        list_version, known_endpoints = _starting_list(config, background)
+        effects = await _open_effects(config, limits, list_version, input_queue, stack)
+        extensions = create_extensions(config, operator, messages)
+        for extension in extensions.in_order():
+            await extension.start(stack)
+        control_loop = _create_control_loop(config, input_queue, sessions, effects, extensions, background)
+        stack.callback(control_loop.close)
+        control_loop.step([known_endpoints])  # from here on it can decide, so from here on it answers
+        listener = StreamListener(messages, sessions, limits)
+        stack.push_async_callback(listener.close)
+        port = await listener.listen(*config.listen)
         log.info("serving", name=config.name, host=config.listen[0], port=port)
-        reload = ConfigReloader(config_path, config, discovery, address)
-        stack.callback(reload.close)
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
-        if signals.reload_was_requested():
-            reload()
-        running = asyncio.create_task(owner.run())
-        stopping = asyncio.create_task(stop.wait())
-        await asyncio.wait((running, stopping), return_when=asyncio.FIRST_COMPLETED)
-        stopping.cancel()
+        reloader = ConfigReloader(config_path, config, effects.discovery, listener)
+        stack.callback(reloader.close)
+        _reload_on_signal(reloader)
+        running = await stack.enter_async_context(_owned_task(control_loop.run()))
+        await _wait_for_first(running, stop)
         if running.done():
             running.result()  # raises what ended it
         log.info("stopping", name=config.name)
-        running.cancel()  # and ended, before what it uses is closed
-        await asyncio.gather(running, return_exceptions=True)
+
+
+def _stop_event() -> asyncio.Event:
+    """An event that SIGTERM and SIGINT set."""
+    stop = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stop.set)
+    return stop
+
+
+def _starting_list(config: ManagerConfig, background: BackgroundWork) -> tuple[int, EndpointList]:
+    """The list of endpoints to begin with, and its version: the snapshot's where there is one."""
+    if background.snapshots is not None:
+        return background.snapshots.restored_list_version, background.snapshots.known_endpoints
+    return config.list_version, config.known_endpoints
+
+
+async def _open_effects(
+    config: ManagerConfig,
+    limits: ConnectionLimits,
+    list_version: int,
+    input_queue: InputQueue,
+    stack: AsyncExitStack,
+) -> Effects:
+    """Discovery client, health checks and gossip; their results come back through the queue."""
+    settings, workers = config.settings, config.workers
+    discovery = DiscoveryClient(config.discovery, settings, workers.register, input_queue.put, list_version)
+    stack.push_async_callback(discovery.close)
+    path = "/load" if settings.load_reports else "/healthz"
+    health_checker = HealthChecker(path, limits.max_health_checks, workers.address_of, input_queue.put)
+    stack.push_async_callback(health_checker.close)
+    gossip = GossipSocket(settings.manager_index, config.peers, config.peers_all, input_queue.put)
+    stack.callback(gossip.close)
+    if config.peer_listen is not None:
+        await gossip.listen(config.peer_listen)
+    return Effects(discovery, health_checker, gossip)
+
+
+def _create_control_loop(
+    config: ManagerConfig,
+    input_queue: InputQueue,
+    sessions: ProxySessions,
+    effects: Effects,
+    extensions: Extensions,
+    background: BackgroundWork,
+) -> ControlLoop:
+    """The control loop with its extensions; snapshots come first, as they restore the earlier state."""
+    settings = config.settings
+    loop_extensions = extensions.in_order()
+    if background.snapshots is not None:
+        connect_snapshots(background.snapshots, extensions, effects.discovery)
+        loop_extensions.insert(0, background.snapshots)
+    observers: dict[str, Callable[..., None]] = {}
+    if background.scheduler is not None:
+        observers["on_loop_lag"] = background.scheduler.pause_for_loop_lag
+    on_mode_change = extensions.mode_change_observer()
+    if on_mode_change is not None:
+        observers["on_mode_change"] = on_mode_change
+    return ControlLoop(
+        RoutingController(settings.parameters),
+        input_queue,
+        sessions,
+        OrderDispatcher(list(settings.classes), settings.parameters.manager_count, config.workers),
+        effects,
+        loop_extensions,
+        **observers,
+    )
+
+
+def _reload_on_signal(reloader: ConfigReloader) -> None:
+    """Reloads at each SIGHUP, and now if one came while the manager was starting."""
+    asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reloader)
+    if signals.reload_was_requested():
+        reloader()
+
+
+@asynccontextmanager
+async def _owned_task(coroutine: Coroutine[Any, Any, None]) -> AsyncIterator[asyncio.Task[None]]:
+    """A task that is cancelled, and has ended, before anything that it uses is closed."""
+    task = asyncio.create_task(coroutine)
+    try:
+        yield task
+    finally:
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+
+async def _wait_for_first(running: asyncio.Task[None], stop: asyncio.Event) -> None:
+    """Until the control loop has ended or the stop was asked for."""
+    async with _owned_task(_wait(stop)) as stopping:
+        await asyncio.wait((running, stopping), return_when=asyncio.FIRST_COMPLETED)
+
+
+async def _wait(event: asyncio.Event) -> None:
+    await event.wait()
--- /dev/null
+++ b/cottonladder/control/reload.py
@@ -0,0 +1,68 @@
+"""Reloading the manager's file on SIGHUP, and which of its fields a reload may change."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import structlog
+
+from ..config.errors import InputError
+from ..config.manager_config import ManagerConfig, read_manager_config
+from ..protocol.discovery import DiscoveryClient
+from ..protocol.stream_listener import StreamListener
+from .connection_limits import connection_limits
+
+FIXED_FIELDS = ("name", "listen", "peer_listen", "peers", "peers_all", "settings")  # until the program ends
+
+
+def unchangeable_fields(running: ManagerConfig, new: ManagerConfig) -> list[str]:
+    """Fields that the new file changes and a reload can't.  The seed is for starts alone, so not compared."""
+    parameters = replace(new.settings.parameters, seed=running.settings.parameters.seed)
+    new = replace(new, settings=replace(new.settings, parameters=parameters))
+    return [name for name in FIXED_FIELDS if getattr(running, name) != getattr(new, name)]
+
+
+class ConfigReloader:
+    """Applies what can change while the manager runs: discovery's address, sockets and memory.
+
+    A file with any fault is rejected whole, as nobody can tell what its missing part was meant to change.
+    """
+
+    def __init__(
+        self, path: str, running: ManagerConfig, discovery: DiscoveryClient, listener: StreamListener
+    ) -> None:
+        self._path = path
+        self._running = running
+        self._discovery = discovery
+        self._listener = listener
+        self._closed = False
+        self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
+
+    def close(self) -> None:
+        """Further signals change nothing: their handler stays until the loop is closed."""
+        self._closed = True
+
+    def __call__(self) -> None:
+        if self._closed:
+            return
+        try:
+            new = read_manager_config(self._path)
+        except InputError as exc:
+            self.log.error("configuration not taken", why=str(exc))
+            return
+        unchangeable = unchangeable_fields(self._running, new)
+        self._apply(new)
+        host, port = new.discovery
+        self.log.info(
+            "configuration taken",
+            discovery=f"{host}:{port}",
+            unchangeable=",".join(unchangeable) or "none",
+        )
+
+    def _apply(self, new: ManagerConfig) -> None:
+        if new.discovery != self._running.discovery:
+            self._discovery.change_address(new.discovery)
+        self._running = replace(
+            self._running, discovery=new.discovery, sockets=new.sockets, memory_mb=new.memory_mb
+        )
+        self._listener.limits = connection_limits(self._running)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 
 from cottonladder.config.deployment import read_settings
 from cottonladder.config.manager_config import read_manager_config
-from cottonladder.control import manager
+from cottonladder.control.reload import ConfigReloader
 from cottonladder.model.inputs import (
     ArrivalReport,
     EndpointList,
@@ -464,7 +464,7 @@
         program.config["discovery"] = await self.host(Discovery().handle)
         (program.folder / "config.json").write_text(json.dumps(program.config))
         follower, where = mock.Mock(), mock.Mock()
-        reload = manager.ConfigReloader(str(program.folder / "config.json"), placement, follower, where)
+        reload = ConfigReloader(str(program.folder / "config.json"), placement, follower, where)
         reload.close()
         reload()
         follower.change_address.assert_not_called()
