--- a/cottonladder/simulator/__main__.py
+++ b/cottonladder/simulator/__main__.py
@@ -1,4 +1,8 @@
-"""Hosts one isolated instance of the decisions for each manager; exits when the input ends."""
+"""The simulator's child process: batches of events on standard input, actions on standard output.
+
+Each simulated manager has a controller of its own.  The process ends when its input ends, with status 2 if a
+batch is not as the simulator's protocol says.
+"""
 
 from __future__ import annotations
 
@@ -7,79 +11,99 @@
 import traceback
 from typing import Any
 
-from ..config.errors import InputError
-from ..config.fields import field
-from ..model.orders import RemoveWorker
+from ..config.errors import ConfigError, InputError
+from ..config.fields import NUMBER, field
+from ..model.inputs import Input
+from ..model.orders import Order, RemoveWorker
 from ..policy.controller import RoutingController
 from .codec import ManagerCodec
 
+ATTACH = "ATTACH"  # a manager begins, with its settings
+RETIRE = "RETIRE"  # a manager ends
+STATUS_BAD_INPUT = 2
+
+Action = dict[str, Any]
+
 
 class SimulatedManager:
-    """One manager's place: its door and its own instance of the decisions."""
+    """One manager: its codec and its own controller."""
 
-    def __init__(self, body: dict[str, Any], where: str) -> None:
+    def __init__(self, body: Any, where: str) -> None:
         self.codec = ManagerCodec(body, where)
         self.controller = RoutingController(self.codec.settings.parameters)
 
+    def read(self, name: str, body: Any, where: str) -> Input:
+        """One event as an input of the policy."""
+        return self.codec.read(name, body, where)
+
+    def decide(self, now: float, inputs: list[Input]) -> list[Action]:
+        """The actions that the policy orders; a fault of the policy is an action too."""
+        try:
+            orders = self.controller.decide(now, inputs)
+            return [self.codec.write(order) for order in orders if self._is_written(order)]
+        except Exception as exc:
+            traceback.print_exc(file=sys.stderr)
+            return [{"CRASH": {"Words": f"{type(exc).__name__}: {exc}"}}]
+
+    @staticmethod
+    def _is_written(order: Order) -> bool:
+        """Removals are not: a simulated day has few ids, so none is given up."""
+        return not isinstance(order, RemoveWorker)
+
 
 class SimulatorHost:
-    """Reads batches and writes replies; the seats know nothing of one another."""
+    """Hosts the simulated managers, which know nothing of one another."""
 
     def __init__(self) -> None:
         self.managers: dict[int, SimulatedManager] = {}
 
     def handle_batch(self, line: str) -> dict[str, Any]:
+        """One line of events for any of the managers, and the reply to it."""
         try:
             batch = json.loads(line)
         except ValueError as exc:
-            raise InputError(f"batch: not JSON ({exc})") from None
-        now = float(field(batch, "SimTimeMs", (int, float), "batch")) / 1000.0
+            raise ConfigError("batch", f"not JSON ({exc})") from None
+        now = float(field(batch, "SimTimeMs", NUMBER, "batch")) / 1000.0
         replies: list[dict[str, Any]] = []
         for group in field(batch, "managers", list, "batch"):
-            who = field(group, "ManagerId", int, "batch")
-            outbox = self._handle_events(who, now, field(group, "arrivals", list, f"instance {who}"))
-            if outbox:
-                replies.append({"ManagerId": who, "outbox": outbox})
+            manager_id = field(group, "ManagerId", int, "batch")
+            events = field(group, "arrivals", list, f"instance {manager_id}")
+            actions = self._handle_events(manager_id, now, events)
+            if actions:
+                replies.append({"ManagerId": manager_id, "outbox": actions})
         return {"managers": replies}
 
-    def _handle_events(self, who: int, now: float, events: list[Any]) -> list[dict[str, Any]]:
-        outbox: list[dict[str, Any]] = []
-        inputs: list[Any] = []
+    def _handle_events(self, manager_id: int, now: float, events: list[Any]) -> list[Action]:
+        actions: list[Action] = []
+        inputs: list[Input] = []
         for event in events:
             if not isinstance(event, dict) or len(event) != 1:
-                raise InputError(f"instance {who}: an event is not an object with a single key")
+                raise ConfigError(f"instance {manager_id}", "an event is not an object with a single key")
             ((name, body),) = event.items()
-            where = f"{name} for instance {who}"
-            if name in ("ATTACH", "RETIRE"):
-                self._decide(who, now, inputs, outbox)
+            where = f"{name} for instance {manager_id}"
+            if name in (ATTACH, RETIRE):
+                actions += self._decide(manager_id, now, inputs)
                 inputs = []
-                self.managers.pop(who, None)
-                if name == "RETIRE":
-                    outbox.clear()
-                else:
-                    self.managers[who] = SimulatedManager(body, where)
-            elif who not in self.managers:
-                raise InputError(f"{where}: no ATTACH came before it")
+                self.managers.pop(manager_id, None)
+            if name == RETIRE:
+                actions = []
+            elif name == ATTACH:
+                self.managers[manager_id] = SimulatedManager(body, where)
+            elif manager_id not in self.managers:
+                raise ConfigError(where, "no ATTACH came before it")
             else:
-                inputs.append(self.managers[who].codec.read(name, body, where))
-        self._decide(who, now, inputs, outbox)
-        return outbox
-
-    def _decide(self, who: int, now: float, inputs: list[Any], outbox: list[dict[str, Any]]) -> None:
-        seat = self.managers.get(who)
-        if seat is None or not inputs:
-            return
-        try:
-            orders = seat.controller.decide(now, inputs)
-            outbox += [
-                seat.codec.write(o) for o in orders if not isinstance(o, RemoveWorker)
-            ]  # ids are few here
-        except Exception as exc:  # the wire's own word for a fault of the decisions
-            traceback.print_exc(file=sys.stderr)
-            outbox.append({"CRASH": {"Words": f"{type(exc).__name__}: {exc}"}})
+                inputs.append(self.managers[manager_id].read(name, body, where))
+        return actions + self._decide(manager_id, now, inputs)
+
+    def _decide(self, manager_id: int, now: float, inputs: list[Input]) -> list[Action]:
+        manager = self.managers.get(manager_id)
+        if manager is None or not inputs:
+            return []
+        return manager.decide(now, inputs)
 
 
 def main() -> int:
+    """Handles batches until the input ends; gives the process's status."""
     host = SimulatorHost()
     for line in sys.stdin:
         if not line.strip():
@@ -88,7 +112,7 @@
             reply = host.handle_batch(line)
         except InputError as exc:
             print(exc, file=sys.stderr)
-            return 2
+            return STATUS_BAD_INPUT
         sys.stdout.write(json.dumps(reply, separators=(",", ":"), allow_nan=False) + "\n")
         sys.stdout.flush()
     return 0
