--- a/cottonladder/cli/memory.py
+++ b/cottonladder/cli/memory.py
@@ -55,7 +55,7 @@
     return {
         "generation": generation.number,
         "age_s": round(time.time() - content.written_at, 1) if content else None,
-        "bytes": store.path(generation.number).stat().st_size,
+        "bytes": store.path_of(generation.number).stat().st_size,
         "sections": sorted(content.sections) if content else [],
         "fault": generation.fault,
     }
@@ -97,7 +97,7 @@
     """Remove all but the newest whole generation.  Not while a process owns the folder."""
     with store_errors(), _locked_store(folder) as store:
         generation = _newest(store)
-        removed = store.retain(1)
+        removed = store.remove_old_generations(1)
         click.echo(f"{folder}: generation {generation.number} stays, {removed} removed")
 
 
@@ -171,7 +171,7 @@
 
 def _newest(store: SnapshotStore) -> Generation:
     """The newest whole generation; those that are not whole are set aside."""
-    generation = store.newest()
+    generation = store.read_newest()
     if generation is None:
         raise SnapshotError(f"{store.folder}: no generation that holds")
     return generation
