--- /dev/null
+++ b/cottonladder/state/config_encoder.py
@@ -0,0 +1,119 @@
+"""Encodes pending line operations as the CONFIG messages of one proxy."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+
+from ..protocol.messages import ConfigPart, encode_parts
+from .line_operations import LineKind, LineOperation
+from .worker_registry import WorkerRegistry
+
+MAX_PART_SIZE = 900_000  # bytes of lines in a part: a part is 1 MiB at most, with its other fields
+MAX_PARTS = 64  # parts of one message, by the protocol; more operations go as a further message
+LINE_OVERHEAD = 32  # bytes that a line takes at most beside its worker's id
+
+WORKER_LINES = frozenset((LineKind.SET_WEIGHT, LineKind.EXCLUDE_WORKER, LineKind.READMIT_WORKER))
+
+
+class ConfigEncoder:
+    """Knows the names behind the indices that operations are written with."""
+
+    def __init__(self, class_names: list[str], workers: WorkerRegistry) -> None:
+        self._class_names = class_names
+        self._all_classes = (1 << len(class_names)) - 1
+        self._workers = workers
+
+    def encode(self, operations: Iterable[LineOperation]) -> bytes:
+        """All operations in order, in as few parts and messages as the protocol allows."""
+        packer = _PartPacker(self._names_of)
+        for operation in operations:
+            worker_id = b""
+            if operation.kind in WORKER_LINES:
+                worker_id = self._workers.ids[operation.worker_index]
+            packer.add(operation, worker_id)
+        parts = packer.parts
+        messages = [parts[first : first + MAX_PARTS] for first in range(0, len(parts), MAX_PARTS)]
+        return b"".join(encode_parts(message) for message in messages)
+
+    def _names_of(self, class_mask: int) -> bytes:
+        """The names of these classes as the wire has them: empty for all."""
+        if class_mask == self._all_classes:
+            return b""
+        names = [name for index, name in enumerate(self._class_names) if class_mask >> index & 1]
+        return "+".join(names).encode()
+
+
+class _PartPacker:
+    """Puts operations into parts; one that the last part has no place for begins another."""
+
+    def __init__(self, names_of: Callable[[int], bytes]) -> None:
+        self.parts = [ConfigPart()]
+        self._names_of = names_of
+        self._class_mask = 0  # classes that the last part's table fields stand for; 0 while it has none
+        self._size = 0  # bytes of the last part's lines, at most
+
+    def add(self, operation: LineOperation, worker_id: bytes) -> None:
+        line_size = len(worker_id) + LINE_OVERHEAD
+        self._size += line_size
+        if self._needs_new_part(operation, worker_id):
+            self.parts.append(ConfigPart())
+            self._class_mask = 0
+            self._size = line_size
+        part = self.parts[-1]
+        if operation.class_mask:
+            self._class_mask = operation.class_mask
+            part.classes = self._names_of(operation.class_mask)
+        _write(part, operation, worker_id)
+
+    def _needs_new_part(self, operation: LineOperation, worker_id: bytes) -> bool:
+        for_other_classes = bool(operation.class_mask) and self._class_mask not in (0, operation.class_mask)
+        if for_other_classes or self._size > MAX_PART_SIZE:
+            return True
+        return CONFLICTS[operation.kind](self.parts[-1], worker_id)
+
+
+def _write(part: ConfigPart, operation: LineOperation, worker_id: bytes) -> None:
+    kind = operation.kind
+    if kind is LineKind.SET_WEIGHT:
+        part.weights[worker_id] = operation.value
+    elif kind is LineKind.REPLACE_TABLE:
+        part.replaces_table = True
+    elif kind is LineKind.SET_ADMISSION:
+        part.admission = (operation.value, operation.retry_policy)
+    elif kind is LineKind.CHECKPOINT:
+        part.checkpoint = operation.checkpoint
+    elif kind is LineKind.EXCLUDE_WORKER:
+        part.excluded.append(worker_id)
+    else:
+        part.readmitted.append(worker_id)
+
+
+def _table_is_written(part: ConfigPart, worker_id: bytes) -> bool:
+    return part.replaces_table or bool(part.weights) or part.admission is not None
+
+
+def _weight_is_written(part: ConfigPart, worker_id: bytes) -> bool:
+    return worker_id in part.weights or part.admission is not None
+
+
+def _admission_is_written(part: ConfigPart, worker_id: bytes) -> bool:
+    return part.admission is not None
+
+
+def _exclusion_is_written(part: ConfigPart, worker_id: bytes) -> bool:
+    return worker_id in part.excluded or worker_id in part.readmitted
+
+
+def _checkpoint_is_written(part: ConfigPart, worker_id: bytes) -> bool:
+    return part.checkpoint is not None
+
+
+# Whether a part already says what rules out a further line of this kind, for this worker.
+CONFLICTS: dict[LineKind, Callable[[ConfigPart, bytes], bool]] = {
+    LineKind.SET_WEIGHT: _weight_is_written,
+    LineKind.REPLACE_TABLE: _table_is_written,
+    LineKind.SET_ADMISSION: _admission_is_written,
+    LineKind.EXCLUDE_WORKER: _exclusion_is_written,
+    LineKind.READMIT_WORKER: _exclusion_is_written,
+    LineKind.CHECKPOINT: _checkpoint_is_written,
+}
--- /dev/null
+++ b/cottonladder/state/line_operations.py
@@ -0,0 +1,67 @@
+"""Pending lines of messages to proxies, before they are encoded.
+
+A line is the unit that the channel to a proxy is charged in.  Operations are named tuples rather than
+dataclasses because a single step may create, compare and hash tens of thousands of them.
+"""
+
+from __future__ import annotations
+
+from enum import IntEnum
+from typing import NamedTuple
+
+
+class LineKind(IntEnum):
+    """What a line changes at a proxy."""
+
+    SET_WEIGHT = 1
+    REPLACE_TABLE = 2
+    SET_ADMISSION = 3
+    EXCLUDE_WORKER = 4
+    READMIT_WORKER = 5
+    CHECKPOINT = 6
+
+
+class LineOperation(NamedTuple):
+    """One line of a message; fields that its kind has no use for keep their defaults."""
+
+    kind: LineKind
+    class_mask: int = 0  # sum of 2**class that the line stands for; 0 where it stands for no class
+    worker_index: int = -1
+    value: float = 0.0  # a weight, or an admission ratio or rate
+    retry_policy: int = 0
+    checkpoint: int = 0
+
+
+class AdmissionLevel(NamedTuple):
+    """Admission in force for one request class, with the retry policy that goes with it."""
+
+    admission: float
+    retry_policy: int
+
+
+def set_weight(class_mask: int, worker_index: int, weight: float) -> LineOperation:
+    """A worker's weight in the table of these classes; 0 takes it out."""
+    return LineOperation(LineKind.SET_WEIGHT, class_mask, worker_index, weight)
+
+
+def replace_table(class_mask: int) -> LineOperation:
+    """Empties the table of these classes."""
+    return LineOperation(LineKind.REPLACE_TABLE, class_mask)
+
+
+def set_admission(class_mask: int, level: AdmissionLevel) -> LineOperation:
+    """The admission level of these classes."""
+    return LineOperation(
+        LineKind.SET_ADMISSION, class_mask, value=level.admission, retry_policy=level.retry_policy
+    )
+
+
+def set_excluded(worker_index: int, excluded: bool) -> LineOperation:
+    """Excludes a worker from every table of the proxy, or readmits it."""
+    kind = LineKind.EXCLUDE_WORKER if excluded else LineKind.READMIT_WORKER
+    return LineOperation(kind, worker_index=worker_index)
+
+
+def checkpoint(number: int) -> LineOperation:
+    """A number that the proxy acknowledges once it has applied all that came before."""
+    return LineOperation(LineKind.CHECKPOINT, checkpoint=number)
--- a/cottonladder/state/proxy_sessions.py
+++ b/cottonladder/state/proxy_sessions.py
@@ -1,4 +1,4 @@
-"""Who is joined on which stream: the newest of a proxy's streams holds."""
+"""The current connection of each proxy: the newest of a proxy's connections holds."""
 
 from __future__ import annotations
 
@@ -10,30 +10,36 @@
 
 
 class ProxySessions:
-    """Hears of the address's streams; the module sees the old stream left before the new one joined."""
+    """Receives the stream listener's events and passes inputs on.
 
-    def __init__(self, post: Callable[[Input | ExtensionMessage], None]) -> None:
-        self.input_received = post
-        self._streams: dict[int, ProtocolConnection] = {}
+    Of a proxy that reconnects, the inputs have the old connection's end before the new one's start.
+    """
 
-    def proxy_connected(self, stream: ProtocolConnection, joined: ProxyConnected) -> None:
-        old = self._streams.get(joined.proxy)
-        if old is not None and old.accept_number > stream.accept_number:
-            # Dialled before the one that holds and read after it, as in a late loop: its proxy has left it.
-            stream.listener.mark_superseded(stream)
-            return
-        if old is not None:
-            old.listener.mark_superseded(old)
-            self.input_received(ProxyDisconnected(joined.proxy))
-        self._streams[joined.proxy] = stream
-        self.input_received(joined)
+    def __init__(self, input_received: Callable[[Input | ExtensionMessage], None]) -> None:
+        self.input_received = input_received
+        self._connections: dict[int, ProtocolConnection] = {}  # by proxy
 
-    def connection_ended(self, stream: ProtocolConnection) -> None:
-        if self._streams.get(stream.proxy) is stream:
-            del self._streams[stream.proxy]
-            self.input_received(ProxyDisconnected(stream.proxy))
+    def proxy_connected(self, connection: ProtocolConnection, event: ProxyConnected) -> None:
+        """A connection has said which proxy it belongs to."""
+        current = self._connections.get(event.proxy)
+        if current is not None and current.accept_number > connection.accept_number:
+            # Accepted before the current one and read after it, as when the loop lags: its proxy has left it.
+            connection.listener.mark_superseded(connection)
+            return
+        if current is not None:
+            current.listener.mark_superseded(current)
+            self.input_received(ProxyDisconnected(event.proxy))
+        self._connections[event.proxy] = connection
+        self.input_received(event)
+
+    def connection_ended(self, connection: ProtocolConnection) -> None:
+        """A proxy's connection is closed; the proxy is disconnected unless another connection holds."""
+        if self._connections.get(connection.proxy) is connection:
+            del self._connections[connection.proxy]
+            self.input_received(ProxyDisconnected(connection.proxy))
 
     def send(self, proxy: int, data: bytes) -> None:
-        stream = self._streams.get(proxy)
-        if stream is not None:
-            stream.send(data)
+        """Writes to the proxy's current connection; dropped where it has none."""
+        connection = self._connections.get(proxy)
+        if connection is not None:
+            connection.send(data)
--- a/cottonladder/state/worker_registry.py
+++ b/cottonladder/state/worker_registry.py
@@ -1,4 +1,4 @@
-"""Worker ids and small indices; what the list says of where each is and when it last started."""
+"""Worker ids and their small indices; what the endpoint list says of each worker's address and start."""
 
 from __future__ import annotations
 
@@ -8,70 +8,94 @@
 from ..config.settings import WireError
 
 MAX_WORKERS = 65536  # ids known at once; some 20 MB, and far more than a list names
-PLACES = 1 << 16  # bits for the ids forgotten: 8 KiB, full after tens of thousands of them
+REMOVED_FILTER_BITS = 1 << 16  # for ids that were removed: 8 KiB, full after tens of thousands of them
+
+
+class TooManyWorkersError(WireError):
+    """The endpoint list names more workers than are kept."""
+
+    def __init__(self, limit: int) -> None:
+        super().__init__(f"more than {limit} workers listed")
+        self.limit = limit
 
 
 @dataclass(slots=True)
 class KnownWorker:
-    address: str
-    doubtful: bool  # it was forgotten once, so that proxies may still shut it out
-    restarted: bool = False
+    """One listed worker."""
 
-
-def _place(key: bytes) -> tuple[int, int]:
-    """The byte and the bit in it that stand for an id once it is forgotten."""
-    byte, shift = divmod(zlib.crc32(key) % PLACES, 8)
-    return byte, 1 << shift
+    address: str
+    was_removed_before: bool  # so that proxies may still exclude it
+    has_restarted: bool = False
 
 
 class WorkerRegistry:
-    """Only the list makes a worker known; it stays so until the module forgets it.  Indices are never used
-    again, so a late word on one that is gone meets nobody.  Of who was forgotten a bit of a hash is kept: a
-    worker that returns, or hits another's bit, costs a line that lets it in at each proxy, and no more."""
+    """Gives each listed worker a small index, until the controller removes the worker.
+
+    Indices are never used again, so a late report on a removed worker affects nobody.  Of removed ids one bit
+    of a hash is kept: a worker that returns, or hits another's bit, costs a line that readmits it at each
+    proxy, and no more.
+    """
 
     def __init__(self) -> None:
         self.ids: dict[int, bytes] = {}
         self._workers: dict[int, KnownWorker] = {}
-        self._index: dict[bytes, int] = {}
-        self._next = 0
-        self._forgotten = bytearray(PLACES // 8)
-
-    def register(self, name: str, address: str, started: float) -> int:
-        key = name.encode()
-        index = self._index.get(key)
-        if index is None:
-            if len(self.ids) >= MAX_WORKERS:
-                raise WireError(f"more than {MAX_WORKERS} workers listed")
-            index = self._index[key] = self._next
-            self._next += 1
-            self.ids[index] = key
-            byte, bit = _place(key)
-            self._workers[index] = KnownWorker(address, bool(self._forgotten[byte] & bit))
-        worker = self._workers[index]
+        self._indices: dict[bytes, int] = {}
+        self._next_index = 0
+        self._removed_filter = bytearray(REMOVED_FILTER_BITS // 8)
+
+    def register(self, worker_id: str, address: str, started_at: float) -> int:
+        """The index of a listed worker, new or known; `started_at` is 0 for a start of long ago."""
+        key = worker_id.encode()
+        worker_index = self._indices.get(key)
+        if worker_index is None:
+            worker_index = self._add(key, address)
+        worker = self._workers[worker_index]
         worker.address = address
-        worker.restarted |= started > 0
-        return index
-
-    def remove(self, index: int) -> None:
-        key = self.ids.pop(index)
-        del self._index[key], self._workers[index]
-        byte, bit = _place(key)
-        self._forgotten[byte] |= bit
-
-    def find_index(self, key: bytes) -> int | None:
-        return self._index.get(key)
-
-    def is_known(self, index: int) -> bool:
-        return index in self.ids
-
-    def has_restarted(self, index: int) -> bool:
-        """Since it is known, as far as the list told: a start of long ago is listed as none."""
-        return self._workers[index].restarted
+        worker.has_restarted |= started_at > 0
+        return worker_index
+
+    def _add(self, worker_id: bytes, address: str) -> int:
+        if len(self.ids) >= MAX_WORKERS:
+            raise TooManyWorkersError(MAX_WORKERS)
+        worker_index = self._next_index
+        self._next_index += 1
+        self._indices[worker_id] = worker_index
+        self.ids[worker_index] = worker_id
+        byte, bit = _filter_position(worker_id)
+        self._workers[worker_index] = KnownWorker(address, bool(self._removed_filter[byte] & bit))
+        return worker_index
+
+    def remove(self, worker_index: int) -> None:
+        """Frees what is kept of a worker, but for the bit that says that its id was known."""
+        worker_id = self.ids.pop(worker_index)
+        del self._indices[worker_id]
+        del self._workers[worker_index]
+        byte, bit = _filter_position(worker_id)
+        self._removed_filter[byte] |= bit
+
+    def find_index(self, worker_id: bytes) -> int | None:
+        """The index of a listed worker, or None."""
+        return self._indices.get(worker_id)
+
+    def is_known(self, worker_index: int) -> bool:
+        """Whether the worker is registered and not removed."""
+        return worker_index in self.ids
+
+    def has_restarted(self, worker_index: int) -> bool:
+        """Since it is known, as far as the list says: a start of long ago is listed as none."""
+        return self._workers[worker_index].has_restarted
+
+    def was_removed_before(self, worker_index: int) -> bool:
+        """Whether this id, or one with the same hash, was known and removed earlier."""
+        return self._workers[worker_index].was_removed_before
+
+    def address_of(self, worker_index: int) -> str:
+        """Host and port; empty for a worker that was removed meanwhile."""
+        worker = self._workers.get(worker_index)
+        return "" if worker is None else worker.address
 
-    def was_removed_before(self, index: int) -> bool:
-        return self._workers[index].doubtful
 
-    def address_of(self, index: int) -> str:
-        """Empty for one that was forgotten meanwhile."""
-        worker = self._workers.get(index)
-        return "" if worker is None else worker.address
+def _filter_position(worker_id: bytes) -> tuple[int, int]:
+    """The byte of the filter that stands for an id, and the bit within it."""
+    byte, shift = divmod(zlib.crc32(worker_id) % REMOVED_FILTER_BITS, 8)
+    return byte, 1 << shift
