--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -11,7 +11,7 @@
 
 import structlog
 
-from ..config.settings import WireError
+from ..config.errors import InputError
 from ..model.inputs import Acknowledged, ArrivalReport, Input, LoadReport, ProxyConnected
 from . import messages as m
 from .fault_log import RateLimitedFaultLog
@@ -66,11 +66,11 @@
                     return
                 try:
                     self._hear(words)
-                except WireError as exc:
+                except InputError as exc:
                     if self.state == NEW:
                         raise
                     self.listener.left_out.report(str(exc), **self.shown())
-        except WireError as exc:
+        except InputError as exc:
             self.end(str(exc))
 
     def shown(self) -> dict[str, object]:
@@ -81,7 +81,7 @@
         said = self.listener.messages.read(words)
         step = STEPS.get((self.state, type(said)))
         if step is None:
-            raise WireError(f"{m.printable(words[0])}: not on a connection that is {self.state}")
+            raise InputError(f"{m.printable(words[0])}: not on a connection that is {self.state}")
         step(self, said)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -127,7 +127,7 @@
 
     def _own(self, said: m.IncomingMessage) -> None:
         if cast(Acknowledged | ArrivalReport, said).proxy != self.proxy:
-            raise WireError("ACK or RATE: field node is another's than the stream's")
+            raise InputError("ACK or RATE: field node is another's than the stream's")
         self._report(said)
 
     def _beyond(self, said: m.IncomingMessage) -> None:
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..config.settings import WireError
+from ..config.errors import InputError
 from . import resp
 from .messages import MessageFields
 
@@ -85,16 +85,16 @@
     rows: dict[bytes, tuple[int, ...]] = {}
     words = [word for word in fields.values.get(name.encode(), b"").split(b",") if word]
     if len(words) > most:
-        raise WireError(f"{fields.message_type}: field {name} has over {most} entries")
+        raise InputError(f"{fields.message_type}: field {name} has over {most} entries")
     for word in words:
         be, *counts = word.rsplit(b":", figures)
         if not be or len(counts) != figures or not all(c.isdigit() and len(c) < 9 for c in counts):
-            raise WireError(f"{fields.message_type}: field {name} is not {'id' + ':count' * figures}")
+            raise InputError(f"{fields.message_type}: field {name} is not {'id' + ':count' * figures}")
         if be in rows:
-            raise WireError(f"{fields.message_type}: field {name} names a worker twice")
+            raise InputError(f"{fields.message_type}: field {name} names a worker twice")
         rows[be] = tuple(int(c) for c in counts)
         if max(rows[be]) > MAX_CONNECTIONS:
-            raise WireError(f"{fields.message_type}: field {name} has a count over {MAX_CONNECTIONS}")
+            raise InputError(f"{fields.message_type}: field {name} has a count over {MAX_CONNECTIONS}")
     return rows
 
 
@@ -106,7 +106,7 @@
     rows: dict[bytes, tuple[int, int, int]] = {}
     for be, (held, busy, resumable) in _pairs(f, "holds", 3, MAX_HELD_WORKERS).items():
         if max(busy, resumable) > held:
-            raise WireError("HELD: field holds has more busy or resumable than open")
+            raise InputError("HELD: field holds has more busy or resumable than open")
         rows[be] = (held, busy, resumable)
     return HeldConnections(f.count("node"), f.flag("whole"), rows)
 
@@ -118,7 +118,7 @@
 def _welcome(f: MessageFields) -> AnnouncementAccepted:
     part, arrivals = f.number("part"), f.number("arrivals")
     if part > 1.0:
-        raise WireError("UPGRADES: field part is over 1")
+        raise InputError("UPGRADES: field part is over 1")
     return AnnouncementAccepted(f.count("version"), part, arrivals)
 
 
@@ -126,12 +126,12 @@
     source = f.text("from")
     if b"stop" in f.values:
         if not f.flag("stop"):
-            raise WireError("MOVE: field stop is not 1")
+            raise InputError("MOVE: field stop is not 1")
         return MigrationStopped(source)
     to = {be.decode(): n for be, (n,) in _pairs(f, "to", 1, MAX_DESTINATIONS).items()}
     count = f.count("count")
     if not 0 < count <= MAX_CONNECTIONS or sum(to.values()) > count:
-        raise WireError("MOVE: field count is none, or less than the places named")
+        raise InputError("MOVE: field count is none, or less than the places named")
     return MigrationOrdered(
         f.count("move"), source, to, count, f.number("within") / 1000.0, f.number("left") / 1000.0
     )
@@ -153,13 +153,13 @@
     try:
         return TO_FORWARDER[words[0]](MessageFields(words[0].decode(), words[1:]))
     except UnicodeDecodeError:
-        raise WireError(f"{words[0].decode()}: a worker's id is not text") from None
+        raise InputError(f"{words[0].decode()}: a worker's id is not text") from None
 
 
 def _figure(value: float) -> bytes:
     """Never what the other side must refuse."""
     if not math.isfinite(value) or value < 0:
-        raise WireError(f"figure {value} can't stand in a message")
+        raise InputError(f"figure {value} can't stand in a message")
     return b"%r" % float(value)
 
 
--- a/cottonladder/state/worker_registry.py
+++ b/cottonladder/state/worker_registry.py
@@ -5,13 +5,13 @@
 import zlib
 from dataclasses import dataclass
 
-from ..config.settings import WireError
+from ..config.errors import InputError
 
 MAX_WORKERS = 65536  # ids known at once; some 20 MB, and far more than a list names
 REMOVED_FILTER_BITS = 1 << 16  # for ids that were removed: 8 KiB, full after tens of thousands of them
 
 
-class TooManyWorkersError(WireError):
+class TooManyWorkersError(InputError):
     """The endpoint list names more workers than are kept."""
 
     def __init__(self, limit: int) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,8 +20,8 @@
 
 from aiohttp import web
 
+from cottonladder.config.deployment import read_settings
 from cottonladder.config.manager_config import read_manager_config
-from cottonladder.config.settings import read_settings
 from cottonladder.control import manager
 from cottonladder.model.inputs import (
     ArrivalReport,
@@ -356,13 +356,13 @@
 """
 CLOSED = """
 import asyncio, os, signal, sys
-from cottonladder.cli import main as cli; from cottonladder.control import signals
+from cottonladder.cli import serving as cli; from cottonladder.control import signals
 sys.argv[1:] = ["serve"]
-signals.hold(sys.argv)
+signals.install_early_handlers(sys.argv)
 async def serving():
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, print, "told")
-asyncio.run(cli._sealed(serving()))
+asyncio.run(cli.serve_then_block_signals(serving()))
 os.kill(os.getpid(), signal.SIGTERM)
 print("ended")
 """
@@ -464,7 +464,7 @@
         program.config["discovery"] = await self.host(Discovery().handle)
         (program.folder / "config.json").write_text(json.dumps(program.config))
         follower, where = mock.Mock(), mock.Mock()
-        reload = manager.Reload(str(program.folder / "config.json"), placement, follower, where)
+        reload = manager.ConfigReloader(str(program.folder / "config.json"), placement, follower, where)
         reload.close()
         reload()
         follower.change_address.assert_not_called()
