--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -12,7 +12,7 @@
 from ..config.manager_config import ManagerConfig
 from ..control import signals
 from ..control.manager import serve as serve_manager
-from ..control.manager import unchangeable_fields
+from ..control.reload import unchangeable_fields
 from ..protocol.messages import PING, PONG
 from .configuration import load_manager_config, load_operator_config
 from .errors import BadInputError, CommandError
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -38,7 +38,7 @@
 from .tunnel import UpgradePolicy
 
 if TYPE_CHECKING:
-    from ..plugins.chain import Wanted
+    from ..plugins.chain import PluginSpec
 
 LIST_RETRY_DELAY = (0.3, 1.0)  # s, dealt by chance, until a failed call to discovery is made again
 MAX_LIST_BACKOFF = 8.0  # times that, doubled with each call that fails: a fleet's calls keep discovery down
@@ -51,10 +51,10 @@
 )
 
 
-def plugin_specs(config: PluginsConfig) -> list[Wanted]:
-    from ..plugins.chain import Wanted
+def plugin_specs(config: PluginsConfig) -> list[PluginSpec]:
+    from ..plugins.chain import PluginSpec
 
-    return [Wanted(p.name, p.path, p.fail == "closed", frozenset(p.grants), p.seed) for p in config.chain]
+    return [PluginSpec(p.name, p.path, p.fail == "closed", frozenset(p.grants), p.seed) for p in config.chain]
 
 
 def _rounded(weights: dict[str, float]) -> dict[str, float]:
@@ -298,7 +298,7 @@
                 self.load_reporter.send(self.stream.manager, b"".join(loads))
             self.handler.log_ended_connections()
             if self.handler.plugins is not None:
-                self.handler.plugins.tell()
+                self.handler.plugins.log_status()
 
     def status(self) -> dict[str, object]:
         """What a person would ask of it: for the status address and the demo."""
@@ -314,7 +314,7 @@
             "held": {worker_id: [row.open, row.busy, row.resumable] for worker_id, row in held.items()},
             "drains": {worker_id: self.drainer.state(worker_id) for worker_id in self.drainer.workers()},
             "connections": self.handler.listener.slots.total,
-            "plugins": self.handler.plugins.shown() if self.handler.plugins else [],
+            "plugins": self.handler.plugins.status() if self.handler.plugins else [],
             **self.handler.counts,
         }
 
@@ -373,7 +373,7 @@
     from ..control.snapshot_manager import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
     from ..planning import snapshot_staleness as ageing
     from ..planning.priority_scheduling import TaskPlan
-    from ..snapshots.sections import ForwarderSnapshot, packed, unpacked
+    from ..snapshots.sections import ForwarderSnapshot, decode_section, encode_section
     from .restored_state import restore, snapshot_of
 
     tasks = BackgroundScheduler(random.random)
@@ -381,14 +381,16 @@
         folder = SnapshotFolder(operator.memory.folder)
         stack.callback(folder.close)
         found = folder.read()
-        snapshot, reason = unpacked("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
+        snapshot, reason = (
+            decode_section("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
+        )
         if reason:
             forwarder.log.warning("memory not used", reason=reason)
         if snapshot is not None and found is not None:
-            earlier, written = snapshot, found.written
+            earlier, written = snapshot, found.written_at
 
             def restore_now() -> None:
-                age = ageing.age_of(written, time.time())
+                age = ageing.snapshot_age(written, time.time())
                 used = restore(
                     earlier, age, forwarder.loop.time(), forwarder.router, forwarder.pacer,
                     lambda worker_id: forwarder.registry.find_index(worker_id.encode()) is not None,
@@ -402,11 +404,12 @@
             now = forwarder.loop.time()
             kept = snapshot_of(forwarder.router, forwarder.handler.registry.counts(now), now)
             yield None
-            section = packed("forwarder", kept)
+            section = encode_section("forwarder", kept)
             yield asyncio.to_thread(folder.write, {"forwarder": section})
 
         tasks.add(
-            TaskPlan(SNAPSHOT_TASK, operator.memory.every, priority=3, cpu=SNAPSHOT_CPU_SHARE), write_snapshot
+            TaskPlan(SNAPSHOT_TASK, operator.memory.every, priority=3, cpu_fraction=SNAPSHOT_CPU_SHARE),
+            write_snapshot,
         )
         stack.push_async_callback(tasks.close, (SNAPSHOT_TASK,))
     else:
--- a/cottonladder/forwarder/request_handler.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -17,7 +17,7 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from ..planning.plugin_bounds import RoutePreference, narrowed
+from ..planning.plugin_bounds import RoutePreference, narrow_candidates
 from .client_listener import (
     BodyTooLargeError,
     ClientListener,
@@ -163,9 +163,9 @@
         chain, upgrade = self.plugins, "Upgrade" in request.headers
         assert chain is not None
         hook = "upgrade" if upgrade else "route"
-        if not chain.has(hook):
+        if not chain.has_hook(hook):
             return request_class, None
-        verdict = chain.ask(hook, self._told(hook, request, request_class))
+        verdict = chain.call_hook(hook, self._told(hook, request, request_class))
         if verdict.changes_nothing:
             return request_class, None
         if verdict.deny is not None:
@@ -173,7 +173,7 @@
         if verdict.kind is not None:
             other = next((k for k in self._classes if k.name == verdict.kind), None)
             if other is None:
-                chain.clipped()
+                chain.record_clipped()
             else:  # another table and time, never another right to be repeated
                 replays = (
                     request_class.idempotency
@@ -184,14 +184,14 @@
         preferred: dict[str, float] | None = None
         if verdict.need or verdict.prefer:
             lines = self.router.candidates(request_class.name)
-            choice = narrowed(
+            choice = narrow_candidates(
                 lines, self.labels, RoutePreference(verdict.need, verdict.prefer), self.falls_back
             )
-            if choice.clipped:
-                chain.clipped()
-            if choice.let < 1.0 and self._random.random() >= choice.let:
+            if choice.was_limited:
+                chain.record_clipped()
+            if choice.admitted_fraction < 1.0 and self._random.random() >= choice.admitted_fraction:
                 return self._turn_away(503, "no worker with what is needed")
-            preferred = choice.lines
+            preferred = choice.weights
         if verdict.set_headers or verdict.drop_headers:
             request["headers"] = self._changed(request, verdict.set_headers, verdict.drop_headers)
         return request_class, preferred
@@ -204,7 +204,7 @@
         more: Iterable[tuple[str, str]] = (),
     ) -> bytes:
         assert self.plugins is not None
-        return self.plugins.told(
+        return self.plugins.request_record(
             hook, request.method, request.raw_path, request_class.name, request.headers, more
         )
 
@@ -216,7 +216,7 @@
         for name, value in [*((name, "") for name in drops), *sets]:
             if name.lower() not in self.allowed_headers:
                 if self.plugins is not None:
-                    self.plugins.clipped()
+                    self.plugins.record_clipped()
                 continue
             headers.popall(name, None)
             if value:
@@ -227,10 +227,10 @@
         self, request: web.BaseRequest, request_class: RequestClass, attempts: int, may_have_run: bool
     ) -> bool:
         """A plug-in may forbid a further try, never ask for one."""
-        if self.plugins is None or not self.plugins.has("further"):
+        if self.plugins is None or not self.plugins.has_hook("further"):
             return False
         more = (("tries", str(attempts)), ("ran", str(int(may_have_run))))
-        return self.plugins.ask("further", self._told("further", request, request_class, more)).forbid
+        return self.plugins.call_hook("further", self._told("further", request, request_class, more)).forbid
 
     async def _plain(
         self, request: web.BaseRequest, request_class: RequestClass, preferred: dict[str, float] | None
--- a/cottonladder/testbed/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -11,7 +11,7 @@
 from ..weight_advice import dfp, sasp
 from ..weight_advice.tlv import AdviceError
 
-WeightFunction = Callable[[sasp.Member], int]  # a member's weight as this advisor has it
+WeightFunction = Callable[[sasp.MemberData], int]  # a member's weight as this advisor has it
 ANSWER_TIMEOUT_S = 15.0
 READ_SIZE_BYTES = 65_536
 LOOPBACK = "127.0.0.1"
@@ -39,9 +39,9 @@
     def __init__(self, weight_of: WeightFunction, seed: int = 7) -> None:
         self.weight_of = weight_of
         self.mode = AdvisorMode.HONEST
-        self.flags = sasp.CONTACT | sasp.CONFIDENT
-        self.members: dict[sasp.Member, None] = {}
-        self.group: sasp.Group | None = None
+        self.flags = sasp.CONTACT_SUCCESS_FLAG | sasp.CONFIDENT_FLAG
+        self.members: dict[sasp.MemberData, None] = {}
+        self.group: sasp.GroupData | None = None
         self.received_kinds: list[int] = []  # of messages
         self.connection_count = 0
         self.random = random.Random(seed)  # reorders the members of each message
@@ -68,7 +68,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connection_count += 1
         self._writers.add(writer)
-        decoder = sasp.Reader()
+        decoder = sasp.MessageReader()
         try:
             while data := await reader.read(READ_SIZE_BYTES):
                 for message in decoder.feed(data):
@@ -80,36 +80,36 @@
             writer.close()
 
     def _answer(self, writer: asyncio.StreamWriter, message: sasp.Message) -> None:
-        self.received_kinds.append(message.kind)
+        self.received_kinds.append(message.message_type)
         for group in message.groups:
-            if isinstance(group, sasp.Grouped):
-                self._change_members(group, is_registration=message.kind == sasp.REGISTER)
-        groups: tuple[sasp.Grouped, ...] = ()
+            if isinstance(group, sasp.GroupOfEntries):
+                self._change_members(group, is_registration=message.message_type == sasp.REGISTRATION_REQUEST)
+        groups: tuple[sasp.GroupOfEntries, ...] = ()
         interval = 0
-        if message.kind == sasp.GET_WEIGHTS:
+        if message.message_type == sasp.GET_WEIGHTS_REQUEST:
             interval = 1
             groups = (self._weights(),) if self.group else ()
-        reply_kind = sasp.REPLIES[message.kind]
-        self._send(writer, sasp.Message(reply_kind, message.number, interval=interval, groups=groups))
+        reply_kind = sasp.REPLY_TYPES[message.message_type]
+        self._send(writer, sasp.Message(reply_kind, message.message_id, interval_s=interval, groups=groups))
 
-    def _change_members(self, group: sasp.Grouped, is_registration: bool) -> None:
+    def _change_members(self, group: sasp.GroupOfEntries, is_registration: bool) -> None:
         self.group = group.group
         for member in group.entries:
-            assert isinstance(member, sasp.Member)
+            assert isinstance(member, sasp.MemberData)
             if is_registration:
                 self.members[member] = None
             else:
                 self.members.pop(member, None)
 
-    def _weights(self) -> sasp.Grouped:
+    def _weights(self) -> sasp.GroupOfEntries:
         assert self.group is not None
         members = list(self.members)
         self.random.shuffle(members)
-        weights = tuple(sasp.Weight(member, 0, self.flags, self.weight_of(member)) for member in members)
-        return sasp.Grouped(self.group, weights)
+        weights = tuple(sasp.WeightEntry(member, 0, self.flags, self.weight_of(member)) for member in members)
+        return sasp.GroupOfEntries(self.group, weights)
 
     def _send(self, writer: asyncio.StreamWriter, message: sasp.Message) -> None:
-        data = sasp.write(message)
+        data = sasp.encode_message(message)
         half = data[: len(data) // 2]
         if self.mode == AdvisorMode.HONEST:
             writer.write(data)
@@ -127,7 +127,9 @@
     """A DFP agent that reports `hosts` by port each `report_interval_s`."""
 
     def __init__(
-        self, hosts: Callable[[], dict[int, tuple[dfp.Host, ...]]], secret: tuple[int, bytes] | None = None
+        self,
+        hosts: Callable[[], dict[int, tuple[dfp.HostPreference, ...]]],
+        secret: tuple[int, bytes] | None = None,
     ) -> None:
         self.hosts = hosts
         self.secret = secret
@@ -144,12 +146,12 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.create_task(self._report(writer))
         self._tasks.add(task)
-        decoder = dfp.Reader(dict([self.secret]) if self.secret else None)
+        decoder = dfp.MessageReader(dict([self.secret]) if self.secret else None)
         with suppress(ConnectionError, AdviceError):
             while data := await reader.read(READ_SIZE_BYTES):
                 for message in decoder.feed(data):
-                    if message.keep_alive is not None:
-                        self.keep_alive = message.keep_alive
+                    if message.keep_alive_s is not None:
+                        self.keep_alive = message.keep_alive_s
         task.cancel()
         self._tasks.discard(task)
         writer.close()
@@ -158,7 +160,7 @@
         while True:
             if not self.is_silent:
                 loads = tuple(dfp.Load(port, 6, hosts) for port, hosts in self.hosts().items())
-                writer.write(dfp.write(dfp.Message(dfp.PREFERENCE, loads), self.secret))
+                writer.write(dfp.encode_message(dfp.Message(dfp.PREFERENCE_INFORMATION, loads), self.secret))
             await asyncio.sleep(self.report_interval_s)
 
     async def close(self) -> None:
@@ -184,11 +186,11 @@
         self._task = asyncio.create_task(self._read(reader))
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
-        decoder = sasp.Reader()
+        decoder = sasp.MessageReader()
         with suppress(ConnectionError):
             while data := await reader.read(READ_SIZE_BYTES):
                 for message in decoder.feed(data):
-                    answer = self._answers.pop(message.number, None)
+                    answer = self._answers.pop(message.message_id, None)
                     if answer is not None and not answer.done():
                         answer.set_result(message)
                     else:
@@ -203,21 +205,25 @@
         self._number += 1
         answer: asyncio.Future[sasp.Message] = asyncio.get_running_loop().create_future()
         self._answers[self._number] = answer
-        self.writer.write(sasp.write(sasp.Message(kind, self._number, **fields)))  # type: ignore[arg-type]
+        self.writer.write(sasp.encode_message(sasp.Message(kind, self._number, **fields)))  # type: ignore[arg-type]
         return await asyncio.wait_for(answer, ANSWER_TIMEOUT_S)
 
-    def group(self, name: bytes, *members: sasp.Member | sasp.Weight | sasp.MemberState) -> sasp.Grouped:
-        return sasp.Grouped(sasp.Group(self.uid, name), members)
+    def group(
+        self, name: bytes, *members: sasp.MemberData | sasp.WeightEntry | sasp.MemberStateInstance
+    ) -> sasp.GroupOfEntries:
+        return sasp.GroupOfEntries(sasp.GroupData(self.uid, name), members)
 
-    async def register(self, name: bytes, *members: sasp.Member) -> int:
-        reply = await self.ask(sasp.REGISTER, flags=sasp.BY_BALANCER, groups=(self.group(name, *members),))
-        return reply.code
+    async def register(self, name: bytes, *members: sasp.MemberData) -> int:
+        reply = await self.ask(
+            sasp.REGISTRATION_REQUEST, flags=sasp.LOAD_BALANCER_FLAG, groups=(self.group(name, *members),)
+        )
+        return reply.response_code
 
-    async def weights(self, *names: bytes) -> dict[bytes, sasp.Weight]:
+    async def weights(self, *names: bytes) -> dict[bytes, sasp.WeightEntry]:
         """Asks for the weights of groups; by the member's label."""
-        groups = tuple(sasp.Group(self.uid, name) for name in names)
-        reply = await self.ask(sasp.GET_WEIGHTS, groups=groups)
-        assert reply.code == sasp.OK, hex(reply.code)
+        groups = tuple(sasp.GroupData(self.uid, name) for name in names)
+        reply = await self.ask(sasp.GET_WEIGHTS_REQUEST, groups=groups)
+        assert reply.response_code == sasp.SUCCESSFUL, hex(reply.response_code)
         return weights_by_label(reply)
 
     async def close(self) -> None:
@@ -227,13 +233,13 @@
             self._task.cancel()
 
 
-def weights_by_label(message: sasp.Message) -> dict[bytes, sasp.Weight]:
-    weights: dict[bytes, sasp.Weight] = {}
+def weights_by_label(message: sasp.Message) -> dict[bytes, sasp.WeightEntry]:
+    weights: dict[bytes, sasp.WeightEntry] = {}
     for group in message.groups:
-        if not isinstance(group, sasp.Grouped):
+        if not isinstance(group, sasp.GroupOfEntries):
             continue
         for entry in group.entries:
-            assert isinstance(entry, sasp.Weight)
+            assert isinstance(entry, sasp.WeightEntry)
             weights[entry.member.label] = entry
     return weights
 
@@ -243,12 +249,12 @@
 ) -> list[dfp.Message]:
     """A DFP manager that connects, asks for a report each second, and leaves after so many of them."""
     reader, writer = await asyncio.open_connection(LOOPBACK, port)
-    writer.write(dfp.write(dfp.Message(dfp.PARAMETERS, keep_alive=2), secret))
-    writer.write(dfp.write(dfp.Message(dfp.BIND_REQUEST), secret))
-    decoder = dfp.Reader(dict([secret]) if secret else None)
+    writer.write(dfp.encode_message(dfp.Message(dfp.DFP_PARAMETERS, keep_alive_s=2), secret))
+    writer.write(dfp.encode_message(dfp.Message(dfp.BIND_ID_REQUEST), secret))
+    decoder = dfp.MessageReader(dict([secret]) if secret else None)
     messages: list[dfp.Message] = []
     async with asyncio.timeout(ANSWER_TIMEOUT_S):
-        while sum(message.kind == dfp.PREFERENCE for message in messages) < count:
+        while sum(message.message_type == dfp.PREFERENCE_INFORMATION for message in messages) < count:
             data = await reader.read(READ_SIZE_BYTES)
             if not data:
                 raise ConnectionResetError("ended by the agent")
--- a/cottonladder/testbed/crash_test.py
+++ b/cottonladder/testbed/crash_test.py
@@ -18,7 +18,7 @@
 import time
 from dataclasses import asdict, dataclass
 
-from ..snapshots.store import Generation, Store, StoreError
+from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 
 MAX_LIFE_S = 0.012  # of a writer: some ten generations
 WORKERS_PER_GENERATION = 120
@@ -70,9 +70,9 @@
 
     def _count_losses(self) -> None:
         (finished_count,) = FINISHED.unpack(self._finished[: FINISHED.size])
-        store = Store(self._folder)
+        store = SnapshotStore(self._folder)
         generation = open_newest(store)
-        if store.faults:
+        if store.quarantine_messages:
             self.counts.half_written += 1
         data = generation.sections["manager"]["data"] if generation else {"count": 0, "workers": []}
         if generation and len(data["workers"]) != WORKERS_PER_GENERATION:
@@ -84,7 +84,7 @@
 
 def write_generations(folder: str, first: int, finished: mmap.mmap) -> None:
     """Writes generations without end and notes the count of each once it is finished."""
-    store = Store(folder)
+    store = SnapshotStore(folder)
     store.open()
     count = first
     while True:
@@ -94,12 +94,12 @@
         finished[: FINISHED.size] = FINISHED.pack(count)
 
 
-def open_newest(store: Store) -> Generation | None:
+def open_newest(store: SnapshotStore) -> Generation | None:
     """The newest whole generation, as a start would read it."""
     try:
         store.open()
-        return store.newest()
-    except StoreError:
+        return store.read_newest()
+    except SnapshotError:
         return None
     finally:
         store.close()
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -31,7 +31,7 @@
 from ..model.orders import BindProxy, Checkpoint, ClearTable, ExcludeWorker, Order, SetWeight, StartTimer
 from ..model.parameters import DeploymentParameters, RequestClass
 from ..model.views import WorkerCapacityView
-from ..planning.advice_weighting import PERIOD, Advice, AdvisoryWeight
+from ..planning.advice_weighting import UPDATE_INTERVAL, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views, collect_state
 from ..policy.controller import RoutingController
 
@@ -175,7 +175,7 @@
         self.duration_s = duration_s
         self.load = load
         self.controller = RoutingController(PARAMETERS)
-        self.advice = Advice()
+        self.advice = AdviceWeighting()
         self.result = MonthEndResult()
         self._advisors = advisors
         self._tables: dict[int, dict[int, float]] = defaultdict(dict)  # weights by table and worker
@@ -249,7 +249,7 @@
             events(now - START_TIME_S, self)
             inputs = self._take_scheduled(now)
             if now >= advise_at:
-                advise_at = now + PERIOD
+                advise_at = now + UPDATE_INTERVAL
                 inputs += self._ask_advisors(now)
             self._apply_orders(now, self.controller.decide(now, inputs))
             self._capacity_views = capacity_views(self.controller)
@@ -276,7 +276,7 @@
             if window.requests > MIN_WINDOW_REQUESTS
         ]
         self.result.worst_share = min(shares, default=1.0)
-        self.result.credit = {name: view.credit for name, view in self.advice.shown(now).items()}
+        self.result.credit = {name: view.credit for name, view in self.advice.status(now).items()}
 
     def _take_scheduled(self, now: float) -> list[Input]:
         inputs: list[Input] = []
@@ -289,8 +289,8 @@
         for name, advisor in self._advisors.items():
             weights = advisor(now - START_TIME_S, self)
             if weights is not None:
-                self.advice.heard(name, now, weights, whole=True)
-        factors = self.advice.factors(now, self._capacity_views) if self._capacity_views else {}
+                self.advice.receive(name, now, weights, is_complete=True)
+        factors = self.advice.update_factors(now, self._capacity_views) if self._capacity_views else {}
         withdrawn = {index: 1.0 for index in self._factors if index not in factors}
         self._factors = factors
         self.result.factors.append(factors)
