--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -1,200 +1,256 @@
-"""Weight advice: what it gains and what a lie costs, the codecs' pace, pushes, memory.
+"""Weight advice: what it gains and what a lie costs, the codecs' speed, pushes, memory.
 
     python -m benchmarks.advice --json
 
-The month's end is played in simulated time on the module itself (`cottonladder.testbed.month_end`), seeded;
-the rest runs on loopback.  `served_*`: share of reqs within target; each scenario beside none, same seeds.
+The month's end is played in simulated time on the controller itself (`cottonladder.testbed.month_end`),
+seeded; the rest runs on loopback.  `served_*`: share of requests within the latency objective; each scenario
+beside none, same seeds.
 """
 
 from __future__ import annotations
 
-import argparse
 import asyncio
-import json
 import os
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from contextlib import AsyncExitStack
+from dataclasses import dataclass
 from ipaddress import IPv4Address
 from pathlib import Path
+from statistics import mean
 from typing import Any
 
+from benchmarks.harness import (
+    MILLISECONDS_PER_S,
+    argument_parser,
+    percentile,
+    print_figures,
+    start_discovery,
+)
 from cottonladder.planning.advice_weighting import AdvisoryWeight
-from cottonladder.testbed import month_end as me
+from cottonladder.testbed import month_end
 from cottonladder.testbed.advisors import SaspBalancer, weights_by_label
 from cottonladder.testbed.discovery import SimulatedDiscovery
 from cottonladder.testbed.fleet import ManagerProcess
+from cottonladder.testbed.month_end import MonthEndRun
 from cottonladder.weight_advice import dfp, sasp
 
-SEEDS, LOAD = (7, 8, 9, 10), 0.85
-BALANCERS, PUSHES = 200, 8
+SEEDS = (7, 8, 9, 10)
+LOAD = 0.85  # of the workers' capacity
+NEW_WORKER = 20
+NEW_WORKER_SPEED = 1.5
+NEW_WORKER_AT_S = 20.0
+WARM_UP_RUN_S = 45.0
+BALANCER_COUNT = 200
+SPARE_BALANCERS = 8  # more than come, so that none is refused
+PUSH_COUNT = 8
+PUSHED_WORKERS = 20
+PUSH_TIMEOUT_S = 20.0
+SETTLE_S = 3.0  # until pushes of the registrations are over
+PUSH_INTERVAL_S = 2.5
+REST_S = 2.5  # of a manager, before its memory is read
+CALL_TIME_S = 0.7  # for which a codec is called again and again
+TCP = 6
+FIRST_ADDRESS = 0x0A000000  # 10.0.0.0
 GROUP = sasp.GroupData(b"lb", b"workers")
+KB_PER_MB = 1024
 
+SCENARIOS: dict[str, tuple[month_end.Advisor, ...]] = {
+    "none": (),
+    "honest": (month_end.honest_advisor,),
+    "lying": (month_end.lying_advisor,),
+    "stalled": (month_end.stalling_advisor,),
+    "random": (month_end.random_advisor,),
+    "all_0": (month_end.zero_advisor,),
+    "all_most": (month_end.maximum_advisor,),
+    "stalls_then_lies": (month_end.stalling_then_lying_advisor,),
+    "two_differ": (month_end.honest_advisor, month_end.lying_advisor),
+}
 
-def served(*advisors: me.Advisor) -> tuple[float, float, int]:
-    """Share served and that of the worst 10 s, both over the seeds, and looks without a usable line."""
-    named = {str(n): say for n, say in enumerate(advisors)}
-    days = [me.MonthEndRun(named, seed=seed, load=LOAD).run(me.slow_two_workers) for seed in SEEDS]
-    share = sum(d.served_share for d in days) / len(days)
-    return share, sum(d.worst_share for d in days) / len(days), sum(d.proxies_without_worker for d in days)
 
+@dataclass(frozen=True, slots=True)
+class ScenarioResult:
+    """Means over the seeds, and the sum of steps at which a proxy had no worker."""
 
-def cold() -> tuple[int, float, float]:
-    """Days on which a fresh worker that the advisor ranks far above all others was brought what would push it
-    over; the most that it was brought, of that; and the same without advice."""
+    served_share: float
+    worst_share: float
+    proxies_without_worker: int
 
-    def flatters(now: float, day: me.MonthEndRun) -> dict[int, AdvisoryWeight]:
-        return {be: AdvisoryWeight(65535.0 if box.started_at else 1.0) for be, box in day.workers.items()}
 
-    def fresh(now: float, day: me.MonthEndRun) -> None:
-        if abs(now - 20.0) < me.STEP_S / 2:
-            day.start_worker(20, 0, 1.5, 1000.0 + now)
+def play_scenario(advisors: Sequence[month_end.Advisor]) -> ScenarioResult:
+    named = {str(number): advisor for number, advisor in enumerate(advisors)}
+    results = [MonthEndRun(named, seed=seed, load=LOAD).run(month_end.slow_two_workers) for seed in SEEDS]
+    return ScenarioResult(
+        served_share=mean(result.served_share for result in results),
+        worst_share=mean(result.worst_share for result in results),
+        proxies_without_worker=sum(result.proxies_without_worker for result in results),
+    )
+
+
+def flattering_advisor(elapsed_s: float, run: MonthEndRun) -> dict[int, AdvisoryWeight]:
+    """Ranks a new worker far above all others."""
+    return {
+        index: AdvisoryWeight(month_end.MAX_ADVISORY_WEIGHT if worker.started_at else 1.0)
+        for index, worker in run.workers.items()
+    }
+
+
+def add_new_worker(elapsed_s: float, run: MonthEndRun) -> None:
+    if month_end.happens_at(NEW_WORKER_AT_S, elapsed_s):
+        run.start_worker(NEW_WORKER, 0, NEW_WORKER_SPEED, month_end.START_TIME_S + elapsed_s)
+
 
-    told = [
-        me.MonthEndRun({"a": flatters}, seed=s, duration_s=45.0, load=LOAD).run(fresh).worst_warm_up_load
-        for s in SEEDS
-    ]
-    plain = [
-        me.MonthEndRun({}, seed=s, duration_s=45.0, load=LOAD).run(fresh).worst_warm_up_load for s in SEEDS
-    ]
-    return sum(over >= 1.0 for over in told), max(told), max(plain)
+def warm_up_loads(advisors: dict[str, month_end.Advisor]) -> list[float]:
+    """By seed, the most that a new worker was brought, of what would push it over."""
+    runs = [MonthEndRun(advisors, seed=seed, duration_s=WARM_UP_RUN_S, load=LOAD) for seed in SEEDS]
+    return [run.run(add_new_worker).worst_warm_up_load for run in runs]
 
 
-def pace(call: Callable[[], object], seconds: float = 0.7) -> float:
-    """Calls a second."""
-    count, begun = 0, time.perf_counter()
-    while time.perf_counter() - begun < seconds:
+def measure_warm_up() -> dict[str, float]:
+    """Runs in which a flattered new worker was pushed over, and the most that it was brought."""
+    flattered = warm_up_loads({"a": flattering_advisor})
+    unadvised = warm_up_loads({})
+    return {
+        "cold_over_budget": sum(load >= 1.0 for load in flattered),
+        "cold_most_of_fall": round(max(flattered), 3),
+        "cold_most_none": round(max(unadvised), 3),
+    }
+
+
+def calls_per_s(call: Callable[[], object]) -> float:
+    count = 0
+    started_at = time.perf_counter()
+    while time.perf_counter() - started_at < CALL_TIME_S:
         call()
         count += 1
-    return count / (time.perf_counter() - begun)
+    return count / (time.perf_counter() - started_at)
+
+
+def sasp_weights(count: int) -> sasp.Message:
+    """A message with the weights of so many members."""
+    entries = []
+    for n in range(count):
+        member = sasp.MemberData(TCP, n % 65536, IPv4Address(FIRST_ADDRESS + n), b"s-%d" % n)
+        entries.append(sasp.WeightEntry(member, 0, 9, n % 65536))
+    return sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, tuple(entries)),))
+
+
+def dfp_report(count: int) -> bytes:
+    hosts = tuple(dfp.HostPreference(IPv4Address(FIRST_ADDRESS + n), 0, n) for n in range(count))
+    return dfp.encode_message(dfp.Message(dfp.PREFERENCE_INFORMATION, (dfp.Load(80, TCP, hosts),)))
 
 
-def codecs() -> dict[str, float]:
+def measure_codecs() -> dict[str, float]:
     """Small messages a second, and members a second in large ones."""
-    rows = [
-        sasp.WeightEntry(
-            sasp.MemberData(6, n % 65536, IPv4Address(0x0A000000 + n), b"s-%d" % n), 0, 9, n % 65536
-        )
-        for n in range(10_000)
-    ]
-    small, large = (
-        sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, tuple(rows[:n])),))
-        for n in (10, 1000)
-    )
-    whole = sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, tuple(rows)),))
-    bytes_of = {id(m): sasp.encode_message(m) for m in (small, large, whole)}
-    hosts = tuple(dfp.HostPreference(IPv4Address(0x0A000000 + n), 0, n) for n in range(10_000))
-    report = dfp.encode_message(dfp.Message(dfp.PREFERENCE_INFORMATION, (dfp.Load(80, 6, hosts),)))
+    small = sasp_weights(10)
+    small_bytes = sasp.encode_message(small)
+    large_bytes = sasp.encode_message(sasp_weights(1000))
+    largest_bytes = sasp.encode_message(sasp_weights(10_000))
+    report = dfp_report(10_000)
     return {
-        "encode_per_s": pace(lambda: sasp.encode_message(small)),
-        "decode_per_s": pace(lambda: sasp.decode_message(bytes_of[id(small)])),
-        "members_per_s_1000": 1000 * pace(lambda: sasp.decode_message(bytes_of[id(large)])),
-        "members_per_s_10000": 10_000 * pace(lambda: sasp.decode_message(bytes_of[id(whole)])),
-        "dfp_hosts_per_s_10000": 10_000 * pace(lambda: dfp.decode_message(report)),
+        "encode_per_s": calls_per_s(lambda: sasp.encode_message(small)),
+        "decode_per_s": calls_per_s(lambda: sasp.decode_message(small_bytes)),
+        "members_per_s_1000": 1000 * calls_per_s(lambda: sasp.decode_message(large_bytes)),
+        "members_per_s_10000": 10_000 * calls_per_s(lambda: sasp.decode_message(largest_bytes)),
+        "dfp_hosts_per_s_10000": 10_000 * calls_per_s(lambda: dfp.decode_message(report)),
     }
 
 
-async def pushes() -> dict[str, float]:
+async def start_advice_server(
+    stack: AsyncExitStack, discovery: SimulatedDiscovery, discovery_address: str
+) -> int:
+    """A manager that serves advice over SASP; gives that port."""
+    server = {"protocol": "sasp", "listen": "127.0.0.1:0", "clients": BALANCER_COUNT + SPARE_BALANCERS}
+    manager = ManagerProcess(discovery_address, discovery.listing(), None, {"serve": [server]})
+    stack.push_async_callback(manager.stop)
+    await manager.serving()
+    line = await manager.logged("advice served")
+    return int(line.split("port=")[1].split()[0])
+
+
+async def start_balancer(stack: AsyncExitStack, number: int, port: int) -> SaspBalancer:
+    """A balancer that has registered all workers and is pushed what changes."""
+    balancer = SaspBalancer(b"lb-%d" % number)
+    await balancer.connect(port)
+    stack.push_async_callback(balancer.close)
+    flags = sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG
+    await balancer.ask(sasp.SET_LB_STATE_REQUEST, lb_uid=balancer.uid, flags=flags)
+    address = IPv4Address("127.0.0.9")
+    members = [sasp.MemberData(TCP, 8000 + n, address, b"s-%d" % n) for n in range(PUSHED_WORKERS)]
+    await balancer.register(b"g", *members)
+    return balancer
+
+
+async def wait_for_push(balancer: SaspBalancer, is_draining: bool) -> float:
+    """When the balancer is pushed that the first worker drains, or that it is back."""
+    while True:
+        message = await asyncio.wait_for(balancer.pushed.get(), PUSH_TIMEOUT_S)
+        weights = weights_by_label(message)
+        if b"s-0" in weights and (weights[b"s-0"].weight == 0) == is_draining:
+            return time.perf_counter()
+
+
+async def measure_pushes() -> dict[str, float]:
     """From the list's change to its arrival at each of two hundred balancers."""
     async with AsyncExitStack() as stack:
-        discovery = SimulatedDiscovery()
-        at = await discovery.start()
-        stack.push_async_callback(discovery.close)
-        for n in range(20):
+        discovery, discovery_address = await start_discovery(stack)
+        for n in range(PUSHED_WORKERS):
             await discovery.put(f"s-{n}", f"127.0.0.9:{8000 + n}", "a")
-        serve = [{"protocol": "sasp", "listen": "127.0.0.1:0", "clients": BALANCERS + 8}]
-        manager = ManagerProcess(at, discovery.listing(), None, {"serve": serve})
+        port = await start_advice_server(stack, discovery, discovery_address)
+        balancers = [await start_balancer(stack, number, port) for number in range(BALANCER_COUNT)]
+        await asyncio.sleep(SETTLE_S)
+        durations_ms: list[float] = []
+        for number in range(PUSH_COUNT):
+            is_draining = number % 2 == 0
+            started_at = time.perf_counter()
+            waits = [asyncio.create_task(wait_for_push(balancer, is_draining)) for balancer in balancers]
+            await discovery.set_state("s-0", "Terminating" if is_draining else "Ready")
+            arrivals = await asyncio.gather(*waits)
+            durations_ms += [MILLISECONDS_PER_S * (arrived_at - started_at) for arrived_at in arrivals]
+            await asyncio.sleep(PUSH_INTERVAL_S)
+    return {"push_p50_ms": percentile(durations_ms, 0.5), "push_p99_ms": percentile(durations_ms, 0.99)}
+
+
+async def peak_memory_mb(advice: dict[str, Any] | None) -> float:
+    """The most that a manager at rest has held."""
+    async with AsyncExitStack() as stack:
+        discovery, discovery_address = await start_discovery(stack)
+        manager = ManagerProcess(discovery_address, discovery.listing(), None, advice)
         stack.push_async_callback(manager.stop)
         await manager.serving()
-        port = int((await manager.logged("advice served")).split("port=")[1])
-        members = [sasp.MemberData(6, 8000 + n, IPv4Address("127.0.0.9"), b"s-%d" % n) for n in range(20)]
-        balancers = [SaspBalancer(b"lb-%d" % n) for n in range(BALANCERS)]
-        for balancer in balancers:
-            await balancer.connect(port)
-            stack.push_async_callback(balancer.close)
-            await balancer.ask(
-                sasp.SET_LB_STATE_REQUEST,
-                lb_uid=balancer.uid,
-                flags=sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG,
-            )
-            await balancer.register(b"g", *members)
-        await asyncio.sleep(3.0)
-        took: list[float] = []
-
-        async def wait(balancer: SaspBalancer, begun: float, zero: bool) -> None:
-            while True:
-                told = weights_by_label(await asyncio.wait_for(balancer.pushed.get(), 20.0))
-                if b"s-0" in told and (told[b"s-0"].weight == 0) == zero:
-                    took.append((time.perf_counter() - begun) * 1000.0)
-                    return
-
-        for n in range(PUSHES):
-            zero = n % 2 == 0
-            begun = time.perf_counter()
-            waits = [asyncio.create_task(wait(balancer, begun, zero)) for balancer in balancers]
-            await discovery.set_state("s-0", "Terminating" if zero else "Ready")
-            await asyncio.gather(*waits)
-            await asyncio.sleep(2.5)
-        took.sort()
-        return {"push_p50_ms": took[len(took) // 2], "push_p99_ms": took[int(len(took) * 0.99)]}
-
-
-async def memory(advice: dict[str, Any] | None) -> float:
-    """MB at the most of a manager at rest."""
-    discovery = SimulatedDiscovery()
-    at = await discovery.start()
-    manager = ManagerProcess(at, discovery.listing(), None, advice)
-    await manager.serving()
-    await asyncio.sleep(2.5)
-    assert manager.process is not None
-    status = Path(f"/proc/{manager.process.pid}/status").read_text()
-    await manager.stop()
-    await discovery.close()
-    return int(status.split("VmHWM:")[1].split()[0]) / 1024
+        await asyncio.sleep(REST_S)
+        assert manager.process is not None
+        status = Path(f"/proc/{manager.process.pid}/status").read_text()
+    return int(status.split("VmHWM:")[1].split()[0]) / KB_PER_MB
+
+
+def measure_scenarios() -> dict[str, float]:
+    figures: dict[str, float] = {}
+    results = {name: play_scenario(advisors) for name, advisors in SCENARIOS.items()}
+    for name, result in results.items():
+        figures[f"served_{name}"] = round(result.served_share, 4)
+        figures[f"worst_10s_{name}"] = round(result.worst_share, 3)
+    figures |= measure_warm_up()
+    figures["bare_proxies"] = sum(result.proxies_without_worker for result in results.values())
+    return figures
 
 
 def measure() -> dict[str, Any]:
-    scenes = {
-        "none": (),
-        "honest": (me.honest_advisor,),
-        "lying": (me.lying_advisor,),
-        "stalled": (me.stalling_advisor,),
-        "random": (me.random_advisor,),
-        "all_0": (me.zero_advisor,),
-        "all_most": (me.maximum_advisor,),
-        "stalls_then_lies": (me.stalling_then_lying_advisor,),
-        "two_differ": (me.honest_advisor, me.lying_advisor),
-    }
-    out: dict[str, Any] = {}
-    bare = 0
-    for name, advisors in scenes.items():
-        share, worst, without = served(*advisors)
-        out[f"served_{name}"], out[f"worst_10s_{name}"] = round(share, 4), round(worst, 3)
-        bare += without
-    over, most, plain = cold()
-    out |= {"cold_over_budget": over, "cold_most_of_fall": round(most, 3), "cold_most_none": round(plain, 3)}
-    out["bare_proxies"] = bare
-    out |= {key: round(value) for key, value in codecs().items()}
-    out |= {key: round(value, 1) for key, value in asyncio.run(pushes()).items()}
-    on = {"serve": [{"protocol": p, "listen": "127.0.0.1:0"} for p in ("sasp", "dfp")]}
-    out["manager_mb_off"] = round(asyncio.run(memory(None)), 1)
-    out["manager_mb_on"] = round(asyncio.run(memory(on)), 1)
-    out["of"] = (
+    figures: dict[str, Any] = measure_scenarios()
+    figures |= {name: round(value) for name, value in measure_codecs().items()}
+    figures |= {name: round(value, 1) for name, value in asyncio.run(measure_pushes()).items()}
+    servers = [{"protocol": protocol, "listen": "127.0.0.1:0"} for protocol in ("sasp", "dfp")]
+    figures["manager_mb_off"] = round(asyncio.run(peak_memory_mb(None)), 1)
+    figures["manager_mb_on"] = round(asyncio.run(peak_memory_mb({"serve": servers})), 1)
+    figures["of"] = (
         f"simulated workers, seeds {SEEDS}; sockets on loopback, one machine of {os.cpu_count()} cores"
     )
-    return out
+    return figures
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--json", action="store_true")
-    asked = parser.parse_args()
-    figures = measure()
-    if asked.json:
-        print(json.dumps(figures))
-        return
-    for key, value in figures.items():
-        print(f"{key:26} {value}")
+    arguments = argument_parser(__doc__).parse_args()
+    print_figures(measure(), arguments.json)
 
 
 if __name__ == "__main__":
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,26 +1,26 @@
-"""Memory across restarts: kills, what it saves after a restart, what an old file costs, stalls, the
-scheduler.
+"""Memory across restarts: crashes, what snapshots save after a restart, what an old one costs, stalls.
 
     python -m benchmarks.memory --json
 
-Restarts are played in simulated time on the module itself (`cottonladder.testbed.month_end`), at the busiest;
-the rest runs on this machine's disk and loop.
+Restarts are played in simulated time on the controller itself (`cottonladder.testbed.month_end`), at the
+busiest; the rest runs on this machine's disk and loop.
 """
 
 from __future__ import annotations
 
-import argparse
 import asyncio
 import gc
-import json
+import logging
 import tempfile
 import time
 from collections.abc import Callable, Iterator
-from dataclasses import replace
+from dataclasses import dataclass, replace
+from statistics import mean
 from typing import Any
 
 import structlog
 
+from benchmarks.harness import MILLISECONDS_PER_S, argument_parser, percentile, print_figures
 from cottonladder.control.background_scheduler import BackgroundScheduler
 from cottonladder.control.snapshot_manager import SnapshotFolder, SnapshotManager
 from cottonladder.model.inputs import (
@@ -31,193 +31,267 @@
     ProxyConnected,
     RestoredState,
 )
-from cottonladder.planning import snapshot_staleness as ageing
+from cottonladder.planning import snapshot_staleness
 from cottonladder.planning.priority_scheduling import TaskPlan
 from cottonladder.policy.controller import RoutingController
 from cottonladder.state.worker_registry import WorkerRegistry
-from cottonladder.testbed import crash_test as kills
-from cottonladder.testbed import month_end as me
-
-SEEDS, LOAD, LENGTH = (7, 8, 9, 10, 11, 12), 0.8, 100.0
-RESTART, AFTER = 70.0, 25.0  # s: when, and how long what comes after it is counted
-Recall = Callable[[RestoredState], RestoredState | None]
-
-
-def bad_after(recall: Recall | None, seed: int) -> tuple[int, float]:
-    """Reqs not done within target in the time after the restart, and s until a 2 s window is as good as the
-    20 s before it.  `recall` None: no restart at all."""
-    day = me.MonthEndRun({}, seed=seed, duration_s=LENGTH, load=LOAD)
-    windows: dict[int, list[int]] = {}
-    last = [0, 0]
-
-    def events(now: float, day: me.MonthEndRun) -> None:
-        window = windows.setdefault(int(now / 2.0), [0, 0])
-        asked, served = day.result.requests, day.result.served
-        window[0] += asked - last[0]
-        window[1] += served - last[1]
-        last[:] = [asked, served]
-        if recall is not None and abs(now - RESTART) < me.STEP_S / 2:
-            day.restart_manager(recall)
-
-    day.run(events)
-    first, end = int(RESTART / 2.0), int((RESTART + AFTER) / 2.0)
-    bad = sum(n - s for w, (n, s) in windows.items() if first <= w < end)
-    before = [s / max(1, n) for w, (n, s) in windows.items() if first - 10 <= w < first]
-    usual = min(sum(before) / len(before), 0.97)
-    settled = AFTER
-    for w in range(first, end):
-        rest = [windows[k] for k in range(w, min(w + 3, end))]
-        if sum(s for _, s in rest) >= usual * sum(n for n, _ in rest):
-            settled = (w - first) * 2.0
-            break
-    return bad, settled
-
-
-def restarts() -> dict[str, float]:
-    def none(life: RestoredState) -> None:
-        return None
-
-    def fresh(life: RestoredState) -> RestoredState:
-        return ageing.discount(life, 2.0)
-
-    def stale(life: RestoredState) -> RestoredState:
-        """Twelve hours old, and its suspicions no longer hold: three good workers suspected and slow."""
-        wrong = {0, 1, 9}
-        pasts = tuple(
-            replace(p, was_ejected=True, latency_factor=0.05) if p.worker_index in wrong else p
-            for p in life.workers
-        )
-        return ageing.discount(replace(life, workers=pasts), 12 * 3600.0)
-
-    cases: dict[str, Recall | None] = {"no_restart": None, "without": none, "with": fresh, "stale": stale}
-    rows = {name: [bad_after(recall, seed) for seed in SEEDS] for name, recall in cases.items()}
-    bad = {name: sum(b for b, _ in row) for name, row in rows.items()}
-    settled = {name: sum(s for _, s in row) / len(row) for name, row in rows.items()}
-    extra = max(1, bad["without"] - bad["no_restart"])
+from cottonladder.testbed import month_end
+from cottonladder.testbed.crash_test import crash_test
+from cottonladder.testbed.month_end import MonthEndRun, RequestCounts
+
+SEEDS = (7, 8, 9, 10, 11, 12)
+CRASH_SEED = 7
+LOAD = 0.8  # of the workers' capacity
+DURATION_S = 100.0
+RESTART_S = 70.0
+AFTERMATH_S = 25.0  # how long what comes after the restart is counted
+WINDOW_S = 2.0
+WINDOWS_BEFORE = 10  # that tell what is usual
+WINDOWS_OF_SETTLING = 3  # that must be as good as usual
+MAX_USUAL_SHARE = 0.97
+FRESH_AGE_S = 2.0
+STALE_AGE_S = 12 * 3600.0
+WRONGLY_SUSPECTED = (0, 1, 9)  # good workers
+SNAPSHOT_INTERVAL_S = 0.25
+SNAPSHOT_CPU_FRACTION = 0.5
+SNAPSHOT_RUN_S = 3.0
+FLEETS = {"": (120, 640), "_large": (1200, 6400)}  # workers and proxies, by the suffix of their figures
+BUSY_TASKS = 20
+BUSY_SLICE_S = 0.002
+TIMER_S = 0.005
+TIMER_COUNT = 400
+LATE_S = 0.01  # past which the scheduler is told that the loop lags
+Restore = Callable[[RestoredState], RestoredState | None]
+
+
+@dataclass(frozen=True, slots=True)
+class Aftermath:
+    """Requests not served in time after the restart, and seconds until all is as usual again."""
+
+    failed: int
+    settled_s: float
+
+
+class WindowCounter:
+    """Counts a run's requests by window, and restarts its manager; `restore` None: no restart at all."""
+
+    def __init__(self, restore: Restore | None) -> None:
+        self.windows: dict[int, RequestCounts] = {}
+        self._restore = restore
+        self._seen = RequestCounts()
+
+    def observe(self, elapsed_s: float, run: MonthEndRun) -> None:
+        """At each step of the run."""
+        window = self.windows.setdefault(int(elapsed_s / WINDOW_S), RequestCounts())
+        window.requests += run.result.requests - self._seen.requests
+        window.served += run.result.served - self._seen.served
+        self._seen = RequestCounts(run.result.requests, run.result.served)
+        if self._restore is not None and month_end.happens_at(RESTART_S, elapsed_s):
+            run.restart_manager(self._restore)
+
+    def aftermath(self) -> Aftermath:
+        first = int(RESTART_S / WINDOW_S)
+        end = int((RESTART_S + AFTERMATH_S) / WINDOW_S)
+        after = [window for index, window in self.windows.items() if first <= index < end]
+        failed = sum(window.requests - window.served for window in after)
+        return Aftermath(failed, self._settled_s(first, end))
+
+    def _settled_s(self, first: int, end: int) -> float:
+        """Seconds until some windows are as good as those before the restart."""
+        before = [window for index, window in self.windows.items() if first - WINDOWS_BEFORE <= index < first]
+        usual_share = mean(window.served / max(1, window.requests) for window in before)
+        usual_share = min(usual_share, MAX_USUAL_SHARE)
+        for index in range(first, end):
+            windows = [self.windows[n] for n in range(index, min(index + WINDOWS_OF_SETTLING, end))]
+            served = sum(window.served for window in windows)
+            if served >= usual_share * sum(window.requests for window in windows):
+                return (index - first) * WINDOW_S
+        return AFTERMATH_S
+
+
+def play_restart(restore: Restore | None, seed: int) -> Aftermath:
+    run = MonthEndRun({}, seed=seed, duration_s=DURATION_S, load=LOAD)
+    counter = WindowCounter(restore)
+    run.run(counter.observe)
+    return counter.aftermath()
+
+
+def forget(state: RestoredState) -> None:
+    """A restart without a snapshot."""
+    return None
+
+
+def restore_fresh(state: RestoredState) -> RestoredState:
+    return snapshot_staleness.discount(state, FRESH_AGE_S)
+
+
+def restore_stale(state: RestoredState) -> RestoredState:
+    """Twelve hours old, and its suspicions no longer hold: three good workers suspected and slow."""
+    workers = tuple(
+        replace(worker, was_ejected=True, latency_factor=0.05)
+        if worker.worker_index in WRONGLY_SUSPECTED
+        else worker
+        for worker in state.workers
+    )
+    return snapshot_staleness.discount(replace(state, workers=workers), STALE_AGE_S)
+
+
+def measure_restarts() -> dict[str, float]:
+    cases: dict[str, Restore | None] = {
+        "no_restart": None,
+        "without": forget,
+        "with": restore_fresh,
+        "stale": restore_stale,
+    }
+    played = {name: [play_restart(restore, seed) for seed in SEEDS] for name, restore in cases.items()}
+    failed = {name: sum(row.failed for row in rows) for name, rows in played.items()}
+    settled_s = {name: mean(row.settled_s for row in rows) for name, rows in played.items()}
+    caused_by_restart = max(1, failed["without"] - failed["no_restart"])
     return {
-        "bad_reqs_no_restart": bad["no_restart"],
-        "bad_reqs_after_restart_without": bad["without"],
-        "bad_reqs_after_restart_with": bad["with"],
-        "saved_of_restart": round((bad["without"] - bad["with"]) / extra, 3),
-        "seconds_to_settled_without": round(settled["without"], 1),
-        "seconds_to_settled_with": round(settled["with"], 1),
-        "stale_file_extra_loss": bad["stale"] - bad["without"],
+        "bad_reqs_no_restart": failed["no_restart"],
+        "bad_reqs_after_restart_without": failed["without"],
+        "bad_reqs_after_restart_with": failed["with"],
+        "saved_of_restart": round((failed["without"] - failed["with"]) / caused_by_restart, 3),
+        "seconds_to_settled_without": round(settled_s["without"], 1),
+        "seconds_to_settled_with": round(settled_s["with"], 1),
+        "stale_file_extra_loss": failed["stale"] - failed["without"],
     }
 
 
-class Placed:
-    """As much of a placement as a keeper asks for."""
+@dataclass(frozen=True, slots=True)
+class SettingsStub:
+    parameters: Any = month_end.PARAMETERS
+
+
+class ManagerConfigStub:
+    """As much of a manager's configuration as a snapshot manager asks for."""
+
+    def __init__(self, worker_count: int) -> None:
+        self.workers = WorkerRegistry()
+        self.list_version = 1
+        self.settings = SettingsStub()
+        endpoints = tuple(self._endpoint(number) for number in range(worker_count))
+        self.known_endpoints = EndpointList(ListUpdateKind.CACHED, endpoints)
+
+    def _endpoint(self, number: int) -> Endpoint:
+        worker_index = self.workers.register(f"s-{number}", f"127.0.0.9:{number + 1}", 0.0)
+        return Endpoint(worker_index, number % month_end.ZONE_COUNT, EndpointState.READY, 1.0, 0.0)
+
+
+def controller_of_fleet(config: ManagerConfigStub, proxy_count: int) -> RoutingController:
+    """A controller that all workers and proxies of a fleet have come to."""
+    controller = RoutingController(replace(month_end.PARAMETERS, proxy_count=proxy_count))
+    joins = [
+        ProxyConnected(number, number % month_end.ZONE_COUNT, 2.0, True) for number in range(proxy_count)
+    ]
+    controller.decide(month_end.START_TIME_S, [config.known_endpoints, *joins])
+    return controller
+
 
-    def __init__(self, workers: int) -> None:
-        self.workers, self.list_version = WorkerRegistry(), 1
-        entries = tuple(
-            Endpoint(
-                self.workers.register(f"s-{n}", f"127.0.0.9:{n + 1}", 0.0),
-                n % 2,
-                EndpointState.READY,
-                1.0,
-                0.0,
-            )
-            for n in range(workers)
-        )
-        self.known_endpoints = EndpointList(ListUpdateKind.CACHED, entries)
-        self.settings = type("Settings", (), {"parameters": me.PARAMETERS})
+async def longest_loop_stall(duration_s: float) -> float:
+    """The longest time between two turns of the event loop."""
+    longest_s = 0.0
+    last = time.perf_counter()
+    end = last + duration_s
+    while last < end:
+        await asyncio.sleep(0)
+        now = time.perf_counter()
+        longest_s = max(longest_s, now - last)
+        last = now
+    return longest_s
 
 
-async def snapshots(workers: int, proxies: int) -> dict[str, float]:
+async def measure_snapshots(worker_count: int, proxy_count: int) -> dict[str, float]:
     """The loop's longest stall while snapshots are written, how long one takes, and its bytes."""
     gc.collect()  # an earlier measurement's remains are not this one's stall
-    placed, out = Placed(workers), dict[str, float]()
-    ladder = RoutingController(replace(me.PARAMETERS, proxy_count=proxies))
-    joins = [ProxyConnected(p, p % 2, 2.0, True) for p in range(proxies)]
-    ladder.decide(1000.0, [placed.known_endpoints, *joins])
+    config = ManagerConfigStub(worker_count)
+    controller = controller_of_fleet(config, proxy_count)
     with tempfile.TemporaryDirectory() as folder:
-        tasks = BackgroundScheduler(lambda: 0.0)
-        keeper = SnapshotManager(folder, 0.25, placed, tasks)  # type: ignore[arg-type]
-        list(keeper.collect_messages(0.0, ladder))
-        took: list[float] = []
-
-        def timed() -> Iterator[Any]:
-            begun = time.perf_counter()
-            yield from keeper._snapshot()
-            took.append(time.perf_counter() - begun)
-
-        tasks.add(TaskPlan("snapshot", 0.25, cpu_fraction=0.5, jitter_ratio=0.0), timed)
-        longest, last = 0.0, time.perf_counter()
-        tasks.start()
-        end = last + 3.0
-        while last < end:
-            await asyncio.sleep(0)
-            now = time.perf_counter()
-            longest, last = max(longest, now - last), now
-        await tasks.close()
-        out = {"snapshot_ms": 1000.0 * sorted(took)[len(took) // 2], "longest_stall_ms": 1000.0 * longest}
-        out["file_bytes"] = keeper._folder.size_bytes
-        keeper._folder.close()
-    return out
-
-
-async def delays(loaded: bool) -> float:
-    """p99 of how late a timer comes each 5 ms, beside background tasks that always want more, or none."""
-    tasks = BackgroundScheduler(lambda: 0.0)
-
-    def busy() -> Iterator[Any]:
-        while True:
-            end = time.perf_counter() + 0.002
-            while time.perf_counter() < end:
-                pass
-            yield None
-
-    if loaded:
-        for n in range(20):
-            tasks.add(TaskPlan(f"busy-{n}", 0.01, priority=n % 3, cpu_fraction=0.02), busy)
-    tasks.start()
-    late: list[float] = []
+        scheduler = BackgroundScheduler(lambda: 0.0)
+        manager = SnapshotManager(folder, SNAPSHOT_INTERVAL_S, config, scheduler)  # type: ignore[arg-type]
+        list(manager.collect_messages(0.0, controller))
+        durations_s: list[float] = []
+
+        def timed_snapshot() -> Iterator[Any]:
+            started_at = time.perf_counter()
+            yield from manager._snapshot()
+            durations_s.append(time.perf_counter() - started_at)
+
+        plan = TaskPlan("snapshot", SNAPSHOT_INTERVAL_S, cpu_fraction=SNAPSHOT_CPU_FRACTION, jitter_ratio=0.0)
+        scheduler.add(plan, timed_snapshot)
+        scheduler.start()
+        stall_s = await longest_loop_stall(SNAPSHOT_RUN_S)
+        await scheduler.close()
+        size_bytes = manager._folder.size_bytes
+        manager._folder.close()
+    return {
+        "snapshot_ms": MILLISECONDS_PER_S * percentile(durations_s, 0.5),
+        "longest_stall_ms": MILLISECONDS_PER_S * stall_s,
+        "file_bytes": size_bytes,
+    }
+
+
+def busy_work() -> Iterator[None]:
+    """A background task that always wants more."""
+    while True:
+        end = time.perf_counter() + BUSY_SLICE_S
+        while time.perf_counter() < end:
+            pass
+        yield None
+
+
+async def timer_delay_ms(is_loaded: bool) -> float:
+    """p99 of how late a timer fires, beside background tasks that always want more, or none."""
+    scheduler = BackgroundScheduler(lambda: 0.0)
+    for number in range(BUSY_TASKS if is_loaded else 0):
+        plan = TaskPlan(f"busy-{number}", 0.01, priority=number % 3, cpu_fraction=0.02)
+        scheduler.add(plan, busy_work)
+    scheduler.start()
+    delays_s: list[float] = []
     loop = asyncio.get_running_loop()
-    for _ in range(400):
-        due = loop.time() + 0.005
-        await asyncio.sleep(0.005)
-        late.append(max(0.0, loop.time() - due))
-        if late[-1] > 0.01:
-            tasks.pause_for_loop_lag()
-    await tasks.close()
-    return sorted(late)[int(len(late) * 0.99)] * 1000.0
-
-
-def measure(count: int) -> dict[str, Any]:
-    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
+    for _ in range(TIMER_COUNT):
+        due_at = loop.time() + TIMER_S
+        await asyncio.sleep(TIMER_S)
+        delays_s.append(max(0.0, loop.time() - due_at))
+        if delays_s[-1] > LATE_S:
+            scheduler.pause_for_loop_lag()
+    await scheduler.close()
+    return percentile(delays_s, 0.99) * MILLISECONDS_PER_S
+
+
+def read_duration_ms() -> float:
+    """How long a start takes to read a small snapshot."""
     with tempfile.TemporaryDirectory() as folder:
-        counts = kills.crash_test(folder, count, 7)
-    out: dict[str, Any] = {key: counts[key] for key in ("kills", "half_written", "states_lost")}
-    out |= restarts()
-    for name, (workers, proxies) in (("", (120, 640)), ("_large", (1200, 6400))):
-        out |= {
-            key + name: round(value, 2) for key, value in asyncio.run(snapshots(workers, proxies)).items()
-        }
-    for name, loaded in (("idle", False), ("loaded", True)):
-        out[f"decision_delay_p99_ms_{name}"] = round(asyncio.run(delays(loaded)), 2)
+        snapshots = SnapshotFolder(folder)
+        snapshots.write({"manager": {"v": 1, "data": {}}})
+        started_at = time.perf_counter()
+        snapshots.store.read_newest()
+        duration_s = time.perf_counter() - started_at
+        snapshots.close()
+    return duration_s * MILLISECONDS_PER_S
+
+
+def measure(kills: int) -> dict[str, Any]:
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     with tempfile.TemporaryDirectory() as folder:
-        kept = SnapshotFolder(folder)
-        kept.write({"manager": {"v": 1, "data": {}}})
-        begun = time.perf_counter()
-        kept.store.read_newest()
-        out["read_ms"] = round((time.perf_counter() - begun) * 1000.0, 2)
-        kept.close()
-    out["of"] = f"simulated workers, seeds {SEEDS}; this machine's disk and loop"
-    return out
+        counts = crash_test(folder, kills, CRASH_SEED)
+    figures: dict[str, Any] = {name: counts[name] for name in ("kills", "half_written", "states_lost")}
+    figures |= measure_restarts()
+    for suffix, (worker_count, proxy_count) in FLEETS.items():
+        measured = asyncio.run(measure_snapshots(worker_count, proxy_count))
+        figures |= {name + suffix: round(value, 2) for name, value in measured.items()}
+    figures["decision_delay_p99_ms_idle"] = round(asyncio.run(timer_delay_ms(is_loaded=False)), 2)
+    figures["decision_delay_p99_ms_loaded"] = round(asyncio.run(timer_delay_ms(is_loaded=True)), 2)
+    figures["read_ms"] = round(read_duration_ms(), 2)
+    figures["of"] = f"simulated workers, seeds {SEEDS}; this machine's disk and loop"
+    return figures
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--json", action="store_true")
+    parser = argument_parser(__doc__)
     parser.add_argument("--kills", type=int, default=1000)
-    asked = parser.parse_args()
-    figures = measure(asked.kills)
-    if asked.json:
-        print(json.dumps(figures))
-        return
-    for key, value in figures.items():
-        print(f"{key:32} {value}")
+    arguments = parser.parse_args()
+    print_figures(measure(arguments.kills), arguments.json)
 
 
 if __name__ == "__main__":
