--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -2,25 +2,34 @@
 
     python -m benchmarks.plugins --json
 
-On loopback against stand-in workers; each figure beside a forwarder without plug-ins, or a calm one, of the
-run."""
+On loopback against simulated workers; each figure beside a forwarder without plug-ins, or a calm one, of the
+same run.
+"""
 
 from __future__ import annotations
 
-import argparse
 import asyncio
-import json
 import signal
 import statistics
 import tempfile
 import time
 from contextlib import AsyncExitStack
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 import aiohttp
 
-from benchmarks.upgraded import load
+from benchmarks.harness import (
+    BYTES_PER_MB,
+    MICROSECONDS_PER_S,
+    MILLISECONDS_PER_S,
+    argument_parser,
+    percentile,
+    print_figures,
+    start_discovery,
+)
+from benchmarks.http_load import HTTP_OK, http_load
 from cottonladder.plugins.chain import request_record
 from cottonladder.plugins.host import Plugin
 from cottonladder.testbed.discovery import SimulatedDiscovery
@@ -28,171 +37,234 @@
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
 
 EXAMPLE = ROOT / "deploy" / "plugins" / "audit-trail.wat"
-SHELL = """(module (memory (export "memory") 1 4) (func (export "interface") (result i32) (i32.const 1))
+MODULE = """(module (memory (export "memory") 1 4) (func (export "interface") (result i32) (i32.const 1))
   (func (export "input") (result i32) (i32.const 1024))
   (func (export "capacity") (result i32) (i32.const 8192))
   (func $f (export "route") (param i32) (result i64) {}))"""
-NOOP = SHELL.format("(i64.const 0)")
-HOSTILE = [
-    SHELL.format("(loop $l (br $l)) (i64.const 0)"),
-    SHELL.format("(call $f (i32.const 0))"),
-    SHELL.format("(unreachable)"),
-    SHELL.format("(i64.const 0x7fffffff00000010)"),
-]
-CLIENTS, REQS = 8, 1200
-
-
-def calls() -> dict[str, float]:
-    begun = time.perf_counter()
-    plugin = Plugin("audit", str(EXAMPLE), frozenset(), 0, lambda name, words: None)
-    ms = (time.perf_counter() - begun) * 1000.0
+NOOP = MODULE.format("(i64.const 0)")
+HOSTILE = (
+    MODULE.format("(loop $l (br $l)) (i64.const 0)"),
+    MODULE.format("(call $f (i32.const 0))"),
+    MODULE.format("(unreachable)"),
+    MODULE.format("(i64.const 0x7fffffff00000010)"),
+)
+BROKEN = "(module"
+WORKER_COUNT = 3
+DRAINED_WORKER = "s-1"
+CLIENT_COUNT = 8
+CALL_COUNT = 3000
+REQUEST_COUNT = 1200  # of a round of plain load
+WARM_UP_REQUESTS = 200
+RELEASE_COUNT = 1600  # of a round of releases
+BREAKER_RELEASES = 80  # after which the breakers have acted
+RELEASE_INTERVAL_S = 0.002
+ROUND_COUNT = 3  # of pairs of processes, and of measurements of each
+RELOAD_COUNT = 10
+RELOAD_INTERVAL_S = 0.15
+SETTLE_S = 1.5  # until a forwarder has its tables
+DRAIN_AFTER_S = 0.5
+DRAIN_GRACE_S = 1.5  # the grace of the platform's rule
+REST_S = 2.0  # of a manager, before its memory is read
+
+
+def measure_calls() -> dict[str, float]:
+    """How long a plug-in takes to load, and a call of it."""
+    started_at = time.perf_counter()
+    plugin = Plugin("audit", str(EXAMPLE), frozenset(), 0, lambda name, text: None)
+    load_ms = (time.perf_counter() - started_at) * MILLISECONDS_PER_S
     headers = {**{f"x-{n}": "v" * 20 for n in range(12)}, "X-Matter": "42"}
-    data, took = request_record("route", "POST", "/release/42", "release", headers), list[float]()
-    for _ in range(3000):
-        begun = time.perf_counter()
-        plugin.call("route", data)
-        took.append((time.perf_counter() - begun) * 1e6)
-    cuts = statistics.quantiles(took, n=100)
-    return {"load_ms": ms, "call_us_p50": cuts[49], "call_us_p99": cuts[98]}
-
-
-class Site:
-    """Three workers, a manager, a forwarder with plug-ins or without."""
-
-    def __init__(self) -> None:
-        self.ledger, self.workers = EffectLedger(), dict[str, SimulatedWorker]()
-
-    async def start(self, stack: AsyncExitStack, *texts: str) -> ForwarderProcess:
-        self.discovery = SimulatedDiscovery()
-        at = await self.discovery.start()
-        stack.push_async_callback(self.discovery.close)
-        cases: dict[str, TicketSession] = {}
-        for n in range(3):
-            worker = self.workers[f"s-{n}"] = SimulatedWorker(f"s-{n}", self.ledger, cases)
-            await worker.start()
-            stack.push_async_callback(worker.abort)
-            await self.discovery.put(worker.name, worker.address, "a")
-        manager = ManagerProcess(at, self.discovery.listing(), None)
-        stack.push_async_callback(manager.stop)
-        port = await manager.serving()
-        self.folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        more: dict[str, Any] = {"plugins": {"chain": self.chain(*texts)}} if texts else {}
-        forwarder = ForwarderProcess(0, at, [f"127.0.0.1:{port}"], None, **more)
-        stack.push_async_callback(forwarder.stop)
-        await forwarder.serving()
-        await forwarder.logged("stream opened")
-        await asyncio.sleep(1.5)
-        return forwarder
-
-    def chain(self, *texts: str) -> list[dict[str, str]]:
-        for n, text in enumerate(texts):
-            (self.folder / f"{n}.wat").write_text(text)
-        return [{"name": f"p-{n}", "path": str(self.folder / f"{n}.wat")} for n in range(len(texts))]
-
-
-async def noop() -> dict[str, float]:
+    record = request_record("route", "POST", "/release/42", "release", headers)
+    durations_us: list[float] = []
+    for _ in range(CALL_COUNT):
+        started_at = time.perf_counter()
+        plugin.call("route", record)
+        durations_us.append((time.perf_counter() - started_at) * MICROSECONDS_PER_S)
+    percentiles = statistics.quantiles(durations_us, n=100)
+    return {"load_ms": load_ms, "call_us_p50": percentiles[49], "call_us_p99": percentiles[98]}
+
+
+@dataclass(frozen=True, slots=True)
+class PluginFleet:
+    """Three workers, a manager, and a forwarder with plug-ins or without."""
+
+    ledger: EffectLedger
+    discovery: SimulatedDiscovery
+    workers: dict[str, SimulatedWorker]
+    forwarder: ForwarderProcess
+    plugin_folder: Path
+
+
+async def start_fleet(stack: AsyncExitStack, *plugins: str) -> PluginFleet:
+    """Starts a fleet whose forwarder has these plug-ins, given as text."""
+    discovery, discovery_address = await start_discovery(stack)
+    ledger = EffectLedger()
+    workers = await start_workers(stack, discovery, ledger)
+    manager = ManagerProcess(discovery_address, discovery.listing(), None)
+    stack.push_async_callback(manager.stop)
+    port = await manager.serving()
+    folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
+    part: dict[str, Any] = {"plugins": {"chain": write_chain(folder, plugins)}} if plugins else {}
+    forwarder = ForwarderProcess(0, discovery_address, [f"127.0.0.1:{port}"], None, **part)
+    stack.push_async_callback(forwarder.stop)
+    await forwarder.serving()
+    await forwarder.logged("stream opened")
+    await asyncio.sleep(SETTLE_S)
+    return PluginFleet(ledger, discovery, workers, forwarder, folder)
+
+
+async def start_workers(
+    stack: AsyncExitStack, discovery: SimulatedDiscovery, ledger: EffectLedger
+) -> dict[str, SimulatedWorker]:
+    workers: dict[str, SimulatedWorker] = {}
+    sessions: dict[str, TicketSession] = {}
+    for number in range(WORKER_COUNT):
+        worker = SimulatedWorker(f"s-{number}", ledger, sessions)
+        await worker.start()
+        stack.push_async_callback(worker.abort)
+        await discovery.put(worker.name, worker.address, "a")
+        workers[worker.name] = worker
+    return workers
+
+
+def write_chain(folder: Path, plugins: tuple[str, ...]) -> list[dict[str, str]]:
+    """Writes plug-ins into files; gives the chain of the operators' file."""
+    chain = []
+    for number, text in enumerate(plugins):
+        path = folder / f"{number}.wat"
+        path.write_text(text)
+        chain.append({"name": f"p-{number}", "path": str(path)})
+    return chain
+
+
+async def measure_noop() -> dict[str, float]:
     """Throughput with a hook that does nothing against none, in turn; over several pairs of processes, as one
     may fall on a slower core for its life."""
     ratios: list[float] = []
-    for _ in range(3):
+    for _ in range(ROUND_COUNT):
         async with AsyncExitStack() as stack:
-            none, with_it = await Site().start(stack), await Site().start(stack, NOOP)
-            await load(none.url, 200, CLIENTS)
-            await load(with_it.url, 200, CLIENTS)
-            for _ in range(3):
-                plain, hooked = await load(none.url, REQS, CLIENTS), await load(with_it.url, REQS, CLIENTS)
-                ratios.append(hooked["reqs_per_s"] / plain["reqs_per_s"])
-            memory = {
-                "forwarder_mb_off": none.resident_bytes() / 2**20,
-                "forwarder_mb_on": with_it.resident_bytes() / 2**20,
-            }
-    return {"reqs_ratio_with_noop": statistics.median(ratios), **memory}
-
-
-async def releases(url: str, reqs: int) -> tuple[list[float], int]:
-    """Each client releases one after another: times in ms, and how many were served."""
-    took, served = list[float](), 0
+            plain = (await start_fleet(stack)).forwarder
+            hooked = (await start_fleet(stack, NOOP)).forwarder
+            await http_load(plain.url, WARM_UP_REQUESTS, CLIENT_COUNT)
+            await http_load(hooked.url, WARM_UP_REQUESTS, CLIENT_COUNT)
+            ratios += [await throughput_ratio(plain, hooked) for _ in range(ROUND_COUNT)]
+            plain_bytes = plain.resident_bytes()
+            hooked_bytes = hooked.resident_bytes()
+    return {
+        "reqs_ratio_with_noop": statistics.median(ratios),
+        "forwarder_mb_off": plain_bytes / BYTES_PER_MB,
+        "forwarder_mb_on": hooked_bytes / BYTES_PER_MB,
+    }
+
+
+async def throughput_ratio(plain: ForwarderProcess, hooked: ForwarderProcess) -> float:
+    plain_load = await http_load(plain.url, REQUEST_COUNT, CLIENT_COUNT)
+    hooked_load = await http_load(hooked.url, REQUEST_COUNT, CLIENT_COUNT)
+    return hooked_load["reqs_per_s"] / plain_load["reqs_per_s"]
+
+
+@dataclass(slots=True)
+class ReleaseCounts:
+    """What a round of releases came to."""
+
+    durations_ms: list[float]
+    served: int = 0
+
+
+async def send_releases(url: str, count: int) -> ReleaseCounts:
+    """Each client releases one after another."""
+    counts = ReleaseCounts([])
     async with aiohttp.ClientSession() as session:
 
         async def client(name: int) -> None:
-            nonlocal served
-            for n in range(reqs // CLIENTS):
-                begun = time.perf_counter()
-                async with session.post(f"{url}/release", data=f"r-{name}-{n}".encode()) as reply:
-                    await reply.read()
-                    served += reply.status == 200
-                took.append((time.perf_counter() - begun) * 1000.0)
-                await asyncio.sleep(0.002)
-
-        await asyncio.gather(*(client(n) for n in range(CLIENTS)))
-    return took, served
-
-
-async def hostile() -> dict[str, float]:
-    out: dict[str, float] = {}
-    times: dict[str, list[float]] = {}
-    twice = lapses = 0
-    for name, texts in (("calm", [NOOP]), ("hostile", HOSTILE)):
-        async with AsyncExitStack() as stack:
-            site = Site()
-            forwarder = await site.start(stack, *texts)
-            await releases(forwarder.url, 80)  # the breakers have acted
-            site.ledger.releases.clear()
-            running = asyncio.create_task(releases(forwarder.url, 1600))
-            await asyncio.sleep(0.5)
-            await site.discovery.set_state("s-1", "Terminating")
-            await asyncio.sleep(1.5)  # the grace of the platform's rule
-            before = sum(site.workers["s-1"].requests.values())
-            times[name], served = await running
-            lapses += sum(site.workers["s-1"].requests.values()) - before
-            twice += site.ledger.repeated_releases()
-            out[f"{name}_served_share"] = served / 1600
-    p99 = {name: sorted(row)[int(len(row) * 0.99)] for name, row in times.items()}
-    out["hostile_added_delay_p99_ms"] = p99["hostile"] - p99["calm"]
-    return out | {"released_twice": twice, "drain_lapses": lapses}
-
-
-async def reloads() -> int:
-    """Reqs lost while plug-ins are replaced ten times under load."""
+            for number in range(count // CLIENT_COUNT):
+                body = f"r-{name}-{number}".encode()
+                started_at = time.perf_counter()
+                async with session.post(f"{url}/release", data=body) as response:
+                    await response.read()
+                    counts.served += response.status == HTTP_OK
+                counts.durations_ms.append((time.perf_counter() - started_at) * MILLISECONDS_PER_S)
+                await asyncio.sleep(RELEASE_INTERVAL_S)
+
+        await asyncio.gather(*(client(name) for name in range(CLIENT_COUNT)))
+    return counts
+
+
+@dataclass(frozen=True, slots=True)
+class DrainUnderPlugins:
+    """A round of releases during which one worker drains."""
+
+    p99_ms: float
+    served_share: float
+    repeated_releases: int
+    requests_after_grace: int  # that the drained worker still got
+
+
+async def drain_under_plugins(*plugins: str) -> DrainUnderPlugins:
+    async with AsyncExitStack() as stack:
+        fleet = await start_fleet(stack, *plugins)
+        await send_releases(fleet.forwarder.url, BREAKER_RELEASES)
+        fleet.ledger.releases.clear()
+        releasing = asyncio.create_task(send_releases(fleet.forwarder.url, RELEASE_COUNT))
+        await asyncio.sleep(DRAIN_AFTER_S)
+        await fleet.discovery.set_state(DRAINED_WORKER, "Terminating")
+        await asyncio.sleep(DRAIN_GRACE_S)
+        drained = fleet.workers[DRAINED_WORKER]
+        requests_until_grace = sum(drained.requests.values())
+        counts = await releasing
+        return DrainUnderPlugins(
+            p99_ms=percentile(counts.durations_ms, 0.99),
+            served_share=counts.served / RELEASE_COUNT,
+            repeated_releases=fleet.ledger.repeated_releases(),
+            requests_after_grace=sum(drained.requests.values()) - requests_until_grace,
+        )
+
+
+async def measure_hostile() -> dict[str, float]:
+    calm = await drain_under_plugins(NOOP)
+    hostile = await drain_under_plugins(*HOSTILE)
+    return {
+        "calm_served_share": calm.served_share,
+        "hostile_served_share": hostile.served_share,
+        "hostile_added_delay_p99_ms": hostile.p99_ms - calm.p99_ms,
+        "released_twice": calm.repeated_releases + hostile.repeated_releases,
+        "drain_lapses": calm.requests_after_grace + hostile.requests_after_grace,
+    }
+
+
+async def lost_in_reloads() -> int:
+    """Requests lost while plug-ins are replaced ten times under load."""
+    texts = (EXAMPLE.read_text(), NOOP, BROKEN)
     async with AsyncExitStack() as stack:
-        site = Site()
-        forwarder = await site.start(stack, EXAMPLE.read_text())
-        running = asyncio.create_task(releases(forwarder.url, 1600))
-        for n in range(10):
-            await asyncio.sleep(0.15)
-            texts = (EXAMPLE.read_text(), NOOP, "(module")
-            (site.folder / "0.wat").write_text(texts[n % 3])
-            forwarder.send(signal.SIGHUP)
-        _, served = await running
-        return 1600 - served
-
-
-async def manager_mb() -> float:
+        fleet = await start_fleet(stack, EXAMPLE.read_text())
+        releasing = asyncio.create_task(send_releases(fleet.forwarder.url, RELEASE_COUNT))
+        for number in range(RELOAD_COUNT):
+            await asyncio.sleep(RELOAD_INTERVAL_S)
+            (fleet.plugin_folder / "0.wat").write_text(texts[number % len(texts)])
+            fleet.forwarder.send(signal.SIGHUP)
+        counts = await releasing
+        return RELEASE_COUNT - counts.served
+
+
+async def manager_memory_mb() -> float:
+    """Of a manager at rest."""
     async with AsyncExitStack() as stack:
-        discovery = SimulatedDiscovery()
-        at = await discovery.start()
-        stack.push_async_callback(discovery.close)
-        manager = ManagerProcess(at, discovery.listing(), None)
+        discovery, discovery_address = await start_discovery(stack)
+        manager = ManagerProcess(discovery_address, discovery.listing(), None)
         stack.push_async_callback(manager.stop)
         await manager.serving()
-        await asyncio.sleep(2.0)
-        return manager.resident_bytes() / 2**20
+        await asyncio.sleep(REST_S)
+        return manager.resident_bytes() / BYTES_PER_MB
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--json", action="store_true")
-    asked = parser.parse_args()
-    out: dict[str, Any] = {**calls(), **asyncio.run(noop()), **asyncio.run(hostile())}
-    out["reload_lost_reqs"] = asyncio.run(reloads())
-    out["manager_mb_off"] = asyncio.run(manager_mb())
-    out = {key: round(value, 3) for key, value in out.items()}
-    out["of"] = "stand-in workers on loopback, one machine"
-    if asked.json:
-        print(json.dumps(out))
-        return
-    for key, value in out.items():
-        print(f"{key:28} {value}")
+    arguments = argument_parser(__doc__).parse_args()
+    figures: dict[str, float] = {**measure_calls(), **asyncio.run(measure_noop())}
+    figures |= asyncio.run(measure_hostile())
+    figures["reload_lost_reqs"] = asyncio.run(lost_in_reloads())
+    figures["manager_mb_off"] = asyncio.run(manager_memory_mb())
+    rounded: dict[str, Any] = {name: round(value, 3) for name, value in figures.items()}
+    rounded["of"] = "stand-in workers on loopback, one machine"
+    print_figures(rounded, arguments.json)
 
 
 if __name__ == "__main__":
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -2,154 +2,257 @@
 
     python -m benchmarks.upgraded --json
 
-On loopback, against stand-in workers; each figure stands beside its baseline of the same run.
+On loopback, against simulated workers; each figure stands beside its baseline of the same run.
 """
 
 from __future__ import annotations
 
-import argparse
 import asyncio
 import base64
-import json
 import random
 import statistics
 import sys
 import time
-from collections.abc import AsyncIterator
+from collections import Counter
+from collections.abc import AsyncIterator, Callable
 from contextlib import AsyncExitStack, asynccontextmanager
+from dataclasses import dataclass
 from typing import Any
 
 import aiohttp
 
+from benchmarks.harness import MILLISECONDS_PER_S, argument_parser, print_figures, start_discovery
+from benchmarks.http_load import http_load
 from cottonladder.model.views import WorkerCapacityView
-from cottonladder.planning import connection_migration as mv
-from cottonladder.testbed.discovery import SimulatedDiscovery
+from cottonladder.planning import connection_migration as migration
 from cottonladder.testbed.fleet import ROOT, ForwarderProcess, ManagerProcess
 from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
 
-GRACE, ARRIVALS, HELD = 12.0, 100.0, 1000
-BUSY = 10  # of these, desks that release all the time
-KEY = base64.b64encode(b"0123456789abcdef").decode()
+GRACE_S = 12.0
+ARRIVALS_PER_S = 100.0  # that a worker may get
+CLIENT_COUNT = 1000
+BUSY_CLIENTS = 10  # of these, ones that release all the time
+WORKER_COUNT = 6
+FORWARDER_COUNT = 2
+LEAVING_WORKER = "s-0"
+WARMING_WORKER = "s-5"
+FAIR_LEVEL = CLIENT_COUNT / 4.25  # four warm neighbours and a quarter of one
+WARM_UP_S = 15.0  # of the testbed's settings, as the next two
+WARM_UP_START = 0.2
+WARM_UP_HEADROOM = 0.66  # of a warming worker's capacity that may be used
+CLIENTS_PER_BATCH = 8
+BATCH_INTERVAL_S = 0.1  # under the pace, so that none is turned away
+UNPACED_BATCH_INTERVAL_S = 0.01
+CONNECT_TIMEOUT_S = 60.0
+SETTLE_S = 5.0  # two intervals: new workers stand in the tables
+POLL_INTERVAL_S = 0.05
+CONCURRENCY = 8
+WARM_UP_REQUESTS = 300
+ROUND_COUNT = 3
+MEMORY_STEPS = (1000, 5000)  # held connections
+OPENED_AT_ONCE = 100
+MAX_CONNECTIONS = 20_000  # by the forwarder's limits
+WEBSOCKET_KEY = base64.b64encode(b"0123456789abcdef").decode()
+HANDSHAKE = (
+    "GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n"
+    f"Sec-WebSocket-Key: {WEBSOCKET_KEY}\r\nSec-WebSocket-Version: 13\r\n\r\n"
+).encode()
+PLAN_COUNT = 10
+PLAN_SEED = 7
+PLAN_ZONES = 4
 
 
-def over_room(times: list[float], cold_since: float | None = None) -> float:
-    """The most arrivals in any second against the worker's room: what operators state, of a cold one the part
-    that the settings' cold rule leaves (`lab.fleet.SETTINGS`: from a fifth to all in 15 s, of that 0.66)."""
-    most = 0.0
+def allowed_arrivals_per_s(age_s: float) -> float:
+    """What operators state of a worker, and the part of it that the warm-up rule leaves of a new one."""
+    if age_s >= WARM_UP_S:
+        return ARRIVALS_PER_S
+    warm_part = WARM_UP_START + (1.0 - WARM_UP_START) * age_s / WARM_UP_S
+    return ARRIVALS_PER_S * WARM_UP_HEADROOM * warm_part
+
+
+def worst_arrival_ratio(times: list[float], started_at: float | None = None) -> float:
+    """The most arrivals in any second, of what the worker may get."""
+    worst = 0.0
     for at in times:
-        came = sum(at <= other < at + 1.0 for other in times)
-        age = 15.0 if cold_since is None else at - cold_since
-        most = max(most, came / (ARRIVALS * (1.0 if age >= 15.0 else 0.66 * (0.2 + 0.8 * age / 15.0))))
-    return most
+        count = sum(at <= other < at + 1.0 for other in times)
+        age_s = WARM_UP_S if started_at is None else at - started_at
+        worst = max(worst, count / allowed_arrivals_per_s(age_s))
+    return worst
 
 
-async def drain(orderly: bool) -> dict[str, Any]:
-    """A thousand at one worker, which then leaves.  The baseline closes all at once and its clients come back
-    at once, through a forwarder that paces nothing."""
-    async with AsyncExitStack() as stack:
-        ledger, counts, cases, discovery = (
-            EffectLedger(),
-            ClientCounters(),
-            dict[str, TicketSession](),
-            SimulatedDiscovery(),
-        )
-        at = await discovery.start()
-        stack.push_async_callback(discovery.close)
-        workers = {f"s-{n}": SimulatedWorker(f"s-{n}", ledger, cases) for n in range(6)}
-        for worker in workers.values():
+@dataclass(frozen=True, slots=True)
+class DrainResult:
+    """How a worker with a thousand connections was left."""
+
+    part_of_grace: float
+    worst_arrivals: float  # at any other worker, of what it may get
+    worst_warming_arrivals: float
+    max_held: float  # by any other worker, of a fair level
+    closed: int
+    cut: int  # amid a request
+    repeated_releases: int
+    failed_handshakes: int
+
+
+class DrainFleet:
+    """Six workers behind two forwarders.  The baseline (`is_orderly` false) has no upgrades part: it closes
+    all connections at once, and its clients come back at once."""
+
+    def __init__(self, is_orderly: bool) -> None:
+        self.is_orderly = is_orderly
+        self.upgrades: dict[str, Any] | None = None
+        if is_orderly:
+            self.upgrades = {"grace": GRACE_S, "arrivals": ARRIVALS_PER_S}
+        self.ledger = EffectLedger()
+        self.counts = ClientCounters()
+        self.workers: dict[str, SimulatedWorker] = {}
+        self.forwarders: list[ForwarderProcess] = []
+        self.clients: list[HoldingClient] = []
+        self.listed_at = 0.0  # when the other workers were listed
+
+    async def start(self, stack: AsyncExitStack) -> None:
+        self.discovery, discovery_address = await start_discovery(stack)
+        sessions: dict[str, TicketSession] = {}
+        for number in range(WORKER_COUNT):
+            worker = SimulatedWorker(f"s-{number}", self.ledger, sessions)
             await worker.start()
             stack.push_async_callback(worker.abort)
-        await discovery.put("s-0", workers["s-0"].address, "a")
-        upgrades: dict[str, Any] | None = {"grace": GRACE, "arrivals": ARRIVALS} if orderly else None
-        manager = ManagerProcess(at, discovery.listing(), upgrades)
+            self.workers[worker.name] = worker
+        await self.discovery.put(LEAVING_WORKER, self.workers[LEAVING_WORKER].address, "a")
+        manager = ManagerProcess(discovery_address, self.discovery.listing(), self.upgrades)
         stack.push_async_callback(manager.stop)
-        port = await manager.serving()
-        forwarders = [
-            ForwarderProcess(n, at, [f"127.0.0.1:{port}"], upgrades, zone="ab"[n], limits={"client": 20_000})
-            for n in range(2)
-        ]
-        for forwarder in forwarders:
-            stack.push_async_callback(forwarder.stop)
-            await forwarder.serving()
-            await forwarder.logged("stream opened")
-        session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
-        stack.push_async_callback(session.close)
-        desks = [
-            HoldingClient(
-                session,
-                forwarders[n % 2].url,
-                counts,
-                f"d{n}",
-                busy=n < BUSY,
+        manager_address = f"127.0.0.1:{await manager.serving()}"
+        for number in range(FORWARDER_COUNT):
+            await self._start_forwarder(stack, number, discovery_address, manager_address)
+
+    async def _start_forwarder(
+        self, stack: AsyncExitStack, number: int, discovery_address: str, manager_address: str
+    ) -> None:
+        forwarder = ForwarderProcess(
+            number,
+            discovery_address,
+            [manager_address],
+            self.upgrades,
+            zone="ab"[number],
+            limits={"client": MAX_CONNECTIONS},
+        )
+        stack.push_async_callback(forwarder.stop)
+        await forwarder.serving()
+        await forwarder.logged("stream opened")
+        self.forwarders.append(forwarder)
+
+    async def connect_clients(self, stack: AsyncExitStack) -> None:
+        """A thousand connections, all at the one worker that is listed."""
+        http = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
+        stack.push_async_callback(http.close)
+        interval_s = BATCH_INTERVAL_S if self.is_orderly else UNPACED_BATCH_INTERVAL_S
+        for number in range(CLIENT_COUNT):
+            client = HoldingClient(
+                http,
+                self.forwarders[number % FORWARDER_COUNT].url,
+                self.counts,
+                f"d{number}",
+                busy=number < BUSY_CLIENTS,
                 releases=True,
-                reconnects_at_once=not orderly,
+                reconnects_at_once=not self.is_orderly,
             )
-            for n in range(HELD)
-        ]
-        for n, desk in enumerate(desks):
-            stack.push_async_callback(desk.stop)
-            desk.start()
-            if n % 8 == 7:
-                await asyncio.sleep(0.1 if orderly else 0.01)  # under the pace, so that none is turned away
-        for desk in desks:
-            await asyncio.wait_for(desk.connected.wait(), 60.0)
-        for n in range(1, 6):  # one of them cold
-            started = time.time() if n == 5 else 0.0
-            await discovery.put(f"s-{n}", workers[f"s-{n}"].address, "ab"[n % 2], started=started)
-        await asyncio.sleep(5.0)  # two intervals: they stand in the tables
-        counts.failed_handshakes, listed = 0, time.monotonic() - 5.0
-        begun = time.monotonic()
-        await discovery.set_state("s-0", "Terminating")
-        if not orderly:
-            await asyncio.sleep(1.0)  # the withdrawal has gone out
-            await workers["s-0"].abort()
-        while workers["s-0"].held_connections and time.monotonic() - begun < GRACE + 3.0:
-            await asyncio.sleep(0.05)
-        took = time.monotonic() - begun
-        while (
-            sum(w.held_connections for w in workers.values()) < HELD
-            and time.monotonic() - begun < GRACE + 6.0
-        ):
-            await asyncio.sleep(0.05)
-        rates = {
-            n: over_room(w.arrivals, listed if n == "s-5" else None) for n, w in workers.items() if n != "s-0"
-        }
-        level = HELD / 4.25  # four warm neighbours and a quarter of one: a fair level
-        return {
-            "of_grace": round(took / GRACE, 3),
-            "over_room": round(max(rates.values()), 3),
-            "cold_over_room": round(rates["s-5"], 3),
-            "most_held_of_level": round(
-                max(w.max_held_connections for n, w in workers.items() if n != "s-0") / level, 3
-            ),
-            "closed": sum(counts.closes.values()),
-            "cut": counts.unanswered,
-            "twice": ledger.repeated_releases(),
-            "bare": counts.failed_handshakes,
-            "back": sum(w.held_connections for w in workers.values()),
+            self.clients.append(client)
+            stack.push_async_callback(client.stop)
+            client.start()
+            if (number + 1) % CLIENTS_PER_BATCH == 0:
+                await asyncio.sleep(interval_s)
+        for client in self.clients:
+            await asyncio.wait_for(client.connected.wait(), CONNECT_TIMEOUT_S)
+
+    async def list_other_workers(self) -> None:
+        """One of them has just started."""
+        for number in range(1, WORKER_COUNT):
+            name = f"s-{number}"
+            started = time.time() if name == WARMING_WORKER else 0.0
+            zone = "ab"[number % 2]
+            await self.discovery.put(name, self.workers[name].address, zone, started=started)
+        self.listed_at = time.monotonic()
+        await asyncio.sleep(SETTLE_S)
+
+    async def drain(self) -> float:
+        """Has the worker leave; seconds until it holds nothing, and waits until all clients are back."""
+        leaving = self.workers[LEAVING_WORKER]
+        self.counts.failed_handshakes = 0
+        started_at = time.monotonic()
+        await self.discovery.set_state(LEAVING_WORKER, "Terminating")
+        if not self.is_orderly:
+            await asyncio.sleep(1.0)  # the worker's exclusion has gone out
+            await leaving.abort()
+        await wait_until(lambda: not leaving.held_connections, started_at + GRACE_S + 3.0)
+        duration_s = time.monotonic() - started_at
+        await wait_until(lambda: self.held_connections() >= CLIENT_COUNT, started_at + GRACE_S + 6.0)
+        return duration_s
+
+    def held_connections(self) -> int:
+        return sum(worker.held_connections for worker in self.workers.values())
+
+    def result(self, duration_s: float) -> DrainResult:
+        others = {name: worker for name, worker in self.workers.items() if name != LEAVING_WORKER}
+        ratios = {
+            name: worst_arrival_ratio(worker.arrivals, self.listed_at if name == WARMING_WORKER else None)
+            for name, worker in others.items()
         }
+        return DrainResult(
+            part_of_grace=round(duration_s / GRACE_S, 3),
+            worst_arrivals=round(max(ratios.values()), 3),
+            worst_warming_arrivals=round(ratios[WARMING_WORKER], 3),
+            max_held=round(max(worker.max_held_connections for worker in others.values()) / FAIR_LEVEL, 3),
+            closed=sum(self.counts.closes.values()),
+            cut=self.counts.unanswered,
+            repeated_releases=self.ledger.repeated_releases(),
+            failed_handshakes=self.counts.failed_handshakes,
+        )
+
+
+async def wait_until(condition: Callable[[], bool], deadline: float) -> None:
+    """Until the condition holds, or the deadline has passed."""
+    while not condition() and time.monotonic() < deadline:
+        await asyncio.sleep(POLL_INTERVAL_S)
+
+
+async def measure_drain(is_orderly: bool) -> DrainResult:
+    async with AsyncExitStack() as stack:
+        fleet = DrainFleet(is_orderly)
+        await fleet.start(stack)
+        await fleet.connect_clients(stack)
+        await fleet.list_other_workers()
+        return fleet.result(await fleet.drain())
+
+
+async def start_worker_process(stack: AsyncExitStack) -> str:
+    """A worker in a process of its own; gives its address."""
+    worker = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-B",
+        "-m",
+        "cottonladder.testbed.workers",
+        cwd=ROOT,
+        stdin=asyncio.subprocess.PIPE,
+        stdout=asyncio.subprocess.PIPE,
+    )
+    stack.push_async_callback(worker.wait)
+    assert worker.stdin is not None and worker.stdout is not None
+    stack.callback(worker.stdin.close)
+    return (await worker.stdout.readline()).decode().strip()
 
 
 @asynccontextmanager
 async def one_worker(**part: Any) -> AsyncIterator[tuple[str, ForwarderProcess]]:
     """A worker in a process of its own behind a forwarder; gives the worker's address, too."""
     async with AsyncExitStack() as stack:
-        child = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "cottonladder.testbed.workers", cwd=ROOT,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-        )  # fmt: skip
-        stack.push_async_callback(child.wait)
-        assert child.stdin is not None and child.stdout is not None
-        stack.callback(child.stdin.close)
-        address = (await child.stdout.readline()).decode().strip()
-        discovery = SimulatedDiscovery()
-        at = await discovery.start()
-        stack.push_async_callback(discovery.close)
+        address = await start_worker_process(stack)
+        discovery, discovery_address = await start_discovery(stack)
         await discovery.put("s-0", address, "a")
-        manager = ManagerProcess(at, discovery.listing(), None)
+        manager = ManagerProcess(discovery_address, discovery.listing(), None)
         stack.push_async_callback(manager.stop)
-        forwarder = ForwarderProcess(0, at, [f"127.0.0.1:{await manager.serving()}"], None, **part)
+        manager_address = f"127.0.0.1:{await manager.serving()}"
+        forwarder = ForwarderProcess(0, discovery_address, [manager_address], None, **part)
         stack.push_async_callback(forwarder.stop)
         await forwarder.serving()
         await forwarder.logged("stream opened")
@@ -157,132 +260,136 @@
         yield address, forwarder
 
 
-async def load(url: str, reqs: int, at_once: int) -> dict[str, float]:
-    """A closed loop over kept connections."""
-    took: list[float] = []
-    left = iter(range(reqs))
-    async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=at_once)) as session:
+@dataclass(frozen=True, slots=True)
+class ForwarderPrice:
+    """Medians of the load straight to the worker, and through the forwarder."""
 
-        async def one() -> None:
-            for _ in left:
-                begun = time.perf_counter()
-                async with session.get(url) as reply:
-                    await reply.read()
-                    assert reply.status == 200
-                took.append(time.perf_counter() - begun)
+    direct: dict[str, float]
+    through: dict[str, float]
 
-        begun = time.perf_counter()
-        await asyncio.gather(*(one() for _ in range(at_once)))
-        whole = time.perf_counter() - begun
-    cuts = statistics.quantiles(took, n=100)
-    return {"reqs_per_s": reqs / whole, "p50_ms": cuts[49] * 1000.0, "p99_ms": cuts[98] * 1000.0}
+    @property
+    def ratio(self) -> float:
+        return self.direct["reqs_per_s"] / self.through["reqs_per_s"]
 
 
-async def price(reqs: int) -> dict[str, Any]:
+async def measure_price(request_count: int) -> ForwarderPrice:
     """Through the forwarder against straight to the worker, in turn."""
+    direct: list[dict[str, float]] = []
+    through: list[dict[str, float]] = []
     async with one_worker() as (address, forwarder):
-        await load(forwarder.url, 300, 8)  # warm
-        rounds = []
-        for _ in range(3):
-            rounds.append((await load(f"http://{address}/", reqs, 8), await load(forwarder.url, reqs, 8)))
-        direct, through = (
-            {key: statistics.median(r[side][key] for r in rounds) for key in rounds[0][side]}
-            for side in (0, 1)
-        )
-    ratio = direct["reqs_per_s"] / through["reqs_per_s"]
-    return {"direct": direct, "through": through, "ratio": ratio}
+        await http_load(forwarder.url, WARM_UP_REQUESTS, CONCURRENCY)
+        for _ in range(ROUND_COUNT):
+            direct.append(await http_load(f"http://{address}/", request_count, CONCURRENCY))
+            through.append(await http_load(forwarder.url, request_count, CONCURRENCY))
+    return ForwarderPrice(medians(direct), medians(through))
 
 
-async def memory(steps: tuple[int, ...]) -> dict[int, float]:
-    """Resident bytes of the forwarder by held connection."""
-    limits = {"client": 20_000, "worker": 20_000}
-    async with one_worker(limits=limits) as (_, forwarder):
-        before, held, out = forwarder.resident_bytes(), list[asyncio.StreamWriter](), dict[int, float]()
-        head = "GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n"
-        head += f"Sec-WebSocket-Key: {KEY}"
+def medians(rounds: list[dict[str, float]]) -> dict[str, float]:
+    return {name: statistics.median(figures[name] for figures in rounds) for name in rounds[0]}
+
+
+async def open_websocket(port: int) -> asyncio.StreamWriter:
+    reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1024)
+    writer.write(HANDSHAKE)
+    assert b" 101 " in await reader.readuntil(b"\r\n\r\n")
+    return writer
 
-        async def one() -> None:
-            reader, writer = await asyncio.open_connection("127.0.0.1", forwarder.port, limit=1024)
-            writer.write(f"{head}\r\nSec-WebSocket-Version: 13\r\n\r\n".encode())
-            assert b" 101 " in await reader.readuntil(b"\r\n\r\n")
-            held.append(writer)
 
+async def bytes_per_connection(steps: tuple[int, ...]) -> dict[int, float]:
+    """Resident bytes of the forwarder by held connection."""
+    limits = {"client": MAX_CONNECTIONS, "worker": MAX_CONNECTIONS}
+    async with one_worker(limits=limits) as (_, forwarder):
+        before = forwarder.resident_bytes()
+        writers: list[asyncio.StreamWriter] = []
+        figures: dict[int, float] = {}
         for step in steps:
-            while len(held) < step:
-                await asyncio.gather(*(one() for _ in range(min(100, step - len(held)))))
+            while len(writers) < step:
+                count = min(OPENED_AT_ONCE, step - len(writers))
+                writers += await asyncio.gather(*(open_websocket(forwarder.port) for _ in range(count)))
             await asyncio.sleep(1.0)
-            out[step] = (forwarder.resident_bytes() - before) / step
-        for writer in held:
+            figures[step] = (forwarder.resident_bytes() - before) / step
+        for writer in writers:
             writer.transport.abort()
-    return out
+    return figures
 
 
-def plan(connections: int, forwarders: int, workers: int, zones: int = 4) -> float:
-    """ms a plan, the median of ten, while a tenth of the workers leave."""
-    chance = random.Random(7)
-    moves = mv.MigrationPlanner(mv.MigrationParameters(zones, 30.0, 8000, 50.0, 0.05, 3000.0, 10))
+def planner_of_fleet(connections: int, forwarders: int, workers: int) -> migration.MigrationPlanner:
+    """A planner that knows forwarders whose connections are drawn over the workers."""
+    chance = random.Random(PLAN_SEED)
+    parameters = migration.MigrationParameters(PLAN_ZONES, 30.0, 8000, 50.0, 0.05, 3000.0, 10)
+    planner = migration.MigrationPlanner(parameters)
+    for forwarder in range(forwarders):
+        planner.add_forwarder(forwarder, forwarder % PLAN_ZONES)
+        counts = Counter(chance.randrange(workers) for _ in range(round(connections / forwarders)))
+        held = {worker: migration.HeldConnectionCounts(count) for worker, count in counts.items()}
+        planner.update_connections(forwarder, True, held)
+    return planner
+
+
+def capacity_views(workers: int) -> dict[int, WorkerCapacityView]:
+    """Of workers of which a tenth leave."""
     leaving = max(1, workers // 10)
-    standing = {
-        be: WorkerCapacityView(be % zones, 0.0 if be < leaving else 1.0, False, 0.0 if be < leaving else -1.0)
-        for be in range(workers)
-    }
-    per = connections / forwarders
-    for f in range(forwarders):
-        moves.add_forwarder(f, f % zones)
-        rows: dict[int, int] = {}
-        for _ in range(round(per)):
-            be = chance.randrange(workers)
-            rows[be] = rows.get(be, 0) + 1
-        moves.update_connections(f, True, {be: mv.HeldConnectionCounts(n) for be, n in rows.items()})
-    took = []
-    for n in range(10):
-        begun = time.perf_counter()
-        orders = moves.plan(n * mv.PLAN_INTERVAL, standing)
-        took.append((time.perf_counter() - begun) * 1000.0)
+    views = {}
+    for worker in range(workers):
+        zone = worker % PLAN_ZONES
+        if worker < leaving:
+            views[worker] = WorkerCapacityView(zone, 0.0, False, 0.0)
+        else:
+            views[worker] = WorkerCapacityView(zone, 1.0, False, -1.0)
+    return views
+
+
+def plan_duration_ms(connections: int, forwarders: int, workers: int) -> float:
+    """The median of ten plans, while a tenth of the workers leave."""
+    planner = planner_of_fleet(connections, forwarders, workers)
+    views = capacity_views(workers)
+    durations_ms = []
+    for number in range(PLAN_COUNT):
+        started_at = time.perf_counter()
+        orders = planner.plan(number * migration.PLAN_INTERVAL, views)
+        durations_ms.append((time.perf_counter() - started_at) * MILLISECONDS_PER_S)
         for order in orders:
-            if isinstance(order, mv.MigrateConnections):
-                moves.complete_migration(order.forwarder, order.number)
-    return statistics.median(took)
+            if isinstance(order, migration.MigrateConnections):
+                planner.complete_migration(order.forwarder, order.number)
+    return statistics.median(durations_ms)
 
 
-async def measure(reqs: int) -> dict[str, Any]:
-    orderly, baseline = await drain(True), await drain(False)
-    cost, bytes_at = await price(reqs), await memory((1000, 5000))
+async def measure(request_count: int) -> dict[str, Any]:
+    orderly = await measure_drain(is_orderly=True)
+    baseline = await measure_drain(is_orderly=False)
+    price = await measure_price(request_count)
+    bytes_by_step = await bytes_per_connection(MEMORY_STEPS)
     return {
-        "drain_of_grace": orderly["of_grace"],
-        "neighbour_over_room": orderly["over_room"],
-        "cold_over_room": orderly["cold_over_room"],
-        "most_held_of_level": orderly["most_held_of_level"],
-        "busy_cut": orderly["cut"],
-        "released_twice": orderly["twice"] + baseline["twice"],
-        "bare_clients": orderly["bare"],
-        "closed": orderly["closed"],
-        "baseline_neighbour_over_room": baseline["over_room"],
-        "baseline_cold_over_room": baseline["cold_over_room"],
-        "baseline_busy_cut": baseline["cut"],
-        "baseline_bare_clients": baseline["bare"],
-        "req_overhead_ratio": round(cost["ratio"], 2),
-        "direct": {key: round(value, 2) for key, value in cost["direct"].items()},
-        "through": {key: round(value, 2) for key, value in cost["through"].items()},
-        "bytes_per_connection": {str(n): round(size) for n, size in bytes_at.items()},
-        "plan_ms": round(plan(50_000, 400, 120), 2),
-        "plan_ms_half": round(plan(25_000, 200, 60), 2),
-        "plan_ms_double": round(plan(100_000, 800, 240), 2),
+        "drain_of_grace": orderly.part_of_grace,
+        "neighbour_over_room": orderly.worst_arrivals,
+        "cold_over_room": orderly.worst_warming_arrivals,
+        "most_held_of_level": orderly.max_held,
+        "busy_cut": orderly.cut,
+        "released_twice": orderly.repeated_releases + baseline.repeated_releases,
+        "bare_clients": orderly.failed_handshakes,
+        "closed": orderly.closed,
+        "baseline_neighbour_over_room": baseline.worst_arrivals,
+        "baseline_cold_over_room": baseline.worst_warming_arrivals,
+        "baseline_busy_cut": baseline.cut,
+        "baseline_bare_clients": baseline.failed_handshakes,
+        "req_overhead_ratio": round(price.ratio, 2),
+        "direct": {name: round(value, 2) for name, value in price.direct.items()},
+        "through": {name: round(value, 2) for name, value in price.through.items()},
+        "bytes_per_connection": {str(count): round(size) for count, size in bytes_by_step.items()},
+        "plan_ms": round(plan_duration_ms(50_000, 400, 120), 2),
+        "plan_ms_half": round(plan_duration_ms(25_000, 200, 60), 2),
+        "plan_ms_double": round(plan_duration_ms(100_000, 800, 240), 2),
         "of": "stand-in workers on loopback, one machine",
     }
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--json", action="store_true")
-    parser.add_argument("--reqs", type=int, default=1500, help="reqs of each of three rounds, either way")
-    asked = parser.parse_args()
-    figures = asyncio.run(measure(asked.reqs))
-    if asked.json:
-        print(json.dumps(figures))
-    else:
-        for key, value in figures.items():
-            print(f"{key:30} {value}")
+    parser = argument_parser(__doc__)
+    parser.add_argument(
+        "--reqs", dest="request_count", type=int, default=1500, help="requests a round, either way"
+    )
+    arguments = parser.parse_args()
+    print_figures(asyncio.run(measure(arguments.request_count)), arguments.json)
 
 
 if __name__ == "__main__":
