--- /dev/null
+++ b/tests/support/manager_program.py
@@ -0,0 +1,103 @@
+"""A manager under its own command line; its log lines are kept and waited for."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import shutil
+import signal
+import sys
+import tempfile
+from pathlib import Path
+from typing import Any
+
+from tests.support.scripted_discovery import endpoint_entry, endpoint_list
+from tests.support.stream_client import StreamClient
+from tests.support.timeouts import in_time
+
+ROOT = Path(__file__).parents[2]
+SETTINGS: dict[str, Any] = {
+    "NInstances": 1, "Me": 0, "Zones": ["a", "b"], "Discovery": "subscribe",
+    "Profiles": [{"Name": n, "TargetMs": 1000.0, "Gain": g} for n, g in (("lookup", 1.0), ("order", 3.0))],
+    "FamilyInfo": {"Proxies": 8, "EgressPerS": 3000.0, "Head": 10.0, "PendingMax": 6000.0,
+                   "ThrottleBy": "ratio", "Strikes": 3, "KeyRanges": 0},
+    "Rules": {"ColdFrom": 0.2, "FallMultiple": 3.0, "WarmAfterMs": 15000.0, "AskWithinMs": 5000.0},
+    "Limits": {"Probing": False, "Peers": False}, "Prices": {"CrossZone": 0.02, "Probe": 0.02},
+    "Stats": {"Via": "probe", "Fields": ["inflight"]},
+}  # fmt: skip
+
+
+class ManagerProgram:
+    """The program under its own command line; its log lines are kept and waited for."""
+
+    def __init__(self, at: str, **changes: Any) -> None:
+        settings = {**SETTINGS, **changes.pop("settings", {})}
+        self.config = {
+            "name": "n0", "listen": "127.0.0.1:0", "discovery": at, "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "known": endpoint_list(41, endpoint_entry("s-1"), endpoint_entry("s-2"), full=True),
+            "settings": settings, **changes,
+        }  # fmt: skip
+        self.port = 0
+        self.lines: list[str] = []
+        self._line_added = asyncio.Condition()
+
+    async def start(self, config: str | None = None) -> None:
+        self.folder = Path(tempfile.mkdtemp())
+        path = self.folder / "config.json"
+        path.write_text(json.dumps(self.config) if config is None else config)
+        await self.run(path)
+
+    async def run(self, path: Path, **env: str) -> None:
+        self.process = await asyncio.create_subprocess_exec(
+            sys.executable, "-B", "-m", "cottonladder", "serve",
+            env={**os.environ, "ROUTER_CONFIG": str(path), **env}, stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE, cwd=ROOT,
+        )  # fmt: skip
+        self.reading = asyncio.create_task(self._read())
+
+    async def serving(self) -> None:
+        await self.start()
+        self.port = int((await self.logged("event=serving")).split("port=")[1])
+
+    async def _read(self) -> None:
+        assert self.process.stdout is not None
+        while line := await self.process.stdout.readline():
+            async with self._line_added:
+                self.lines.append(line.decode())
+                self._line_added.notify_all()
+
+    async def logged(self, *words: str) -> str:
+        """The first line with all these words, which is then used up."""
+
+        def find() -> str | None:
+            return next((line for line in self.lines if all(word in line for word in words)), None)
+
+        try:
+            async with self._line_added:
+                await in_time(self._line_added.wait_for(lambda: find() is not None))
+        except TimeoutError:
+            raise AssertionError(f"no line with {words} in:\n{''.join(self.lines)}") from None
+        line = str(find())
+        self.lines.remove(line)
+        return line
+
+    async def connect(self) -> StreamClient:
+        return StreamClient(*await asyncio.open_connection("127.0.0.1", self.port))
+
+    def reload(self, text: str | None = None, **changes: Any) -> None:
+        self.config.update(changes)
+        (self.folder / "config.json").write_text(json.dumps(self.config) if text is None else text)
+        self.process.send_signal(signal.SIGHUP)
+
+    async def stop(self) -> int:
+        """Only for one that runs: a signal to one that has just ended reaps it, and its status is lost."""
+        self.process.send_signal(signal.SIGTERM)
+        return await self.ended()
+
+    async def ended(self) -> int:
+        status = await in_time(self.process.wait())
+        await in_time(self.reading)
+        shutil.rmtree(self.folder)
+        return status
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -34,7 +34,7 @@
 from cottonladder.testbed.discovery import SimulatedDiscovery
 from cottonladder.testbed.fleet import ROOT, SETTINGS, ManagerProcess
 from cottonladder.weight_advice import dfp, sasp
-from tests.standins import Client
+from tests.support.stream_client import StreamClient
 
 WAIT = 20.0
 
@@ -71,17 +71,17 @@
         self.addAsyncCleanup(balancer.close)
         return balancer
 
-    async def join(self, manager: ManagerProcess) -> Client:
-        proxy = Client(*await asyncio.open_connection("127.0.0.1", manager.port))
+    async def join(self, manager: ManagerProcess) -> StreamClient:
+        proxy = StreamClient(*await asyncio.open_connection("127.0.0.1", manager.port))
         self.addCleanup(proxy.close)
         proxy.join(1)
         return proxy
 
-    async def rows(self, proxy: Client, table: dict[str, float], until: Callable[[], bool]) -> None:
+    async def rows(self, proxy: StreamClient, table: dict[str, float], until: Callable[[], bool]) -> None:
         """Carries out orders until it holds; at no moment is the table without a line once it has one."""
         end = time.monotonic() + 60.0
         while not until():
-            heard = await proxy.hear()
+            heard = await proxy.receive()
             self.assertLess(time.monotonic(), end, table)
             fields = dict(zip(heard.split()[1::2], heard.split()[2::2], strict=True))
             if "replace" in fields:
@@ -95,7 +95,7 @@
                 table.pop(be, None)
             self.assertTrue(table)
             if "stamp" in fields:
-                proxy.ack(heard)
+                proxy.acknowledge(heard)
 
 
 class Serving(Rig):
@@ -183,7 +183,7 @@
         await manager.logged("said nothing")
         self.assertLess(sum("too many clients" in line for line in manager.lines), 20)  # summed
         proxy = await self.join(manager)
-        await proxy.hear_of("replace")
+        await proxy.receive_until("replace")
 
     async def ended(self, reader: asyncio.StreamReader) -> None:
         try:
@@ -311,7 +311,7 @@
             self.assertLess(time.monotonic(), end)
             await asyncio.sleep(0.1)
         proxy = await self.join(manager)
-        await proxy.hear_of("replace")
+        await proxy.receive_until("replace")
 
     async def test_dfp_words_are_matched_by_address_and_the_lowest_holds(self) -> None:
         """The same worker under two BindIDs, a host that is nobody's, and one by all its ports."""
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -446,12 +446,12 @@
         self.assertIn("s-0", proxy_table)
 
     async def table(self, manager: ManagerProcess) -> str:
-        from tests.standins import Client
+        from tests.support.stream_client import StreamClient
 
-        proxy = Client(*await asyncio.open_connection("127.0.0.1", manager.port))
+        proxy = StreamClient(*await asyncio.open_connection("127.0.0.1", manager.port))
         self.addCleanup(proxy.close)
         proxy.join(1)
-        return await proxy.hear_of("replace")
+        return await proxy.receive_until("replace")
 
     async def test_files_that_can_not_be_used_never_stop_a_start(self) -> None:
         folder = self.folder / "m"
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -32,7 +32,11 @@
 from cottonladder.protocol.gossip import GossipSocket
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from cottonladder.state.proxy_sessions import ProxySessions
-from tests.standins import SETTINGS, Discovery, Handler, Program, Rig, entry, listing, soon
+from tests.support.http_server import Handler
+from tests.support.manager_program import SETTINGS, ManagerProgram
+from tests.support.manager_test_case import ManagerTestCase
+from tests.support.scripted_discovery import ScriptedDiscovery, endpoint_entry, endpoint_list
+from tests.support.timeouts import in_time
 
 
 def raw(text: str, status: int = 200) -> Handler:
@@ -48,33 +52,35 @@
     return handle
 
 
-class Programs(Rig):
+class Programs(ManagerTestCase):
     async def test_a_day_in_small(self) -> None:
         """Joins are bound, marks answered, reports taken, a drain told; then a clean stop and a new start."""
         program = await self.serving()
-        self.assertIn("watch=1&after=41", await soon(self.discovery.calls.get()))
+        self.assertIn("watch=1&after=41", await in_time(self.discovery.calls.get()))
         proxy = await self.join(program, 3)
-        bound = await proxy.hear()
+        bound = await proxy.receive()
         self.assertRegex(bound, r"^CONFIG replace 1 rows s-1:0\.5,s-2:0\.5 part 1$")
-        proxy.ack(await proxy.hear_of("stamp"))
+        proxy.acknowledge(await proxy.receive_until("stamp"))
         collector = await self.connect(program, "SOURCE locality a")
         for n in range(3):
-            collector.say("LOAD locality a endpoint s-1 total 20 errors 1 rtt 41.7 interval 1000.0")
-            collector.say("LOAD locality b endpoint s-9 total 5 errors 5 interval 1000.0 metrics inflight:7")
-            proxy.say(f"RATE node 3 route lookup total {19 + n} errors 0 interval 1000.0")
-            collector.say("RATE node 5 route order total 4 errors 0 interval 1000.0")  # has never joined
-            proxy.say(f"ACK node 3 nonce {60000 + n} latency 3.5")  # of no mark
-        await self.discovery.tell(listing(42, entry("s-1", "Terminating"), entry("s-3", zone="b")))
-        await proxy.hear_of("s-1:0.0")
+            collector.send("LOAD locality a endpoint s-1 total 20 errors 1 rtt 41.7 interval 1000.0")
+            collector.send("LOAD locality b endpoint s-9 total 5 errors 5 interval 1000.0 metrics inflight:7")
+            proxy.send(f"RATE node 3 route lookup total {19 + n} errors 0 interval 1000.0")
+            collector.send("RATE node 5 route order total 4 errors 0 interval 1000.0")  # has never joined
+            proxy.send(f"ACK node 3 nonce {60000 + n} latency 3.5")  # of no mark
+        await self.discovery.send_updates(
+            endpoint_list(42, endpoint_entry("s-1", "Terminating"), endpoint_entry("s-3", zone="b"))
+        )
+        await proxy.receive_until("s-1:0.0")
         await program.logged("event=mode", "well>gone leaving: draining")
-        collector.say("PING")
-        self.assertEqual(await collector.hear(), "PONG")
-        self.assertEqual(collector.come, [])  # nothing else was ever written to it
+        collector.send("PING")
+        self.assertEqual(await collector.receive(), "PONG")
+        self.assertEqual(collector.received, [])  # nothing else was ever written to it
         begun = time.monotonic()
         self.assertEqual(await program.stop(), 0)
         self.assertLess(time.monotonic() - begun, 5.0)
         again = await self.serving(**{**program.config, "listen": f"127.0.0.1:{program.port}"})
-        self.assertIn("replace 1 rows", await (await self.join(again, 3, cold=0)).hear())
+        self.assertIn("replace 1 rows", await (await self.join(again, 3, cold=0)).receive())
 
     async def test_ping_in_pieces(self) -> None:
         program = await self.serving()
@@ -82,13 +88,13 @@
         for byte in b"*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPI":
             client.writer.write(bytes([byte]))
             await client.writer.drain()
-        self.assertEqual(await client.hear(), "PONG")
+        self.assertEqual(await client.receive(), "PONG")
         client.writer.write(b"NG\r\n*1\r\n$4\r\nPING\r\n")
-        self.assertEqual([await client.hear(), await client.hear()], ["PONG", "PONG"])
+        self.assertEqual([await client.receive(), await client.receive()], ["PONG", "PONG"])
 
     async def test_ping_from_the_command_line(self) -> None:
         program = await self.serving()
-        stranger = await self.host(raw(""))  # speaks, but another protocol
+        stranger = await self.start_http_server(raw(""))  # speaks, but another protocol
         for where, status, words in (
             (f"127.0.0.1:{program.port}", 0, "serves"),
             (stranger, 1, "not with PONG"),
@@ -98,26 +104,26 @@
                 sys.executable, "-B", "-m", "cottonladder", "ping", where,
                 stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT,
             )  # fmt: skip
-            said, _ = await soon(asked.communicate())
+            said, _ = await in_time(asked.communicate())
             self.assertEqual((asked.returncode, said.count(b"\n")), (status, 1), said)
             self.assertIn(words, said.decode())
 
     async def test_the_newest_stream_of_a_proxy_holds(self) -> None:
         program = await self.serving()
         old = await self.join(program, 3)
-        await old.hear_of("replace")
+        await old.receive_until("replace")
         new = await self.join(program, 3, cold=0)
-        await new.hear_of("replace")
-        old.say("ACK node 3 nonce 1 latency 1")  # a word that was on its way
+        await new.receive_until("replace")
+        old.send("ACK node 3 nonce 1 latency 1")  # a word that was on its way
         await program.logged("connection ended", "state=old", "another stream")  # it went silent
-        await self.discovery.tell(listing(42, entry("s-1", "Terminating")))
-        await new.hear_of("s-1:0.0")
+        await self.discovery.send_updates(endpoint_list(42, endpoint_entry("s-1", "Terminating")))
+        await new.receive_until("s-1:0.0")
 
     async def test_bad_input_harms_nobody_else(self) -> None:
         """Ends who has not joined, or sends what can't be framed; else that message alone is left out."""
         program = await self.serving()
         good = await self.join(program, 2)
-        await good.hear_of("replace")
+        await good.receive_until("replace")
         for line in (Path(__file__).parent / "wire" / "bad.txt").read_text().splitlines():
             if line and not line.startswith("#"):
                 said, mark, words = line.partition(" ||" if " ||" in line else " |")
@@ -127,52 +133,58 @@
                         if message.startswith("raw "):
                             client.writer.write(message[4:].encode().decode("unicode_escape").encode())
                         else:
-                            client.say(message)
+                            client.send(message)
                     if mark == " ||":
-                        client.say("PING")
-                        await client.hear_of("PONG")
+                        client.send("PING")
+                        await client.receive_until("PONG")
                     else:
-                        await client.ended()
+                        await client.wait_closed()
                     if words:
                         fault = "message left out" if mark == " ||" else "connection ended"
                         await program.logged(fault, *words.split())
         quiet = await self.connect(program)
-        good.say("PING")
-        await good.hear_of("PONG")
-        quiet.say("PING")
-        self.assertEqual(await quiet.hear(), "PONG")
+        good.send("PING")
+        await good.receive_until("PONG")
+        quiet.send("PING")
+        self.assertEqual(await quiet.receive(), "PONG")
 
     async def test_a_failed_call_leaves_the_list_as_it_is(self) -> None:
         """Each bad answer is one failed call, asked again when the module says so; then a good one counts."""
-        gone, odd = listing(44, entry("s-1", "Gone")), entry("s", "No")
+        left = endpoint_entry("s-1", "Gone")
+        gone = endpoint_list(44, left)
+        odd = endpoint_entry("s", "No")
+        unaddressed = endpoint_entry("s-4", addr="x:y")
         bad = {
             "status 503": raw("", 503),
             "not JSON": raw('{"version":42,\n'),
             "cut off": raw(json.dumps(gone)),
-            "state has an unknown value": raw(json.dumps(listing(42, entry("s-1", "Gone"), odd)) + "\n"),
-            "field addr": raw(json.dumps(listing(42, entry("s-1", "Gone"), entry("s-4", addr="x:y"))) + "\n"),
+            "state has an unknown value": raw(json.dumps(endpoint_list(42, left, odd)) + "\n"),
+            "field addr": raw(json.dumps(endpoint_list(42, left, unaddressed)) + "\n"),
             "recursion": raw("[" * 100_000 + "\n"),
-            "float": raw(json.dumps(listing(42, entry("s-4", weight=10**400))) + "\n"),
-            "ended by discovery": raw(json.dumps(listing(42)) + "\n"),
-            "version 40 after 42": raw(json.dumps(listing(40)) + "\n"),
+            "float": raw(json.dumps(endpoint_list(42, endpoint_entry("s-4", weight=10**400))) + "\n"),
+            "ended by discovery": raw(json.dumps(endpoint_list(42)) + "\n"),
+            "version 40 after 42": raw(json.dumps(endpoint_list(40)) + "\n"),
         }  # fmt: skip
-        whole = raw(json.dumps(listing(42, entry("s-1"), entry("s-2"), full=True)))
+        whole = raw(json.dumps(endpoint_list(42, endpoint_entry("s-1"), endpoint_entry("s-2"), full=True)))
         self.discovery.script = [*bad.values(), whole]
         settings = {"Rules": {**SETTINGS["Rules"], "AskWithinMs": 100.0}}
         program = await self.serving(settings=settings)
         for words in bad:
             await program.logged("discovery call failed", *words.split())
         self.assertFalse([line for line in program.lines if "gone" in line])
-        await self.discovery.tell(gone)
+        await self.discovery.send_updates(gone)
         await program.logged("event=mode", "well>gone")
 
     async def test_a_discovery_that_started_over_is_followed_again(self) -> None:
         """A version that goes back is a failed call; the next one asks for all, or drains were unheard of."""
-        whole = raw(json.dumps(listing(7, entry("s-2"), full=True)))
-        self.discovery.script = [raw(json.dumps(listing(7, entry("s-1", "Gone"))) + "\n"), whole]
+        whole = raw(json.dumps(endpoint_list(7, endpoint_entry("s-2"), full=True)))
+        self.discovery.script = [
+            raw(json.dumps(endpoint_list(7, endpoint_entry("s-1", "Gone"))) + "\n"),
+            whole,
+        ]
         program = await self.serving()
         await program.logged("discovery call failed", "version 7 after 41")
-        asked = [await soon(self.discovery.calls.get()) for _ in range(2)]
+        asked = [await in_time(self.discovery.calls.get()) for _ in range(2)]
         self.assertEqual([call.rpartition("after=")[2] for call in asked], ["41", "/v1/servers"])
         await program.logged("event=mode", "be 0 well>gone leaving: not listed")
 
@@ -180,31 +192,33 @@
         """Asked for the whole list; the old one counts until the new one has answered, and no longer."""
         settings = {"Rules": {**SETTINGS["Rules"], "AskWithinMs": 100.0}}
         program = await self.serving(settings=settings)
-        self.assertIn("after=41", await soon(self.discovery.calls.get()))
-        new, ready = Discovery(), asyncio.Event()
+        self.assertIn("after=41", await in_time(self.discovery.calls.get()))
+        new, ready = ScriptedDiscovery(), asyncio.Event()
 
         async def whole(request: web.BaseRequest) -> web.StreamResponse:
-            await soon(ready.wait())
-            return await raw(json.dumps(listing(43, entry("s-2"), entry("s-3"), full=True)))(request)
+            await in_time(ready.wait())
+            return await raw(
+                json.dumps(endpoint_list(43, endpoint_entry("s-2"), endpoint_entry("s-3"), full=True))
+            )(request)
 
         new.script = [raw("", 503), whole]
-        program.reload(discovery=await self.host(new.handle))
+        program.reload(discovery=await self.start_http_server(new.handle))
         await program.logged("configuration taken", "unchangeable=none")
         await program.logged("discovery call failed", "503")
-        await self.discovery.tell(listing(42, entry("s-1", "Gone")))
+        await self.discovery.send_updates(endpoint_list(42, endpoint_entry("s-1", "Gone")))
         await program.logged("be 0 well>gone leaving: gone")
-        self.assertEqual([await soon(new.calls.get()) for _ in range(2)], ["/v1/servers"] * 2)
+        self.assertEqual([await in_time(new.calls.get()) for _ in range(2)], ["/v1/servers"] * 2)
         ready.set()
-        self.assertIn("watch=1&after=43", await soon(new.calls.get()))
+        self.assertIn("watch=1&after=43", await in_time(new.calls.get()))
         with suppress(ConnectionError):
-            await self.discovery.tell(listing(99, entry("s-2", "Gone")))
-        await new.tell(listing(44, entry("s-3", "Terminating")))
+            await self.discovery.send_updates(endpoint_list(99, endpoint_entry("s-2", "Gone")))
+        await new.send_updates(endpoint_list(44, endpoint_entry("s-3", "Terminating")))
         await program.logged("be 2 ", "gone leaving: draining")
         self.assertFalse([line for line in program.lines if "be 1 " in line])
 
     async def test_a_configuration_that_a_reload_can_not_take(self) -> None:
         """One line each, and the manager goes on with what it had; SIGHUP may follow the first answer."""
-        program = Program(self.at)
+        program = ManagerProgram(self.discovery_address)
         await program.start()
         self.addAsyncCleanup(self.end, program)
         program.port = int((await program.logged("event=serving")).split("port=")[1])
@@ -214,17 +228,21 @@
             program.reload(text)
             await program.logged("configuration not taken", why)
         program.reload(name="other", listen="127.0.0.1:1", seed="1f")
-        await program.logged("configuration taken", f"discovery={self.at}", "unchangeable=name,listen")
+        await program.logged(
+            "configuration taken", f"discovery={self.discovery_address}", "unchangeable=name,listen"
+        )
         (program.folder / "config.json").unlink()
         program.process.send_signal(signal.SIGHUP)
         await program.logged("configuration not taken", "No such file")
         client = await self.connect(program, "PING")
-        self.assertEqual(await client.hear(), "PONG")
+        self.assertEqual(await client.receive(), "PONG")
 
     async def test_check_tells_what_a_reload_would_not_change(self) -> None:
         with TemporaryDirectory() as folder:
             for name, changes in (("old", {}), ("new", {"discovery": "h:1"}), ("other", {"name": "n9"})):
-                (Path(folder) / name).write_text(json.dumps({**Program(self.at).config, **changes}))
+                (Path(folder) / name).write_text(
+                    json.dumps({**ManagerProgram(self.discovery_address).config, **changes})
+                )
             for name, status, words in (("new", 0, "workers known"), ("other", 1, "not change: name")):
                 asked = ["check", "--config", f"{folder}/{name}", "--running", f"{folder}/old"]
                 said = CliRunner().invoke(cli.main, asked)
@@ -236,11 +254,11 @@
             raise ZeroDivisionError
 
         heard: asyncio.Queue[Input] = asyncio.Queue()
-        where = ("127.0.0.1", int(self.at.split(":")[1]))
+        where = ("127.0.0.1", int(self.discovery_address.split(":")[1]))
         follower = WireDiscovery(where, read_settings(SETTINGS, 1, ""), faulty, heard.put_nowait, 41)
         follower.set_watching(True)
-        await self.discovery.tell(listing(42, entry("s-1")))
-        news = [cast(EndpointList, await soon(heard.get())).kind for _ in range(2)]
+        await self.discovery.send_updates(endpoint_list(42, endpoint_entry("s-1")))
+        news = [cast(EndpointList, await in_time(heard.get())).kind for _ in range(2)]
         self.assertEqual(news, [ListUpdateKind.DELTA, ListUpdateKind.FAILED])
         await follower.close()
 
@@ -261,8 +279,8 @@
         self.discovery.script = [silent]
         program = await self.serving()
         await program.logged("discovery call failed")
-        await soon(given_up.wait())
-        await soon(self.discovery.watches.get())  # asked again
+        await in_time(given_up.wait())
+        await in_time(self.discovery.watches.get())  # asked again
 
     async def test_probes_and_their_time_outs(self) -> None:
         async def worker(request: web.BaseRequest) -> web.StreamResponse:
@@ -274,11 +292,13 @@
             return web.Response()
 
         asked: asyncio.Queue[str] = asyncio.Queue()
-        good = [entry(f"s-{n}", addr=await self.host(worker), zone="b") for n in range(5)]
-        lost = entry("s-9", addr=await self.host(silent), zone="b")
+        good = [
+            endpoint_entry(f"s-{n}", addr=await self.start_http_server(worker), zone="b") for n in range(5)
+        ]
+        lost = endpoint_entry("s-9", addr=await self.start_http_server(silent), zone="b")
         settings = {"Limits": {"Probing": True, "Peers": False}, "Prices": {"Probe": 0.0}}
-        program = await self.serving(settings=settings, known=listing(1, *good, lost, full=True))
-        self.assertEqual(await soon(asked.get()), "/load")
+        program = await self.serving(settings=settings, known=endpoint_list(1, *good, lost, full=True))
+        self.assertEqual(await in_time(asked.get()), "/load")
         await program.logged("event=mode", "be 5 well>out bad", "lost 2")
 
     async def test_datagrams(self) -> None:
@@ -298,13 +318,13 @@
         settings = {"Limits": {"Probing": False, "Peers": True}, "NInstances": 2}
         peers = {"peer_listen": where[0], "peers": where, "peers_all": where[1]}
         program = await self.serving(settings=settings, **peers)
-        words = (await soon(heard.get())).decode().split()
+        words = (await in_time(heard.get())).decode().split()
         self.assertEqual(len(words), 4)  # proxies and demand, for each of two zones
         own_words = ((one, b"\xff\xfe"), (one, b"1 2 " * 99), (one, b"1 2 3 4"))
         for transport, data in ((stranger, b"9 9 9 9"), *own_words):
             transport.sendto(data, (where[0].split(":")[0], int(where[0].split(":")[1])))
         client = await self.connect(program, "PING")
-        self.assertEqual(await client.hear(), "PONG")
+        self.assertEqual(await client.receive(), "PONG")
         one.close()
         stranger.close()
         taken: list[Input] = []
@@ -320,13 +340,13 @@
         strangers = await asyncio.gather(*(self.connect(program, "PING" * (n % 2)) for n in range(400)))
         begun = time.monotonic()
         proxy = await self.join(program, 1)
-        await proxy.hear_of("replace")
-        await asyncio.gather(*(stranger.ended() for stranger in strangers))
+        await proxy.receive_until("replace")
+        await asyncio.gather(*(stranger.wait_closed() for stranger in strangers))
         self.assertLess(time.monotonic() - begun, 3.0)
         late = await self.connect(program, "PING")
-        self.assertEqual(await late.hear(), "PONG")
-        source.say("PING")
-        self.assertEqual(await source.hear(), "PONG")
+        self.assertEqual(await late.receive(), "PONG")
+        source.send("PING")
+        self.assertEqual(await source.receive(), "PONG")
         self.assertLess(sum("connection ended" in line for line in program.lines), 10)
         await program.logged("connection ended", "more=")
         self.assertEqual(await program.stop(), 0)
@@ -334,7 +354,7 @@
         self.assertEqual(errors, b"")  # asyncio tells here of accepts that found no descriptor left
 
     async def test_a_configuration_that_lacks_something(self) -> None:
-        whole = Program(self.at).config
+        whole = ManagerProgram(self.discovery_address).config
         lacks = {name: json.dumps({k: v for k, v in whole.items() if k != name}) for name in
                  ("name", "listen", "discovery", "seed", "limits", "known", "settings")}  # fmt: skip
         rules = json.dumps({**whole, "settings": {**SETTINGS, "Rules": {}}})
@@ -343,9 +363,9 @@
         bad = {**lacks, "JSON": "{", "ColdFrom": rules, "too large": large, "address": here}
         for word, text in bad.items():
             with self.subTest(word):
-                program = Program(self.at)
+                program = ManagerProgram(self.discovery_address)
                 await program.start(text)
-                errors = (await soon(cast(asyncio.StreamReader, program.process.stderr).read())).decode()
+                errors = (await in_time(cast(asyncio.StreamReader, program.process.stderr).read())).decode()
                 self.assertEqual(await program.ended(), 2)
                 self.assertEqual(errors.count("\n"), 1, errors)
                 self.assertIn(word, errors)
@@ -364,7 +384,7 @@
 
         loop = asyncio.get_running_loop()
         with mock.patch.object(manager, "RoutingController", Faulty), self.assertRaises(ZeroDivisionError):
-            await soon(manager.serve(placement, ""))
+            await in_time(manager.serve(placement, ""))
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             loop.remove_signal_handler(number)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -42,7 +42,9 @@
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from cottonladder.state.order_dispatcher import OrderDispatcher
 from cottonladder.state.worker_registry import WorkerRegistry
-from tests.standins import Program, Rig, soon
+from tests.support.manager_program import ManagerProgram
+from tests.support.manager_test_case import ManagerTestCase
+from tests.support.timeouts import in_time
 
 RECORDED = (Path(__file__).parent / "recorded" / "morning.txt").read_text()
 BEGAN = 1000.0  # s: the time at which the recording begins
@@ -169,7 +171,7 @@
         yield from places(value, (*path, name))
 
 
-class Absurd(Rig):
+class Absurd(ManagerTestCase):
     ODD: tuple[Any, ...] = (
         None, "", [], {}, 0, -1, 1e308, -1e308, 10**30, "x", True, float("nan"), float("inf"), [None],
         ["a", "a"],
@@ -177,7 +179,7 @@
 
     def test_every_field_with_every_odd_value(self) -> None:
         """Either it is one line that names a field, or a manager that decides for ten seconds."""
-        usual = Program("127.0.0.1:1").config
+        usual = ManagerProgram("127.0.0.1:1").config
         folder = Path(self.enterContext(TemporaryDirectory()))
         for place in places(usual):
             for value in self.ODD:
@@ -207,12 +209,12 @@
             ("FamilyInfo", "EgressPerS", 0), ("FamilyInfo", "Proxies", -3), ("Rules", "ColdFrom", "much"),
         ):  # fmt: skip
             with self.subTest(name):
-                program = Program(self.at)
+                program = ManagerProgram(self.discovery_address)
                 config = copy.deepcopy(program.config)
                 inner = config if part in config else config["settings"]
                 inner[part][name] = value
                 await program.start(json.dumps(config))
-                errors = (await soon(cast(asyncio.StreamReader, program.process.stderr).read())).decode()
+                errors = (await in_time(cast(asyncio.StreamReader, program.process.stderr).read())).decode()
                 self.assertEqual(await program.ended(), 2)
                 self.assertEqual((errors.count("\n"), program.lines), (1, []), errors)
                 self.assertIn(f"field {name} ", errors)
