--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -37,7 +37,8 @@
 from cottonladder.state.worker_registry import WorkerRegistry
 from cottonladder.testbed import month_end
 from cottonladder.testbed.crash_test import crash_test
-from cottonladder.testbed.month_end import MonthEndRun, RequestCounts
+from cottonladder.testbed.month_end import MonthEndRun
+from cottonladder.testbed.month_end_records import RequestCounts
 
 SEEDS = (7, 8, 9, 10, 11, 12)
 CRASH_SEED = 7
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -34,6 +34,7 @@
 from ..planning.advice_weighting import UPDATE_INTERVAL, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views, collect_state
 from ..policy.controller import RoutingController
+from .month_end_records import CORES, AttemptSums, FinishedRequest, RequestCounts, SimulatedWorker
 
 STEP_S = 0.25
 START_TIME_S = 1000.0  # of the manager's clock: starts of 0 are long ago
@@ -45,9 +46,6 @@
 DEADLINE_S = 2.5
 SERVICE_TIME_S = 0.16  # of one request on one core of a worker of speed 1
 SERVICE_TIME_SPREAD = (0.9, 1.1)  # of it, drawn from this range
-CORES = 3
-WARM_UP_S = 15.0
-WARM_UP_START = 0.2  # of a worker's usual speed
 COLLAPSE_MULTIPLE = 3.0  # of its capacity: a warming worker that is brought so much collapses
 LOAD_WINDOW_S = 2.0  # over which a warming worker's load is counted
 WORST_WINDOW_S = 10.0
@@ -87,26 +85,6 @@
 Advisor = Callable[[float, "MonthEndRun"], Mapping[int, AdvisoryWeight] | None]
 
 
-@dataclass(slots=True)
-class SimulatedWorker:
-    """One worker: its `speed` once warm, and when each of its cores is free again."""
-
-    zone: int
-    speed: float
-    started_at: float = 0.0
-    cores_free_at: list[float] = field(default_factory=lambda: [0.0] * CORES)
-
-    def is_warming_up(self, now: float) -> bool:
-        return self.started_at > 0 and now - self.started_at < WARM_UP_S
-
-    def speed_at(self, now: float) -> float:
-        """Its speed now, which rises from a fifth while it warms up."""
-        if not self.is_warming_up(now):
-            return self.speed
-        age_s = now - self.started_at
-        return self.speed * (WARM_UP_START + (1.0 - WARM_UP_START) * age_s / WARM_UP_S)
-
-
 @dataclass(slots=True)
 class MonthEndResult:
     """What a run came to; times are in seconds, shares of all requests."""
@@ -124,44 +102,6 @@
         return self.served / max(1, self.requests)
 
 
-@dataclass(slots=True)
-class RequestCounts:
-    """Requests of one window."""
-
-    requests: int = 0
-    served: int = 0
-
-
-@dataclass(frozen=True, slots=True, order=True)
-class FinishedRequest:
-    """One attempt, in order of its end, for the reports."""
-
-    ended_at: float
-    worker_index: int
-    zone: int
-    duration_s: float
-    succeeded: bool
-
-
-@dataclass(slots=True)
-class AttemptSums:
-    """What a load report says of one worker and zone."""
-
-    attempts: int = 0
-    failed: int = 0
-    succeeded_duration_s: float = 0.0
-
-    def add(self, request: FinishedRequest) -> None:
-        self.attempts += 1
-        if request.succeeded:
-            self.succeeded_duration_s += request.duration_s
-        else:
-            self.failed += 1
-
-    def mean_duration_s(self) -> float:
-        return self.succeeded_duration_s / max(1.0, self.attempts - self.failed)
-
-
 class MonthEndRun:
     """One seeded run of `duration_s`; `advisors` are asked for weights each interval."""
 
