--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..model.inputs import EndpointList, ListUpdateKind
-from ..protocol.discovery import read_endpoint_list
+from ..protocol.endpoint_list import read_endpoint_list
 from ..state.worker_registry import WorkerRegistry
 from .deployment import DeploymentSettings, read_settings
 from .errors import InputError
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -17,7 +17,8 @@
 from ..config.fields import HostPort
 from ..protocol import resp
 from ..protocol import upgrade_extension as upgrades
-from ..protocol.messages import PING, MessageFields, parse_number
+from ..protocol.message_fields import MessageFields, parse_number
+from ..protocol.messages import PING
 from .router import ConfigPart, OrderRejected
 
 CONNECT_TIMEOUT = 1.0  # s for a connection to a manager
--- a/cottonladder/protocol/gossip.py
+++ b/cottonladder/protocol/gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams between managers of a tier."""
+"""Gossip datagrams between the managers of a deployment."""
 
 from __future__ import annotations
 
@@ -11,45 +11,69 @@
 from ..config.fields import HostPort
 from ..model.inputs import GossipReceived, Input
 
-MAX_DATAGRAM_SIZE = 256  # bytes: the protocol's limit; a longer one voids the run
+MAX_DATAGRAM_SIZE = 256  # bytes: the protocol's limit
+EVERYONE = -1  # recipient that stands for all peers
 
 
 class GossipSocket(asyncio.DatagramProtocol):
-    """Owns the datagram socket; a sender is known by its address among the peers, all others are dropped."""
+    """Owns the datagram socket; a sender is known by its address among the peers, all others are dropped.
+
+    `own_index` is this manager's place in `peers`; `broadcast_address` reaches all of them.
+    """
 
     def __init__(
-        self, me: int, peers: list[HostPort], everyone: HostPort | None, post: Callable[[Input], None]
+        self,
+        own_index: int,
+        peers: list[HostPort],
+        broadcast_address: HostPort | None,
+        input_received: Callable[[Input], None],
     ) -> None:
-        self._me, self._to, self._everyone, self._post = me, peers, everyone, post
-        self._number = {address: n for n, address in enumerate(self._to)}
+        self._own_index = own_index
+        self._peers = peers
+        self._broadcast_address = broadcast_address
+        self._input_received = input_received
+        self._index_by_address = {address: index for index, address in enumerate(peers)}
         self._transport: asyncio.DatagramTransport | None = None
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     async def listen(self, address: HostPort) -> None:
+        """Opens the socket."""
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by asyncio once the socket is open."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        sender = self._number.get((str(addr[0]), int(addr[1])))
-        if sender is None or sender == self._me or len(data) > MAX_DATAGRAM_SIZE:
+        """Called by asyncio for each datagram; one of another sender or form is dropped."""
+        sender = self._index_by_address.get((str(addr[0]), int(addr[1])))
+        if sender is None or sender == self._own_index or len(data) > MAX_DATAGRAM_SIZE:
             return
         try:
-            self._post(GossipReceived(sender, data.decode()))
+            text = data.decode()
         except UnicodeDecodeError:
             return
+        self._input_received(GossipReceived(sender, text))
 
-    def send_datagram(self, whom: int, text: str) -> None:
+    def send_datagram(self, recipient: int, text: str) -> None:
+        """To the peer with this index, or to all with -1; dropped where there is no such peer."""
         data = text.encode()
-        to = self._everyone if whom < 0 else self._to[whom] if whom < len(self._to) else None
-        if to is None or self._transport is None:
+        address = self._address_of(recipient)
+        if address is None or self._transport is None:
             return
         if len(data) > MAX_DATAGRAM_SIZE:
-            self.log.error("datagram refused", why=f"{len(data)} bytes, {MAX_DATAGRAM_SIZE} at most")
-        else:
-            self._transport.sendto(data, to)
+            self.log.error("datagram_rejected", size_bytes=len(data), max_size_bytes=MAX_DATAGRAM_SIZE)
+            return
+        self._transport.sendto(data, address)
+
+    def _address_of(self, recipient: int) -> HostPort | None:
+        if recipient <= EVERYONE:
+            return self._broadcast_address
+        if recipient < len(self._peers):
+            return self._peers[recipient]
+        return None
 
     def close(self) -> None:
+        """Closes the socket, if it was opened."""
         if self._transport is not None:
             self._transport.close()
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -1,4 +1,4 @@
-"""Probes of workers over HTTP, each timed from its sending and given back on time."""
+"""Health checks of workers over HTTP, each timed from when it is sent."""
 
 from __future__ import annotations
 
@@ -10,59 +10,79 @@
 
 from ..config.errors import InputError
 from ..model.inputs import HealthCheckResult, Input
-from .messages import parse_number
+from .message_fields import parse_number
 
-CHECK_TIMEOUT = (
-    0.5  # s for connection and answer together: a fresh probe comes a second later at the earliest
-)
-MAX_BODY_SIZE = 4096  # bytes of a load report; a line of a few figures
+# s for connection and answer together: the next check of a worker comes a second later at the earliest.
+CHECK_TIMEOUT = 0.5
+MAX_BODY_SIZE = 4096  # bytes of a load report, which is a line of a few numbers
+REPORT_PREFIX = "TEXT"
+MAX_NAME_LENGTH = 32  # characters of a report's field in an error
 
 
 def read_load_report(text: str) -> dict[str, float]:
-    """`TEXT inflight=7, queue=2` as figures by name."""
+    """`TEXT inflight=7, queue=2` as numbers by name."""
     report: dict[str, float] = {}
-    for pair in text.removeprefix("TEXT").split(","):
+    for pair in text.removeprefix(REPORT_PREFIX).split(","):
         name, sign, value = pair.strip().partition("=")
         if sign:
-            report[name] = parse_number(value.strip().encode(), f"load report: field {name[:32]}")
+            where = f"load report: field {name[:MAX_NAME_LENGTH]}"
+            report[name] = parse_number(value.strip().encode(), where)
     return report
 
 
 class HealthChecker:
-    """Owns its tasks and session; past `most` open at once, further ones wait for their turn.  One is under
-    way of each worker: where many hang, probes would pile up behind them, and two that were sent to a worker
-    before it started anew would both be lost and shut it out."""
+    """Owns its tasks and session; past `max_open` checks at once, further ones wait for their turn.
+
+    A worker has one check under way at most: where many hang, checks would pile up behind them, and two that
+    were sent to a worker before it restarted would both be lost and get it ejected.
+    """
 
     def __init__(
-        self, path: str, most: int, address_of: Callable[[int], str], post: Callable[[Input], None]
+        self,
+        path: str,
+        max_open: int,
+        address_of: Callable[[int], str],
+        input_received: Callable[[Input], None],
     ) -> None:
-        self._path, self._address_of, self._post = path, address_of, post
+        self._path = path
+        self._address_of = address_of
+        self._input_received = input_received
         self._tasks: dict[int, asyncio.Task[None]] = {}  # by worker
-        self._turn = asyncio.Semaphore(most)
+        self._slots = asyncio.Semaphore(max_open)
         self._session = aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(total=CHECK_TIMEOUT),
-            connector=aiohttp.TCPConnector(force_close=True, limit=most),
+            connector=aiohttp.TCPConnector(force_close=True, limit=max_open),
         )
 
-    def start_check(self, worker: int) -> None:
-        if worker not in self._tasks:
-            task = self._tasks[worker] = asyncio.create_task(self._probe(worker, self._address_of(worker)))
-            task.add_done_callback(lambda done: self._tasks.pop(worker, None))
+    def start_check(self, worker_index: int) -> None:
+        """Checks a worker, unless a check of it is under way."""
+        if worker_index in self._tasks:
+            return
+        task = asyncio.create_task(self._check(worker_index, self._address_of(worker_index)))
+        self._tasks[worker_index] = task
+        task.add_done_callback(lambda _: self._tasks.pop(worker_index, None))
 
-    async def _probe(self, worker: int, address: str) -> None:
-        async with self._turn:
-            sent, done, report = time.monotonic(), False, dict[str, float]()
+    async def _check(self, worker_index: int, address: str) -> None:
+        async with self._slots:
+            sent_at = time.monotonic()
+            succeeded = False
+            report: dict[str, float] = {}
             try:
                 async with self._session.get(f"http://{address}{self._path}") as reply:
                     body = await reply.content.read(MAX_BODY_SIZE)
-                    done = reply.status == 200
-                    report = read_load_report(body.decode()) if done else {}
+                    succeeded = reply.status == 200
+                    if succeeded:
+                        report = read_load_report(body.decode())
             except (aiohttp.ClientError, TimeoutError, OSError, UnicodeDecodeError, InputError):
-                pass  # no answer or none in time: not done; a report that can't be read is left out
-            if self._address_of(worker) == address:  # else it has moved meanwhile: this is not its answer
-                self._post(HealthCheckResult(worker, done, time.monotonic() - sent, report))
+                # No answer in time is a failed check; a report that can't be read is ignored.
+                pass
+            if self._address_of(worker_index) != address:
+                return  # the worker has moved meanwhile: this is not its answer
+            duration_s = time.monotonic() - sent_at
+            self._input_received(HealthCheckResult(worker_index, succeeded, duration_s, report))
 
     async def close(self) -> None:
+        """Cancels the checks under way and closes the session."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
--- /dev/null
+++ b/cottonladder/protocol/message_fields.py
@@ -0,0 +1,92 @@
+"""Names and values of one message, checked as they are read."""
+
+from __future__ import annotations
+
+import math
+
+from .errors import FieldError, MessageError, NumberError
+
+MAX_SHOWN_LENGTH = 32  # characters of another party's word in an error or log line
+MAX_COUNT_DIGITS = 18
+MS_PER_S = 1000.0
+
+
+class MessageFields:
+    """The fields of a message: words in turn name and value, each name once."""
+
+    def __init__(self, message_type: str, words: list[bytes]) -> None:
+        self.message_type = message_type
+        if len(words) % 2:
+            raise MessageError(message_type, "a name without a value")
+        names = words[::2]
+        self.values = dict(zip(names, words[1::2], strict=True))
+        if len(self.values) != len(names):
+            repeated = next(name for name in names if names.count(name) > 1)
+            raise FieldError(message_type, printable(repeated), "comes twice")
+
+    def raw(self, name: str) -> bytes:
+        """A field that must be there, as it came."""
+        value = self.values.get(name.encode())
+        if value is None:
+            raise FieldError(self.message_type, name, "is missing")
+        return value
+
+    def text(self, name: str) -> str:
+        """A field as UTF-8 text."""
+        try:
+            return self.raw(name).decode()
+        except UnicodeDecodeError:
+            raise FieldError(self.message_type, name, "is not text") from None
+
+    def count(self, name: str) -> int:
+        """A field as a whole number of 0 or more."""
+        word = self.raw(name)
+        if not word.isdigit() or len(word) > MAX_COUNT_DIGITS:
+            raise FieldError(self.message_type, name, "is not a whole number of 0 or more")
+        return int(word)
+
+    def number(self, name: str) -> float:
+        """A field as a finite number of 0 or more."""
+        return parse_number(self.raw(name), self._place_of(name))
+
+    def flag(self, name: str) -> bool:
+        """A field that is 1 or 0."""
+        word = self.raw(name)
+        if word not in (b"0", b"1"):
+            raise FieldError(self.message_type, name, "is not 1 or 0")
+        return word == b"1"
+
+    def interval_s(self, total: int) -> float:
+        """Seconds that a total was counted over; they can't be 0 where something was counted."""
+        interval_s = self.number("interval") / MS_PER_S
+        if interval_s <= 0 < total:
+            raise FieldError(self.message_type, "interval", f"is none, with a total of {total}")
+        return interval_s
+
+    def metrics(self, name: str) -> dict[str, float]:
+        """A field of `name:value` pairs; empty where it is missing."""
+        metrics: dict[str, float] = {}
+        for pair in self.values.get(name.encode(), b"").split(b","):
+            if pair:
+                key, _, value = pair.rpartition(b":")
+                metrics[key.decode(errors="replace")] = parse_number(value, self._place_of(name))
+        return metrics
+
+    def _place_of(self, name: str) -> str:
+        return f"{self.message_type}: field {name}"
+
+
+def printable(word: bytes) -> str:
+    """The start of another party's word, fit for a log line."""
+    return word[:MAX_SHOWN_LENGTH].decode("ascii", errors="replace")
+
+
+def parse_number(word: bytes, where: str) -> float:
+    """A finite number of 0 or more; `where` names its place in an error."""
+    try:
+        value = float(word)
+    except ValueError:
+        raise NumberError(where, "a figure") from None
+    if not math.isfinite(value) or value < 0 or b"_" in word:
+        raise NumberError(where, "a finite figure of 0 or more")
+    return value
--- a/cottonladder/protocol/resp.py
+++ b/cottonladder/protocol/resp.py
@@ -1,66 +1,89 @@
-"""RESP2: arrays of bulk strings, cut out of what comes in any pieces, and written."""
+"""RESP2 framing: arrays of bulk strings, read from bytes that arrive in any pieces, and written."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
 
-from ..config.errors import InputError
+from .errors import FramingError
 
 MAX_MESSAGE_SIZE = 1 << 20  # bytes: the protocol's own limit for one message
-MAX_WORDS = 64  # the protocol's longest message that comes in has 15 words; room for later fields
-MAX_HEADER_LENGTH = 9  # digits and sign of a count or a length that can pass the limits above
+MAX_WORDS = 64  # the longest message that the protocol has for the manager has 15; room for later fields
+MAX_HEADER_LENGTH = 9  # sign and digits of a count or a length that can pass the limits above
+LINE_END = b"\r\n"
 
 
 class RespReader:
-    """Keeps only the unfinished rest of one connection's bytes; a bad head is refused before memory is taken.
-    What it raises is a fault of framing: after it no message can be told from the next."""
+    """Keeps only the unfinished rest of one connection's bytes.
 
-    def __init__(self, most: int) -> None:
-        self.max_message_size = most  # bytes of one message
-        self._rest = bytearray()
-        self._words: list[bytes] = []
-        self._missing = 0  # words that the message begun still lacks
-        self._size = 0
+    A header over a limit is refused before memory is taken for what it announces.  Each fault raised is a
+    `FramingError`: after it no message can be told from the next.
+    """
+
+    def __init__(self, max_message_size: int) -> None:
+        self.max_message_size = max_message_size  # bytes
+        self._buffer = bytearray()
+        self._words: list[bytes] = []  # of the unfinished message
+        self._missing_words = 0
+        self._size = 0  # bytes of the unfinished message's words
 
     def feed(self, data: bytes) -> Iterator[list[bytes]]:
-        rest, at = self._rest, 0
-        rest += data
+        """The words of each message that these bytes complete."""
+        buffer = self._buffer
+        buffer += data
+        position = 0  # all before it has been read
         try:
             while True:
-                end = rest.find(b"\r\n", at, at + MAX_HEADER_LENGTH + 2)
-                if end < 0:
-                    if len(rest) - at >= MAX_HEADER_LENGTH + 2:
-                        raise InputError("message: no end of a count or length")
+                header_end = self._find_header_end(position)
+                if header_end < 0:
                     return
-                if not self._missing:
-                    self._missing = self._head(rest[at:end], b"*", MAX_WORDS)
-                    self._words, self._size, at = [], 0, end + 2
-                    if not self._missing:
-                        yield self._words  # whole, so the next one can be told from it, but it says nothing
+                header = buffer[position:header_end]
+                content_start = header_end + len(LINE_END)
+                if not self._missing_words:
+                    self._begin_message(header)
+                    position = content_start
+                    if not self._missing_words:
+                        yield self._words  # an empty array: framed as it should be, but it says nothing
                     continue
-                length = self._head(rest[at:end], b"$", self.max_message_size - self._size)
-                stop = end + 2 + length
-                if len(rest) < stop + 2:
+                length = _read_header(header, b"$", self.max_message_size - self._size)
+                content_end = content_start + length
+                if len(buffer) < content_end + len(LINE_END):
                     return
-                if rest[stop : stop + 2] != b"\r\n":
-                    raise InputError("message: a word longer than its stated length")
-                self._words.append(bytes(rest[end + 2 : stop]))
-                self._size, self._missing, at = self._size + length, self._missing - 1, stop + 2
-                if not self._missing:
+                if buffer[content_end : content_end + len(LINE_END)] != LINE_END:
+                    raise FramingError("a word longer than its stated length")
+                self._words.append(bytes(buffer[content_start:content_end]))
+                self._size += length
+                self._missing_words -= 1
+                position = content_end + len(LINE_END)
+                if not self._missing_words:
                     yield self._words
         finally:
-            del rest[:at]
+            del buffer[:position]
+
+    def _find_header_end(self, position: int) -> int:
+        """Where the header that begins here ends; -1 while it is incomplete."""
+        longest = MAX_HEADER_LENGTH + len(LINE_END)
+        header_end = self._buffer.find(LINE_END, position, position + longest)
+        if header_end < 0 and len(self._buffer) - position >= longest:
+            raise FramingError("no end of a count or length")
+        return header_end
+
+    def _begin_message(self, header: bytearray) -> None:
+        self._missing_words = _read_header(header, b"*", MAX_WORDS)
+        self._words = []
+        self._size = 0
+
 
-    @staticmethod
-    def _head(head: bytearray, sign: bytes, most: int) -> int:
-        digits = bytes(head[1:])
-        if head[:1] != sign or not digits.isdigit():
-            raise InputError(f"message: {sign.decode()} and a count expected")
-        if int(digits) > most:
-            raise InputError(f"message: {sign.decode()}{digits.decode()} is over the limit of {most}")
-        return int(digits)
+def _read_header(header: bytearray, sign: bytes, limit: int) -> int:
+    """The count behind `*` or the length behind `$`."""
+    digits = bytes(header[1:])
+    if header[:1] != sign or not digits.isdigit():
+        raise FramingError(f"{sign.decode()} and a count expected")
+    if int(digits) > limit:
+        raise FramingError(f"{sign.decode()}{digits.decode()} is over the limit of {limit}")
+    return int(digits)
 
 
 def encode(words: Iterable[bytes]) -> bytes:
-    parts = [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
-    return b"*%d\r\n" % len(parts) + b"".join(parts)
+    """One message of these words."""
+    bulk_strings = [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
+    return b"*%d\r\n" % len(bulk_strings) + b"".join(bulk_strings)
--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -1,4 +1,4 @@
-"""The manager's address: connections of proxies, collectors and strangers, each owned and ended here."""
+"""The manager's listening address: connections of proxies and collectors, and those not yet identified."""
 
 from __future__ import annotations
 
@@ -7,264 +7,343 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum
 from typing import Protocol, cast
 
 import structlog
 
 from ..config.errors import InputError
 from ..model.inputs import Acknowledged, ArrivalReport, Input, LoadReport, ProxyConnected
-from . import messages as m
+from .errors import MessageError, ProtocolError
 from .fault_log import RateLimitedFaultLog
+from .message_fields import printable
+from .messages import (
+    PONG,
+    CollectorConnected,
+    ExtensionMessage,
+    IncomingMessage,
+    MessageReader,
+    Ping,
+    UnlistedWorkerReport,
+)
 from .resp import MAX_MESSAGE_SIZE, RespReader
 
-ACCEPT_QUEUE_LENGTH = (
-    1024  # connections at least that the kernel holds until they are accepted: all may dial at once
-)
-MAX_FIRST_MESSAGE_SIZE = (
-    4096  # bytes of a message from who has not yet said who they are: the first ones are short
-)
-IDENTIFY_TIMEOUT, SWEEP_INTERVAL = (
-    1.0,
-    0.25,
-)  # s: to say who one is, of the 3 that a stranger may be kept; between sweeps
-MAX_COLLECTORS_PER_ZONE = 4  # of a zone, which has one: a new one may come before the last is seen to end
-SUPERSEDED_TIMEOUT = 5.0  # s: for the end of a stream whose place was taken; one that went silent never tells
-STOPS = "the manager stops"
-NEW, COLLECTOR, STREAM, OLD = "new", "collector", "stream", "old"  # OLD: another stream took its place
+# Connections at least that the kernel holds until they are accepted: all parties may dial at once.
+ACCEPT_QUEUE_LENGTH = 1024
+MAX_FIRST_MESSAGE_SIZE = 4096  # bytes of a message of an unidentified connection: the first ones are short
+IDENTIFY_TIMEOUT = 1.0  # s to identify oneself, of the 3 that the protocol allows
+SWEEP_INTERVAL = 0.25  # s
+MAX_COLLECTORS_PER_ZONE = 4  # a zone has one; a new one may come before the last is seen to end
+SUPERSEDED_TIMEOUT = 5.0  # s for the end of a superseded connection; one whose network failed never ends
+STOP_REASON = "the manager stops"
+ENDED_BY_PEER = "ended by the other side"
+
+
+class ConnectionState(Enum):
+    """Whose connection it is; the values stand in log lines and error texts."""
+
+    UNIDENTIFIED = "new"
+    COLLECTOR = "collector"
+    PROXY = "stream"
+    SUPERSEDED = "old"  # another connection of its proxy took its place
 
 
 class StreamEvents(Protocol):
-    """Who is told of what comes in; never waited for."""
+    """Receives what comes in; never waited for."""
+
+    def proxy_connected(self, connection: ProtocolConnection, event: ProxyConnected) -> None:
+        """A connection has said which proxy it belongs to."""
 
-    def proxy_connected(self, stream: ProtocolConnection, joined: ProxyConnected) -> None: ...
-    def connection_ended(self, stream: ProtocolConnection) -> None: ...
-    def input_received(self, item: Input | m.ExtensionMessage) -> None: ...
+    def connection_ended(self, connection: ProtocolConnection) -> None:
+        """A proxy's connection is closed."""
+
+    def input_received(self, item: Input | ExtensionMessage) -> None:
+        """A report, an acknowledgement or a message of an extension."""
 
 
 class ProtocolConnection(asyncio.Protocol):
-    def __init__(self, address: StreamListener) -> None:
-        self.listener, self.reader, self.state = address, RespReader(MAX_FIRST_MESSAGE_SIZE), NEW
-        self.proxy, self.zone, self.peer, self.why, self.heard = -1, -1, "", "", 0.0
+    """One accepted connection."""
+
+    def __init__(self, listener: StreamListener) -> None:
+        self.listener = listener
+        self.state = ConnectionState.UNIDENTIFIED
+        self.proxy = -1
+        self.zone = -1
+        self.peer = ""
+        self.close_reason = ""
+        self.last_received_at = 0.0
         self.accept_number = 0  # in the order of accepts
+        self._reader = RespReader(MAX_FIRST_MESSAGE_SIZE)
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by asyncio once the connection is accepted."""
         self._transport = cast(asyncio.Transport, transport)
         host, port = transport.get_extra_info("peername", ("?", "?"))[:2]
         self.peer = f"{host}:{port}"
-        self.listener.opened(self)
+        self.listener.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Two kinds of fault: bytes that can't be framed end a connection, as does anything wrong before it
-        has joined; a whole message that makes no sense is left out and the stream lives, since a proxy whose
-        stream is ended here keeps its time limits.  Harms where a party spoils all it says: it stays joined,
-        and only the summed lines tell of it."""
-        self.heard = time.monotonic()
+        """Called by asyncio for bytes that arrived.
+
+        Bytes that can't be framed end a connection, as does any fault before it has identified itself.  Once
+        it has, a whole message that makes no sense is rejected and the connection lives, since a proxy whose
+        connection is ended here keeps its time limits.  The drawback is that a party that spoils all it says
+        stays connected, and only the summed log lines tell of it.
+        """
+        self.last_received_at = time.monotonic()
         try:
-            for words in self.reader.feed(data):
-                if self._transport is None or self._transport.is_closing():
+            for words in self._reader.feed(data):
+                if self._is_closed():
                     return
-                try:
-                    self._hear(words)
-                except InputError as exc:
-                    if self.state == NEW:
-                        raise
-                    self.listener.left_out.report(str(exc), **self.shown())
+                self._process(words)
+        except InputError as exc:
+            self.abort(str(exc))
+
+    def _process(self, words: list[bytes]) -> None:
+        try:
+            self._dispatch(words)
         except InputError as exc:
-            self.end(str(exc))
+            if self.state is ConnectionState.UNIDENTIFIED:
+                raise
+            self.listener.rejected_messages.report(str(exc), **self.log_fields())
 
-    def shown(self) -> dict[str, object]:
-        """What the log tells of it."""
-        return {"peer": self.peer, "state": self.state, "proxy": self.proxy}
+    def _dispatch(self, words: list[bytes]) -> None:
+        message = self.listener.reader.read(words)
+        handler = MESSAGE_HANDLERS.get((self.state, type(message)))
+        if handler is None:
+            raise MessageError(printable(words[0]), f"not on a connection that is {self.state.value}")
+        handler(self, message)
 
-    def _hear(self, words: list[bytes]) -> None:
-        said = self.listener.messages.read(words)
-        step = STEPS.get((self.state, type(said)))
-        if step is None:
-            raise InputError(f"{m.printable(words[0])}: not on a connection that is {self.state}")
-        step(self, said)
+    def log_fields(self) -> dict[str, object]:
+        """What log lines say of this connection."""
+        return {"peer": self.peer, "state": self.state.value, "proxy": self.proxy}
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.listener.ended(self, self.why or (str(exc) if exc else "ended by the other side"))
+        """Called by asyncio once the connection is closed, by either side."""
+        self.listener.connection_closed(self, self.close_reason or str(exc or ENDED_BY_PEER))
 
     def send(self, data: bytes) -> None:
+        """Writes a message; ends a connection whose peer does not read."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
-        unread = transport.get_write_buffer_size()
-        if (
-            unread and unread + len(data) > self.listener.limits.max_unread_bytes
-        ):  # a single message may be larger
-            self.end(f"left {unread} bytes unread")
+        unread_bytes = transport.get_write_buffer_size()
+        limit = self.listener.limits.max_unread_bytes
+        if unread_bytes and unread_bytes + len(data) > limit:  # a single message may be larger
+            self.abort(f"left {unread_bytes} bytes unread")
         else:
             transport.write(data)
 
-    def end(self, why: str) -> None:
-        """The last resort: time limits run on for a proxy whose stream is ended here."""
-        if self._transport is not None and not self._transport.is_closing():
-            self.why = why
-            self._transport.abort()
-
-    def _pong(self, said: m.IncomingMessage) -> None:
-        self.send(m.PONG)
-
-    def _source(self, said: m.IncomingMessage) -> None:
-        self.state, self.zone, self.reader.max_message_size = (
-            COLLECTOR,
-            cast(m.CollectorConnected, said).zone,
-            MAX_MESSAGE_SIZE,
-        )
-        self.listener.named(self, "collector")
-
-    def _subscribe(self, said: m.IncomingMessage) -> None:
-        joined = cast(ProxyConnected, said)
-        self.state, self.proxy, self.reader.max_message_size = STREAM, joined.proxy, MAX_MESSAGE_SIZE
-        self.listener.named(self, f"proxy {joined.proxy}")
-        self.listener.events.proxy_connected(self, joined)
-
-    def _report(self, said: m.IncomingMessage) -> None:
-        self.listener.events.input_received(cast(Input, said))
-
-    def _own(self, said: m.IncomingMessage) -> None:
-        if cast(Acknowledged | ArrivalReport, said).proxy != self.proxy:
-            raise InputError("ACK or RATE: field node is another's than the stream's")
-        self._report(said)
-
-    def _beyond(self, said: m.IncomingMessage) -> None:
-        self.listener.events.input_received(
-            m.ExtensionMessage(cast(m.ExtensionMessage, said).body, self.proxy)
-        )
-
-    def _nothing(self, said: m.IncomingMessage) -> None:
-        pass
-
-
-Step = Callable[[ProtocolConnection, m.IncomingMessage], None]
-STEPS: dict[tuple[str, type], Step] = {
-    **{(state, m.Ping): ProtocolConnection._pong for state in (NEW, COLLECTOR, STREAM, OLD)},
-    (NEW, m.CollectorConnected): ProtocolConnection._source,
-    (NEW, ProxyConnected): ProtocolConnection._subscribe,
-    **{(state, LoadReport): ProtocolConnection._report for state in (COLLECTOR, STREAM)},
-    (COLLECTOR, ArrivalReport): ProtocolConnection._report,
-    **{(STREAM, said): ProtocolConnection._own for said in (Acknowledged, ArrivalReport)},
-    (STREAM, m.ExtensionMessage): ProtocolConnection._beyond,
-    (OLD, m.ExtensionMessage): ProtocolConnection._nothing,
-    **{(state, m.UnlistedWorkerReport): ProtocolConnection._nothing for state in (COLLECTOR, STREAM, OLD)},
-    **{(OLD, said): ProtocolConnection._nothing for said in (LoadReport, ArrivalReport, Acknowledged)},
+    def abort(self, reason: str) -> None:
+        """Ends the connection at once; the last resort, as time limits run on for a proxy whose connection
+        is ended here."""
+        transport = self._transport
+        if transport is not None and not transport.is_closing():
+            self.close_reason = reason
+            transport.abort()
+
+    def _is_closed(self) -> bool:
+        return self._transport is None or self._transport.is_closing()
+
+    def _answer_ping(self, message: IncomingMessage) -> None:
+        self.send(PONG)
+
+    def _identify_collector(self, message: IncomingMessage) -> None:
+        self.state = ConnectionState.COLLECTOR
+        self.zone = cast(CollectorConnected, message).zone
+        self._reader.max_message_size = MAX_MESSAGE_SIZE
+        self.listener.connection_identified(self, "collector")
+
+    def _identify_proxy(self, message: IncomingMessage) -> None:
+        event = cast(ProxyConnected, message)
+        self.state = ConnectionState.PROXY
+        self.proxy = event.proxy
+        self._reader.max_message_size = MAX_MESSAGE_SIZE
+        self.listener.connection_identified(self, f"proxy {event.proxy}")
+        self.listener.events.proxy_connected(self, event)
+
+    def _pass_on(self, message: IncomingMessage) -> None:
+        self.listener.events.input_received(cast(Input, message))
+
+    def _pass_on_own(self, message: IncomingMessage) -> None:
+        """A message of a proxy about itself."""
+        if cast(Acknowledged | ArrivalReport, message).proxy != self.proxy:
+            raise ProtocolError("ACK or RATE: field node is another's than the stream's")
+        self._pass_on(message)
+
+    def _pass_on_extension(self, message: IncomingMessage) -> None:
+        body = cast(ExtensionMessage, message).body
+        self.listener.events.input_received(ExtensionMessage(body, self.proxy))
+
+    def _ignore(self, message: IncomingMessage) -> None:
+        """A message that was under way when the connection was superseded, or one that counts for nothing."""
+
+
+MessageHandler = Callable[[ProtocolConnection, IncomingMessage], None]
+# What a message does on a connection in a state; one that is missing here is not allowed there.
+MESSAGE_HANDLERS: dict[tuple[ConnectionState, type], MessageHandler] = {
+    (ConnectionState.UNIDENTIFIED, Ping): ProtocolConnection._answer_ping,
+    (ConnectionState.UNIDENTIFIED, CollectorConnected): ProtocolConnection._identify_collector,
+    (ConnectionState.UNIDENTIFIED, ProxyConnected): ProtocolConnection._identify_proxy,
+    (ConnectionState.COLLECTOR, Ping): ProtocolConnection._answer_ping,
+    (ConnectionState.COLLECTOR, LoadReport): ProtocolConnection._pass_on,
+    (ConnectionState.COLLECTOR, ArrivalReport): ProtocolConnection._pass_on,
+    (ConnectionState.COLLECTOR, UnlistedWorkerReport): ProtocolConnection._ignore,
+    (ConnectionState.PROXY, Ping): ProtocolConnection._answer_ping,
+    (ConnectionState.PROXY, LoadReport): ProtocolConnection._pass_on,
+    (ConnectionState.PROXY, ArrivalReport): ProtocolConnection._pass_on_own,
+    (ConnectionState.PROXY, Acknowledged): ProtocolConnection._pass_on_own,
+    (ConnectionState.PROXY, UnlistedWorkerReport): ProtocolConnection._ignore,
+    (ConnectionState.PROXY, ExtensionMessage): ProtocolConnection._pass_on_extension,
+    (ConnectionState.SUPERSEDED, Ping): ProtocolConnection._answer_ping,
+    (ConnectionState.SUPERSEDED, LoadReport): ProtocolConnection._ignore,
+    (ConnectionState.SUPERSEDED, ArrivalReport): ProtocolConnection._ignore,
+    (ConnectionState.SUPERSEDED, Acknowledged): ProtocolConnection._ignore,
+    (ConnectionState.SUPERSEDED, UnlistedWorkerReport): ProtocolConnection._ignore,
+    (ConnectionState.SUPERSEDED, ExtensionMessage): ProtocolConnection._ignore,
 }
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """What the machine's limits leave for each use; see control/manager."""
+    """What the limits of machine and process leave for each use; computed in `control/manager`."""
 
     max_connections: int  # accepted and open at once
     accept_batch: int  # connections accepted at once
-    max_health_checks: int  # probes open at once
-    max_unread_bytes: int  # bytes that one proxy may leave unread here
-    accept_queue_length: int = ACCEPT_QUEUE_LENGTH  # connections that the kernel holds
+    max_health_checks: int  # open at once
+    max_unread_bytes: int  # that one proxy may leave unread here
+    accept_queue_length: int = ACCEPT_QUEUE_LENGTH  # connections that the kernel holds until accepted
 
 
 class StreamListener:
-    """Listens, and bounds what may stay open.  Who has not joined within `JOIN_WAIT` is closed by one sweep;
-    where descriptors run out, strangers make room, the one that came first before others, then streams whose
-    place was taken; nobody who joined does.  Harms a proxy that joins later than it dials: it dials again."""
-
-    def __init__(self, messages: m.MessageReader, listener: StreamEvents, shares: ConnectionLimits) -> None:
-        self.messages, self.events, self.limits = messages, listener, shares
-        self.left_out, self.cut = (
-            RateLimitedFaultLog("message left out"),
-            RateLimitedFaultLog("connection ended"),
-        )
+    """Accepts connections and bounds what may stay open.
+
+    A sweep closes connections that have not identified themselves within `IDENTIFY_TIMEOUT`.  Where
+    descriptors run out, unidentified connections make room, the oldest first, then superseded ones;
+    identified ones never do.  The drawback is for a proxy that identifies itself late: it has to dial again.
+    """
+
+    def __init__(self, reader: MessageReader, events: StreamEvents, limits: ConnectionLimits) -> None:
+        self.reader = reader
+        self.events = events
+        self.limits = limits
+        self.rejected_messages = RateLimitedFaultLog("message_rejected")
+        self._closed_unidentified = RateLimitedFaultLog("connection_closed")
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self._open: dict[ProtocolConnection, None] = {}
-        self._new: dict[ProtocolConnection, float] = {}  # when they came, first first
-        self._old: dict[ProtocolConnection, float] = {}  # since when
+        self._unidentified: dict[ProtocolConnection, float] = {}  # opened at, the oldest first
+        self._superseded: dict[ProtocolConnection, float] = {}  # since when
         self._collectors: dict[int, list[ProtocolConnection]] = {}  # by zone
-        self._late: list[ProtocolConnection] = []  # had not joined by the last sweep
-        self._accepted = 0
-        self._closed = False
+        self._overdue: list[ProtocolConnection] = []  # had not identified themselves by the last sweep
+        self._accepted_count = 0
+        self._is_closed = False
         self._server: asyncio.Server | None = None
-        self._timer: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """asyncio accepts as many at once as its backlog says: a small one; the kernel's is set after it."""
-        listener = socket.create_server((host, port))
+        """Starts to accept connections; gives the port.
+
+        asyncio accepts as many at once as its backlog says, so it is given a small one; the kernel's queue is
+        set afterwards.
+        """
+        listening_socket = socket.create_server((host, port))
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: ProtocolConnection(self), sock=listener, backlog=self.limits.accept_batch
+            lambda: ProtocolConnection(self), sock=listening_socket, backlog=self.limits.accept_batch
         )
-        listener.listen(self.limits.accept_queue_length)
+        listening_socket.listen(self.limits.accept_queue_length)
         self._sweep()
-        return int(listener.getsockname()[1])
+        return int(listening_socket.getsockname()[1])
 
     def _sweep(self) -> None:
-        """Ends who was late at the last sweep already: between two of them the loop has read what had come,
-        so a join that a late loop left unread is not cut."""
+        """Ends connections that were overdue at the last sweep already.
+
+        Between two sweeps the loop has read what had arrived, so a SUBSCRIBE that a lagging loop left unread
+        does not count as missing.
+        """
         loop = asyncio.get_running_loop()
         now = loop.time()
-        for c in self._late:
-            if c.state == NEW:
-                c.end("has not joined in time")
-        self._late = [c for c, came in self._new.items() if now - came >= IDENTIFY_TIMEOUT]
-        for c in [c for c, since in self._old.items() if now - since >= SUPERSEDED_TIMEOUT]:
-            c.end("another stream of this proxy came")
-        self.left_out.summarize(now)
-        self.cut.summarize(now)
-        self._timer = loop.call_later(SWEEP_INTERVAL, self._sweep)
-
-    def opened(self, c: ProtocolConnection) -> None:
-        self._accepted += 1
-        c.accept_number = self._accepted
-        if self._closed:  # accepted in the turn of the close, opened after it
-            c.end(STOPS)
+        for connection in self._overdue:
+            if connection.state is ConnectionState.UNIDENTIFIED:
+                connection.abort("has not joined in time")
+        self._overdue = _older_than(IDENTIFY_TIMEOUT, self._unidentified, now)
+        for connection in _older_than(SUPERSEDED_TIMEOUT, self._superseded, now):
+            connection.abort("another stream of this proxy came")
+        self.rejected_messages.summarize(now)
+        self._closed_unidentified.summarize(now)
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL, self._sweep)
+
+    def connection_opened(self, connection: ProtocolConnection) -> None:
+        """A connection is accepted; over the limit, another one makes room."""
+        self._accepted_count += 1
+        connection.accept_number = self._accepted_count
+        if self._is_closed:  # accepted before the listener was closed, opened after it
+            connection.abort(STOP_REASON)
             return
-        self._open[c] = None
-        self._new[c] = asyncio.get_running_loop().time()
+        self._open[connection] = None
+        self._unidentified[connection] = asyncio.get_running_loop().time()
         if len(self._open) > self.limits.max_connections:
-            first = next(iter(self._new)) if len(self._new) > 1 else next(iter(self._old), c)
-            self._forget(first)  # at once, as the end of a connection is seen a turn of the loop later
-            first.end("too many connections")
-
-    def _forget(self, c: ProtocolConnection) -> None:
-        self._open.pop(c, None)
-        self._new.pop(c, None)
-        self._old.pop(c, None)
-
-    def named(self, c: ProtocolConnection, who: str) -> None:
-        self._new.pop(c, None)
-        if c.state == COLLECTOR:
-            others = self._collectors.setdefault(c.zone, [])
-            others.append(c)
-            if len(others) > MAX_COLLECTORS_PER_ZONE:
-                silent = min(others, key=lambda other: other.heard)
-                others.remove(silent)
-                silent.end("other collectors of its zone came")
-        self.log.info("connection opened", peer=c.peer, who=who)
-
-    def mark_superseded(self, c: ProtocolConnection) -> None:
-        c.state = OLD
-        self._old[c] = asyncio.get_running_loop().time()
-
-    def ended(self, c: ProtocolConnection, why: str) -> None:
-        self._forget(c)
-        if c in (others := self._collectors.get(c.zone, [])):
-            others.remove(c)
-        if c.state == STREAM:
-            self.events.connection_ended(c)
-        if self._closed:
-            return  # told of all together
-        if c.state == NEW:
-            self.cut.report(why, **c.shown())
+            expendable = self._expendable_connection(connection)
+            self._forget(expendable)  # at once, as asyncio reports its end a turn of the loop later
+            expendable.abort("too many connections")
+
+    def _expendable_connection(self, newest: ProtocolConnection) -> ProtocolConnection:
+        """The oldest unidentified one, else the oldest superseded one, else the newest of all."""
+        if len(self._unidentified) > 1:
+            return next(iter(self._unidentified))
+        return next(iter(self._superseded), newest)
+
+    def _forget(self, connection: ProtocolConnection) -> None:
+        self._open.pop(connection, None)
+        self._unidentified.pop(connection, None)
+        self._superseded.pop(connection, None)
+
+    def connection_identified(self, connection: ProtocolConnection, client: str) -> None:
+        """A connection has said whose it is; of too many collectors the least active one is ended."""
+        self._unidentified.pop(connection, None)
+        if connection.state is ConnectionState.COLLECTOR:
+            collectors = self._collectors.setdefault(connection.zone, [])
+            collectors.append(connection)
+            if len(collectors) > MAX_COLLECTORS_PER_ZONE:
+                least_active = min(collectors, key=lambda collector: collector.last_received_at)
+                collectors.remove(least_active)
+                least_active.abort("other collectors of its zone came")
+        self.log.info("connection_opened", peer=connection.peer, client=client)
+
+    def mark_superseded(self, connection: ProtocolConnection) -> None:
+        """Another connection of the same proxy holds; this one is ended after a while."""
+        connection.state = ConnectionState.SUPERSEDED
+        self._superseded[connection] = asyncio.get_running_loop().time()
+
+    def connection_closed(self, connection: ProtocolConnection, reason: str) -> None:
+        """A connection has ended, by either side."""
+        self._forget(connection)
+        collectors = self._collectors.get(connection.zone, [])
+        if connection in collectors:
+            collectors.remove(connection)
+        if connection.state is ConnectionState.PROXY:
+            self.events.connection_ended(connection)
+        if self._is_closed:
+            return  # one line was logged for all
+        if connection.state is ConnectionState.UNIDENTIFIED:
+            self._closed_unidentified.report(reason, **connection.log_fields())
         else:
-            self.log.info("connection ended", **c.shown(), why=why)
+            self.log.info("connection_closed", **connection.log_fields(), reason=reason)
 
     async def close(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
+        """Stops to accept, and ends all connections."""
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         if self._server is not None:
             self._server.close()
-        self._closed = True
+        self._is_closed = True
         if self._open:
-            self.log.info("connections ended", more=len(self._open), why=STOPS)
-        for c in list(self._open):
-            c.end(STOPS)
+            self.log.info("connections_closed", count=len(self._open), reason=STOP_REASON)
+        for connection in list(self._open):
+            connection.abort(STOP_REASON)
+
+
+def _older_than(
+    age_s: float, started_at: dict[ProtocolConnection, float], now: float
+) -> list[ProtocolConnection]:
+    return [connection for connection, start in started_at.items() if now - start >= age_s]
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -20,7 +20,7 @@
 
 from ..config.errors import InputError
 from . import resp
-from .messages import MessageFields
+from .message_fields import MessageFields
 
 VERSION = 1
 MAX_HELD_WORKERS = 4096  # workers in one message
--- a/cottonladder/state/config_encoder.py
+++ b/cottonladder/state/config_encoder.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-from ..protocol.messages import ConfigPart, encode_parts
+from ..protocol.config_messages import ConfigPart, encode_parts
 from .line_operations import LineKind, LineOperation
 from .worker_registry import WorkerRegistry
 
--- a/tests/support/wire_fleet.py
+++ b/tests/support/wire_fleet.py
@@ -37,7 +37,7 @@
 )
 from cottonladder.model.orders import StartTimer
 from cottonladder.policy.controller import RoutingController
-from cottonladder.protocol.discovery import read_endpoint_list
+from cottonladder.protocol.endpoint_list import read_endpoint_list
 from cottonladder.protocol.messages import ExtensionMessage, MessageReader
 from cottonladder.state.order_dispatcher import OrderDispatcher
 from cottonladder.state.proxy_sessions import ProxySessions
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -109,7 +109,7 @@
         new = await self.join(program, 3, cold=0)
         await new.hear_of("replace")
         old.say("ACK node 3 nonce 1 latency 1")  # a word that was on its way
-        await program.logged("connection ended", "state=old", "another stream")  # it went silent
+        await program.logged("connection_closed", "state=old", "another stream")  # it went silent
         await self.discovery.tell(listing(42, entry("s-1", "Terminating")))
         await new.hear_of("s-1:0.0")
 
@@ -134,7 +134,7 @@
                     else:
                         await client.ended()
                     if words:
-                        fault = "message left out" if mark == " ||" else "connection ended"
+                        fault = "message_rejected" if mark == " ||" else "connection_closed"
                         await program.logged(fault, *words.split())
         quiet = await self.connect(program)
         good.say("PING")
@@ -161,7 +161,7 @@
         settings = {"Rules": {**SETTINGS["Rules"], "AskWithinMs": 100.0}}
         program = await self.serving(settings=settings)
         for words in bad:
-            await program.logged("discovery call failed", *words.split())
+            await program.logged("discovery_call_failed", *words.split())
         self.assertFalse([line for line in program.lines if "gone" in line])
         await self.discovery.tell(gone)
         await program.logged("event=mode", "well>gone")
@@ -171,7 +171,7 @@
         whole = raw(json.dumps(listing(7, entry("s-2"), full=True)))
         self.discovery.script = [raw(json.dumps(listing(7, entry("s-1", "Gone"))) + "\n"), whole]
         program = await self.serving()
-        await program.logged("discovery call failed", "version 7 after 41")
+        await program.logged("discovery_call_failed", "version 7 after 41")
         asked = [await soon(self.discovery.calls.get()) for _ in range(2)]
         self.assertEqual([call.rpartition("after=")[2] for call in asked], ["41", "/v1/servers"])
         await program.logged("event=mode", "be 0 well>gone leaving: not listed")
@@ -190,7 +190,7 @@
         new.script = [raw("", 503), whole]
         program.reload(discovery=await self.host(new.handle))
         await program.logged("configuration taken", "unchangeable=none")
-        await program.logged("discovery call failed", "503")
+        await program.logged("discovery_call_failed", "503")
         await self.discovery.tell(listing(42, entry("s-1", "Gone")))
         await program.logged("be 0 well>gone leaving: gone")
         self.assertEqual([await soon(new.calls.get()) for _ in range(2)], ["/v1/servers"] * 2)
@@ -260,7 +260,7 @@
 
         self.discovery.script = [silent]
         program = await self.serving()
-        await program.logged("discovery call failed")
+        await program.logged("discovery_call_failed")
         await soon(given_up.wait())
         await soon(self.discovery.watches.get())  # asked again
 
@@ -327,8 +327,8 @@
         self.assertEqual(await late.hear(), "PONG")
         source.say("PING")
         self.assertEqual(await source.hear(), "PONG")
-        self.assertLess(sum("connection ended" in line for line in program.lines), 10)
-        await program.logged("connection ended", "more=")
+        self.assertLess(sum("connection_closed" in line for line in program.lines), 10)
+        await program.logged("connection_closed", "suppressed_count=")
         self.assertEqual(await program.stop(), 0)
         errors = await cast(asyncio.StreamReader, program.process.stderr).read()
         self.assertEqual(errors, b"")  # asyncio tells here of accepts that found no descriptor left
@@ -412,7 +412,7 @@
         transport.abort.assert_not_called()
         connection.send(b"x" * 11)
         transport.abort.assert_called_once()
-        self.assertIn("unread", connection.why)
+        self.assertIn("unread", connection.close_reason)
 
 
 if __name__ == "__main__":
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -37,7 +37,7 @@
     WatchEndpoints,
 )
 from cottonladder.policy.controller import RoutingController
-from cottonladder.protocol.discovery import read_endpoint_list
+from cottonladder.protocol.endpoint_list import read_endpoint_list
 from cottonladder.protocol.messages import MessageReader
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from cottonladder.state.order_dispatcher import OrderDispatcher
