--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -14,7 +14,7 @@
 from ..model.inputs import ExtraLinesWritten, HeldLoad, Input, ProxyConnected, ProxyDisconnected
 from ..model.views import WorkerCapacityView
 from ..planning.connection_migration import (
-    PLAN_EVERY,
+    PLAN_INTERVAL,
     AdmitForwarder,
     HeldConnectionCounts,
     MigrateConnections,
@@ -80,12 +80,12 @@
     def _remove_proxy(self, proxy: int) -> None:
         self._proxy_zones.pop(proxy, None)
         self._announced.discard(proxy)
-        self._planner.left(proxy)
+        self._planner.remove_forwarder(proxy)
 
     def _handle_message(self, proxy: int, body: object) -> None:
         if isinstance(body, wire.ForwarderAnnounced):
             if body.version >= wire.VERSION:  # a later one speaks ours too
-                self._planner.joined(proxy, self._proxy_zones[proxy])
+                self._planner.add_forwarder(proxy, self._proxy_zones[proxy])
                 self._announced.add(proxy)
                 self._next_plan_at = 0.0  # it is answered at once
         elif proxy not in self._announced:
@@ -93,9 +93,9 @@
         elif isinstance(body, wire.HeldConnections):
             found = {self._workers.find_index(be): row for be, row in body.counts_by_worker.items()}
             rows = {be: HeldConnectionCounts(*row) for be, row in found.items() if be is not None}
-            self._planner.held(proxy, body.is_complete, rows)
+            self._planner.update_connections(proxy, body.is_complete, rows)
         elif isinstance(body, wire.MigrationDone):
-            self._planner.moved(proxy, body.number)
+            self._planner.complete_migration(proxy, body.number)
 
     def collect_inputs(self, now: float) -> list[Input]:
         """Loads that changed, each interval; and what the last messages took of the channel."""
@@ -104,7 +104,7 @@
             out.append(ExtraLinesWritten(self._extra_lines))
             self._extra_lines = 0
         if now >= self._next_plan_at:
-            loads = self._planner.loads()
+            loads = self._planner.load_by_worker()
             changed = {be: 0.0 for be in self._loads if be not in loads}
             changed |= {be: load for be, load in loads.items() if self._loads.get(be) != load}
             out += [HeldLoad(be, load) for be, load in changed.items()]
@@ -114,25 +114,25 @@
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
         if now < self._next_plan_at:
             return
-        self._next_plan_at = now + PLAN_EVERY
+        self._next_plan_at = now + PLAN_INTERVAL
         stand = capacity_views(controller)
         orders = [o for o in self._planner.plan(now, stand) if not self._drop_vetoed(o)]
-        self._extra_lines += self._planner.lines(orders)
+        self._extra_lines += self._planner.channel_lines(orders)
         self._log_drains(stand)
         ids = self._workers.ids
         for order in orders:
             if isinstance(order, AdmitForwarder):
-                yield order.forwarder, wire.encode_acceptance(order.part, self._arrivals_per_s)
+                yield order.forwarder, wire.encode_acceptance(order.arrival_fraction, self._arrivals_per_s)
             elif order.source not in ids:
                 continue
             elif isinstance(order, StopMigration):
                 yield order.forwarder, wire.encode_migration_stop(ids[order.source])
             elif isinstance(order, MigrateConnections):
-                to = {ids[be]: n for be, n in order.to if be in ids}
+                to = {ids[be]: n for be, n in order.destinations if be in ids}
                 yield (
                     order.forwarder,
                     wire.encode_migration(
-                        order.number, ids[order.source], to, order.count, order.within, order.left
+                        order.number, ids[order.source], to, order.count, order.within_s, order.grace_left_s
                     ),
                 )
 
@@ -140,12 +140,12 @@
         """A move that a plug-in puts off counts as not ordered: the next plan has it again."""
         if not isinstance(order, MigrateConnections) or not self.is_vetoed(order):
             return False
-        self._planner.moved(order.forwarder, order.number)
+        self._planner.complete_migration(order.forwarder, order.number)
         return True
 
     def _log_drains(self, standing: dict[int, WorkerCapacityView]) -> None:
         """One line where the drain of held connections begins, is off, or has ended."""
-        totals = self._planner.totals()
+        totals = self._planner.connections_by_worker()
         leaving = {be for be, s in standing.items() if s.draining_since >= 0}
         for be in totals.keys() & leaving - self._draining_connections.keys():
             self._draining_connections[be] = totals[be].open
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -38,28 +38,28 @@
     is kept away from no longer than was meant; clients that come back find places where they were.  Tells
     what was used."""
     used: list[str] = []
-    router.excluded |= {worker_id for worker_id in snapshot.out if known(worker_id)}
-    if age <= ageing.TABLE_MOST and not router.has_ordered_table:  # what was ordered meanwhile is newer
+    router.excluded |= {worker_id for worker_id in snapshot.excluded if known(worker_id)}
+    if age <= ageing.MAX_TABLE_AGE and not router.has_ordered_table:  # what was ordered meanwhile is newer
         for request_class, table in snapshot.tables.items():
-            weights = {worker_id: w for worker_id, w in table.rows.items() if w > 0 and known(worker_id)}
+            weights = {worker_id: w for worker_id, w in table.weights.items() if w > 0 and known(worker_id)}
             if (
                 request_class in router.tables
                 and weights
                 and any(worker_id not in router.excluded for worker_id in weights)
             ):
-                router.restore(request_class, weights, table.gate, table.again)
+                router.restore(request_class, weights, table.admission_ratio, table.retry_policy)
                 used.append(f"table {request_class}")
-    if age <= ageing.SUSPECT_MOST:
+    if age <= ageing.MAX_SUSPICION_AGE:
         listed = {worker_id for t in router.tables.values() for worker_id in t.weights}
         avoid = {
             worker_id: left - age
-            for worker_id, left in snapshot.avoid.items()
+            for worker_id, left in snapshot.avoid_for_s.items()
             if left > age and known(worker_id)
         }
         if len(avoid) <= len(listed) * ageing.OUT_MOST:  # all of them: it was this forwarder that was cut off
             router.avoid(now, avoid)
             used.append(f"{len(avoid)} avoided")
-        for worker_id, count in snapshot.held.items():
+        for worker_id, count in snapshot.held_connections.items():
             if known(worker_id) and not router.is_excluded(worker_id):
                 pacer.reserve(now, worker_id, min(count, 10_000))
     return ", ".join(used) or "nothing"
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -18,7 +18,7 @@
 from cottonladder.cli import main as cli
 from cottonladder.planning import plugin_bounds as hooks
 from cottonladder.plugins import abi, chain, host
-from cottonladder.testbed.fleet import ROOT, Forwarder
+from cottonladder.testbed.fleet import ROOT, ForwarderProcess
 from tests.test_forwarder import GRACE, Rig
 
 EXAMPLE = ROOT / "deploy" / "plugins" / "audit-trail.wat"
@@ -86,7 +86,7 @@
             ({}, ()),
             ({f"H{n}": "v" * 150 for n in range(48)}, ()),
         ):
-            record = chain.req_record("route", "POST", "/release", "release", headers)
+            record = chain.request_record("route", "POST", "/release", "release", headers)
             self.assertEqual(plugin.call("route", record).need, need, headers)
 
     def test_hostile_calls_are_faults_and_the_next_call_is_fresh(self) -> None:
@@ -95,7 +95,7 @@
                 plugin = self.load(text)
                 for _ in range(2):
                     begun = time.perf_counter()
-                    with self.assertRaises(host.Fault) as raised:
+                    with self.assertRaises(host.PluginFault) as raised:
                         plugin.call("route", b"x")
                     self.assertEqual(raised.exception.kind, kind, raised.exception)
                     self.assertLess(time.perf_counter() - begun, 0.1)
@@ -115,7 +115,7 @@
             try:
                 plugin.call("route", b"x")
                 outcome.append(True)
-            except host.Fault:
+            except host.PluginFault:
                 outcome.append(False)
         self.assertEqual(outcome, [True, True, False, True, True, False])
 
@@ -156,21 +156,21 @@
         for n, (text, closed) in enumerate(parts):
             path = self.folder / f"{n}.wat"
             path.write_text(text)
-            rows.append(chain.Wanted(f"p-{n}", str(path), closed))
+            rows.append(chain.PluginSpec(f"p-{n}", str(path), closed))
         self.rows = rows
         return chain.PluginChain(rows)
 
     def test_a_breaker_leaves_a_faulty_one_alone_and_open_or_closed_is_the_operators(self) -> None:
         c = self.chain((HOSTILE["traps"][0], False), (says("need=x"), False))
         for _ in range(40):
-            verdict = c.ask("route", b"")
+            verdict = c.call_hook("route", b"")
             self.assertEqual((verdict.need, verdict.deny), (("x",), None))
-        first, second = c.shown()
+        first, second = c.status()
         self.assertEqual((first["breaker"], second["breaker"]), ("open", "closed"))
-        self.assertLessEqual(int(str(first["calls"])), hooks.FAULTS_MOST)
+        self.assertLessEqual(int(str(first["calls"])), hooks.MAX_FAULTS)
         closed = self.chain((HOSTILE["traps"][0], True))
         for _ in range(10):
-            self.assertEqual(closed.ask("route", b"").deny, "p-0 can't judge")
+            self.assertEqual(closed.call_hook("route", b"").deny, "p-0 can't judge")
 
     def test_one_that_is_slow_just_under_its_limit_is_bounded_by_the_budget(self) -> None:
         slow = """(local $i i32) (loop $l (local.set $i (i32.add (local.get $i) (i32.const 1)))
@@ -178,20 +178,20 @@
         c = self.chain((module(slow), False))
         begun, spent = time.monotonic(), 0.0
         while time.monotonic() - begun < 1.0:
-            c.ask("route", b"")
-        (row,) = c.shown()
+            c.call_hook("route", b"")
+        (row,) = c.status()
         spent = float(str(row["ms"])) / 1000.0
-        self.assertLess(spent, 2.5 * hooks.PART_MOST)  # a bucket of one second's part, and one second
+        self.assertLess(spent, 2.5 * hooks.MAX_CPU_FRACTION)  # a bucket of one second's part, and one second
         self.assertGreater(int(str(row["skipped"])), 0)
 
     def test_a_reload_takes_all_or_nothing(self) -> None:
         c = self.chain((says("need=x"), False))
         (self.folder / "0.wat").write_text(module(version=2))
         self.assertIn("interface 2", c.reload(self.rows))
-        self.assertEqual(c.ask("route", b"").need, ("x",))
+        self.assertEqual(c.call_hook("route", b"").need, ("x",))
         (self.folder / "0.wat").write_text(says("need=y"))
         self.assertEqual(c.reload(self.rows), "")
-        self.assertEqual(c.ask("route", b"").need, ("y",))
+        self.assertEqual(c.call_hook("route", b"").need, ("y",))
 
     def test_the_command_line(self) -> None:
         reqs = self.folder / "reqs.jsonl"
@@ -216,7 +216,7 @@
     @given(st.binary(max_size=300))
     def test_any_bytes_are_an_answer_or_none(self, data: bytes) -> None:
         try:
-            abi.answer(data)
+            abi.parse_answer(data)
         except abi.AnswerError:
             pass
 
@@ -238,20 +238,22 @@
     ) -> None:
         """Only workers of the table; somebody to pick, or a refusal where operators want it; a light line (a
         cold worker's is one) never gets more than its share of the whole table."""
-        choice = hooks.narrowed(lines, labels, hooks.RoutePreference(tuple(need), tuple(prefer)), fall_back)
-        self.assertLessEqual(choice.lines.keys(), lines.keys())
-        self.assertTrue(choice.lines or (not fall_back and choice.let == 0.0))
-        whole, total = sum(lines.values()), sum(choice.lines.values())
-        for be, weight in choice.lines.items():
-            if lines[be] < hooks.LIGHT * max(lines.values()):
-                share = choice.let * weight / total
+        choice = hooks.narrow_candidates(
+            lines, labels, hooks.RoutePreference(tuple(need), tuple(prefer)), fall_back
+        )
+        self.assertLessEqual(choice.weights.keys(), lines.keys())
+        self.assertTrue(choice.weights or (not fall_back and choice.admitted_fraction == 0.0))
+        whole, total = sum(lines.values()), sum(choice.weights.values())
+        for be, weight in choice.weights.items():
+            if lines[be] < hooks.LIGHT_WEIGHT_RATIO * max(lines.values()):
+                share = choice.admitted_fraction * weight / total
                 self.assertLessEqual(share, lines[be] / whole + 1e-9)
 
     def test_breakers_back_off(self) -> None:
-        breaker, opened = hooks.Breaker(), []
+        breaker, opened = hooks.CircuitBreaker(), []
         now = 0.0
         while now < 300.0:
-            if breaker.lets(now) and breaker.bad(now):
+            if breaker.allows(now) and breaker.record_fault(now):
                 opened.append(now)
             now += 0.1
         self.assertLess(len(opened), 10)
@@ -269,13 +271,13 @@
             rows.append({"name": f"p-{n}", "path": str(path)})
         return {"chain": rows, **more}
 
-    async def start(self, plugins: dict[str, Any], **more: Any) -> Forwarder:
+    async def start(self, plugins: dict[str, Any], **more: Any) -> ForwarderProcess:
         manager = await self.manager()
         forwarder = await self.forwarder(manager.port, plugins=plugins, **more)
         await self.bound(forwarder, *self.workers)
         return forwarder
 
-    async def got(self, forwarder: Forwarder, count: int, **headers: str) -> set[str]:
+    async def got(self, forwarder: ForwarderProcess, count: int, **headers: str) -> set[str]:
         names = set()
         for _ in range(count):
             async with self.session.post(f"{forwarder.url}/release", data=b"r", headers=headers) as reply:
@@ -289,7 +291,7 @@
         forwarder = await self.start(part)
         self.assertEqual(await self.got(forwarder, 20, **{"X-Matter": "42"}), {"s-2"})
         self.assertGreater(len(await self.got(forwarder, 30)), 2)
-        await self.discovery.state("s-2", "Terminating")  # no worker carries the label any more
+        await self.discovery.set_state("s-2", "Terminating")  # no worker carries the label any more
         await self.bound(forwarder, "s-0", "s-1", "s-3")
         begun = time.monotonic()
         self.assertEqual(await self.got(forwarder, 5, **{"X-Matter": "42"}), {"503"})
@@ -321,14 +323,14 @@
 
         clients = [asyncio.create_task(client(n)) for n in range(8)]
         await self.until(lambda: len(statuses) > 100)
-        await self.discovery.state("s-1", "Terminating")
+        await self.discovery.set_state("s-1", "Terminating")
         await self.bound(forwarder, "s-0", "s-2", "s-3")
         await asyncio.sleep(0.2)
-        drained = sum(self.workers["s-1"].reqs.values())
+        drained = sum(self.workers["s-1"].requests.values())
         await asyncio.gather(*clients)
         self.assertEqual(set(statuses), {200})
-        self.assertEqual((len(self.ledger.releases), self.ledger.twice()), (480, 0))
-        self.assertEqual(sum(self.workers["s-1"].reqs.values()), drained)
+        self.assertEqual((len(self.ledger.releases), self.ledger.repeated_releases()), (480, 0))
+        self.assertEqual(sum(self.workers["s-1"].requests.values()), drained)
         self.assertLess(sorted(took)[int(len(took) * 0.99)], 0.5)
         status = await forwarder.status(self.session)
         self.assertEqual({row["breaker"] for row in status["plugins"]} - {"open", "trying"}, set())
@@ -345,10 +347,10 @@
         part = self.plugins(says("kind=fetch\nset=X-Trace:7\nset=Host:evil"), headers=["x-trace"])
         forwarder = await self.start(part)
         worker = self.workers["s-1"]
-        worker.drop_next = 1
+        worker.requests_to_drop = 1
         async with self.session.post(f"{forwarder.url}/release", data=b"r") as reply:
             self.assertEqual((reply.status, reply.headers["Outcome"]), (502, "unknown"))
-        self.assertEqual(sum(worker.reqs.values()), 1)
+        self.assertEqual(sum(worker.requests.values()), 1)
         status = await forwarder.status(self.session)
         self.assertEqual(status["plugins"][0]["clipped"], 1)  # Host
         denies = await self.start(self.plugins(says("deny=not today")))
@@ -381,17 +383,19 @@
         forwarder = await self.forwarder(manager.port)
         await self.bound(forwarder, *self.workers)
         await self.open(forwarder, 60)
-        before = self.workers["s-0"].held
-        await self.discovery.state("s-0", "Terminating")
+        before = self.workers["s-0"].held_connections
+        await self.discovery.set_state("s-0", "Terminating")
         await asyncio.sleep(0.15 * GRACE)
-        self.assertEqual(self.workers["s-0"].held, before)
+        self.assertEqual(self.workers["s-0"].held_connections, before)
         await self.emptied("s-0")
         self.assertEqual((sum(self.held().values()), self.counts.unanswered), (60, 0))
         await manager.logged("plug-in off", "out_of_fuel")  # the feed's hook loops: left alone
 
     async def test_one_that_can_not_be_loaded_is_one_line_at_the_start(self) -> None:
         await self.worker("s-1")
-        forwarder = Forwarder(0, self.at, ["127.0.0.1:9"], None, plugins=self.plugins(module(version=2)))
+        forwarder = ForwarderProcess(
+            0, self.at, ["127.0.0.1:9"], None, plugins=self.plugins(module(version=2))
+        )
         with self.assertRaisesRegex(AssertionError, "interface 2, 1 expected"):
             await forwarder.serving()
         self.assertEqual(await forwarder.stop(), 2)
