--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -256,9 +256,7 @@
         await self.news((ListUpdateKind.FAILED, None))
         follower.set_watching(True)
         await self.news((ListUpdateKind.FAILED, None))
-        self.assertEqual(
-            list(follower._faults._repetitions.values()), [1]
-        )  # beside the one logged
+        self.assertEqual(list(follower._faults._repetitions.values()), [1])  # beside the one logged
 
     async def test_a_move_under_each_fault_of_the_list(self) -> None:
         """What was told of a drain stays told, nobody is gone for a call that failed, and the new address is
