--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -272,7 +272,10 @@
 
     def _report_held(self, whole: bool = False) -> None:
         for first, rows in self.handler.registry.changes(self.loop.time(), whole):
-            counts = {worker_id: (row.open, row.busy, row.resumable) for worker_id, row in rows.items()}
+            counts = {
+                worker_id: upgrades.ConnectionCounts(row.open, row.busy, row.resumable)
+                for worker_id, row in rows.items()
+            }
             self.stream.send_extension(upgrades.encode_held_connections(self.config.node, first, counts))
 
     def _tick(self) -> None:
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -1,8 +1,8 @@
-"""The extension of the stream that speaks of connections held open; imported only where it is switched on.
+"""The protocol extension for connections held open; imported only where it is switched on.
 
-A forwarder announces itself after its joining, a manager that has the extension answers, and only then does
-either say more.  A manager without it leaves the announcement out; a proxy that never announces is never
-told of it, so the platform's protocol stays as it is.  Times are in milliseconds, as on the rest of the wire.
+A forwarder announces itself after its SUBSCRIBE, a manager that has the extension accepts, and only then does
+either send more.  A manager without it rejects the announcement; a proxy that never announces itself is never
+sent anything of it, so the platform's protocol stays as it is.  Times on the wire are in milliseconds.
 
     UPGRADES node 17 version 1                                     forwarder: I carry such connections
     UPGRADES version 1 part 0.25 arrivals 50.0                     manager: tell me; your part of new ones
@@ -15,61 +15,82 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from ..config.errors import InputError
 from . import resp
-from .message_fields import MessageFields
+from .errors import FieldError, MessageError, ProtocolError
+from .message_fields import MS_PER_S, MessageFields
 
 VERSION = 1
-MAX_HELD_WORKERS = 4096  # workers in one message
-MAX_CONNECTIONS = 10_000_000  # connections of one forwarder at one worker: over it no figure can be
-MAX_DESTINATIONS = 4096  # destinations of one move
-UPGRADES, HELD, MOVE, MOVED = b"UPGRADES", b"HELD", b"MOVE", b"MOVED"
+MAX_HELD_WORKERS = 4096  # in one message
+MAX_CONNECTIONS = 10_000_000  # of one forwarder at one worker: a higher number can't be right
+MAX_COUNT_DIGITS = 8
+MAX_DESTINATIONS = 4096  # of one migration
+UPGRADES = b"UPGRADES"
+HELD = b"HELD"
+MOVE = b"MOVE"
+MOVED = b"MOVED"
 
 
 @dataclass(frozen=True, slots=True)
 class ForwarderAnnounced:
+    """A forwarder holds upgraded connections and has the extension."""
+
     node: int
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnnouncementAccepted:
-    """A forwarder's part of the arrivals, and arrivals a second that an average worker takes up."""
+    """The manager has the extension too."""
 
     version: int
-    arrival_share: float
-    worker_arrival_rate: float
+    arrival_share: float  # the forwarder's part of new connections, 0 to 1
+    worker_arrival_rate: float  # new connections a second that an average worker takes
+
+
+class ConnectionCounts(NamedTuple):
+    """Connections of one forwarder at one worker."""
+
+    open: int
+    busy: int
+    resumable: int
 
 
 @dataclass(frozen=True, slots=True)
 class HeldConnections:
-    """By worker's id: open, busy, resumable."""
+    """What a forwarder holds, by worker's id; `is_complete`: at no other worker does it hold any."""
 
     node: int
     is_complete: bool
-    counts_by_worker: dict[bytes, tuple[int, int, int]]
+    counts_by_worker: dict[bytes, ConnectionCounts]
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationOrdered:
+    """Connections are to leave a worker; `destinations` names places for some of them, by worker's id."""
+
     number: int
     source: str
     destinations: dict[str, int]
     count: int
-    duration_s: float
-    time_left_s: float
+    duration_s: float  # to spread the migration over
+    time_left_s: float  # until connections that stay are cut
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationStopped:
+    """The worker keeps its connections after all."""
+
     source: str
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationDone:
+    """How far a migration went."""
+
     node: int
     number: int
     done: int
@@ -80,117 +101,161 @@
 FromManager = AnnouncementAccepted | MigrationOrdered | MigrationStopped
 
 
-def _pairs(fields: MessageFields, name: str, figures: int, most: int) -> dict[bytes, tuple[int, ...]]:
-    """`id:n:n,id:n:n`, each id once."""
-    rows: dict[bytes, tuple[int, ...]] = {}
-    words = [word for word in fields.values.get(name.encode(), b"").split(b",") if word]
-    if len(words) > most:
-        raise InputError(f"{fields.message_type}: field {name} has over {most} entries")
-    for word in words:
-        be, *counts = word.rsplit(b":", figures)
-        if not be or len(counts) != figures or not all(c.isdigit() and len(c) < 9 for c in counts):
-            raise InputError(f"{fields.message_type}: field {name} is not {'id' + ':count' * figures}")
-        if be in rows:
-            raise InputError(f"{fields.message_type}: field {name} names a worker twice")
-        rows[be] = tuple(int(c) for c in counts)
-        if max(rows[be]) > MAX_CONNECTIONS:
-            raise InputError(f"{fields.message_type}: field {name} has a count over {MAX_CONNECTIONS}")
-    return rows
-
-
-def _announced(f: MessageFields) -> ForwarderAnnounced:
-    return ForwarderAnnounced(f.count("node"), f.count("version"))
-
-
-def _holds(f: MessageFields) -> HeldConnections:
-    rows: dict[bytes, tuple[int, int, int]] = {}
-    for be, (held, busy, resumable) in _pairs(f, "holds", 3, MAX_HELD_WORKERS).items():
-        if max(busy, resumable) > held:
-            raise InputError("HELD: field holds has more busy or resumable than open")
-        rows[be] = (held, busy, resumable)
-    return HeldConnections(f.count("node"), f.flag("whole"), rows)
-
-
-def _done(f: MessageFields) -> MigrationDone:
-    return MigrationDone(f.count("node"), f.count("move"), f.count("done"), f.count("failed"))
+def _read_counts(
+    fields: MessageFields, name: str, counts_per_worker: int, max_workers: int
+) -> dict[bytes, tuple[int, ...]]:
+    """`id:n:n,id:n:n`, each id once; a missing field has none."""
+    counts_by_worker: dict[bytes, tuple[int, ...]] = {}
+    entries = [entry for entry in fields.values.get(name.encode(), b"").split(b",") if entry]
+    if len(entries) > max_workers:
+        raise FieldError(fields.message_type, name, f"has over {max_workers} entries")
+    for entry in entries:
+        worker_id, *words = entry.rsplit(b":", counts_per_worker)
+        if not worker_id or len(words) != counts_per_worker or not all(map(_is_count, words)):
+            form = "id" + ":count" * counts_per_worker
+            raise FieldError(fields.message_type, name, f"is not {form}")
+        if worker_id in counts_by_worker:
+            raise FieldError(fields.message_type, name, "names a worker twice")
+        counts = tuple(int(word) for word in words)
+        if max(counts) > MAX_CONNECTIONS:
+            raise FieldError(fields.message_type, name, f"has a count over {MAX_CONNECTIONS}")
+        counts_by_worker[worker_id] = counts
+    return counts_by_worker
+
+
+def _is_count(word: bytes) -> bool:
+    return word.isdigit() and len(word) <= MAX_COUNT_DIGITS
+
+
+def _read_announcement(fields: MessageFields) -> ForwarderAnnounced:
+    return ForwarderAnnounced(fields.count("node"), fields.count("version"))
+
+
+def _read_held_connections(fields: MessageFields) -> HeldConnections:
+    counts_by_worker: dict[bytes, ConnectionCounts] = {}
+    for worker_id, words in _read_counts(fields, "holds", 3, MAX_HELD_WORKERS).items():
+        counts = ConnectionCounts(*words)
+        if max(counts.busy, counts.resumable) > counts.open:
+            raise FieldError(fields.message_type, "holds", "has more busy or resumable than open")
+        counts_by_worker[worker_id] = counts
+    return HeldConnections(fields.count("node"), fields.flag("whole"), counts_by_worker)
+
+
+def _read_migration_result(fields: MessageFields) -> MigrationDone:
+    return MigrationDone(
+        fields.count("node"), fields.count("move"), fields.count("done"), fields.count("failed")
+    )
 
 
-def _welcome(f: MessageFields) -> AnnouncementAccepted:
-    part, arrivals = f.number("part"), f.number("arrivals")
-    if part > 1.0:
-        raise InputError("UPGRADES: field part is over 1")
-    return AnnouncementAccepted(f.count("version"), part, arrivals)
+def _read_acceptance(fields: MessageFields) -> AnnouncementAccepted:
+    arrival_share = fields.number("part")
+    worker_arrival_rate = fields.number("arrivals")
+    if arrival_share > 1.0:
+        raise FieldError(fields.message_type, "part", "is over 1")
+    return AnnouncementAccepted(fields.count("version"), arrival_share, worker_arrival_rate)
 
 
-def _move(f: MessageFields) -> MigrationOrdered | MigrationStopped:
-    source = f.text("from")
-    if b"stop" in f.values:
-        if not f.flag("stop"):
-            raise InputError("MOVE: field stop is not 1")
+def _read_migration(fields: MessageFields) -> MigrationOrdered | MigrationStopped:
+    source = fields.text("from")
+    if b"stop" in fields.values:
+        if not fields.flag("stop"):
+            raise FieldError(fields.message_type, "stop", "is not 1")
         return MigrationStopped(source)
-    to = {be.decode(): n for be, (n,) in _pairs(f, "to", 1, MAX_DESTINATIONS).items()}
-    count = f.count("count")
-    if not 0 < count <= MAX_CONNECTIONS or sum(to.values()) > count:
-        raise InputError("MOVE: field count is none, or less than the places named")
+    destinations: dict[str, int] = {}
+    for worker_id, (count,) in _read_counts(fields, "to", 1, MAX_DESTINATIONS).items():
+        destinations[worker_id.decode()] = count
+    count = fields.count("count")
+    if not 0 < count <= MAX_CONNECTIONS or sum(destinations.values()) > count:
+        raise FieldError(fields.message_type, "count", "is none, or less than the places named")
     return MigrationOrdered(
-        f.count("move"), source, to, count, f.number("within") / 1000.0, f.number("left") / 1000.0
+        fields.count("move"),
+        source,
+        destinations,
+        count,
+        fields.number("within") / MS_PER_S,
+        fields.number("left") / MS_PER_S,
     )
 
 
 TO_MANAGER: dict[bytes, Callable[[MessageFields], FromForwarder]] = {
-    UPGRADES: _announced, HELD: _holds, MOVED: _done,
-}  # fmt: skip
-TO_FORWARDER: dict[bytes, Callable[[MessageFields], FromManager]] = {UPGRADES: _welcome, MOVE: _move}
+    UPGRADES: _read_announcement,
+    HELD: _read_held_connections,
+    MOVED: _read_migration_result,
+}
+TO_FORWARDER: dict[bytes, Callable[[MessageFields], FromManager]] = {
+    UPGRADES: _read_acceptance,
+    MOVE: _read_migration,
+}
 
 
 def read_for_manager(words: list[bytes]) -> FromForwarder:
-    """A message of the extension, its kind one of `TO_MANAGER`."""
+    """A message of the extension, its type one of `TO_MANAGER`."""
     return TO_MANAGER[words[0]](MessageFields(words[0].decode(), words[1:]))
 
 
 def read_for_forwarder(words: list[bytes]) -> FromManager:
-    """A message of the extension, its kind one of `TO_FORWARDER`."""
+    """A message of the extension, its type one of `TO_FORWARDER`."""
+    message_type = words[0].decode()
     try:
-        return TO_FORWARDER[words[0]](MessageFields(words[0].decode(), words[1:]))
+        return TO_FORWARDER[words[0]](MessageFields(message_type, words[1:]))
     except UnicodeDecodeError:
-        raise InputError(f"{words[0].decode()}: a worker's id is not text") from None
-
-
-def _figure(value: float) -> bytes:
-    """Never what the other side must refuse."""
-    if not math.isfinite(value) or value < 0:
-        raise InputError(f"figure {value} can't stand in a message")
-    return b"%r" % float(value)
+        raise MessageError(message_type, "a worker's id is not text") from None
 
 
 def encode_announcement(node: int) -> bytes:
+    """UPGRADES of a forwarder."""
     return resp.encode([UPGRADES, b"node", b"%d" % node, b"version", b"%d" % VERSION])
 
 
-def encode_acceptance(part: float, arrivals: float) -> bytes:
-    words = [UPGRADES, b"version", b"%d" % VERSION, b"part", _figure(part), b"arrivals", _figure(arrivals)]
+def encode_acceptance(arrival_share: float, worker_arrival_rate: float) -> bytes:
+    """UPGRADES of a manager."""
+    words = [UPGRADES, b"version", b"%d" % VERSION]
+    words += [b"part", _number(arrival_share), b"arrivals", _number(worker_arrival_rate)]
     return resp.encode(words)
 
 
-def encode_held_connections(node: int, whole: bool, rows: dict[str, tuple[int, int, int]]) -> bytes:
-    pairs = b",".join(b"%b:%d:%d:%d" % (be.encode(), *row) for be, row in rows.items())
-    return resp.encode([HELD, b"node", b"%d" % node, b"whole", b"%d" % whole, b"holds", pairs])
+def encode_held_connections(
+    node: int, is_complete: bool, counts_by_worker: Mapping[str, ConnectionCounts]
+) -> bytes:
+    """HELD of a forwarder."""
+    entries = [
+        b"%b:%d:%d:%d" % (worker_id.encode(), *counts) for worker_id, counts in counts_by_worker.items()
+    ]
+    words = [HELD, b"node", b"%d" % node, b"whole", b"%d" % is_complete, b"holds", b",".join(entries)]
+    return resp.encode(words)
 
 
 def encode_migration(
-    number: int, source: bytes, to: dict[bytes, int], count: int, within: float, left: float
+    number: int,
+    source: bytes,
+    destinations: Mapping[bytes, int],
+    count: int,
+    duration_s: float,
+    time_left_s: float,
 ) -> bytes:
+    """MOVE of a manager."""
     words = [MOVE, b"move", b"%d" % number, b"from", source]
-    if to:
-        words += [b"to", b",".join(b"%b:%d" % pair for pair in to.items())]
-    words += [b"count", b"%d" % count, b"within", _figure(within * 1000.0), b"left", _figure(left * 1000.0)]
+    if destinations:
+        words += [b"to", b",".join(b"%b:%d" % place for place in destinations.items())]
+    words += [b"count", b"%d" % count]
+    words += [b"within", _number(duration_s * MS_PER_S), b"left", _number(time_left_s * MS_PER_S)]
     return resp.encode(words)
 
 
 def encode_migration_stop(source: bytes) -> bytes:
+    """MOVE of a manager that ends a migration."""
     return resp.encode([MOVE, b"from", source, b"stop", b"1"])
 
 
 def encode_migration_result(node: int, number: int, done: int, failed: int) -> bytes:
-    figures = ((b"node", node), (b"move", number), (b"done", done), (b"failed", failed))
-    return resp.encode([MOVED, *(word for name, n in figures for word in (name, b"%d" % n))])
+    """MOVED of a forwarder."""
+    words = [MOVED, b"node", b"%d" % node, b"move", b"%d" % number]
+    words += [b"done", b"%d" % done, b"failed", b"%d" % failed]
+    return resp.encode(words)
+
+
+def _number(value: float) -> bytes:
+    """Refuses what the other side would have to refuse."""
+    if not math.isfinite(value) or value < 0:
+        raise ProtocolError(f"figure {value} can't stand in a message")
+    return b"%r" % float(value)
--- a/tests/test_forwarder_rules.py
+++ b/tests/test_forwarder_rules.py
@@ -335,7 +335,7 @@
 
     def test_each_message_is_read_as_it_was_written(self) -> None:
         manager, forwarder = upgrades.read_for_manager, upgrades.read_for_forwarder
-        rows = {"s-1": (3, 1, 2), "a:b": (1, 0, 0)}
+        rows = {"s-1": upgrades.ConnectionCounts(3, 1, 2), "a:b": upgrades.ConnectionCounts(1, 0, 0)}
         for read, data, said in (
             (manager, upgrades.encode_announcement(7), upgrades.ForwarderAnnounced(7, 1)),
             (manager, upgrades.encode_migration_result(7, 3, 2, 1), upgrades.MigrationDone(7, 3, 2, 1)),
