--- /dev/null
+++ b/tests/protocol/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the protocols that a manager speaks."""
--- /dev/null
+++ b/tests/state/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of what a manager keeps between inputs."""
--- a/tests/test_spread.py
+++ b/tests/state/test_order_dispatcher.py
@@ -1,4 +1,4 @@
-"""Plays the scenarios of tests/spread: orders in, what they cost and send at each proxy out.
+"""Plays the scenarios of tests/state/dispatch_scenarios: orders in, their cost and message at each proxy out.
 
 kinds NAME .. | managers N      come first; one manager if not said
 listed bN[^STARTED] ..          discovery lists these
@@ -228,8 +228,8 @@
                 expect(holder.out & set(sent), out & set(sent))
 
 
-class Spreads(unittest.TestCase):
-    def test_proxies_hold_what_the_module_takes_them_to(self) -> None:
+class OrderDispatcherTests(unittest.TestCase):
+    def test_proxies_hold_what_the_controller_takes_them_to(self) -> None:
         for seed in range(8):
             walk = Walk(seed, 1 + seed % 2)
             walk.step([walk.listing(ListUpdateKind.CACHED)])
@@ -240,7 +240,7 @@
                     with self.subTest(seed=seed, step=n):
                         walk.agree()
 
-    def test_a_table_beyond_one_part(self) -> None:
+    def test_a_table_larger_than_one_part_arrives_whole(self) -> None:
         """All its lines arrive, in parts that the protocol takes; the last says that none follows."""
         workers = WorkerRegistry()
         spread = OrderDispatcher(["fetch"], 1, workers)
@@ -254,8 +254,8 @@
         self.assertEqual([b"part" in part for part in parts], [True] * (len(parts) - 1) + [False])
         self.assertTrue(all(sum(map(len, part)) < MAX_MESSAGE_SIZE for part in parts))
 
-    def test_scenarios(self) -> None:
-        paths = sorted((Path(__file__).parent / "spread").glob("*.txt"))
+    def test_orders_cost_and_send_what_each_scenario_states(self) -> None:
+        paths = sorted((Path(__file__).parent / "dispatch_scenarios").glob("*.txt"))
         self.assertTrue(paths)
         for path in paths:
             player = Player()
