--- a/cottonladder/protocol/config_messages.py
+++ b/cottonladder/protocol/config_messages.py
@@ -19,34 +19,34 @@
     readmitted: list[bytes] = field(default_factory=list)
     checkpoint: int | None = None
 
-    def to_words(self, has_successor: bool) -> list[bytes]:
+    def to_arguments(self, has_successor: bool) -> list[bytes]:
         """The words of the part; `has_successor`: another part of the same message follows."""
-        words = [b"CONFIG"]
+        arguments = [b"CONFIG"]
         if self.classes:
-            words += [b"for", self.classes]
+            arguments += [b"for", self.classes]
         if self.replaces_table:
-            words += [b"replace", b"1"]
+            arguments += [b"replace", b"1"]
         if self.weights:
             rows = [b"%b:%b" % (worker_id, _number(weight)) for worker_id, weight in self.weights.items()]
-            words += [b"rows", b",".join(rows)]
+            arguments += [b"rows", b",".join(rows)]
         if self.admission is not None:
             admission, retry_policy = self.admission
-            words += [b"gate", _number(admission), b"again", b"%d" % retry_policy]
+            arguments += [b"gate", _number(admission), b"again", b"%d" % retry_policy]
         if self.excluded:
-            words += [b"drop", b",".join(self.excluded)]
+            arguments += [b"drop", b",".join(self.excluded)]
         if self.readmitted:
-            words += [b"undrop", b",".join(self.readmitted)]
+            arguments += [b"undrop", b",".join(self.readmitted)]
         if self.checkpoint is not None:
-            words += [b"stamp", b"%d" % self.checkpoint]
+            arguments += [b"stamp", b"%d" % self.checkpoint]
         if has_successor:
-            words += [b"part", b"1"]
-        return words
+            arguments += [b"part", b"1"]
+        return arguments
 
 
 def encode_parts(parts: list[ConfigPart]) -> bytes:
     """One message of these parts."""
     last = parts[-1]
-    return b"".join(resp.encode(part.to_words(has_successor=part is not last)) for part in parts)
+    return b"".join(resp.encode(part.to_arguments(has_successor=part is not last)) for part in parts)
 
 
 def _number(value: float) -> bytes:
--- a/cottonladder/protocol/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        at: HostPort,
+        address: HostPort,
         zones: ZoneIndex,
         register: RegisterWorker,
         input_received: Callable[[Input], None],
@@ -82,7 +82,7 @@
         entry_received: Callable[[dict[str, Any]], None] | None = None,
     ) -> None:
         self._entry_received = entry_received
-        self._origin = ListVersion(_url(at), version)
+        self._origin = ListVersion(_url(address), version)
         self._zones = zones
         self._register = register
         self._input_received = input_received
@@ -122,7 +122,7 @@
         if self._fetch_task is None or self._fetch_task.done():
             self._fetch_task = asyncio.create_task(self._run(self._fetch_list(self._origin)))
 
-    def change_address(self, at: HostPort) -> None:
+    def change_address(self, address: HostPort) -> None:
         """Discovery has another address now.
 
         It is asked at once, and for the whole list, as nobody says that it counts versions as the old one
@@ -130,7 +130,7 @@
         """
         if self._is_closed:
             return
-        self._origin = ListVersion(_url(at), self.version, fetch_first=True)
+        self._origin = ListVersion(_url(address), self.version, fetch_first=True)
         if self._fetch_task is not None:
             self._fetch_task.cancel()
         if self._watch is not None:
@@ -177,7 +177,7 @@
         version_before = origin.version
         async with self._session.get(origin.url, timeout=timeout) as reply:
             _check_status(reply)
-            text = await _read_whole(reply)
+            text = await _read_body(reply)
             self._process(text, origin, version_before)
 
     async def _follow(self, watch: EndpointWatch) -> None:
@@ -219,7 +219,7 @@
             body = json.loads(text)
             version: int = field(body, "version", int, "list")
             if version < lowest_version:
-                _check_started_over(origin, version, lowest_version, is_whole=watch is None)
+                _check_started_over(origin, version, lowest_version, is_full_list=watch is None)
             elif version < origin.version:  # overtaken: what has come meanwhile holds all that it says
                 if watch is not None and not watch.is_answered:
                     self._report_no_change()
@@ -251,8 +251,8 @@
         await self._session.close()
 
 
-def _url(at: HostPort) -> str:
-    return f"http://{at[0]}:{at[1]}/v1/servers"
+def _url(address: HostPort) -> str:
+    return f"http://{address[0]}:{address[1]}/v1/servers"
 
 
 def _check_status(reply: aiohttp.ClientResponse) -> None:
@@ -260,16 +260,16 @@
         raise EndpointListError("discovery", f"status {reply.status}")
 
 
-def _check_started_over(origin: ListVersion, version: int, lowest_version: int, is_whole: bool) -> None:
+def _check_started_over(origin: ListVersion, version: int, lowest_version: int, is_full_list: bool) -> None:
     """Passes a version that went back only if it did so before, and for a whole list."""
     went_back_before = origin.went_back
     origin.went_back = True
     origin.fetch_first = True
-    if not is_whole or not went_back_before:
+    if not is_full_list or not went_back_before:
         raise EndpointListError("list", f"version {version} after {lowest_version}")
 
 
-async def _read_whole(reply: aiohttp.ClientResponse) -> bytes:
+async def _read_body(reply: aiohttp.ClientResponse) -> bytes:
     """The body of an answer, up to `MAX_LIST_SIZE`."""
     body = bytearray()
     async for chunk in reply.content.iter_any():
--- a/cottonladder/protocol/message_fields.py
+++ b/cottonladder/protocol/message_fields.py
@@ -6,20 +6,20 @@
 
 from .errors import FieldError, MessageError, NumberError
 
-MAX_SHOWN_LENGTH = 32  # characters of another party's word in an error or log line
+MAX_SHOWN_LENGTH = 32  # characters of another party's argument in an error or log line
 MAX_COUNT_DIGITS = 18
 MS_PER_S = 1000.0
 
 
 class MessageFields:
-    """The fields of a message: words in turn name and value, each name once."""
+    """The fields of a message: its arguments are in turn name and value, each name once."""
 
-    def __init__(self, message_type: str, words: list[bytes]) -> None:
+    def __init__(self, message_type: str, arguments: list[bytes]) -> None:
         self.message_type = message_type
-        if len(words) % 2:
+        if len(arguments) % 2:
             raise MessageError(message_type, "a name without a value")
-        names = words[::2]
-        self.values = dict(zip(names, words[1::2], strict=True))
+        names = arguments[::2]
+        self.values = dict(zip(names, arguments[1::2], strict=True))
         if len(self.values) != len(names):
             repeated = next(name for name in names if names.count(name) > 1)
             raise FieldError(message_type, printable(repeated), "comes twice")
@@ -40,10 +40,10 @@
 
     def count(self, name: str) -> int:
         """A field as a whole number of 0 or more."""
-        word = self.raw(name)
-        if not word.isdigit() or len(word) > MAX_COUNT_DIGITS:
+        value = self.raw(name)
+        if not value.isdigit() or len(value) > MAX_COUNT_DIGITS:
             raise FieldError(self.message_type, name, "is not a whole number of 0 or more")
-        return int(word)
+        return int(value)
 
     def number(self, name: str) -> float:
         """A field as a finite number of 0 or more."""
@@ -51,10 +51,10 @@
 
     def flag(self, name: str) -> bool:
         """A field that is 1 or 0."""
-        word = self.raw(name)
-        if word not in (b"0", b"1"):
+        value = self.raw(name)
+        if value not in (b"0", b"1"):
             raise FieldError(self.message_type, name, "is not 1 or 0")
-        return word == b"1"
+        return value == b"1"
 
     def interval_s(self, total: int) -> float:
         """Seconds that a total was counted over; they can't be 0 where something was counted."""
@@ -76,17 +76,17 @@
         return f"{self.message_type}: field {name}"
 
 
-def printable(word: bytes) -> str:
-    """The start of another party's word, fit for a log line."""
-    return word[:MAX_SHOWN_LENGTH].decode("ascii", errors="replace")
+def printable(argument: bytes) -> str:
+    """The start of what another party sent, fit for a log line."""
+    return argument[:MAX_SHOWN_LENGTH].decode("ascii", errors="replace")
 
 
-def parse_number(word: bytes, where: str) -> float:
+def parse_number(raw: bytes, where: str) -> float:
     """A finite number of 0 or more; `where` names its place in an error."""
     try:
-        value = float(word)
+        value = float(raw)
     except ValueError:
         raise NumberError(where, "a figure") from None
-    if not math.isfinite(value) or value < 0 or b"_" in word:
+    if not math.isfinite(value) or value < 0 or b"_" in raw:
         raise NumberError(where, "a finite figure of 0 or more")
     return value
--- a/cottonladder/protocol/messages.py
+++ b/cottonladder/protocol/messages.py
@@ -60,17 +60,17 @@
         self.find_worker = find_worker
         self.extension_readers: dict[bytes, Callable[[list[bytes]], object]] = {}  # by message type
 
-    def read(self, words: list[bytes]) -> IncomingMessage:
+    def read(self, arguments: list[bytes]) -> IncomingMessage:
         """The message of these words; raises `InputError` where it can't be accepted."""
-        if not words:
+        if not arguments:
             raise MessageError("message", "an array without words")
-        reader = MESSAGE_READERS.get(words[0])
+        reader = MESSAGE_READERS.get(arguments[0])
         if reader is not None:
-            return reader(self, MessageFields(printable(words[0]), words[1:]))
-        extension_reader = self.extension_readers.get(words[0])
+            return reader(self, MessageFields(printable(arguments[0]), arguments[1:]))
+        extension_reader = self.extension_readers.get(arguments[0])
         if extension_reader is not None:
-            return ExtensionMessage(extension_reader(words))
-        raise MessageError(printable(words[0]), "unknown kind of message")
+            return ExtensionMessage(extension_reader(arguments))
+        raise MessageError(printable(arguments[0]), "unknown kind of message")
 
     def _zone(self, fields: MessageFields) -> int:
         return self.site.zone_index(fields.text("locality"), f"{fields.message_type}: field locality")
--- a/cottonladder/protocol/resp.py
+++ b/cottonladder/protocol/resp.py
@@ -7,7 +7,7 @@
 from .errors import FramingError
 
 MAX_MESSAGE_SIZE = 1 << 20  # bytes: the protocol's own limit for one message
-MAX_WORDS = 64  # the longest message that the protocol has for the manager has 15; room for later fields
+MAX_ARGUMENTS = 64  # the longest message that the protocol has for the manager has 15; room for later fields
 MAX_HEADER_LENGTH = 9  # sign and digits of a count or a length that can pass the limits above
 LINE_END = b"\r\n"
 
@@ -22,8 +22,8 @@
     def __init__(self, max_message_size: int) -> None:
         self.max_message_size = max_message_size  # bytes
         self._buffer = bytearray()
-        self._words: list[bytes] = []  # of the unfinished message
-        self._missing_words = 0
+        self._arguments: list[bytes] = []  # of the unfinished message
+        self._missing_arguments = 0
         self._size = 0  # bytes of the unfinished message's words
 
     def feed(self, data: bytes) -> Iterator[list[bytes]]:
@@ -38,11 +38,11 @@
                     return
                 header = buffer[position:header_end]
                 content_start = header_end + len(LINE_END)
-                if not self._missing_words:
+                if not self._missing_arguments:
                     self._begin_message(header)
                     position = content_start
-                    if not self._missing_words:
-                        yield self._words  # an empty array: framed as it should be, but it says nothing
+                    if not self._missing_arguments:
+                        yield self._arguments  # an empty array: framed as it should be, but it says nothing
                     continue
                 length = _read_header(header, b"$", self.max_message_size - self._size)
                 content_end = content_start + length
@@ -50,12 +50,12 @@
                     return
                 if buffer[content_end : content_end + len(LINE_END)] != LINE_END:
                     raise FramingError("a word longer than its stated length")
-                self._words.append(bytes(buffer[content_start:content_end]))
+                self._arguments.append(bytes(buffer[content_start:content_end]))
                 self._size += length
-                self._missing_words -= 1
+                self._missing_arguments -= 1
                 position = content_end + len(LINE_END)
-                if not self._missing_words:
-                    yield self._words
+                if not self._missing_arguments:
+                    yield self._arguments
         finally:
             del buffer[:position]
 
@@ -68,8 +68,8 @@
         return header_end
 
     def _begin_message(self, header: bytearray) -> None:
-        self._missing_words = _read_header(header, b"*", MAX_WORDS)
-        self._words = []
+        self._missing_arguments = _read_header(header, b"*", MAX_ARGUMENTS)
+        self._arguments = []
         self._size = 0
 
 
@@ -83,7 +83,7 @@
     return int(digits)
 
 
-def encode(words: Iterable[bytes]) -> bytes:
+def encode(arguments: Iterable[bytes]) -> bytes:
     """One message of these words."""
-    bulk_strings = [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
+    bulk_strings = [b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments]
     return b"*%d\r\n" % len(bulk_strings) + b"".join(bulk_strings)
--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -93,26 +93,26 @@
         """
         self.last_received_at = time.monotonic()
         try:
-            for words in self._reader.feed(data):
+            for arguments in self._reader.feed(data):
                 if self._is_closed():
                     return
-                self._process(words)
+                self._process(arguments)
         except InputError as exc:
             self.abort(str(exc))
 
-    def _process(self, words: list[bytes]) -> None:
+    def _process(self, arguments: list[bytes]) -> None:
         try:
-            self._dispatch(words)
+            self._dispatch(arguments)
         except InputError as exc:
             if self.state is ConnectionState.UNIDENTIFIED:
                 raise
             self.listener.rejected_messages.report(str(exc), **self.log_fields())
 
-    def _dispatch(self, words: list[bytes]) -> None:
-        message = self.listener.reader.read(words)
+    def _dispatch(self, arguments: list[bytes]) -> None:
+        message = self.listener.reader.read(arguments)
         handler = MESSAGE_HANDLERS.get((self.state, type(message)))
         if handler is None:
-            raise MessageError(printable(words[0]), f"not on a connection that is {self.state.value}")
+            raise MessageError(printable(arguments[0]), f"not on a connection that is {self.state.value}")
         handler(self, message)
 
     def log_fields(self) -> dict[str, object]:
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -110,21 +110,21 @@
     if len(entries) > max_workers:
         raise FieldError(fields.message_type, name, f"has over {max_workers} entries")
     for entry in entries:
-        worker_id, *words = entry.rsplit(b":", counts_per_worker)
-        if not worker_id or len(words) != counts_per_worker or not all(map(_is_count, words)):
+        worker_id, *figures = entry.rsplit(b":", counts_per_worker)
+        if not worker_id or len(figures) != counts_per_worker or not all(map(_is_count, figures)):
             form = "id" + ":count" * counts_per_worker
             raise FieldError(fields.message_type, name, f"is not {form}")
         if worker_id in counts_by_worker:
             raise FieldError(fields.message_type, name, "names a worker twice")
-        counts = tuple(int(word) for word in words)
+        counts = tuple(int(figure) for figure in figures)
         if max(counts) > MAX_CONNECTIONS:
             raise FieldError(fields.message_type, name, f"has a count over {MAX_CONNECTIONS}")
         counts_by_worker[worker_id] = counts
     return counts_by_worker
 
 
-def _is_count(word: bytes) -> bool:
-    return word.isdigit() and len(word) <= MAX_COUNT_DIGITS
+def _is_count(figure: bytes) -> bool:
+    return figure.isdigit() and len(figure) <= MAX_COUNT_DIGITS
 
 
 def _read_announcement(fields: MessageFields) -> ForwarderAnnounced:
@@ -133,8 +133,8 @@
 
 def _read_held_connections(fields: MessageFields) -> HeldConnections:
     counts_by_worker: dict[bytes, ConnectionCounts] = {}
-    for worker_id, words in _read_counts(fields, "holds", 3, MAX_HELD_WORKERS).items():
-        counts = ConnectionCounts(*words)
+    for worker_id, figures in _read_counts(fields, "holds", 3, MAX_HELD_WORKERS).items():
+        counts = ConnectionCounts(*figures)
         if max(counts.busy, counts.resumable) > counts.open:
             raise FieldError(fields.message_type, "holds", "has more busy or resumable than open")
         counts_by_worker[worker_id] = counts
@@ -188,16 +188,16 @@
 }
 
 
-def read_for_manager(words: list[bytes]) -> FromForwarder:
+def read_for_manager(arguments: list[bytes]) -> FromForwarder:
     """A message of the extension, its type one of `TO_MANAGER`."""
-    return TO_MANAGER[words[0]](MessageFields(words[0].decode(), words[1:]))
+    return TO_MANAGER[arguments[0]](MessageFields(arguments[0].decode(), arguments[1:]))
 
 
-def read_for_forwarder(words: list[bytes]) -> FromManager:
+def read_for_forwarder(arguments: list[bytes]) -> FromManager:
     """A message of the extension, its type one of `TO_FORWARDER`."""
-    message_type = words[0].decode()
+    message_type = arguments[0].decode()
     try:
-        return TO_FORWARDER[words[0]](MessageFields(message_type, words[1:]))
+        return TO_FORWARDER[arguments[0]](MessageFields(message_type, arguments[1:]))
     except UnicodeDecodeError:
         raise MessageError(message_type, "a worker's id is not text") from None
 
@@ -209,9 +209,9 @@
 
 def encode_acceptance(arrival_share: float, worker_arrival_rate: float) -> bytes:
     """UPGRADES of a manager."""
-    words = [UPGRADES, b"version", b"%d" % VERSION]
-    words += [b"part", _number(arrival_share), b"arrivals", _number(worker_arrival_rate)]
-    return resp.encode(words)
+    arguments = [UPGRADES, b"version", b"%d" % VERSION]
+    arguments += [b"part", _number(arrival_share), b"arrivals", _number(worker_arrival_rate)]
+    return resp.encode(arguments)
 
 
 def encode_held_connections(
@@ -221,8 +221,8 @@
     entries = [
         b"%b:%d:%d:%d" % (worker_id.encode(), *counts) for worker_id, counts in counts_by_worker.items()
     ]
-    words = [HELD, b"node", b"%d" % node, b"whole", b"%d" % is_complete, b"holds", b",".join(entries)]
-    return resp.encode(words)
+    arguments = [HELD, b"node", b"%d" % node, b"whole", b"%d" % is_complete, b"holds", b",".join(entries)]
+    return resp.encode(arguments)
 
 
 def encode_migration(
@@ -234,12 +234,12 @@
     time_left_s: float,
 ) -> bytes:
     """MOVE of a manager."""
-    words = [MOVE, b"move", b"%d" % number, b"from", source]
+    arguments = [MOVE, b"move", b"%d" % number, b"from", source]
     if destinations:
-        words += [b"to", b",".join(b"%b:%d" % place for place in destinations.items())]
-    words += [b"count", b"%d" % count]
-    words += [b"within", _number(duration_s * MS_PER_S), b"left", _number(time_left_s * MS_PER_S)]
-    return resp.encode(words)
+        arguments += [b"to", b",".join(b"%b:%d" % place for place in destinations.items())]
+    arguments += [b"count", b"%d" % count]
+    arguments += [b"within", _number(duration_s * MS_PER_S), b"left", _number(time_left_s * MS_PER_S)]
+    return resp.encode(arguments)
 
 
 def encode_migration_stop(source: bytes) -> bytes:
@@ -249,9 +249,9 @@
 
 def encode_migration_result(node: int, number: int, done: int, failed: int) -> bytes:
     """MOVED of a forwarder."""
-    words = [MOVED, b"node", b"%d" % node, b"move", b"%d" % number]
-    words += [b"done", b"%d" % done, b"failed", b"%d" % failed]
-    return resp.encode(words)
+    arguments = [MOVED, b"node", b"%d" % node, b"move", b"%d" % number]
+    arguments += [b"done", b"%d" % done, b"failed", b"%d" % failed]
+    return resp.encode(arguments)
 
 
 def _number(value: float) -> bytes:
