--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -28,7 +28,7 @@
 from ..protocol.gossip import GossipSocket
 from ..protocol.health_checks import HealthChecker
 from ..protocol.messages import ExtensionMessage
-from ..state.order_dispatcher import OrderDispatcher
+from ..state.order_dispatcher import OrderDispatcher, OrderRejectedError
 from ..state.proxy_sessions import ProxySessions
 
 MIN_LOOP_LAG = 0.01  # s: what is shorter nobody feels, as the policy looks each quarter of a second
@@ -191,9 +191,10 @@
             handler(order)
 
     def _dispatch(self, order: Order) -> None:
-        fault = self._dispatcher.apply(order)
-        if fault:
-            self.log.error("order left out", order=type(order).__name__, why=fault)
+        try:
+            self._dispatcher.apply(order)
+        except OrderRejectedError as exc:
+            self.log.error("order left out", order=type(order).__name__, why=exc.reason)
 
     def _send_messages(self, now: float) -> None:
         for proxy, data in self._dispatcher.take_messages():
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -39,6 +39,15 @@
 from .worker_registry import WorkerRegistry
 
 
+class OrderRejectedError(ValueError):
+    """An order that must never be sent; nothing was applied."""
+
+    def __init__(self, order: Order, reason: str) -> None:
+        super().__init__(reason)
+        self.order = order
+        self.reason = reason
+
+
 @dataclass(slots=True)
 class TableContent:
     """What proxies bound to a table are to hold."""
@@ -92,22 +101,19 @@
         for proxies in self._proxies_by_table.values():
             proxies.pop(proxy, None)
 
-    def apply(self, order: Order) -> str:
-        """Applies one order; gives the reason where it is one that must never be sent."""
-        reason = self._reason_to_reject(order)
-        if not reason:
-            ORDER_HANDLERS[type(order)](self, order)
-        return reason
+    def apply(self, order: Order) -> None:
+        """Applies one order; raises `OrderRejectedError` where it is one that must never be sent."""
+        self._check(order)
+        ORDER_HANDLERS[type(order)](self, order)
 
-    def _reason_to_reject(self, order: Order) -> str:
+    def _check(self, order: Order) -> None:
         if isinstance(order, SetWeight) and not _is_valid_figure(order.weight):
-            return f"weight {order.weight}"
+            raise OrderRejectedError(order, f"weight {order.weight}")
         if isinstance(order, SetAdmission) and not _is_valid_figure(order.admission):
-            return f"level {order.admission}"
+            raise OrderRejectedError(order, f"level {order.admission}")
         if isinstance(order, (SetWeight, ExcludeWorker, RemoveWorker)):
             if not self._workers.is_known(order.worker_index):
-                return f"worker {order.worker_index} was never listed"
-        return ""
+                raise OrderRejectedError(order, f"worker {order.worker_index} was never listed")
 
     def take_messages(self) -> Iterator[tuple[int, bytes]]:
         """Each proxy with pending operations and its encoded message; nothing is pending afterwards."""
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -228,8 +228,7 @@
                 continue
             if isinstance(order, UNDISPATCHED_ORDERS):
                 continue
-            if reason := self.dispatcher.apply(order):
-                raise AssertionError(reason)
+            self.dispatcher.apply(order)
             if isinstance(order, Checkpoint):
                 checkpoint = order.number
         return checkpoint
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -50,7 +50,7 @@
 )
 from cottonladder.policy.controller import RoutingController
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
-from cottonladder.state.order_dispatcher import OrderDispatcher
+from cottonladder.state.order_dispatcher import OrderDispatcher, OrderRejectedError
 from cottonladder.state.worker_registry import WorkerRegistry
 from tests.test_scenarios import USUAL
 
@@ -94,10 +94,17 @@
             parts = [b" ".join(m[1:]).decode() for m in messages]
             expect(" | ".join(parts) or "nothing", " ".join(args[1:]))
         elif verb == "refused":
-            if not self.spread.apply(self.order(args[0], args[1:])):
-                raise AssertionError("was taken")
+            self.expect_rejected(self.order(args[0], args[1:]))
         else:
-            expect(self.spread.apply(self.order(verb, args)), "")
+            self.spread.apply(self.order(verb, args))
+
+    def expect_rejected(self, order: Order) -> None:
+        assert self.spread is not None
+        try:
+            self.spread.apply(order)
+        except OrderRejectedError:
+            return
+        raise AssertionError("was applied")
 
     def order(self, verb: str, args: list[str]) -> Order:
         if verb == "line":
@@ -211,7 +218,7 @@
             if isinstance(order, StartTimer):
                 self.token = order.token
             elif not isinstance(order, (WatchEndpoints, HealthCheck, SendGossip, LogModeChange)):
-                expect(self.spread.apply(order), "")
+                self.spread.apply(order)
         for p, data in self.spread.take_messages():
             self.holders[p].waiting.append(data)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -103,7 +103,7 @@
             elif isinstance(order, (LogModeChange, SendGossip)):
                 self.said.append(f"{now:.2f} {order}")
             elif not isinstance(order, (WatchEndpoints, HealthCheck)):
-                assert self.spread.apply(order) == "", order
+                self.spread.apply(order)
         if any(isinstance(order, Checkpoint) for order in orders):
             self.ladder.gate.settle(self.spread.pending_line_counts())
         for proxy, data in self.spread.take_messages():
