--- /dev/null
+++ b/cottonladder/protocol/protocol_connection.py
@@ -0,0 +1,182 @@
+"""One accepted connection: which messages it may carry, by its state, and what each of them does."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+from enum import Enum
+from typing import TYPE_CHECKING, cast
+
+from ..config.errors import InputError
+from ..model.inputs import Acknowledged, ArrivalReport, Input, LoadReport, ProxyConnected
+from .errors import MessageError, ProtocolError
+from .message_fields import printable
+from .messages import (
+    PONG,
+    CollectorConnected,
+    ExtensionMessage,
+    IncomingMessage,
+    Ping,
+    UnlistedWorkerReport,
+)
+from .resp import MAX_MESSAGE_SIZE, RespReader
+
+if TYPE_CHECKING:
+    from .stream_listener import StreamListener
+
+MAX_FIRST_MESSAGE_SIZE = 4096  # bytes of a message of an unidentified connection: the first ones are short
+ENDED_BY_PEER = "ended by the other side"
+
+
+class ConnectionState(Enum):
+    """Whose connection it is; the values stand in log lines and error texts."""
+
+    UNIDENTIFIED = "new"
+    COLLECTOR = "collector"
+    PROXY = "stream"
+    SUPERSEDED = "old"  # another connection of its proxy took its place
+
+
+class ProtocolConnection(asyncio.Protocol):
+    """One accepted connection."""
+
+    def __init__(self, listener: StreamListener) -> None:
+        self.listener = listener
+        self.state = ConnectionState.UNIDENTIFIED
+        self.proxy = -1
+        self.zone = -1
+        self.peer = ""
+        self.close_reason = ""
+        self.last_received_at = 0.0
+        self.accept_number = 0  # in the order of accepts
+        self._reader = RespReader(MAX_FIRST_MESSAGE_SIZE)
+        self._transport: asyncio.Transport | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by asyncio once the connection is accepted."""
+        self._transport = cast(asyncio.Transport, transport)
+        host, port = transport.get_extra_info("peername", ("?", "?"))[:2]
+        self.peer = f"{host}:{port}"
+        self.listener.connection_opened(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Called by asyncio for bytes that arrived.
+
+        Bytes that can't be framed end a connection, as does any fault before it has identified itself.  Once
+        it has, a whole message that makes no sense is rejected and the connection lives, since a proxy whose
+        connection is ended here keeps its time limits.  The drawback is that a party that spoils all it says
+        stays connected, and only the summed log lines tell of it.
+        """
+        self.last_received_at = time.monotonic()
+        try:
+            for arguments in self._reader.feed(data):
+                if self._is_closed():
+                    return
+                self._process(arguments)
+        except InputError as exc:
+            self.abort(str(exc))
+
+    def _process(self, arguments: list[bytes]) -> None:
+        try:
+            self._dispatch(arguments)
+        except InputError as exc:
+            if self.state is ConnectionState.UNIDENTIFIED:
+                raise
+            self.listener.rejected_messages.report(str(exc), **self.log_fields())
+
+    def _dispatch(self, arguments: list[bytes]) -> None:
+        message = self.listener.reader.read(arguments)
+        handler = MESSAGE_HANDLERS.get((self.state, type(message)))
+        if handler is None:
+            raise MessageError(printable(arguments[0]), f"not on a connection that is {self.state.value}")
+        handler(self, message)
+
+    def log_fields(self) -> dict[str, object]:
+        """What log lines say of this connection."""
+        return {"peer": self.peer, "state": self.state.value, "proxy": self.proxy}
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Called by asyncio once the connection is closed, by either side."""
+        self.listener.connection_closed(self, self.close_reason or str(exc or ENDED_BY_PEER))
+
+    def send(self, data: bytes) -> None:
+        """Writes a message; ends a connection whose peer does not read."""
+        transport = self._transport
+        if transport is None or transport.is_closing():
+            return
+        unread_bytes = transport.get_write_buffer_size()
+        limit = self.listener.limits.max_unread_bytes
+        if unread_bytes and unread_bytes + len(data) > limit:  # a single message may be larger
+            self.abort(f"left {unread_bytes} bytes unread")
+        else:
+            transport.write(data)
+
+    def abort(self, reason: str) -> None:
+        """Ends the connection at once; the last resort, as time limits run on for a proxy whose connection
+        is ended here."""
+        transport = self._transport
+        if transport is not None and not transport.is_closing():
+            self.close_reason = reason
+            transport.abort()
+
+    def _is_closed(self) -> bool:
+        return self._transport is None or self._transport.is_closing()
+
+    def _answer_ping(self, message: IncomingMessage) -> None:
+        self.send(PONG)
+
+    def _identify_collector(self, message: IncomingMessage) -> None:
+        self.state = ConnectionState.COLLECTOR
+        self.zone = cast(CollectorConnected, message).zone
+        self._reader.max_message_size = MAX_MESSAGE_SIZE
+        self.listener.connection_identified(self, "collector")
+
+    def _identify_proxy(self, message: IncomingMessage) -> None:
+        event = cast(ProxyConnected, message)
+        self.state = ConnectionState.PROXY
+        self.proxy = event.proxy
+        self._reader.max_message_size = MAX_MESSAGE_SIZE
+        self.listener.connection_identified(self, f"proxy {event.proxy}")
+        self.listener.events.proxy_connected(self, event)
+
+    def _pass_on(self, message: IncomingMessage) -> None:
+        self.listener.events.input_received(cast(Input, message))
+
+    def _pass_on_own(self, message: IncomingMessage) -> None:
+        """A message of a proxy about itself."""
+        if cast(Acknowledged | ArrivalReport, message).proxy != self.proxy:
+            raise ProtocolError("ACK or RATE: field node is another's than the stream's")
+        self._pass_on(message)
+
+    def _pass_on_extension(self, message: IncomingMessage) -> None:
+        body = cast(ExtensionMessage, message).body
+        self.listener.events.input_received(ExtensionMessage(body, self.proxy))
+
+    def _ignore(self, message: IncomingMessage) -> None:
+        """A message that was under way when the connection was superseded, or one that counts for nothing."""
+
+
+MessageHandler = Callable[[ProtocolConnection, IncomingMessage], None]
+# What a message does on a connection in a state; one that is missing here is not allowed there.
+MESSAGE_HANDLERS: dict[tuple[ConnectionState, type], MessageHandler] = {
+    (ConnectionState.UNIDENTIFIED, Ping): ProtocolConnection._answer_ping,
+    (ConnectionState.UNIDENTIFIED, CollectorConnected): ProtocolConnection._identify_collector,
+    (ConnectionState.UNIDENTIFIED, ProxyConnected): ProtocolConnection._identify_proxy,
+    (ConnectionState.COLLECTOR, Ping): ProtocolConnection._answer_ping,
+    (ConnectionState.COLLECTOR, LoadReport): ProtocolConnection._pass_on,
+    (ConnectionState.COLLECTOR, ArrivalReport): ProtocolConnection._pass_on,
+    (ConnectionState.COLLECTOR, UnlistedWorkerReport): ProtocolConnection._ignore,
+    (ConnectionState.PROXY, Ping): ProtocolConnection._answer_ping,
+    (ConnectionState.PROXY, LoadReport): ProtocolConnection._pass_on,
+    (ConnectionState.PROXY, ArrivalReport): ProtocolConnection._pass_on_own,
+    (ConnectionState.PROXY, Acknowledged): ProtocolConnection._pass_on_own,
+    (ConnectionState.PROXY, UnlistedWorkerReport): ProtocolConnection._ignore,
+    (ConnectionState.PROXY, ExtensionMessage): ProtocolConnection._pass_on_extension,
+    (ConnectionState.SUPERSEDED, Ping): ProtocolConnection._answer_ping,
+    (ConnectionState.SUPERSEDED, LoadReport): ProtocolConnection._ignore,
+    (ConnectionState.SUPERSEDED, ArrivalReport): ProtocolConnection._ignore,
+    (ConnectionState.SUPERSEDED, Acknowledged): ProtocolConnection._ignore,
+    (ConnectionState.SUPERSEDED, UnlistedWorkerReport): ProtocolConnection._ignore,
+    (ConnectionState.SUPERSEDED, ExtensionMessage): ProtocolConnection._ignore,
+}
--- a/cottonladder/state/proxy_sessions.py
+++ b/cottonladder/state/proxy_sessions.py
@@ -6,7 +6,7 @@
 
 from ..model.inputs import Input, ProxyConnected, ProxyDisconnected
 from ..protocol.messages import ExtensionMessage
-from ..protocol.stream_listener import ProtocolConnection
+from ..protocol.protocol_connection import ProtocolConnection
 
 
 class ProxySessions:
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -52,58 +52,58 @@
     """A follower against a scripted discovery."""
 
     async def asyncSetUp(self) -> None:
-        self.heard: asyncio.Queue[EndpointList] = asyncio.Queue()
+        self.updates: asyncio.Queue[EndpointList] = asyncio.Queue()
         self.workers = WorkerRegistry()
-        self.there, self.at = await self.discovery()
-        self.follower = discovery.DiscoveryClient(
+        self.service, self.at = await self.discovery()
+        self.client = discovery.DiscoveryClient(
             self.at,
             SITE,
             self.workers.register,
-            lambda item: self.heard.put_nowait(cast(EndpointList, item)),
+            lambda item: self.updates.put_nowait(cast(EndpointList, item)),
             41,
         )
-        self.addAsyncCleanup(self.follower.close)
+        self.addAsyncCleanup(self.client.close)
 
     async def discovery(self) -> tuple[Discovery, tuple[str, int]]:
-        there = Discovery()
-        at, runner = await host(there.handle)
+        service = Discovery()
+        at, runner = await host(service.handle)
         self.addAsyncCleanup(runner.cleanup)
-        return there, ("127.0.0.1", int(at.split(":")[1]))
+        return service, ("127.0.0.1", int(at.split(":")[1]))
 
-    async def news(self, *wanted: tuple[ListUpdateKind, EndpointState | None]) -> None:
+    async def expect_updates(self, *wanted: tuple[ListUpdateKind, EndpointState | None]) -> None:
         """The next listings, each with the state of its first worker."""
-        for news, mode in wanted:
-            came = await soon(self.heard.get())
-            self.assertEqual((came.kind, came.endpoints[0].state if came.endpoints else None), (news, mode))
+        for kind, state in wanted:
+            came = await soon(self.updates.get())
+            self.assertEqual((came.kind, came.endpoints[0].state if came.endpoints else None), (kind, state))
 
-    async def following(self) -> None:
-        self.follower.set_watching(True)
-        await self.news((ListUpdateKind.DELTA, None))
+    async def start_watching(self) -> None:
+        self.client.set_watching(True)
+        await self.expect_updates((ListUpdateKind.DELTA, None))
 
     async def test_a_fetch_answer_older_than_the_watch_is_ignored(self) -> None:
         """It was written before the drain and comes after it: no fault of discovery's, and nobody returns."""
         late = asyncio.Event()
-        await self.following()
-        self.there.script = [held(late, listing(42, READY, full=True))]
-        self.follower.fetch()
-        await soon(self.there.calls.get())
-        await soon(self.there.calls.get())
-        await self.there.tell(listing(44, DRAINING))
-        await self.news((ListUpdateKind.DELTA, EndpointState.DRAINING))
+        await self.start_watching()
+        self.service.script = [held(late, listing(42, READY, full=True))]
+        self.client.fetch()
+        await soon(self.service.calls.get())
+        await soon(self.service.calls.get())
+        await self.service.tell(listing(44, DRAINING))
+        await self.expect_updates((ListUpdateKind.DELTA, EndpointState.DRAINING))
         late.set()
-        await soon(cast(asyncio.Task[None], self.follower._fetch_task))
-        self.assertEqual(self.follower.version, 44)
-        await self.there.tell(listing(45, entry("s-2")))
-        await self.news((ListUpdateKind.DELTA, EndpointState.READY))
+        await soon(cast(asyncio.Task[None], self.client._fetch_task))
+        self.assertEqual(self.client.version, 44)
+        await self.service.tell(listing(45, entry("s-2")))
+        await self.expect_updates((ListUpdateKind.DELTA, EndpointState.READY))
 
     async def test_a_watch_line_older_than_a_fetch_answer_is_ignored(self) -> None:
-        await self.following()
-        self.there.script = [answer(listing(45, DRAINING, full=True))]
-        self.follower.fetch()
-        await self.news((ListUpdateKind.FULL, EndpointState.DRAINING))
-        await self.there.tell(listing(44, READY), listing(46, entry("s-2", "Gone")))
-        await self.news((ListUpdateKind.DELTA, EndpointState.GONE))
-        self.assertEqual(self.follower.version, 46)
+        await self.start_watching()
+        self.service.script = [answer(listing(45, DRAINING, full=True))]
+        self.client.fetch()
+        await self.expect_updates((ListUpdateKind.FULL, EndpointState.DRAINING))
+        await self.service.tell(listing(44, READY), listing(46, entry("s-2", "Gone")))
+        await self.expect_updates((ListUpdateKind.DELTA, EndpointState.GONE))
+        self.assertEqual(self.client.version, 46)
 
     async def test_an_overtaken_first_line_still_answers_the_watch(self) -> None:
         late = asyncio.Event()
@@ -116,45 +116,45 @@
             await asyncio.Event().wait()
             return reply
 
-        self.there.script = [watch, answer(listing(45, DRAINING, full=True))]
-        self.follower.set_watching(True)
-        await soon(self.there.calls.get())
-        self.follower.fetch()
-        await self.news((ListUpdateKind.FULL, EndpointState.DRAINING))
+        self.service.script = [watch, answer(listing(45, DRAINING, full=True))]
+        self.client.set_watching(True)
+        await soon(self.service.calls.get())
+        self.client.fetch()
+        await self.expect_updates((ListUpdateKind.FULL, EndpointState.DRAINING))
         late.set()
-        await self.news((ListUpdateKind.DELTA, None))  # else the module would ask again
-        self.assertEqual(self.follower.version, 45)
+        await self.expect_updates((ListUpdateKind.DELTA, None))  # else the module would ask again
+        self.assertEqual(self.client.version, 45)
 
     async def test_one_lower_version_is_not_accepted_as_a_new_list(self) -> None:
         """An answer of a version back is doubted, the whole list asked for; one of 41 or more is believed."""
         old, anew = answer(listing(40, READY, full=True)), answer(listing(47, DRAINING, full=True))
-        self.there.script = [old, anew]
-        self.follower.fetch()
-        await self.news((ListUpdateKind.FAILED, None))
-        self.assertEqual(self.follower.version, 41)  # an older one than that is not believed either
-        self.follower.fetch()
-        await self.news((ListUpdateKind.FULL, EndpointState.DRAINING))
+        self.service.script = [old, anew]
+        self.client.fetch()
+        await self.expect_updates((ListUpdateKind.FAILED, None))
+        self.assertEqual(self.client.version, 41)  # an older one than that is not believed either
+        self.client.fetch()
+        await self.expect_updates((ListUpdateKind.FULL, EndpointState.DRAINING))
 
     async def test_a_lower_version_is_accepted_the_second_time(self) -> None:
-        for news in (ListUpdateKind.FAILED, ListUpdateKind.FULL):
-            self.there.script = [answer(listing(1, entry("s-7"), full=True))]
-            self.follower.fetch()
-            await self.news((news, EndpointState.READY if news == ListUpdateKind.FULL else None))
-        self.assertEqual(self.follower.version, 1)
+        for kind in (ListUpdateKind.FAILED, ListUpdateKind.FULL):
+            self.service.script = [answer(listing(1, entry("s-7"), full=True))]
+            self.client.fetch()
+            await self.expect_updates((kind, EndpointState.READY if kind == ListUpdateKind.FULL else None))
+        self.assertEqual(self.client.version, 1)
 
     async def test_a_new_address_counts_versions_by_itself(self) -> None:
         """The former one's lines come between the two answers that it takes to believe a lower version."""
-        await self.following()
-        there, at = await self.discovery()
-        there.script = [answer(listing(12, entry("s-7"), full=True)) for _ in range(2)]
-        self.follower.change_address(at)
-        await self.news((ListUpdateKind.FAILED, None))
-        await self.there.tell(listing(52, DRAINING))
-        await self.news((ListUpdateKind.SUPERSEDED, EndpointState.DRAINING))
-        self.follower.set_watching(True)
-        await self.news((ListUpdateKind.FULL, EndpointState.READY))
-        self.assertEqual(self.follower.version, 12)
-        self.assertIsNone(self.follower._former_watch)
+        await self.start_watching()
+        service, at = await self.discovery()
+        service.script = [answer(listing(12, entry("s-7"), full=True)) for _ in range(2)]
+        self.client.change_address(at)
+        await self.expect_updates((ListUpdateKind.FAILED, None))
+        await self.service.tell(listing(52, DRAINING))
+        await self.expect_updates((ListUpdateKind.SUPERSEDED, EndpointState.DRAINING))
+        self.client.set_watching(True)
+        await self.expect_updates((ListUpdateKind.FULL, EndpointState.READY))
+        self.assertEqual(self.client.version, 12)
+        self.assertIsNone(self.client._former_watch)
 
     async def test_a_line_that_never_ends_fails_the_call(self) -> None:
         """Bytes come in time, the line's end never does: the call is over all the same."""
@@ -166,10 +166,10 @@
                 await reply.write(b"{")
                 await asyncio.sleep(0.01)
 
-        self.there.script = [trickling]
+        self.service.script = [trickling]
         with mock.patch.object(discovery, "FETCH_TIMEOUT", 0.1):
-            self.follower.set_watching(True)
-            await self.news((ListUpdateKind.FAILED, None))
+            self.client.set_watching(True)
+            await self.expect_updates((ListUpdateKind.FAILED, None))
 
     async def test_lines_split_across_chunks_are_not_late(self) -> None:
         """Each piece ends one line and begins the next: none of them is late, however long that goes on."""
@@ -186,16 +186,16 @@
             await asyncio.Event().wait()
             return reply
 
-        self.there.script = [in_pieces]
+        self.service.script = [in_pieces]
         with mock.patch.object(discovery, "FETCH_TIMEOUT", 0.1):
-            self.follower.set_watching(True)
-            await self.news(*[(ListUpdateKind.DELTA, EndpointState.READY)] * 30)
+            self.client.set_watching(True)
+            await self.expect_updates(*[(ListUpdateKind.DELTA, EndpointState.READY)] * 30)
 
     async def test_unusable_answers_fail_the_call_and_keep_the_list(self) -> None:
         """Each is a failed call; the list that was believed stands."""
         head = b"HTTP/1.1 200 OK\r\n"
         whole = json.dumps(listing(43, DRAINING)).encode()
-        for said in (
+        for answer_bytes in (
             b"HTTP/9 what\r\n\r\n",
             b"",
             head + b"Content-Length: 900\r\n\r\n" + whole,
@@ -205,20 +205,22 @@
             head + b"\r\n" + whole[:30],
             b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         ):
-            with self.subTest(said):
+            with self.subTest(answer_bytes):
 
                 async def speak(
-                    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, said: bytes = said
+                    reader: asyncio.StreamReader,
+                    writer: asyncio.StreamWriter,
+                    answer_bytes: bytes = answer_bytes,
                 ) -> None:
                     await reader.readuntil(b"\r\n\r\n")
-                    writer.write(said)
+                    writer.write(answer_bytes)
                     writer.close()
 
                 server = await asyncio.start_server(speak, "127.0.0.1", 0)
-                self.follower._origin.url = discovery._url(server.sockets[0].getsockname()[:2])
-                self.follower.set_watching(True)
-                await self.news((ListUpdateKind.FAILED, None))
-                self.assertEqual(self.follower.version, 41)
+                self.client._origin.url = discovery._url(server.sockets[0].getsockname()[:2])
+                self.client.set_watching(True)
+                await self.expect_updates((ListUpdateKind.FAILED, None))
+                self.assertEqual(self.client.version, 41)
                 server.close()
 
     async def test_a_connect_timeout_fails_the_call_and_is_logged_once(self) -> None:
@@ -231,15 +233,15 @@
             waiting.setblocking(False)
             waiting.connect_ex(full.getsockname())
         with mock.patch.object(discovery, "SILENCE_TIMEOUT", 0.2):
-            follower = discovery.DiscoveryClient(
-                full.getsockname(), SITE, self.workers.register, self.heard.put_nowait, 41  # type: ignore
+            client = discovery.DiscoveryClient(
+                full.getsockname(), SITE, self.workers.register, self.updates.put_nowait, 41  # type: ignore
             )  # fmt: skip
-        self.addAsyncCleanup(follower.close)
-        follower.set_watching(True)
-        await self.news((ListUpdateKind.FAILED, None))
-        follower.set_watching(True)
-        await self.news((ListUpdateKind.FAILED, None))
-        self.assertEqual(list(follower._faults._repetitions.values()), [1])  # beside the one logged
+        self.addAsyncCleanup(client.close)
+        client.set_watching(True)
+        await self.expect_updates((ListUpdateKind.FAILED, None))
+        client.set_watching(True)
+        await self.expect_updates((ListUpdateKind.FAILED, None))
+        self.assertEqual(list(client._faults._repetitions.values()), [1])  # beside the one logged
 
     async def test_a_change_of_address_survives_each_fault_of_the_list(self) -> None:
         """What was told of a drain stays told, nobody is gone for a call that failed, and the new address is
@@ -257,12 +259,12 @@
                 self.subTest(fault), mock.patch.object(discovery, "MAX_LIST_SIZE", 900),
                 mock.patch.object(discovery, "SILENCE_TIMEOUT", 0.2),
             ):  # fmt: skip
-                (there, at), (new, elsewhere) = await self.discovery(), await self.discovery()
-                heard: asyncio.Queue[EndpointList] = asyncio.Queue()
-                follower = discovery.DiscoveryClient(
-                    at, SITE, WorkerRegistry().register, lambda item, to=heard: to.put_nowait(item), 41  # type: ignore
+                (service, at), (new, elsewhere) = await self.discovery(), await self.discovery()
+                updates: asyncio.Queue[EndpointList] = asyncio.Queue()
+                client = discovery.DiscoveryClient(
+                    at, SITE, WorkerRegistry().register, lambda item, to=updates: to.put_nowait(item), 41  # type: ignore
                 )  # fmt: skip
-                self.addAsyncCleanup(follower.close)
+                self.addAsyncCleanup(client.close)
 
                 async def watch(
                     request: web.BaseRequest, lines: tuple[bytes, ...] = lines
@@ -276,28 +278,28 @@
                     await asyncio.Event().wait()
                     return reply
 
-                there.script = [watch]
+                service.script = [watch]
                 new.script = [answer(listing(43, DRAINING, entry("s-2"), full=True))]
-                follower.set_watching(True)
-                first = await soon(heard.get())
+                client.set_watching(True)
+                first = await soon(updates.get())
                 self.assertEqual(first.kind, ListUpdateKind.DELTA if lines else ListUpdateKind.FAILED)
-                follower.change_address(elsewhere)
+                client.change_address(elsewhere)
                 seen = [first]
                 while seen[-1].kind != ListUpdateKind.FULL:
-                    seen.append(await soon(heard.get()))
-                told = [e.state for item in seen for e in item.endpoints if e.worker_index == 0]
-                self.assertEqual(set(told), {EndpointState.DRAINING})
-                self.assertEqual(follower.version, 43)
+                    seen.append(await soon(updates.get()))
+                states = [e.state for item in seen for e in item.endpoints if e.worker_index == 0]
+                self.assertEqual(set(states), {EndpointState.DRAINING})
+                self.assertEqual(client.version, 43)
 
     async def test_a_closed_client_starts_no_call(self) -> None:
         """A SIGHUP that meets the stop, or a retry that was due."""
-        await self.following()
-        await soon(self.there.calls.get())
+        await self.start_watching()
+        await soon(self.service.calls.get())
         before = asyncio.all_tasks()
-        await self.follower.close()
-        self.follower.change_address(self.at)
-        self.follower.set_watching(True)
-        self.follower.fetch()
+        await self.client.close()
+        self.client.change_address(self.at)
+        self.client.set_watching(True)
+        self.client.fetch()
         self.assertEqual(asyncio.all_tasks() - before, set())
 
 
--- a/tests/protocol/test_health_checks.py
+++ b/tests/protocol/test_health_checks.py
@@ -22,51 +22,51 @@
 
 
 class HealthCheckerTests(Rig):
-    async def probing(self, at: Callable[[int], str]) -> HealthChecker:
-        self.heard: asyncio.Queue[Input] = asyncio.Queue()
-        probes = HealthChecker("/load", 4, at, self.heard.put_nowait)
-        self.addAsyncCleanup(probes.close)
-        return probes
+    async def health_checker(self, address_of: Callable[[int], str]) -> HealthChecker:
+        self.results: asyncio.Queue[Input] = asyncio.Queue()
+        checker = HealthChecker("/load", 4, address_of, self.results.put_nowait)
+        self.addAsyncCleanup(checker.close)
+        return checker
 
     def worker(self, until: Awaitable[object]) -> tuple[Handler, asyncio.Queue[str]]:
-        asked: asyncio.Queue[str] = asyncio.Queue()
+        calls: asyncio.Queue[str] = asyncio.Queue()
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
-            asked.put_nowait(request.path)
+            calls.put_nowait(request.path)
             await until
             return web.Response(text="TEXT inflight=7")
 
-        return answer, asked
+        return answer, calls
 
     async def test_an_answer_from_a_former_address_is_ignored(self) -> None:
         moved: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        handler, asked = self.worker(moved)
+        handler, calls = self.worker(moved)
         old, new = await self.host(handler), await self.host(handler)
-        places = {5: old}
-        probes = await self.probing(places.__getitem__)
-        probes.start_check(5)
-        await soon(asked.get())
-        places[5] = new
+        addresses = {5: old}
+        checker = await self.health_checker(addresses.__getitem__)
+        checker.start_check(5)
+        await soon(calls.get())
+        addresses[5] = new
         moved.set_result(None)
-        await soon(probes._tasks[5])
-        self.assertTrue(self.heard.empty())
+        await soon(checker._tasks[5])
+        self.assertTrue(self.results.empty())
         await asyncio.sleep(0)  # the turn in which the task's end is heard of
-        probes.start_check(5)
-        self.assertTrue(cast(HealthCheckResult, await soon(self.heard.get())).succeeded)
+        checker.start_check(5)
+        self.assertTrue(cast(HealthCheckResult, await soon(self.results.get())).succeeded)
 
     async def test_a_worker_has_one_check_at_a_time(self) -> None:
         """Of two to a worker that starts anew both came back lost, and it was shut out as it came up."""
         until: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        handler, asked = self.worker(until)
-        at = await self.host(handler)
-        probes = await self.probing(lambda worker: at)
+        handler, calls = self.worker(until)
+        address_of = await self.host(handler)
+        checker = await self.health_checker(lambda worker: address_of)
         for _ in range(3):
-            probes.start_check(5)
-        await soon(asked.get())
+            checker.start_check(5)
+        await soon(calls.get())
         until.set_result(None)
-        await soon(self.heard.get())
-        await probes.close()
-        self.assertTrue(self.heard.empty() and asked.empty())
+        await soon(self.results.get())
+        await checker.close()
+        self.assertTrue(self.results.empty() and calls.empty())
 
 
 if __name__ == "__main__":
--- a/tests/protocol/test_stream_listener.py
+++ b/tests/protocol/test_stream_listener.py
@@ -22,8 +22,9 @@
     ProxyConnected,
     ProxyDisconnected,
 )
-from cottonladder.protocol import stream_listener as address
+from cottonladder.protocol import stream_listener
 from cottonladder.protocol.messages import MessageReader
+from cottonladder.protocol.protocol_connection import ProtocolConnection
 from cottonladder.protocol.resp import encode
 from cottonladder.state.proxy_sessions import ProxySessions
 from tests.standins import SETTINGS, Program, Rig, entry, listing, soon
@@ -34,14 +35,16 @@
 class ReconnectingProxyTests(Rig):
     """One manager's address in this process: the turns of the loop are the test's own."""
 
-    async def listening(self, most: int = 64) -> None:
-        self.heard: asyncio.Queue[Input | Any] = asyncio.Queue()
-        self.roster = ProxySessions(self.heard.put_nowait)
-        shares = address.ConnectionLimits(most, 8, 4, 1 << 20)
-        self.where = address.StreamListener(MessageReader(SITE, lambda key: None), self.roster, shares)
+    async def listening(self, max_connections: int = 64) -> None:
+        self.inputs: asyncio.Queue[Input | Any] = asyncio.Queue()
+        self.sessions = ProxySessions(self.inputs.put_nowait)
+        limits = stream_listener.ConnectionLimits(max_connections, 8, 4, 1 << 20)
+        self.listener = stream_listener.StreamListener(
+            MessageReader(SITE, lambda key: None), self.sessions, limits
+        )
         self.program = Program("")
-        self.program.port = await self.where.listen("127.0.0.1", 0)
-        self.addAsyncCleanup(self.where.close)
+        self.program.port = await self.listener.listen("127.0.0.1", 0)
+        self.addAsyncCleanup(self.listener.close)
 
     async def test_the_connection_accepted_last_holds_though_it_is_read_first(self) -> None:
         """A proxy's stream breaks and it dials again, while the loop is late and reads the second one first.
@@ -51,15 +54,15 @@
         second = await self.connect(self.program, "PING")
         self.assertEqual(await second.hear(), "PONG")  # both are accepted, in this order
         second.join(3)
-        self.assertEqual(type(await soon(self.heard.get())), ProxyConnected)
+        self.assertEqual(type(await soon(self.inputs.get())), ProxyConnected)
         first.join(3)
         first.say("PING")
         self.assertEqual(await first.hear(), "PONG")
         first.close()
         collector = await self.connect(self.program, "SOURCE locality a")
         collector.say("RATE node 3 route lookup total 7 errors 0 interval 1000.0")
-        self.assertEqual(type(await soon(self.heard.get())), ArrivalReport)  # nobody has left or joined
-        self.roster.send(3, encode([b"CONFIG", b"stamp", b"9"]))
+        self.assertEqual(type(await soon(self.inputs.get())), ArrivalReport)  # nobody has left or joined
+        self.sessions.send(3, encode([b"CONFIG", b"stamp", b"9"]))
         self.assertEqual(await second.hear(), "CONFIG stamp 9")
 
     async def test_the_newest_of_three_connections_in_one_turn_holds(self) -> None:
@@ -74,9 +77,9 @@
             )
             stream.join(3)
             stream.say("ACK node 3 nonce 1 latency 1")
-        came = [type(await soon(self.heard.get())) for _ in range(8)]
+        came = [type(await soon(self.inputs.get())) for _ in range(8)]
         self.assertEqual(came.count(ProxyConnected) - came.count(ProxyDisconnected), 1)
-        self.roster.send(3, encode([b"CONFIG", b"stamp", b"9"]))
+        self.sessions.send(3, encode([b"CONFIG", b"stamp", b"9"]))
         self.assertEqual(await streams[2].hear(), "CONFIG stamp 9")
 
     async def test_a_connection_accepted_during_close_is_ended(self) -> None:
@@ -84,12 +87,12 @@
         await self.listening()
         closing: list[asyncio.Task[None]] = []
 
-        class Accepted(address.ProtocolConnection):
-            def __init__(self, where: address.StreamListener) -> None:
-                super().__init__(where)
-                closing.append(asyncio.create_task(where.close()))  # before it is opened, in this turn
+        class Accepted(ProtocolConnection):
+            def __init__(self, listener: stream_listener.StreamListener) -> None:
+                super().__init__(listener)
+                closing.append(asyncio.create_task(listener.close()))  # before it is opened, in this turn
 
-        with mock.patch.object(address, "ProtocolConnection", Accepted):
+        with mock.patch.object(stream_listener, "ProtocolConnection", Accepted):
             client = await self.connect(self.program, "PING")
             await client.ended()
         self.assertEqual((len(closing), client.come), (1, []))
@@ -106,8 +109,8 @@
 
     async def test_two_thousand_dials_do_not_delay_proxies_or_a_drain(self) -> None:
         """Half say nothing, half what can't be read.  Who joins is bound, the drain told, in their time."""
-        most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-        resource.setrlimit(resource.RLIMIT_NOFILE, (min(8192, most), most))
+        max_connections = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+        resource.setrlimit(resource.RLIMIT_NOFILE, (min(8192, max_connections), max_connections))
         program = await self.serving(limits={"memory_mb": 192, "sockets": 512})
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (512, 512))
         first = await self.join(program, 0)
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -55,11 +55,11 @@
 from tests.test_scenarios import USUAL
 
 
-class Player:
+class ScenarioPlayer:
     def __init__(self) -> None:
         self.kinds, self.managers, self.workers = ["fetch"], 1, WorkerRegistry()
-        self.spread: OrderDispatcher | None = None
-        self.seen: dict[int, int] = {}
+        self.dispatcher: OrderDispatcher | None = None
+        self.counted: dict[int, int] = {}
         self.sent: dict[int, bytes] = {}
 
     def line(self, words: list[str]) -> None:
@@ -72,36 +72,36 @@
             for arg in args:
                 name, _, started = arg.partition("^")
                 self.workers.register(name, "", float(started or 0))
-            self.spread = self.spread or OrderDispatcher(self.kinds, self.managers, self.workers)
-        elif self.spread is None:
+            self.dispatcher = self.dispatcher or OrderDispatcher(self.kinds, self.managers, self.workers)
+        elif self.dispatcher is None:
             raise ValueError("nobody is listed yet")
         elif verb == "join":
-            self.spread.connect_proxy(int(args[0][1:]), args[1:] == ["fresh"])
-            self.seen.pop(int(args[0][1:]), None)
+            self.dispatcher.connect_proxy(int(args[0][1:]), args[1:] == ["fresh"])
+            self.counted.pop(int(args[0][1:]), None)
         elif verb == "left":
-            self.spread.disconnect_proxy(int(args[0][1:]))
-            self.seen.pop(int(args[0][1:]), None)
+            self.dispatcher.disconnect_proxy(int(args[0][1:]))
+            self.counted.pop(int(args[0][1:]), None)
         elif verb == "costs":
-            lines = self.spread.pending_line_counts()
-            costs = {p: n - self.seen.get(p, 0) for p, n in lines.items() if n > self.seen.get(p, 0)}
-            expect(costs, {int(p[1:]): int(n) for p, _, n in (a.partition("=") for a in args)})
-            self.seen = lines
+            lines = self.dispatcher.pending_line_counts()
+            costs = {p: n - self.counted.get(p, 0) for p, n in lines.items() if n > self.counted.get(p, 0)}
+            expect_equal(costs, {int(p[1:]): int(n) for p, _, n in (a.partition("=") for a in args)})
+            self.counted = lines
         elif verb == "sends":
-            self.sent.update(self.spread.take_messages())
-            self.seen = {}
+            self.sent.update(self.dispatcher.take_messages())
+            self.counted = {}
             messages = list(RespReader(MAX_MESSAGE_SIZE).feed(self.sent.pop(int(args[0][1:]), b"")))
-            expect({m[0] for m in messages} or {b"CONFIG"}, {b"CONFIG"})
+            expect_equal({m[0] for m in messages} or {b"CONFIG"}, {b"CONFIG"})
             parts = [b" ".join(m[1:]).decode() for m in messages]
-            expect(" | ".join(parts) or "nothing", " ".join(args[1:]))
+            expect_equal(" | ".join(parts) or "nothing", " ".join(args[1:]))
         elif verb == "refused":
             self.expect_rejected(self.order(args[0], args[1:]))
         else:
-            self.spread.apply(self.order(verb, args))
+            self.dispatcher.apply(self.order(verb, args))
 
     def expect_rejected(self, order: Order) -> None:
-        assert self.spread is not None
+        assert self.dispatcher is not None
         try:
-            self.spread.apply(order)
+            self.dispatcher.apply(order)
         except OrderRejectedError:
             return
         raise AssertionError("was applied")
@@ -118,8 +118,8 @@
             return ExcludeWorker(int(args[0][1:]), verb == "cordon")
         if verb == "level":
             table = ALL_TABLES if args[0] == "all" else int(args[0])
-            further = RetryPolicy(int(args[3]))
-            return SetAdmission(table, float(args[2]), 1 << self.kinds.index(args[1]), further)
+            retry_policy = RetryPolicy(int(args[3]))
+            return SetAdmission(table, float(args[2]), 1 << self.kinds.index(args[1]), retry_policy)
         if verb == "forget":
             return RemoveWorker(int(args[0][1:]))
         if verb == "mark":
@@ -127,12 +127,12 @@
         raise ValueError(f"unknown word {verb}")
 
 
-def expect(seen: object, wanted: object) -> None:
-    if seen != wanted:
-        raise AssertionError(f"{seen!r} instead")
+def expect_equal(actual: object, wanted: object) -> None:
+    if actual != wanted:
+        raise AssertionError(f"{actual!r} instead")
 
 
-class Holder:
+class ProxyStandIn:
     """A proxy by the protocol page, for tables that all kinds read; messages wait until they arrive."""
 
     def __init__(self) -> None:
@@ -144,21 +144,21 @@
             if b"replace" in fields:
                 self.rows = {}
             for row in filter(None, fields.get(b"rows", b"").split(b",")):
-                be, _, weight = row.partition(b":")
-                self.rows[be] = float(weight)
+                worker_id, _, weight = row.partition(b":")
+                self.rows[worker_id] = float(weight)
             self.out |= set(filter(None, fields.get(b"drop", b"").split(b",")))
             self.out -= set(fields.get(b"undrop", b"").split(b","))
-        self.rows = {be: weight for be, weight in self.rows.items() if weight > 0}
+        self.rows = {worker_id: weight for worker_id, weight in self.rows.items() if weight > 0}
         self.waiting = []
 
 
-class Walk:
+class RandomWalk:
     """Module and spread under inputs drawn at random, streams that break with words on their way, and, with
     two managers, proxies from another one, which shut out whom it liked of those that have restarted."""
 
     def __init__(self, seed: int, managers: int) -> None:
-        self.draw = random.Random(seed)
-        terms = replace(
+        self.random = random.Random(seed)
+        parameters = replace(
             USUAL,
             seed=seed,
             manager_count=managers,
@@ -167,95 +167,105 @@
             health_checks=True,
             proxies_eject_outliers=True,
         )
-        self.ladder, self.workers, self.managers = RoutingController(terms), WorkerRegistry(), managers
-        self.spread = OrderDispatcher(["fetch", "release"], managers, self.workers)
-        self.now, self.token, self.holders = 1e9, 0, dict[int, Holder]()
+        self.controller, self.workers, self.managers = (
+            RoutingController(parameters),
+            WorkerRegistry(),
+            managers,
+        )
+        self.dispatcher = OrderDispatcher(["fetch", "release"], managers, self.workers)
+        self.now, self.token, self.proxies = 1e9, 0, dict[int, ProxyStandIn]()
 
     def entry(self, n: int) -> Endpoint:
-        started = self.draw.choice([0.0, 0.0, self.now - 5.0])
-        mode = self.draw.choice([EndpointState.READY] * 4 + [EndpointState.DRAINING, EndpointState.GONE])
+        started = self.random.choice([0.0, 0.0, self.now - 5.0])
+        mode = self.random.choice([EndpointState.READY] * 4 + [EndpointState.DRAINING, EndpointState.GONE])
         return Endpoint(self.workers.register(f"s-{n}", "", started), n % 3, mode, 1.0, started)
 
     def listing(self, news: ListUpdateKind) -> EndpointList:
-        names = [self.draw.randrange(14) for _ in range(self.draw.choice([1, 14]))]
+        names = [self.random.randrange(14) for _ in range(self.random.choice([1, 14]))]
         return EndpointList(news, tuple(self.entry(n) for n in names))
 
     def join(self, p: int) -> list[Input]:
-        fresh, left = self.draw.random() < 0.5 or p not in self.holders, ProxyDisconnected(p)
-        holder = Holder() if fresh else self.holders[p]
-        holder.waiting = holder.waiting[: self.draw.randrange(3)]  # the rest is lost with the stream
-        holder.arrive()
+        fresh, left = self.random.random() < 0.5 or p not in self.proxies, ProxyDisconnected(p)
+        stand_in = ProxyStandIn() if fresh else self.proxies[p]
+        stand_in.waiting = stand_in.waiting[: self.random.randrange(3)]  # the rest is lost with the stream
+        stand_in.arrive()
         if self.managers > 1 and not fresh:
             restarted = [i for i in self.workers.ids if self.workers.has_restarted(i)]
-            holder.out |= {self.workers.ids[i] for i in self.draw.sample(restarted, min(3, len(restarted)))}
-        again: list[Input] = [left] if p in self.holders else []
-        self.holders[p] = holder
+            stand_in.out |= {
+                self.workers.ids[i] for i in self.random.sample(restarted, min(3, len(restarted)))
+            }
+        again: list[Input] = [left] if p in self.proxies else []
+        self.proxies[p] = stand_in
         return [*again, ProxyConnected(p, p % 3, 10.0, fresh)]
 
     def inputs(self) -> list[Input]:
-        n, be = self.draw.randrange(30), self.draw.randrange(max(self.workers.ids) + 1)
-        drawn = self.draw.randrange(6)
+        n, worker_index = self.random.randrange(30), self.random.randrange(max(self.workers.ids) + 1)
+        drawn = self.random.randrange(6)
         if drawn == 0:
-            return self.join(self.draw.randrange(12))
+            return self.join(self.random.randrange(12))
         if drawn == 1:
             return [
                 self.listing(
-                    self.draw.choice([ListUpdateKind.DELTA, ListUpdateKind.FULL, ListUpdateKind.FAILED])
+                    self.random.choice([ListUpdateKind.DELTA, ListUpdateKind.FULL, ListUpdateKind.FAILED])
                 )
             ]
         if drawn == 2:
-            return [LoadReport(be, n % 3, n, self.draw.randint(0, n), 1.0, self.draw.choice([0.1, 3.0]), {})]
+            return [
+                LoadReport(
+                    worker_index, n % 3, n, self.random.randint(0, n), 1.0, self.random.choice([0.1, 3.0]), {}
+                )
+            ]
         if drawn == 3:
-            return [HealthCheckResult(be, n > 10, 0.1, {"inflight": float(n)})]
+            return [HealthCheckResult(worker_index, n > 10, 0.1, {"inflight": float(n)})]
         return [
-            Acknowledged(n % 12, self.draw.randrange(300), 0.2),
+            Acknowledged(n % 12, self.random.randrange(300), 0.2),
             ArrivalReport(n % 12, n % 2, n, 0, 2.0),
         ]
 
     def step(self, inputs: list[Input]) -> None:
-        self.spread.track_proxies(inputs)
-        for order in self.ladder.decide(self.now, inputs):
+        self.dispatcher.track_proxies(inputs)
+        for order in self.controller.decide(self.now, inputs):
             if isinstance(order, StartTimer):
                 self.token = order.token
             elif not isinstance(order, (WatchEndpoints, HealthCheck, SendGossip, LogModeChange)):
-                self.spread.apply(order)
-        for p, data in self.spread.take_messages():
-            self.holders[p].waiting.append(data)
+                self.dispatcher.apply(order)
+        for p, data in self.dispatcher.take_messages():
+            self.proxies[p].waiting.append(data)
 
-    def agree(self) -> None:
+    def check_agreement(self) -> None:
         """Once all has arrived, bound proxies hold and shut out what the module takes them to."""
-        for table in self.ladder.tables:
+        for table in self.controller.tables:
             for p in table.users:
-                holder = self.holders[p]
-                holder.arrive()
-                expect(self.workers.ids.keys() >= self.ladder.bes.keys(), True)
+                stand_in = self.proxies[p]
+                stand_in.arrive()
+                expect_equal(self.workers.ids.keys() >= self.controller.bes.keys(), True)
                 sent = {self.workers.ids[i]: w for i, w in table.sent.items() if w > 0}
-                out = {self.workers.ids[i] for i in table.sent if self.ladder.bes[i].cordoned}
-                expect(holder.rows, sent)
-                expect(holder.out & set(sent), out & set(sent))
+                out = {self.workers.ids[i] for i in table.sent if self.controller.bes[i].cordoned}
+                expect_equal(stand_in.rows, sent)
+                expect_equal(stand_in.out & set(sent), out & set(sent))
 
 
 class OrderDispatcherTests(unittest.TestCase):
     def test_proxies_hold_what_the_controller_takes_them_to(self) -> None:
         for seed in range(8):
-            walk = Walk(seed, 1 + seed % 2)
+            walk = RandomWalk(seed, 1 + seed % 2)
             walk.step([walk.listing(ListUpdateKind.CACHED)])
             for n in range(400):
-                walk.now += walk.draw.choice([0.01, 0.25, 0.25, 2.0])
+                walk.now += walk.random.choice([0.01, 0.25, 0.25, 2.0])
                 walk.step([*walk.inputs(), *([TimerFired(walk.token)] if n % 2 else [])])
                 if n % 10 == 0:
                     with self.subTest(seed=seed, step=n):
-                        walk.agree()
+                        walk.check_agreement()
 
     def test_a_table_larger_than_one_part_arrives_whole(self) -> None:
         """All its lines arrive, in parts that the protocol takes; the last says that none follows."""
         workers = WorkerRegistry()
-        spread = OrderDispatcher(["fetch"], 1, workers)
-        spread.connect_proxy(0, True)
+        dispatcher = OrderDispatcher(["fetch"], 1, workers)
+        dispatcher.connect_proxy(0, True)
         for n in range(50_000):
-            spread.apply(SetWeight(1, workers.register(f"s-{n:040}", "", 0.0), 1.5))
-        spread.apply(BindProxy(0, 1, 0))
-        ((_, data),) = spread.take_messages()
+            dispatcher.apply(SetWeight(1, workers.register(f"s-{n:040}", "", 0.0), 1.5))
+        dispatcher.apply(BindProxy(0, 1, 0))
+        ((_, data),) = dispatcher.take_messages()
         parts = list(RespReader(MAX_MESSAGE_SIZE).feed(data))
         self.assertEqual(sum(part[part.index(b"rows") + 1].count(b":") for part in parts), 50_000)
         self.assertEqual([b"part" in part for part in parts], [True] * (len(parts) - 1) + [False])
@@ -265,7 +275,7 @@
         paths = sorted((Path(__file__).parent / "dispatch_scenarios").glob("*.txt"))
         self.assertTrue(paths)
         for path in paths:
-            player = Player()
+            player = ScenarioPlayer()
             for number, raw in enumerate(path.read_text().splitlines(), 1):
                 words = raw.split("#")[0].split()
                 with self.subTest(f"{path.name}:{number}: {raw.strip()}"):
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -30,6 +30,7 @@
 from cottonladder.protocol import stream_listener as address
 from cottonladder.protocol.discovery import DiscoveryClient as WireDiscovery
 from cottonladder.protocol.gossip import GossipSocket
+from cottonladder.protocol.protocol_connection import ProtocolConnection
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from cottonladder.state.proxy_sessions import ProxySessions
 from tests.standins import SETTINGS, Discovery, Handler, Program, Rig, entry, listing, soon
@@ -371,7 +372,7 @@
     async def test_a_join_that_a_late_loop_left_unread_is_not_cut(self) -> None:
         """Between the sweep that finds someone late and the one that ends him, the loop reads what came."""
         where = address.StreamListener(mock.Mock(), mock.Mock(), address.ConnectionLimits(8, 4, 4, 1000))
-        late = address.ProtocolConnection(where)
+        late = ProtocolConnection(where)
         transport = mock.Mock(spec=asyncio.Transport)
         transport.get_extra_info.return_value = ("127.0.0.1", 1)
         transport.is_closing.return_value = False
@@ -403,7 +404,7 @@
         shares = address.ConnectionLimits(
             max_connections=8, accept_batch=4, max_health_checks=4, max_unread_bytes=1000
         )
-        connection = address.ProtocolConnection(
+        connection = ProtocolConnection(
             address.StreamListener(mock.Mock(), ProxySessions(mock.Mock()), shares)
         )
         connection.connection_made(transport)
