--- a/cottonladder/state/config_encoder.py
+++ b/cottonladder/state/config_encoder.py
@@ -53,6 +53,7 @@
         self._size = 0  # bytes of the last part's lines, at most
 
     def add(self, operation: LineOperation, worker_id: bytes) -> None:
+        """Writes an operation to the last part, or to another one where that has no place for it."""
         line_size = len(worker_id) + LINE_OVERHEAD
         self._size += line_size
         if self._needs_new_part(operation, worker_id):
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -56,76 +56,117 @@
 
 
 class ScenarioPlayer:
+    """Carries out the lines of one scenario."""
+
     def __init__(self) -> None:
-        self.kinds, self.managers, self.workers = ["fetch"], 1, WorkerRegistry()
-        self.dispatcher: OrderDispatcher | None = None
-        self.counted: dict[int, int] = {}
-        self.sent: dict[int, bytes] = {}
-
-    def line(self, words: list[str]) -> None:
-        verb, args = words[0], words[1:]
-        if verb == "kinds":
-            self.kinds = args
-        elif verb == "managers":
-            self.managers = int(args[0])
-        elif verb == "listed":
-            for arg in args:
-                name, _, started = arg.partition("^")
-                self.workers.register(name, "", float(started or 0))
-            self.dispatcher = self.dispatcher or OrderDispatcher(self.kinds, self.managers, self.workers)
-        elif self.dispatcher is None:
+        self.class_names = ["fetch"]
+        self.manager_count = 1
+        self.workers = WorkerRegistry()
+        self._dispatcher: OrderDispatcher | None = None
+        self.counted: dict[int, int] = {}  # lines by proxy as of the last `costs` or `sends`
+        self.sent: dict[int, bytes] = {}  # messages that no `sends` has looked at
+
+    @property
+    def dispatcher(self) -> OrderDispatcher:
+        """Made with the first `listed`."""
+        if self._dispatcher is None:
             raise ValueError("nobody is listed yet")
-        elif verb == "join":
-            self.dispatcher.connect_proxy(int(args[0][1:]), args[1:] == ["fresh"])
-            self.counted.pop(int(args[0][1:]), None)
-        elif verb == "left":
-            self.dispatcher.disconnect_proxy(int(args[0][1:]))
-            self.counted.pop(int(args[0][1:]), None)
-        elif verb == "costs":
-            lines = self.dispatcher.pending_line_counts()
-            costs = {p: n - self.counted.get(p, 0) for p, n in lines.items() if n > self.counted.get(p, 0)}
-            expect_equal(costs, {int(p[1:]): int(n) for p, _, n in (a.partition("=") for a in args)})
-            self.counted = lines
-        elif verb == "sends":
-            self.sent.update(self.dispatcher.take_messages())
-            self.counted = {}
-            messages = list(RespReader(MAX_MESSAGE_SIZE).feed(self.sent.pop(int(args[0][1:]), b"")))
-            expect_equal({m[0] for m in messages} or {b"CONFIG"}, {b"CONFIG"})
-            parts = [b" ".join(m[1:]).decode() for m in messages]
-            expect_equal(" | ".join(parts) or "nothing", " ".join(args[1:]))
-        elif verb == "refused":
-            self.expect_rejected(self.order(args[0], args[1:]))
+        return self._dispatcher
+
+    def play(self, verb: str, arguments: list[str]) -> None:
+        """One line."""
+        handler = {
+            "kinds": self.set_class_names,
+            "managers": self.set_manager_count,
+            "listed": self.list_workers,
+            "join": self.connect_proxy,
+            "left": self.disconnect_proxy,
+            "costs": self.expect_costs,
+            "sends": self.expect_message,
+            "refused": self.expect_rejected,
+        }.get(verb)
+        if handler is not None:
+            handler(arguments)
         else:
-            self.dispatcher.apply(self.order(verb, args))
+            self.dispatcher.apply(self.order(verb, arguments))
+
+    def set_class_names(self, arguments: list[str]) -> None:
+        self.class_names = arguments
+
+    def set_manager_count(self, arguments: list[str]) -> None:
+        self.manager_count = int(arguments[0])
+
+    def list_workers(self, arguments: list[str]) -> None:
+        for argument in arguments:
+            name, _, started_at = argument.partition("^")
+            self.workers.register(name, "", float(started_at or 0))
+        if self._dispatcher is None:
+            self._dispatcher = OrderDispatcher(self.class_names, self.manager_count, self.workers)
+
+    def connect_proxy(self, arguments: list[str]) -> None:
+        proxy = number_of(arguments[0])
+        self.dispatcher.connect_proxy(proxy, arguments[1:] == ["fresh"])
+        self.counted.pop(proxy, None)
 
-    def expect_rejected(self, order: Order) -> None:
-        assert self.dispatcher is not None
+    def disconnect_proxy(self, arguments: list[str]) -> None:
+        proxy = number_of(arguments[0])
+        self.dispatcher.disconnect_proxy(proxy)
+        self.counted.pop(proxy, None)
+
+    def expect_costs(self, arguments: list[str]) -> None:
+        expected: dict[int, int] = {}
+        for argument in arguments:
+            proxy, _, count = argument.partition("=")
+            expected[number_of(proxy)] = int(count)
+        counts = self.dispatcher.pending_line_counts()
+        added = {proxy: count - self.counted.get(proxy, 0) for proxy, count in counts.items()}
+        expect_equal({proxy: count for proxy, count in added.items() if count > 0}, expected)
+        self.counted = counts
+
+    def expect_message(self, arguments: list[str]) -> None:
+        self.sent.update(self.dispatcher.take_messages())
+        self.counted = {}
+        data = self.sent.pop(number_of(arguments[0]), b"")
+        messages = list(RespReader(MAX_MESSAGE_SIZE).feed(data))
+        expect_equal({message[0] for message in messages} or {b"CONFIG"}, {b"CONFIG"})
+        parts = [b" ".join(message[1:]).decode() for message in messages]
+        expect_equal(" | ".join(parts) or "nothing", " ".join(arguments[1:]))
+
+    def expect_rejected(self, arguments: list[str]) -> None:
         try:
-            self.dispatcher.apply(order)
+            self.dispatcher.apply(self.order(arguments[0], arguments[1:]))
         except OrderRejectedError:
             return
         raise AssertionError("was applied")
 
-    def order(self, verb: str, args: list[str]) -> Order:
+    def order(self, verb: str, arguments: list[str]) -> Order:
         if verb == "line":
-            return SetWeight(int(args[0]), int(args[1][1:]), float(args[2]))
+            return SetWeight(int(arguments[0]), number_of(arguments[1]), float(arguments[2]))
         if verb == "empty":
-            return ClearTable(int(args[0]))
+            return ClearTable(int(arguments[0]))
         if verb == "bind":
-            kinds = 0 if args[2] == "all" else 1 << self.kinds.index(args[2])
-            return BindProxy(int(args[0][1:]), int(args[1]), kinds)
+            class_mask = 0 if arguments[2] == "all" else self.class_mask(arguments[2])
+            return BindProxy(number_of(arguments[0]), int(arguments[1]), class_mask)
         if verb in ("cordon", "uncordon"):
-            return ExcludeWorker(int(args[0][1:]), verb == "cordon")
+            return ExcludeWorker(number_of(arguments[0]), verb == "cordon")
         if verb == "level":
-            table = ALL_TABLES if args[0] == "all" else int(args[0])
-            retry_policy = RetryPolicy(int(args[3]))
-            return SetAdmission(table, float(args[2]), 1 << self.kinds.index(args[1]), retry_policy)
+            table = ALL_TABLES if arguments[0] == "all" else int(arguments[0])
+            retry_policy = RetryPolicy(int(arguments[3]))
+            return SetAdmission(table, float(arguments[2]), self.class_mask(arguments[1]), retry_policy)
         if verb == "forget":
-            return RemoveWorker(int(args[0][1:]))
+            return RemoveWorker(number_of(arguments[0]))
         if verb == "mark":
-            return Checkpoint(int(args[0]), args[1:] == ["everyone"])
+            return Checkpoint(int(arguments[0]), arguments[1:] == ["everyone"])
         raise ValueError(f"unknown word {verb}")
 
+    def class_mask(self, name: str) -> int:
+        return 1 << self.class_names.index(name)
+
+
+def number_of(name: str) -> int:
+    """Of a worker `bN` or a proxy `pN`."""
+    return int(name[1:])
+
 
 def expect_equal(actual: object, wanted: object) -> None:
     if actual != wanted:
@@ -280,4 +321,4 @@
                 words = raw.split("#")[0].split()
                 with self.subTest(f"{path.name}:{number}: {raw.strip()}"):
                     if words:
-                        player.line(words)
+                        player.play(words[0], words[1:])
