--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -73,7 +73,7 @@
         self.ladder._solve = timed  # type: ignore[method-assign]
 
     def reports(self) -> Iterable[Input]:
-        rnd, known = self.random, list(self.ladder.bes)
+        rnd, known = self.random, list(self.ladder.fleet.workers)
         here = list(self.proxies)
         for _ in range(REPORTS // 5):
             yield LoadReport(rnd.choice(known), rnd.randrange(self.zones), 20, 0, 2.0, 0.2, {})
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -18,13 +18,13 @@
 from ..forwarder import resource_limits as limits
 from ..forwarder import router as routing
 from ..planning import connection_migration as moves
-from ..policy.controller import RATE_MOST
+from ..policy.tuning import RECORD_SETTINGS
 from ..weight_advice import limits as advice_limits
 from .settings import HostPort, WireError, address
 
 FILE_MOST = 1 << 20  # bytes of the file
 Seconds = Annotated[float, Meta(gt=0, le=86_400, description="seconds")]
-Rate = Annotated[float, Meta(gt=0, le=RATE_MOST)]
+Rate = Annotated[float, Meta(gt=0, le=RECORD_SETTINGS.max_request_rate)]
 Many = Annotated[int, Meta(gt=0, le=10_000_000)]
 Bytes = Annotated[int, Meta(gt=0, le=1 << 31)]
 Name = Annotated[str, Meta(min_length=1, max_length=255, pattern=r"^[\x21-\x2b\x2d-\x39\x3b-\x7e]+$")]
@@ -118,7 +118,9 @@
     managers: Annotated[list[HostAndPort], Meta(min_length=1, max_length=64)]
     kinds: Annotated[list[RequestClassConfig], Meta(min_length=1, max_length=64)]
     levels: Literal["ratio", "rate", "none"] = "ratio"
-    rate: Annotated[float, Meta(ge=0, le=RATE_MOST, description="rough reqs/s, told when joining")] = 0.0
+    rate: Annotated[
+        float, Meta(ge=0, le=RECORD_SETTINGS.max_request_rate, description="rough reqs/s, told when joining")
+    ] = 0.0
     collector: bool = False
     status: Annotated[str, Meta(pattern=r"^([^\s]+:[0-9]{1,5})?$", description="host:port; empty: off")] = ""
     seed: Annotated[int, Meta(ge=0)] = 0
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -98,7 +98,7 @@
         self.late: Callable[[], None] = lambda: None  # background work makes way
         self.remarked: Callable[[str], None] = lambda words: None  # told each change of mode
         self._ladder, self._inbox, self._roster, self._spread = ladder, inbox, roster, spread
-        ladder.gate.added = spread.added
+        ladder.channel_budget.extra_lines = spread.added
         self._clock = Clock()
         self._set, self._timers = 0, dict[int, asyncio.TimerHandle]()
         self._worst: dict[str, float] = {}
@@ -142,7 +142,7 @@
             elif why := self._spread.take(order):
                 self.log.error("order left out", order=type(order).__name__, why=why)
         if any(isinstance(order, Checkpoint) for order in orders):
-            self._ladder.gate.settle(self._spread.lines())
+            self._ladder.channel_budget.record_written(self._spread.lines())
         for proxy, data in self._spread.messages():
             self._roster.send(proxy, data)
         for plan in self._planners:
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -18,7 +18,8 @@
 from ..planning.plugin_bounds import factor_of, may_veto
 from ..plugins.abi import EVENT, MOVE, WORKER, record
 from ..plugins.chain import PluginChain, Wanted
-from ..policy.controller import INTERVAL, RoutingController
+from ..policy.controller import RoutingController
+from ..policy.tuning import SOLVE_INTERVAL
 from ..protocol.messages import ExtensionMessage
 from ..state.worker_registry import WorkerRegistry
 
@@ -96,7 +97,7 @@
     def messages(self, now: float, ladder: RoutingController) -> Iterator[tuple[int, bytes]]:
         """Writes no proxy; each interval the workers are asked of anew."""
         if now >= self._at:
-            self._at = now + INTERVAL
+            self._at = now + SOLVE_INTERVAL
             self._standing = capacity_views(ladder)
             self._factors = {be: f for be, f in self._factors.items() if be in self._standing}
             self._queue = list(self._standing)
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -168,12 +168,17 @@
         if (ladder := self._ladder) is None:
             return
         ids, workers, listed = self._workers.ids, list[WorkerSnapshot](), list[EndpointSnapshot]()
-        bes, proxies, rates, mark = list(ladder.bes), list(ladder.proxies), dict[int, float](), 0
+        bes, proxies, rates, mark = (
+            list(ladder.fleet.workers),
+            list(ladder.fleet.proxies),
+            dict[int, float](),
+            0,
+        )
         yield None
         for n in range(0, len(bes), CHUNK):
             for p in collect_state(ladder, bes[n : n + CHUNK], ()).workers:
                 if (name := ids.get(p.worker_index)) is None or (
-                    be := ladder.bes.get(p.worker_index)
+                    be := ladder.fleet.workers.get(p.worker_index)
                 ) is None:
                     continue
                 word = name.decode()
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -46,7 +46,9 @@
     if age <= ageing.SUSPECT_MOST:
         listed = {be for t in routes.tables.values() for be in t.rows}
         avoid = {be: left - age for be, left in life.avoid.items() if left > age and known(be)}
-        if len(avoid) <= len(listed) * ageing.OUT_MOST:  # all of them: it was this forwarder that was cut off
+        if (
+            len(avoid) <= len(listed) * ageing.MAX_EJECTED_RATIO
+        ):  # all of them: it was this forwarder that was cut off
             routes.avoid(now, avoid)
             used.append(f"{len(avoid)} avoided")
         for be, count in life.held.items():
--- a/cottonladder/model/weight_ring.py
+++ b/cottonladder/model/weight_ring.py
@@ -3,13 +3,31 @@
 from __future__ import annotations
 
 
+def arcs(loads: list[float], overlap: float) -> list[tuple[float, float]]:
+    """Start and end of consecutive arcs on a ring of length 1, each as long as its load's part of all; each
+    reaches into the next one by `overlap` of it."""
+    total = sum(loads)
+    edges = [sum(loads[:index]) / total for index in range(len(loads) + 1)]
+    edges.append(1.0 + loads[0] / total)
+    return [
+        (edges[index], edges[index + 1] + overlap * (edges[index + 2] - edges[index + 1]))
+        for index in range(len(loads))
+    ]
+
+
 def cut(ring: dict[int, float], start: float, end: float, sliver: float) -> dict[int, float]:
-    """The weights that lie from start to end on a ring of length 1; parts of a line under `sliver` of it are
-    left out."""
-    at, part, unit = 0.0, dict[int, float](), max(1e-9, sum(ring.values()))
-    for i, weight in ring.items():
-        upto = at + weight / unit
-        over = sum(max(0.0, min(upto + n, end) - max(at + n, start)) for n in (0, 1))
-        part.update({i: over / (end - start)} if over > sliver * (upto - at) else {})
-        at = upto
-    return part
+    """The weights that lie from start to end on a ring of length 1.
+
+    Weights lie in the order of `ring`, each as long as its part of their sum.  Parts under `sliver` of a
+    weight are left out.
+    """
+    unit = max(1e-9, sum(ring.values()))
+    parts: dict[int, float] = {}
+    begin = 0.0
+    for index, weight in ring.items():
+        finish = begin + weight / unit
+        overlap = sum(max(0.0, min(finish + turn, end) - max(begin + turn, start)) for turn in (0, 1))
+        if overlap > sliver * (finish - begin):
+            parts[index] = overlap / (end - start)
+        begin = finish
+    return parts
--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from ..model.views import WorkerCapacityView
-from ..policy.controller import COLD_OVER
+from ..policy.tables import MAX_WARM_UP_SHARE
 
 TOP = 10_000  # weight of the heaviest member: shares of a hundredth of a percent can be told apart
 QUIET_CHANGE = 0.05  # part by which a weight must move to be pushed again: balancers chase what they are told
@@ -41,7 +41,7 @@
         level = sum(warm.values())
         for be, estimate in live.items():
             if be not in warm:
-                part = min(estimate / (level + estimate), COLD_OVER * estimate / whole, 0.5)
+                part = min(estimate / (level + estimate), MAX_WARM_UP_SHARE * estimate / whole, 0.5)
                 shares[be] = level * part / (1.0 - part)
         # Several cold ones in a group: each part was worked out beside the warm alone, so together they are
         # less than that, never more.
--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 
 from ..model.views import WorkerCapacityView
-from ..policy.controller import INTERVAL
+from ..policy.tuning import SOLVE_INTERVAL
 
 BOUND = 2.0  # the most that all advice together may lift or lower an estimate by: speeds differ by as much
 STEP = 0.15  # of the factor's logarithm that it may move an interval: 5 intervals from one bound to none
@@ -187,4 +187,4 @@
         a.credit = max(CREDIT_LEAST, a.credit)
 
 
-PERIOD = INTERVAL  # s between two calls of `factors`
+PERIOD = SOLVE_INTERVAL  # s between two calls of `factors`
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -21,7 +21,7 @@
 
 from ..model.min_cost_flow import min_cost_flow
 from ..model.views import WorkerCapacityView
-from ..policy.controller import CROSS_COST
+from ..policy.flow import CROSS_ZONE_COST
 
 PLAN_EVERY = 0.5  # s between plans, and the span of one slice: a worker's takings are seen in time
 MARGIN = 0.15  # part of the grace kept free at its end: for the busy, the slow and what failed once
@@ -316,7 +316,7 @@
             for forwarder, n in share.items():
                 demand[self._holders[forwarder].zone] += n
         caps = [float(sum(n for be, n in takes.items() if standing[be].zone == g)) for g in zones]
-        cost: list[list[float | None]] = [[CROSS_COST * (z != g) for g in zones] for z in zones]
+        cost: list[list[float | None]] = [[CROSS_ZONE_COST * (z != g) for g in zones] for z in zones]
         flow = min_cost_flow(demand, caps, cost)
         slots = self._slots(flow, takes, standing)
         orders: list[MigrateConnections] = []
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -6,8 +6,9 @@
 from collections.abc import Iterable
 
 from ..model.inputs import RestoredState, WorkerHistory
+from ..model.records import IN_SERVICE, WorkerState
 from ..model.views import WorkerCapacityView
-from ..policy.controller import GONE, LIVE, OUT, RoutingController
+from ..policy.controller import RoutingController
 
 
 def capacity_views(ladder: RoutingController) -> dict[int, WorkerCapacityView]:
@@ -15,22 +16,29 @@
     return {
         i: WorkerCapacityView(
             be.zone,
-            ladder.full.get(i, 0.0) if be.state in LIVE else 0.0,
-            ladder.cold(be),
-            be.due if be.state == GONE else -1.0,
-            math.sqrt(be.base * be.mean()),
+            ladder.capacities.get(i, 0.0) if be.state in IN_SERVICE else 0.0,
+            ladder.fleet.is_warming_up(be),
+            be.due_at if be.state == WorkerState.REMOVED else -1.0,
+            math.sqrt(be.base_latency_s * be.latency.mean()),
         )
-        for i, be in ladder.bes.items()
+        for i, be in ladder.fleet.workers.items()
     }
 
 
 def collect_state(ladder: RoutingController, bes: Iterable[int], proxies: Iterable[int]) -> RestoredState:
     """What the next life may start from, of these; in parts, as all of a large fleet takes too long."""
     pasts = tuple(
-        WorkerHistory(i, be.started, be.base, be.slowness, be.state == OUT, be.state == GONE)
+        WorkerHistory(
+            i,
+            be.started_at,
+            be.base_latency_s,
+            be.latency_factor,
+            be.state == WorkerState.EJECTED,
+            be.state == WorkerState.REMOVED,
+        )
         for i in bes
-        if (be := ladder.bes.get(i)) is not None
+        if (be := ladder.fleet.workers.get(i)) is not None
     )
-    here = ((p, ladder.proxies[p]) for p in proxies if p in ladder.proxies)
-    rates = tuple((p, sum(map(x.came, range(len(x.count))))) for p, x in here)
-    return RestoredState(ladder.gate.number, pasts, rates)
+    here = ((p, ladder.fleet.proxies[p]) for p in proxies if p in ladder.fleet.proxies)
+    rates = tuple((p, sum(map(x.class_rate, range(len(x.request_counts))))) for p, x in here)
+    return RestoredState(ladder.channel_budget.last_checkpoint, pasts, rates)
--- a/cottonladder/planning/snapshot_staleness.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 
 from ..model.inputs import RestoredState, WorkerHistory
-from ..policy.controller import OUT_MOST as OUT_MOST
+from ..policy.worker_lifecycle import MAX_EJECTED_RATIO as MAX_EJECTED_RATIO
 from .advice_weighting import CREDIT_START as CREDIT_START
 
 SUSPECT_MOST = 20.0  # s that a suspicion may be old: a worker shut out is tried again after 5 s anyway
@@ -45,7 +45,7 @@
     file of a manager that was cut off may suspect them all."""
     suspected = [past.worker_index for past in pasts if past.was_ejected and not past.was_draining]
     staying = sum(not past.was_draining for past in pasts)
-    if age > SUSPECT_MOST or len(suspected) > OUT_MOST * staying:
+    if age > SUSPECT_MOST or len(suspected) > MAX_EJECTED_RATIO * staying:
         return set()
     return set(suspected)
 
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -148,8 +148,10 @@
     def restart(self, recall: Callable[[RestoredState], RestoredState | None]) -> None:
         """The manager dies and a new one starts with the list, and with what `recall` makes of the old one's
         life.  Proxies keep their tables and join anew within a second."""
-        life = recall(collect_state(self.ladder, list(self.ladder.bes), list(self.ladder.proxies)))
-        now = self.ladder.now
+        life = recall(
+            collect_state(self.ladder, list(self.ladder.fleet.workers), list(self.ladder.fleet.proxies))
+        )
+        now = self.ladder.fleet.now
         self.ladder = RoutingController(TERMS)
         self._due = [row for row in self._due if not isinstance(row[2], TimerFired | Acknowledged)]
         heapq.heapify(self._due)
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -29,7 +29,8 @@
     WatchEndpoints,
 )
 from ..model.parameters import DeploymentParameters, RequestClass
-from ..policy.controller import BEAT, RoutingController
+from ..policy.controller import RoutingController
+from ..policy.tuning import TICK_INTERVAL
 from ..protocol.resp import MESSAGE_MOST, Reader
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.worker_registry import WorkerRegistry
@@ -112,7 +113,7 @@
         self.workers = WorkerRegistry()
         self.ladder = RoutingController(terms)
         self.spread = OrderDispatcher(list(KINDS), terms.manager_count, self.workers)
-        self.ladder.gate.added = self.spread.added
+        self.ladder.channel_budget.extra_lines = self.spread.added
         self.proxies: dict[int, Held] = {}
         self.channel: Channel = deque()
         self.credit, self.longest = 0.0, 0
@@ -154,9 +155,9 @@
                 if why := self.spread.take(order):
                     raise AssertionError(why)
                 mark = order.number if isinstance(order, Checkpoint) else mark
-        booked = dict(self.ladder.gate.in_flight.by_checkpoint.get(mark, {}))
+        booked = dict(self.ladder.channel_budget.in_flight.by_checkpoint.get(mark, {}))
         if mark >= 0:
-            self.ladder.gate.settle(self.spread.lines())
+            self.ladder.channel_budget.record_written(self.spread.lines())
         spread = perf_counter()
         messages = list(self.spread.messages())
         ended = perf_counter()
@@ -165,7 +166,7 @@
         self.took.append(ended - begun)
         for part, took in {**parts, "all": ended - begun}.items():
             self.spent[name, part] = max(took, self.spent.get((name, part), 0.0))
-        settled = self.ladder.gate.in_flight.by_checkpoint.get(mark, {})
+        settled = self.ladder.channel_budget.in_flight.by_checkpoint.get(mark, {})
         for proxy, message in messages:
             lines = lines_of(message, self.terms.message_header_lines)
             self.channel.append((proxy, message, lines))
@@ -215,8 +216,8 @@
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end - 1e-9:
-            self.now += BEAT
-            self.send(BEAT)
+            self.now += TICK_INTERVAL
+            self.send(TICK_INTERVAL)
             came = [item for at, item in self.due if at <= self.now]
             self.due = [(at, item) for at, item in self.due if at > self.now]
             self.step("look", [*came, *self.heard(), TimerFired(self.token)])
--- a/tests/test_advice_rules.py
+++ b/tests/test_advice_rules.py
@@ -15,7 +15,7 @@
 from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning import advice_weighting as ad
 from cottonladder.planning.advertised_weights import TOP, moved, offers
-from cottonladder.policy.controller import COLD_OVER
+from cottonladder.policy.tables import MAX_WARM_UP_SHARE
 from cottonladder.testbed import month_end as me
 from cottonladder.weight_advice import dfp, limits, sasp
 from cottonladder.weight_advice.registry import Finder, Registry
@@ -284,7 +284,7 @@
                 if standing[be].draining_since >= 0:
                     self.assertEqual((offer.weight, offer.leaving), (0, True))
                 elif standing[be].warming_up and warm:
-                    part = COLD_OVER * standing[be].capacity / whole
+                    part = MAX_WARM_UP_SHARE * standing[be].capacity / whole
                     self.assertLessEqual(offer.weight / total, part + 1.0 / total)
 
     def test_small_moves_are_not_told(self) -> None:
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -99,12 +99,12 @@
         fleet = self.fleet(terms)
         fleet.join(range(40))
         fleet.run(2)
-        table = fleet.ladder.proxies[0].table
+        table = fleet.ladder.fleet.proxies[0].table
         assert table is not None
-        fleet.ladder.gate.written[0] = [fleet.now - 0.1 * n for n in range(6)]
+        fleet.ladder.channel_budget.written_at[0] = [fleet.now - 0.1 * n for n in range(6)]
         self.tell(fleet, LEAVE)
         fleet.run(3)
-        self.assertLessEqual(set(self.sending(fleet, LEAVE)), set(table.users))
+        self.assertLessEqual(set(self.sending(fleet, LEAVE)), set(table.readers))
         fleet.run(12)
         self.assertEqual(self.sending(fleet, LEAVE), [])
 
@@ -122,7 +122,7 @@
         load, ladder = fleet.load(), fleet.ladder
         for n in range(60):
             be = fleet.workers.learn(f"n-{n:04x}", "127.0.0.1:1", 0.0)
-            part = ladder.bes[be].planned * ladder.part[n % 4]
+            part = ladder.fleet.workers[be].planned_rate * ladder.capacity.own_share[n % 4]
             self.assertLess(load.get(b"n-%04x" % n, 0.0), 1.5 * part)
 
     def test_where_nobody_is_left_all_are_shut_out(self) -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -42,7 +42,7 @@
         fleet.run(30)
         self.told(fleet, EndpointState.READY, range(40, 50), started=fleet.now - 1.0)
         fleet.run(8)
-        self.assertGreater(len(fleet.ladder.gate.written), 900)
+        self.assertGreater(len(fleet.ladder.channel_budget.written_at), 900)
         self.assertEqual(fleet.unbooked, [])
 
     def test_the_queue_stays_short_where_all_come_from_other_managers(self) -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -238,22 +238,24 @@
         """A drain stands until the list has the worker ready; a suspect is tried again; who has started
         since is a new worker; one that is unlisted is nobody; the number of marks goes on."""
         ladder = self.ladder(past(0, leaving=True), past(1, out=True), past(9, leaving=True))
-        states = {be: state.state for be, state in ladder.bes.items()}
+        states = {be: state.state for be, state in ladder.fleet.workers.items()}
         self.assertEqual((states[0], states[1], states[2], 9 in states), ("gone", "out", "well", False))
-        self.assertEqual(ladder.gate.number, 7)
+        self.assertEqual(ladder.channel_budget.last_checkpoint, 7)
         ready = Endpoint(0, 0, EndpointState.READY, 1.0, 0.0)
         ladder.decide(1001.0, [EndpointList(ListUpdateKind.DELTA, (ready,))])
-        self.assertEqual(ladder.bes[0].state, "ramp")
-        ladder.decide(1008.0, [TimerFired(ladder.beat)])
-        self.assertIn(ladder.bes[1].state, ("ramp", "well"))  # a recovered one is back within seconds
+        self.assertEqual(ladder.fleet.workers[0].state, "ramp")
+        ladder.decide(1008.0, [TimerFired(ladder.tick)])
+        self.assertIn(
+            ladder.fleet.workers[1].state, ("ramp", "well")
+        )  # a recovered one is back within seconds
         replaced = self.ladder(past(0, leaving=True), started=995.0)
-        self.assertNotEqual(replaced.bes[0].state, "gone")
-        self.assertTrue(replaced.cold(replaced.bes[0]))  # and still cold
+        self.assertNotEqual(replaced.fleet.workers[0].state, "gone")
+        self.assertTrue(replaced.fleet.is_warming_up(replaced.fleet.workers[0]))  # and still cold
 
     def test_a_life_goes_round(self) -> None:
         day = me.MonthEndRun({}, length=30.0)
         day.play()
-        life = collect_state(day.ladder, list(day.ladder.bes), list(day.ladder.proxies))
+        life = collect_state(day.ladder, list(day.ladder.fleet.workers), list(day.ladder.fleet.proxies))
         self.assertEqual({p.worker_index for p in life.workers}, set(day.boxes))
         self.assertTrue(all(p.base_latency_s > 0 for p in life.workers))
         self.assertEqual(len(life.proxy_rates), me.PROXIES)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -6,7 +6,7 @@
 
 from cottonladder.model.inputs import EndpointList, EndpointState, ListUpdateKind
 from cottonladder.model.weight_ring import cut
-from cottonladder.policy.controller import MOVE
+from cottonladder.policy.tables import MIN_WEIGHT_CHANGE
 from cottonladder.testbed.simulated_fleet import SimulatedFleet, site
 
 
@@ -51,7 +51,7 @@
         fleet = self.fleet(24, proxies=60)
         fleet.join(range(12))
         fleet.run(3)
-        self.assertEqual([t.number for t in fleet.ladder.tables], [0, 1, 2, 3])
+        self.assertEqual([t.number for t in fleet.ladder.fleet.tables], [0, 1, 2, 3])
         self.assertEqual({len(held.rows) for held in fleet.proxies.values()}, {6})
 
     def test_a_group_that_grows_is_dealt_anew(self) -> None:
@@ -71,7 +71,7 @@
         ring = {n: 1.0 + n % 3 for n in range(30)}
         laid = dict.fromkeys(ring, 0.0)
         for n in range(10):
-            part = cut(ring, n / 10, n / 10 + 0.2, MOVE)
+            part = cut(ring, n / 10, n / 10 + 0.2, MIN_WEIGHT_CHANGE)
             self.assertAlmostEqual(sum(part.values()), 1.0, delta=0.05)
             for i, weight in part.items():
                 laid[i] += weight / 10
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -63,6 +63,7 @@
 )
 from cottonladder.model.parameters import DeploymentParameters, RequestClass
 from cottonladder.policy.controller import RoutingController
+from cottonladder.policy.demand import estimate_demand
 
 FOLDER = Path(__file__).parent / "scenarios"
 KINDS = (RequestClass(0.8, 1.0), RequestClass(1.0, 3.0))
@@ -218,11 +219,12 @@
         if what == "level":
             return _compare(self.levels.get((int(args[0]), int(args[1])), 1.0), args[2], args[3])
         if what in ("waiting", "flying"):
-            gate = self.ladder.gate
-            lines = gate.waiting if what == "waiting" else gate.in_flight.total
+            gate = self.ladder.channel_budget
+            lines = gate.waiting_lines if what == "waiting" else gate.in_flight.total
             return _compare(lines, args[0], args[1]) and lines >= 0
         if what in ("demand", "others"):
-            return _compare(sum(self.ladder._demand()[what == "others"]), args[0], args[1])
+            demand = estimate_demand(self.ladder.fleet)
+            return _compare(sum(demand.others if what == "others" else demand.own), args[0], args[1])
         if what == "words":
             return _compare(
                 max(len(o.text) for o in self.orders if isinstance(o, SendGossip)), args[0], args[1]
@@ -240,7 +242,7 @@
         if what in ("order", "no"):
             return any(type(o).__name__ == args[-1] for o in self.orders) == (what == "order")
         if what in ("known", "unknown"):
-            return all((i in self.ladder.bes) == (what == "known") for i in ids)
+            return all((i in self.ladder.fleet.workers) == (what == "known") for i in ids)
         if what == "log":
             return any(isinstance(o, LogModeChange) and " ".join(args) in o.message for o in self.orders)
         raise ValueError(f"unknown word {what}")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -64,7 +64,7 @@
         self.spread = OrderDispatcher(
             list(self.site.classes), self.site.parameters.manager_count, self.workers
         )
-        self.ladder.gate.added = self.spread.added
+        self.ladder.channel_budget.extra_lines = self.spread.added
         self.lines, self.said = lines, list[str]()
         self.due: tuple[float, int] = (BEGAN, 0)
         self.marks: list[Input] = []
@@ -72,7 +72,7 @@
     def input(self, verb: str, words: str) -> Input:
         if verb == "list":
             listing = read_list(json.loads(words), self.site, self.workers.learn, "list")[1]
-            first = not self.ladder.listed
+            first = not self.ladder.has_endpoint_list
             return EndpointList(ListUpdateKind.CACHED, listing.endpoints) if first else listing
         if verb == "leave":
             return ProxyDisconnected(int(words))
@@ -104,7 +104,7 @@
             elif not isinstance(order, (WatchEndpoints, HealthCheck)):
                 assert self.spread.take(order) == "", order
         if any(isinstance(order, Checkpoint) for order in orders):
-            self.ladder.gate.settle(self.spread.lines())
+            self.ladder.channel_budget.record_written(self.spread.lines())
         for proxy, data in self.spread.messages():
             for words in Reader(MESSAGE_MOST).feed(data):
                 said = b" ".join(words).decode()
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -217,13 +217,13 @@
 
     def agree(self) -> None:
         """Once all has arrived, bound proxies hold and shut out what the module takes them to."""
-        for table in self.ladder.tables:
-            for p in table.users:
+        for table in self.ladder.fleet.tables:
+            for p in table.readers:
                 holder = self.holders[p]
                 holder.arrive()
-                expect(self.workers.ids.keys() >= self.ladder.bes.keys(), True)
+                expect(self.workers.ids.keys() >= self.ladder.fleet.workers.keys(), True)
                 sent = {self.workers.ids[i]: w for i, w in table.sent.items() if w > 0}
-                out = {self.workers.ids[i] for i in table.sent if self.ladder.bes[i].cordoned}
+                out = {self.workers.ids[i] for i in table.sent if self.ladder.fleet.workers[i].is_excluded}
                 expect(holder.rows, sent)
                 expect(holder.out & set(sent), out & set(sent))
 
