--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -1,208 +1,164 @@
-"""Start and stop of one manager: everything opened here is given back here, in the opposite order."""
+"""Start and stop of one manager: what `serve` opens is closed in the opposite order."""
 
 from __future__ import annotations
 
 import asyncio
-import resource
 import signal
-from contextlib import AsyncExitStack
-from dataclasses import replace
-from functools import partial
-from typing import TYPE_CHECKING
+from collections.abc import AsyncIterator, Callable, Coroutine
+from contextlib import AsyncExitStack, asynccontextmanager
+from typing import TYPE_CHECKING, Any
 
 import structlog
 
-from ..config.manager_config import ManagerConfig, read_manager_config
-from ..config.settings import WireError
+from ..config.manager_config import ManagerConfig
+from ..model.inputs import EndpointList
 from ..policy.controller import RoutingController
 from ..protocol.discovery import DiscoveryClient
 from ..protocol.gossip import GossipSocket
 from ..protocol.health_checks import HealthChecker
 from ..protocol.messages import MessageReader
-from ..protocol.stream_listener import QUEUE, ConnectionLimits, StreamListener
+from ..protocol.stream_listener import ConnectionLimits, StreamListener
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.proxy_sessions import ProxySessions
 from . import signals
-from .control_loop import ControlLoop, ControlLoopExtension, Effects, InputQueue
+from .connection_limits import connection_limits
+from .control_loop import ControlLoop, Effects, InputQueue
+from .extensions import (
+    BackgroundWork,
+    Extensions,
+    connect_snapshots,
+    create_extensions,
+    start_background_work,
+)
+from .reload import ConfigReloader
 
 if TYPE_CHECKING:
     from ..config.operator_config import OperatorConfig
-    from .background_scheduler import BackgroundScheduler
-    from .snapshot_manager import SnapshotManager
-
-KEPT = 20  # descriptors for log, loop, listener, discovery, datagrams and the like, with some to spare
-TURNS = 4  # of the loop from an accept to the closing of whoever is one too many
-
-
-def shares(placement: ManagerConfig) -> ConnectionLimits:
-    """Accepts in flight and probes get a part of the descriptors, connections what is left, strangers only
-    what nobody who joined needs; what proxies leave unread may hold a quarter of the memory, over all."""
-    terms, sockets = placement.site.parameters, placement.sockets
-    most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)  # the system may allow less
-    sockets = sockets if most == resource.RLIM_INFINITY else min(sockets, most)
-    accepts, probes = min(64, max(2, sockets // 64)), min(64, max(4, sockets // 16))
-    left = sockets - KEPT - TURNS * accepts - probes
-    unread = (placement.memory_mb << 20) // (4 * max(1, terms.proxy_count))
-    queue = max(
-        QUEUE, 2 * terms.proxy_count
-    )  # each may have dialled anew before its last dial is seen to end
-    return ConnectionLimits(max(2 * terms.zone_count, left), accepts, probes, unread, queue)
-
-
-FIXED = ("name", "listen", "peer_listen", "peers", "peers_all", "settings")  # hold until the program ends
-
-
-def kept(held: ManagerConfig, new: ManagerConfig) -> list[str]:
-    """Fields that the new configuration changes and a reload can't; a seed is for starts alone."""
-    site = replace(new.site, parameters=replace(new.site.parameters, seed=held.site.parameters.seed))
-    pairs = {name: (getattr(held, name, held.site), getattr(new, name, site)) for name in FIXED}
-    return [name for name, (was, now) in pairs.items() if was != now]
-
-
-class Reload:
-    """Reads the file anew; the one place where what can change while running does.  A file with any fault is
-    not taken at all: what it lacks nobody can tell from what it means to change."""
-
-    def __init__(
-        self, path: str, held: ManagerConfig, discovery: DiscoveryClient, address: StreamListener
-    ) -> None:
-        self._path, self._held, self._discovery, self._address = path, held, discovery, address
-        self._closed = False
-        self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-
-    def close(self) -> None:
-        """The handler stands until the loop is closed, longer than what it changes."""
-        self._closed = True
-
-    def __call__(self) -> None:
-        if self._closed:
-            return
-        held = self._held
-        try:
-            new = read_manager_config(self._path)
-        except WireError as exc:
-            self.log.error("configuration not taken", why=str(exc))
-            return
-        if new.discovery != held.discovery:
-            self._discovery.move(new.discovery)
-        self._held = replace(held, discovery=new.discovery, sockets=new.sockets, memory_mb=new.memory_mb)
-        self._address.shares = shares(self._held)
-        fixed, (host, port) = ",".join(kept(held, new)) or "none", new.discovery
-        self.log.info("configuration taken", discovery=f"{host}:{port}", unchangeable=fixed)
-
-
-async def background(
-    placement: ManagerConfig, operator: OperatorConfig | None, stack: AsyncExitStack
-) -> tuple[BackgroundScheduler | None, SnapshotManager | None]:
-    """The scheduler, where something needs it, and the memory of an earlier life."""
-    if operator is None or not (operator.memory or operator.control):
-        return None, None
-    import random
-
-    from .admin_socket import AdminSocket
-    from .background_scheduler import BackgroundScheduler
-
-    tasks = BackgroundScheduler(random.Random(placement.site.parameters.seed).random)
-    keeper: SnapshotManager | None = None
-    if operator.memory is not None:
-        from .snapshot_manager import TASK, SnapshotManager
-
-        keeper = SnapshotManager(operator.memory.folder, operator.memory.every, placement, tasks)
-        await keeper.start(stack)
-        stack.push_async_callback(tasks.close, (TASK,))
-    else:
-        stack.push_async_callback(tasks.close)
-    if operator.control:
-        await AdminSocket(operator.control, {"tasks": tasks.shown}).listen(stack)
-    tasks.start()
-    return tasks, keeper
-
-
-def link(keeper: SnapshotManager, plans: list[ControlLoopExtension], discovery: DiscoveryClient) -> None:
-    """What is kept of others' knowledge, and given back to them."""
-    keeper.list_version = lambda: discovery.version
-    for plan in plans:
-        if (advice := getattr(plan, "advice", None)) is not None:
-            advice.recall(keeper.credits)
-            keeper.credits_now = advice.credits
-
-
-def planners(
-    placement: ManagerConfig, operator: OperatorConfig | None, messages: MessageReader
-) -> list[ControlLoopExtension]:
-    """What the operators' file switches on; imported only then, as managers live in little memory."""
-    plans: list[ControlLoopExtension] = []
-    if operator is not None and operator.upgrades is not None:
-        from .connection_migrator import ConnectionMigrator
-
-        plans.append(ConnectionMigrator(placement.site, operator.upgrades, placement.workers, messages))
-    if operator is not None and operator.advice is not None:
-        from .weight_advisor import WeightAdvisor
-
-        plans.append(WeightAdvisor(operator.advice, placement.workers))
-    if operator is not None and operator.plugins is not None:
-        from .plugin_extension import PluginExtension
-
-        plugged = PluginExtension(operator.plugins, placement.workers)
-        for plan in plans:
-            if hasattr(plan, "vetoes"):
-                plan.vetoes = plugged.vetoes
-        plans.append(plugged)
-    return plans
-
-
-async def serve(placement: ManagerConfig, file: str, operator: OperatorConfig | None = None) -> None:
-    """Until SIGTERM or SIGINT; a fault of the module is raised from here."""
+
+
+async def serve(config: ManagerConfig, config_path: str, operator: OperatorConfig | None = None) -> None:
+    """Runs one manager until SIGTERM or SIGINT; a fault of the policy is raised from here."""
     log: structlog.stdlib.BoundLogger = structlog.get_logger()
-    site, workers, inbox, limits = placement.site, placement.workers, InputQueue(), shares(placement)
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    roster = ProxySessions(inbox.put)
+    stop = _stop_event()
+    limits = connection_limits(config)
+    input_queue = InputQueue()
+    sessions = ProxySessions(input_queue.put)
+    messages = MessageReader(config.settings, config.workers.find_index)
     async with AsyncExitStack() as stack:
-        tasks, keeper = await background(placement, operator, stack)
-        version, known = (keeper.version, keeper.known) if keeper else (placement.version, placement.known)
-        discovery = DiscoveryClient(placement.discovery, site, workers.learn, inbox.put, version)
-        stack.push_async_callback(discovery.close)
-        path = "/load" if site.load_reports else "/healthz"
-        probing = HealthChecker(path, limits.probes, workers.address, inbox.put)
-        stack.push_async_callback(probing.close)
-        peers = GossipSocket(site.manager_index, placement.peers, placement.peers_all, inbox.put)
-        stack.callback(peers.close)
-        if placement.peer_listen is not None:
-            await peers.listen(placement.peer_listen)
-        spread = OrderDispatcher(list(site.classes), site.parameters.manager_count, workers)
-        messages = MessageReader(site, workers.find)
-        hands = Effects(discovery, probing, peers)
-        plans = planners(placement, operator, messages)
-        for plan in plans:
-            await plan.start(stack)
-        if keeper is not None:
-            link(keeper, plans, discovery)
-            plans.insert(0, keeper)
-        owner = ControlLoop(RoutingController(site.parameters), inbox, roster, spread, hands, plans)
-        stack.callback(owner.close)
-        for plan in plans:
-            if (event := getattr(plan, "event", None)) is not None:
-                owner.remarked = partial(event, "mode")
-        if tasks is not None:
-            owner.late = tasks.late
-        owner.step([known])  # it can decide from here on, so from here on it answers
-        address = StreamListener(messages, roster, limits)
-        stack.push_async_callback(address.close)
-        port = await address.listen(*placement.listen)
-        log.info("serving", name=placement.name, host=placement.listen[0], port=port)
-        reload = Reload(file, placement, discovery, address)
-        stack.callback(reload.close)
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
-        if signals.missed():
-            reload()
-        running = asyncio.create_task(owner.run())
-        stopping = asyncio.create_task(stop.wait())
-        await asyncio.wait((running, stopping), return_when=asyncio.FIRST_COMPLETED)
-        stopping.cancel()
+        background = await start_background_work(config, operator, stack)
+        list_version, known_endpoints = _starting_list(config, background)
+        effects = await _open_effects(config, limits, list_version, input_queue, stack)
+        extensions = create_extensions(config, operator, messages)
+        for extension in extensions.in_order():
+            await extension.start(stack)
+        control_loop = _create_control_loop(config, input_queue, sessions, effects, extensions, background)
+        stack.callback(control_loop.close)
+        control_loop.step([known_endpoints])  # from here on it can decide, so from here on it answers
+        listener = StreamListener(messages, sessions, limits)
+        stack.push_async_callback(listener.close)
+        port = await listener.listen(*config.listen)
+        log.info("serving", name=config.name, host=config.listen[0], port=port)
+        reloader = ConfigReloader(config_path, config, effects.discovery, listener)
+        stack.callback(reloader.close)
+        _reload_on_signal(reloader)
+        running = await stack.enter_async_context(_owned_task(control_loop.run()))
+        await _wait_for_first(running, stop)
         if running.done():
             running.result()  # raises what ended it
-        log.info("stopping", name=placement.name)
-        running.cancel()  # and ended, before what it uses is closed
-        await asyncio.gather(running, return_exceptions=True)
+        log.info("stopping", name=config.name)
+
+
+def _stop_event() -> asyncio.Event:
+    """An event that SIGTERM and SIGINT set."""
+    stop = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stop.set)
+    return stop
+
+
+def _starting_list(config: ManagerConfig, background: BackgroundWork) -> tuple[int, EndpointList]:
+    """The list of endpoints to begin with, and its version: the snapshot's where there is one."""
+    if background.snapshots is not None:
+        return background.snapshots.restored_list_version, background.snapshots.known_endpoints
+    return config.list_version, config.known_endpoints
+
+
+async def _open_effects(
+    config: ManagerConfig,
+    limits: ConnectionLimits,
+    list_version: int,
+    input_queue: InputQueue,
+    stack: AsyncExitStack,
+) -> Effects:
+    """Discovery client, health checks and gossip; their results come back through the queue."""
+    settings, workers = config.settings, config.workers
+    discovery = DiscoveryClient(config.discovery, settings, workers.register, input_queue.put, list_version)
+    stack.push_async_callback(discovery.close)
+    path = "/load" if settings.load_reports else "/healthz"
+    health_checker = HealthChecker(path, limits.max_health_checks, workers.address_of, input_queue.put)
+    stack.push_async_callback(health_checker.close)
+    gossip = GossipSocket(settings.manager_index, config.peers, config.peers_all, input_queue.put)
+    stack.callback(gossip.close)
+    if config.peer_listen is not None:
+        await gossip.listen(config.peer_listen)
+    return Effects(discovery, health_checker, gossip)
+
+
+def _create_control_loop(
+    config: ManagerConfig,
+    input_queue: InputQueue,
+    sessions: ProxySessions,
+    effects: Effects,
+    extensions: Extensions,
+    background: BackgroundWork,
+) -> ControlLoop:
+    """The control loop with its extensions; snapshots come first, as they restore the earlier state."""
+    settings = config.settings
+    loop_extensions = extensions.in_order()
+    if background.snapshots is not None:
+        connect_snapshots(background.snapshots, extensions, effects.discovery)
+        loop_extensions.insert(0, background.snapshots)
+    observers: dict[str, Callable[..., None]] = {}
+    if background.scheduler is not None:
+        observers["on_loop_lag"] = background.scheduler.pause_for_loop_lag
+    on_mode_change = extensions.mode_change_observer()
+    if on_mode_change is not None:
+        observers["on_mode_change"] = on_mode_change
+    return ControlLoop(
+        RoutingController(settings.parameters),
+        input_queue,
+        sessions,
+        OrderDispatcher(list(settings.classes), settings.parameters.manager_count, config.workers),
+        effects,
+        loop_extensions,
+        **observers,
+    )
+
+
+def _reload_on_signal(reloader: ConfigReloader) -> None:
+    """Reloads at each SIGHUP, and now if one came while the manager was starting."""
+    asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reloader)
+    if signals.reload_was_requested():
+        reloader()
+
+
+@asynccontextmanager
+async def _owned_task(coroutine: Coroutine[Any, Any, None]) -> AsyncIterator[asyncio.Task[None]]:
+    """A task that is cancelled, and has ended, before anything that it uses is closed."""
+    task = asyncio.create_task(coroutine)
+    try:
+        yield task
+    finally:
+        task.cancel()
+        await asyncio.gather(task, return_exceptions=True)
+
+
+async def _wait_for_first(running: asyncio.Task[None], stop: asyncio.Event) -> None:
+    """Until the control loop has ended or the stop was asked for."""
+    async with _owned_task(_wait(stop)) as stopping:
+        await asyncio.wait((running, stopping), return_when=asyncio.FIRST_COMPLETED)
+
+
+async def _wait(event: asyncio.Event) -> None:
+    await event.wait()
--- a/cottonladder/model/fleet.py
+++ b/cottonladder/model/fleet.py
@@ -295,20 +295,25 @@
 
     def removed_workers(self, table: RoutingTable) -> list[int]:
         """Workers that a table still names though they left."""
-        return [i for i in table.sent if self.workers[i].state == WorkerState.REMOVED]
+        workers = self.workers
+        removed = WorkerState.REMOVED
+        return [i for i in table.sent if workers[i].state is removed]
+
+    def first_removal(self, table: RoutingTable) -> float:
+        """When the first of them left; infinite where there is none."""
+        return min([self.workers[i].due_at for i in self.removed_workers(table)], default=math.inf)
 
     def removed_by(self, table: RoutingTable, until: float) -> list[int]:
         """Workers that a table still names though they left, if the first of them did by then."""
-        return self.removed_workers(table) if self.first_removal(table) <= until else []
+        removed = self.removed_workers(table)
+        if removed and min([self.workers[i].due_at for i in removed]) > until:
+            return []
+        return removed
 
     def excluded(self, table: RoutingTable) -> set[int]:
         """Workers that a table names and proxies were told to exclude."""
         return {i for i in table.sent if self.workers[i].is_excluded}
 
-    def first_removal(self, table: RoutingTable) -> float:
-        """When the first of them left; infinite where there is none."""
-        return min((self.workers[i].due_at for i in self.removed_workers(table)), default=math.inf)
-
     def holders(self, worker_index: int) -> list[int]:
         """Proxies that may know a worker: whose table names it, or that are not bound yet."""
         return [
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -11,21 +11,23 @@
 from ..policy.controller import RoutingController
 
 
-def capacity_views(ladder: RoutingController) -> dict[int, WorkerCapacityView]:
+def capacity_views(controller: RoutingController) -> dict[int, WorkerCapacityView]:
     """Each server as last solved."""
     return {
         i: WorkerCapacityView(
             be.zone,
-            ladder.capacities.get(i, 0.0) if be.state in IN_SERVICE else 0.0,
-            ladder.fleet.is_warming_up(be),
+            controller.capacities.get(i, 0.0) if be.state in IN_SERVICE else 0.0,
+            controller.fleet.is_warming_up(be),
             be.due_at if be.state == WorkerState.REMOVED else -1.0,
             math.sqrt(be.base_latency_s * be.latency.mean()),
         )
-        for i, be in ladder.fleet.workers.items()
+        for i, be in controller.fleet.workers.items()
     }
 
 
-def collect_state(ladder: RoutingController, bes: Iterable[int], proxies: Iterable[int]) -> RestoredState:
+def collect_state(
+    controller: RoutingController, worker_indices: Iterable[int], proxies: Iterable[int]
+) -> RestoredState:
     """What the next life may start from, of these; in parts, as all of a large fleet takes too long."""
     pasts = tuple(
         WorkerHistory(
@@ -36,9 +38,9 @@
             be.state == WorkerState.EJECTED,
             be.state == WorkerState.REMOVED,
         )
-        for i in bes
-        if (be := ladder.fleet.workers.get(i)) is not None
+        for i in worker_indices
+        if (be := controller.fleet.workers.get(i)) is not None
     )
-    here = ((p, ladder.fleet.proxies[p]) for p in proxies if p in ladder.fleet.proxies)
+    here = ((p, controller.fleet.proxies[p]) for p in proxies if p in controller.fleet.proxies)
     rates = tuple((p, sum(map(x.class_rate, range(len(x.request_counts))))) for p, x in here)
-    return RestoredState(ladder.channel_budget.last_checkpoint, pasts, rates)
+    return RestoredState(controller.channel_budget.last_checkpoint, pasts, rates)
