--- a/cottonladder/model/min_cost_flow.py
+++ b/cottonladder/model/min_cost_flow.py
@@ -5,38 +5,66 @@
 import math
 
 Matrix = list[list[float]]
+Arc = tuple[int, int]  # start and end node
 
+EPSILON = 1e-9  # of flow or cost: less is rounding
+SOURCE = 0  # node; then a node a zone, one a group, and the sink
 
-def min_cost_flow(demand: list[float], caps: list[float], cost: list[list[float | None]]) -> Matrix:
-    """Successive cheapest paths, flow[z][g]; what finds no room is left to overflow.  No link costs None."""
-    first, sink = 1 + len(demand), 1 + len(demand) + len(caps)  # nodes: source 0, zones, groups, sink
-    room, price = dict[tuple[int, int], float](), dict[tuple[int, int], float]()
-
-    def arc(start: int, end: int, most: float, each: float) -> None:
-        room.update({(start, end): most, (end, start): 0.0})
-        price.update({(start, end): each, (end, start): -each})
-
-    for z, most in enumerate(demand):
-        arc(0, 1 + z, most, 0.0)
-        for g, each in enumerate(cost[z]):
-            arc(1 + z, first + g, 0.0 if each is None else most, each or 0.0)
-    for g, most in enumerate(caps):
-        arc(first + g, sink, most, 0.0)
-    for _ in range(2 * len(room)):
-        far, came, nearer = {0: 0.0}, dict[int, int](), True
-        while nearer:  # costs of residual arcs hold no negative cycle, so this comes to an end
-            nearer = False
-            for (start, end), left in room.items():
-                there = far.get(start, math.inf) + price[start, end]
-                if left > 1e-9 and there < far.get(end, math.inf) - 1e-9:
-                    far[end], came[end], nearer = there, start, True
-        if sink not in came:  # what is left finds no room: a further round would look for the same in vain
+
+def min_cost_flow(demand: list[float], capacity: list[float], cost: list[list[float | None]]) -> Matrix:
+    """Lays as much of the demand as finds capacity, as cheaply as can be.
+
+    `demand` by zone and `capacity` by group are in one unit, `cost[zone][group]` is for one of it; None is no
+    link.  Gives `flow[zone][group]`.
+    """
+    first_group = 1 + len(demand)
+    sink = first_group + len(capacity)
+    residual: dict[Arc, float] = {}
+    price: dict[Arc, float] = {}
+
+    def add_arc(start: int, end: int, limit: float, unit_cost: float) -> None:
+        residual[start, end] = limit
+        residual[end, start] = 0.0
+        price[start, end] = unit_cost
+        price[end, start] = -unit_cost
+
+    for zone, amount in enumerate(demand):
+        add_arc(SOURCE, 1 + zone, amount, 0.0)
+        for group, unit_cost in enumerate(cost[zone]):
+            add_arc(1 + zone, first_group + group, 0.0 if unit_cost is None else amount, unit_cost or 0.0)
+    for group, limit in enumerate(capacity):
+        add_arc(first_group + group, sink, limit, 0.0)
+    for _ in range(2 * len(residual)):
+        path = _cheapest_path(residual, price, sink)
+        if not path:  # what is left finds no capacity: a further round would look for the same in vain
             break
-        path = [(came[sink], sink)]
-        while path[-1][0] != 0:
-            path.append((came[path[-1][0]], path[-1][0]))
-        push = min(room[ends] for ends in path)
+        pushed = min(residual[arc] for arc in path)
         for start, end in path:
-            room[start, end] -= push
-            room[end, start] += push
-    return [[room[first + g, 1 + z] for g in range(len(caps))] for z in range(len(demand))]
+            residual[start, end] -= pushed
+            residual[end, start] += pushed
+    return [
+        [residual[first_group + group, 1 + zone] for group in range(len(capacity))]
+        for zone in range(len(demand))
+    ]
+
+
+def _cheapest_path(residual: dict[Arc, float], price: dict[Arc, float], sink: int) -> list[Arc]:
+    """The arcs from the sink back to the source (Bellman-Ford); none where the sink is out of reach."""
+    distance = {SOURCE: 0.0}
+    previous: dict[int, int] = {}
+    has_changed = True
+    while has_changed:  # costs of residual arcs hold no negative cycle, so this comes to an end
+        has_changed = False
+        for arc, left in residual.items():
+            start, end = arc
+            candidate = distance.get(start, math.inf) + price[arc]
+            if left > EPSILON and candidate < distance.get(end, math.inf) - EPSILON:
+                distance[end] = candidate
+                previous[end] = start
+                has_changed = True
+    if sink not in previous:
+        return []
+    path = [(previous[sink], sink)]
+    while path[-1][0] != SOURCE:
+        path.append((previous[path[-1][0]], path[-1][0]))
+    return path
--- a/tests/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays every scenario in tests/scenarios against the decisions, without any bench.
+"""Plays every scenario in tests/policy/scenarios against the decisions, without any bench.
 
 Grammar, a word group a line; `#` starts a comment.  Backends are b0, b1 .., proxies p0, p1 .., times seconds.
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -52,7 +52,7 @@
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from cottonladder.state.order_dispatcher import OrderDispatcher
 from cottonladder.state.worker_registry import WorkerRegistry
-from tests.test_scenarios import USUAL
+from tests.policy.test_scenarios import USUAL
 
 
 class Player:
