--- a/cottonladder/model/fleet.py
+++ b/cottonladder/model/fleet.py
@@ -29,6 +29,7 @@
     max_advised_factor: float  # of all advisors together, and its inverse the least
     capacity_samples: int  # of a worker, one an interval
     link_intervals: int  # that a link's least latency is of
+    min_latency_ratio: float  # of the tightest objective: the first bin's lower bound
     latency_bin_ratio: float  # of a bin's bounds
     latency_bins: int
 
@@ -137,7 +138,9 @@
         """Takes what the list says of a worker; whether it has started since it was last listed, of late."""
         if endpoint.worker_index not in self.workers:
             s = self.settings
-            latency = LatencyHistogram(self.tightest_objective_s / 64, s.latency_bin_ratio, s.latency_bins)
+            latency = LatencyHistogram(
+                self.tightest_objective_s * s.min_latency_ratio, s.latency_bin_ratio, s.latency_bins
+            )
             self.workers[endpoint.worker_index] = WorkerRecord(latency, s.capacity_samples)
         worker = self.workers[endpoint.worker_index]
         has_started = worker.started_at < endpoint.started_at > self.now - self.parameters.warm_up_s
--- a/cottonladder/model/line_account.py
+++ b/cottonladder/model/line_account.py
@@ -108,6 +108,6 @@
         self.reserved_total = 0
         return orders, lines
 
-    def spread_s(self, times: list[float]) -> float:
+    def quiet_s(self, times: list[float]) -> float:
         """Seconds since the last of these messages."""
         return self.updated_at - max(times, default=-math.inf)
--- a/cottonladder/policy/channel_budget.py
+++ b/cottonladder/policy/channel_budget.py
@@ -21,7 +21,7 @@
         allowed = self.parameters.max_messages
         if allowed <= 0:
             return True
-        if limit is not DELTA_LIMIT and self.spread_s(times) >= self.parameters.message_window_s / allowed:
+        if limit is not DELTA_LIMIT and self.quiet_s(times) >= self.parameters.message_window_s / allowed:
             return len(times) < allowed
         return len(times) < allowed * 2 // 3
 
--- a/cottonladder/policy/tuning.py
+++ b/cottonladder/policy/tuning.py
@@ -13,6 +13,7 @@
     max_advised_factor=2.0,  # what advice may do, right or wrong
     capacity_samples=10,  # intervals (design page)
     link_intervals=3,  # design page: 5 s
+    min_latency_ratio=1 / 64,  # of the tightest objective: less is as good
     latency_bin_ratio=1.5,  # coarse: a mean is read off them
     latency_bins=16,
 )
