--- a/cottonladder/model/inputs.py
+++ b/cottonladder/model/inputs.py
@@ -41,17 +41,23 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
+    """What discovery lists: all workers, or those that changed, by kind."""
+
     kind: ListUpdateKind
     endpoints: tuple[Endpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer that was ordered is due; its token is the order's."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
+    """An answer of a worker with what it measures of itself, or none in time."""
+
     worker_index: int
     succeeded: bool
     duration_s: float
@@ -78,6 +84,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyDisconnected:
+    """A proxy's stream broke, or it left."""
+
     proxy: int
 
 
@@ -107,6 +115,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceLoadReport:
+    """Requests of one class in one slice table, and those still unanswered."""
+
     table: int
     class_index: int
     requests: int
@@ -116,12 +126,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceAssigned:
+    """Whether this manager owns a slice table."""
+
     table: int
     assigned: bool
 
 
 @dataclass(frozen=True, slots=True)
 class StoredWeight:
+    """A weight that a slice table already holds."""
+
     table: int
     worker_index: int
     weight: float
@@ -129,6 +143,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
+    """A proxy answered a checkpoint, so it holds all that was written before."""
+
     proxy: int
     checkpoint: int
     duration_s: float
--- a/cottonladder/model/orders.py
+++ b/cottonladder/model/orders.py
@@ -23,6 +23,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SetWeight:
+    """A worker's weight in a table; 0 takes it out."""
+
     table: int
     worker_index: int
     weight: float
@@ -30,6 +32,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ClearTable:
+    """Takes every worker out of a table."""
+
     table: int
 
 
@@ -44,12 +48,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ExcludeWorker:
+    """Has proxies send a worker nothing in any table, or lifts that."""
+
     worker_index: int
     excluded: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SetAdmission:
+    """What a table lets in of the classes in a bit mask: a share or a rate, as deployed."""
+
     table: int
     admission: float
     class_mask: int
@@ -58,6 +66,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkpoint:
+    """Asks who was written to for an answer once all before it is applied."""
+
     number: int
     to_all_proxies: bool
 
@@ -71,11 +81,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    pass
+    """Asks discovery for one whole list."""
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
+    """Sends a worker one health check."""
+
     worker_index: int
 
 
@@ -89,6 +101,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
+    """Asks for `TimerFired` with this token after a delay in seconds."""
+
     delay_s: float
     token: int
 
@@ -102,6 +116,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LogModeChange:
+    """A change of mode for the log."""
+
     message: str
 
 
--- a/cottonladder/model/parameters.py
+++ b/cottonladder/model/parameters.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One kind of req, as the operators describe it."""
+    """One class of requests, as the operators describe it."""
 
     latency_objective_s: float
     priority_weight: float
