--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -134,7 +134,7 @@
         self._extensions = list(extensions)
         self._on_loop_lag = on_loop_lag
         self._on_mode_change = on_mode_change
-        controller.gate.added = dispatcher.count_added_lines
+        controller.channel_budget.extra_lines = dispatcher.count_added_lines
         self._clock = Clock()
         self._last_timer = 0
         self._timers: dict[int, asyncio.TimerHandle] = {}
@@ -166,7 +166,7 @@
         for order in orders:
             self._carry_out(order)
         if any(isinstance(order, Checkpoint) for order in orders):
-            self._controller.gate.settle(self._dispatcher.pending_line_counts())
+            self._controller.channel_budget.record_written(self._dispatcher.pending_line_counts())
         self._send_messages(now)
 
     def close(self) -> None:
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -18,7 +18,8 @@
 from ..planning.plugin_bounds import bounded_factor, may_veto
 from ..plugins.abi import EVENT, MOVE, WORKER, encode_record
 from ..plugins.chain import PluginChain, PluginSpec
-from ..policy.controller import INTERVAL, RoutingController
+from ..policy.controller import RoutingController
+from ..policy.tuning import SOLVE_INTERVAL
 from ..protocol.messages import ExtensionMessage
 from ..state.worker_registry import WorkerRegistry
 
@@ -96,7 +97,7 @@
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
         """Writes no proxy; each interval the workers are asked of anew."""
         if now >= self._next_round_at:
-            self._next_round_at = now + INTERVAL
+            self._next_round_at = now + SOLVE_INTERVAL
             self._capacity = capacity_views(controller)
             self._factors = {be: f for be, f in self._factors.items() if be in self._capacity}
             self._pending_workers = list(self._capacity)
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -56,7 +56,9 @@
             for worker_id, left in snapshot.avoid_for_s.items()
             if left > age and known(worker_id)
         }
-        if len(avoid) <= len(listed) * ageing.OUT_MOST:  # all of them: it was this forwarder that was cut off
+        if (
+            len(avoid) <= len(listed) * ageing.MAX_EJECTED_RATIO
+        ):  # all of them: it was this forwarder that was cut off
             router.avoid(now, avoid)
             used.append(f"{len(avoid)} avoided")
         for worker_id, count in snapshot.held_connections.items():
--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 
 from ..model.views import WorkerCapacityView
-from ..policy.controller import INTERVAL
+from ..policy.tuning import SOLVE_INTERVAL
 
 MAX_FACTOR = (
     2.0  # the most that all advice together may lift or lower an estimate by: speeds differ by as much
@@ -200,4 +200,4 @@
         a.credit = max(MIN_CREDIT, a.credit)
 
 
-UPDATE_INTERVAL = INTERVAL  # s between two calls of `factors`
+UPDATE_INTERVAL = SOLVE_INTERVAL  # s between two calls of `factors`
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -6,8 +6,9 @@
 from collections.abc import Iterable
 
 from ..model.inputs import RestoredState, WorkerHistory
+from ..model.records import IN_SERVICE, WorkerState
 from ..model.views import WorkerCapacityView
-from ..policy.controller import GONE, LIVE, OUT, RoutingController
+from ..policy.controller import RoutingController
 
 
 def capacity_views(controller: RoutingController) -> dict[int, WorkerCapacityView]:
@@ -15,12 +16,12 @@
     return {
         i: WorkerCapacityView(
             be.zone,
-            controller.full.get(i, 0.0) if be.state in LIVE else 0.0,
-            controller.cold(be),
-            be.due if be.state == GONE else -1.0,
-            math.sqrt(be.base * be.mean()),
+            controller.capacities.get(i, 0.0) if be.state in IN_SERVICE else 0.0,
+            controller.fleet.is_warming_up(be),
+            be.due_at if be.state == WorkerState.REMOVED else -1.0,
+            math.sqrt(be.base_latency_s * be.latency.mean()),
         )
-        for i, be in controller.bes.items()
+        for i, be in controller.fleet.workers.items()
     }
 
 
@@ -29,10 +30,17 @@
 ) -> RestoredState:
     """What the next life may start from, of these; in parts, as all of a large fleet takes too long."""
     pasts = tuple(
-        WorkerHistory(i, be.started, be.base, be.slowness, be.state == OUT, be.state == GONE)
+        WorkerHistory(
+            i,
+            be.started_at,
+            be.base_latency_s,
+            be.latency_factor,
+            be.state == WorkerState.EJECTED,
+            be.state == WorkerState.REMOVED,
+        )
         for i in worker_indices
-        if (be := controller.bes.get(i)) is not None
+        if (be := controller.fleet.workers.get(i)) is not None
     )
-    here = ((p, controller.proxies[p]) for p in proxies if p in controller.proxies)
-    rates = tuple((p, sum(map(x.came, range(len(x.count))))) for p, x in here)
-    return RestoredState(controller.gate.number, pasts, rates)
+    here = ((p, controller.fleet.proxies[p]) for p in proxies if p in controller.fleet.proxies)
+    rates = tuple((p, sum(map(x.class_rate, range(len(x.request_counts))))) for p, x in here)
+    return RestoredState(controller.channel_budget.last_checkpoint, pasts, rates)
--- a/cottonladder/planning/snapshot_staleness.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -12,7 +12,7 @@
 from dataclasses import replace
 
 from ..model.inputs import RestoredState, WorkerHistory
-from ..policy.controller import OUT_MOST as OUT_MOST
+from ..policy.worker_lifecycle import MAX_EJECTED_RATIO as MAX_EJECTED_RATIO
 
 MAX_SUSPICION_AGE = 20.0  # s that a suspicion may be old: a worker shut out is tried again after 5 s anyway
 LATENCY_FACTOR_HALF_LIFE = 30.0  # s in which a slowness loses half of what it is away from none
@@ -44,7 +44,7 @@
     file of a manager that was cut off may suspect them all."""
     suspected = [past.worker_index for past in histories if past.was_ejected and not past.was_draining]
     staying = sum(not past.was_draining for past in histories)
-    if age_s > MAX_SUSPICION_AGE or len(suspected) > OUT_MOST * staying:
+    if age_s > MAX_SUSPICION_AGE or len(suspected) > MAX_EJECTED_RATIO * staying:
         return set()
     return set(suspected)
 
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -30,7 +30,8 @@
     WatchEndpoints,
 )
 from ..model.parameters import DeploymentParameters, RequestClass
-from ..policy.controller import BEAT, RoutingController
+from ..policy.controller import RoutingController
+from ..policy.tuning import TICK_INTERVAL
 from ..protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.worker_registry import WorkerRegistry
@@ -173,7 +174,7 @@
         self.workers = WorkerRegistry()
         self.controller = RoutingController(parameters)
         self.dispatcher = OrderDispatcher(list(REQUEST_CLASSES), parameters.manager_count, self.workers)
-        self.controller.gate.added = self.dispatcher.count_added_lines
+        self.controller.channel_budget.extra_lines = self.dispatcher.count_added_lines
         self.proxies: dict[int, SimulatedProxy] = {}
         self.channel: deque[QueuedMessage] = deque()  # the oldest first
         self.credit_lines = 0.0  # what the channel may send now
@@ -207,7 +208,7 @@
         checkpoint = self._dispatch()
         reserved = self._reserved_lines(checkpoint)
         if checkpoint is not None:
-            self.controller.gate.settle(self.dispatcher.pending_line_counts())
+            self.controller.channel_budget.record_written(self.dispatcher.pending_line_counts())
         written_from = perf_counter()
         messages = list(self.dispatcher.take_messages())
         times = BatchTimes(started_at, decided_from, dispatched_from, written_from, perf_counter())
@@ -237,7 +238,7 @@
         """Lines by proxy that the controller holds reserved under a checkpoint."""
         if checkpoint is None:
             return {}
-        return dict(self.controller.gate.in_flight.by_checkpoint.get(checkpoint, {}))
+        return dict(self.controller.channel_budget.in_flight.by_checkpoint.get(checkpoint, {}))
 
     def _note_durations(self, name: str, times: BatchTimes) -> None:
         durations = times.durations()
@@ -311,8 +312,8 @@
         """Lets time pass, in steps of the controller's own interval."""
         end = self.now + seconds
         while self.now < end - CLOCK_TOLERANCE_S:
-            self.now += BEAT
-            self.send_for(BEAT)
+            self.now += TICK_INTERVAL
+            self.send_for(TICK_INTERVAL)
             arrived = [message for at, message in self.pending_inputs if at <= self.now]
             self.pending_inputs = [(at, message) for at, message in self.pending_inputs if at > self.now]
             self.step("look", [*arrived, *self.extra_inputs(), TimerFired(self.timer_token)])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -67,7 +67,7 @@
         self.spread = OrderDispatcher(
             list(self.site.classes), self.site.parameters.manager_count, self.workers
         )
-        self.ladder.gate.added = self.spread.count_added_lines
+        self.ladder.channel_budget.extra_lines = self.spread.count_added_lines
         self.lines, self.said = lines, list[str]()
         self.due: tuple[float, int] = (BEGAN, 0)
         self.marks: list[Input] = []
@@ -75,7 +75,7 @@
     def input(self, verb: str, words: str) -> Input:
         if verb == "list":
             listing = read_endpoint_list(json.loads(words), self.site, self.workers.register, "list")[1]
-            first = not self.ladder.listed
+            first = not self.ladder.has_endpoint_list
             return EndpointList(ListUpdateKind.CACHED, listing.endpoints) if first else listing
         if verb == "leave":
             return ProxyDisconnected(int(words))
@@ -107,7 +107,7 @@
             elif not isinstance(order, (WatchEndpoints, HealthCheck)):
                 self.spread.apply(order)
         if any(isinstance(order, Checkpoint) for order in orders):
-            self.ladder.gate.settle(self.spread.pending_line_counts())
+            self.ladder.channel_budget.record_written(self.spread.pending_line_counts())
         for proxy, data in self.spread.take_messages():
             for words in RespReader(MAX_MESSAGE_SIZE).feed(data):
                 said = b" ".join(words).decode()
