--- /dev/null
+++ b/tests/config/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of files and settings."""
--- a/tests/test_settings.py
+++ b/tests/config/test_settings.py
@@ -44,9 +44,9 @@
 from cottonladder.state.worker_registry import WorkerRegistry
 from tests.standins import Program, Rig, soon
 
-RECORDED = (Path(__file__).parent / "recorded" / "morning.txt").read_text()
+RECORDED = (Path(__file__).parents[1] / "recorded" / "morning.txt").read_text()
 BEGAN = 1000.0  # s: the time at which the recording begins
-SITES = Path(__file__).parents[1] / "deploy" / "sites"
+SITES = Path(__file__).parents[2] / "deploy" / "sites"
 
 
 class Replay:
--- /dev/null
+++ b/tests/control/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the manager process."""
--- a/tests/test_program.py
+++ b/tests/control/test_program.py
@@ -118,7 +118,7 @@
         program = await self.serving()
         good = await self.join(program, 2)
         await good.hear_of("replace")
-        for line in (Path(__file__).parent / "wire" / "bad.txt").read_text().splitlines():
+        for line in (Path(__file__).parents[1] / "wire" / "bad.txt").read_text().splitlines():
             if line and not line.startswith("#"):
                 said, mark, words = line.partition(" ||" if " ||" in line else " |")
                 with self.subTest(line):
--- /dev/null
+++ b/tests/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the simulator's adapter."""
