--- a/cottonladder/cli/plugin_trial.py
+++ b/cottonladder/cli/plugin_trial.py
@@ -11,8 +11,8 @@
 import click
 
 from ..config.operator_config import read_operator_config
-from ..plugins.chain import req_record
-from ..plugins.host import Fault, Plugin, PluginError
+from ..plugins.chain import request_record
+from ..plugins.host import Plugin, PluginError, PluginFault
 from .errors import CommandError
 
 MAX_REQUESTS = 100_000  # recorded requests replayed at once
@@ -45,7 +45,7 @@
 
 
 def _route_record(request: dict[str, Any]) -> bytes:
-    return req_record(
+    return request_record(
         "route",
         str(request["method"]),
         str(request["path"]),
@@ -57,7 +57,7 @@
 def _answer(plugin: Plugin, hook: str, record: bytes) -> dict[str, Any]:
     try:
         answer = plugin.call(hook, record)
-    except Fault as exc:
+    except PluginFault as exc:
         return {"fault": f"{exc.kind}: {exc}"}
     return {name: getattr(answer, name) for name in answer.__slots__}
 
@@ -65,14 +65,14 @@
 def measure_calls(plugin: Plugin, call_count: int) -> dict[str, float]:
     """Times and fuel of calls on one made-up request."""
     headers = {f"x-{number}": HEADER_VALUE for number in range(HEADER_COUNT)}
-    record = req_record("route", "GET", "/cases/42", "fetch", headers)
+    record = request_record("route", "GET", "/cases/42", "fetch", headers)
     durations_us = []
     faults = 0
     for _ in range(call_count):
         started_at = time.perf_counter()
         try:
             plugin.call(plugin.hooks[0], record)
-        except Fault:
+        except PluginFault:
             faults += 1
         durations_us.append((time.perf_counter() - started_at) * MICROSECONDS_PER_S)
     percentiles = statistics.quantiles(durations_us, n=100)
--- a/cottonladder/control/extensions.py
+++ b/cottonladder/control/extensions.py
@@ -115,5 +115,5 @@
     snapshots.current_list_version = lambda: discovery.version
     if extensions.weight_advisor is not None:
         advice = extensions.weight_advisor.advice
-        advice.recall(snapshots.restored_credits)
+        advice.restore_credits(snapshots.restored_credits)
         snapshots.current_credits = advice.credits
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -26,12 +26,19 @@
     WorkerHistory,
 )
 from ..planning import snapshot_staleness as ageing
+from ..planning.advice_weighting import INITIAL_CREDIT
 from ..planning.controller_views import collect_state
 from ..planning.priority_scheduling import TaskPlan
 from ..policy.controller import RoutingController
 from ..protocol.messages import ExtensionMessage
-from ..snapshots.sections import EndpointSnapshot, ManagerSnapshot, WorkerSnapshot, packed, unpacked
-from ..snapshots.store import Generation, Store, StoreError
+from ..snapshots.sections import (
+    EndpointSnapshot,
+    ManagerSnapshot,
+    WorkerSnapshot,
+    decode_section,
+    encode_section,
+)
+from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 from .background_scheduler import BackgroundScheduler
 
 SNAPSHOT_TASK = "snapshot"
@@ -43,7 +50,7 @@
     """A store that may fail: opened again when it is next written."""
 
     def __init__(self, folder: str) -> None:
-        self.store, self._is_open = Store(folder), False
+        self.store, self._is_open = SnapshotStore(folder), False
         self.size_bytes = 0
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
@@ -53,15 +60,15 @@
         try:
             self.store.open()
             self._is_open = True
-            found = self.store.newest()
-        except StoreError as exc:
+            found = self.store.read_newest()
+        except SnapshotError as exc:
             self.log.warning("memory not read", why=str(exc))
             return None
-        aside, self.store.faults = "; ".join(self.store.faults), []
+        aside, self.store.quarantine_messages = "; ".join(self.store.quarantine_messages), []
         if found is None:
             self.log.info("memory empty", aside=aside or "none")
             return None
-        age = time.time() - found.written
+        age = time.time() - found.written_at
         self.log.info("memory read", generation=found.number, age=round(age, 1), aside=aside or "none",
                       ms=round((time.monotonic() - begun) * 1000, 1))  # fmt: skip
         return found
@@ -102,49 +109,54 @@
         found = self._folder.read()
         if found is None:
             return
-        life, why = unpacked("manager", found.sections, ManagerSnapshot)
+        life, why = decode_section("manager", found.sections, ManagerSnapshot)
         if life is None:
             self.log.warning("memory not used", why=why or "no section manager")
             return
-        age = ageing.age_of(found.written, time.time())
+        age = ageing.snapshot_age(found.written_at, time.time())
         self._restore_endpoints(life)
         ids = {w.id: self._workers.find_index(w.id.encode()) for w in life.workers}
         pasts = tuple(
-            WorkerHistory(be, w.started, w.base, w.slowness, w.out, w.leaving)
+            WorkerHistory(be, w.started_at, w.base_latency_s, w.latency_factor, w.was_ejected, w.was_draining)
             for w in life.workers
             if (be := ids[w.id]) is not None
         )
-        life_then = RestoredState(life.mark % 65536, pasts, tuple(life.rates.items()))
-        self._restored_state = ageing.aged(life_then, age)
+        life_then = RestoredState(life.last_checkpoint % 65536, pasts, tuple(life.proxy_rates.items()))
+        self._restored_state = ageing.discount(life_then, age)
         self.restored_credits = {
-            name: ageing.credit(value, ageing.CREDIT_START, age) for name, value in life.credits.items()
+            name: ageing.discounted_credit(value, INITIAL_CREDIT, age)
+            for name, value in life.advisor_credits.items()
         }
 
     def _restore_endpoints(self, life: ManagerSnapshot) -> None:
         """The list that the earlier life had, where it is newer than the one in the configuration."""
-        if life.version <= self.restored_list_version:
+        if life.list_version <= self.restored_list_version:
             return
-        entries = [e for e in life.listed if 0 <= e.zone < self._zone_count and e.mode in (0, 1) and e.id]
+        entries = [e for e in life.endpoints if 0 <= e.zone < self._zone_count and e.state in (0, 1) and e.id]
         self.known_endpoints = EndpointList(
             ListUpdateKind.CACHED,
             tuple(
                 Endpoint(
-                    self._workers.register(e.id, e.address, e.started),
+                    self._workers.register(e.id, e.address, e.started_at),
                     e.zone,
-                    EndpointState(e.mode),
+                    EndpointState(e.state),
                     e.weight,
-                    e.started,
+                    e.started_at,
                 )
                 for e in entries
             ),
         )
-        self.restored_list_version = life.version
+        self.restored_list_version = life.list_version
 
     async def start(self, stack: AsyncExitStack) -> None:
         stack.callback(self._folder.close)
         self._scheduler.add(
             TaskPlan(
-                SNAPSHOT_TASK, self._interval_s, priority=3, cpu=SNAPSHOT_CPU_SHARE, deadline=self._interval_s
+                SNAPSHOT_TASK,
+                self._interval_s,
+                priority=3,
+                cpu_fraction=SNAPSHOT_CPU_SHARE,
+                deadline_s=self._interval_s,
             ),
             self._snapshot,
         )
@@ -197,4 +209,4 @@
         section = ManagerSnapshot(
             mark, workers, rates, self.current_list_version(), listed, self.current_credits()
         )
-        yield asyncio.to_thread(lambda: self._folder.write({"manager": packed("manager", section)}))
+        yield asyncio.to_thread(lambda: self._folder.write({"manager": encode_section("manager", section)}))
--- a/cottonladder/weight_advice/query.py
+++ b/cottonladder/weight_advice/query.py
@@ -9,7 +9,7 @@
 from ..config.errors import InputError
 from ..config.fields import address
 from . import dfp, sasp
-from .tlv import AdviceError, address_of
+from .tlv import AdviceError, parse_address
 
 READ_SIZE_BYTES = 65_536
 BALANCER_UID = b"cottonladder-show"
@@ -17,10 +17,10 @@
 TCP = 6  # IP's number of the protocol
 DFP_KEEP_ALIVE_S = 1
 FLAG_NAMES = {
-    sasp.CONTACT: "contact",
-    sasp.QUIESCED: "quiesced",
-    sasp.BY_MEMBER: "by itself",
-    sasp.CONFIDENT: "confident",
+    sasp.CONTACT_SUCCESS_FLAG: "contact",
+    sasp.QUIESCE_FLAG: "quiesced",
+    sasp.REGISTRATION_FLAG: "by itself",
+    sasp.CONFIDENT_FLAG: "confident",
 }
 
 
@@ -34,14 +34,14 @@
     flags: str
 
 
-def parse_member(text: str) -> sasp.Member:
+def parse_member(text: str) -> sasp.MemberData:
     """Reads `[LABEL@]HOST:PORT`, where the host is a literal address."""
     label, _, place = text.rpartition("@")
     host, port = address({"member": place}, "member", "--member")
-    ip_address = address_of(host.strip("[]"))
+    ip_address = parse_address(host.strip("[]"))
     if ip_address is None:
         raise InputError(f"--member: {host} is no literal address")
-    return sasp.Member(TCP, port, ip_address, label.encode())
+    return sasp.MemberData(TCP, port, ip_address, label.encode())
 
 
 class SaspQuery:
@@ -50,19 +50,24 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
         self._writer = writer
-        self._decoder = sasp.Reader()
+        self._decoder = sasp.MessageReader()
         self._number = 0
 
-    async def ask(self, kind: int, **fields: object) -> sasp.Message:
+    async def ask(self, message_type: int, **fields: object) -> sasp.Message:
         """Sends a request and waits for its reply; an error code in it is an AdviceError."""
         self._number += 1
-        self._writer.write(sasp.write(sasp.Message(kind, self._number, **fields)))  # type: ignore[arg-type]
+        self._writer.write(sasp.encode_message(sasp.Message(message_type, self._number, **fields)))  # type: ignore[arg-type]
         while True:
             for message in self._decoder.feed(await _read_some(self._reader)):
-                if message.number != self._number or message.kind != sasp.REPLIES[kind]:
+                if (
+                    message.message_id != self._number
+                    or message.message_type != sasp.REPLY_TYPES[message_type]
+                ):
                     continue
-                if message.code != sasp.OK:
-                    raise AdviceError(f"refused: {sasp.WORDS.get(message.code, hex(message.code))}")
+                if message.response_code != sasp.SUCCESSFUL:
+                    raise AdviceError(
+                        f"refused: {sasp.RESPONSE_TEXTS.get(message.response_code, hex(message.response_code))}"
+                    )
                 return message
 
 
@@ -79,13 +84,13 @@
     reader, writer = await asyncio.open_connection(host, port)
     try:
         query = SaspQuery(reader, writer)
-        await query.ask(sasp.SET_BALANCER, uid=BALANCER_UID, health=BALANCER_HEALTH)
+        await query.ask(sasp.SET_LB_STATE_REQUEST, lb_uid=BALANCER_UID, lb_health=BALANCER_HEALTH)
         if not members:
             return []
-        group = sasp.Group(BALANCER_UID, b"shown")
-        registered = sasp.Grouped(group, tuple(parse_member(text) for text in members))
-        await query.ask(sasp.REGISTER, flags=sasp.BY_BALANCER, groups=(registered,))
-        reply = await query.ask(sasp.GET_WEIGHTS, groups=(group,))
+        group = sasp.GroupData(BALANCER_UID, b"shown")
+        registered = sasp.GroupOfEntries(group, tuple(parse_member(text) for text in members))
+        await query.ask(sasp.REGISTRATION_REQUEST, flags=sasp.LOAD_BALANCER_FLAG, groups=(registered,))
+        reply = await query.ask(sasp.GET_WEIGHTS_REQUEST, groups=(group,))
         return _sasp_weights(reply)
     finally:
         writer.close()
@@ -94,10 +99,10 @@
 def _sasp_weights(reply: sasp.Message) -> list[MemberWeight]:
     weights = []
     for group in reply.groups:
-        if not isinstance(group, sasp.Grouped):
+        if not isinstance(group, sasp.GroupOfEntries):
             continue
         for entry in group.entries:
-            assert isinstance(entry, sasp.Weight)
+            assert isinstance(entry, sasp.WeightEntry)
             label = entry.member.label.decode(errors="replace")
             place = f"{entry.member.address}:{entry.member.port}"
             flags = ", ".join(name for bit, name in FLAG_NAMES.items() if entry.flags & bit)
@@ -109,12 +114,12 @@
     """Connects as a DFP manager and waits for a report; with `first_answer` any message is enough."""
     reader, writer = await asyncio.open_connection(host, port)
     try:
-        writer.write(dfp.write(dfp.Message(dfp.PARAMETERS, keep_alive=DFP_KEEP_ALIVE_S)))
-        writer.write(dfp.write(dfp.Message(dfp.BIND_REQUEST)))
-        decoder = dfp.Reader()
+        writer.write(dfp.encode_message(dfp.Message(dfp.DFP_PARAMETERS, keep_alive_s=DFP_KEEP_ALIVE_S)))
+        writer.write(dfp.encode_message(dfp.Message(dfp.BIND_ID_REQUEST)))
+        decoder = dfp.MessageReader()
         while True:
             for message in decoder.feed(await _read_some(reader)):
-                if message.kind == dfp.PREFERENCE:
+                if message.message_type == dfp.PREFERENCE_INFORMATION:
                     return _dfp_weights(message)
                 if first_answer:
                     return []
@@ -124,7 +129,7 @@
 
 def _dfp_weights(report: dfp.Message) -> list[MemberWeight]:
     return [
-        MemberWeight("", f"{host.address}:{load.port}", host.weight, f"BindID {host.bind}")
+        MemberWeight("", f"{host.address}:{load.port}", host.weight, f"BindID {host.bind_id}")
         for load in report.loads
         for host in load.hosts
     ]
