--- a/cottonladder/weight_advice/query.py
+++ b/cottonladder/weight_advice/query.py
@@ -65,9 +65,8 @@
                 ):
                     continue
                 if message.response_code != sasp.SUCCESSFUL:
-                    raise AdviceError(
-                        f"refused: {sasp.RESPONSE_TEXTS.get(message.response_code, hex(message.response_code))}"
-                    )
+                    code = message.response_code
+                    raise AdviceError(f"refused: {sasp.RESPONSE_TEXTS.get(code, hex(code))}")
                 return message
 
 
