--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -15,17 +15,13 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from ..forwarder import resource_limits as limits
-from ..forwarder import router as routing
-from ..planning import connection_migration as moves
-from ..policy.controller import RATE_MOST
-from ..weight_advice import limits as advice_limits
+from . import defaults
 from .errors import ConfigFileError, OperatorFileError
 from .fields import HostPort, address
 
 MAX_FILE_BYTES = 1 << 20  # bytes of the file
 Seconds = Annotated[float, Meta(gt=0, le=86_400, description="seconds")]
-Rate = Annotated[float, Meta(gt=0, le=RATE_MOST)]
+Rate = Annotated[float, Meta(gt=0, le=defaults.MAX_REQUESTS_PER_S)]
 Count = Annotated[int, Meta(gt=0, le=10_000_000)]
 Bytes = Annotated[int, Meta(gt=0, le=1 << 31)]
 Name = Annotated[str, Meta(min_length=1, max_length=255, pattern=r"^[\x21-\x2b\x2d-\x39\x3b-\x7e]+$")]
@@ -38,13 +34,11 @@
 
     grace: Annotated[Seconds, Meta(description="s within which a leaving worker's connections are off")]
     most: Annotated[Count, Meta(description="connections that one worker may hold")] = (
-        moves.DEFAULT_MAX_CONNECTIONS
-    )
-    arrivals: Annotated[Rate, Meta(description="new ones a second, average worker")] = (
-        moves.DEFAULT_ARRIVALS_PER_S
+        defaults.CONNECTIONS_PER_WORKER
     )
+    arrivals: Annotated[Rate, Meta(description="new ones a second, average worker")] = defaults.ARRIVALS_PER_S
     load: Annotated[Rate, Meta(description="reqs a second that one stands for")] = (
-        moves.DEFAULT_LOAD_PER_CONNECTION
+        defaults.REQUESTS_PER_S_PER_CONNECTION
     )
 
 
@@ -75,15 +69,15 @@
 
 
 class LimitsConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    connections: Count = limits.MAX_CONNECTIONS
-    worker: Count = limits.MAX_CONNECTIONS_PER_WORKER
-    client: Count = limits.MAX_CONNECTIONS_PER_CLIENT
-    header_bytes: Bytes = limits.MAX_HEADER_BYTES
-    body_bytes: Bytes = limits.MAX_BODY_BYTES
-    connect_wait: Seconds = limits.CONNECT_TIMEOUT
-    first_byte_wait: Seconds = limits.FIRST_BYTE_TIMEOUT
-    idle_wait: Seconds = limits.IDLE_TIMEOUT
-    pool: Count = limits.POOL_SIZE_PER_WORKER
+    connections: Count = defaults.FORWARDER_CONNECTIONS
+    worker: Count = defaults.FORWARDER_CONNECTIONS_PER_WORKER
+    client: Count = defaults.FORWARDER_CONNECTIONS_PER_CLIENT
+    header_bytes: Bytes = defaults.HEADER_BYTES
+    body_bytes: Bytes = defaults.BODY_BYTES
+    connect_wait: Seconds = defaults.CONNECT_TIMEOUT_S
+    first_byte_wait: Seconds = defaults.FIRST_BYTE_TIMEOUT_S
+    idle_wait: Seconds = defaults.IDLE_TIMEOUT_S
+    pool: Count = defaults.POOL_SIZE_PER_WORKER
 
 
 class PluginConfig(Struct, forbid_unknown_fields=True, frozen=True):
@@ -125,7 +119,9 @@
     managers: Annotated[list[HostAndPort], Meta(min_length=1, max_length=64)]
     kinds: Annotated[list[RequestClassConfig], Meta(min_length=1, max_length=64)]
     levels: Literal["ratio", "rate", "none"] = "ratio"
-    rate: Annotated[float, Meta(ge=0, le=RATE_MOST, description="rough reqs/s, told when joining")] = 0.0
+    rate: Annotated[
+        float, Meta(ge=0, le=defaults.MAX_REQUESTS_PER_S, description="rough reqs/s, told when joining")
+    ] = 0.0
     collector: bool = False
     status: Annotated[str, Meta(pattern=r"^([^\s]+:[0-9]{1,5})?$", description="host:port; empty: off")] = ""
     seed: Annotated[int, Meta(ge=0)] = 0
@@ -153,7 +149,7 @@
 
     protocol: Literal["sasp", "dfp"]
     listen: HostAndPort
-    clients: Annotated[int, Meta(gt=0, le=4096)] = advice_limits.DEFAULT_MAX_CLIENTS
+    clients: Annotated[int, Meta(gt=0, le=4096)] = defaults.LOAD_BALANCERS
     tls: TlsConfig | None = None
     secret: SecretConfig | None = None
 
@@ -283,36 +279,6 @@
     return address({"at": text}, "at", "operators' file")
 
 
-def request_classes(part: ForwarderConfig) -> list[routing.RequestClass]:
-    """The request kinds as the routes know them."""
-    return [
-        routing.RequestClass(
-            kind.name,
-            tuple(
-                routing.MatchRule(frozenset(m.methods), m.path, tuple((k, v) for k, v in m.headers.items()))
-                for m in kind.match
-            ),
-            kind.replays,
-            kind.timeout,
-        )
-        for kind in part.kinds
-    ]
-
-
-def resource_limits(part: LimitsConfig) -> limits.ResourceLimits:
-    return limits.ResourceLimits(
-        connections=part.connections,
-        connections_per_worker=part.worker,
-        connections_per_client=part.client,
-        header_bytes=part.header_bytes,
-        body_bytes=part.body_bytes,
-        connect_timeout=part.connect_wait,
-        first_byte_timeout=part.first_byte_wait,
-        idle_timeout=part.idle_wait,
-        pool_size=part.pool,
-    )
-
-
 def schema() -> str:
     """A JSON schema of the file, for editors."""
     return json.dumps(msgspec.json.schema(OperatorConfig), indent=2)
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -21,8 +21,6 @@
     PluginsConfig,
     host_port,
     read_operator_config,
-    request_classes,
-    resource_limits,
 )
 from ..control import signals
 from ..model.inputs import EndpointList, EndpointState, Input, ListUpdateKind
@@ -32,6 +30,7 @@
 from .connection_drainer import TICK_INTERVAL, ConnectionDrainer
 from .load_recorder import REPORT_INTERVAL, LoadRecorder
 from .manager_stream import LoadReporter, ManagerStream
+from .operator_settings import request_classes, resource_limits
 from .request_handler import RequestHandler
 from .resource_limits import AdmissionPacer
 from .router import ConfigPart, OrderRejected, Router
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -32,12 +32,6 @@
 ARRIVAL_BURST = PLAN_INTERVAL  # s of arrivals that a worker that was left alone may take at once: one slice's
 ORDER_TIMEOUT_SLICES = 4.0  # slices after which an order that was not answered counts as lost
 MIN_ADMISSION_CHANGE = 0.25  # a forwarder's part of the arrivals is told anew past this change
-DEFAULT_MAX_CONNECTIONS, DEFAULT_ARRIVALS_PER_S, DEFAULT_LOAD_PER_CONNECTION = (
-    8_000,
-    50.0,
-    0.05,
-)  # where operators state nothing: connections that a worker may
-# hold, new ones a second that an average one takes up, reqs a second that one stands for
 MAX_UNLISTED_WORKERS = 4096  # unlisted workers that holders may name
 
 
--- a/cottonladder/weight_advice/limits.py
+++ b/cottonladder/weight_advice/limits.py
@@ -2,9 +2,6 @@
 
 from __future__ import annotations
 
-DEFAULT_MAX_CLIENTS = (
-    64  # balancers at once, where operators state nothing: descriptors are the platform's first
-)
 FIRST_MESSAGE_TIMEOUT = (
     5.0  # s that a SASP client may say nothing after it came: asking is all it can do there
 )
