--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -1,6 +1,7 @@
-"""Between the plan of moves and the streams: what forwarders tell of held connections, what they are ordered.
+"""Control-loop extension for held connections: forwarders' reports to the planner, its orders to forwarders.
 
-Runs in the owner's task, beside the ladder; decides nothing."""
+Decides nothing itself; see `planning.connection_migration`.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +32,7 @@
 
 
 class ConnectionMigrator:
-    """Owns the plan; a forwarder is in it from its announcement to the end of its stream."""
+    """Owns the planner, which knows a forwarder from its announcement to the end of its stream."""
 
     def __init__(
         self,
@@ -40,35 +41,35 @@
         workers: WorkerRegistry,
         messages: MessageReader,
     ) -> None:
-        terms = settings.parameters
+        parameters = settings.parameters
         self._planner = MigrationPlanner(
             MigrationParameters(
-                terms.zone_count,
+                parameters.zone_count,
                 config.grace,
                 config.most,
                 config.arrivals,
                 config.load,
-                terms.channel_lines_per_s,
-                terms.message_header_lines,
+                parameters.channel_lines_per_s,
+                parameters.message_header_lines,
             )  # fmt: skip
         )
-        self._arrivals_per_s, self._workers = config.arrivals, workers
+        self._arrivals_per_s = config.arrivals
+        self._workers = workers
         self._proxy_zones: dict[int, int] = {}  # of joined proxies
         self._announced: set[int] = set()
-        self._loads: dict[int, float] = {}  # as the ladder was last told
+        self._loads: dict[int, float] = {}  # by worker, as last given to the policy
         self._extra_lines = 0
         self.is_vetoed: Callable[[MigrateConnections], bool] = lambda move: False
         self._next_plan_at = 0.0
-        self._draining_connections: dict[
-            int, int
-        ] = {}  # by leaving worker: connections held when last logged
+        self._draining_connections: dict[int, int] = {}  # by leaving worker, as last logged
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         messages.extension_readers.update(dict.fromkeys(wire.TO_MANAGER, wire.read_for_manager))
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """It has nothing to open."""
+        """Nothing to open."""
 
     def observe(self, now: float, item: Input | ExtensionMessage) -> None:
+        """Follows which proxies are connected, and takes the extension's messages."""
         if isinstance(item, ProxyConnected):
             self._remove_proxy(item.proxy)
             self._proxy_zones[item.proxy] = item.zone
@@ -91,34 +92,47 @@
         elif proxy not in self._announced:
             return
         elif isinstance(body, wire.HeldConnections):
-            found = {self._workers.find_index(be): row for be, row in body.counts_by_worker.items()}
-            rows = {be: HeldConnectionCounts(*row) for be, row in found.items() if be is not None}
-            self._planner.update_connections(proxy, body.is_complete, rows)
+            self._planner.update_connections(proxy, body.is_complete, self._counts_by_index(body))
         elif isinstance(body, wire.MigrationDone):
             self._planner.complete_migration(proxy, body.number)
 
+    def _counts_by_index(self, body: wire.HeldConnections) -> dict[int, HeldConnectionCounts]:
+        """The reported counts of the workers that are known here."""
+        counts: dict[int, HeldConnectionCounts] = {}
+        for worker_id, row in body.counts_by_worker.items():
+            worker_index = self._workers.find_index(worker_id)
+            if worker_index is not None:
+                counts[worker_index] = HeldConnectionCounts(*row)
+        return counts
+
     def collect_inputs(self, now: float) -> list[Input]:
-        """Loads that changed, each interval; and what the last messages took of the channel."""
-        out: list[Input] = []
+        """The channel lines that the last messages took, and each interval the loads that changed."""
+        inputs: list[Input] = []
         if self._extra_lines:
-            out.append(ExtraLinesWritten(self._extra_lines))
+            inputs.append(ExtraLinesWritten(self._extra_lines))
             self._extra_lines = 0
         if now >= self._next_plan_at:
-            loads = self._planner.load_by_worker()
-            changed = {be: 0.0 for be in self._loads if be not in loads}
-            changed |= {be: load for be, load in loads.items() if self._loads.get(be) != load}
-            out += [HeldLoad(be, load) for be, load in changed.items()]
-            self._loads = loads
-        return out
+            inputs += self._changed_loads()
+        return inputs
+
+    def _changed_loads(self) -> list[HeldLoad]:
+        loads = self._planner.load_by_worker()
+        changed = {worker: 0.0 for worker in self._loads if worker not in loads}
+        for worker, load in loads.items():
+            if self._loads.get(worker) != load:
+                changed[worker] = load
+        self._loads = loads
+        return [HeldLoad(worker, load) for worker, load in changed.items()]
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
+        """Each interval, the plan's orders as messages to forwarders."""
         if now < self._next_plan_at:
             return
         self._next_plan_at = now + PLAN_INTERVAL
-        stand = capacity_views(controller)
-        orders = [o for o in self._planner.plan(now, stand) if not self._drop_vetoed(o)]
+        views = capacity_views(controller)
+        orders = [order for order in self._planner.plan(now, views) if not self._drop_vetoed(order)]
         self._extra_lines += self._planner.channel_lines(orders)
-        self._log_drains(stand)
+        self._log_drains(views)
         ids = self._workers.ids
         for order in orders:
             if isinstance(order, AdmitForwarder):
@@ -128,13 +142,14 @@
             elif isinstance(order, StopMigration):
                 yield order.forwarder, wire.encode_migration_stop(ids[order.source])
             elif isinstance(order, MigrateConnections):
-                to = {ids[be]: n for be, n in order.destinations if be in ids}
-                yield (
-                    order.forwarder,
-                    wire.encode_migration(
-                        order.number, ids[order.source], to, order.count, order.within_s, order.grace_left_s
-                    ),
-                )
+                yield order.forwarder, self._encode_migration(order)
+
+    def _encode_migration(self, order: MigrateConnections) -> bytes:
+        ids = self._workers.ids
+        destinations = {ids[worker]: count for worker, count in order.destinations if worker in ids}
+        return wire.encode_migration(
+            order.number, ids[order.source], destinations, order.count, order.within_s, order.grace_left_s
+        )
 
     def _drop_vetoed(self, order: MigrationOrder) -> bool:
         """A move that a plug-in puts off counts as not ordered: the next plan has it again."""
@@ -143,14 +158,18 @@
         self._planner.complete_migration(order.forwarder, order.number)
         return True
 
-    def _log_drains(self, standing: dict[int, WorkerCapacityView]) -> None:
-        """One line where the drain of held connections begins, is off, or has ended."""
+    def _log_drains(self, views: dict[int, WorkerCapacityView]) -> None:
+        """One line where the drain of held connections begins, is taken back, or has ended."""
         totals = self._planner.connections_by_worker()
-        leaving = {be for be, s in standing.items() if s.draining_since >= 0}
-        for be in totals.keys() & leaving - self._draining_connections.keys():
-            self._draining_connections[be] = totals[be].open
-            self.log.info("connections drain", be=self._workers.ids[be].decode(), open=totals[be].open)
-        for be in [be for be in self._draining_connections if be not in leaving or be not in totals]:
-            begun, name = self._draining_connections.pop(be), self._workers.ids.get(be, b"?").decode()
-            how = "drained" if be not in totals else "drain taken back"
-            self.log.info(f"connections {how}", be=name, begun=begun)
+        leaving = {worker for worker, view in views.items() if view.draining_since >= 0}
+        for worker in totals.keys() & leaving - self._draining_connections.keys():
+            open_count = totals[worker].open
+            self._draining_connections[worker] = open_count
+            self.log.info("connections drain", be=self._workers.ids[worker].decode(), open=open_count)
+        for worker in list(self._draining_connections):
+            if worker in leaving and worker in totals:
+                continue
+            count_at_start = self._draining_connections.pop(worker)
+            name = self._workers.ids.get(worker, b"?").decode()
+            outcome = "drain taken back" if worker in totals else "drained"
+            self.log.info(f"connections {outcome}", be=name, begun=count_at_start)
