--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -193,7 +193,7 @@
     def _dispatch(self, order: Order) -> None:
         fault = self._dispatcher.apply(order)
         if fault:
-            self.log.error("order left out", order=type(order).__name__, why=fault)
+            self.log.error("order_rejected", order=type(order).__name__, reason=fault)
 
     def _send_messages(self, now: float) -> None:
         for proxy, data in self._dispatcher.take_messages():
@@ -227,7 +227,7 @@
         self._effects.gossip.send_datagram(order.recipient, order.text)
 
     def _log_mode_change(self, order: LogModeChange) -> None:
-        self.log.info("mode", words=order.message)
+        self.log.info("mode_change", message=order.message)
         self._on_mode_change(order.message)
 
     def _record_loop_lag(self, source: str, lag_s: float) -> None:
@@ -236,4 +236,4 @@
             self._on_loop_lag()
         if lag_s > max(MIN_LOOP_LAG, LAG_GROWTH * self._worst_lag_s.get(source, 0.0)):
             self._worst_lag_s[source] = lag_s
-            self.log.info("behind", what=source, ms=round(lag_s * 1000, 1))
+            self.log.info("loop_lag", source=source, duration_ms=round(lag_s * 1000, 1))
--- a/cottonladder/control/reload.py
+++ b/cottonladder/control/reload.py
@@ -48,13 +48,13 @@
         try:
             new = read_manager_config(self._path)
         except InputError as exc:
-            self.log.error("configuration not taken", why=str(exc))
+            self.log.error("config_rejected", reason=str(exc))
             return
         unchangeable = unchangeable_fields(self._running, new)
         self._apply(new)
         host, port = new.discovery
         self.log.info(
-            "configuration taken",
+            "config_reloaded",
             discovery=f"{host}:{port}",
             unchangeable=",".join(unchangeable) or "none",
         )
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -66,7 +66,7 @@
             proxy.say(f"ACK node 3 nonce {60000 + n} latency 3.5")  # of no mark
         await self.discovery.tell(listing(42, entry("s-1", "Terminating"), entry("s-3", zone="b")))
         await proxy.hear_of("s-1:0.0")
-        await program.logged("event=mode", "well>gone leaving: draining")
+        await program.logged("event=mode_change", "well>gone leaving: draining")
         collector.say("PING")
         self.assertEqual(await collector.hear(), "PONG")
         self.assertEqual(collector.come, [])  # nothing else was ever written to it
@@ -164,7 +164,7 @@
             await program.logged("discovery call failed", *words.split())
         self.assertFalse([line for line in program.lines if "gone" in line])
         await self.discovery.tell(gone)
-        await program.logged("event=mode", "well>gone")
+        await program.logged("event=mode_change", "well>gone")
 
     async def test_a_discovery_that_started_over_is_followed_again(self) -> None:
         """A version that goes back is a failed call; the next one asks for all, or drains were unheard of."""
@@ -174,7 +174,7 @@
         await program.logged("discovery call failed", "version 7 after 41")
         asked = [await soon(self.discovery.calls.get()) for _ in range(2)]
         self.assertEqual([call.rpartition("after=")[2] for call in asked], ["41", "/v1/servers"])
-        await program.logged("event=mode", "be 0 well>gone leaving: not listed")
+        await program.logged("event=mode_change", "be 0 well>gone leaving: not listed")
 
     async def test_a_moved_discovery_is_followed_at_once(self) -> None:
         """Asked for the whole list; the old one counts until the new one has answered, and no longer."""
@@ -189,7 +189,7 @@
 
         new.script = [raw("", 503), whole]
         program.reload(discovery=await self.host(new.handle))
-        await program.logged("configuration taken", "unchangeable=none")
+        await program.logged("config_reloaded", "unchangeable=none")
         await program.logged("discovery call failed", "503")
         await self.discovery.tell(listing(42, entry("s-1", "Gone")))
         await program.logged("be 0 well>gone leaving: gone")
@@ -212,12 +212,12 @@
         lacks = json.dumps({k: v for k, v in {**program.config, **moved}.items() if k != "known"})
         for text, why in (("", "JSON"), (whole[:90], "JSON"), (lacks, "field known"), ("[]", "object")):
             program.reload(text)
-            await program.logged("configuration not taken", why)
+            await program.logged("config_rejected", why)
         program.reload(name="other", listen="127.0.0.1:1", seed="1f")
-        await program.logged("configuration taken", f"discovery={self.at}", "unchangeable=name,listen")
+        await program.logged("config_reloaded", f"discovery={self.at}", "unchangeable=name,listen")
         (program.folder / "config.json").unlink()
         program.process.send_signal(signal.SIGHUP)
-        await program.logged("configuration not taken", "No such file")
+        await program.logged("config_rejected", "No such file")
         client = await self.connect(program, "PING")
         self.assertEqual(await client.hear(), "PONG")
 
@@ -279,7 +279,7 @@
         settings = {"Limits": {"Probing": True, "Peers": False}, "Prices": {"Probe": 0.0}}
         program = await self.serving(settings=settings, known=listing(1, *good, lost, full=True))
         self.assertEqual(await soon(asked.get()), "/load")
-        await program.logged("event=mode", "be 5 well>out bad", "lost 2")
+        await program.logged("event=mode_change", "be 5 well>out bad", "lost 2")
 
     async def test_datagrams(self) -> None:
         """What the module tells goes to all peers; strangers and what can't be read are dropped."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -342,7 +342,7 @@
         self.addAsyncCleanup(asyncio.gather, speaking, return_exceptions=True)
         self.addCleanup(speaking.cancel)
         program.reload(discovery=await self.host(new.handle))
-        await program.logged("configuration taken")
+        await program.logged("config_reloaded")
         await soon(again.wait())
 
 
@@ -421,7 +421,7 @@
         other.replace(pipe)
         program.process.send_signal(signal.SIGHUP)
         os.close(held)
-        await program.logged("configuration taken", f"discovery={at}")
+        await program.logged("config_reloaded", f"discovery={at}")
         self.assertEqual(await soon(new.calls.get()), "/v1/servers")
 
     async def test_a_stop_while_the_file_is_read(self) -> None:
