--- a/tests/test_settings.py
+++ b/tests/config/test_settings.py
@@ -46,9 +46,9 @@
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.timeouts import in_time
 
-RECORDED = (Path(__file__).parent / "recorded" / "morning.txt").read_text()
+RECORDED = (Path(__file__).parents[1] / "recorded" / "morning.txt").read_text()
 BEGAN = 1000.0  # s: the time at which the recording begins
-SITES = Path(__file__).parents[1] / "deploy" / "sites"
+SITES = Path(__file__).parents[2] / "deploy" / "sites"
 
 
 class Replay:
--- a/tests/test_program.py
+++ b/tests/control/test_program.py
@@ -73,7 +73,7 @@
             endpoint_list(42, endpoint_entry("s-1", "Terminating"), endpoint_entry("s-3", zone="b"))
         )
         await proxy.receive_until("s-1:0.0")
-        await program.logged("event=mode", "well>gone leaving: draining")
+        await program.logged("event=mode_change", "well>gone leaving: draining")
         collector.send("PING")
         self.assertEqual(await collector.receive(), "PONG")
         self.assertEqual(collector.received, [])  # nothing else was ever written to it
@@ -125,7 +125,7 @@
         program = await self.serving()
         good = await self.join(program, 2)
         await good.receive_until("replace")
-        for line in (Path(__file__).parent / "wire" / "bad.txt").read_text().splitlines():
+        for line in (Path(__file__).parents[1] / "wire" / "bad.txt").read_text().splitlines():
             if line and not line.startswith("#"):
                 said, mark, words = line.partition(" ||" if " ||" in line else " |")
                 with self.subTest(line):
@@ -174,7 +174,7 @@
             await program.logged("discovery_call_failed", *words.split())
         self.assertFalse([line for line in program.lines if "gone" in line])
         await self.discovery.send_updates(gone)
-        await program.logged("event=mode", "well>gone")
+        await program.logged("event=mode_change", "well>gone")
 
     async def test_a_discovery_that_started_over_is_followed_again(self) -> None:
         """A version that goes back is a failed call; the next one asks for all, or drains were unheard of."""
@@ -187,7 +187,7 @@
         await program.logged("discovery_call_failed", "version 7 after 41")
         asked = [await in_time(self.discovery.calls.get()) for _ in range(2)]
         self.assertEqual([call.rpartition("after=")[2] for call in asked], ["41", "/v1/servers"])
-        await program.logged("event=mode", "be 0 well>gone leaving: not listed")
+        await program.logged("event=mode_change", "be 0 well>gone leaving: not listed")
 
     async def test_a_moved_discovery_is_followed_at_once(self) -> None:
         """Asked for the whole list; the old one counts until the new one has answered, and no longer."""
@@ -204,7 +204,7 @@
 
         new.script = [raw("", 503), whole]
         program.reload(discovery=await self.start_http_server(new.handle))
-        await program.logged("configuration taken", "unchangeable=none")
+        await program.logged("config_reloaded", "unchangeable=none")
         await program.logged("discovery_call_failed", "503")
         await self.discovery.send_updates(endpoint_list(42, endpoint_entry("s-1", "Gone")))
         await program.logged("be 0 well>gone leaving: gone")
@@ -227,14 +227,14 @@
         lacks = json.dumps({k: v for k, v in {**program.config, **moved}.items() if k != "known"})
         for text, why in (("", "JSON"), (whole[:90], "JSON"), (lacks, "field known"), ("[]", "object")):
             program.reload(text)
-            await program.logged("configuration not taken", why)
+            await program.logged("config_rejected", why)
         program.reload(name="other", listen="127.0.0.1:1", seed="1f")
         await program.logged(
-            "configuration taken", f"discovery={self.discovery_address}", "unchangeable=name,listen"
+            "config_reloaded", f"discovery={self.discovery_address}", "unchangeable=name,listen"
         )
         (program.folder / "config.json").unlink()
         program.process.send_signal(signal.SIGHUP)
-        await program.logged("configuration not taken", "No such file")
+        await program.logged("config_rejected", "No such file")
         client = await self.connect(program, "PING")
         self.assertEqual(await client.receive(), "PONG")
 
@@ -300,7 +300,7 @@
         settings = {"Limits": {"Probing": True, "Peers": False}, "Prices": {"Probe": 0.0}}
         program = await self.serving(settings=settings, known=endpoint_list(1, *good, lost, full=True))
         self.assertEqual(await in_time(asked.get()), "/load")
-        await program.logged("event=mode", "be 5 well>out bad", "lost 2")
+        await program.logged("event=mode_change", "be 5 well>out bad", "lost 2")
 
     async def test_datagrams(self) -> None:
         """What the module tells goes to all peers; strangers and what can't be read are dropped."""
