--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -15,8 +15,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
+from ..forwarder import request_classes as routing
 from ..forwarder import resource_limits as limits
-from ..forwarder import router as routing
 from ..planning import connection_migration as moves
 from ..policy.controller import RATE_MOST
 from ..weight_advice import limits as advice_limits
--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import AsyncIterator, Awaitable, Callable
+from collections.abc import Awaitable, Callable
 from contextlib import suppress
 from typing import Any, cast
 
@@ -11,7 +11,7 @@
 from aiohttp.web_protocol import RequestHandler
 
 from ..protocol.fault_log import RateLimitedFaultLog
-from .resource_limits import HEADER_TIMEOUT, STALL_TIMEOUT, ConnectionSlots, ResourceLimits
+from .resource_limits import HEADER_TIMEOUT, ConnectionSlots, ResourceLimits
 from .tunnel import ClientEnd, HandshakeReply
 
 SWEEP_INTERVAL = 0.5  # s between looks at who has not sent a head yet
@@ -160,20 +160,3 @@
 
     async def prepare(self, request: web.BaseRequest) -> None:
         raise ConnectionResetError("handed over")
-
-
-class BodyTooLargeError(Exception):
-    pass
-
-
-async def body_pieces(request: web.BaseRequest, max_bytes: int) -> AsyncIterator[bytes]:
-    """The req's body in pieces, as the client sends it; reading on is what lets the client send more."""
-    read = 0
-    while True:
-        piece = await asyncio.wait_for(request.content.readany(), STALL_TIMEOUT)
-        if not piece:
-            return
-        read += len(piece)
-        if read > max_bytes:
-            raise BodyTooLargeError
-        yield piece
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -30,11 +30,13 @@
 from ..protocol.discovery import DiscoveryClient
 from ..state.worker_registry import WorkerRegistry as Known
 from .connection_drainer import TICK_INTERVAL, ConnectionDrainer
+from .errors import OrderRejected
+from .fleet import Fleet
 from .load_recorder import REPORT_INTERVAL, LoadRecorder
 from .manager_stream import LoadReporter, ManagerStream
 from .request_handler import RequestHandler
 from .resource_limits import AdmissionPacer
-from .router import ConfigPart, OrderRejected, Router
+from .router import ConfigPart, Router
 from .tunnel import UpgradePolicy
 
 if TYPE_CHECKING:
@@ -104,10 +106,9 @@
         rate = self.upgrades.arrivals if self.upgrades else float(config.limits.worker)
         self.pacer = AdmissionPacer(rate, 1.0)
         self.recorder = LoadRecorder(config.zone, config.node, self.loop.time())
-        self.handler = RequestHandler(
-            classes, policies, self.router, self.drainer, self.pacer, most_of(config.limits), self.address,
-            self.recorder, rng,
-        )  # fmt: skip
+        limits = most_of(config.limits)
+        fleet = Fleet(self.router, self.pacer, limits, self.address, self.recorder, rng)
+        self.handler = RequestHandler(classes, policies, fleet, self.drainer)
         managers = [host_port(text) for text in config.managers]
         rng.shuffle(managers)  # a fleet spreads over its managers
         self.stream = ManagerStream(
@@ -173,7 +174,7 @@
                 self._removed_at.setdefault(worker_id, now)
 
     def _forget_removed(self, now: float) -> None:
-        held_workers = self.handler.registry.workers()
+        held_workers = self.handler.tunnels.registry.workers()
         rows = {worker_id for table in self.router.tables.values() for worker_id in table.weights}
         for worker_id in [
             worker_id for worker_id, since in self._removed_at.items() if now - since > REMOVED_WORKER_TTL
@@ -199,7 +200,7 @@
             return
         listed = {str(label)[:255] for label in message[:MAX_LABELS]}
         held_workers = frozenset(listed | set(self.config.plugins.labels.get(entry["id"], ())))
-        self.handler.labels = {**self.handler.labels, entry["id"]: held_workers}
+        self.handler.verdicts.labels = {**self.handler.verdicts.labels, entry["id"]: held_workers}
 
     def load_plugins(self, config: PluginsConfig | None) -> None:
         """At the start; raises for one that can't be loaded."""
@@ -207,20 +208,20 @@
             return
         from ..plugins.chain import PluginChain
 
-        self.handler.plugins = PluginChain(plugin_specs(config))
+        self.handler.verdicts.chain = PluginChain(plugin_specs(config))
         self._apply_plugin_config(config)
 
     def _apply_plugin_config(self, config: PluginsConfig) -> None:
         configured = {worker_id: frozenset(labels) for worker_id, labels in config.labels.items()}
-        self.handler.labels = {**self.handler.labels, **configured}
-        self.handler.falls_back = config.missing == "fall back"
-        self.handler.allowed_headers = frozenset(name.lower() for name in config.headers)
+        self.handler.verdicts.labels = {**self.handler.verdicts.labels, **configured}
+        self.handler.verdicts.falls_back = config.missing == "fall back"
+        self.handler.verdicts.allowed_headers = frozenset(name.lower() for name in config.headers)
 
     def reload_plugins(self, config: PluginsConfig | None) -> None:
         """On SIGHUP: the old ones serve until the new ones are proved."""
-        if config is None or self.handler.plugins is None:
+        if config is None or self.handler.verdicts.chain is None:
             self.log.error("plug-ins not taken", reason="they can be changed, but not switched on or off")
-        elif not self.handler.plugins.reload(plugin_specs(config)):
+        elif not self.handler.verdicts.chain.reload(plugin_specs(config)):
             self._apply_plugin_config(config)
 
     # orders
@@ -235,7 +236,7 @@
         self.discovery.fetch()
 
     def extension_accepted(self) -> None:
-        self.handler.registry.reset_reported()
+        self.handler.tunnels.registry.reset_reported()
         self._report_held(whole=True)
 
     def apply_extension(self, message: upgrades.FromManager) -> None:
@@ -249,7 +250,7 @@
         for worker_id in (message.source, *message.to):
             if self.registry.find(worker_id.encode()) is None:
                 raise OrderRejected(f"MOVE: worker {worker_id[:32]!r} was never listed")
-        if self.handler.registry.count(message.source):
+        if self.handler.tunnels.registry.count(message.source):
             left = min(message.left, self.drainer.grace)
             self.drainer.add_order(
                 now, message.source, message.number, message.to, message.count, message.within, left
@@ -263,14 +264,14 @@
     # reports
 
     def _report_held(self, whole: bool = False) -> None:
-        for first, rows in self.handler.registry.changes(self.loop.time(), whole):
+        for first, rows in self.handler.tunnels.registry.changes(self.loop.time(), whole):
             counts = {worker_id: (row.open, row.busy, row.resumable) for worker_id, row in rows.items()}
             self.stream.send_extension(upgrades.holds(self.config.node, first, counts))
 
     def _tick(self) -> None:
         now = self.loop.time()
         self._timers["beat"] = self.loop.call_later(TICK_INTERVAL, self._tick)
-        self.handler.tick_drains()
+        self.handler.tunnels.tick_drains()
         for answer in self.drainer.results:
             self.stream.send_extension(
                 upgrades.moved(self.config.node, answer.number, answer.succeeded, answer.failed)
@@ -281,19 +282,19 @@
             self._report_held()
         if now >= self._report_at:
             self._report_at = now + REPORT_INTERVAL
-            loads, rates = self.recorder.report(now)
-            for message in rates:
+            reports = self.recorder.report(now)
+            for message in reports.rates:
                 self.stream.send_message(message)
             if self.load_reporter is not None:
-                self.load_reporter.send(self.stream.manager, b"".join(loads))
-            self.handler.log_ended_connections()
-            if self.handler.plugins is not None:
-                self.handler.plugins.tell()
+                self.load_reporter.send(self.stream.manager, b"".join(reports.loads))
+            self.handler.tunnels.log_ended_connections()
+            if self.handler.verdicts.chain is not None:
+                self.handler.verdicts.chain.tell()
 
     def status(self) -> dict[str, object]:
         """What a person would ask of it: for the status address and the demo."""
         now, tables = self.loop.time(), self.router.tables
-        held = self.handler.registry.counts(now)
+        held = self.handler.tunnels.registry.counts(now)
         return {
             "node": self.config.node,
             "zone": self.config.zone,
@@ -304,8 +305,8 @@
             "held": {worker_id: [row.open, row.busy, row.resumable] for worker_id, row in held.items()},
             "drains": {worker_id: self.drainer.state(worker_id) for worker_id in self.drainer.workers()},
             "connections": self.handler.listener.slots.total,
-            "plugins": self.handler.plugins.shown() if self.handler.plugins else [],
-            **self.handler.counts,
+            "plugins": self.handler.verdicts.chain.shown() if self.handler.verdicts.chain else [],
+            **self.handler.tunnels.counts,
         }
 
     async def start(self, stack: AsyncExitStack) -> int:
@@ -328,14 +329,17 @@
 
     async def drain(self) -> None:
         """Its own drain: nobody new, connections closed evenly, the busy ones last."""
-        self.handler.stopping = True
+        self.handler.stop_accepting()
         self.handler.listener.stop_listening()
         end = self.loop.time() + min(MAX_STOP_TIME, self.drainer.grace) * 0.8
-        while self.handler.registry.total() or self.handler.in_flight:
-            if not self.handler.registry.total() and self.loop.time() > end:
+        while self.handler.tunnels.registry.total() or self.handler.in_flight:
+            if not self.handler.tunnels.registry.total() and self.loop.time() > end:
                 return  # what is left of the requests is answered by the carrier's close
             left = max(TICK_INTERVAL, end - self.loop.time())
-            if not self.handler.close_part(min(1.0, TICK_INTERVAL / left)) and self.loop.time() > end + 2.0:
+            if (
+                not self.handler.tunnels.close_part(min(1.0, TICK_INTERVAL / left))
+                and self.loop.time() > end + 2.0
+            ):
                 return
             await asyncio.sleep(TICK_INTERVAL)
 
@@ -390,7 +394,7 @@
 
         def write_snapshot() -> Iterator[Awaitable[object] | None]:
             now = forwarder.loop.time()
-            kept = snapshot_of(forwarder.router, forwarder.handler.registry.counts(now), now)
+            kept = snapshot_of(forwarder.router, forwarder.handler.tunnels.registry.counts(now), now)
             yield None
             section = packed("forwarder", kept)
             yield asyncio.to_thread(folder.write, {"forwarder": section})
@@ -435,7 +439,7 @@
         host = host_port(forwarder.config.listen)[0]
         log.info("forwarding", node=forwarder.config.node, host=host, port=port, status=status)
         await stop.wait()
-        log.info("draining", held_workers=forwarder.handler.registry.total())
+        log.info("draining", held_workers=forwarder.handler.tunnels.registry.total())
         draining, cut = asyncio.create_task(forwarder.drain()), asyncio.create_task(again.wait())
         await asyncio.wait((draining, cut), return_when=asyncio.FIRST_COMPLETED)
         for task in (draining, cut):
--- a/cottonladder/forwarder/frame_scanner.py
+++ b/cottonladder/forwarder/frame_scanner.py
@@ -11,6 +11,8 @@
 import struct
 from dataclasses import dataclass
 
+from .errors import FrameError
+
 CONTINUATION, TEXT, BINARY, CLOSE, PING, PONG = 0, 1, 2, 8, 9, 10
 MAX_CONTROL_PAYLOAD = 125  # bytes of a control frame's payload (5.5)
 PEEK_BYTES = 64  # first bytes of a message that are kept to be compared
@@ -22,10 +24,6 @@
 )  # close codes (7.4, IANA)
 
 
-class FrameError(ValueError):
-    """Bytes that are no frames, or frames that this side may not send."""
-
-
 @dataclass(frozen=True, slots=True)
 class ScanResult:
     """What passes on; `closing`: the bytes from a close frame's first on; `begun`: first bytes of each data
--- a/cottonladder/forwarder/load_recorder.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -1,4 +1,4 @@
-"""What a forwarder met at workers and what came to it, summed between two reports."""
+"""Attempts at workers and arrivals by class, summed between two reports to managers."""
 
 from __future__ import annotations
 
@@ -7,49 +7,83 @@
 from ..protocol import resp
 
 REPORT_INTERVAL = 1.0  # s between reports: managers solve each 2 s
+MIN_INTERVAL_MS = 1.0  # ms that a report covers at the least
 
 
 @dataclass(slots=True)
 class WorkerCounts:
+    """Attempts at one worker; `duration_s`: total of those that succeeded."""
+
     attempts: int = 0
     failures: int = 0
-    duration_s: float = 0.0  # s, of those that were done
+    duration_s: float = 0.0
+
+    @property
+    def mean_duration_ms(self) -> float:
+        """Of the attempts that succeeded."""
+        return self.duration_s * 1000.0 / max(1, self.attempts - self.failures)
+
+
+@dataclass(slots=True)
+class ClassCounts:
+    """Requests of one class; `failures`: admitted, and could not be served."""
+
+    arrivals: int = 0
+    failures: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class LoadReports:
+    """Encoded messages: `loads` (LOAD) for the zone's collector, `rates` (RATE) for the manager."""
+
+    loads: list[bytes]
+    rates: list[bytes]
 
 
 @dataclass(slots=True)
 class LoadRecorder:
-    """Counts since the last report; `interval` is what they cover, in ms."""
+    """Counts since the last report, which was at `started_at`."""
 
     zone: str
     node: int
     started_at: float
     _by_worker: dict[str, WorkerCounts] = field(default_factory=dict)
-    _by_class: dict[str, list[int]] = field(default_factory=dict)
+    _by_class: dict[str, ClassCounts] = field(default_factory=dict)
 
     def record_attempt(self, worker_id: str, succeeded: bool, duration_s: float) -> None:
-        sums = self._by_worker.setdefault(worker_id, WorkerCounts())
-        sums.attempts += 1
-        sums.failures += not succeeded
-        sums.duration_s += duration_s if succeeded else 0.0
+        """An attempt has ended."""
+        counts = self._by_worker.setdefault(worker_id, WorkerCounts())
+        counts.attempts += 1
+        if succeeded:
+            counts.duration_s += duration_s
+        else:
+            counts.failures += 1
 
     def record_arrival(self, request_class: str) -> None:
-        self._by_class.setdefault(request_class, [0, 0])[0] += 1
+        """A request has come."""
+        self._by_class.setdefault(request_class, ClassCounts()).arrivals += 1
 
     def record_failure(self, request_class: str) -> None:
-        """Let in, and could not be served."""
-        self._by_class.setdefault(request_class, [0, 0])[1] += 1
-
-    def report(self, now: float) -> tuple[list[bytes], list[bytes]]:
-        """LOAD and RATE messages; the counts begin anew."""
-        interval = max(1.0, (now - self.started_at) * 1000.0)
-        loads, rates = list[bytes](), list[bytes]()
-        for worker_id, s in self._by_worker.items():
-            rtt = s.duration_s * 1000.0 / max(1, s.attempts - s.failures)
-            text = f"LOAD locality {self.zone} endpoint {worker_id} total {s.attempts} errors {s.failures}"
-            loads.append(resp.encode(f"{text} rtt {rtt:.3f} interval {interval:.1f}".encode().split()))
-        for request_class, (total, errors) in self._by_class.items():
-            text = f"RATE node {self.node} route {request_class} total {total} errors {errors}"
-            text += f" interval {interval:.1f}"
-            rates.append(resp.encode(text.encode().split()))
-        self._by_worker, self._by_class, self.started_at = {}, {}, now
-        return loads, rates
+        """A request was admitted and could not be served."""
+        self._by_class.setdefault(request_class, ClassCounts()).failures += 1
+
+    def report(self, now: float) -> LoadReports:
+        """Messages on what was counted; the counts start anew."""
+        interval_ms = max(MIN_INTERVAL_MS, (now - self.started_at) * 1000.0)
+        loads = [self._load(worker, counts, interval_ms) for worker, counts in self._by_worker.items()]
+        rates = [self._rate(name, counts, interval_ms) for name, counts in self._by_class.items()]
+        self._by_worker = {}
+        self._by_class = {}
+        self.started_at = now
+        return LoadReports(loads, rates)
+
+    def _load(self, worker_id: str, counts: WorkerCounts, interval_ms: float) -> bytes:
+        text = f"LOAD locality {self.zone} endpoint {worker_id}"
+        text += f" total {counts.attempts} errors {counts.failures}"
+        text += f" rtt {counts.mean_duration_ms:.3f} interval {interval_ms:.1f}"
+        return resp.encode(text.encode().split())
+
+    def _rate(self, request_class: str, counts: ClassCounts, interval_ms: float) -> bytes:
+        text = f"RATE node {self.node} route {request_class}"
+        text += f" total {counts.arrivals} errors {counts.failures} interval {interval_ms:.1f}"
+        return resp.encode(text.encode().split())
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -17,7 +17,8 @@
 from ..protocol import resp
 from ..protocol import upgrade_extension as upgrades
 from ..protocol.messages import PING, Fields, figure
-from .router import ConfigPart, OrderRejected
+from .errors import OrderRejected
+from .router import ConfigPart
 
 CONNECT_TIMEOUT = 1.0  # s for a connection to a manager
 MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY = 0.1, 2.0  # s between dials, doubled from one to the other
--- a/cottonladder/forwarder/resource_limits.py
+++ b/cottonladder/forwarder/resource_limits.py
@@ -16,6 +16,7 @@
 MAX_BUFFERED_BODY_BYTES = 65_536  # of a body kept for a further try; a longer one is sent once
 CONNECT_TIMEOUT = 1.0  # s: a worker in another zone answers in a few ms, a dead one never
 FIRST_BYTE_TIMEOUT = 30.0  # s from a req's end to the answer's head where its kind states no client timeout
+MIN_ATTEMPT_TIMEOUT = 0.05  # s that an attempt has at the least, also one that starts near its deadline
 IDLE_TIMEOUT = 75.0  # s that a kept-alive connection may say nothing
 HEADER_TIMEOUT = 10.0  # s from accept to the end of the first head: slow clients hold no place for long
 STALL_TIMEOUT = 30.0  # s that either end may leave bytes unread before its connection is given up
--- /dev/null
+++ b/cottonladder/forwarder/retries.py
@@ -0,0 +1,72 @@
+"""Whether a request that failed at one worker may be sent to another: one table, and what has been attempted.
+
+Pure: no clock, no I/O.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import IntEnum
+
+from .errors import AttemptError
+from .request_classes import RequestClass
+
+
+class RetryPolicy(IntEnum):
+    """What managers order for a class, as field `again` of a CONFIG carries it."""
+
+    NEVER = 0
+    ONCE_IF_NOT_RUN = 1
+    ONCE = 2
+    TWICE = 3
+
+
+@dataclass(frozen=True, slots=True)
+class RetryRule:
+    """`only_if_not_run`: a retry needs proof that no attempt so far has run."""
+
+    max_retries: int
+    only_if_not_run: bool
+
+
+# (policy, may the request be repeated although it may have run) -> what a retry may do
+RETRY_RULES: dict[tuple[RetryPolicy, bool], RetryRule] = {
+    (RetryPolicy.NEVER, True): RetryRule(max_retries=0, only_if_not_run=True),
+    (RetryPolicy.NEVER, False): RetryRule(max_retries=0, only_if_not_run=True),
+    (RetryPolicy.ONCE_IF_NOT_RUN, True): RetryRule(max_retries=1, only_if_not_run=True),
+    (RetryPolicy.ONCE_IF_NOT_RUN, False): RetryRule(max_retries=1, only_if_not_run=True),
+    (RetryPolicy.ONCE, True): RetryRule(max_retries=1, only_if_not_run=False),
+    (RetryPolicy.ONCE, False): RetryRule(max_retries=1, only_if_not_run=True),
+    (RetryPolicy.TWICE, True): RetryRule(max_retries=2, only_if_not_run=False),
+    (RetryPolicy.TWICE, False): RetryRule(max_retries=2, only_if_not_run=True),
+}
+
+
+def should_retry(request_class: RequestClass, policy: int, attempts: int, may_have_run: bool) -> bool:
+    """Whether a request that failed `attempts` times may be sent to another worker.
+
+    `may_have_run`: there is no proof that none of the attempts ran.  Then only what is safe to repeat is sent
+    again, whatever managers have ordered.
+    """
+    rule = RETRY_RULES[RetryPolicy(policy), request_class.is_repeatable]
+    if may_have_run and rule.only_if_not_run:
+        return False
+    return attempts <= rule.max_retries
+
+
+@dataclass(slots=True)
+class FailedAttempts:
+    """The workers that one request has been sent to in vain."""
+
+    workers: list[str] = field(default_factory=list)
+    may_have_run: bool = False
+
+    @property
+    def count(self) -> int:
+        """How many attempts have failed."""
+        return len(self.workers)
+
+    def add(self, worker_id: str, error: AttemptError) -> None:
+        """Adds one; a request that may have run once may have run, whatever comes after."""
+        self.workers.append(worker_id)
+        self.may_have_run = self.may_have_run or error.may_have_run
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -13,11 +13,11 @@
 
 import httptools
 
+from .errors import FrameError, HandshakeError
 from .frame_scanner import (
     INTERNAL_ERROR,
     PROTOCOL_ERROR,
     SERVICE_RESTART,
-    FrameError,
     FrameScanner,
     encode_close_frame,
 )
@@ -42,14 +42,6 @@
     ticket_header: str = ""  # header by which a worker lets another take the connection over; empty: none can
 
 
-class HandshakeError(Exception):
-    """A worker that did not agree to an upgrade; `ran`: it may have seen the req."""
-
-    def __init__(self, reason: str, may_have_run: bool) -> None:
-        super().__init__(reason)
-        self.may_have_run = may_have_run
-
-
 @dataclass(slots=True)
 class HandshakeReply:
     """A worker's answer to a handshake: its head as it came, and its status and headers."""
@@ -276,6 +268,11 @@
         elif self.worker_end.has_eof:
             self.eof_received(self.worker_end)
 
+    @property
+    def is_closing(self) -> bool:
+        """Its close has begun, or it is closed."""
+        return self.state in (CLOSING, CLOSED)
+
     @property
     def is_resumable(self) -> bool:
         return bool(self.ticket and self.handshake_head)
--- a/cottonladder/forwarder/worker_connections.py
+++ b/cottonladder/forwarder/worker_connections.py
@@ -10,6 +10,7 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 from yarl import URL
 
+from .errors import WorkerError
 from .resource_limits import ResourceLimits
 
 # Heads that belong to one connection and not to the req (RFC 9110, 7.6.1).
@@ -19,14 +20,6 @@
 )  # fmt: skip
 
 
-class WorkerError(Exception):
-    """A try that brought no answer; `ran`: there is no proof that it never ran."""
-
-    def __init__(self, reason: str, may_have_run: bool, timed_out: bool = False) -> None:
-        super().__init__(reason)
-        self.may_have_run, self.timed_out = may_have_run, timed_out
-
-
 def forwarded_headers(headers: Mapping[str, str] | CIMultiDictProxy[str]) -> CIMultiDict[str]:
     """The heads that go on: all but those of the connection, and those that `Connection` names."""
     connection_headers = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
--- a/tests/test_forwarder_rules.py
+++ b/tests/test_forwarder_rules.py
@@ -14,13 +14,16 @@
 from cottonladder.forwarder import frame_scanner as fr
 from cottonladder.forwarder import router as ro
 from cottonladder.forwarder.connection_registry import ConnectionRegistry, WorkerConnectionCounts
+from cottonladder.forwarder.errors import FrameError, OrderRejected
 from cottonladder.forwarder.manager_stream import read_part
+from cottonladder.forwarder.request_classes import IDEMPOTENT, MatchRule, RequestClass, classify
 from cottonladder.forwarder.resource_limits import AdmissionPacer, ConnectionSlots, retry_after
+from cottonladder.forwarder.retries import should_retry
 from cottonladder.protocol import upgrade_extension as upgrades
 from cottonladder.protocol.resp import MESSAGE_MOST, Reader
 
-FETCH = ro.RequestClass("fetch", (), ro.IDEMPOTENT)
-RELEASE = ro.RequestClass("release", (ro.MatchRule(frozenset({"POST"}), "/release"),))
+FETCH = RequestClass("fetch", (), IDEMPOTENT)
+RELEASE = RequestClass("release", (MatchRule(frozenset({"POST"}), "/release"),))
 
 
 def routes(levels: str = "ratio") -> ro.Router:
@@ -29,7 +32,7 @@
 
 class Routing(unittest.TestCase):
     def test_kinds_by_method_path_and_header(self) -> None:
-        marked = ro.RequestClass("marked", (ro.MatchRule(headers=(("X-Kind", "m"),)),))
+        marked = RequestClass("marked", (MatchRule(headers=(("X-Kind", "m"),)),))
         for method, path, headers, kind in (
             ("POST", "/release", {}, "release"),
             ("POST", "/release/7", {}, "release"),
@@ -37,18 +40,18 @@
             ("GET", "/release", {}, "fetch"),
             ("GET", "/", {"X-Kind": "m"}, "marked"),
         ):
-            found = ro.classify([RELEASE, marked, FETCH], method, path, headers)
+            found = classify([RELEASE, marked, FETCH], method, path, headers)
             self.assertEqual(found and found.name, kind, (method, path))
-        self.assertIsNone(ro.classify([RELEASE], "GET", "/", {}))
+        self.assertIsNone(classify([RELEASE], "GET", "/", {}))
 
     def test_further_tries_by_way_and_proof(self) -> None:
         """(way, tries, ran) that may go on; what isn't replayable never without proof."""
         for kind in (FETCH, RELEASE):
             for way in range(4):
                 for tries in range(1, 5):
-                    proved = ro.should_retry(kind, way, tries, may_have_run=False)
+                    proved = should_retry(kind, way, tries, may_have_run=False)
                     self.assertEqual(proved, tries <= (0, 1, 1, 2)[way])
-                    unproved = ro.should_retry(kind, way, tries, may_have_run=True)
+                    unproved = should_retry(kind, way, tries, may_have_run=True)
                     self.assertEqual(unproved, kind is FETCH and way >= 2 and tries <= way - 1)
 
     def test_orders_are_carried_out(self) -> None:
@@ -83,7 +86,7 @@
             ro.ConfigPart(weights=(("s-9", 1.0),)),
             ro.ConfigPart(exclude=("s-9",)),
         ):
-            with self.assertRaises(ro.OrderRejected):
+            with self.assertRaises(OrderRejected):
                 r.check([ro.ConfigPart(weights=(("s-1", 1.0),)), part], lambda be: be == "s-1")
 
     def test_picks_go_by_weight_and_around_who_failed(self) -> None:
@@ -281,7 +284,7 @@
             (False, b"\x80\x00"),
             (False, b"\x82\x7f\xff" + b"\xff" * 7),
         ):
-            with self.subTest(data), self.assertRaises(fr.FrameError):
+            with self.subTest(data), self.assertRaises(FrameError):
                 fr.FrameScanner(masked).feed(data)
 
     @settings(max_examples=60, derandomize=True, deadline=None)
@@ -293,7 +296,7 @@
                 given_in += piece
                 fed = scanner.feed(piece)
                 passed += fed.forwarded + fed.closing
-        except fr.FrameError:
+        except FrameError:
             return
         self.assertTrue(given_in.startswith(passed))
         self.assertLess(len(given_in) - len(passed), 14)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -27,6 +27,7 @@
 from cottonladder.control import background_scheduler as tasks
 from cottonladder.forwarder import restored_state as fr
 from cottonladder.forwarder import router as ro
+from cottonladder.forwarder.request_classes import IDEMPOTENT, RequestClass
 from cottonladder.forwarder.resource_limits import AdmissionPacer
 from cottonladder.model.inputs import (
     Endpoint,
@@ -259,7 +260,7 @@
         self.assertEqual(len(life.proxy_rates), me.PROXIES)
 
     def test_the_forwarder_s(self) -> None:
-        kinds = [ro.RequestClass("fetch", (), ro.IDEMPOTENT)]
+        kinds = [RequestClass("fetch", (), IDEMPOTENT)]
         before = ro.Router(kinds, "ratio", lambda: 0.5)
         before.apply(
             [ro.ConfigPart(replace=True, weights=tuple((f"s-{n}", 1.0) for n in range(6)), exclude=("s-5",))]
