--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -12,7 +12,7 @@
 
 from ..protocol.fault_log import RateLimitedFaultLog
 from .resource_limits import HEADER_TIMEOUT, ConnectionSlots, ResourceLimits
-from .tunnel import ClientEnd, HandshakeReply
+from .tunnel_ends import ClientEnd, HandshakeReply
 
 SWEEP_INTERVAL = 0.5  # s between looks at who has not sent a head yet
 STOP_TIMEOUT = 5.0  # s that plain reqs under way have at the stop
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -37,7 +37,7 @@
 from .request_handler import RequestHandler
 from .resource_limits import AdmissionPacer
 from .router import ConfigPart, Router
-from .tunnel import UpgradePolicy
+from .upgrade_policy import UpgradePolicy
 
 if TYPE_CHECKING:
     from ..plugins.chain import Wanted
@@ -303,7 +303,9 @@
             "levels": {name: table.admission for name, table in tables.items()},
             "shut": sorted(self.router.excluded | self.router.leaving),
             "held": {worker_id: [row.open, row.busy, row.resumable] for worker_id, row in held.items()},
-            "drains": {worker_id: self.drainer.state(worker_id) for worker_id in self.drainer.workers()},
+            "drains": {
+                worker_id: self.drainer.state(worker_id).value for worker_id in self.drainer.workers()
+            },
             "connections": self.handler.listener.slots.total,
             "plugins": self.handler.verdicts.chain.shown() if self.handler.verdicts.chain else [],
             **self.handler.tunnels.counts,
--- a/cottonladder/forwarder/request_handler.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -27,8 +27,8 @@
     ResponseBuilder,
     failure_answer,
 )
-from .tunnel import UpgradePolicy
 from .tunnel_manager import TunnelManager
+from .upgrade_policy import UpgradePolicy
 from .upgrade_requests import UpgradeForwarder
 from .worker_connections import WorkerConnections
 
--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -7,7 +7,7 @@
 import structlog
 
 from .client_listener import ClientListener
-from .connection_drainer import ConnectionDrainer, CutConnections, StartMove
+from .connection_drainer import NO_ORDER, ConnectionDrainer, CutConnections, StartMove
 from .connection_registry import ConnectionRegistry
 from .fleet import Fleet
 from .frame_scanner import GOING_AWAY, INTERNAL_ERROR, SERVICE_RESTART
@@ -20,7 +20,6 @@
 MAX_END_REASONS = 32  # reasons for an end that are told apart between two log lines
 MAX_LOGGED_REASON = 64  # characters of a worker's or an error's text in a reason
 OTHER_REASONS = "others"
-NO_ORDER = -1  # a tunnel is closed without a manager's order
 
 
 class TunnelManager:
@@ -65,7 +64,7 @@
         """One line for all connections that ended since the last one."""
         if self.end_reasons:
             count = sum(self.end_reasons.values())
-            self.log.info("connections ended", more=count, why=str(self.end_reasons))
+            self.log.info("connections_ended", count=count, reasons=str(self.end_reasons))
             self.end_reasons = {}
 
     # drains
@@ -100,7 +99,13 @@
 
     def _log_state_changes(self) -> None:
         for change in self._drainer.state_changes:
-            self.log.info("drain", words=change)
+            self.log.info(
+                "drain_state",
+                worker_id=change.worker_id,
+                old_state=change.old_state.value,
+                new_state=change.new_state.value,
+                reason=change.event.value,
+            )
         self._drainer.state_changes.clear()
 
     def _close_time(self, worker_id: str, now: float) -> float:
--- a/cottonladder/forwarder/upgrade_handshake.py
+++ b/cottonladder/forwarder/upgrade_handshake.py
@@ -9,7 +9,8 @@
 from .request_context import RequestContext
 from .resource_limits import MIN_ATTEMPT_TIMEOUT
 from .responses import UPGRADE_NOT_GET, UPGRADE_WITH_BODY, UPGRADE_WITHOUT_KEY
-from .tunnel import UpgradePolicy, WorkerEnd, connect
+from .tunnel_ends import WorkerEnd, connect
+from .upgrade_policy import UpgradePolicy
 from .worker_connections import HOP_BY_HOP_HEADERS
 
 
--- a/cottonladder/forwarder/upgrade_requests.py
+++ b/cottonladder/forwarder/upgrade_requests.py
@@ -21,12 +21,13 @@
     failure_answer,
 )
 from .retries import FailedAttempts, should_retry
-from .tunnel import Tunnel, UpgradePolicy, WorkerEnd
+from .tunnel import Tunnel
+from .tunnel_ends import SWITCHING_PROTOCOLS, WorkerEnd
 from .tunnel_manager import TunnelManager
 from .upgrade_handshake import check_upgrade, handshake, handshake_head, is_websocket
+from .upgrade_policy import UpgradePolicy
 
 MAX_HANDSHAKE_ATTEMPTS = 3  # workers that a handshake is offered to before the client is told to come back
-SWITCHING_PROTOCOLS = 101
 
 
 class UpgradeForwarder:
--- a/tests/test_forwarder_rules.py
+++ b/tests/test_forwarder_rules.py
@@ -218,7 +218,7 @@
         drains.cancel("s-1")
         left = held["s-1"]
         self.assertEqual(self.play(drains, held, 20.0, 1.0), [])
-        self.assertEqual((drains.state("s-1"), held["s-1"]), (dr.NOT_DRAINING, left))
+        self.assertEqual((drains.state("s-1"), held["s-1"]), (dr.DrainState.NOT_DRAINING, left))
 
     def test_a_lost_stream_takes_its_orders_along(self) -> None:
         drains, held = dr.ConnectionDrainer(10.0), Counter({"s-1": 50})
@@ -226,7 +226,7 @@
         drains.add_order(0.0, "s-1", 7, {"s-2": 40}, 40, 0.5, 10.0)
         self.play(drains, held, 0.2)
         drains.stream_lost()
-        self.assertEqual((drains.state("s-1"), drains.results), (dr.SELF_PACED, []))
+        self.assertEqual((drains.state("s-1"), drains.results), (dr.DrainState.SELF_PACED, []))
         self.play(drains, held, 10.0, 0.2)
         self.assertEqual(held["s-1"], 0)
 
