--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -22,7 +22,7 @@
 import structlog
 
 from cottonladder.control.background_scheduler import BackgroundScheduler
-from cottonladder.control.snapshot_manager import Folder, SnapshotManager
+from cottonladder.control.snapshot_manager import SnapshotFolder, SnapshotManager
 from cottonladder.model.inputs import (
     Endpoint,
     EndpointList,
@@ -46,20 +46,20 @@
 def bad_after(recall: Recall | None, seed: int) -> tuple[int, float]:
     """Reqs not done within target in the time after the restart, and s until a 2 s window is as good as the
     20 s before it.  `recall` None: no restart at all."""
-    day = me.MonthEndRun({}, seed=seed, length=LENGTH, load=LOAD)
+    day = me.MonthEndRun({}, seed=seed, duration_s=LENGTH, load=LOAD)
     windows: dict[int, list[int]] = {}
     last = [0, 0]
 
     def events(now: float, day: me.MonthEndRun) -> None:
         window = windows.setdefault(int(now / 2.0), [0, 0])
-        asked, served = day.result.asked, day.result.served
+        asked, served = day.result.requests, day.result.served
         window[0] += asked - last[0]
         window[1] += served - last[1]
         last[:] = [asked, served]
-        if recall is not None and abs(now - RESTART) < me.LOOK / 2:
-            day.restart(recall)
+        if recall is not None and abs(now - RESTART) < me.STEP_S / 2:
+            day.restart_manager(recall)
 
-    day.play(events)
+    day.run(events)
     first, end = int(RESTART / 2.0), int((RESTART + AFTER) / 2.0)
     bad = sum(n - s for w, (n, s) in windows.items() if first <= w < end)
     before = [s / max(1, n) for w, (n, s) in windows.items() if first - 10 <= w < first]
@@ -78,7 +78,7 @@
         return None
 
     def fresh(life: RestoredState) -> RestoredState:
-        return ageing.aged(life, 2.0)
+        return ageing.discount(life, 2.0)
 
     def stale(life: RestoredState) -> RestoredState:
         """Twelve hours old, and its suspicions no longer hold: three good workers suspected and slow."""
@@ -87,7 +87,7 @@
             replace(p, was_ejected=True, latency_factor=0.05) if p.worker_index in wrong else p
             for p in life.workers
         )
-        return ageing.aged(replace(life, workers=pasts), 12 * 3600.0)
+        return ageing.discount(replace(life, workers=pasts), 12 * 3600.0)
 
     cases: dict[str, Recall | None] = {"no_restart": None, "without": none, "with": fresh, "stale": stale}
     rows = {name: [bad_after(recall, seed) for seed in SEEDS] for name, recall in cases.items()}
@@ -109,10 +109,10 @@
     """As much of a placement as a keeper asks for."""
 
     def __init__(self, workers: int) -> None:
-        self.workers, self.version = WorkerRegistry(), 1
+        self.workers, self.list_version = WorkerRegistry(), 1
         entries = tuple(
             Endpoint(
-                self.workers.learn(f"s-{n}", f"127.0.0.9:{n + 1}", 0.0),
+                self.workers.register(f"s-{n}", f"127.0.0.9:{n + 1}", 0.0),
                 n % 2,
                 EndpointState.READY,
                 1.0,
@@ -120,21 +120,21 @@
             )
             for n in range(workers)
         )
-        self.known = EndpointList(ListUpdateKind.CACHED, entries)
-        self.site = type("Site", (), {"terms": me.TERMS})
+        self.known_endpoints = EndpointList(ListUpdateKind.CACHED, entries)
+        self.settings = type("Settings", (), {"parameters": me.PARAMETERS})
 
 
 async def snapshots(workers: int, proxies: int) -> dict[str, float]:
     """The loop's longest stall while snapshots are written, how long one takes, and its bytes."""
     gc.collect()  # an earlier measurement's remains are not this one's stall
     placed, out = Placed(workers), dict[str, float]()
-    ladder = RoutingController(replace(me.TERMS, proxy_count=proxies))
+    ladder = RoutingController(replace(me.PARAMETERS, proxy_count=proxies))
     joins = [ProxyConnected(p, p % 2, 2.0, True) for p in range(proxies)]
-    ladder.decide(1000.0, [placed.known, *joins])
+    ladder.decide(1000.0, [placed.known_endpoints, *joins])
     with tempfile.TemporaryDirectory() as folder:
         tasks = BackgroundScheduler(lambda: 0.0)
         keeper = SnapshotManager(folder, 0.25, placed, tasks)  # type: ignore[arg-type]
-        list(keeper.messages(0.0, ladder))
+        list(keeper.collect_messages(0.0, ladder))
         took: list[float] = []
 
         def timed() -> Iterator[Any]:
@@ -142,7 +142,7 @@
             yield from keeper._snapshot()
             took.append(time.perf_counter() - begun)
 
-        tasks.add(TaskPlan("snapshot", 0.25, cpu=0.5, jitter=0.0), timed)
+        tasks.add(TaskPlan("snapshot", 0.25, cpu_fraction=0.5, jitter_ratio=0.0), timed)
         longest, last = 0.0, time.perf_counter()
         tasks.start()
         end = last + 3.0
@@ -152,7 +152,7 @@
             longest, last = max(longest, now - last), now
         await tasks.close()
         out = {"snapshot_ms": 1000.0 * sorted(took)[len(took) // 2], "longest_stall_ms": 1000.0 * longest}
-        out["file_bytes"] = keeper._folder.bytes
+        out["file_bytes"] = keeper._folder.size_bytes
         keeper._folder.close()
     return out
 
@@ -170,7 +170,7 @@
 
     if loaded:
         for n in range(20):
-            tasks.add(TaskPlan(f"busy-{n}", 0.01, priority=n % 3, cpu=0.02), busy)
+            tasks.add(TaskPlan(f"busy-{n}", 0.01, priority=n % 3, cpu_fraction=0.02), busy)
     tasks.start()
     late: list[float] = []
     loop = asyncio.get_running_loop()
@@ -179,7 +179,7 @@
         await asyncio.sleep(0.005)
         late.append(max(0.0, loop.time() - due))
         if late[-1] > 0.01:
-            tasks.late()
+            tasks.pause_for_loop_lag()
     await tasks.close()
     return sorted(late)[int(len(late) * 0.99)] * 1000.0
 
@@ -187,7 +187,7 @@
 def measure(count: int) -> dict[str, Any]:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     with tempfile.TemporaryDirectory() as folder:
-        counts = kills.kill(folder, count, 7)
+        counts = kills.crash_test(folder, count, 7)
     out: dict[str, Any] = {key: counts[key] for key in ("kills", "half_written", "states_lost")}
     out |= restarts()
     for name, (workers, proxies) in (("", (120, 640)), ("_large", (1200, 6400))):
@@ -197,10 +197,10 @@
     for name, loaded in (("idle", False), ("loaded", True)):
         out[f"decision_delay_p99_ms_{name}"] = round(asyncio.run(delays(loaded)), 2)
     with tempfile.TemporaryDirectory() as folder:
-        kept = Folder(folder)
+        kept = SnapshotFolder(folder)
         kept.write({"manager": {"v": 1, "data": {}}})
         begun = time.perf_counter()
-        kept.store.newest()
+        kept.store.read_newest()
         out["read_ms"] = round((time.perf_counter() - begun) * 1000.0, 2)
         kept.close()
     out["of"] = f"simulated workers, seeds {SEEDS}; this machine's disk and loop"
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -13,6 +13,7 @@
 
 import structlog
 
+from ..config.errors import InputError
 from ..config.operator_config import (
     AdviceConfig,
     AdviceServerConfig,
@@ -21,26 +22,25 @@
     TlsConfig,
     host_port,
 )
-from ..config.settings import WireError
 from ..model.inputs import AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
-from ..planning.advice_weighting import PERIOD, Advice, AdvisoryWeight
+from ..planning.advice_weighting import UPDATE_INTERVAL, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views
 from ..policy.controller import RoutingController
 from ..protocol.messages import ExtensionMessage
 from ..state.worker_registry import WorkerRegistry
 from ..weight_advice.client import (
     AdviceListener,
-    DfpFollower,
-    Follower,
+    AdvisorClient,
+    DfpAdvisorClient,
     ReportedWeight,
-    SaspFollower,
-    places_of,
+    SaspAdvisorClient,
+    worker_locations,
 )
-from ..weight_advice.server import AdvertisedWeights, DfpServer, SaspServer, Server, tls_context
+from ..weight_advice.server import AdvertisedWeights, AdviceServer, DfpServer, SaspServer, tls_context
 
-SECRET_MOST = 1024  # bytes of a secret's file
-TELL_EVERY = 30.0  # s between two lines on how advisors stand
+MAX_SECRET_BYTES = 1024  # bytes of a secret's file
+LOG_INTERVAL = 30.0  # s between two lines on how advisors stand
 
 
 def _tls(part: TlsConfig | None, server: bool, where: str) -> object:
@@ -49,133 +49,135 @@
     try:
         return tls_context(part.certificate, part.key, part.authorities, server)
     except (OSError, ValueError) as exc:
-        raise WireError(f"{where}.tls: {exc}") from None
+        raise InputError(f"{where}.tls: {exc}") from None
 
 
 def _secret(part: SecretConfig | None, where: str) -> tuple[int, bytes] | None:
     if part is None:
         return None
     try:
-        secret = Path(part.file).read_bytes()[:SECRET_MOST].strip()
+        secret = Path(part.file).read_bytes()[:MAX_SECRET_BYTES].strip()
     except OSError as exc:
-        raise WireError(f"{where}.secret: {part.file}: {exc.strerror}") from None
+        raise InputError(f"{where}.secret: {part.file}: {exc.strerror}") from None
     if not secret:
-        raise WireError(f"{where}.secret: {part.file}: empty")
+        raise InputError(f"{where}.secret: {part.file}: empty")
     return part.key, secret
 
 
 class WeightAdvisor(AdviceListener):
     """Owns the board, the listeners and the followers."""
 
-    def __init__(self, part: AdviceConfig, workers: WorkerRegistry) -> None:
-        self._part, self._workers = part, workers
-        self._board, self._advice = AdvertisedWeights(), Advice()
-        self._servers: list[Server] = []
-        self._followers: list[Follower] = []
-        self._trust: dict[str, float] = {}
-        self._words: list[tuple[str, list[ReportedWeight], bool]] = []  # heard since the last step
-        self._joins: list[str] = []
-        self._at = self._told_at = 0.0
-        self._listed = False  # the list has changed since the board was brought up to date
+    def __init__(self, config: AdviceConfig, workers: WorkerRegistry) -> None:
+        self._config, self._workers = config, workers
+        self._advertised, self._advice = AdvertisedWeights(), AdviceWeighting()
+        self._servers: list[AdviceServer] = []
+        self._followers: list[AdvisorClient] = []
+        self._trust_by_advisor: dict[str, float] = {}
+        self._reports: list[tuple[str, list[ReportedWeight], bool]] = []  # heard since the last step
+        self._connected_advisors: list[str] = []
+        self._next_update_at = self._logged_at = 0.0
+        self._list_changed = False  # the list has changed since the board was brought up to date
         self._factors: dict[int, float] = {}
-        self._standing: dict[int, WorkerCapacityView] = {}
+        self._capacity: dict[int, WorkerCapacityView] = {}
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     @property
-    def advice(self) -> Advice:
+    def advice(self) -> AdviceWeighting:
         return self._advice
 
     async def start(self, stack: AsyncExitStack) -> None:
-        for n, serving in enumerate(self._part.serve):
-            server = self._server(serving, f"$.advice.serve[{n}]")
+        for n, serving in enumerate(self._config.serve):
+            server = self._create_server(serving, f"$.advice.serve[{n}]")
             host, port = host_port(serving.listen)
             bound = await server.listen((host, port), stack)
             self._servers.append(server)
             self.log.info("advice served", protocol=serving.protocol, host=host, port=bound)
         chance = random.Random(time.time_ns())
-        for n, following in enumerate(self._part.follow):
-            follower = self._follower(following, f"$.advice.follow[{n}]", chance)
-            self._trust[follower.name] = following.trust
+        for n, following in enumerate(self._config.follow):
+            follower = self._create_follower(following, f"$.advice.follow[{n}]", chance)
+            self._trust_by_advisor[follower.name] = following.trust
             self._followers.append(follower)
             stack.push_async_callback(follower.close)
             follower.start()
 
-    def _server(self, part: AdviceServerConfig, where: str) -> Server:
+    def _create_server(self, part: AdviceServerConfig, where: str) -> AdviceServer:
         if part.protocol == "sasp":
-            return SaspServer(self._board, part.clients, _tls(part.tls, True, where))  # type: ignore[arg-type]
-        return DfpServer(self._board, part.clients, _secret(part.secret, where))
+            return SaspServer(self._advertised, part.clients, _tls(part.tls, True, where))  # type: ignore[arg-type]
+        return DfpServer(self._advertised, part.clients, _secret(part.secret, where))
 
-    def _follower(self, part: AdvisorFollowConfig, where: str, chance: random.Random) -> Follower:
+    def _create_follower(self, part: AdvisorFollowConfig, where: str, chance: random.Random) -> AdvisorClient:
         at = host_port(part.at)
         if part.protocol == "sasp":
             tls = _tls(part.tls, False, where)
-            return SaspFollower(at, self, tls, chance.random, part.uid, part.group)  # type: ignore[arg-type]
-        return DfpFollower(at, self, chance.random, _secret(part.secret, where))
+            return SaspAdvisorClient(at, self, tls, chance.random, part.uid, part.group)  # type: ignore[arg-type]
+        return DfpAdvisorClient(at, self, chance.random, _secret(part.secret, where))
 
     # the followers' listener: kept until the owner's next step
 
-    def joined(self, advisor: str) -> None:
-        self._joins.append(advisor)
+    def advisor_connected(self, advisor: str) -> None:
+        self._connected_advisors.append(advisor)
 
-    def heard(self, advisor: str, words: Iterable[ReportedWeight], whole: bool) -> None:
-        self._words.append((advisor, list(words), whole))
+    def weights_received(self, advisor: str, weights: Iterable[ReportedWeight], is_complete: bool) -> None:
+        self._reports.append((advisor, list(weights), is_complete))
 
     # beside the ladder
 
-    def hear(self, now: float, item: Input | ExtensionMessage) -> None:
+    def observe(self, now: float, item: Input | ExtensionMessage) -> None:
         """Nothing of what comes to the manager's address is advice; but who leaves is told at once."""
-        self._listed |= isinstance(item, EndpointList)
+        self._list_changed |= isinstance(item, EndpointList)
 
-    def inputs(self, now: float) -> list[Input]:
-        for advisor in self._joins:
-            self._advice.joined(advisor, now, self._trust.get(advisor, 1.0))
-        self._joins.clear()
-        for advisor, said, whole in self._words:
+    def collect_inputs(self, now: float) -> list[Input]:
+        for advisor in self._connected_advisors:
+            self._advice.advisor_connected(advisor, now, self._trust_by_advisor.get(advisor, 1.0))
+        self._connected_advisors.clear()
+        for advisor, said, whole in self._reports:
             words: dict[int, AdvisoryWeight] = {}
             for s in said:
-                if s.be is not None:  # one worker under two identifications: the lower word
-                    word = AdvisoryWeight(float(s.weight), s.usable)
-                    was = words.get(s.be)
-                    words[s.be] = word if was is None or word.weight < was.weight or not word.usable else was
-            self._advice.heard(advisor, now, words, whole)
-        self._words.clear()
-        if now < self._at:
+                if s.worker_index is not None:  # one worker under two identifications: the lower word
+                    word = AdvisoryWeight(float(s.weight), s.is_usable)
+                    was = words.get(s.worker_index)
+                    words[s.worker_index] = (
+                        word if was is None or word.weight < was.weight or not word.is_usable else was
+                    )
+            self._advice.receive(advisor, now, words, whole)
+        self._reports.clear()
+        if now < self._next_update_at:
             return []
-        factors = self._advice.factors(now, self._standing) if self._followers else {}
+        factors = self._advice.update_factors(now, self._capacity) if self._followers else {}
         changed = dict.fromkeys(self._factors.keys() - factors.keys(), 1.0)
         changed |= {be: factor for be, factor in factors.items() if self._factors.get(be) != factor}
         self._factors = factors
         return [AdvisedFactor(be, factor) for be, factor in changed.items()]
 
-    def messages(self, now: float, ladder: RoutingController) -> Iterator[tuple[int, bytes]]:
+    def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
         """Writes no proxy; the board and the followers' lists are brought up to date once an interval."""
-        due = now >= self._at
-        if due or self._listed:
-            self._listed = False
-            self._standing = capacity_views(ladder)
-            places = places_of(self._workers.ids, self._workers.address)
-            self._board.update(self._standing, places)
+        due = now >= self._next_update_at
+        if due or self._list_changed:
+            self._list_changed = False
+            self._capacity = capacity_views(controller)
+            places = worker_locations(self._workers.ids, self._workers.address_of)
+            self._advertised.update(self._capacity, places)
             for server in self._servers:
-                server.told()
+                server.weights_changed()
             for follower in self._followers:
                 follower.update(places)
         if due:
-            self._at = now + PERIOD
+            self._next_update_at = now + UPDATE_INTERVAL
             for follower in self._followers:
-                follower.tick()
-            if now - self._told_at >= TELL_EVERY:
-                self._told_at = now
-                self._tell(now)
+                follower.poll()
+            if now - self._logged_at >= LOG_INTERVAL:
+                self._logged_at = now
+                self._log_state(now)
         yield from ()
 
-    def _tell(self, now: float) -> None:
-        for name, stands in self._advice.shown(now).items():
+    def _log_state(self, now: float) -> None:
+        for name, stands in self._advice.status(now).items():
             follower = next((f for f in self._followers if f.name == name), None)
             unmatched = follower.unmatched if follower else 0
             self.log.info(
-                "advisor stands", advisor=name, credit=round(stands.credit, 3), words=stands.words,
-                unmatched=unmatched, age=round(min(stands.age, 1e6), 1),
+                "advisor stands", advisor=name, credit=round(stands.credit, 3), words=stands.weight_count,
+                unmatched=unmatched, age=round(min(stands.age_s, 1e6), 1),
             )  # fmt: skip
         for server in self._servers:
-            for row in server.shown():
+            for row in server.status():
                 self.log.info("balancer stands", **row)
--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -76,7 +76,7 @@
             handler.has_slot = True
             self._awaiting_head[handler] = None
             return
-        self.faults.note("too many connections", client=handler.client)
+        self.faults.report("too many connections", client=handler.client)
         if handler.transport is not None:
             head = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n"
             handler.transport.write(head + b"Connection: close\r\n\r\n")
@@ -94,10 +94,10 @@
         for handler in self._overdue:  # late at the last sweep already: what had come by then has been read
             if handler in self._awaiting_head:
                 del self._awaiting_head[handler]
-                self.faults.note("no request in time", client=handler.client)
+                self.faults.report("no request in time", client=handler.client)
                 handler.force_close()
         self._overdue = [h for h in self._awaiting_head if now - h.accepted_at >= HEADER_TIMEOUT]
-        self.faults.sum_up(now)
+        self.faults.summarize(now)
         self._timer = loop.call_later(SWEEP_INTERVAL, self._close_overdue)
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -15,15 +15,15 @@
 import structlog
 from aiohttp import web
 
+from ..config.errors import InputError
 from ..config.operator_config import (
     OperatorConfig,
     PluginsConfig,
     host_port,
-    kinds_of,
-    most_of,
     read_operator_config,
+    request_classes,
+    resource_limits,
 )
-from ..config.settings import WireError
 from ..control import signals
 from ..model.inputs import EndpointList, EndpointState, Input, ListUpdateKind
 from ..protocol import upgrade_extension as upgrades
@@ -40,7 +40,7 @@
 from .upgrade_policy import UpgradePolicy
 
 if TYPE_CHECKING:
-    from ..plugins.chain import Wanted
+    from ..plugins.chain import PluginSpec
 
 LIST_RETRY_DELAY = (0.3, 1.0)  # s, dealt by chance, until a failed call to discovery is made again
 MAX_LIST_BACKOFF = 8.0  # times that, doubled with each call that fails: a fleet's calls keep discovery down
@@ -53,10 +53,10 @@
 )
 
 
-def plugin_specs(config: PluginsConfig) -> list[Wanted]:
-    from ..plugins.chain import Wanted
+def plugin_specs(config: PluginsConfig) -> list[PluginSpec]:
+    from ..plugins.chain import PluginSpec
 
-    return [Wanted(p.name, p.path, p.fail == "closed", frozenset(p.grants), p.seed) for p in config.chain]
+    return [PluginSpec(p.name, p.path, p.fail == "closed", frozenset(p.grants), p.seed) for p in config.chain]
 
 
 def _rounded(weights: dict[str, float]) -> dict[str, float]:
@@ -71,7 +71,7 @@
 
     def zone_index(self, name: str, where: str) -> int:
         if name not in self._index:
-            raise WireError(f"{where}: unknown zone")
+            raise InputError(f"{where}: unknown zone")
         return self._index[name]
 
 
@@ -91,7 +91,7 @@
         self._endpoint_states: dict[int, EndpointState] = {}
         self._zone_of: dict[int, int] = {}
         self._removed_at: dict[int, float] = {}
-        classes = kinds_of(config)
+        classes = request_classes(config)
         policies = {
             k.name: UpgradePolicy(
                 None if k.busy.opens is None else k.busy.opens.encode(),
@@ -106,7 +106,7 @@
         rate = self.upgrades.arrivals if self.upgrades else float(config.limits.worker)
         self.pacer = AdmissionPacer(rate, 1.0)
         self.recorder = LoadRecorder(config.zone, config.node, self.loop.time())
-        limits = most_of(config.limits)
+        limits = resource_limits(config.limits)
         fleet = Fleet(self.router, self.pacer, limits, self.address, self.recorder, rng)
         self.handler = RequestHandler(classes, policies, fleet, self.drainer)
         managers = [host_port(text) for text in config.managers]
@@ -117,7 +117,7 @@
         self.load_reporter = LoadReporter(config.zone) if config.collector else None
         at = host_port(config.discovery)
         self.discovery = DiscoveryClient(
-            at, self._zones, self.registry.learn, self._on_list, 0, self._on_labels
+            at, self._zones, self.registry.register, self._on_list, 0, self._on_labels
         )
         self._held_report_at = self._report_at = 0.0
         self._list_backoff = 1.0
@@ -129,8 +129,8 @@
     # the list
 
     def address(self, worker_id: str) -> str | None:
-        index = self.registry.find(worker_id.encode())
-        return None if index is None else self.registry.address(index)
+        index = self.registry.find_index(worker_id.encode())
+        return None if index is None else self.registry.address_of(index)
 
     def _on_list(self, item: Input | object) -> None:
         """Where workers are, and who drains: the list is heard even while no manager is."""
@@ -181,7 +181,7 @@
         ]:
             if (name := self.registry.ids[worker_id].decode()) not in held_workers | rows:
                 del self._removed_at[worker_id], self._endpoint_states[worker_id], self._zone_of[worker_id]
-                self.registry.forget(worker_id)
+                self.registry.remove(worker_id)
                 self.router.leaving.discard(name)
                 self.router.excluded.discard(name)
         names = {name.decode() for name in self.registry.ids.values()}
@@ -189,7 +189,7 @@
         self.pacer.forget_unlisted(names)
 
     def _follow(self) -> None:
-        self.discovery.follow(True)
+        self.discovery.set_watching(True)
 
     # plug-ins
 
@@ -227,7 +227,7 @@
     # orders
 
     def check(self, parts: Sequence[ConfigPart]) -> None:
-        self.router.check(parts, lambda worker_id: self.registry.find(worker_id.encode()) is not None)
+        self.router.check(parts, lambda worker_id: self.registry.find_index(worker_id.encode()) is not None)
 
     def apply(self, parts: Sequence[ConfigPart]) -> list[int]:
         return self.router.apply(parts)
@@ -242,21 +242,29 @@
     def apply_extension(self, message: upgrades.FromManager) -> None:
         now = self.loop.time()
         if isinstance(message, upgrades.AnnouncementAccepted):
-            self.pacer.share, self.pacer.rate = message.part, message.arrivals
+            self.pacer.share, self.pacer.rate = message.arrival_share, message.worker_arrival_rate
             return
         if isinstance(message, upgrades.MigrationStopped):
             self.drainer.orders_stopped(now, message.source)
             return
-        for worker_id in (message.source, *message.to):
-            if self.registry.find(worker_id.encode()) is None:
+        for worker_id in (message.source, *message.destinations):
+            if self.registry.find_index(worker_id.encode()) is None:
                 raise OrderRejected(f"MOVE: worker {worker_id[:32]!r} was never listed")
         if self.handler.tunnels.registry.count(message.source):
-            left = min(message.left, self.drainer.grace)
+            left = min(message.time_left_s, self.drainer.grace)
             self.drainer.add_order(
-                now, message.source, message.number, message.to, message.count, message.within, left
+                now,
+                message.source,
+                message.number,
+                message.destinations,
+                message.count,
+                message.duration_s,
+                left,
             )
         else:
-            self.stream.send_extension(upgrades.moved(self.config.node, message.number, 0, 0))
+            self.stream.send_extension(
+                upgrades.encode_migration_result(self.config.node, message.number, 0, 0)
+            )
 
     def stream_lost(self) -> None:
         self.drainer.stream_lost()
@@ -266,7 +274,7 @@
     def _report_held(self, whole: bool = False) -> None:
         for first, rows in self.handler.tunnels.registry.changes(self.loop.time(), whole):
             counts = {worker_id: (row.open, row.busy, row.resumable) for worker_id, row in rows.items()}
-            self.stream.send_extension(upgrades.holds(self.config.node, first, counts))
+            self.stream.send_extension(upgrades.encode_held_connections(self.config.node, first, counts))
 
     def _tick(self) -> None:
         now = self.loop.time()
@@ -274,7 +282,9 @@
         self.handler.tunnels.tick_drains()
         for answer in self.drainer.results:
             self.stream.send_extension(
-                upgrades.moved(self.config.node, answer.number, answer.succeeded, answer.failed)
+                upgrades.encode_migration_result(
+                    self.config.node, answer.number, answer.succeeded, answer.failed
+                )
             )
         self.drainer.results.clear()
         if self.stream.speaks_extension and now >= self._held_report_at:
@@ -289,7 +299,7 @@
                 self.load_reporter.send(self.stream.manager, b"".join(reports.loads))
             self.handler.tunnels.log_ended_connections()
             if self.handler.verdicts.chain is not None:
-                self.handler.verdicts.chain.tell()
+                self.handler.verdicts.chain.log_status()
 
     def status(self) -> dict[str, object]:
         """What a person would ask of it: for the status address and the demo."""
@@ -307,7 +317,7 @@
                 worker_id: self.drainer.state(worker_id).value for worker_id in self.drainer.workers()
             },
             "connections": self.handler.listener.slots.total,
-            "plugins": self.handler.verdicts.chain.shown() if self.handler.verdicts.chain else [],
+            "plugins": self.handler.verdicts.chain.status() if self.handler.verdicts.chain else [],
             **self.handler.tunnels.counts,
         }
 
@@ -366,28 +376,30 @@
         return
     from ..control.admin_socket import AdminSocket
     from ..control.background_scheduler import BackgroundScheduler
-    from ..control.snapshot_manager import CPU, TASK, Folder
+    from ..control.snapshot_manager import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
     from ..planning import snapshot_staleness as ageing
     from ..planning.priority_scheduling import TaskPlan
-    from ..snapshots.sections import ForwarderSnapshot, packed, unpacked
+    from ..snapshots.sections import ForwarderSnapshot, decode_section, encode_section
     from .restored_state import restore, snapshot_of
 
     tasks = BackgroundScheduler(random.random)
     if operator.memory is not None:
-        folder = Folder(operator.memory.folder)
+        folder = SnapshotFolder(operator.memory.folder)
         stack.callback(folder.close)
         found = folder.read()
-        snapshot, reason = unpacked("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
+        snapshot, reason = (
+            decode_section("forwarder", found.sections, ForwarderSnapshot) if found else (None, "")
+        )
         if reason:
             forwarder.log.warning("memory not used", reason=reason)
         if snapshot is not None and found is not None:
-            earlier, written = snapshot, found.written
+            earlier, written = snapshot, found.written_at
 
             def restore_now() -> None:
-                age = ageing.age_of(written, time.time())
+                age = ageing.snapshot_age(written, time.time())
                 used = restore(
                     earlier, age, forwarder.loop.time(), forwarder.router, forwarder.pacer,
-                    lambda worker_id: forwarder.registry.find(worker_id.encode()) is not None,
+                    lambda worker_id: forwarder.registry.find_index(worker_id.encode()) is not None,
                 )  # fmt: skip
                 forwarder.stream.is_cold = not forwarder.router.has_ordered_table
                 forwarder.log.info("memory used", what=used, age=round(min(age, 1e9), 1))
@@ -398,15 +410,18 @@
             now = forwarder.loop.time()
             kept = snapshot_of(forwarder.router, forwarder.handler.tunnels.registry.counts(now), now)
             yield None
-            section = packed("forwarder", kept)
+            section = encode_section("forwarder", kept)
             yield asyncio.to_thread(folder.write, {"forwarder": section})
 
-        tasks.add(TaskPlan(TASK, operator.memory.every, priority=3, cpu=CPU), write_snapshot)
-        stack.push_async_callback(tasks.close, (TASK,))
+        tasks.add(
+            TaskPlan(SNAPSHOT_TASK, operator.memory.every, priority=3, cpu_fraction=SNAPSHOT_CPU_SHARE),
+            write_snapshot,
+        )
+        stack.push_async_callback(tasks.close, (SNAPSHOT_TASK,))
     else:
         stack.push_async_callback(tasks.close)
     if operator.control:
-        answers = {"tasks": tasks.shown, "state": forwarder.status}
+        answers = {"tasks": tasks.status_rows, "state": forwarder.status}
         await AdminSocket(operator.control, answers).listen(stack)
     tasks.start()
 
@@ -415,7 +430,7 @@
     """The file anew, of which plug-ins, labels and what they may change are taken."""
     try:
         operator = read_operator_config(path)
-    except WireError as exc:
+    except InputError as exc:
         forwarder.log.error("file not taken", reason=str(exc))
         return
     forwarder.reload_plugins(operator.forwarder.plugins if operator.forwarder else None)
@@ -433,7 +448,7 @@
         forwarder.load_plugins(forwarder.config.plugins)
         await _background(forwarder, operator, stack)
         loop.add_signal_handler(signal.SIGHUP, _reload, forwarder, path)
-        if signals.missed():
+        if signals.reload_was_requested():
             _reload(forwarder, path)
         port = await forwarder.start(stack)
         status = await _status(forwarder, stack) if forwarder.config.status else 0
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -13,10 +13,11 @@
 
 import structlog
 
-from ..config.settings import HostPort, WireError
+from ..config.errors import InputError
+from ..config.fields import HostPort
 from ..protocol import resp
 from ..protocol import upgrade_extension as upgrades
-from ..protocol.messages import PING, Fields, figure
+from ..protocol.messages import PING, MessageFields, parse_number
 from .errors import OrderRejected
 from .router import ConfigPart
 
@@ -45,28 +46,28 @@
     try:
         return tuple(name for name in word.decode().split(sign) if name)
     except UnicodeDecodeError:
-        raise WireError("CONFIG: a name that is not text") from None
+        raise InputError("CONFIG: a name that is not text") from None
 
 
 def read_part(words: list[bytes]) -> tuple[ConfigPart, bool]:
     """One CONFIG, and whether a further part of the same message comes next."""
-    fields = Fields("CONFIG", words)
+    fields = MessageFields("CONFIG", words)
     weights: list[tuple[str, float]] = []
     for pair in _split_names(fields.values.get(b"rows", b""), ","):
         worker_id, sign, weight = pair.rpartition(":")
         if not sign or not worker_id:
-            raise WireError("CONFIG: field rows is not id:weight")
-        weights.append((worker_id, figure(weight.encode(), "CONFIG: field rows")))
+            raise InputError("CONFIG: field rows is not id:weight")
+        weights.append((worker_id, parse_number(weight.encode(), "CONFIG: field rows")))
     if len(weights) > MAX_WEIGHTS:
-        raise WireError(f"CONFIG: field rows has over {MAX_WEIGHTS} lines")
+        raise InputError(f"CONFIG: field rows has over {MAX_WEIGHTS} lines")
     if (b"gate" in fields.values) != (b"again" in fields.values):
-        raise WireError("CONFIG: fields gate and again come together")
+        raise InputError("CONFIG: fields gate and again come together")
     admission = None
     if b"gate" in fields.values:
         retry_policy = fields.count("again")
         if retry_policy > 3:
-            raise WireError("CONFIG: field again is not 0 to 3")
-        admission = (fields.figure("gate"), retry_policy)
+            raise InputError("CONFIG: field again is not 0 to 3")
+        admission = (fields.number("gate"), retry_policy)
     part = ConfigPart(
         classes=_split_names(fields.values.get(b"for", b""), "+"),
         replace=b"replace" in fields.values and fields.flag("replace"),
@@ -143,10 +144,10 @@
         try:
             self._write(self._subscribe())
             if self._uses_extension:
-                self._write(upgrades.announce(self.node))
+                self._write(upgrades.encode_announcement(self.node))
             self.log.info("stream opened", manager=f"{host}:{port}")
             return await self._read(reader)
-        except (WireError, OrderRejected, OSError) as exc:
+        except (InputError, OrderRejected, OSError) as exc:
             return str(exc) or type(exc).__name__
         finally:
             self._writer, self.speaks_extension = None, False
@@ -159,7 +160,7 @@
         return resp.encode(message.encode().split())
 
     async def _read(self, reader: asyncio.StreamReader) -> str:
-        messages = resp.Reader(resp.MESSAGE_MOST)
+        messages = resp.RespReader(resp.MAX_MESSAGE_SIZE)
         last_heard_at, asked = time.monotonic(), False
         while True:
             try:
@@ -185,7 +186,7 @@
             part, more = read_part(words[1:])
             self._parts.append(part)
             if len(self._parts) > MAX_PARTS:
-                raise WireError(f"CONFIG: over {MAX_PARTS} parts")
+                raise InputError(f"CONFIG: over {MAX_PARTS} parts")
             if not more:
                 parts, self._parts = self._parts, []
                 await self._apply(parts, received_at)
@@ -198,7 +199,7 @@
                 self._orders.extension_accepted()
             self._orders.apply_extension(message)
         else:
-            raise WireError(f"{kind[:32].decode('ascii', 'replace') or 'message'}: unknown kind of order")
+            raise InputError(f"{kind[:32].decode('ascii', 'replace') or 'message'}: unknown kind of order")
 
     async def _apply(self, parts: list[ConfigPart], received_at: float) -> None:
         try:
--- a/cottonladder/forwarder/plugin_verdicts.py
+++ b/cottonladder/forwarder/plugin_verdicts.py
@@ -8,7 +8,7 @@
 
 from multidict import CIMultiDict
 
-from ..planning.plugin_bounds import RoutePreference, narrowed
+from ..planning.plugin_bounds import RoutePreference, narrow_candidates
 from .errors import RequestRejected
 from .fleet import Fleet
 from .request_classes import RequestClass
@@ -36,9 +36,9 @@
         if self.chain is None:
             return context
         hook = "upgrade" if "Upgrade" in context.request.headers else "route"
-        if not self.chain.has(hook):
+        if not self.chain.has_hook(hook):
             return context
-        verdict = self.chain.ask(hook, self._record(self.chain, hook, context))
+        verdict = self.chain.call_hook(hook, self._record(self.chain, hook, context))
         if verdict.changes_nothing:
             return context
         if verdict.deny is not None:
@@ -49,17 +49,17 @@
 
     def forbids_retry(self, context: RequestContext, failed: FailedAttempts) -> bool:
         """A plug-in may forbid a retry, never ask for one."""
-        if self.chain is None or not self.chain.has("further"):
+        if self.chain is None or not self.chain.has_hook("further"):
             return False
         more = (("tries", str(failed.count)), ("ran", str(int(failed.may_have_run))))
-        return self.chain.ask("further", self._record(self.chain, "further", context, more)).forbid
+        return self.chain.call_hook("further", self._record(self.chain, "further", context, more)).forbid
 
     def _record(
         self, chain: PluginChain, hook: str, context: RequestContext, more: Iterable[tuple[str, str]] = ()
     ) -> bytes:
         request = context.request
         name = context.request_class.name
-        return chain.told(hook, request.method, request.raw_path, name, request.headers, more)
+        return chain.request_record(hook, request.method, request.raw_path, name, request.headers, more)
 
     def _with_class(self, chain: PluginChain, context: RequestContext, verdict: Verdict) -> RequestContext:
         """Another class gives another table and deadline, never another right to be repeated."""
@@ -67,7 +67,7 @@
             return context
         other = self._classes.get(verdict.kind)
         if other is None:
-            chain.clipped()
+            chain.record_clipped()
             return context
         if not context.request_class.is_repeatable:
             other = replace(other, idempotency=context.request_class.idempotency)
@@ -78,12 +78,12 @@
             return context
         candidates = self._fleet.router.candidates(context.request_class.name)
         preference = RoutePreference(verdict.need, verdict.prefer)
-        choice = narrowed(candidates, self.labels, preference, self.falls_back)
-        if choice.clipped:
-            chain.clipped()
-        if choice.let < 1.0 and self._fleet.rng.random() >= choice.let:
+        choice = narrow_candidates(candidates, self.labels, preference, self.falls_back)
+        if choice.was_limited:
+            chain.record_clipped()
+        if choice.admitted_fraction < 1.0 and self._fleet.rng.random() >= choice.admitted_fraction:
             raise RequestRejected(NO_MATCHING_WORKER)
-        return replace(context, preferred=choice.lines)
+        return replace(context, preferred=choice.weights)
 
     def _with_headers(self, chain: PluginChain, context: RequestContext, verdict: Verdict) -> RequestContext:
         """Only headers that operators named are changed."""
@@ -92,7 +92,7 @@
         headers = CIMultiDict(context.request.headers)
         for name, value in [*((name, "") for name in verdict.drop_headers), *verdict.set_headers]:
             if name.lower() not in self.allowed_headers:
-                chain.clipped()
+                chain.record_clipped()
                 continue
             headers.popall(name, None)
             if value:
--- a/cottonladder/forwarder/response_relay.py
+++ b/cottonladder/forwarder/response_relay.py
@@ -38,7 +38,7 @@
             await asyncio.wait_for(reply.write_eof(), STALL_TIMEOUT)
         except (aiohttp.ClientError, TimeoutError) as exc:
             # Half an answer is out: its connection ends, so that nobody takes the half for the whole.
-            self._faults.note(f"answer cut off: {type(exc).__name__}")
+            self._faults.report(f"answer cut off: {type(exc).__name__}")
             if context.request.transport is not None:
                 context.request.transport.abort()
         finally:
--- a/tests/test_forwarder_rules.py
+++ b/tests/test_forwarder_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.config.settings import WireError
+from cottonladder.config.errors import InputError
 from cottonladder.forwarder import connection_drainer as dr
 from cottonladder.forwarder import frame_scanner as fr
 from cottonladder.forwarder import router as ro
@@ -20,7 +20,7 @@
 from cottonladder.forwarder.resource_limits import AdmissionPacer, ConnectionSlots, retry_after
 from cottonladder.forwarder.retries import should_retry
 from cottonladder.protocol import upgrade_extension as upgrades
-from cottonladder.protocol.resp import MESSAGE_MOST, Reader
+from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 
 FETCH = RequestClass("fetch", (), IDEMPOTENT)
 RELEASE = RequestClass("release", (MatchRule(frozenset({"POST"}), "/release"),))
@@ -334,24 +334,24 @@
 
 class Messages(unittest.TestCase):
     def words(self, data: bytes) -> list[bytes]:
-        return next(Reader(MESSAGE_MOST).feed(data))
+        return next(RespReader(MAX_MESSAGE_SIZE).feed(data))
 
     def test_each_message_is_read_as_it_was_written(self) -> None:
         manager, forwarder = upgrades.read_for_manager, upgrades.read_for_forwarder
         rows = {"s-1": (3, 1, 2), "a:b": (1, 0, 0)}
         for read, data, said in (
-            (manager, upgrades.announce(7), upgrades.ForwarderAnnounced(7, 1)),
-            (manager, upgrades.moved(7, 3, 2, 1), upgrades.MigrationDone(7, 3, 2, 1)),
-            (forwarder, upgrades.welcome(0.25, 50.0), upgrades.AnnouncementAccepted(1, 0.25, 50.0)),
-            (forwarder, upgrades.stop(b"s-1"), upgrades.MigrationStopped("s-1")),
+            (manager, upgrades.encode_announcement(7), upgrades.ForwarderAnnounced(7, 1)),
+            (manager, upgrades.encode_migration_result(7, 3, 2, 1), upgrades.MigrationDone(7, 3, 2, 1)),
+            (forwarder, upgrades.encode_acceptance(0.25, 50.0), upgrades.AnnouncementAccepted(1, 0.25, 50.0)),
+            (forwarder, upgrades.encode_migration_stop(b"s-1"), upgrades.MigrationStopped("s-1")),
             (
                 forwarder,
-                upgrades.move(9, b"s-1", {b"s-2": 3}, 4, 0.5, 20.0),
+                upgrades.encode_migration(9, b"s-1", {b"s-2": 3}, 4, 0.5, 20.0),
                 upgrades.MigrationOrdered(9, "s-1", {"s-2": 3}, 4, 0.5, 20.0),
             ),
         ):
             self.assertEqual(read(self.words(data)), said)
-        held = upgrades.read_for_manager(self.words(upgrades.holds(7, True, rows)))
+        held = upgrades.read_for_manager(self.words(upgrades.encode_held_connections(7, True, rows)))
         self.assertEqual(held, upgrades.HeldConnections(7, True, {k.encode(): v for k, v in rows.items()}))
 
     def test_garbled_ones_are_one_clear_line(self) -> None:
@@ -369,7 +369,7 @@
             (upgrades.read_for_forwarder, "MOVE from s-1 stop 0", "stop is not 1"),
             (upgrades.read_for_forwarder, "UPGRADES version 1 part 2 arrivals 5", "part is over 1"),
         ):
-            with self.subTest(text), self.assertRaisesRegex(WireError, why):
+            with self.subTest(text), self.assertRaisesRegex(InputError, why):
                 read(text.encode().split())
 
     def test_orders_as_the_protocol_page_has_them(self) -> None:
@@ -380,5 +380,5 @@
         part, more = read_part(b"drop s-77aa0310 stamp 905".split())
         self.assertEqual((part, more), (ro.ConfigPart(exclude=("s-77aa0310",), checkpoint=905), False))
         for text in ("gate 0.9", "rows s-1", "rows s-1:-1", "rows s-1:nan", "gate 1 again 4", "stamp x"):
-            with self.subTest(text), self.assertRaises(WireError):
+            with self.subTest(text), self.assertRaises(InputError):
                 read_part(text.encode().split())
