--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -80,7 +80,7 @@
         forwarder = ForwarderProcess(0, at, [f"127.0.0.1:{port}"], None, **more)
         stack.push_async_callback(forwarder.stop)
         await forwarder.serving()
-        await forwarder.logged("stream opened")
+        await forwarder.logged("stream_opened")
         await asyncio.sleep(1.5)
         return forwarder
 
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -72,7 +72,7 @@
         for forwarder in forwarders:
             stack.push_async_callback(forwarder.stop)
             await forwarder.serving()
-            await forwarder.logged("stream opened")
+            await forwarder.logged("stream_opened")
         session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
         stack.push_async_callback(session.close)
         desks = [
@@ -152,7 +152,7 @@
         forwarder = ForwarderProcess(0, at, [f"127.0.0.1:{await manager.serving()}"], None, **part)
         stack.push_async_callback(forwarder.stop)
         await forwarder.serving()
-        await forwarder.logged("stream opened")
+        await forwarder.logged("stream_opened")
         await asyncio.sleep(1.0)
         yield address, forwarder
 
--- a/cottonladder/cli/forwarder.py
+++ b/cottonladder/cli/forwarder.py
@@ -19,7 +19,7 @@
 )
 def forward(operator_path: str) -> None:
     """Forward requests and upgraded connections to workers as managers order, until SIGTERM."""
-    from ..forwarder.forwarder import serve  # by optional dependencies, without which --help still works
+    from ..forwarder.service import serve  # by optional dependencies, without which --help still works
 
     configure_logging()
     signals.config_is_read_now()
--- /dev/null
+++ b/cottonladder/forwarder/background.py
@@ -0,0 +1,85 @@
+"""The background scheduler, snapshots and the admin socket of a forwarder, where the file asks for them."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import time
+from collections.abc import Awaitable, Iterator
+from contextlib import AsyncExitStack
+
+from ..config.operator_config import OperatorConfig, SnapshotConfig
+from ..control.admin_socket import AdminSocket
+from ..control.background_scheduler import BackgroundScheduler
+from ..control.snapshot_manager import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
+from ..planning.priority_scheduling import TaskPlan
+from ..planning.snapshot_staleness import snapshot_age
+from ..snapshots.sections import ForwarderSnapshot, decode_section, encode_section
+from .forwarder import Forwarder
+from .restored_state import restore, snapshot_of
+
+SNAPSHOT_PRIORITY = 3
+MAX_LOGGED_AGE = 1e9  # s
+SECTION = "forwarder"  # of a snapshot file
+
+
+async def start_background(forwarder: Forwarder, operator: OperatorConfig, stack: AsyncExitStack) -> None:
+    """Starts what the file asks for; `stack` gives it back."""
+    tasks = BackgroundScheduler(random.random)
+    if operator.memory is not None:
+        _add_snapshots(forwarder, operator.memory, tasks, stack)
+        stack.push_async_callback(tasks.close, (SNAPSHOT_TASK,))
+    else:
+        stack.push_async_callback(tasks.close)
+    if operator.control:
+        answers = {"tasks": tasks.status_rows, "state": forwarder.status}
+        await AdminSocket(operator.control, answers).listen(stack)
+    tasks.start()
+
+
+def _add_snapshots(
+    forwarder: Forwarder, config: SnapshotConfig, tasks: BackgroundScheduler, stack: AsyncExitStack
+) -> None:
+    folder = SnapshotFolder(config.folder)
+    stack.callback(folder.close)
+    _restore_with_first_list(forwarder, folder)
+
+    def write_snapshot() -> Iterator[Awaitable[object] | None]:
+        now = forwarder.loop.time()
+        snapshot = snapshot_of(forwarder.router, forwarder.handler.tunnels.registry.counts(now), now)
+        yield None
+        section = encode_section(SECTION, snapshot)
+        yield asyncio.to_thread(folder.write, {SECTION: section})
+
+    plan = TaskPlan(SNAPSHOT_TASK, config.every, priority=SNAPSHOT_PRIORITY, cpu_fraction=SNAPSHOT_CPU_SHARE)
+    tasks.add(plan, write_snapshot)
+
+
+def _restore_with_first_list(forwarder: Forwarder, folder: SnapshotFolder) -> None:
+    """Reads the newest snapshot; what of it still holds is used once the list of workers has come."""
+    found = folder.read()
+    if not found:
+        return
+    snapshot, reason = decode_section(SECTION, found.sections, ForwarderSnapshot)
+    if reason:
+        forwarder.log.warning("snapshot_rejected", reason=reason)
+    if snapshot is None:
+        return
+    earlier = snapshot
+    written_at = found.written_at
+
+    def restore_snapshot() -> None:
+        age_s = snapshot_age(written_at, time.time())
+        restored = restore(
+            earlier,
+            age_s,
+            forwarder.loop.time(),
+            forwarder.router,
+            forwarder.pacer,
+            forwarder.workers.is_known,
+        )
+        forwarder.stream.is_cold = not forwarder.router.has_ordered_table
+        shown_age_s = round(min(age_s, MAX_LOGGED_AGE), 1)
+        forwarder.log.info("snapshot_restored", restored=restored, age_s=shown_age_s)
+
+    forwarder.workers.restore_snapshot = restore_snapshot
--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -1,4 +1,4 @@
-"""The clients' side: aiohttp's low-level server, one handler for every req, and the way out into a tunnel."""
+"""The clients' side: aiohttp's server, one handler for every request, and the way out into a tunnel."""
 
 from __future__ import annotations
 
@@ -15,7 +15,13 @@
 from .tunnel_ends import ClientEnd, HandshakeReply
 
 SWEEP_INTERVAL = 0.5  # s between looks at who has not sent a head yet
-STOP_TIMEOUT = 5.0  # s that plain reqs under way have at the stop
+STOP_TIMEOUT = 5.0  # s that plain requests under way have at the stop
+SHUTDOWN_MARGIN = 1.0  # s more that aiohttp has to end them
+LINGERING_TIME = 0.5  # s that the rest of a body that nobody wants is read
+BACKLOG = 1024  # connections that the system keeps until they are accepted
+TOO_MANY_CONNECTIONS = (
+    b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+)
 
 
 class LimitedRequestHandler(RequestHandler):
@@ -31,6 +37,7 @@
         self.has_slot = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by asyncio."""
         super().connection_made(transport)
         peer = transport.get_extra_info("peername")
         self.client = str(peer[0]) if peer else "?"
@@ -38,6 +45,7 @@
         self.listener.connection_opened(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
+        """Called by asyncio."""
         self.listener.connection_closed(self)
         super().connection_lost(exc)
 
@@ -48,9 +56,10 @@
     def __init__(
         self, limits: ResourceLimits, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
     ) -> None:
-        self.limits, self._handle = limits, handle
+        self.limits = limits
+        self._handle = handle
         self.slots = ConnectionSlots(limits.connections, limits.connections_per_client)
-        self.faults = RateLimitedFaultLog("client fault")
+        self.faults = RateLimitedFaultLog("client_fault")
         self._awaiting_head: dict[LimitedRequestHandler, None] = {}
         self._overdue: list[LimitedRequestHandler] = []  # had sent no head by the last sweep
         self._server = web.Server(self._answer, handler_cancellation=True)
@@ -58,37 +67,46 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def listen(self, host: str, port: int) -> int:
+        """Accepts connections; the port."""
         loop = asyncio.get_running_loop()
-
-        def handler() -> LimitedRequestHandler:
-            return LimitedRequestHandler(
-                self, self._server, loop=loop, keepalive_timeout=self.limits.idle_timeout, access_log=None,
-                max_line_size=self.limits.header_bytes, max_field_size=self.limits.header_bytes,
-                lingering_time=0.5, auto_decompress=False,
-            )  # fmt: skip
-
-        self._listener = await loop.create_server(handler, host, port, backlog=1024)
+        self._listener = await loop.create_server(self._connection_handler, host, port, backlog=BACKLOG)
         self._close_overdue()
         return int(self._listener.sockets[0].getsockname()[1])
 
+    def _connection_handler(self) -> LimitedRequestHandler:
+        """For each connection that is accepted."""
+        return LimitedRequestHandler(
+            self,
+            self._server,
+            loop=asyncio.get_running_loop(),
+            keepalive_timeout=self.limits.idle_timeout,
+            access_log=None,
+            max_line_size=self.limits.header_bytes,
+            max_field_size=self.limits.header_bytes,
+            lingering_time=LINGERING_TIME,
+            auto_decompress=False,
+        )
+
     def connection_opened(self, handler: LimitedRequestHandler) -> None:
+        """Takes a slot, or tells the client to come again."""
         if self.slots.acquire(handler.client):
             handler.has_slot = True
             self._awaiting_head[handler] = None
             return
         self.faults.report("too many connections", client=handler.client)
         if handler.transport is not None:
-            head = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n"
-            handler.transport.write(head + b"Connection: close\r\n\r\n")
+            handler.transport.write(TOO_MANY_CONNECTIONS)
         handler.force_close()
 
     def connection_closed(self, handler: LimitedRequestHandler) -> None:
+        """Gives its slot back."""
         self._awaiting_head.pop(handler, None)
         if handler.has_slot:
             handler.has_slot = False
             self.slots.release(handler.client)
 
     def _close_overdue(self) -> None:
+        """Ends connections that have not sent a head in time."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         for handler in self._overdue:  # late at the last sweep already: what had come by then has been read
@@ -96,7 +114,9 @@
                 del self._awaiting_head[handler]
                 self.faults.report("no request in time", client=handler.client)
                 handler.force_close()
-        self._overdue = [h for h in self._awaiting_head if now - h.accepted_at >= HEADER_TIMEOUT]
+        self._overdue = [
+            handler for handler in self._awaiting_head if now - handler.accepted_at >= HEADER_TIMEOUT
+        ]
         self.faults.summarize(now)
         self._timer = loop.call_later(SWEEP_INTERVAL, self._close_overdue)
 
@@ -106,7 +126,8 @@
 
     def detach(self, request: web.BaseRequest) -> tuple[ClientEnd, bytes, str]:
         """The client's connection leaves aiohttp: its transport speaks to an end of a tunnel from now on.
-        Gives that end, what had come already, and whose place the tunnel gives back."""
+
+        Gives that end, what had come already, and the client whose slot the tunnel gives back."""
         handler = cast(LimitedRequestHandler, request.protocol)
         transport = request.transport
         if transport is None or transport.is_closing():
@@ -114,22 +135,24 @@
         collector = _ByteCollector()
         handler.set_parser(cast(Any, collector))  # gives what came behind the head
         end = ClientEnd()
-        handler.has_slot, client = False, handler.client
+        handler.has_slot = False
         transport.set_protocol(end)
         end.connection_made(transport)
         handler.transport = None  # no longer aiohttp's to close
         handler.connection_lost(None)  # it gives back what it keeps of the connection
-        return end, bytes(collector.data), client
+        return end, bytes(collector.data), handler.client
 
     async def close(self) -> None:
+        """Ends what is left, with a bounded wait for plain requests under way."""
         if self._timer is not None:
             self._timer.cancel()
         if self._listener is not None:
             self._listener.close()
         with suppress(TimeoutError):
-            await asyncio.wait_for(self._server.shutdown(STOP_TIMEOUT), STOP_TIMEOUT + 1.0)
+            await asyncio.wait_for(self._server.shutdown(STOP_TIMEOUT), STOP_TIMEOUT + SHUTDOWN_MARGIN)
 
     def stop_listening(self) -> None:
+        """Accepts no more connections."""
         if self._listener is not None:
             self._listener.close()
 
@@ -141,11 +164,12 @@
         self.data = bytearray()
 
     def feed_data(self, data: bytes) -> tuple[bool, bytes]:
+        """Called by aiohttp."""
         self.data += data
         return False, b""
 
     def feed_eof(self) -> None:
-        pass
+        """Called by aiohttp."""
 
 
 def switching_protocols_head(reply: HandshakeReply) -> bytes:
@@ -159,4 +183,5 @@
     """Nothing more to answer: the connection is a tunnel's by now, or has ended."""
 
     async def prepare(self, request: web.BaseRequest) -> None:
+        """Called by aiohttp."""
         raise ConnectionResetError("handed over")
--- /dev/null
+++ b/cottonladder/forwarder/load_reporter.py
@@ -0,0 +1,56 @@
+"""Hands on what this forwarder met at workers, as its zone's collector does; nothing is read from it."""
+
+from __future__ import annotations
+
+import asyncio
+
+from ..config.fields import HostPort
+from ..protocol import resp
+from .manager_stream import CONNECT_TIMEOUT, MAX_UNREAD_BYTES
+
+DISCARDED_BYTES = 4096  # read at a time, of what nobody looks at
+
+
+class LoadReporter:
+    """Owns the collector's connection.  Only the manager that the forwarder is joined to is told: figures are
+    what a manager's own proxies met."""
+
+    def __init__(self, zone: str) -> None:
+        self._zone = zone
+        self._writer: asyncio.StreamWriter | None = None
+        self._manager: HostPort | None = None
+        self._task: asyncio.Task[None] | None = None
+
+    async def _run(self, manager: HostPort) -> None:
+        try:
+            reader, writer = await asyncio.wait_for(asyncio.open_connection(*manager), CONNECT_TIMEOUT)
+        except (OSError, TimeoutError):
+            return
+        writer.write(resp.encode([b"SOURCE", b"locality", self._zone.encode()]))
+        self._writer = writer
+        try:
+            while await reader.read(DISCARDED_BYTES):
+                pass
+        except OSError:
+            pass
+        finally:
+            self._writer = None
+            writer.transport.abort()
+
+    def send(self, manager: HostPort | None, data: bytes) -> None:
+        """Connects where the manager is a new one or the connection ended; meanwhile figures are left out."""
+        if self._task is not None and (self._task.done() or manager != self._manager):
+            self._task.cancel()
+            self._task = None
+        if self._task is None and manager is not None:
+            self._manager = manager
+            self._task = asyncio.create_task(self._run(manager))
+        writer = self._writer
+        if writer is not None and writer.transport.get_write_buffer_size() + len(data) <= MAX_UNREAD_BYTES:
+            writer.write(data)
+
+    async def close(self) -> None:
+        """Ends the connection."""
+        if self._task is not None:
+            self._task.cancel()
+            await asyncio.gather(self._task, return_exceptions=True)
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -1,4 +1,4 @@
-"""The forwarder's side of the platform's protocol: joins a manager, carries out its orders, tells what came.
+"""The forwarder's stream to a manager: joins it, carries out its orders, and tells what came.
 
 One stream at a time.  A manager that dies, goes silent or says what can't be used is left, and another one
 dialled after a wait that grows and is dealt by chance, so that a fleet doesn't dial as one.
@@ -17,67 +17,49 @@
 from ..config.fields import HostPort
 from ..protocol import resp
 from ..protocol import upgrade_extension as upgrades
-from ..protocol.messages import PING, MessageFields, parse_number
+from ..protocol.messages import PING
+from .config_parts import read_part
 from .errors import OrderRejected
 from .router import ConfigPart
 
 CONNECT_TIMEOUT = 1.0  # s for a connection to a manager
-MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY = 0.1, 2.0  # s between dials, doubled from one to the other
-PING_AFTER = 1.0  # s without a word after which a manager is asked for a sign of life
-SILENCE_TIMEOUT = 3.0  # s without a word after which it is given up: no keep-alive tells of a cut-off machine
+MIN_RECONNECT_DELAY = 0.1  # s between dials at first, doubled from one to the other
+MAX_RECONNECT_DELAY = 2.0  # s between dials at the most
+MIN_DELAY_JITTER = 0.5  # of a delay, at the least; the whole at the most
+PING_AFTER = 1.0  # s without a message after which a manager is asked for a sign of life
+SILENCE_TIMEOUT = (
+    3.0  # s without a message after which it is given up: keep-alive tells of no cut-off machine
+)
+READ_BYTES = 65_536  # at a time
 MAX_PARTS = 64  # parts of one message, by the protocol
-MAX_WEIGHTS = 65_536  # lines of one part: far over any fleet, and bounded by the message's megabyte
-MAX_UNREAD_BYTES = 131_072  # bytes that a manager may leave unread: the protocol's own bound the other way
+MAX_UNREAD_BYTES = 131_072  # that a manager may leave unread: the protocol's own bound the other way
 LIST_TIMEOUT = 2.0  # s that an order of an unknown worker waits for the list, which comes by its own way
+LIST_CHECK_INTERVAL = 0.1  # s between looks whether the list has come
+MAX_NAME_IN_ERROR = 32  # bytes of a message's name that is not known
+IGNORED_MESSAGES = (b"PONG", b"NACK")
 
 
 class OrderHandler(Protocol):
-    """Who carries orders out; `check` raises Unusable before anything has changed."""
-
-    def check(self, parts: Sequence[ConfigPart]) -> None: ...
-    def apply(self, parts: Sequence[ConfigPart]) -> list[int]: ...
-    def apply_extension(self, message: upgrades.FromManager) -> None: ...
-    def refresh_list(self) -> None: ...
-    def extension_accepted(self) -> None: ...
-    def stream_lost(self) -> None: ...
-
-
-def _split_names(word: bytes, sign: str) -> tuple[str, ...]:
-    try:
-        return tuple(name for name in word.decode().split(sign) if name)
-    except UnicodeDecodeError:
-        raise InputError("CONFIG: a name that is not text") from None
-
-
-def read_part(words: list[bytes]) -> tuple[ConfigPart, bool]:
-    """One CONFIG, and whether a further part of the same message comes next."""
-    fields = MessageFields("CONFIG", words)
-    weights: list[tuple[str, float]] = []
-    for pair in _split_names(fields.values.get(b"rows", b""), ","):
-        worker_id, sign, weight = pair.rpartition(":")
-        if not sign or not worker_id:
-            raise InputError("CONFIG: field rows is not id:weight")
-        weights.append((worker_id, parse_number(weight.encode(), "CONFIG: field rows")))
-    if len(weights) > MAX_WEIGHTS:
-        raise InputError(f"CONFIG: field rows has over {MAX_WEIGHTS} lines")
-    if (b"gate" in fields.values) != (b"again" in fields.values):
-        raise InputError("CONFIG: fields gate and again come together")
-    admission = None
-    if b"gate" in fields.values:
-        retry_policy = fields.count("again")
-        if retry_policy > 3:
-            raise InputError("CONFIG: field again is not 0 to 3")
-        admission = (fields.number("gate"), retry_policy)
-    part = ConfigPart(
-        classes=_split_names(fields.values.get(b"for", b""), "+"),
-        replace=b"replace" in fields.values and fields.flag("replace"),
-        weights=tuple(weights),
-        admission=admission,
-        exclude=_split_names(fields.values.get(b"drop", b""), ","),
-        readmit=_split_names(fields.values.get(b"undrop", b""), ","),
-        checkpoint=fields.count("stamp") if b"stamp" in fields.values else None,
-    )
-    return part, b"part" in fields.values and fields.flag("part")
+    """Who carries orders out."""
+
+    def check(self, parts: Sequence[ConfigPart]) -> None:
+        """Raises OrderRejected before anything has changed."""
+
+    def apply(self, parts: Sequence[ConfigPart]) -> list[int]:
+        """Carries out one message; gives the checkpoints to acknowledge."""
+        ...
+
+    def apply_extension(self, message: upgrades.FromManager) -> None:
+        """Carries out a message of the extension."""
+
+    def refresh_list(self) -> None:
+        """Asks for the list of workers."""
+
+    def extension_accepted(self) -> None:
+        """This manager speaks the extension."""
+
+    def stream_lost(self) -> None:
+        """The stream has ended."""
 
 
 class ManagerStream:
@@ -87,31 +69,31 @@
         self,
         node: int,
         zone: str,
-        rate: float,
+        arrival_rate: float,
         managers: list[HostPort],
         orders: OrderHandler,
         uniform: Callable[[float, float], float],
-        extended: bool,
+        uses_extension: bool,
     ) -> None:
-        self.node, self._zone, self._arrival_rate, self._orders, self._uses_extension = (
-            node,
-            zone,
-            rate,
-            orders,
-            extended,
-        )
-        self._managers, self._uniform = managers, uniform
+        self.node = node
+        self._zone = zone
+        self._arrival_rate = arrival_rate
+        self._managers = managers
+        self._orders = orders
+        self._uniform = uniform
+        self._uses_extension = uses_extension
+        self.is_cold = True  # no table has been ordered yet
+        self.speaks_extension = False  # this manager does
         self._manager_index = 0
         self._writer: asyncio.StreamWriter | None = None
-        self.is_cold = True  # no table has been ordered yet
         self._task: asyncio.Task[None] | None = None
         self._got_orders = False
         self._parts: list[ConfigPart] = []
-        self.speaks_extension = False  # this manager speaks the extension
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     @property
     def is_up(self) -> bool:
+        """A manager is joined."""
         return self._writer is not None
 
     @property
@@ -119,112 +101,144 @@
         """Whose orders are in force."""
         return self._managers[self._manager_index] if self.is_up else None
 
+    # the life of streams
+
     def start(self) -> None:
+        """Begins to dial."""
         self._task = asyncio.create_task(self._run())
 
+    async def close(self) -> None:
+        """Ends the stream."""
+        if self._task is not None:
+            self._task.cancel()
+            await asyncio.gather(self._task, return_exceptions=True)
+
     async def _run(self) -> None:
-        wait = MIN_RECONNECT_DELAY
+        delay = MIN_RECONNECT_DELAY
         while True:
             host, port = self._managers[self._manager_index]
             self._got_orders = False
             reason = await self._serve(host, port)
-            self.log.info("stream ended", manager=f"{host}:{port}", reason=reason)
-            wait = MIN_RECONNECT_DELAY if self._got_orders else min(MAX_RECONNECT_DELAY, 2 * wait)
+            self.log.info("stream_ended", manager=f"{host}:{port}", reason=reason)
+            delay = MIN_RECONNECT_DELAY if self._got_orders else min(MAX_RECONNECT_DELAY, 2 * delay)
             self._manager_index = (self._manager_index + 1) % len(self._managers)
-            await asyncio.sleep(wait * self._uniform(0.5, 1.0))
+            await asyncio.sleep(delay * self._uniform(MIN_DELAY_JITTER, 1.0))
 
     async def _serve(self, host: str, port: int) -> str:
-        """One stream from its dial to its end; why it ended."""
+        """One stream from its dial to its end; the reason of its end."""
         try:
-            dialling = asyncio.open_connection(host, port)
-            reader, writer = await asyncio.wait_for(dialling, CONNECT_TIMEOUT)
+            connecting = asyncio.open_connection(host, port)
+            reader, writer = await asyncio.wait_for(connecting, CONNECT_TIMEOUT)
         except (OSError, TimeoutError) as exc:
             return f"no connection: {exc or 'timed out'}"
-        self._writer, self.speaks_extension, self._parts = writer, False, []
+        self._writer = writer
+        self.speaks_extension = False
+        self._parts = []
         try:
-            self._write(self._subscribe())
+            self._write(self._subscription())
             if self._uses_extension:
                 self._write(upgrades.encode_announcement(self.node))
-            self.log.info("stream opened", manager=f"{host}:{port}")
+            self.log.info("stream_opened", manager=f"{host}:{port}")
             return await self._read(reader)
         except (InputError, OrderRejected, OSError) as exc:
             return str(exc) or type(exc).__name__
         finally:
-            self._writer, self.speaks_extension = None, False
+            self._writer = None
+            self.speaks_extension = False
             writer.transport.abort()
             self._orders.stream_lost()
 
-    def _subscribe(self) -> bytes:
-        message = f"SUBSCRIBE node {self.node} locality {self._zone} w {self._arrival_rate!r}"
-        message += f" cold {int(self.is_cold)}"
-        return resp.encode(message.encode().split())
+    def _subscription(self) -> bytes:
+        text = f"SUBSCRIBE node {self.node} locality {self._zone} w {self._arrival_rate!r}"
+        text += f" cold {int(self.is_cold)}"
+        return resp.encode(text.encode().split())
+
+    # what comes
 
     async def _read(self, reader: asyncio.StreamReader) -> str:
+        """Reads until the stream ends; the reason of its end."""
         messages = resp.RespReader(resp.MAX_MESSAGE_SIZE)
-        last_heard_at, asked = time.monotonic(), False
+        last_heard_at = time.monotonic()
+        is_asked = False
         while True:
             try:
-                data = await asyncio.wait_for(reader.read(65_536), PING_AFTER)
+                data = await asyncio.wait_for(reader.read(READ_BYTES), PING_AFTER)
             except TimeoutError:
                 if time.monotonic() - last_heard_at > SILENCE_TIMEOUT:
                     return f"silent for {SILENCE_TIMEOUT:g} s"
-                if not asked:
+                if not is_asked:
                     self._write(PING)
-                asked = True
+                is_asked = True
                 continue
             if not data:
                 return "ended by the manager"
-            last_heard_at, asked = time.monotonic(), False
+            last_heard_at = time.monotonic()
+            is_asked = False
             for words in messages.feed(data):
                 await self._handle(words)
 
     async def _handle(self, words: list[bytes]) -> None:
         """Anything that can't be used ends the stream, as the protocol asks."""
-        kind = words[0] if words else b""
-        if kind == b"CONFIG":
-            received_at = time.monotonic()
-            part, more = read_part(words[1:])
-            self._parts.append(part)
-            if len(self._parts) > MAX_PARTS:
-                raise InputError(f"CONFIG: over {MAX_PARTS} parts")
-            if not more:
-                parts, self._parts = self._parts, []
-                await self._apply(parts, received_at)
-        elif kind in (b"PONG", b"NACK"):
+        name = words[0] if words else b""
+        if name == b"CONFIG":
+            await self._handle_config(words[1:])
+        elif name in IGNORED_MESSAGES:
             return
-        elif self._uses_extension and kind in upgrades.TO_FORWARDER:
-            message = upgrades.read_for_forwarder(words)
-            if isinstance(message, upgrades.AnnouncementAccepted) and not self.speaks_extension:
-                self.speaks_extension = True
-                self._orders.extension_accepted()
-            self._orders.apply_extension(message)
+        elif self._uses_extension and name in upgrades.TO_FORWARDER:
+            self._handle_extension(words)
         else:
-            raise InputError(f"{kind[:32].decode('ascii', 'replace') or 'message'}: unknown kind of order")
-
-    async def _apply(self, parts: list[ConfigPart], received_at: float) -> None:
+            shown = name[:MAX_NAME_IN_ERROR].decode("ascii", "replace") or "message"
+            raise InputError(f"{shown}: unknown kind of order")
+
+    async def _handle_config(self, fields: list[bytes]) -> None:
+        """Parts are gathered until the message is whole."""
+        received_at = time.monotonic()
+        part, has_more = read_part(fields)
+        self._parts.append(part)
+        if len(self._parts) > MAX_PARTS:
+            raise InputError(f"CONFIG: over {MAX_PARTS} parts")
+        if has_more:
+            return
+        parts = self._parts
+        self._parts = []
+        await self._wait_for_list(parts)
+        self._apply(parts, received_at)
+
+    async def _wait_for_list(self, parts: list[ConfigPart]) -> None:
+        """The list may be on its way: it is asked for once, the orders behind wait in their turn."""
+        if self._is_applicable(parts):
+            return
+        self._orders.refresh_list()
+        for _ in range(int(LIST_TIMEOUT / LIST_CHECK_INTERVAL)):
+            await asyncio.sleep(LIST_CHECK_INTERVAL)
+            if self._is_applicable(parts):
+                break
+        self._orders.check(parts)
+
+    def _is_applicable(self, parts: list[ConfigPart]) -> bool:
         try:
             self._orders.check(parts)
-        except (
-            OrderRejected
-        ):  # the list may be on its way: asked for once, the orders behind wait in their turn
-            self._orders.refresh_list()
-            for _ in range(int(LIST_TIMEOUT / 0.1)):
-                await asyncio.sleep(0.1)
-                try:
-                    self._orders.check(parts)
-                    break
-                except OrderRejected:
-                    continue
-            self._orders.check(parts)
+        except OrderRejected:
+            return False
+        return True
+
+    def _apply(self, parts: list[ConfigPart], received_at: float) -> None:
         for checkpoint in self._orders.apply(parts):
             duration_ms = (time.monotonic() - received_at) * 1000.0
-            self.send_text(f"ACK node {self.node} nonce {checkpoint} latency {duration_ms:.3f}")
+            text = f"ACK node {self.node} nonce {checkpoint} latency {duration_ms:.3f}"
+            self._write(resp.encode(text.encode().split()))
         self._got_orders = True
         if any(part.replace for part in parts):
             self.is_cold = False
 
-    def send_text(self, text: str) -> None:
-        self._write(resp.encode(text.encode().split()))
+    def _handle_extension(self, words: list[bytes]) -> None:
+        message = upgrades.read_for_forwarder(words)
+        if isinstance(message, upgrades.AnnouncementAccepted) and not self.speaks_extension:
+            self.speaks_extension = True
+            self._orders.extension_accepted()
+        self._orders.apply_extension(message)
+
+    # what goes out
 
     def send_message(self, data: bytes) -> None:
         """A message of the platform's protocol."""
@@ -236,6 +250,7 @@
             self._write(data)
 
     def _write(self, data: bytes) -> None:
+        """A manager that leaves too much unread is left."""
         writer = self._writer
         if writer is None or writer.transport.is_closing() or not data:
             return
@@ -243,51 +258,3 @@
             writer.transport.abort()
         else:
             writer.write(data)
-
-    async def close(self) -> None:
-        if self._task is not None:
-            self._task.cancel()
-            await asyncio.gather(self._task, return_exceptions=True)
-
-
-class LoadReporter:
-    """Hands on what this forwarder met at workers, as its zone's collector does; nothing is read from it.
-    Only the manager that the forwarder is joined to is told: figures are what a manager's own proxies met."""
-
-    def __init__(self, zone: str) -> None:
-        self._zone = zone
-        self._writer: asyncio.StreamWriter | None = None
-        self._manager: HostPort | None = None
-        self._task: asyncio.Task[None] | None = None
-
-    async def _run(self, manager: HostPort) -> None:
-        try:
-            reader, writer = await asyncio.wait_for(asyncio.open_connection(*manager), CONNECT_TIMEOUT)
-        except (OSError, TimeoutError):
-            return
-        writer.write(resp.encode([b"SOURCE", b"locality", self._zone.encode()]))
-        self._writer = writer
-        try:
-            while await reader.read(4096):
-                pass
-        except OSError:
-            pass
-        finally:
-            self._writer = None
-            writer.transport.abort()
-
-    def send(self, manager: HostPort | None, data: bytes) -> None:
-        """Dials where the manager is a new one or the connection ended; meanwhile figures are left out."""
-        if self._task is not None and (self._task.done() or manager != self._manager):
-            self._task.cancel()
-            self._task = None
-        if self._task is None and manager is not None:
-            self._manager, self._task = manager, asyncio.create_task(self._run(manager))
-        writer = self._writer
-        if writer is not None and writer.transport.get_write_buffer_size() + len(data) <= MAX_UNREAD_BYTES:
-            writer.write(data)
-
-    async def close(self) -> None:
-        if self._task is not None:
-            self._task.cancel()
-            await asyncio.gather(self._task, return_exceptions=True)
--- /dev/null
+++ b/cottonladder/forwarder/plugin_loading.py
@@ -0,0 +1,67 @@
+"""Loads the plug-ins of the operators' file, at the start and on reload, and keeps the workers' labels."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+import structlog
+
+from ..config.operator_config import PluginsConfig
+from .plugin_verdicts import PluginVerdicts
+
+if TYPE_CHECKING:
+    from ..plugins.chain import PluginSpec
+
+MAX_LABELS = 64  # of one worker
+MAX_LABEL_LENGTH = 255  # characters
+
+
+def plugin_specs(config: PluginsConfig) -> list[PluginSpec]:
+    """The plug-ins that the file names.  Their runtime is imported only where there are some."""
+    from ..plugins.chain import PluginSpec
+
+    return [
+        PluginSpec(plugin.name, plugin.path, plugin.fail == "closed", frozenset(plugin.grants), plugin.seed)
+        for plugin in config.chain
+    ]
+
+
+class PluginLoader:
+    """Gives plug-ins and labels to `verdicts`; `config` is the file's part at the start."""
+
+    def __init__(self, config: PluginsConfig | None, verdicts: PluginVerdicts) -> None:
+        self._config = config
+        self._verdicts = verdicts
+        self._log: structlog.stdlib.BoundLogger = structlog.get_logger()
+
+    def load(self) -> None:
+        """At the start; raises for a plug-in that can't be loaded."""
+        if self._config is None:
+            return
+        from ..plugins.chain import PluginChain
+
+        self._verdicts.chain = PluginChain(plugin_specs(self._config))
+        self._apply(self._config)
+
+    def reload(self, config: PluginsConfig | None) -> None:
+        """On SIGHUP: the old ones serve until the new ones are proved."""
+        chain = self._verdicts.chain
+        if config is None or chain is None:
+            self._log.error("plugins_rejected", reason="they can be changed, but not switched on or off")
+        elif not chain.reload(plugin_specs(config)):
+            self._apply(config)
+
+    def _apply(self, config: PluginsConfig) -> None:
+        configured = {worker_id: frozenset(labels) for worker_id, labels in config.labels.items()}
+        self._verdicts.labels = {**self._verdicts.labels, **configured}
+        self._verdicts.falls_back = config.missing == "fall back"
+        self._verdicts.allowed_headers = frozenset(name.lower() for name in config.headers)
+
+    def on_labels(self, endpoint: dict[str, Any]) -> None:
+        """Labels as the list has them, beside those of the operators' file."""
+        labels = endpoint.get("labels")
+        if self._config is None or not isinstance(labels, list):
+            return
+        listed = {str(label)[:MAX_LABEL_LENGTH] for label in labels[:MAX_LABELS]}
+        configured = set(self._config.labels.get(endpoint["id"], ()))
+        self._verdicts.labels = {**self._verdicts.labels, endpoint["id"]: frozenset(listed | configured)}
--- a/cottonladder/forwarder/resource_limits.py
+++ b/cottonladder/forwarder/resource_limits.py
@@ -11,18 +11,19 @@
 MAX_CONNECTIONS = 20_000  # clients' connections in all: two descriptors each while upgraded
 MAX_CONNECTIONS_PER_WORKER = 8_000  # upgraded connections held at one worker
 MAX_CONNECTIONS_PER_CLIENT = 2_000  # of one client address: a desk behind one gateway has hundreds
-MAX_HEADER_BYTES = 16_384  # of one req's heads, and of one line: far above any browser's
-MAX_BODY_BYTES = 8 << 20  # of one req
-MAX_BUFFERED_BODY_BYTES = 65_536  # of a body kept for a further try; a longer one is sent once
+MAX_HEADER_BYTES = 16_384  # of one request's headers, and of one line: far above any browser's
+MAX_BODY_BYTES = 8 << 20  # of one request
+MAX_BUFFERED_BODY_BYTES = 65_536  # of a body kept for a retry; a longer one is sent once
 CONNECT_TIMEOUT = 1.0  # s: a worker in another zone answers in a few ms, a dead one never
-FIRST_BYTE_TIMEOUT = 30.0  # s from a req's end to the answer's head where its kind states no client timeout
+FIRST_BYTE_TIMEOUT = 30.0  # s from a request's end to the answer's head where its class has no deadline
 MIN_ATTEMPT_TIMEOUT = 0.05  # s that an attempt has at the least, also one that starts near its deadline
 IDLE_TIMEOUT = 75.0  # s that a kept-alive connection may say nothing
 HEADER_TIMEOUT = 10.0  # s from accept to the end of the first head: slow clients hold no place for long
 STALL_TIMEOUT = 30.0  # s that either end may leave bytes unread before its connection is given up
-POOL_SIZE_PER_WORKER = 64  # open connections to one worker for plain reqs
+POOL_SIZE_PER_WORKER = 64  # open connections to one worker for plain requests
 RELAY_BUFFER_BYTES = 65_536  # of either direction of a tunnel before its other end is paused
-MIN_RETRY_AFTER, MAX_RETRY_AFTER = 1, 30  # s: bounds of every Retry-After
+MIN_RETRY_AFTER = 1  # s: what every Retry-After says at the least
+MAX_RETRY_AFTER = 30  # s: and at the most
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class ConnectionSlots:
-    """Who has how many of the places there are; each taken place is given back once."""
+    """Which client has how many of the slots there are; each one taken is given back once."""
 
     max_total: int
     max_per_client: int
@@ -50,6 +51,7 @@
     total: int = 0
 
     def acquire(self, client: str) -> bool:
+        """Takes a slot; False where there is none for this client."""
         if self.total >= self.max_total or self.by_client.get(client, 0) >= self.max_per_client:
             return False
         self.by_client[client] = self.by_client.get(client, 0) + 1
@@ -57,6 +59,7 @@
         return True
 
     def release(self, client: str) -> None:
+        """Gives a slot back."""
         left = self.by_client[client] - 1
         self.total -= 1
         if left:
@@ -68,16 +71,17 @@
 class AdmissionPacer:
     """How fast new upgraded connections may go to each worker: a bucket a worker, in the part of the worker's
     arrivals that is this forwarder's, by its weight against the table's mean.  It answers a rush: a worker
-    with a thousand connections dies and all come back at once.  Places that a manager's order named are free
-    of it, as the manager has counted them."""
+    with a thousand connections dies and all come back at once.  Slots that a manager's order reserved are
+    free of it, as the manager has counted them."""
 
     BURST_WINDOW = 1.0  # s of arrivals that may come at once
-    RESERVATION_TTL = 15.0  # s that a place an order named is kept for whoever comes back
+    RESERVATION_TTL = 15.0  # s that a slot which an order reserved is kept for whoever comes back
 
     def __init__(self, rate: float, share: float) -> None:
-        self.rate, self.share = rate, share
+        self.rate = rate
+        self.share = share
         self._buckets: dict[str, tuple[float, float]] = {}  # tokens, when
-        self._reserved_until: dict[str, list[float]] = {}  # until when each place is kept
+        self._reserved_until: dict[str, list[float]] = {}  # until when each slot is kept
 
     def _tokens(self, now: float, worker_id: str, rate: float) -> float:
         burst = max(1.0, rate * self.BURST_WINDOW)
@@ -85,13 +89,15 @@
         return min(burst, tokens + (now - at) * rate)
 
     def reserve(self, now: float, worker_id: str, count: int) -> None:
+        """Keeps slots at a worker for whoever comes back."""
         self._reserved_until.setdefault(worker_id, []).extend([now + self.RESERVATION_TTL] * count)
 
     def cancel_reservations(self, worker_id: str) -> None:
+        """The worker takes nobody any more."""
         self._reserved_until.pop(worker_id, None)
 
     def reserved_worker(self, now: float) -> str | None:
-        """A worker that an order named a place at; the place stays until it is `used`."""
+        """The worker with most reserved slots; they stay until they are used."""
         for worker_id in list(self._reserved_until):
             self._reserved_until[worker_id] = [
                 until for until in self._reserved_until[worker_id] if until > now
@@ -103,6 +109,7 @@
         )
 
     def use_reservation(self, worker_id: str) -> None:
+        """A connection has come to a reserved slot."""
         if places := self._reserved_until.get(worker_id):
             places.pop(0)
 
@@ -120,12 +127,13 @@
         return (1.0 - tokens) / rate if rate > 0 else math.inf
 
     def forget_unlisted(self, known: set[str]) -> None:
+        """Workers that are no longer listed are forgotten."""
         for worker_id in [worker_id for worker_id in self._buckets if worker_id not in known]:
             del self._buckets[worker_id]
 
 
 def retry_after(delay_s: float, jitter: float) -> int:
-    """Whole seconds of a Retry-After; `spread` in 0 to 1 deals those who were turned away together over as
+    """Whole seconds of a Retry-After; `jitter` in 0 to 1 deals those who were turned away together over as
     long again, so that they don't return together."""
     least = max(float(MIN_RETRY_AFTER), min(delay_s, float(MAX_RETRY_AFTER)))
     return min(MAX_RETRY_AFTER, math.ceil(least * (1.0 + jitter)))
--- a/cottonladder/forwarder/worker_connections.py
+++ b/cottonladder/forwarder/worker_connections.py
@@ -1,4 +1,4 @@
-"""Reqs to workers over aiohttp's client: one session, pools by worker, and what proves that nothing ran."""
+"""Requests to workers by aiohttp's client: one session, pools by worker, and proof that nothing ran."""
 
 from __future__ import annotations
 
@@ -11,9 +11,11 @@
 from yarl import URL
 
 from .errors import WorkerError
-from .resource_limits import ResourceLimits
+from .resource_limits import RELAY_BUFFER_BYTES, ResourceLimits
 
-# Heads that belong to one connection and not to the req (RFC 9110, 7.6.1).
+KEEPALIVE_TIMEOUT = 15.0  # s that a connection to a worker is kept without a request
+
+# Headers that belong to one connection and not to the request (RFC 9110, 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te",
      "trailer", "transfer-encoding", "upgrade"}
@@ -21,7 +23,7 @@
 
 
 def forwarded_headers(headers: Mapping[str, str] | CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    """The heads that go on: all but those of the connection, and those that `Connection` names."""
+    """The headers that go on: all but those of the connection, and those that `Connection` names."""
     connection_headers = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
     forwarded: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
@@ -32,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRequest:
-    """What is sent to whichever worker is picked."""
+    """What is sent to whichever worker is selected."""
 
     method: str
     target: str  # as the client wrote it
@@ -41,23 +43,25 @@
 
 
 class WorkerConnections:
-    """Owns the session."""
+    """Owns the session, with a pool of connections for each worker."""
 
     def __init__(self, limits: ResourceLimits) -> None:
         self._limits = limits
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=limits.connect_timeout, sock_read=None)
         self._session = aiohttp.ClientSession(
             timeout=timeout,
-            connector=aiohttp.TCPConnector(limit=0, limit_per_host=limits.pool_size, keepalive_timeout=15.0),
+            connector=aiohttp.TCPConnector(
+                limit=0, limit_per_host=limits.pool_size, keepalive_timeout=KEEPALIVE_TIMEOUT
+            ),
             auto_decompress=False,
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
             cookie_jar=aiohttp.DummyCookieJar(),
-            read_bufsize=65_536,
+            read_bufsize=RELAY_BUFFER_BYTES,
             max_line_size=limits.header_bytes,
             max_field_size=limits.header_bytes,
         )
         # aiohttp sends idempotent methods again by itself when a kept-alive connection was closed.  Here only
-        # the managers' orders and the req's kind say whether a req may be sent twice; a test counts it.
+        # the managers' orders and the request's class say whether it may be sent twice; a test counts it.
         self._session._retry_connection = False
 
     async def send(self, address: str, request: WorkerRequest, timeout_s: float) -> aiohttp.ClientResponse:
@@ -90,4 +94,5 @@
             raise WorkerError(f"{type(exc).__name__}: {exc}", may_have_run=True) from None
 
     async def close(self) -> None:
+        """Ends the connections."""
         await self._session.close()
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -245,7 +245,7 @@
             return b"200" in (await self.raw(forwarder, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"))[:20]
 
         await self.until(free)
-        await forwarder.logged("client fault", "too many connections")
+        await forwarder.logged("client_fault", "too many connections")
 
 
 class Upgraded(Rig):
@@ -422,7 +422,7 @@
         manager = await self.manager(upgrades)
         forwarder = await self.forwarder(manager.port, upgrades={"grace": GRACE, "arrivals": 2000.0})
         await self.bound(forwarder, *self.workers)
-        await forwarder.logged("stream opened")
+        await forwarder.logged("stream_opened")
         await self.open(forwarder, 200)
         lost = self.workers["s-0"].held_connections
         self.assertGreater(lost, 30)
@@ -464,7 +464,7 @@
         await self.discovery.set_state("s-0", "Terminating")
         await self.emptied("s-0")
         self.assertEqual((sum(self.held().values()), self.counts.closes.total()), (60, 0))
-        await forwarder.logged("stream ended", "silent")
+        await forwarder.logged("stream_ended", "silent")
 
     async def test_rude_clients_and_ones_that_never_rest(self) -> None:
         """Some ignore the close, some come back at once, some never fall idle: all are off in time."""
@@ -557,7 +557,7 @@
             ("SHRUG", "unknown kind"),
         ):
             self.say(writer, text)
-            await forwarder.logged("stream ended", why)
+            await forwarder.logged("stream_ended", why)
             _, writer, _ = await self.joined()
             status = await forwarder.status(self.session)
             self.assertEqual((set(status["tables"]["fetch"]), status["shut"]), ({"s-1", "s-2"}, []))
@@ -604,7 +604,7 @@
         forwarder = await self.forwarder(self.port, (await self.manager()).port, seed=2)
         await self.bound(forwarder, "s-1", "s-2")
         if not self.streams.empty():
-            await forwarder.logged("stream ended", "silent")
+            await forwarder.logged("stream_ended", "silent")
 
     async def test_without_the_file_s_part_nothing_is_said_of_it(self) -> None:
         forwarder = await self.forwarder(self.port, upgrades=None)
@@ -612,7 +612,7 @@
         self.say(writer, "CONFIG replace 1 rows s-1:1.0 stamp 1")
         self.assertEqual((await self.hear(reader, come, b"ACK"))[4], b"1")
         self.say(writer, "UPGRADES version 1 part 0.5 arrivals 100.0")
-        await forwarder.logged("stream ended", "UPGRADES: unknown kind")
+        await forwarder.logged("stream_ended", "UPGRADES: unknown kind")
 
     async def test_a_manager_without_it_leaves_the_announcement_out(self) -> None:
         manager = await self.manager(upgrades=None)
--- a/tests/test_forwarder_rules.py
+++ b/tests/test_forwarder_rules.py
@@ -13,9 +13,9 @@
 from cottonladder.forwarder import connection_drainer as dr
 from cottonladder.forwarder import frame_scanner as fr
 from cottonladder.forwarder import router as ro
+from cottonladder.forwarder.config_parts import read_part
 from cottonladder.forwarder.connection_registry import ConnectionRegistry, WorkerConnectionCounts
 from cottonladder.forwarder.errors import FrameError, OrderRejected
-from cottonladder.forwarder.manager_stream import read_part
 from cottonladder.forwarder.request_classes import IDEMPOTENT, MatchRule, RequestClass, classify
 from cottonladder.forwarder.resource_limits import AdmissionPacer, ConnectionSlots, retry_after
 from cottonladder.forwarder.retries import should_retry
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -492,7 +492,7 @@
         self.stack.push_async_callback(manager.stop)
         one = ForwarderProcess(1, self.at, [f"127.0.0.1:{manager.port}"], None, **part)
         await one.serving()
-        await one.logged("stream opened")
+        await one.logged("stream_opened")
         kept = str(self.folder / "f")
         end = time.monotonic() + 20.0
         while True:
@@ -505,7 +505,7 @@
         two = ForwarderProcess(1, self.at, ["127.0.0.1:9"], None, **part)
         await two.serving()
         self.stack.push_async_callback(two.stop)
-        self.assertIn("table fetch", await two.logged("memory used"))
+        self.assertIn("table fetch", await two.logged("snapshot_restored"))
 
 
 if __name__ == "__main__":
