--- /dev/null
+++ b/tests/forwarder/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the forwarder, module by module and as a program."""
--- a/tests/test_forwarder_crossings.py
+++ b/tests/forwarder/test_race_conditions.py
@@ -19,10 +19,10 @@
 from cottonladder.forwarder.resource_limits import ResourceLimits
 from cottonladder.testbed.fleet import ForwarderProcess
 from cottonladder.testbed.workers import SimulatedWorker
-from tests.test_forwarder import Rig
+from tests.support.forwarder_rig import ForwarderRig
 
 
-class Stops(Rig):
+class Stops(ForwarderRig):
     async def carrying(self) -> tuple[SimulatedWorker, ForwarderProcess]:
         worker = await self.worker("s-1")
         forwarder = await self.forwarder((await self.manager()).port)
@@ -85,7 +85,7 @@
         self.assertEqual((status, outcome, worker.held_connections), (502, "unknown", 0))
 
 
-class Ends(Rig):
+class Ends(ForwarderRig):
     async def agreeing(self, reset: bool) -> ForwarderProcess:
         """A worker that agrees, says one thing and ends, all of it at once."""
 
@@ -108,7 +108,7 @@
         await self.bound(forwarder, "s-1")
         return forwarder
 
-    async def test_a_worker_that_ends_as_it_agrees(self) -> None:
+    async def test_a_worker_that_ends_as_it_agrees_ends_the_tunnel(self) -> None:
         """Its end was heard of before the connection had its tunnel, and its client waited for ever."""
         for reset in (False, True):
             with self.subTest(reset=reset):
@@ -130,7 +130,7 @@
 
 
 class Heads(unittest.IsolatedAsyncioTestCase):
-    async def test_a_head_that_a_late_loop_left_unread(self) -> None:
+    async def test_a_head_that_a_late_loop_left_unread_is_answered(self) -> None:
         """Between the sweep that finds a connection late and the one that ends it, the loop reads."""
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -19,7 +19,7 @@
 from cottonladder.planning import plugin_bounds as hooks
 from cottonladder.plugins import abi, chain, host
 from cottonladder.testbed.fleet import ROOT, ForwarderProcess
-from tests.test_forwarder import GRACE, Rig
+from tests.support.forwarder_rig import GRACE, ForwarderRig
 
 EXAMPLE = ROOT / "deploy" / "plugins" / "audit-trail.wat"
 HEAD = """(module {imports} (memory (export "memory") 1 {pages})
@@ -260,7 +260,7 @@
         self.assertGreater(opened[-1] - opened[-2], opened[1] - opened[0])
 
 
-class Carried(Rig):
+class Carried(ForwarderRig):
     def plugins(self, *texts: str, **more: Any) -> dict[str, Any]:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
