--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -218,11 +218,15 @@
         elif self.migration.is_new_end(end):
             self.migration.abandon(NEW_WORKER_ENDED)
         elif end is self.client_end:
-            self.end(self._close.reason or f"client: {exc or 'closed'}")
+            self._end_for_loss(f"client: {exc or 'closed'}")
         elif end is self.worker_end:
             if self.state is TunnelState.OPEN and exc is not None:
                 self.send_close(INTERNAL_ERROR, "worker lost")
-            self.end(self._close.reason or f"worker: {exc or 'closed'}")
+            self._end_for_loss(f"worker: {exc or 'closed'}")
+
+    def _end_for_loss(self, reason: str) -> None:
+        """The reason of a close that has begun goes before that of the loss."""
+        self.end(self._close.reason or reason)
 
     # states and timers, which migration and close use too
 
