--- a/tests/forwarder/test_draining.py
+++ b/tests/forwarder/test_draining.py
@@ -159,8 +159,8 @@
         await self.worker("s-0")
         forwarder = await self.forwarder((await self.manager()).port, kinds=kinds)
         await self.bound(forwarder, "s-0")
-        await self.open(forwarder, 20, hasty=True)
-        await self.open(forwarder, 5, busy=True, every=0.1)
+        await self.open(forwarder, 20, reconnects_at_once=True)
+        await self.open(forwarder, 5, busy=True, ask_interval_s=0.1)
         rude = []
         for _ in range(5):
             reader, writer = await asyncio.open_connection("127.0.0.1", forwarder.port)
--- a/tests/support/forwarder_rig.py
+++ b/tests/support/forwarder_rig.py
@@ -83,11 +83,32 @@
         await self.until(same)
 
     async def open(
-        self, forwarder: ForwarderProcess, count: int, path: str = "/watch", **more: Any
+        self,
+        forwarder: ForwarderProcess,
+        count: int,
+        path: str = "/watch",
+        *,
+        busy: bool = False,
+        releases: bool = False,
+        reconnects_at_once: bool = False,
+        ask_interval_s: float = 0.2,
     ) -> list[HoldingClient]:
+        """Clients that hold a connection, each connected."""
         first = len(self.desks)
         url = forwarder.url + path
-        new = [HoldingClient(self.session, url, self.counts, f"d{first + n}", **more) for n in range(count)]
+        new = [
+            HoldingClient(
+                self.session,
+                url,
+                self.counts,
+                f"d{first + n}",
+                busy=busy,
+                releases=releases,
+                reconnects_at_once=reconnects_at_once,
+                ask_interval_s=ask_interval_s,
+            )
+            for n in range(count)
+        ]
         self.desks += new
         for desk in new:
             desk.start()
