--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -107,7 +107,7 @@
     forwarder = ForwarderProcess(0, discovery_address, [f"127.0.0.1:{port}"], None, **part)
     stack.push_async_callback(forwarder.stop)
     await forwarder.serving()
-    await forwarder.logged("stream opened")
+    await forwarder.logged("stream_opened")
     await asyncio.sleep(SETTLE_S)
     return PluginFleet(ledger, discovery, workers, forwarder, folder)
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -27,6 +27,7 @@
 from cottonladder.control import background_scheduler as tasks
 from cottonladder.forwarder import restored_state as fr
 from cottonladder.forwarder import router as ro
+from cottonladder.forwarder.request_classes import IDEMPOTENT, RequestClass
 from cottonladder.forwarder.resource_limits import AdmissionPacer
 from cottonladder.model.inputs import (
     Endpoint,
@@ -270,7 +271,7 @@
         self.assertEqual(len(life.proxy_rates), me.PROXY_COUNT)
 
     def test_the_forwarder_s(self) -> None:
-        kinds = [ro.RequestClass("fetch", (), ro.IDEMPOTENT)]
+        kinds = [RequestClass("fetch", (), IDEMPOTENT)]
         before = ro.Router(kinds, "ratio", lambda: 0.5)
         before.apply(
             [ro.ConfigPart(replace=True, weights=tuple((f"s-{n}", 1.0) for n in range(6)), exclude=("s-5",))]
@@ -495,7 +496,7 @@
         self.stack.push_async_callback(manager.stop)
         one = ForwarderProcess(1, self.at, [f"127.0.0.1:{manager.port}"], None, **part)
         await one.serving()
-        await one.logged("stream opened")
+        await one.logged("stream_opened")
         kept = str(self.folder / "f")
         end = time.monotonic() + 20.0
         while True:
@@ -508,7 +509,7 @@
         two = ForwarderProcess(1, self.at, ["127.0.0.1:9"], None, **part)
         await two.serving()
         self.stack.push_async_callback(two.stop)
-        self.assertIn("table fetch", await two.logged("memory used"))
+        self.assertIn("table fetch", await two.logged("snapshot_restored"))
 
 
 if __name__ == "__main__":
