--- a/cottonladder/plugins/host.py
+++ b/cottonladder/plugins/host.py
@@ -239,7 +239,7 @@
 class _Hook:
     """A hook's call without the library's own, which asks the engine for the function's type and converts by
     it each time: two thirds of a call.  A hook's type was checked at the load.  Reaches below the library's
-    public names, as its version is pinned; `tests/test_plugins.py` holds what it must do."""
+    public names, as its version is pinned; `tests/plugins/test_plugins.py` holds what it must do."""
 
     __slots__ = ("_func", "_params", "_results")
 
--- a/tests/test_fencing.py
+++ b/tests/membership/test_checker.py
@@ -12,7 +12,7 @@
 from cottonladder.planning import fencing as f
 
 
-class Fencing(unittest.TestCase):
+class FencingTest(unittest.TestCase):
     def test_no_interleaving_breaks_an_invariant(self) -> None:
         two, three = checker.explore(2, 10), checker.explore(3, 7)
         self.assertEqual((two.fault, three.fault), ("", ""), two.trace or three.trace)
--- a/tests/test_moves.py
+++ b/tests/planning/test_connection_migration.py
@@ -73,7 +73,7 @@
         )
 
 
-class MovesTest(unittest.TestCase):
+class MigrationPlannerTest(unittest.TestCase):
     def test_a_thousand_leave_within_the_grace_and_nobody_is_overfilled(self) -> None:
         standing = {0: stands(since=0.0), 1: stands(0), 2: stands(0), 3: stands(1), 4: stands(1, 0.1, True)}
         fleet = Fleet(TERMS, standing, {f: f % 2 for f in range(8)})
