--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -23,6 +23,11 @@
 
 from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning import connection_migration as mv
+from cottonladder.planning.migration_orders import (
+    HeldConnectionCounts,
+    MigrateConnections,
+    MigrationParameters,
+)
 from cottonladder.testbed.discovery import Discovery
 from cottonladder.testbed.fleet import ROOT, Forwarder, Manager
 from cottonladder.testbed.holding_clients import Counts, HoldingClient
@@ -212,7 +217,7 @@
 def plan(connections: int, forwarders: int, workers: int, zones: int = 4) -> float:
     """ms a plan, the median of ten, while a tenth of the workers leave."""
     chance = random.Random(7)
-    moves = mv.MigrationPlanner(mv.MigrationParameters(zones, 30.0, 8000, 50.0, 0.05, 3000.0, 10))
+    moves = mv.MigrationPlanner(MigrationParameters(zones, 30.0, 8000, 50.0, 0.05, 3000.0, 10))
     leaving = max(1, workers // 10)
     standing = {
         be: WorkerCapacityView(be % zones, 0.0 if be < leaving else 1.0, False, 0.0 if be < leaving else -1.0)
@@ -225,14 +230,14 @@
         for _ in range(round(per)):
             be = chance.randrange(workers)
             rows[be] = rows.get(be, 0) + 1
-        moves.update_connections(f, True, {be: mv.HeldConnectionCounts(n) for be, n in rows.items()})
+        moves.update_connections(f, True, {be: HeldConnectionCounts(n) for be, n in rows.items()})
     took = []
     for n in range(10):
         begun = time.perf_counter()
         orders = moves.plan(n * mv.PLAN_INTERVAL, standing)
         took.append((time.perf_counter() - begun) * 1000.0)
         for order in orders:
-            if isinstance(order, mv.MigrateConnections):
+            if isinstance(order, MigrateConnections):
                 moves.complete_migration(order.forwarder, order.number)
     return statistics.median(took)
 
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -13,17 +13,16 @@
 from ..config.operator_config import UpgradesConfig
 from ..model.inputs import ExtraLinesWritten, HeldLoad, Input, ProxyConnected, ProxyDisconnected
 from ..model.views import WorkerCapacityView
-from ..planning.connection_migration import (
-    PLAN_INTERVAL,
+from ..planning.connection_migration import PLAN_INTERVAL, MigrationPlanner
+from ..planning.controller_views import capacity_views
+from ..planning.migration_orders import (
     AdmitForwarder,
     HeldConnectionCounts,
     MigrateConnections,
     MigrationOrder,
     MigrationParameters,
-    MigrationPlanner,
     StopMigration,
 )
-from ..planning.controller_views import capacity_views
 from ..policy.controller import RoutingController
 from ..protocol import upgrade_extension as wire
 from ..protocol.messages import ExtensionMessage, MessageReader
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -13,8 +13,8 @@
 from ..config.operator_config import ManagerPluginsConfig
 from ..model.inputs import AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
-from ..planning.connection_migration import MigrateConnections
 from ..planning.controller_views import capacity_views
+from ..planning.migration_orders import MigrateConnections
 from ..planning.plugin_bounds import bounded_factor, may_veto
 from ..plugins.abi import EVENT, MOVE, WORKER, encode_record
 from ..plugins.chain import PluginChain, PluginSpec
--- a/cottonladder/membership/checker.py
+++ b/cottonladder/membership/checker.py
@@ -1,16 +1,10 @@
-"""Explores the fencing protocol: every interleaving of claims, orders, losses, doublings and pauses, bounded.
+"""Explores the fencing protocol: every interleaving of lease requests, orders, losses, duplicates and pauses.
 
     python -m cottonladder.membership.checker --managers 2 --depth 10
 
-The states are made by the program's own transition functions (`decisions.fencing`).  Messages on their way
-are a set of which any may come next, come twice or never, so that reordering, doubling and loss need no
-steps of their own.  What is looked for:
-
-- `higher`: a forwarder carries out an order of an epoch after it granted a higher one;
-- `revived`: a worker that the list has leaving at version v is let in on news no newer than v;
-- `twice`: a req is repeated twice;
-- `ignorant`: a manager that holds a forwarder orders without knowing whom the forwarder shuts out;
-- `bare`: a forwarder that shuts out every worker while the list has one ready.
+The states are made by the program's own transition functions (`planning.fencing`), to a bounded depth.
+Messages in flight are a set of which any may arrive next, arrive twice or never, so that reordering,
+duplication and loss need no steps of their own.
 """
 
 from __future__ import annotations
@@ -20,205 +14,285 @@
 from collections import deque
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
+from enum import StrEnum
+
+from ..planning import fencing
+
+
+class Violation(StrEnum):
+    """The invariants of the protocol, by how they are broken; the values are what is printed."""
+
+    NONE = ""
+    # A forwarder carried out an order of an epoch after it granted a higher one.
+    STALE_EPOCH = "higher"
+    # A worker that the list has leaving at a version was readmitted on news no newer than that.
+    STALE_READMISSION = "revived"
+    # A request was retried twice.
+    DUPLICATE_RETRY = "twice"
+    # A manager that holds a lease ordered without knowing whom the forwarder excludes.
+    UNKNOWN_EXCLUSION = "ignorant"
+    # A forwarder excluded every worker while the list has one ready.
+    NO_WORKER_LEFT = "bare"
+
+
+@dataclass(frozen=True, slots=True)
+class ListUpdate:
+    """What the list tells of one worker."""
 
-from ..planning import fencing as f
+    worker_index: int
+    list_version: int
+    is_leaving: bool
 
-LIST_UPDATES = (
-    (0, 1, True),
-    (0, 2, False),
-    (0, 3, True),
-)  # worker, version, leaves: what the list tells in turn
-WORKER_COUNT = 2  # the second never leaves
+
+# What the list tells each manager, in this order.
+LIST_UPDATES = (ListUpdate(0, 1, True), ListUpdate(0, 2, False), ListUpdate(0, 3, True))
+# The second worker never leaves.
+WORKER_COUNT = 2
+# The idempotency key of the one request that managers order to retry.
 RETRIED_KEY = 7
+# s that a paused manager sleeps: past the fencing's bound.
+PAUSE = 60.0
+DEFAULT_MAX_REQUESTS = 2
+DEFAULT_MAX_STATES = 2_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class ManagerState:
-    lease: f.ManagerLease
-    updates_applied: int  # of the facts it has heard so many, in their order
+    """One manager: its side of the lease, how many list updates it has heard, whether it sleeps."""
+
+    lease: fencing.ManagerLease
+    updates_applied: int
     is_paused: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SystemState:
+    """Managers, one forwarder, and the messages between them."""
+
     managers: tuple[ManagerState, ...]
-    forwarder: f.ForwarderLease
-    messages_in_flight: frozenset[f.ToForwarder]  # on their way for ever: any may come, again and again
-    replies_in_flight: frozenset[tuple[int, f.ToManager]]
-    highest_epoch: f.Epoch  # granted so far
+    forwarder: fencing.ForwarderLease
+    messages_in_flight: frozenset[fencing.ToForwarder]  # for ever: any may arrive, again and again
+    replies_in_flight: frozenset[tuple[int, fencing.ToManager]]  # with the manager that each is for
+    highest_epoch: fencing.Epoch  # granted so far
     retries: int
-    fault: str = ""
+    fault: Violation = Violation.NONE
 
 
-def _lease_key(held: f.ForwarderLease) -> tuple[object, ...]:
-    return (
-        held.epoch,
-        tuple(sorted(held.excluded.items())),
-        tuple(sorted(held.readmitted.items())),
-        held.retried_keys,
-    )
+@dataclass(frozen=True, slots=True)
+class Step:
+    """One thing that may happen next, with a line that says so."""
 
+    label: str
+    state: SystemState
 
-def _state_key(state: SystemState) -> tuple[object, ...]:
-    managers = tuple(
-        (
-            m.lease.epoch,
-            m.lease.is_granted,
-            m.lease.highest_count_seen,
-            tuple(sorted(m.lease.leaving_versions.items())),
-            tuple(sorted(m.lease.ready_versions.items())),
-            m.updates_applied,
-            m.is_paused,
-        )
-        for m in state.managers
-    )
-    return (
-        managers,
-        _lease_key(state.forwarder),
-        state.messages_in_flight,
-        state.replies_in_flight,
-        state.highest_epoch,
-        state.retries,
-    )
+
+@dataclass(frozen=True, slots=True)
+class ExplorationResult:
+    """How far the search went, and the first fault with the way to it."""
+
+    states: int
+    depth: int
+    fault: Violation = Violation.NONE
+    trace: tuple[str, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class _QueuedState:
+    state: SystemState
+    depth: int
+    trace: tuple[str, ...]
 
 
 def initial_state(manager_count: int) -> SystemState:
-    empty = frozenset[f.ToForwarder](), frozenset[tuple[int, f.ToManager]]()
-    return SystemState(
-        tuple(ManagerState(f.ManagerLease(n), 0) for n in range(manager_count)),
-        f.ForwarderLease(),
-        *empty,
-        f.NO_EPOCH,
-        0,
+    """Nobody has a lease, nothing is in flight."""
+    managers = tuple(ManagerState(fencing.ManagerLease(number), 0) for number in range(manager_count))
+    return SystemState(managers, fencing.ForwarderLease(), frozenset(), frozenset(), fencing.NO_EPOCH, 0)
+
+
+def successors(state: SystemState, guards: fencing.Guards, max_requests: int) -> Iterator[Step]:
+    """Everything that may happen next; no manager requests a lease of a count over `max_requests`."""
+    for number, manager in enumerate(state.managers):
+        yield from _manager_steps(state, number, manager, max_requests)
+    for message in state.messages_in_flight:
+        yield Step(f"comes {message}", _deliver(state, message, guards))
+    for number, reply in state.replies_in_flight:
+        manager = state.managers[number]
+        if not manager.is_paused:
+            lease = fencing.receive_reply(manager.lease, reply, guards)
+            yield Step(f"{number} hears {reply}", _with_manager(state, number, replace(manager, lease=lease)))
+
+
+def _manager_steps(
+    state: SystemState, number: int, manager: ManagerState, max_requests: int
+) -> Iterator[Step]:
+    """What one manager may do by itself."""
+    if manager.is_paused:
+        lease = fencing.resume_after_pause(manager.lease, PAUSE)
+        awake = replace(manager, is_paused=False, lease=lease)
+        yield Step(f"{number} wakes", _with_manager(state, number, awake))
+        return
+    yield Step(f"{number} sleeps", _with_manager(state, number, replace(manager, is_paused=True)))
+    if manager.updates_applied < len(LIST_UPDATES):
+        update = LIST_UPDATES[manager.updates_applied]
+        lease = fencing.apply_list_update(
+            manager.lease, update.worker_index, update.list_version, update.is_leaving
+        )
+        informed = replace(manager, lease=lease, updates_applied=manager.updates_applied + 1)
+        yield Step(f"{number} hears {update}", _with_manager(state, number, informed))
+    if manager.lease.highest_count_seen < max_requests:
+        lease, request = fencing.request_lease(manager.lease)
+        sent = replace(state, messages_in_flight=state.messages_in_flight | {request})
+        requesting = replace(manager, lease=lease)
+        yield Step(f"{number} claims {request.epoch}", _with_manager(sent, number, requesting))
+    if manager.lease.is_granted:
+        yield from _order_steps(state, number, manager.lease)
+
+
+def _order_steps(state: SystemState, number: int, lease: fencing.ManagerLease) -> Iterator[Step]:
+    """A manager with a lease sends its orders, where they aren't all in flight already."""
+    retry = fencing.RetryRequest(lease.epoch, RETRIED_KEY)
+    orders = frozenset(fencing.orders_to_send(lease)) | {retry}
+    if orders <= state.messages_in_flight:
+        return
+    fault = Violation.NONE
+    if _lacks_exclusions(lease, state.forwarder):
+        fault = Violation.UNKNOWN_EXCLUSION
+    messages = state.messages_in_flight | orders
+    yield Step(f"{number} orders", replace(state, messages_in_flight=messages, fault=fault))
+
+
+def _lacks_exclusions(lease: fencing.ManagerLease, forwarder: fencing.ForwarderLease) -> bool:
+    """Whether a manager that holds the lease has not heard of something that the forwarder excludes."""
+    return lease.epoch == forwarder.epoch and any(
+        lease.leaving_versions.get(worker, -1) < version >= lease.ready_versions.get(worker, -1)
+        for worker, version in forwarder.excluded.items()
     )
 
 
-def _deliver(state: SystemState, order: f.ToForwarder, guards: f.Guards) -> SystemState:
-    """One message reaches the forwarder; the invariants are looked at here."""
-    held, answer, done = f.apply_message(state.forwarder, order, guards)
-    fault, highest, repeats = "", state.highest_epoch, state.retries
-    if done and order.epoch < highest:
-        fault = "higher"
-    if isinstance(order, f.LeaseRequest) and done:
-        highest = max(highest, order.epoch)
-    if (
-        isinstance(order, f.ReadmitWorker)
-        and done
-        and order.list_version <= state.forwarder.excluded.get(order.worker_index, -1)
-    ):
-        fault = fault or "revived"
-    if isinstance(order, f.RetryRequest) and done:
-        repeats += 1
-        fault = fault or ("twice" if repeats > 1 else "")
-    if all(be in held.excluded for be in range(WORKER_COUNT)):
-        fault = fault or "bare"
-    answers = (
-        state.replies_in_flight if answer is None else state.replies_in_flight | {(order.epoch[1], answer)}
-    )
+def _deliver(state: SystemState, message: fencing.ToForwarder, guards: fencing.Guards) -> SystemState:
+    """One message reaches the forwarder; its invariants are checked here."""
+    after = fencing.apply_message(state.forwarder, message, guards)
+    highest_epoch = state.highest_epoch
+    if isinstance(message, fencing.LeaseRequest) and after.was_applied:
+        highest_epoch = max(highest_epoch, message.epoch)
+    retries = state.retries
+    if isinstance(message, fencing.RetryRequest) and after.was_applied:
+        retries += 1
+    replies = state.replies_in_flight
+    if after.reply is not None:
+        _, manager = message.epoch
+        replies = replies | {(manager, after.reply)}
     return replace(
-        state, forwarder=held, replies_in_flight=answers, highest_epoch=highest, retries=repeats, fault=fault
+        state,
+        forwarder=after.lease,
+        replies_in_flight=replies,
+        highest_epoch=highest_epoch,
+        retries=retries,
+        fault=_violation(state, message, after, retries),
     )
 
 
-def _with_manager(state: SystemState, n: int, manager: ManagerState) -> SystemState:
-    return replace(state, managers=(*state.managers[:n], manager, *state.managers[n + 1 :]))
+def _violation(
+    state: SystemState, message: fencing.ToForwarder, after: fencing.LeaseTransition, retries: int
+) -> Violation:
+    """The first invariant that the message broke at the forwarder; `state` is the one before it."""
+    if after.was_applied:
+        if message.epoch < state.highest_epoch:
+            return Violation.STALE_EPOCH
+        if isinstance(message, fencing.ReadmitWorker):
+            excluded_at = state.forwarder.excluded.get(message.worker_index, -1)
+            if message.list_version <= excluded_at:
+                return Violation.STALE_READMISSION
+        if isinstance(message, fencing.RetryRequest) and retries > 1:
+            return Violation.DUPLICATE_RETRY
+    if all(worker in after.lease.excluded for worker in range(WORKER_COUNT)):
+        return Violation.NO_WORKER_LEFT
+    return Violation.NONE
 
 
-def successors(state: SystemState, guards: f.Guards, max_claims: int) -> Iterator[tuple[str, SystemState]]:
-    """Everything that may happen next, with a word for it."""
-    for n, m in enumerate(state.managers):
-        if m.is_paused:
-            yield (
-                f"{n} wakes",
-                _with_manager(
-                    state, n, replace(m, is_paused=False, lease=f.resume_after_pause(m.lease, 60.0))
-                ),
-            )
-            continue
-        yield f"{n} sleeps", _with_manager(state, n, replace(m, is_paused=True))
-        if m.updates_applied < len(LIST_UPDATES):
-            view = f.apply_list_update(m.lease, *LIST_UPDATES[m.updates_applied])
-            yield (
-                f"{n} hears {LIST_UPDATES[m.updates_applied]}",
-                _with_manager(state, n, replace(m, lease=view, updates_applied=m.updates_applied + 1)),
-            )
-        if m.lease.highest_count_seen < max_claims:
-            view, claim = f.request_lease(m.lease)
-            sent = replace(state, messages_in_flight=state.messages_in_flight | {claim})
-            yield f"{n} claims {claim.epoch}", _with_manager(sent, n, replace(m, lease=view))
-        if m.lease.is_granted:
-            told = frozenset(f.orders_to_send(m.lease)) | {f.RetryRequest(m.lease.epoch, RETRIED_KEY)}
-            if not told <= state.messages_in_flight:
-                fault = "ignorant" if _lacks_exclusions(m.lease, state.forwarder) else ""
-                yield (
-                    f"{n} orders",
-                    replace(state, messages_in_flight=state.messages_in_flight | told, fault=fault),
-                )
-    for order in state.messages_in_flight:
-        yield f"comes {order}", _deliver(state, order, guards)
-    for n, answer in state.replies_in_flight:
-        if not state.managers[n].is_paused:
-            view = f.receive_reply(state.managers[n].lease, answer, guards)
-            yield f"{n} hears {answer}", _with_manager(state, n, replace(state.managers[n], lease=view))
-
-
-def _lacks_exclusions(view: f.ManagerLease, held: f.ForwarderLease) -> bool:
-    return view.epoch == held.epoch and any(
-        view.leaving_versions.get(be, -1) < version >= view.ready_versions.get(be, -1)
-        for be, version in held.excluded.items()
+def _with_manager(state: SystemState, number: int, manager: ManagerState) -> SystemState:
+    return replace(state, managers=(*state.managers[:number], manager, *state.managers[number + 1 :]))
+
+
+def _state_key(state: SystemState) -> tuple[object, ...]:
+    """The state as a hashable value, mappings as sorted tuples."""
+    managers = tuple(_manager_key(manager) for manager in state.managers)
+    return (
+        managers,
+        _forwarder_key(state.forwarder),
+        state.messages_in_flight,
+        state.replies_in_flight,
+        state.highest_epoch,
+        state.retries,
     )
 
 
-@dataclass(frozen=True, slots=True)
-class ExplorationResult:
-    """How far it looked, and the first fault with the way to it."""
+def _manager_key(manager: ManagerState) -> tuple[object, ...]:
+    lease = manager.lease
+    return (
+        lease.epoch,
+        lease.is_granted,
+        lease.highest_count_seen,
+        tuple(sorted(lease.leaving_versions.items())),
+        tuple(sorted(lease.ready_versions.items())),
+        manager.updates_applied,
+        manager.is_paused,
+    )
 
-    states: int
-    depth: int
-    fault: str = ""
-    trace: tuple[str, ...] = ()
+
+def _forwarder_key(lease: fencing.ForwarderLease) -> tuple[object, ...]:
+    return (
+        lease.epoch,
+        tuple(sorted(lease.excluded.items())),
+        tuple(sorted(lease.readmitted.items())),
+        lease.retried_keys,
+    )
 
 
 def explore(
     manager_count: int,
     max_depth: int,
-    guards: f.Guards = f.ALL_GUARDS,
-    max_claims: int = 2,
-    max_states: int = 2_000_000,
+    guards: fencing.Guards = fencing.ALL_GUARDS,
+    max_requests: int = DEFAULT_MAX_REQUESTS,
+    max_states: int = DEFAULT_MAX_STATES,
 ) -> ExplorationResult:
     """Breadth first, so that the way to a fault is a shortest one."""
     first = initial_state(manager_count)
     seen = {_state_key(first)}
-    line: deque[tuple[SystemState, int, tuple[str, ...]]] = deque([(first, 0, ())])
+    queue = deque([_QueuedState(first, 0, ())])
     deepest = 0
-    while line:
-        state, far, trace = line.popleft()
-        deepest = max(deepest, far)
-        if far == max_depth:
+    while queue:
+        current = queue.popleft()
+        deepest = max(deepest, current.depth)
+        if current.depth == max_depth:
             continue
-        for word, after in successors(state, guards, max_claims):
-            if after.fault:
-                return ExplorationResult(len(seen), far + 1, after.fault, (*trace, word))
-            key = _state_key(after)
-            if key not in seen:
-                if len(seen) >= max_states:
-                    return ExplorationResult(len(seen), deepest)
-                seen.add(key)
-                line.append((after, far + 1, (*trace, word)))
+        for step in successors(current.state, guards, max_requests):
+            trace = (*current.trace, step.label)
+            if step.state.fault:
+                return ExplorationResult(len(seen), current.depth + 1, step.state.fault, trace)
+            key = _state_key(step.state)
+            if key in seen:
+                continue
+            if len(seen) >= max_states:
+                return ExplorationResult(len(seen), deepest)
+            seen.add(key)
+            queue.append(_QueuedState(step.state, current.depth + 1, trace))
     return ExplorationResult(len(seen), deepest)
 
 
 def main() -> None:
+    """Explores as the command line asks, and prints how far it went."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--managers", type=int, default=2)
     parser.add_argument("--depth", type=int, default=9)
-    asked = parser.parse_args()
-    begun = time.perf_counter()
-    found = explore(asked.managers, asked.depth)
-    took = time.perf_counter() - begun
-    print(f"{found.states} states, depth {found.depth}, {took:.1f} s: {found.fault or 'no fault'}")
-    for word in found.trace:
-        print(f"  {word}")
+    arguments = parser.parse_args()
+    started_at = time.perf_counter()
+    result = explore(arguments.managers, arguments.depth)
+    duration_s = time.perf_counter() - started_at
+    fault = result.fault.value or "no fault"
+    print(f"{result.states} states, depth {result.depth}, {duration_s:.1f} s: {fault}")
+    for label in result.trace:
+        print(f"  {label}")
 
 
 if __name__ == "__main__":
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -13,14 +13,14 @@
 def capacity_views(controller: RoutingController) -> dict[int, WorkerCapacityView]:
     """Each worker as last solved, by worker index: capacity estimate in requests a second, latency in s."""
     return {
-        i: WorkerCapacityView(
-            be.zone,
-            controller.full.get(i, 0.0) if be.state in LIVE else 0.0,
-            controller.cold(be),
-            be.due if be.state == GONE else -1.0,
-            math.sqrt(be.base * be.mean()),
+        worker_index: WorkerCapacityView(
+            worker.zone,
+            controller.full.get(worker_index, 0.0) if worker.state in LIVE else 0.0,
+            controller.cold(worker),
+            worker.due if worker.state == GONE else -1.0,
+            math.sqrt(worker.base * worker.mean()),
         )
-        for i, be in controller.bes.items()
+        for worker_index, worker in controller.bes.items()
     }
 
 
@@ -31,11 +31,16 @@
 
     Callers ask in parts, as all of a large fleet at once takes too long.
     """
-    pasts = tuple(
-        WorkerHistory(i, be.started, be.base, be.slowness, be.state == OUT, be.state == GONE)
-        for i in worker_indices
-        if (be := controller.bes.get(i)) is not None
+    histories = tuple(
+        WorkerHistory(
+            index, worker.started, worker.base, worker.slowness, worker.state == OUT, worker.state == GONE
+        )
+        for index in worker_indices
+        if (worker := controller.bes.get(index)) is not None
     )
-    here = ((p, controller.proxies[p]) for p in proxies if p in controller.proxies)
-    rates = tuple((p, sum(map(x.came, range(len(x.count))))) for p, x in here)
-    return RestoredState(controller.gate.number, pasts, rates)
+    rates: list[tuple[int, float]] = []
+    for proxy in proxies:
+        if proxy in controller.proxies:
+            record = controller.proxies[proxy]
+            rates.append((proxy, sum(map(record.came, range(len(record.count))))))
+    return RestoredState(controller.gate.number, histories, tuple(rates))
--- a/cottonladder/planning/plugin_bounds.py
+++ b/cottonladder/planning/plugin_bounds.py
@@ -65,11 +65,7 @@
     is left out: what that leaves goes to the heavy among the chosen, and if there are none, to the whole
     table or to nobody.
     """
-    chosen = {
-        worker: weight
-        for worker, weight in weights.items()
-        if all(label in labels.get(worker, ()) for label in preference.need)
-    }
+    chosen = _with_needed_labels(weights, labels, preference)
     weight_sum = sum(weights.values())
     if weight_sum <= 0 or (not chosen and fall_back):
         return RoutingChoice(dict(weights), was_limited=bool(weights))
@@ -82,15 +78,28 @@
     spare = 1.0 - sum(light.values())
     if heavy:
         _favour_preferred(heavy, labels, preference)
-        scale = spare / sum(heavy.values())
-        scaled = {worker: share * scale for worker, share in heavy.items()}
-        return RoutingChoice(scaled | light, was_limited=bool(light))
+        return RoutingChoice(_scaled_to(spare, heavy) | light, was_limited=bool(light))
     if not fall_back:
         return RoutingChoice(light, was_limited=True, admitted_fraction=1.0 - spare)
     others = {worker: weight for worker, weight in weights.items() if worker not in light}
-    scale = spare / sum(others.values()) if others else 0.0
-    scaled = {worker: weight * scale for worker, weight in others.items()}
-    return RoutingChoice(light | scaled, was_limited=True)
+    return RoutingChoice(light | _scaled_to(spare, others), was_limited=True)
+
+
+def _with_needed_labels(
+    weights: Mapping[str, float], labels: Mapping[str, Collection[str]], preference: RoutePreference
+) -> dict[str, float]:
+    """The weights of workers that carry every needed label."""
+    return {
+        worker: weight
+        for worker, weight in weights.items()
+        if all(label in labels.get(worker, ()) for label in preference.need)
+    }
+
+
+def _scaled_to(total: float, weights: Mapping[str, float]) -> dict[str, float]:
+    """The weights in their proportions, so that they add up to `total`."""
+    scale = total / sum(weights.values()) if weights else 0.0
+    return {worker: weight * scale for worker, weight in weights.items()}
 
 
 def _favour_preferred(
@@ -147,7 +156,8 @@
 
     def record_fault(self, now: float) -> bool:
         """A call failed; true where this fault opens the breaker."""
-        self.fault_times = [at for at in self.fault_times if now - at < FAULT_WINDOW] + [now]
+        self.fault_times = [fault_at for fault_at in self.fault_times if now - fault_at < FAULT_WINDOW]
+        self.fault_times.append(now)
         was_trial = self.state == BreakerState.HALF_OPEN
         if not was_trial and len(self.fault_times) < MAX_FAULTS:
             return False
--- a/tests/membership/test_checker.py
+++ b/tests/membership/test_checker.py
@@ -1,4 +1,4 @@
-"""The fencing of managers' orders: explored, walked at random, and each guard left out once."""
+"""Leases and fencing: explored by the model checker, walked at random, and each guard left out once."""
 
 from __future__ import annotations
 
@@ -31,27 +31,30 @@
     @settings(max_examples=150, derandomize=True, deadline=None)
     @given(st.lists(st.integers(0, 10_000), min_size=60, max_size=60))
     def test_long_walks(self, choices: list[int]) -> None:
-        """Three managers, claims without end, far past what can be explored."""
+        """Three managers, lease requests without end, far past what can be explored."""
         state = checker.initial_state(3)
         for choice in choices:
             after = list(checker.successors(state, f.ALL_GUARDS, 50))
-            word, state = after[choice % len(after)]
-            self.assertEqual(state.fault, "", word)
-
-    def test_a_manager_that_slept_orders_nothing_until_it_has_claimed(self) -> None:
-        view, claim = f.request_lease(f.ManagerLease(0))
-        held, grant, _ = f.apply_message(f.ForwarderLease(), claim)
-        assert grant is not None
-        view = f.apply_list_update(f.receive_reply(view, grant), 3, 1, True)
-        self.assertEqual(f.orders_to_send(view), (f.ExcludeWorker((1, 0), 3, 1),))
-        view = f.resume_after_pause(view, 60.0)
-        self.assertEqual(f.orders_to_send(view), ())
-        heir, claim = f.request_lease(f.receive_reply(f.ManagerLease(1), f.LeaseRejected(f.NO_EPOCH, (1, 0))))
-        held, _, _ = f.apply_message(f.apply_message(held, f.ExcludeWorker((1, 0), 3, 1))[0], claim)
-        _, refusal, done = f.apply_message(held, f.ReadmitWorker((1, 0), 3, 9))
-        self.assertEqual((refusal, done), (f.LeaseRejected((1, 0), (2, 1)), False))
-        assert refusal is not None
-        self.assertEqual(f.request_lease(f.receive_reply(view, refusal))[1].epoch, (3, 0))
+            step = after[choice % len(after)]
+            state = step.state
+            self.assertEqual(state.fault, "", step.label)
+
+    def test_a_manager_that_slept_orders_nothing_until_it_has_a_lease(self) -> None:
+        manager, request = f.request_lease(f.ManagerLease(0))
+        granted = f.apply_message(f.ForwarderLease(), request)
+        assert granted.reply is not None
+        manager = f.apply_list_update(f.receive_reply(manager, granted.reply), 3, 1, True)
+        self.assertEqual(f.orders_to_send(manager), (f.ExcludeWorker((1, 0), 3, 1),))
+        manager = f.resume_after_pause(manager, 60.0)
+        self.assertEqual(f.orders_to_send(manager), ())
+        heir = f.receive_reply(f.ManagerLease(1), f.LeaseRejected(f.NO_EPOCH, (1, 0)))
+        _, request = f.request_lease(heir)
+        excluded = f.apply_message(granted.lease, f.ExcludeWorker((1, 0), 3, 1))
+        taken_over = f.apply_message(excluded.lease, request)
+        late = f.apply_message(taken_over.lease, f.ReadmitWorker((1, 0), 3, 9))
+        self.assertEqual((late.reply, late.was_applied), (f.LeaseRejected((1, 0), (2, 1)), False))
+        assert late.reply is not None
+        self.assertEqual(f.request_lease(f.receive_reply(manager, late.reply))[1].epoch, (3, 0))
 
 
 if __name__ == "__main__":
--- a/tests/planning/test_connection_migration.py
+++ b/tests/planning/test_connection_migration.py
@@ -10,8 +10,16 @@
 
 from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning import connection_migration as mv
+from cottonladder.planning.migration_orders import (
+    AdmitForwarder,
+    HeldConnectionCounts,
+    MigrateConnections,
+    MigrationOrder,
+    MigrationParameters,
+    StopMigration,
+)
 
-TERMS = mv.MigrationParameters(2, 20.0, 8000, 100.0, 0.05, 3000.0, 10)
+TERMS = MigrationParameters(2, 20.0, 8000, 100.0, 0.05, 3000.0, 10)
 
 
 def stands(
@@ -24,7 +32,7 @@
     """Forwarders that carry every order out, or lose it; checks the plan's promises at each step."""
 
     def __init__(
-        self, terms: mv.MigrationParameters, standing: dict[int, WorkerCapacityView], zones: dict[int, int]
+        self, terms: MigrationParameters, standing: dict[int, WorkerCapacityView], zones: dict[int, int]
     ) -> None:
         self.terms, self.standing, self.zones = terms, standing, zones
         self.moves = mv.MigrationPlanner(terms)
@@ -37,19 +45,19 @@
     def tell(self, forwarder: int | None = None) -> None:
         for f in self.zones if forwarder is None else [forwarder]:
             self.moves.update_connections(
-                f, True, {be: mv.HeldConnectionCounts(n) for be, n in self.held[f].items() if n}
+                f, True, {be: HeldConnectionCounts(n) for be, n in self.held[f].items() if n}
             )
 
     def total(self, be: int) -> int:
         return sum(held[be] for held in self.held.values())
 
-    def step(self, lose: bool = False, carry: bool = True) -> list[mv.MigrationOrder]:
+    def step(self, lose: bool = False, carry: bool = True) -> list[MigrationOrder]:
         self.tell()
         orders = self.moves.plan(self.now, self.standing)
         self.most_lines = max(self.most_lines, self.moves.channel_lines(orders))
         self.took = Counter()
         for order in orders:
-            if isinstance(order, mv.MigrateConnections) and carry and not lose:
+            if isinstance(order, MigrateConnections) and carry and not lose:
                 held = self.held[order.forwarder]
                 assert 0 < order.count <= held[order.source], order
                 assert sum(n for _, n in order.destinations) <= order.count
@@ -98,7 +106,7 @@
         standing = {0: stands(0, since=0.0), 1: stands(0), 2: stands(1)}
         fleet = Fleet(TERMS, standing, {0: 0})
         fleet.held[0].update({0: 40, 1: 10, 2: 10})
-        first = [order for order in fleet.step() if isinstance(order, mv.MigrateConnections)]
+        first = [order for order in fleet.step() if isinstance(order, MigrateConnections)]
         self.assertEqual([[be for be, _ in order.destinations] for order in first], [[1]])
         while fleet.total(0):
             fleet.step()
@@ -112,7 +120,7 @@
         fleet.step(carry=False)  # ordered, not yet carried out
         standing[1] = stands()
         orders = fleet.step(carry=False)
-        stops = [order for order in orders if isinstance(order, mv.StopMigration)]
+        stops = [order for order in orders if isinstance(order, StopMigration)]
         self.assertEqual({(s.forwarder, s.source) for s in stops}, {(0, 1), (1, 1)})
         left = fleet.total(1)
         while fleet.total(0):
@@ -121,7 +129,7 @@
 
     def test_no_room_waits_and_is_closed_at_the_end(self) -> None:
         standing = {0: stands(since=0.0), 1: stands()}
-        fleet = Fleet(mv.MigrationParameters(2, 10.0, 20, 100.0, 0.05, 3000.0, 10), standing, {0: 0})
+        fleet = Fleet(MigrationParameters(2, 10.0, 20, 100.0, 0.05, 3000.0, 10), standing, {0: 0})
         fleet.held[0].update({0: 100, 1: 5})
         while fleet.now < 8.0:
             fleet.step()
@@ -143,7 +151,7 @@
         standing = {0: stands(since=0.0), 1: stands(), 2: stands()}
         fleet = Fleet(TERMS, standing, {0: 0})
         fleet.held[0].update({0: 60})
-        ordered = [o for o in fleet.step(carry=False) if isinstance(o, mv.MigrateConnections)]
+        ordered = [o for o in fleet.step(carry=False) if isinstance(o, MigrateConnections)]
         for order in ordered:
             fleet.moves.complete_migration(0, order.number)  # answered: failed
         standing[1] = stands(since=fleet.now)
@@ -157,7 +165,7 @@
         fleet.held[0].update({0: 10})
         fleet.step(lose=True)
         quiet = fleet.step(lose=True)
-        self.assertLessEqual(sum(o.count for o in quiet if isinstance(o, mv.MigrateConnections)), 1)
+        self.assertLessEqual(sum(o.count for o in quiet if isinstance(o, MigrateConnections)), 1)
         while fleet.total(0):
             fleet.step()
             self.assertLess(fleet.now, TERMS.grace_s)
@@ -181,36 +189,32 @@
         fleet.step(carry=False)
         fleet.moves.remove_forwarder(0)
         self.assertEqual(fleet.moves.connections_by_worker(), {})
-        fleet.moves.update_connections(
-            0, False, {0: mv.HeldConnectionCounts(5)}
-        )  # a word that was on its way
+        fleet.moves.update_connections(0, False, {0: HeldConnectionCounts(5)})  # a word that was on its way
         self.assertEqual(fleet.moves.connections_by_worker(), {})
         fleet.moves.add_forwarder(0, 0)
         self.assertTrue(
-            [o for o in fleet.step(carry=False) if isinstance(o, mv.MigrateConnections) and o.forwarder == 0]
+            [o for o in fleet.step(carry=False) if isinstance(o, MigrateConnections) and o.forwarder == 0]
         )
 
     def test_parts_of_the_arrivals_are_told_where_they_changed(self) -> None:
         fleet = Fleet(TERMS, {0: stands()}, {f: 0 for f in range(4)})
-        told = {o.forwarder: o.arrival_fraction for o in fleet.step() if isinstance(o, mv.AdmitForwarder)}
+        told = {o.forwarder: o.arrival_fraction for o in fleet.step() if isinstance(o, AdmitForwarder)}
         self.assertEqual(told, dict.fromkeys(range(4), 0.25))
         self.assertEqual(fleet.step(), [])
         fleet.moves.remove_forwarder(3)
         told = {
             o.forwarder: o.arrival_fraction
             for o in fleet.moves.plan(9.0, fleet.standing)
-            if isinstance(o, mv.AdmitForwarder)
+            if isinstance(o, AdmitForwarder)
         }
         self.assertEqual(set(told), {0, 1, 2})
 
     def test_rows_replace_and_vanish(self) -> None:
         moves = mv.MigrationPlanner(TERMS)
         moves.add_forwarder(7, 0)
-        moves.update_connections(
-            7, True, {1: mv.HeldConnectionCounts(5, 1, 2), 2: mv.HeldConnectionCounts(3)}
-        )
-        moves.update_connections(7, False, {1: mv.HeldConnectionCounts(4), 2: mv.HeldConnectionCounts(0)})
-        self.assertEqual(moves.connections_by_worker(), {1: mv.HeldConnectionCounts(4)})
+        moves.update_connections(7, True, {1: HeldConnectionCounts(5, 1, 2), 2: HeldConnectionCounts(3)})
+        moves.update_connections(7, False, {1: HeldConnectionCounts(4), 2: HeldConnectionCounts(0)})
+        self.assertEqual(moves.connections_by_worker(), {1: HeldConnectionCounts(4)})
         self.assertEqual(moves.load_by_worker(), {1: 0.2})
         moves.update_connections(7, True, {})
         self.assertEqual(moves.connections_by_worker(), {})
