--- a/tests/planning/test_snapshot_staleness.py
+++ b/tests/planning/test_snapshot_staleness.py
@@ -62,7 +62,7 @@
         self.assertEqual(ageing.snapshot_age(0.0, 86_400.0), 86_400.0)
 
     def ladder(self, *pasts: WorkerHistory, started: float = 0.0) -> RoutingController:
-        ladder = RoutingController(me.TERMS)
+        ladder = RoutingController(me.PARAMETERS)
         entries = tuple(
             Endpoint(be, be % 2, EndpointState.READY, 1.0, started if be == 0 else 0.0) for be in range(6)
         )
@@ -88,12 +88,12 @@
         self.assertTrue(replaced.cold(replaced.bes[0]))  # and still cold
 
     def test_a_life_goes_round(self) -> None:
-        day = me.MonthEndRun({}, length=30.0)
-        day.play()
-        life = collect_state(day.ladder, list(day.ladder.bes), list(day.ladder.proxies))
-        self.assertEqual({p.worker_index for p in life.workers}, set(day.boxes))
+        day = me.MonthEndRun({}, duration_s=30.0)
+        day.run()
+        life = collect_state(day.controller, list(day.controller.bes), list(day.controller.proxies))
+        self.assertEqual({p.worker_index for p in life.workers}, set(day.workers))
         self.assertTrue(all(p.base_latency_s > 0 for p in life.workers))
-        self.assertEqual(len(life.proxy_rates), me.PROXIES)
+        self.assertEqual(len(life.proxy_rates), me.PROXY_COUNT)
 
     def test_the_forwarder_s(self) -> None:
         kinds = [ro.RequestClass("fetch", (), ro.IDEMPOTENT)]
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -16,8 +16,8 @@
 
 from cottonladder.cli import main as cli
 from cottonladder.snapshots import store
-from cottonladder.testbed.discovery import Discovery
-from cottonladder.testbed.fleet import Forwarder, Manager
+from cottonladder.testbed.discovery import SimulatedDiscovery
+from cottonladder.testbed.fleet import ForwarderProcess, ManagerProcess
 
 SECTIONS: dict[str, Any] = {"manager": {"v": 1, "data": {"mark": 7}}}
 
@@ -30,16 +30,16 @@
         self.folder = Path(folder.name)
         self.stack = AsyncExitStack()
         self.addAsyncCleanup(self.stack.aclose)
-        self.discovery = Discovery()
+        self.discovery = SimulatedDiscovery()
         self.at = await self.discovery.start()
         self.stack.push_async_callback(self.discovery.close)
         for n in range(4):
             await self.discovery.put(f"s-{n}", f"127.0.0.9:{8000 + n}", "a")
 
-    async def manager(self, **more: Any) -> Manager:
+    async def manager(self, **more: Any) -> ManagerProcess:
         memory = {"folder": str(self.folder / "m"), "every": 0.2}
         known = more.pop("known", self.discovery.listing())
-        manager = Manager(self.at, known, None, memory=memory, control=str(self.folder / "c"), **more)
+        manager = ManagerProcess(self.at, known, None, memory=memory, control=str(self.folder / "c"), **more)
         await manager.serving()
         return manager
 
@@ -57,13 +57,13 @@
     async def test_a_drain_is_kept_while_discovery_is_down(self) -> None:
         known = self.discovery.listing()
         manager = await self.manager()
-        await self.discovery.state("s-1", "Terminating")
+        await self.discovery.set_state("s-1", "Terminating")
         await manager.logged("be 1 well>gone")
         await self.wrote(5)
         asked = CliRunner().invoke(cli.main, ["tasks", str(self.folder / "c"), "--json"])
         self.assertEqual([row["task"] for row in json.loads(asked.output)], ["snapshot"])
         await manager.stop()
-        await self.discovery.fail(True)
+        await self.discovery.set_down(True)
         again = await self.manager(known=known)  # the configuration's list is an old one
         self.stack.push_async_callback(again.stop)
         line = await again.logged("memory used")
@@ -72,7 +72,7 @@
         self.assertNotIn("s-1", proxy_table)
         self.assertIn("s-0", proxy_table)
 
-    async def table(self, manager: Manager) -> str:
+    async def table(self, manager: ManagerProcess) -> str:
         from tests.standins import Client
 
         proxy = Client(*await asyncio.open_connection("127.0.0.1", manager.port))
@@ -119,7 +119,7 @@
         part = {"memory": {"folder": str(self.folder / "f"), "every": 0.2}}
         manager = await self.manager()
         self.stack.push_async_callback(manager.stop)
-        one = Forwarder(1, self.at, [f"127.0.0.1:{manager.port}"], None, **part)
+        one = ForwarderProcess(1, self.at, [f"127.0.0.1:{manager.port}"], None, **part)
         await one.serving()
         await one.logged("stream opened")
         kept = str(self.folder / "f")
@@ -131,7 +131,7 @@
             self.assertLess(time.monotonic(), end)
             await asyncio.sleep(0.1)
         await one.stop()
-        two = Forwarder(1, self.at, ["127.0.0.1:9"], None, **part)
+        two = ForwarderProcess(1, self.at, ["127.0.0.1:9"], None, **part)
         await two.serving()
         self.stack.push_async_callback(two.stop)
         self.assertIn("table fetch", await two.logged("memory used"))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 
 from cottonladder.config.deployment import read_settings
 from cottonladder.config.manager_config import read_manager_config
-from cottonladder.control import manager
+from cottonladder.control.reload import ConfigReloader
 from cottonladder.model.inputs import (
     ArrivalReport,
     EndpointList,
@@ -356,13 +356,13 @@
 """
 CLOSED = """
 import asyncio, os, signal, sys
-from cottonladder.cli import main as cli; from cottonladder.control import signals
+from cottonladder.cli import serving as cli; from cottonladder.control import signals
 sys.argv[1:] = ["serve"]
 signals.install_early_handlers(sys.argv)
 async def serving():
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, print, "told")
-asyncio.run(cli._sealed(serving()))
+asyncio.run(cli.serve_then_block_signals(serving()))
 os.kill(os.getpid(), signal.SIGTERM)
 print("ended")
 """
@@ -464,7 +464,7 @@
         program.config["discovery"] = await self.host(Discovery().handle)
         (program.folder / "config.json").write_text(json.dumps(program.config))
         follower, where = mock.Mock(), mock.Mock()
-        reload = manager.ConfigReloader(str(program.folder / "config.json"), placement, follower, where)
+        reload = ConfigReloader(str(program.folder / "config.json"), placement, follower, where)
         reload.close()
         reload()
         follower.change_address.assert_not_called()
