--- a/cottonladder/snapshots/sections.py
+++ b/cottonladder/snapshots/sections.py
@@ -1,13 +1,14 @@
-"""What stands in a memory file: each section with its own version, checked when it is read.
+"""What a snapshot file holds: each section with its own version, checked when it is read.
 
-A section that can't be used is left out, one line each; the others count.  Workers and zones stand by their
-names, as small indices are another life's.
+A section that can't be used is left out, one line each; the others count.  Workers stand by their ids, as
+indices are another incarnation's.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from typing import Any, TypeVar
+from dataclasses import dataclass, field
+from typing import Any, Generic, NamedTuple, TypeVar
 
 import msgspec
 from msgspec import Struct
@@ -27,7 +28,7 @@
 
 
 class WorkerSnapshot(Struct, array_like=True):
-    """A manager's knowledge of one worker."""
+    """A manager's knowledge of one worker; times in seconds, `latency_factor` 0 to 1."""
 
     id: str
     started_at: float
@@ -38,6 +39,8 @@
 
 
 class EndpointSnapshot(Struct, array_like=True):
+    """One worker of the list; `state` as a number of `model.inputs.EndpointState`."""
+
     id: str
     address: str
     zone: int
@@ -47,7 +50,11 @@
 
 
 class ManagerSnapshot(Struct, rename=MANAGER_NAMES):
-    """`mark`: the last number of a mark; `moves`: of an order of moves; `credits` by advisor."""
+    """What a manager keeps.
+
+    `last_checkpoint`: the last checkpoint's number; `proxy_rates`: requests a second by proxy; `list_version`
+    and `endpoints`: the list of workers; `advisor_credits`: by advisor.
+    """
 
     last_checkpoint: int
     workers: list[WorkerSnapshot]
@@ -58,13 +65,18 @@
 
 
 class TableSnapshot(Struct, rename=TABLE_NAMES):
+    """One request class's routing table: weights by worker id, the admission ratio, the retry policy."""
+
     weights: dict[str, float]
     admission_ratio: float | None
     retry_policy: int
 
 
 class ForwarderSnapshot(Struct, rename=FORWARDER_NAMES):
-    """`avoid`: s left of each worker that is kept away from; `held`: connections by worker."""
+    """What a forwarder keeps, all by worker id but the tables, which are by request class.
+
+    `avoid_for_s`: seconds left for which a worker is not selected; `held_connections`: their number.
+    """
 
     tables: dict[str, TableSnapshot]
     excluded: list[str]
@@ -72,32 +84,50 @@
     held_connections: dict[str, int]
 
 
-# A section's name -> (its version today, its type, migrations of its data from a version to the next)
-SECTION_TYPES: dict[str, tuple[int, type[Struct], dict[int, Callable[[Any], Any]]]] = {
-    "manager": (1, ManagerSnapshot, {}),
-    "forwarder": (1, ForwarderSnapshot, {}),
+@dataclass(frozen=True, slots=True)
+class SectionType:
+    """A section's version today, its type, and migrations of its data from a version to the next."""
+
+    version: int
+    type: type[Struct]
+    migrations: dict[int, Callable[[Any], Any]] = field(default_factory=dict)
+
+
+SECTION_TYPES: dict[str, SectionType] = {
+    "manager": SectionType(1, ManagerSnapshot),
+    "forwarder": SectionType(1, ForwarderSnapshot),
 }
 
 
+class DecodedSection(NamedTuple, Generic[T]):
+    """A section, or none and why it can't be used: one plain line, empty where it is not there."""
+
+    section: T | None
+    reason: str
+
+
 def encode_section(name: str, snapshot: Struct) -> dict[str, Any]:
-    return {"v": SECTION_TYPES[name][0], "data": snapshot}  # written as its fields, by the store's encoder
+    """The section beside its version; the store's encoder writes the snapshot as its fields."""
+    return {"v": SECTION_TYPES[name].version, "data": snapshot}
 
 
-def decode_section(name: str, sections: Mapping[str, Any], kind: type[T]) -> tuple[T | None, str]:
-    """The section, or none and why it can't be used."""
+def decode_section(name: str, sections: Mapping[str, Any], expected: type[T]) -> DecodedSection[T]:
+    """The section of this name as an `expected`, migrated where an earlier version wrote it."""
     section = sections.get(name)
     if section is None:
-        return None, ""
-    version, expected, migrations = SECTION_TYPES[name]
-    assert kind is expected
+        return DecodedSection(None, "")
+    known = SECTION_TYPES[name]
+    assert expected is known.type
     if not isinstance(section, dict) or not isinstance(section.get("v"), int):
-        return None, f"section {name}: no version"
-    found, data = section["v"], section.get("data")
-    if found > version:
-        return None, f"section {name}: of a newer version, {found}"
+        return DecodedSection(None, f"section {name}: no version")
+    version = section["v"]
+    if version > known.version:
+        return DecodedSection(None, f"section {name}: of a newer version, {version}")
+    data = section.get("data")
     try:
-        while found < version:
-            data, found = migrations[found](data), found + 1
-        return msgspec.convert(data, kind, strict=False), ""
+        while version < known.version:
+            data = known.migrations[version](data)
+            version += 1
+        return DecodedSection(msgspec.convert(data, expected, strict=False), "")
     except (msgspec.ValidationError, KeyError, TypeError, ValueError) as exc:
-        return None, f"section {name}: {exc}"
+        return DecodedSection(None, f"section {name}: {exc}")
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from cottonladder.cli import main as cli
-from cottonladder.snapshots import store
+from cottonladder.snapshots import file_format, store
 from cottonladder.testbed.discovery import SimulatedDiscovery
 from cottonladder.testbed.fleet import ForwarderProcess, ManagerProcess
 
@@ -87,7 +87,7 @@
             (lambda: (folder / "state-3.clm").write_bytes(b"what"), "state-3.clm: cut short"),
             (lambda: (folder / "state-9.clm").mkdir(), "state-9.clm"),
             (
-                lambda: (folder / "state-12.clm").write_bytes(store.encode_file(SECTIONS, 1.0, 9)),
+                lambda: (folder / "state-12.clm").write_bytes(file_format.encode_file(SECTIONS, 1.0, 9)),
                 "newer format",
             ),
         ):
--- a/tests/snapshots/test_store.py
+++ b/tests/snapshots/test_store.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from cottonladder.cli import main as cli
-from cottonladder.snapshots import sections, store
+from cottonladder.snapshots import file_format, sections, store
 from cottonladder.testbed.fleet import ROOT
 
 SECTIONS: dict[str, Any] = {"manager": {"v": 1, "data": {"mark": 7}}}
@@ -61,32 +61,32 @@
         self.assertEqual(self.store.numbers()[0], 7)
 
     def test_cut_at_every_byte(self) -> None:
-        data = store.encode_file(SECTIONS, 5.0)
-        self.assertEqual(store.decode_file(data), (5.0, SECTIONS))
+        data = file_format.encode_file(SECTIONS, 5.0)
+        self.assertEqual(file_format.decode_file(data), (5.0, SECTIONS))
         for n in range(len(data)):
             with self.assertRaises(store.SnapshotError):
-                store.decode_file(data[:n])
+                file_format.decode_file(data[:n])
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.data())
     def test_flipped_bytes_never_pass(self, data: st.DataObject) -> None:
-        good = bytearray(store.encode_file(SECTIONS, 5.0))
+        good = bytearray(file_format.encode_file(SECTIONS, 5.0))
         for at in data.draw(st.sets(st.integers(0, len(good) - 1), min_size=1, max_size=4)):
             good[at] ^= data.draw(st.integers(1, 255))
         with self.assertRaises(store.SnapshotError):
-            store.decode_file(bytes(good))
+            file_format.decode_file(bytes(good))
 
     def test_older_newer_and_alien_ones(self) -> None:
-        older = store.encode_file({"manager": {"mark": 7}}, 5.0, format_version=1)
-        self.assertEqual(store.decode_file(older)[1], SECTIONS)  # by the table of migrations
+        older = file_format.encode_file({"manager": {"mark": 7}}, 5.0, format_version=1)
+        self.assertEqual(file_format.decode_file(older)[1], SECTIONS)  # by the table of migrations
         for data, why in (
-            (store.encode_file(SECTIONS, 5.0, format_version=9), "newer format, 9"),
-            (store.encode_file(SECTIONS, 5.0, format_version=0), "unknown format"),
+            (file_format.encode_file(SECTIONS, 5.0, format_version=9), "newer format, 9"),
+            (file_format.encode_file(SECTIONS, 5.0, format_version=0), "unknown format"),
             (b"", "cut short"),
             (b"x" * 200, "not a memory file"),
         ):
             with self.subTest(why), self.assertRaisesRegex(store.SnapshotError, why):
-                store.decode_file(data)
+                file_format.decode_file(data)
 
     def test_a_folder_in_a_file_s_place_and_an_owner_elsewhere(self) -> None:
         self.store.write(SECTIONS, 5.0)
@@ -131,7 +131,7 @@
         self.assertLessEqual(counts["leftovers"], 1)
 
     def test_sections_that_can_not_be_used_are_left_out(self) -> None:
-        kept = store.encode_file(
+        kept = file_format.encode_file(
             {
                 "forwarder": sections.encode_section(
                     "forwarder", sections.ForwarderSnapshot({}, ["s-1"], {}, {})
@@ -139,7 +139,7 @@
             },
             1,
         )
-        good = store.decode_file(kept)[1]["forwarder"]
+        good = file_format.decode_file(kept)[1]["forwarder"]
         life, why = sections.decode_section("forwarder", {"forwarder": good}, sections.ForwarderSnapshot)
         self.assertEqual((life and life.excluded, why), (["s-1"], ""))
         for section, said in (
