--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -219,7 +219,7 @@
     def reload_plugins(self, config: PluginsConfig | None) -> None:
         """On SIGHUP: the old ones serve until the new ones are proved."""
         if config is None or self.handler.plugins is None:
-            self.log.error("plug-ins not taken", reason="they can be changed, but not switched on or off")
+            self.log.error("plugins_rejected", reason="they can be changed, but not switched on or off")
         elif not self.handler.plugins.reload(plugin_specs(config)):
             self._apply_plugin_config(config)
 
--- a/cottonladder/plugins/abi.py
+++ b/cottonladder/plugins/abi.py
@@ -14,27 +14,46 @@
 from dataclasses import dataclass, field
 
 INTERFACE_VERSION = 1
+# The module that a plug-in imports the host's functions from.
 IMPORT_MODULE = "cottonladder"
-ROUTE, RETRY, UPGRADE = "route", "further", "upgrade"  # a forwarder's
-WORKER, MOVE, EVENT = "worker", "move", "event"  # a manager's
+# Hooks that a forwarder calls.
+ROUTE = "route"
+RETRY = "further"
+UPGRADE = "upgrade"
+# Hooks that a manager calls.
+WORKER = "worker"
+MOVE = "move"
+EVENT = "event"
 HOOKS = (ROUTE, RETRY, UPGRADE, WORKER, MOVE, EVENT)
-SELF_TEST = "self_test"  # optional: gives 0 where the plug-in finds itself sound
-ANSWER_FIELDS = {"need", "prefer", "deny", "kind", "forbid", "set", "drop", "factor"}  # of an answer's lines
-MAX_RECORD_SIZE = 8192  # bytes; headers that fit no more are left out
+# An optional export: gives 0 where the plug-in finds itself sound.
+SELF_TEST = "self_test"
+# Names of an answer's lines.
+ANSWER_FIELDS = {"need", "prefer", "deny", "kind", "forbid", "set", "drop", "factor"}
+# Those of them that may come once.
+SINGLE_FIELDS = ("deny", "kind", "forbid", "factor")
+# Bytes of a record; headers that fit no more are left out.
+MAX_RECORD_SIZE = 8192
+# Bytes of an answer.
 MAX_ANSWER_SIZE = 4096
-MAX_ANSWER_LINES = 64  # of an answer
-MAX_ANSWER_LINE_LENGTH = 512  # bytes of one line of an answer
+# Lines of an answer.
+MAX_ANSWER_LINES = 64
+# Characters of one line of an answer.
+MAX_ANSWER_LINE_LENGTH = 512
+# Characters of an unknown name that an error cites.
+MAX_CITED_NAME_LENGTH = 32
 
 
 class AnswerError(ValueError):
-    """An answer that is none; one plain line."""
+    """Bytes that are no answer; one plain line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a hook asks for, as said; `decisions.hooks` says what of it may be.
+    """What a hook asks for, under the interface's names; `planning.plugin_bounds` decides what of it may be.
 
-    `need`, `prefer`: labels; `deny`: a reason; `kind`: another request kind; `forbid`: no further try."""
+    `need`, `prefer`: labels of workers; `deny`: a reason to reject the request; `kind`: another request
+    class; `forbid`: no retry; `set_headers`: (name, value); `factor`: of a worker's capacity estimate.
+    """
 
     need: tuple[str, ...] = ()
     prefer: tuple[str, ...] = ()
@@ -50,31 +69,44 @@
 
 
 def encode_record(pairs: Iterable[tuple[str, str]]) -> bytes:
-    """Lines of a record; what would break a line or the bound is left out."""
+    """The lines of a record; what would break a line or pass the bound is left out."""
     lines = [f"{name}={value}" for name, value in pairs if "\n" not in value and "\n" not in name]
     data = ("\n".join(lines) + "\n").encode("utf-8", "replace")
     if len(data) <= MAX_RECORD_SIZE:
         return data
-    out, size = list[bytes](), 0
-    for line in (line.encode("utf-8", "replace") for line in lines):
-        if size + len(line) < MAX_RECORD_SIZE:
-            out.append(line)
-            size += len(line) + 1
-    return b"\n".join(out) + b"\n"
+    kept: list[bytes] = []
+    size = 0
+    for line in lines:
+        encoded = line.encode("utf-8", "replace")
+        if size + len(encoded) < MAX_RECORD_SIZE:
+            kept.append(encoded)
+            size += len(encoded) + 1
+    return b"\n".join(kept) + b"\n"
 
 
-def _factor(word: str) -> float:
-    try:
-        value = float(word)
-    except ValueError:
-        value = math.nan
-    if not math.isfinite(value) or value < 0 or "_" in word:
-        raise AnswerError("factor is no finite figure of 0 or more")
-    return value
+def parse_answer(data: bytes) -> Answer:
+    """Reads an answer; raises AnswerError for all of it where lines are unknown or contradict each other."""
+    values = _values_by_name(_lines(data))
+    for name in SINGLE_FIELDS:
+        if len(values.get(name, [])) > 1:
+            raise AnswerError(f"{name} comes twice")
+    unknown = values.keys() - ANSWER_FIELDS
+    if unknown:
+        raise AnswerError(f"unknown name {sorted(unknown)[0][:MAX_CITED_NAME_LENGTH]}")
+    return Answer(
+        need=tuple(values.get("need", [])),
+        prefer=tuple(values.get("prefer", [])),
+        deny=values["deny"][0] if "deny" in values else None,
+        kind=values["kind"][0] if "kind" in values else None,
+        forbid=values.get("forbid", ["0"])[0] == "1",
+        set_headers=_parse_headers(values.get("set", [])),
+        drop_headers=tuple(values.get("drop", [])),
+        factor=_parse_factor(values["factor"][0]) if "factor" in values else None,
+    )
 
 
-def parse_answer(data: bytes) -> Answer:
-    """Reads an answer; contradictory or unknown lines make all of it none."""
+def _lines(data: bytes) -> list[str]:
+    """An answer's lines that aren't empty, within the bounds of their number and size."""
     if len(data) > MAX_ANSWER_SIZE:
         raise AnswerError(f"an answer of {len(data)} bytes, {MAX_ANSWER_SIZE} at most")
     try:
@@ -83,27 +115,35 @@
         raise AnswerError("an answer that is not UTF-8") from None
     if len(lines) > MAX_ANSWER_LINES:
         raise AnswerError(f"an answer of {len(lines)} lines, {MAX_ANSWER_LINES} at most")
-    said: dict[str, list[str]] = {}
+    return lines
+
+
+def _values_by_name(lines: Iterable[str]) -> dict[str, list[str]]:
+    values: dict[str, list[str]] = {}
     for line in lines:
         name, sign, value = line.partition("=")
         if not sign or len(line) > MAX_ANSWER_LINE_LENGTH or not value.isprintable():
             raise AnswerError("an answer's line is not name=value")
-        said.setdefault(name, []).append(value)
-    for once in ("deny", "kind", "forbid", "factor"):
-        if len(said.get(once, [])) > 1:
-            raise AnswerError(f"{once} comes twice")
-    if unknown := said.keys() - ANSWER_FIELDS:
-        raise AnswerError(f"unknown name {sorted(unknown)[0][:32]}")
-    headers = [value.partition(":") for value in said.get("set", [])]
-    if any(not sign or not name.isascii() for name, sign, _ in headers):
-        raise AnswerError("set is not header:value")
-    return Answer(
-        need=tuple(said.get("need", [])),
-        prefer=tuple(said.get("prefer", [])),
-        deny=said.get("deny", [None])[0] if "deny" in said else None,
-        kind=said["kind"][0] if "kind" in said else None,
-        forbid=said.get("forbid", ["0"])[0] == "1",
-        set_headers=tuple((name.strip(), value.strip()) for name, _, value in headers),
-        drop_headers=tuple(said.get("drop", [])),
-        factor=_factor(said["factor"][0]) if "factor" in said else None,
-    )
+        values.setdefault(name, []).append(value)
+    return values
+
+
+def _parse_headers(values: Iterable[str]) -> tuple[tuple[str, str], ...]:
+    """Values of `set` lines as (name, value) of headers."""
+    headers: list[tuple[str, str]] = []
+    for text in values:
+        name, sign, value = text.partition(":")
+        if not sign or not name.isascii():
+            raise AnswerError("set is not header:value")
+        headers.append((name.strip(), value.strip()))
+    return tuple(headers)
+
+
+def _parse_factor(text: str) -> float:
+    try:
+        value = float(text)
+    except ValueError:
+        value = math.nan
+    if not math.isfinite(value) or value < 0 or "_" in text:
+        raise AnswerError("factor is no finite figure of 0 or more")
+    return value
--- a/cottonladder/plugins/host.py
+++ b/cottonladder/plugins/host.py
@@ -17,8 +17,6 @@
 from typing import Any
 
 import wasmtime
-from wasmtime import _ffi as ffi
-from wasmtime._func import maybe_raise_last_exn
 
 from ..config.errors import InputError
 from .abi import (
@@ -33,42 +31,62 @@
     AnswerError,
     parse_answer,
 )
-
-FUEL_PER_CALL = 200_000  # instructions a call: under a millisecond
-FUEL_SAMPLE_INTERVAL = 16  # calls of which one's fuel is counted for all: asking costs as much as setting it
-FUEL_AT_START = 2_000_000  # of an instance's making and its self-test
-MAX_MEMORY = 1 << 20  # bytes
-MAX_TABLE_ELEMENTS = 4096  # elements
-MAX_STACK = 256 << 10  # bytes of a call's stack
-MAX_MODULE_SIZE = 4 << 20  # bytes of a file
-MAX_HOST_CALLS = 64  # of one call
-MAX_LOG_LENGTH = 200  # bytes of one log line; one each call
+from .hook_call import HookCall
+
+# Instructions of a call: under a millisecond.
+FUEL_PER_CALL = 200_000
+# Calls of which one's fuel is counted for all: asking costs as much as setting it.
+FUEL_SAMPLE_INTERVAL = 16
+# Instructions of an instance's start and its self-test.
+FUEL_AT_START = 2_000_000
+# Bytes of an instance's memory.
+MAX_MEMORY = 1 << 20
+# Elements of its tables.
+MAX_TABLE_ELEMENTS = 4096
+# Bytes of a call's stack.
+MAX_STACK = 256 << 10
+# Bytes of a module's file.
+MAX_MODULE_SIZE = 4 << 20
+# Calls to the host in one call of a hook.
+MAX_HOST_CALLS = 64
+# Bytes of one log line; one each call.
+MAX_LOG_LENGTH = 200
+# Characters of an engine's message that an error keeps.
+MAX_SUMMARY_LENGTH = 200
 
 
 class PluginError(InputError):
     """A plug-in that can't be loaded; one plain line."""
 
+    def __init__(self, path: str, reason: str | None) -> None:
+        super().__init__(f"{path}: {reason}")
+        self.plugin_path = path
+        self.reason = reason
+
 
 class PluginFault(Exception):
-    """A call that failed: `kind` is short, for counts."""
+    """A call that failed: `kind` is a short name of the fault, for operators."""
 
-    def __init__(self, kind: str, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, kind: str, reason: str) -> None:
+        super().__init__(reason)
         self.kind = kind
 
 
 @dataclass(slots=True)
 class CallCounts:
+    """What a plug-in's calls came to."""
+
     calls: int = 0
     faults: int = 0
-    clipped: int = 0
-    skipped: int = 0  # left alone by the breaker or the budget
+    clipped: int = 0  # answers that asked for more than may be
+    skipped: int = 0  # left alone by the circuit breaker or the CPU budget
     seconds: float = 0.0
     longest_s: float = 0.0
     fuel: int = 0
 
 
 def create_engine() -> wasmtime.Engine:
+    """An engine that counts fuel and lets in nothing whose time fuel can't bound."""
     config = wasmtime.Config()
     config.consume_fuel = True
     config.max_wasm_stack = MAX_STACK
@@ -81,74 +99,78 @@
 
 
 class Plugin:
-    """Compiled once; an instance is made anew after every fault, so that nothing poisoned stays."""
+    """Compiled once; an instance is made anew after every fault, so that no broken state stays."""
 
     def __init__(
         self, name: str, path: str, grants: frozenset[str], seed: int, log: Callable[[str, str], None]
     ) -> None:
-        self.name, self.path, self._grants, self._log = name, path, grants, log
-        self._chance = random.Random(seed)
+        """Loads, checks and tests the module; raises PluginError where it can't be used."""
+        self.name = name
+        self.path = path
         self.counts = CallCounts()
-        self._host_calls = self._logged = 0
-        try:
-            data = Path(path).read_bytes()
-        except OSError as exc:
-            raise PluginError(f"{path}: {exc.strerror}") from None
-        if len(data) > MAX_MODULE_SIZE:
-            raise PluginError(f"{path}: over {MAX_MODULE_SIZE} bytes")
+        self._grants = grants
+        self._log = log
+        self._random = random.Random(seed)
+        self._host_calls = 0  # in the call under way
+        self._has_logged = False  # in the call under way
         self._engine = create_engine()
-        try:
-            text = data if data.startswith(b"\0asm") else bytes(wasmtime.wat2wasm(data.decode()))
-            self._module = wasmtime.Module(self._engine, text)
-        except (wasmtime.WasmtimeError, UnicodeDecodeError) as exc:
-            raise PluginError(f"{path}: {_summary_line(exc)}") from None
-        self._verify()
-        self._store: wasmtime.Store | None = None
+        self._module = self._compile()
+        self.hooks = self._check_exports()
+        self._check_imports()
+        self._store: wasmtime.Store | None = None  # None: the instance has to be made anew
         self._exports: Any = None
-        self._calls: dict[str, _Hook] = {}
+        self._calls: dict[str, HookCall] = {}
         try:
-            self._instance()
+            self._instantiate()
             self._self_test()
         except PluginFault as exc:
-            raise PluginError(f"{path}: {exc}") from None
+            raise PluginError(path, str(exc)) from None
+
+    def _compile(self) -> wasmtime.Module:
+        try:
+            data = Path(self.path).read_bytes()
+        except OSError as exc:
+            raise PluginError(self.path, exc.strerror) from None
+        if len(data) > MAX_MODULE_SIZE:
+            raise PluginError(self.path, f"over {MAX_MODULE_SIZE} bytes")
+        try:
+            binary = data if data.startswith(b"\0asm") else bytes(wasmtime.wat2wasm(data.decode()))
+            return wasmtime.Module(self._engine, binary)
+        except (wasmtime.WasmtimeError, UnicodeDecodeError) as exc:
+            raise PluginError(self.path, _summary_line(exc)) from None
 
-    def _verify(self) -> None:
+    def _check_exports(self) -> tuple[str, ...]:
+        """The hooks that the module exports, all of the right type."""
         exports = {export.name: export.type for export in self._module.exports}
         if not isinstance(exports.get("memory"), wasmtime.MemoryType):
-            raise PluginError(f"{self.path}: no export memory")
+            raise PluginError(self.path, "no export memory")
         for name in ("interface", "input", "capacity"):
             if not isinstance(exports.get(name), wasmtime.FuncType):
-                raise PluginError(f"{self.path}: no export {name}")
-        self.hooks = tuple(hook for hook in HOOKS if hook in exports)
-        if not self.hooks:
-            raise PluginError(f"{self.path}: none of the hooks {', '.join(HOOKS)}")
-        for hook in self.hooks:
-            kind = exports[hook]
-            if not isinstance(kind, wasmtime.FuncType) or (
-                [str(p) for p in kind.params] != ["i32"] or [str(r) for r in kind.results] != ["i64"]
-            ):
-                raise PluginError(f"{self.path}: {hook} is not (i32) -> i64")
+                raise PluginError(self.path, f"no export {name}")
+        hooks = tuple(hook for hook in HOOKS if hook in exports)
+        if not hooks:
+            raise PluginError(self.path, f"none of the hooks {', '.join(HOOKS)}")
+        for hook in hooks:
+            if not _is_hook_type(exports[hook]):
+                raise PluginError(self.path, f"{hook} is not (i32) -> i64")
+        return hooks
+
+    def _check_imports(self) -> None:
         allowed = {"log"} | (self._grants & {"random"})
         for wanted in self._module.imports:
             if wanted.module != IMPORT_MODULE or wanted.name not in allowed:
-                raise PluginError(f"{self.path}: imports {wanted.module}.{wanted.name}, which is not granted")
-
-    def _instance(self) -> None:
-        """A fresh one."""
-        store = wasmtime.Store(self._engine)
-        store.set_limits(
-            memory_size=MAX_MEMORY, table_elements=MAX_TABLE_ELEMENTS, instances=1, tables=1, memories=1
-        )
-        store.set_fuel(FUEL_AT_START)
-        linker = wasmtime.Linker(self._engine)
-        i32, i64 = wasmtime.ValType.i32(), wasmtime.ValType.i64()
-        linker.define_func(IMPORT_MODULE, "log", wasmtime.FuncType([i32, i32], []), self._host_log)
-        linker.define_func(IMPORT_MODULE, "random", wasmtime.FuncType([], [i64]), self._host_random)
-        self._host_calls = self._logged = 0
+                raise PluginError(self.path, f"imports {wanted.module}.{wanted.name}, which is not granted")
+
+    def _instantiate(self) -> None:
+        """Makes a fresh instance; raises PluginFault where it doesn't start."""
+        store = self._create_store()
+        linker = self._create_linker()
+        self._host_calls = 0
+        self._has_logged = False
         try:
-            instance = linker.instantiate(store, self._module)
-            exports = instance.exports(store)
-            version, at = exports["interface"](store), exports["input"](store)  # type: ignore[operator]
+            exports = linker.instantiate(store, self._module).exports(store)
+            version = exports["interface"](store)  # type: ignore[operator]
+            address = exports["input"](store)  # type: ignore[operator]
             capacity = exports["capacity"](store)  # type: ignore[operator]
         except (wasmtime.WasmtimeError, wasmtime.Trap) as exc:
             raise PluginFault("start", f"does not start: {_summary_line(exc)}") from None
@@ -156,11 +178,31 @@
             raise PluginFault("start", f"interface {version}, {INTERFACE_VERSION} expected")
         memory = exports["memory"]
         assert isinstance(memory, wasmtime.Memory)
-        if not (0 <= at and 0 < capacity and at + capacity <= memory.data_len(store)):
+        if not (0 <= address and 0 < capacity and address + capacity <= memory.data_len(store)):
             raise PluginFault("start", "its input is not within its memory")
-        self._calls = {hook: _Hook(exports[hook]) for hook in self.hooks}  # type: ignore[arg-type]
-        self._store, self._exports, self._memory = store, exports, memory
-        self._at, self._capacity = at, min(capacity, MAX_RECORD_SIZE)
+        self._calls = {hook: HookCall(exports[hook]) for hook in self.hooks}  # type: ignore[arg-type]
+        self._store = store
+        self._exports = exports
+        self._memory = memory
+        self._input_address = address
+        self._input_capacity = min(capacity, MAX_RECORD_SIZE)
+
+    def _create_store(self) -> wasmtime.Store:
+        store = wasmtime.Store(self._engine)
+        store.set_limits(
+            memory_size=MAX_MEMORY, table_elements=MAX_TABLE_ELEMENTS, instances=1, tables=1, memories=1
+        )
+        store.set_fuel(FUEL_AT_START)
+        return store
+
+    def _create_linker(self) -> wasmtime.Linker:
+        """Offers the host's functions; the imports were checked at the load."""
+        linker = wasmtime.Linker(self._engine)
+        i32 = wasmtime.ValType.i32()
+        i64 = wasmtime.ValType.i64()
+        linker.define_func(IMPORT_MODULE, "log", wasmtime.FuncType([i32, i32], []), self._host_log)
+        linker.define_func(IMPORT_MODULE, "random", wasmtime.FuncType([], [i64]), self._host_random)
+        return linker
 
     def _self_test(self) -> None:
         test = self._exports.get(SELF_TEST) if hasattr(self._exports, "get") else None
@@ -168,106 +210,95 @@
             return
         assert self._store is not None
         try:
-            said = test(self._store)
+            result = test(self._store)
         except (wasmtime.WasmtimeError, wasmtime.Trap) as exc:
             raise PluginFault("self-test", f"its self-test fails: {_summary_line(exc)}") from None
-        if said != 0:
-            raise PluginFault("self-test", f"its self-test gives {said}")
+        if result != 0:
+            raise PluginFault("self-test", f"its self-test gives {result}")
 
-    def _count(self) -> None:
+    def _count_host_call(self) -> None:
         self._host_calls += 1
         if self._host_calls > MAX_HOST_CALLS:
             raise PluginFault("host calls", f"over {MAX_HOST_CALLS} calls to the host")
 
-    def _host_log(self, at: int, size: int) -> None:
-        self._count()
-        if self._logged or self._store is None:
+    def _host_log(self, address: int, size: int) -> None:
+        """The import `log`: one line a call; what is out of bounds is dropped."""
+        self._count_host_call()
+        if self._has_logged or self._store is None:
             return
-        self._logged = 1
-        if 0 <= at and 0 <= size <= MAX_LOG_LENGTH and at + size <= self._memory.data_len(self._store):
-            words = bytes(self._memory.read(self._store, at, at + size)).decode("utf-8", "replace")
-            self._log(self.name, "".join(c if c.isprintable() else "?" for c in words))
+        self._has_logged = True
+        if 0 <= address and 0 <= size <= MAX_LOG_LENGTH:
+            end = address + size
+            if end <= self._memory.data_len(self._store):
+                text = bytes(self._memory.read(self._store, address, end)).decode("utf-8", "replace")
+                self._log(self.name, "".join(char if char.isprintable() else "?" for char in text))
 
     def _host_random(self) -> int:
-        self._count()
-        return self._chance.getrandbits(63)
+        """The import `random`: 63 bits of the plug-in's own seeded generator."""
+        self._count_host_call()
+        return self._random.getrandbits(63)
 
     def call(self, hook: str, data: bytes) -> Answer:
-        """One call; a Fault whatever went wrong, after which the instance is another one."""
-        begun = time.perf_counter()
+        """Calls a hook with a record; raises PluginFault whatever went wrong, and the instance is dropped."""
+        started_at = time.perf_counter()
         self.counts.calls += 1
         try:
             return self._call(hook, data)
-        except Exception:  # a Fault, or the engine's own
+        except Exception:  # a PluginFault, or the engine's own
             self.counts.faults += 1
             self._store = None
             raise
         finally:
-            took = time.perf_counter() - begun
-            self.counts.seconds += took
-            self.counts.longest_s = max(self.counts.longest_s, took)
+            duration_s = time.perf_counter() - started_at
+            self.counts.seconds += duration_s
+            self.counts.longest_s = max(self.counts.longest_s, duration_s)
 
     def _call(self, hook: str, data: bytes) -> Answer:
         if self._store is None:
-            self._instance()
+            self._instantiate()
         store = self._store
         assert store is not None
-        self._host_calls = self._logged = 0
-        data = data[: self._capacity]
+        self._host_calls = 0
+        self._has_logged = False
+        packed = self._run(store, hook, data[: self._input_capacity])
+        address = (packed >> 32) & 0xFFFFFFFF
+        size = packed & 0xFFFFFFFF
+        if size == 0:
+            return EMPTY_ANSWER
+        if size > MAX_ANSWER_SIZE or address + size > self._memory.data_len(store):
+            raise PluginFault("answer", f"an answer of {size} bytes at {address}")
+        try:
+            return parse_answer(bytes(self._memory.read(store, address, address + size)))
+        except AnswerError as exc:
+            raise PluginFault("answer", str(exc)) from None
+
+    def _run(self, store: wasmtime.Store, hook: str, data: bytes) -> int:
+        """Writes the record and runs the hook; its answer's address and size as one integer."""
         try:
             store.set_fuel(FUEL_PER_CALL)
-            ctypes.memmove(self._memory.get_buffer_ptr(store, len(data), self._at), data, len(data))
+            buffer = self._memory.get_buffer_ptr(store, len(data), self._input_address)
+            ctypes.memmove(buffer, data, len(data))
             packed = self._calls[hook](store, len(data))
             if self.counts.calls % FUEL_SAMPLE_INTERVAL == 1:
                 self.counts.fuel += FUEL_SAMPLE_INTERVAL * (FUEL_PER_CALL - store.get_fuel())
+            return packed
         except wasmtime.Trap as exc:
             kind = str(exc.trap_code).rsplit(".", 1)[-1].lower() if exc.trap_code is not None else "trap"
             raise PluginFault(kind, _summary_line(exc)) from None
         except wasmtime.WasmtimeError as exc:
             raise PluginFault("trap", _summary_line(exc)) from None
-        at, size = (packed >> 32) & 0xFFFFFFFF, packed & 0xFFFFFFFF
-        if size == 0:
-            return EMPTY_ANSWER
-        if size > MAX_ANSWER_SIZE or at + size > self._memory.data_len(store):
-            raise PluginFault("answer", f"an answer of {size} bytes at {at}")
-        try:
-            return parse_answer(bytes(self._memory.read(store, at, at + size)))
-        except AnswerError as exc:
-            raise PluginFault("answer", str(exc)) from None
 
 
-class _Hook:
-    """A hook's call without the library's own, which asks the engine for the function's type and converts by
-    it each time: two thirds of a call.  A hook's type was checked at the load.  Reaches below the library's
-    public names, as its version is pinned; `tests/plugins/test_plugins.py` holds what it must do."""
-
-    __slots__ = ("_func", "_params", "_results")
-
-    def __init__(self, func: wasmtime.Func) -> None:
-        self._func: Any = func
-        self._params: Any = (ffi.wasmtime_val_t * 1)()
-        self._results: Any = (ffi.wasmtime_val_t * 1)()
-        self._params[0].kind = ctypes.c_ubyte(ffi.WASMTIME_I32.value)
-
-    def __call__(self, store: wasmtime.Store, length: int) -> int:
-        self._params[0].of.i32 = length
-        trap: Any = ctypes.POINTER(ffi.wasm_trap_t)()
-        error = ffi.wasmtime_func_call(
-            store._context(), ctypes.byref(self._func._func), self._params, 1, self._results, 1,
-            ctypes.byref(trap),
-        )  # fmt: skip
-        if error:
-            failed = wasmtime.WasmtimeError._from_ptr(error)
-            maybe_raise_last_exn()  # what a call to the host raised
-            raise failed
-        if trap:
-            fault = wasmtime.Trap._from_ptr(trap)
-            maybe_raise_last_exn()
-            raise fault
-        return int(self._results[0].of.i64)
+def _is_hook_type(export_type: object) -> bool:
+    """Whether an export is a function (i32) -> i64."""
+    return (
+        isinstance(export_type, wasmtime.FuncType)
+        and [str(parameter) for parameter in export_type.params] == ["i32"]
+        and [str(result) for result in export_type.results] == ["i64"]
+    )
 
 
 def _summary_line(exc: Exception) -> str:
-    """The telling line of an engine's long words."""
+    """The last line of an engine's long message: it tells what went wrong."""
     lines = [line.strip() for line in str(exc).splitlines() if line.strip()]
-    return (lines[-1] if lines else type(exc).__name__)[:200]
+    return (lines[-1] if lines else type(exc).__name__)[:MAX_SUMMARY_LENGTH]
--- a/tests/plugins/test_plugins.py
+++ b/tests/plugins/test_plugins.py
@@ -337,7 +337,7 @@
         body = {"forwarder": {**forwarder.part, "plugins": self.plugins(EXAMPLE.read_text())}}
         (forwarder.folder / "operator.json5").write_text(json.dumps(body))
         forwarder.send(signal.SIGHUP)
-        await forwarder.logged("plug-ins taken")
+        await forwarder.logged("plugins_reloaded")
         async with self.session.get(forwarder.url) as reply:
             self.assertEqual(reply.status, 200)
 
@@ -389,7 +389,7 @@
         self.assertEqual(self.workers["s-0"].held_connections, before)
         await self.emptied("s-0")
         self.assertEqual((sum(self.held().values()), self.counts.unanswered), (60, 0))
-        await manager.logged("plug-in off", "out_of_fuel")  # the feed's hook loops: left alone
+        await manager.logged("plugin_disabled", "out_of_fuel")  # the feed's hook loops: left alone
 
     async def test_one_that_can_not_be_loaded_is_one_line_at_the_start(self) -> None:
         await self.worker("s-1")
