--- a/cottonladder/weight_advice/sasp.py
+++ b/cottonladder/weight_advice/sasp.py
@@ -1,7 +1,8 @@
 """SASP, the Server/Application State Protocol, version 1 (RFC 4678): messages and components as bytes.
 
-No I/O.  Tables below give, by message and component type, the fixed fields and what may be nested; one loop
-reads by them and one writes by them.  What could not be checked here stands in docs/design/weight-advice.md.
+No I/O.  Names are the standard's own.  `MESSAGE_LAYOUTS` gives, by message type, the fixed fields and what
+may be nested; one function decodes by it and one encodes by it.  What could not be checked here stands in
+docs/design/weight-advice.md.
 """
 
 from __future__ import annotations
@@ -12,38 +13,74 @@
 
 from .tlv import Address, AdviceError, Cursor, decode_address, encode_address, encode_label
 
-PORT = 3860  # the service's well-known port (RFC 4678, IANA)
+# The service's well-known port (RFC 4678, IANA).
+PORT = 3860
 VERSION = 1
-HEADER, HEADER_SIZE = 0x2010, 13  # type, length, version, message length, message id
-MAX_MESSAGE_SIZE = 4 << 20  # bytes of one message: some 100,000 members
-MAX_MEMBERS = 20_000  # members over all groups of one message
-MAX_GROUPS = 1024  # groups of one message
-MEMBER_DATA, GROUP_DATA, WEIGHT_ENTRY, MEMBER_STATE_INSTANCE = 0x3010, 0x3011, 0x3012, 0x3013
-GROUP_OF_MEMBER_DATA, GROUP_OF_WEIGHT_DATA, GROUP_OF_MEMBER_STATE_DATA = 0x4010, 0x4011, 0x4012
-REGISTRATION_REQUEST, REGISTRATION_REPLY = 0x1010, 0x1015
-DEREGISTRATION_REQUEST, DEREGISTRATION_REPLY = 0x1020, 0x1025
-GET_WEIGHTS_REQUEST, GET_WEIGHTS_REPLY, SEND_WEIGHTS = 0x1030, 0x1035, 0x1040
-SET_LB_STATE_REQUEST, SET_LB_STATE_REPLY = 0x1050, 0x1055
-SET_MEMBER_STATE_REQUEST, SET_MEMBER_STATE_REPLY = 0x1060, 0x1065
-LOAD_BALANCER_FLAG = 0x01  # flag of a request: a balancer speaks, not the member itself
-PUSH_FLAG, TRUST_FLAG, NO_CHANGE_NO_SEND_FLAG = 0x01, 0x02, 0x04  # flags of a balancer's state
-CONTACT_SUCCESS_FLAG, QUIESCE_FLAG, REGISTRATION_FLAG, CONFIDENT_FLAG = (
-    0x01,
-    0x02,
-    0x04,
-    0x08,
-)  # flags of a weight entry
-MEMBER_QUIESCE_FLAG = 0x01  # flag of a member's state
-REASON_LEARNED_PURPOSEFUL = 0x01  # reason of a deregistration
-SUCCESSFUL, MESSAGE_NOT_UNDERSTOOD, SENDER_NOT_ACCEPTED = 0x00, 0x10, 0x11
-MEMBER_ALREADY_REGISTERED, DUPLICATE_MEMBER_IN_REQUEST, INVALID_GROUP, DUPLICATE_GROUP = (
-    0x40,
-    0x41,
-    0x42,
-    0x43,
-)
-MEMBER_NOT_REGISTERED, GROUP_NOT_REGISTERED, DUPLICATE_MEMBER = 0x44, 0x45, 0x46
-MISSING_GROUP_NAME, INVALID_LB_UID, LB_NOT_CONNECTED = 0x50, 0x51, 0x61
+
+# Component type of a message's header, and its size: type, length, version, message length, message id.
+HEADER = 0x2010
+HEADER_SIZE = 13
+
+# Bytes of one message: some 100,000 members.
+MAX_MESSAGE_SIZE = 4 << 20
+# Members over all groups of one message.
+MAX_MEMBERS = 20_000
+# Groups of one message.
+MAX_GROUPS = 1024
+
+# Component types.
+MEMBER_DATA = 0x3010
+GROUP_DATA = 0x3011
+WEIGHT_ENTRY = 0x3012
+MEMBER_STATE_INSTANCE = 0x3013
+GROUP_OF_MEMBER_DATA = 0x4010
+GROUP_OF_WEIGHT_DATA = 0x4011
+GROUP_OF_MEMBER_STATE_DATA = 0x4012
+
+# Message types.
+REGISTRATION_REQUEST = 0x1010
+REGISTRATION_REPLY = 0x1015
+DEREGISTRATION_REQUEST = 0x1020
+DEREGISTRATION_REPLY = 0x1025
+GET_WEIGHTS_REQUEST = 0x1030
+GET_WEIGHTS_REPLY = 0x1035
+SEND_WEIGHTS = 0x1040
+SET_LB_STATE_REQUEST = 0x1050
+SET_LB_STATE_REPLY = 0x1055
+SET_MEMBER_STATE_REQUEST = 0x1060
+SET_MEMBER_STATE_REPLY = 0x1065
+
+# Flag of a request: the load balancer speaks, not the member itself.
+LOAD_BALANCER_FLAG = 0x01
+# Flags of a load balancer's state.
+PUSH_FLAG = 0x01
+TRUST_FLAG = 0x02
+NO_CHANGE_NO_SEND_FLAG = 0x04
+# Flags of a weight entry.
+CONTACT_SUCCESS_FLAG = 0x01
+QUIESCE_FLAG = 0x02
+REGISTRATION_FLAG = 0x04
+CONFIDENT_FLAG = 0x08
+# Flag of a member's state.
+MEMBER_QUIESCE_FLAG = 0x01
+# Reason of a deregistration.
+REASON_LEARNED_PURPOSEFUL = 0x01
+
+# Response codes.
+SUCCESSFUL = 0x00
+MESSAGE_NOT_UNDERSTOOD = 0x10
+SENDER_NOT_ACCEPTED = 0x11
+MEMBER_ALREADY_REGISTERED = 0x40
+DUPLICATE_MEMBER_IN_REQUEST = 0x41
+INVALID_GROUP = 0x42
+DUPLICATE_GROUP = 0x43
+MEMBER_NOT_REGISTERED = 0x44
+GROUP_NOT_REGISTERED = 0x45
+DUPLICATE_MEMBER = 0x46
+MISSING_GROUP_NAME = 0x50
+INVALID_LB_UID = 0x51
+LB_NOT_CONNECTED = 0x61
+# What a response code says, for logs and the command line.
 RESPONSE_TEXTS = {
     SUCCESSFUL: "done",
     MESSAGE_NOT_UNDERSTOOD: "not understood",
@@ -73,12 +110,16 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupData:
-    lb_uid: bytes  # of the balancer
+    """A group of members, by the UID of its load balancer and its own name."""
+
+    lb_uid: bytes
     group_name: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class WeightEntry:
+    """A member's weight, 0 to 65535, with its opaque state and flags."""
+
     member: MemberData
     opaque_state: int
     flags: int
@@ -87,17 +128,22 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStateInstance:
+    """A member's opaque state and flags, as it states them itself."""
+
     member: MemberData
     opaque_state: int
     flags: int
 
 
+Entry = MemberData | WeightEntry | MemberStateInstance
+
+
 @dataclass(frozen=True, slots=True)
 class GroupOfEntries:
     """A group with members, weights or states."""
 
     group: GroupData
-    entries: tuple[MemberData | WeightEntry | MemberStateInstance, ...]
+    entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,19 +161,39 @@
     groups: tuple[GroupData | GroupOfEntries, ...] = field(default=())
 
 
-# Fixed fields of each message behind type and length, as (name, bytes; 0: a label), and the nested component.
-MESSAGE_LAYOUTS: dict[int, tuple[tuple[tuple[str, int], ...], int]] = {
-    REGISTRATION_REQUEST: ((("flags", 1),), GROUP_OF_MEMBER_DATA),
-    DEREGISTRATION_REQUEST: ((("flags", 1), ("reason", 1)), GROUP_OF_MEMBER_DATA),
-    GET_WEIGHTS_REQUEST: ((), GROUP_DATA),
-    GET_WEIGHTS_REPLY: ((("response_code", 1), ("interval_s", 2)), GROUP_OF_WEIGHT_DATA),
-    SEND_WEIGHTS: ((), GROUP_OF_WEIGHT_DATA),
-    SET_LB_STATE_REQUEST: ((("lb_uid", 0), ("lb_health", 1), ("flags", 1)), 0),
-    SET_MEMBER_STATE_REQUEST: ((("flags", 1),), GROUP_OF_MEMBER_STATE_DATA),
-    **{
-        kind: ((("response_code", 1),), 0)
-        for kind in (REGISTRATION_REPLY, DEREGISTRATION_REPLY, SET_LB_STATE_REPLY, SET_MEMBER_STATE_REPLY)
-    },
+@dataclass(frozen=True, slots=True)
+class FixedField:
+    """A field of `Message`; `size` in bytes, or `LABEL`: a length of one byte and so many bytes."""
+
+    name: str
+    size: int
+
+
+LABEL = 0
+_FLAGS = FixedField("flags", 1)
+_RESPONSE_CODE = FixedField("response_code", 1)
+
+
+@dataclass(frozen=True, slots=True)
+class MessageLayout:
+    """Fixed fields of a message behind type and length, and the component type that it nests, if any."""
+
+    fields: tuple[FixedField, ...]
+    nested_type: int | None = None
+
+
+MESSAGE_LAYOUTS: dict[int, MessageLayout] = {
+    REGISTRATION_REQUEST: MessageLayout((_FLAGS,), GROUP_OF_MEMBER_DATA),
+    REGISTRATION_REPLY: MessageLayout((_RESPONSE_CODE,)),
+    DEREGISTRATION_REQUEST: MessageLayout((_FLAGS, FixedField("reason", 1)), GROUP_OF_MEMBER_DATA),
+    DEREGISTRATION_REPLY: MessageLayout((_RESPONSE_CODE,)),
+    GET_WEIGHTS_REQUEST: MessageLayout((), GROUP_DATA),
+    GET_WEIGHTS_REPLY: MessageLayout((_RESPONSE_CODE, FixedField("interval_s", 2)), GROUP_OF_WEIGHT_DATA),
+    SEND_WEIGHTS: MessageLayout((), GROUP_OF_WEIGHT_DATA),
+    SET_LB_STATE_REQUEST: MessageLayout((FixedField("lb_uid", LABEL), FixedField("lb_health", 1), _FLAGS)),
+    SET_LB_STATE_REPLY: MessageLayout((_RESPONSE_CODE,)),
+    SET_MEMBER_STATE_REQUEST: MessageLayout((_FLAGS,), GROUP_OF_MEMBER_STATE_DATA),
+    SET_MEMBER_STATE_REPLY: MessageLayout((_RESPONSE_CODE,)),
 }
 REPLY_TYPES = {
     REGISTRATION_REQUEST: REGISTRATION_REPLY,
@@ -141,154 +207,208 @@
     GROUP_OF_WEIGHT_DATA: WEIGHT_ENTRY,
     GROUP_OF_MEMBER_STATE_DATA: MEMBER_STATE_INSTANCE,
 }
-_MEMBER = struct.Struct("!HHBH16sB")
-_ENTRY = struct.Struct("!BBH")
-_STATE = struct.Struct("!BB")
-
-
-def _extent(cursor: Cursor, kind: int, at: int, length: int, fixed: int) -> None:
-    """A container's length may stand for its fixed part alone, or take in what is nested: two readings of the
-    standard that can't be told apart here.  Anything else can't be."""
-    if length not in (fixed, cursor.position - at):
+_COMPONENT = struct.Struct("!HH")  # type, length
+_MEMBER = struct.Struct("!HHBH16sB")  # type, length, protocol, port, address, length of the label
+_WEIGHT = struct.Struct("!BBH")  # opaque state, flags, weight
+_STATE = struct.Struct("!BB")  # opaque state, flags
+_GROUP_OF_ENTRIES = struct.Struct("!HHH")  # type, length, number of entries
+_HEADER = struct.Struct("!HHBII")  # type, length, version, message length, message id
+_HEADER_START = struct.Struct("!HHBI")  # the same without the message id
+_SMALLEST_MESSAGE = HEADER_SIZE + _COMPONENT.size
+
+
+def _check_length(cursor: Cursor, component_type: int, start: int, length: int, fixed_size: int) -> None:
+    """A container's length may stand for its fixed part alone, or take in what is nested.
+
+    Those are two readings of the standard that can't be told apart here.  Anything else is an AdviceError.
+    """
+    whole_size = cursor.position - start
+    if length not in (fixed_size, whole_size):
         raise AdviceError(
-            f"component {kind:#06x}: a length of {length}, {fixed} or {cursor.position - at} expected"
+            f"component {component_type:#06x}: a length of {length}, {fixed_size} or {whole_size} expected"
         )
 
 
-def _expect(cursor: Cursor, kind: int) -> int:
+def _expect(cursor: Cursor, component_type: int) -> int:
+    """The length of the component of this type that comes next."""
     found, length = cursor.read_header()
-    if found != kind:
-        raise AdviceError(f"component {found:#06x} where {kind:#06x} is expected")
+    if found != component_type:
+        raise AdviceError(f"component {found:#06x} where {component_type:#06x} is expected")
     return length
 
 
 def _read_member(cursor: Cursor) -> MemberData:
-    at = cursor.advance(_MEMBER.size)
-    kind, length, protocol, port, address, size = _MEMBER.unpack_from(cursor.data, at)
-    if kind != MEMBER_DATA or length != _MEMBER.size + size:
-        raise AdviceError(f"component {kind:#06x} of {length} bytes where a member is expected")
-    return MemberData(protocol, port, decode_address(address), cursor.read_bytes(size))
+    start = cursor.advance(_MEMBER.size)
+    component_type, length, protocol, port, address, label_size = _MEMBER.unpack_from(cursor.data, start)
+    if component_type != MEMBER_DATA or length != _MEMBER.size + label_size:
+        raise AdviceError(f"component {component_type:#06x} of {length} bytes where a member is expected")
+    return MemberData(protocol, port, decode_address(address), cursor.read_bytes(label_size))
 
 
 def _read_group(cursor: Cursor) -> GroupData:
-    at = cursor.position
+    start = cursor.position
     length = _expect(cursor, GROUP_DATA)
-    group = GroupData(cursor.read_label(), cursor.read_label())
-    if length != cursor.position - at:
-        raise AdviceError(f"group data: a length of {length}, {cursor.position - at} expected")
+    lb_uid = cursor.read_label()
+    group = GroupData(lb_uid, cursor.read_label())
+    size = cursor.position - start
+    if length != size:
+        raise AdviceError(f"group data: a length of {length}, {size} expected")
     return group
 
 
 def _read_weight(cursor: Cursor) -> WeightEntry:
-    at = cursor.position
+    start = cursor.position
     length = _expect(cursor, WEIGHT_ENTRY)
     member = _read_member(cursor)
-    entry = WeightEntry(member, *_ENTRY.unpack_from(cursor.data, cursor.advance(_ENTRY.size)))
-    _extent(cursor, WEIGHT_ENTRY, at, length, 4 + _ENTRY.size)
-    return entry
+    opaque_state, flags, weight = _WEIGHT.unpack_from(cursor.data, cursor.advance(_WEIGHT.size))
+    _check_length(cursor, WEIGHT_ENTRY, start, length, _COMPONENT.size + _WEIGHT.size)
+    return WeightEntry(member, opaque_state, flags, weight)
 
 
 def _read_state(cursor: Cursor) -> MemberStateInstance:
-    at = cursor.position
+    start = cursor.position
     length = _expect(cursor, MEMBER_STATE_INSTANCE)
     member = _read_member(cursor)
-    entry = MemberStateInstance(member, *_STATE.unpack_from(cursor.data, cursor.advance(_STATE.size)))
-    _extent(cursor, MEMBER_STATE_INSTANCE, at, length, 4 + _STATE.size)
-    return entry
+    opaque_state, flags = _STATE.unpack_from(cursor.data, cursor.advance(_STATE.size))
+    _check_length(cursor, MEMBER_STATE_INSTANCE, start, length, _COMPONENT.size + _STATE.size)
+    return MemberStateInstance(member, opaque_state, flags)
+
 
+_READERS: dict[int, Callable[[Cursor], Entry]] = {
+    MEMBER_DATA: _read_member,
+    WEIGHT_ENTRY: _read_weight,
+    MEMBER_STATE_INSTANCE: _read_state,
+}
+
+
+class _MemberBudget:
+    """Counts the members of one message."""
+
+    def __init__(self) -> None:
+        self._remaining = MAX_MEMBERS
 
-_READ: dict[int, Callable[[Cursor], MemberData | WeightEntry | MemberStateInstance]] = {
-    MEMBER_DATA: _read_member, WEIGHT_ENTRY: _read_weight, MEMBER_STATE_INSTANCE: _read_state,
-}  # fmt: skip
+    def take(self, count: int) -> None:
+        """Raises AdviceError where a message has too many, before any of them is read."""
+        self._remaining -= count
+        if self._remaining < 0:
+            raise AdviceError(f"over {MAX_MEMBERS} members in one message")
 
 
-def _read_grouped(cursor: Cursor, kind: int, budget: list[int]) -> GroupOfEntries:
-    at = cursor.position
-    length, count = _expect(cursor, kind), cursor.read_u16()
-    budget[0] -= count
-    if budget[0] < 0:
-        raise AdviceError(f"over {MAX_MEMBERS} members in one message")
-    group, read = _read_group(cursor), _READ[ENTRY_TYPES[kind]]
-    entries = tuple(read(cursor) for _ in range(count))
-    _extent(cursor, kind, at, length, 6)
+def _read_group_of_entries(cursor: Cursor, component_type: int, budget: _MemberBudget) -> GroupOfEntries:
+    start = cursor.position
+    length = _expect(cursor, component_type)
+    count = cursor.read_u16()
+    budget.take(count)
+    group = _read_group(cursor)
+    read_entry = _READERS[ENTRY_TYPES[component_type]]
+    entries = tuple(read_entry(cursor) for _ in range(count))
+    _check_length(cursor, component_type, start, length, _GROUP_OF_ENTRIES.size)
     return GroupOfEntries(group, entries)
 
 
 def decode_message(data: bytes) -> Message:
-    """One whole message, its header included."""
+    """One whole message, its header included; raises AdviceError for anything else."""
     cursor = Cursor(data)
-    length = _expect(cursor, HEADER)
-    version, whole, number = cursor.read_u8(), cursor.read_u32(), cursor.read_u32()
-    if length != HEADER_SIZE or version != VERSION or whole != len(data):
-        raise AdviceError(f"header of version {version} with lengths {length} and {whole}")
-    at = cursor.position
-    kind, length = cursor.read_header()
-    shape = MESSAGE_LAYOUTS.get(kind)
-    if shape is None:
-        raise AdviceError(f"unknown message {kind:#06x}")
-    fields: dict[str, int | bytes] = {}
-    for name, size in shape[0]:
-        fields[name] = (
-            cursor.read_label() if not size else cursor.read_u8() if size == 1 else cursor.read_u16()
-        )
+    message_id = _read_message_header(cursor)
+    start = cursor.position
+    message_type, length = cursor.read_header()
+    layout = MESSAGE_LAYOUTS.get(message_type)
+    if layout is None:
+        raise AdviceError(f"unknown message {message_type:#06x}")
+    fields = {fixed.name: _read_field(cursor, fixed) for fixed in layout.fields}
     groups: list[GroupData | GroupOfEntries] = []
-    fixed = cursor.position - at
-    if nested := shape[1]:
-        count, budget = cursor.read_u16(), [MAX_MEMBERS]
-        fixed += 2
+    fixed_size = cursor.position - start
+    if layout.nested_type is not None:
+        count = cursor.read_u16()
+        fixed_size = cursor.position - start
         if count > MAX_GROUPS:
             raise AdviceError(f"over {MAX_GROUPS} groups in one message")
-        for _ in range(count):
-            groups.append(
-                _read_group(cursor) if nested == GROUP_DATA else _read_grouped(cursor, nested, budget)
-            )
-    _extent(cursor, kind, at, length, fixed)
+        groups = _read_groups(cursor, layout.nested_type, count)
+    _check_length(cursor, message_type, start, length, fixed_size)
     if cursor.remaining:
-        raise AdviceError(f"{cursor.remaining} bytes behind a message of {kind:#06x}")
-    return Message(kind, number, groups=tuple(groups), **fields)  # type: ignore[arg-type]
+        raise AdviceError(f"{cursor.remaining} bytes behind a message of {message_type:#06x}")
+    return Message(message_type, message_id, groups=tuple(groups), **fields)  # type: ignore[arg-type]
+
+
+def _read_message_header(cursor: Cursor) -> int:
+    """The message id."""
+    length = _expect(cursor, HEADER)
+    version = cursor.read_u8()
+    message_size = cursor.read_u32()
+    message_id = cursor.read_u32()
+    if length != HEADER_SIZE or version != VERSION or message_size != len(cursor.data):
+        raise AdviceError(f"header of version {version} with lengths {length} and {message_size}")
+    return message_id
+
+
+def _read_field(cursor: Cursor, fixed: FixedField) -> int | bytes:
+    if fixed.size == LABEL:
+        return cursor.read_label()
+    return cursor.read_u8() if fixed.size == 1 else cursor.read_u16()
+
 
+def _read_groups(cursor: Cursor, nested_type: int, count: int) -> list[GroupData | GroupOfEntries]:
+    if nested_type == GROUP_DATA:
+        return [_read_group(cursor) for _ in range(count)]
+    budget = _MemberBudget()
+    return [_read_group_of_entries(cursor, nested_type, budget) for _ in range(count)]
 
-def _write_member(m: MemberData) -> bytes:
-    head = _MEMBER.pack(
-        MEMBER_DATA, _MEMBER.size + len(m.label), m.protocol, m.port, encode_address(m.address), len(m.label)
-    )
-    return head + m.label
 
+def _encode_member(member: MemberData) -> bytes:
+    label_size = len(member.label)
+    address = encode_address(member.address)
+    size = _MEMBER.size + label_size
+    return _MEMBER.pack(MEMBER_DATA, size, member.protocol, member.port, address, label_size) + member.label
 
-def _write_group(g: GroupData) -> bytes:
-    body = encode_label(g.lb_uid) + encode_label(g.group_name)
-    return struct.pack("!HH", GROUP_DATA, 4 + len(body)) + body
 
+def _encode_group(group: GroupData) -> bytes:
+    body = encode_label(group.lb_uid) + encode_label(group.group_name)
+    return _COMPONENT.pack(GROUP_DATA, _COMPONENT.size + len(body)) + body
 
-def _write_entry(entry: MemberData | WeightEntry | MemberStateInstance) -> bytes:
+
+def _encode_entry(entry: Entry) -> bytes:
     if isinstance(entry, WeightEntry):
-        head = struct.pack("!HH", WEIGHT_ENTRY, 4 + _ENTRY.size)
-        return head + _write_member(entry.member) + _ENTRY.pack(entry.opaque_state, entry.flags, entry.weight)
+        head = _COMPONENT.pack(WEIGHT_ENTRY, _COMPONENT.size + _WEIGHT.size)
+        tail = _WEIGHT.pack(entry.opaque_state, entry.flags, entry.weight)
+        return head + _encode_member(entry.member) + tail
     if isinstance(entry, MemberStateInstance):
-        head = struct.pack("!HH", MEMBER_STATE_INSTANCE, 4 + _STATE.size)
-        return head + _write_member(entry.member) + _STATE.pack(entry.opaque_state, entry.flags)
-    return _write_member(entry)
-
-
-def encode_message(m: Message) -> bytes:
-    """A container's length stands for its fixed part: two bytes could not take in ten thousand members."""
-    fields, nested = MESSAGE_LAYOUTS[m.message_type]
-    body = b"".join(
-        encode_label(getattr(m, name)) if not size else getattr(m, name).to_bytes(size, "big")
-        for name, size in fields
-    )
-    parts: list[bytes] = []
-    if nested:
-        body += struct.pack("!H", len(m.groups))
-        for g in m.groups:
-            if isinstance(g, GroupData):
-                parts.append(_write_group(g))
-            else:
-                parts.append(struct.pack("!HHH", nested, 6, len(g.entries)) + _write_group(g.group))
-                parts += map(_write_entry, g.entries)
-    inner = struct.pack("!HH", m.message_type, 4 + len(body)) + body + b"".join(parts)
-    whole = HEADER_SIZE + len(inner)
-    return struct.pack("!HHBII", HEADER, HEADER_SIZE, VERSION, whole, m.message_id) + inner
+        head = _COMPONENT.pack(MEMBER_STATE_INSTANCE, _COMPONENT.size + _STATE.size)
+        return head + _encode_member(entry.member) + _STATE.pack(entry.opaque_state, entry.flags)
+    return _encode_member(entry)
+
+
+def _encode_field(message: Message, fixed: FixedField) -> bytes:
+    value = getattr(message, fixed.name)
+    if fixed.size == LABEL:
+        return encode_label(value)
+    encoded: bytes = value.to_bytes(fixed.size, "big")
+    return encoded
+
+
+def _encode_group_of_entries(component_type: int, group: GroupOfEntries) -> bytes:
+    head = _GROUP_OF_ENTRIES.pack(component_type, _GROUP_OF_ENTRIES.size, len(group.entries))
+    return head + _encode_group(group.group) + b"".join(map(_encode_entry, group.entries))
+
+
+def encode_message(message: Message) -> bytes:
+    """The bytes of a message, its header included; raises AdviceError for a label that is too long.
+
+    A container's length stands for its fixed part: two bytes could not take in ten thousand members.
+    """
+    layout = MESSAGE_LAYOUTS[message.message_type]
+    fixed = b"".join(_encode_field(message, field_layout) for field_layout in layout.fields)
+    nested = b""
+    if layout.nested_type is not None:
+        fixed += struct.pack("!H", len(message.groups))
+        nested = b"".join(
+            _encode_group(group)
+            if isinstance(group, GroupData)
+            else _encode_group_of_entries(layout.nested_type, group)
+            for group in message.groups
+        )
+    body = _COMPONENT.pack(message.message_type, _COMPONENT.size + len(fixed)) + fixed + nested
+    message_size = HEADER_SIZE + len(body)
+    return _HEADER.pack(HEADER, HEADER_SIZE, VERSION, message_size, message.message_id) + body
 
 
 class MessageReader:
@@ -299,20 +419,27 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
+        """Takes bytes and gives the messages that are whole; raises AdviceError for what is none."""
         self._buffer += data
-        out: list[Message] = []
+        messages: list[Message] = []
         while len(self._buffer) >= HEADER_SIZE:
-            kind, length, version, whole = struct.unpack_from("!HHBI", self._buffer)
-            if kind != HEADER or length != HEADER_SIZE:
-                raise AdviceError(f"no header: {bytes(self._buffer[:4]).hex()}")
-            if version != VERSION:
-                raise AdviceError(f"unknown version {version}")
-            if not HEADER_SIZE + 4 <= whole <= self.max_message_size:
-                raise AdviceError(f"a message of {whole} bytes, {self.max_message_size} at most")
-            if len(self._buffer) < whole:
+            size = self._message_size()
+            if len(self._buffer) < size:
                 break
-            out.append(decode_message(bytes(self._buffer[:whole])))
-            del self._buffer[:whole]
-        if self._buffer and self._buffer[:2] != b"\x20\x10"[: len(self._buffer)]:
+            messages.append(decode_message(bytes(self._buffer[:size])))
+            del self._buffer[:size]
+        expected = struct.pack("!H", HEADER)
+        if self._buffer and self._buffer[: len(expected)] != expected[: len(self._buffer)]:
+            raise AdviceError(f"no header: {bytes(self._buffer[:4]).hex()}")
+        return messages
+
+    def _message_size(self) -> int:
+        """Bytes of the message whose header the buffer begins with."""
+        component_type, length, version, size = _HEADER_START.unpack_from(self._buffer)
+        if component_type != HEADER or length != HEADER_SIZE:
             raise AdviceError(f"no header: {bytes(self._buffer[:4]).hex()}")
-        return out
+        if version != VERSION:
+            raise AdviceError(f"unknown version {version}")
+        if not _SMALLEST_MESSAGE <= size <= self.max_message_size:
+            raise AdviceError(f"a message of {size} bytes, {self.max_message_size} at most")
+        return int(size)
--- a/cottonladder/weight_advice/tlv.py
+++ b/cottonladder/weight_advice/tlv.py
@@ -7,7 +7,13 @@
 
 from ..config.errors import InputError
 
-_U16, _U32, _HEAD = struct.Struct("!H"), struct.Struct("!I"), struct.Struct("!HH")
+_U16 = struct.Struct("!H")
+_U32 = struct.Struct("!I")
+_HEADER = struct.Struct("!HH")  # type, length
+# Bytes of a label at the most: its length is one byte.
+MAX_LABEL_LENGTH = 255
+# Before the 4 bytes of an IPv4-mapped IPv6 address (RFC 4291, 2.5.5.2).
+_MAPPED_PREFIX = b"\0" * 10 + b"\xff\xff"
 
 
 class AdviceError(InputError):
@@ -20,11 +26,14 @@
 
     __slots__ = ("data", "position", "end")
 
-    def __init__(self, data: bytes, at: int = 0, end: int | None = None) -> None:
-        self.data, self.position, self.end = data, at, len(data) if end is None else end
+    def __init__(self, data: bytes, position: int = 0, end: int | None = None) -> None:
+        self.data = data
+        self.position = position
+        self.end = len(data) if end is None else end
 
     @property
     def remaining(self) -> int:
+        """Bytes up to the end."""
         return self.end - self.position
 
     def advance(self, size: int) -> int:
@@ -36,21 +45,25 @@
         return at
 
     def read_u8(self) -> int:
+        """One byte."""
         return self.data[self.advance(1)]
 
     def read_u16(self) -> int:
+        """Two bytes, unsigned."""
         return int(_U16.unpack_from(self.data, self.advance(2))[0])
 
     def read_u32(self) -> int:
+        """Four bytes, unsigned."""
         return int(_U32.unpack_from(self.data, self.advance(4))[0])
 
     def read_bytes(self, size: int) -> bytes:
+        """The next `size` bytes."""
         at = self.advance(size)
         return self.data[at : at + size]
 
     def read_header(self) -> tuple[int, int]:
         """A component's type and length."""
-        kind, length = _HEAD.unpack_from(self.data, self.advance(4))
+        kind, length = _HEADER.unpack_from(self.data, self.advance(4))
         return int(kind), int(length)
 
     def read_label(self) -> bytes:
@@ -58,10 +71,11 @@
         return self.read_bytes(self.read_u8())
 
 
-def encode_label(word: bytes) -> bytes:
-    if len(word) > 255:
-        raise AdviceError(f"a label of {len(word)} bytes, 255 at most")
-    return bytes([len(word)]) + word
+def encode_label(label: bytes) -> bytes:
+    """A length of one byte and the label; raises AdviceError where it is too long."""
+    if len(label) > MAX_LABEL_LENGTH:
+        raise AdviceError(f"a label of {len(label)} bytes, {MAX_LABEL_LENGTH} at most")
+    return bytes([len(label)]) + label
 
 
 Address = IPv4Address | IPv6Address
@@ -70,7 +84,7 @@
 def encode_address(address: Address) -> bytes:
     """16 bytes; an IPv4 address is written as an IPv4-mapped one (RFC 4291, 2.5.5.2)."""
     if isinstance(address, IPv4Address):
-        return b"\0" * 10 + b"\xff\xff" + address.packed
+        return _MAPPED_PREFIX + address.packed
     return address.packed
 
 
