--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -75,11 +75,11 @@
     async def _run(self) -> None:
         wait = limits.MIN_BACKOFF
         while True:
-            begun = time.monotonic()
-            why = await self._follow()
+            connecting_at = time.monotonic()
+            reason = await self._follow()
             self.is_connected, self._writer = False, None
-            self.log.info("advisor left", advisor=self.name, why=why)
-            wait = limits.MIN_BACKOFF if time.monotonic() - begun > limits.MAX_BACKOFF else wait
+            self.log.info("advisor_disconnected", advisor=self.name, reason=reason)
+            wait = limits.MIN_BACKOFF if time.monotonic() - connecting_at > limits.MAX_BACKOFF else wait
             await asyncio.sleep(wait * (0.5 + 0.5 * self._uniform()))
             wait = min(limits.MAX_BACKOFF, 2.0 * wait)
 
@@ -90,7 +90,7 @@
         except (OSError, TimeoutError, ssl.SSLError) as exc:
             return f"no connection: {exc or 'timed out'}"
         self._writer, self.is_connected = writer, True
-        self.log.info("advisor joined", advisor=self.name)
+        self.log.info("advisor_connected", advisor=self.name)
         self.listener.advisor_connected(self.name)
         try:
             self.start_session()
@@ -146,16 +146,20 @@
     ) -> None:
         super().__init__(address, listener, tls, uniform)
         self._group = sasp.GroupData(uid.encode(), group.encode())
-        self._reader, self._number = sasp.MessageReader(), 0
+        self._reader = sasp.MessageReader()
+        self._last_message_id = 0
         self._registered: dict[sasp.MemberData, None] = {}
-        self._polled_at, self._poll_interval = 0.0, float(limits.POLL_INTERVAL)
+        self._polled_at = 0.0
+        self._poll_interval = float(limits.POLL_INTERVAL)
 
-    def _send_message(self, kind: int, **fields: object) -> None:
-        self._number = (self._number + 1) & 0xFFFFFFFF
-        self.send(sasp.encode_message(sasp.Message(kind, self._number, **fields)))  # type: ignore[arg-type]
+    def _send_message(self, message_type: int, **fields: object) -> None:
+        self._last_message_id = (self._last_message_id + 1) & 0xFFFFFFFF
+        message = sasp.Message(message_type, self._last_message_id, **fields)  # type: ignore[arg-type]
+        self.send(sasp.encode_message(message))
 
     def start_session(self) -> None:
-        self._reader, self._registered = sasp.MessageReader(), {}
+        self._reader = sasp.MessageReader()
+        self._registered = {}
         self._send_message(
             sasp.SET_LB_STATE_REQUEST,
             lb_uid=self._group.lb_uid,
@@ -192,9 +196,9 @@
             if m.message_type in (sasp.GET_WEIGHTS_REPLY, sasp.SEND_WEIGHTS):
                 if m.response_code != sasp.SUCCESSFUL:
                     self.log.info(
-                        "advisor refuses",
+                        "advisor_rejected_request",
                         advisor=self.name,
-                        why=sasp.RESPONSE_TEXTS.get(m.response_code, hex(m.response_code)),
+                        reason=sasp.RESPONSE_TEXTS.get(m.response_code, hex(m.response_code)),
                     )
                     continue
                 if m.message_type == sasp.GET_WEIGHTS_REPLY and m.interval_s:
@@ -203,9 +207,9 @@
             elif m.message_type in sasp.REPLY_TYPES.values():
                 if m.response_code != sasp.SUCCESSFUL:
                     self.log.info(
-                        "advisor refuses",
+                        "advisor_rejected_request",
                         advisor=self.name,
-                        why=sasp.RESPONSE_TEXTS.get(m.response_code, hex(m.response_code)),
+                        reason=sasp.RESPONSE_TEXTS.get(m.response_code, hex(m.response_code)),
                     )
             else:
                 raise AdviceError(f"message {m.message_type:#06x} is not an advisor's")
@@ -276,5 +280,5 @@
     out: list[WorkerLocation] = []
     for be, name in ids.items():
         host, _, port = address(be).rpartition(":")
-        out.append((be, name, parse_address(host.strip("[]")), int(port)))
+        out.append(WorkerLocation(be, name, parse_address(host.strip("[]")), int(port)))
     return out
--- a/cottonladder/weight_advice/registry.py
+++ b/cottonladder/weight_advice/registry.py
@@ -23,15 +23,17 @@
 
     def __init__(self, workers: Iterable[tuple[int, bytes, Address | None, int]]) -> None:
         self._by_id: dict[bytes, int] = {}
-        self._by_place: dict[tuple[Address, int], int] = {}
-        for be, name, address, port in workers:
-            self._by_id[name] = be
+        self._by_location: dict[tuple[Address, int], int] = {}
+        for worker_index, worker_id, address, port in workers:
+            self._by_id[worker_id] = worker_index
             if address is not None:
-                self._by_place[address, port] = be
+                self._by_location[address, port] = worker_index
 
     def __call__(self, member: MemberData) -> int | None:
-        be = self._by_id.get(member.label)
-        return self._by_place.get((member.address, member.port)) if be is None else be
+        worker_index = self._by_id.get(member.label)
+        if worker_index is not None:
+            return worker_index
+        return self._by_location.get((member.address, member.port))
 
 
 @dataclass(slots=True)
@@ -45,6 +47,8 @@
 
 @dataclass(slots=True)
 class LoadBalancer:
+    """One load balancer's connection: its UID, flags and health as it set them, its groups by name."""
+
     lb_uid: bytes = b""
     flags: int = 0
     health: int = 0
@@ -52,14 +56,16 @@
 
     @property
     def wants_push(self) -> bool:
+        """Whether it asked for weights to be pushed."""
         return bool(self.flags & sasp.PUSH_FLAG)
 
     def member_count(self) -> int:
+        """Members over all of its groups."""
         return sum(len(listed.members) for listed in self.groups.values())
 
 
 class LoadBalancerRegistry:
-    """Balancers by the number of their connection."""
+    """Load balancers by the number of their connection."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, LoadBalancer] = {}
@@ -67,15 +73,19 @@
         self._lookup: MemberLookup = lambda member: None
 
     def update(self, views: Mapping[int, WorkerCapacityView], lookup: MemberLookup) -> None:
+        """Takes the workers as last solved, and how members are matched to them."""
         self._views, self._lookup = views, lookup
 
     def connection_opened(self, number: int) -> None:
+        """A connection came: a load balancer that has registered nothing."""
         self._balancers[number] = LoadBalancer()
 
     def connection_closed(self, number: int) -> None:
+        """A connection ended; what was registered by it ends too."""
         self._balancers.pop(number, None)
 
     def push_subscribers(self) -> list[int]:
+        """Numbers of the connections that asked for pushes."""
         return [number for number, b in self._balancers.items() if b.wants_push]
 
     def status(self) -> list[dict[str, object]]:
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -13,7 +13,7 @@
 from collections.abc import Mapping
 from contextlib import AsyncExitStack
 from ipaddress import IPv4Address
-from typing import cast
+from typing import NamedTuple, cast
 
 import structlog
 
@@ -30,11 +30,19 @@
     1024,
     64,
 )  # connections that the kernel holds; accepted in one turn of the loop
-WorkerLocation = tuple[int, bytes, Address | None, int]  # worker, id, address, port
+
+
+class WorkerLocation(NamedTuple):
+    """Where a worker of the list is reached; `address` is none where the list has a host name."""
+
+    worker_index: int
+    worker_id: bytes
+    address: Address | None
+    port: int
 
 
 class AdvertisedWeights:
-    """What a server tells, as last solved; replaced whole each interval."""
+    """What servers tell: the views and locations as last solved, replaced whole each interval."""
 
     def __init__(self) -> None:
         self.views: Mapping[int, WorkerCapacityView] = {}
@@ -108,7 +116,7 @@
         self._listener: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self.faults = RateLimitedFaultLog("advice client ended")
+        self.faults = RateLimitedFaultLog("advice_client_disconnected")
 
     async def listen(self, at: HostPort, stack: AsyncExitStack) -> int:
         loop = asyncio.get_running_loop()
--- a/tests/weight_advice/test_server_and_client.py
+++ b/tests/weight_advice/test_server_and_client.py
@@ -150,7 +150,7 @@
             self.assertEqual(weights, {("127.0.0.9", 8000 + n): MAX_WEIGHT for n in range(1, 5)})
         with self.assertRaises(ConnectionError):
             await read_dfp_reports(ports[0], 1, (7, b"wrong"))
-        await manager.logged("advice client ended", "digest")
+        await manager.logged("advice_client_disconnected", "digest")
 
     async def test_hostile_clients_end_and_the_rest_is_served(self) -> None:
         manager = await self.manager({"protocol": "sasp", "clients": 32}, {"protocol": "dfp"})
@@ -203,7 +203,7 @@
         writer.write(sasp.encode_message(asked))
         for _ in range(60):
             writer.write(sasp.encode_message(sasp.Message(sasp.GET_WEIGHTS_REQUEST, 2, groups=(group,))))
-        await manager.logged("advice client ended", "unread")
+        await manager.logged("advice_client_disconnected", "unread")
         writer.transport.abort()
         other = await self.balancer(port)
         self.assertEqual(await other.register(b"g", member("s-1")), sasp.SUCCESSFUL)
@@ -295,12 +295,12 @@
     async def test_garbled_and_cut_advice_ends_its_connection_alone(self) -> None:
         advisor, follow = await self.advisor(lambda m: 10)
         manager = await self.manager(follow=[follow])
-        await manager.logged("advisor joined")
+        await manager.logged("advisor_connected")
         advisor.mode = "garble"
-        await manager.logged("advisor left", "no header")
+        await manager.logged("advisor_disconnected", "no header")
         advisor.mode = "cut"  # an end or a reset, as it falls
         end = time.monotonic() + 60.0
-        while not [x for x in manager.lines if "advisor left" in x and "no header" not in x]:
+        while not [x for x in manager.lines if "advisor_disconnected" in x and "no header" not in x]:
             self.assertLess(time.monotonic(), end)
             await asyncio.sleep(0.1)
         advisor.mode = "honest"
