--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -35,9 +35,11 @@
     """Where words go: the adviser, in the owner's own loop."""
 
     def advisor_connected(self, advisor: str) -> None:
+        """A connection to the advisor is up."""
         raise NotImplementedError
 
     def weights_received(self, advisor: str, weights: Iterable[ReportedWeight], is_complete: bool) -> None:
+        """Weights came; `is_complete`: those of before no longer hold."""
         raise NotImplementedError
 
 
@@ -62,9 +64,11 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def start(self) -> None:
+        """Starts the task that dials, follows and backs off."""
         self._task = asyncio.create_task(self._run())
 
     def update(self, places: list[WorkerLocation]) -> None:
+        """Takes our workers as listed."""
         if places != self.locations:
             self.locations, self.lookup = places, MemberIndex(places)
             self.locations_changed()
@@ -107,6 +111,7 @@
             writer.transport.abort()
 
     def send(self, data: bytes) -> None:
+        """Writes to the advisor, if it is connected; one that reads nothing is cut off."""
         if self._writer is not None and not self._writer.transport.is_closing():
             if self._writer.transport.get_write_buffer_size() > limits.MAX_UNREAD_BYTES:
                 self._writer.transport.abort()
@@ -114,18 +119,22 @@
                 self._writer.write(data)
 
     def silence_timeout(self) -> float:
+        """Seconds without a message after which the connection is given up."""
         return limits.SILENCE_TIMEOUT
 
     def start_session(self) -> None:
+        """Says what the protocol says first on a new connection."""
         raise NotImplementedError
 
     def receive(self, data: bytes) -> None:
+        """Takes bytes of the advisor; raises AdviceError for what the protocol doesn't allow."""
         raise NotImplementedError
 
     def poll(self) -> None:
         """Called each interval."""
 
     async def close(self) -> None:
+        """Ends the task and its connection."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -50,6 +50,7 @@
         self.version = 0
 
     def update(self, views: Mapping[int, WorkerCapacityView], locations: list[WorkerLocation]) -> None:
+        """Takes the workers as last solved, and where they are reached."""
         self.views, self.locations, self.version = views, locations, self.version + 1
 
 
@@ -66,6 +67,7 @@
         self.sent: dict[int, AdvertisedWeight] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The client came."""
         self._transport = cast(asyncio.Transport, transport)
         host, port = transport.get_extra_info("peername", ("?", "?"))[:2]
         self.peer, self.connected_at = f"{host}:{port}", time.monotonic()
@@ -73,6 +75,7 @@
         self.server.client_connected(self)
 
     def data_received(self, data: bytes) -> None:
+        """Hands whole messages to the server; ends the connection at the first bad one."""
         if self._transport is None or self._transport.is_closing():
             return
         try:
@@ -83,6 +86,7 @@
             self.end(str(exc))
 
     def send(self, data: bytes) -> None:
+        """Writes to the client; one that leaves too much unread is ended."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -93,14 +97,17 @@
 
     @property
     def unread(self) -> int:
+        """Bytes written that the client has not taken."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
     def end(self, reason: str) -> None:
+        """Cuts the connection, for a reason that is logged."""
         if self._transport is not None and not self._transport.is_closing():
             self.end_reason = reason
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is over, whoever ended it."""
         self.server.client_disconnected(self)
 
 
