--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -25,6 +25,7 @@
 from benchmarks.http_load import http_load
 from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning import connection_migration as migration
+from cottonladder.planning import migration_orders
 from cottonladder.testbed.fleet import ROOT, ForwarderProcess, ManagerProcess
 from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
@@ -139,7 +140,7 @@
         )
         stack.push_async_callback(forwarder.stop)
         await forwarder.serving()
-        await forwarder.logged("stream opened")
+        await forwarder.logged("stream_opened")
         self.forwarders.append(forwarder)
 
     async def connect_clients(self, stack: AsyncExitStack) -> None:
@@ -255,7 +256,7 @@
         forwarder = ForwarderProcess(0, discovery_address, [manager_address], None, **part)
         stack.push_async_callback(forwarder.stop)
         await forwarder.serving()
-        await forwarder.logged("stream opened")
+        await forwarder.logged("stream_opened")
         await asyncio.sleep(1.0)
         yield address, forwarder
 
@@ -316,12 +317,12 @@
 def planner_of_fleet(connections: int, forwarders: int, workers: int) -> migration.MigrationPlanner:
     """A planner that knows forwarders whose connections are drawn over the workers."""
     chance = random.Random(PLAN_SEED)
-    parameters = migration.MigrationParameters(PLAN_ZONES, 30.0, 8000, 50.0, 0.05, 3000.0, 10)
+    parameters = migration_orders.MigrationParameters(PLAN_ZONES, 30.0, 8000, 50.0, 0.05, 3000.0, 10)
     planner = migration.MigrationPlanner(parameters)
     for forwarder in range(forwarders):
         planner.add_forwarder(forwarder, forwarder % PLAN_ZONES)
         counts = Counter(chance.randrange(workers) for _ in range(round(connections / forwarders)))
-        held = {worker: migration.HeldConnectionCounts(count) for worker, count in counts.items()}
+        held = {worker: migration_orders.HeldConnectionCounts(count) for worker, count in counts.items()}
         planner.update_connections(forwarder, True, held)
     return planner
 
@@ -349,7 +350,7 @@
         orders = planner.plan(number * migration.PLAN_INTERVAL, views)
         durations_ms.append((time.perf_counter() - started_at) * MILLISECONDS_PER_S)
         for order in orders:
-            if isinstance(order, migration.MigrateConnections):
+            if isinstance(order, migration_orders.MigrateConnections):
                 planner.complete_migration(order.forwarder, order.number)
     return statistics.median(durations_ms)
 
--- a/cottonladder/forwarder/config_parts.py
+++ b/cottonladder/forwarder/config_parts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..config.errors import InputError
-from ..protocol.messages import MessageFields, parse_number
+from ..protocol.message_fields import MessageFields, parse_number
 from .retries import RetryPolicy
 from .router import ConfigPart
 
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -13,13 +13,7 @@
 
 import structlog
 
-from ..config.operator_config import (
-    ForwarderConfig,
-    OperatorConfig,
-    host_port,
-    request_classes,
-    resource_limits,
-)
+from ..config.operator_config import ForwarderConfig, OperatorConfig, host_port
 from ..protocol import upgrade_extension as upgrades
 from .connection_drainer import TICK_INTERVAL, ConnectionDrainer
 from .errors import OrderRejected
@@ -27,6 +21,7 @@
 from .load_recorder import REPORT_INTERVAL, LoadRecorder
 from .load_reporter import LoadReporter
 from .manager_stream import ManagerStream
+from .operator_settings import request_classes, resource_limits
 from .plugin_loading import PluginLoader
 from .request_handler import RequestHandler
 from .resource_limits import AdmissionPacer
@@ -222,7 +217,10 @@
 
     def _report_held(self, is_full: bool) -> None:
         for is_first, rows in self.handler.tunnels.registry.changes(self.loop.time(), is_full):
-            counts = {worker_id: (row.open, row.busy, row.resumable) for worker_id, row in rows.items()}
+            counts = {
+                worker_id: upgrades.ConnectionCounts(row.open, row.busy, row.resumable)
+                for worker_id, row in rows.items()
+            }
             message = upgrades.encode_held_connections(self.config.node, is_first, counts)
             self.stream.send_extension(message)
 
--- a/cottonladder/forwarder/operator_settings.py
+++ b/cottonladder/forwarder/operator_settings.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from ..config.operator_config import ForwarderConfig, LimitsConfig, RequestClassConfig
+from .request_classes import MatchRule, RequestClass
 from .resource_limits import ResourceLimits
-from .router import MatchRule, RequestClass
 
 
 def request_classes(config: ForwarderConfig) -> list[RequestClass]:
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -75,9 +75,7 @@
         for worker_id, left in snapshot.avoid_for_s.items()
         if left > age and known(worker_id)
     }
-    if (
-            len(avoided) > len(listed) * ageing.MAX_EJECTED_RATIO
-        ):
+    if len(avoided) > len(listed) * ageing.MAX_EJECTED_RATIO:
         return []
     router.avoid(now, avoided)
     return [f"{len(avoided)} avoided"]
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -13,7 +13,7 @@
 from collections.abc import Mapping
 from contextlib import AsyncExitStack
 from ipaddress import IPv4Address
-from typing import cast
+from typing import NamedTuple, cast
 
 import structlog
 
@@ -30,11 +30,19 @@
     1024,
     64,
 )  # connections that the kernel holds; accepted in one turn of the loop
-WorkerLocation = tuple[int, bytes, Address | None, int]  # worker, id, address, port
+
+
+class WorkerLocation(NamedTuple):
+    """Where a worker of the list is reached; `address` is none where the list has a host name."""
+
+    worker_index: int
+    worker_id: bytes
+    address: Address | None
+    port: int
 
 
 class AdvertisedWeights:
-    """What a server tells, as last solved; replaced whole each interval."""
+    """What servers tell: the views and locations as last solved, replaced whole each interval."""
 
     def __init__(self) -> None:
         self.views: Mapping[int, WorkerCapacityView] = {}
@@ -42,6 +50,7 @@
         self.version = 0
 
     def update(self, views: Mapping[int, WorkerCapacityView], locations: list[WorkerLocation]) -> None:
+        """Takes the workers as last solved, and where they are reached."""
         self.views, self.locations, self.version = views, locations, self.version + 1
 
 
@@ -58,6 +67,7 @@
         self.sent: dict[int, AdvertisedWeight] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The client came."""
         self._transport = cast(asyncio.Transport, transport)
         host, port = transport.get_extra_info("peername", ("?", "?"))[:2]
         self.peer, self.connected_at = f"{host}:{port}", time.monotonic()
@@ -65,6 +75,7 @@
         self.server.client_connected(self)
 
     def data_received(self, data: bytes) -> None:
+        """Hands whole messages to the server; ends the connection at the first bad one."""
         if self._transport is None or self._transport.is_closing():
             return
         try:
@@ -75,6 +86,7 @@
             self.end(str(exc))
 
     def send(self, data: bytes) -> None:
+        """Writes to the client; one that leaves too much unread is ended."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -85,14 +97,17 @@
 
     @property
     def unread(self) -> int:
+        """Bytes written that the client has not taken."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
     def end(self, reason: str) -> None:
+        """Cuts the connection, for a reason that is logged."""
         if self._transport is not None and not self._transport.is_closing():
             self.end_reason = reason
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is over, whoever ended it."""
         self.server.client_disconnected(self)
 
 
@@ -108,7 +123,7 @@
         self._listener: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self.faults = RateLimitedFaultLog("advice client ended")
+        self.faults = RateLimitedFaultLog("advice_client_disconnected")
 
     async def listen(self, at: HostPort, stack: AsyncExitStack) -> int:
         loop = asyncio.get_running_loop()
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -23,10 +23,14 @@
 )
 from cottonladder.protocol import discovery
 from cottonladder.state.worker_registry import WorkerRegistry
-from tests.standins import SETTINGS, Discovery, Handler, Rig, entry, host, listing, soon
+from tests.support.http_server import Handler, start_http_server
+from tests.support.manager_program import SETTINGS
+from tests.support.manager_test_case import ManagerTestCase
+from tests.support.scripted_discovery import ScriptedDiscovery, endpoint_entry, endpoint_list
+from tests.support.timeouts import in_time
 
 SITE = read_settings(SETTINGS, 1, "settings")
-READY, DRAINING = entry("s-1"), entry("s-1", "Terminating")
+READY, DRAINING = endpoint_entry("s-1"), endpoint_entry("s-1", "Terminating")
 
 
 def held(until: asyncio.Event, body: dict[str, Any]) -> Handler:
@@ -54,9 +58,9 @@
     async def asyncSetUp(self) -> None:
         self.updates: asyncio.Queue[EndpointList] = asyncio.Queue()
         self.workers = WorkerRegistry()
-        self.service, self.at = await self.discovery()
+        self.service, self.discovery_address = await self.discovery()
         self.client = discovery.DiscoveryClient(
-            self.at,
+            self.discovery_address,
             SITE,
             self.workers.register,
             lambda item: self.updates.put_nowait(cast(EndpointList, item)),
@@ -64,16 +68,16 @@
         )
         self.addAsyncCleanup(self.client.close)
 
-    async def discovery(self) -> tuple[Discovery, tuple[str, int]]:
-        service = Discovery()
-        at, runner = await host(service.handle)
+    async def discovery(self) -> tuple[ScriptedDiscovery, tuple[str, int]]:
+        service = ScriptedDiscovery()
+        at, runner = await start_http_server(service.handle)
         self.addAsyncCleanup(runner.cleanup)
         return service, ("127.0.0.1", int(at.split(":")[1]))
 
     async def expect_updates(self, *wanted: tuple[ListUpdateKind, EndpointState | None]) -> None:
         """The next listings, each with the state of its first worker."""
         for kind, state in wanted:
-            came = await soon(self.updates.get())
+            came = await in_time(self.updates.get())
             self.assertEqual((came.kind, came.endpoints[0].state if came.endpoints else None), (kind, state))
 
     async def start_watching(self) -> None:
@@ -84,24 +88,26 @@
         """It was written before the drain and comes after it: no fault of discovery's, and nobody returns."""
         late = asyncio.Event()
         await self.start_watching()
-        self.service.script = [held(late, listing(42, READY, full=True))]
+        self.service.script = [held(late, endpoint_list(42, READY, full=True))]
         self.client.fetch()
-        await soon(self.service.calls.get())
-        await soon(self.service.calls.get())
-        await self.service.tell(listing(44, DRAINING))
+        await in_time(self.service.calls.get())
+        await in_time(self.service.calls.get())
+        await self.service.send_updates(endpoint_list(44, DRAINING))
         await self.expect_updates((ListUpdateKind.DELTA, EndpointState.DRAINING))
         late.set()
-        await soon(cast(asyncio.Task[None], self.client._fetch_task))
+        await in_time(cast(asyncio.Task[None], self.client._fetch_task))
         self.assertEqual(self.client.version, 44)
-        await self.service.tell(listing(45, entry("s-2")))
+        await self.service.send_updates(endpoint_list(45, endpoint_entry("s-2")))
         await self.expect_updates((ListUpdateKind.DELTA, EndpointState.READY))
 
     async def test_a_watch_line_older_than_a_fetch_answer_is_ignored(self) -> None:
         await self.start_watching()
-        self.service.script = [answer(listing(45, DRAINING, full=True))]
+        self.service.script = [answer(endpoint_list(45, DRAINING, full=True))]
         self.client.fetch()
         await self.expect_updates((ListUpdateKind.FULL, EndpointState.DRAINING))
-        await self.service.tell(listing(44, READY), listing(46, entry("s-2", "Gone")))
+        await self.service.send_updates(
+            endpoint_list(44, READY), endpoint_list(46, endpoint_entry("s-2", "Gone"))
+        )
         await self.expect_updates((ListUpdateKind.DELTA, EndpointState.GONE))
         self.assertEqual(self.client.version, 46)
 
@@ -112,13 +118,13 @@
             reply = web.StreamResponse()
             await reply.prepare(request)
             await late.wait()
-            await reply.write(json.dumps(listing(44, READY)).encode() + b"\n")
+            await reply.write(json.dumps(endpoint_list(44, READY)).encode() + b"\n")
             await asyncio.Event().wait()
             return reply
 
-        self.service.script = [watch, answer(listing(45, DRAINING, full=True))]
+        self.service.script = [watch, answer(endpoint_list(45, DRAINING, full=True))]
         self.client.set_watching(True)
-        await soon(self.service.calls.get())
+        await in_time(self.service.calls.get())
         self.client.fetch()
         await self.expect_updates((ListUpdateKind.FULL, EndpointState.DRAINING))
         late.set()
@@ -127,7 +133,10 @@
 
     async def test_one_lower_version_is_not_accepted_as_a_new_list(self) -> None:
         """An answer of a version back is doubted, the whole list asked for; one of 41 or more is believed."""
-        old, anew = answer(listing(40, READY, full=True)), answer(listing(47, DRAINING, full=True))
+        old, anew = (
+            answer(endpoint_list(40, READY, full=True)),
+            answer(endpoint_list(47, DRAINING, full=True)),
+        )
         self.service.script = [old, anew]
         self.client.fetch()
         await self.expect_updates((ListUpdateKind.FAILED, None))
@@ -137,7 +146,7 @@
 
     async def test_a_lower_version_is_accepted_the_second_time(self) -> None:
         for kind in (ListUpdateKind.FAILED, ListUpdateKind.FULL):
-            self.service.script = [answer(listing(1, entry("s-7"), full=True))]
+            self.service.script = [answer(endpoint_list(1, endpoint_entry("s-7"), full=True))]
             self.client.fetch()
             await self.expect_updates((kind, EndpointState.READY if kind == ListUpdateKind.FULL else None))
         self.assertEqual(self.client.version, 1)
@@ -146,10 +155,10 @@
         """The former one's lines come between the two answers that it takes to believe a lower version."""
         await self.start_watching()
         service, at = await self.discovery()
-        service.script = [answer(listing(12, entry("s-7"), full=True)) for _ in range(2)]
+        service.script = [answer(endpoint_list(12, endpoint_entry("s-7"), full=True)) for _ in range(2)]
         self.client.change_address(at)
         await self.expect_updates((ListUpdateKind.FAILED, None))
-        await self.service.tell(listing(52, DRAINING))
+        await self.service.send_updates(endpoint_list(52, DRAINING))
         await self.expect_updates((ListUpdateKind.SUPERSEDED, EndpointState.DRAINING))
         self.client.set_watching(True)
         await self.expect_updates((ListUpdateKind.FULL, EndpointState.READY))
@@ -173,7 +182,7 @@
 
     async def test_lines_split_across_chunks_are_not_late(self) -> None:
         """Each piece ends one line and begins the next: none of them is late, however long that goes on."""
-        lines = [json.dumps(listing(42 + n, READY)).encode() + b"\n" for n in range(30)]
+        lines = [json.dumps(endpoint_list(42 + n, READY)).encode() + b"\n" for n in range(30)]
         whole = b"".join(lines)
 
         async def in_pieces(request: web.BaseRequest) -> web.StreamResponse:
@@ -194,7 +203,7 @@
     async def test_unusable_answers_fail_the_call_and_keep_the_list(self) -> None:
         """Each is a failed call; the list that was believed stands."""
         head = b"HTTP/1.1 200 OK\r\n"
-        whole = json.dumps(listing(43, DRAINING)).encode()
+        whole = json.dumps(endpoint_list(43, DRAINING)).encode()
         for answer_bytes in (
             b"HTTP/9 what\r\n\r\n",
             b"",
@@ -246,12 +255,12 @@
     async def test_a_change_of_address_survives_each_fault_of_the_list(self) -> None:
         """What was told of a drain stays told, nobody is gone for a call that failed, and the new address is
         followed from its whole list on."""
-        drain = json.dumps(listing(42, DRAINING)).encode()
+        drain = json.dumps(endpoint_list(42, DRAINING)).encode()
         faults: dict[str, tuple[bytes, ...]] = {
             "silent in mid-line": (drain[:20],), "empty lines, then nothing": (b"\n", b"\n"),
-            "older": (json.dumps(listing(40, READY, full=True)).encode() + b"\n",),
+            "older": (json.dumps(endpoint_list(40, READY, full=True)).encode() + b"\n",),
             "doubled": (drain + b"\n", drain + b"\n"), "spoilt": (b'{"version": 43, "full": nonsense}\n',),
-            "a worker without a zone": (json.dumps(listing(43, {"id": "s-1"})).encode() + b"\n",),
+            "a worker without a zone": (json.dumps(endpoint_list(43, {"id": "s-1"})).encode() + b"\n",),
             "half": (drain[:50] + b"\n",), "too long": (b"x" * 1000,), "no answer": (),
         }  # fmt: skip
         for fault, lines in faults.items():
@@ -279,14 +288,14 @@
                     return reply
 
                 service.script = [watch]
-                new.script = [answer(listing(43, DRAINING, entry("s-2"), full=True))]
+                new.script = [answer(endpoint_list(43, DRAINING, endpoint_entry("s-2"), full=True))]
                 client.set_watching(True)
-                first = await soon(updates.get())
+                first = await in_time(updates.get())
                 self.assertEqual(first.kind, ListUpdateKind.DELTA if lines else ListUpdateKind.FAILED)
                 client.change_address(elsewhere)
                 seen = [first]
                 while seen[-1].kind != ListUpdateKind.FULL:
-                    seen.append(await soon(updates.get()))
+                    seen.append(await in_time(updates.get()))
                 states = [e.state for item in seen for e in item.endpoints if e.worker_index == 0]
                 self.assertEqual(set(states), {EndpointState.DRAINING})
                 self.assertEqual(client.version, 43)
@@ -294,21 +303,21 @@
     async def test_a_closed_client_starts_no_call(self) -> None:
         """A SIGHUP that meets the stop, or a retry that was due."""
         await self.start_watching()
-        await soon(self.service.calls.get())
+        await in_time(self.service.calls.get())
         before = asyncio.all_tasks()
         await self.client.close()
-        self.client.change_address(self.at)
+        self.client.change_address(self.discovery_address)
         self.client.set_watching(True)
         self.client.fetch()
         self.assertEqual(asyncio.all_tasks() - before, set())
 
 
-class DiscoveryAddressTests(Rig):
+class DiscoveryAddressTests(ManagerTestCase):
     async def test_lines_of_a_former_address_do_not_delay_the_retry_at_the_new_one(self) -> None:
         """The new one fails once.  Each of the former one's lines used to set the retry's time anew."""
         program = await self.serving()
-        former = await soon(self.discovery.watches.get())
-        new, again = Discovery(), asyncio.Event()
+        former = await in_time(self.discovery.watches.get())
+        new, again = ScriptedDiscovery(), asyncio.Event()
 
         async def busy(request: web.BaseRequest) -> web.StreamResponse:
             return web.Response(status=503)
@@ -319,16 +328,16 @@
 
         async def speak_on() -> None:  # far more often than calls are made again
             for version in range(42, 100_000):
-                await former.write(json.dumps(listing(version, READY)).encode() + b"\n")
+                await former.write(json.dumps(endpoint_list(version, READY)).encode() + b"\n")
                 await asyncio.sleep(0.05)
 
         new.script = [busy, asked]
         speaking = asyncio.create_task(speak_on())
         self.addAsyncCleanup(asyncio.gather, speaking, return_exceptions=True)
         self.addCleanup(speaking.cancel)
-        program.reload(discovery=await self.host(new.handle))
+        program.reload(discovery=await self.start_http_server(new.handle))
         await program.logged("configuration taken")
-        await soon(again.wait())
+        await in_time(again.wait())
 
 
 if __name__ == "__main__":
--- a/tests/protocol/test_stream_listener.py
+++ b/tests/protocol/test_stream_listener.py
@@ -27,12 +27,15 @@
 from cottonladder.protocol.protocol_connection import ProtocolConnection
 from cottonladder.protocol.resp import encode
 from cottonladder.state.proxy_sessions import ProxySessions
-from tests.standins import SETTINGS, Program, Rig, entry, listing, soon
+from tests.support.manager_program import SETTINGS, ManagerProgram
+from tests.support.manager_test_case import ManagerTestCase
+from tests.support.scripted_discovery import endpoint_entry, endpoint_list
+from tests.support.timeouts import in_time
 
 SITE = read_settings(SETTINGS, 1, "settings")
 
 
-class ReconnectingProxyTests(Rig):
+class ReconnectingProxyTests(ManagerTestCase):
     """One manager's address in this process: the turns of the loop are the test's own."""
 
     async def listening(self, max_connections: int = 64) -> None:
@@ -42,7 +45,7 @@
         self.listener = stream_listener.StreamListener(
             MessageReader(SITE, lambda key: None), self.sessions, limits
         )
-        self.program = Program("")
+        self.program = ManagerProgram("")
         self.program.port = await self.listener.listen("127.0.0.1", 0)
         self.addAsyncCleanup(self.listener.close)
 
@@ -52,35 +55,35 @@
         await self.listening()
         first = await self.connect(self.program)
         second = await self.connect(self.program, "PING")
-        self.assertEqual(await second.hear(), "PONG")  # both are accepted, in this order
+        self.assertEqual(await second.receive(), "PONG")  # both are accepted, in this order
         second.join(3)
-        self.assertEqual(type(await soon(self.inputs.get())), ProxyConnected)
+        self.assertEqual(type(await in_time(self.inputs.get())), ProxyConnected)
         first.join(3)
-        first.say("PING")
-        self.assertEqual(await first.hear(), "PONG")
+        first.send("PING")
+        self.assertEqual(await first.receive(), "PONG")
         first.close()
         collector = await self.connect(self.program, "SOURCE locality a")
-        collector.say("RATE node 3 route lookup total 7 errors 0 interval 1000.0")
-        self.assertEqual(type(await soon(self.inputs.get())), ArrivalReport)  # nobody has left or joined
+        collector.send("RATE node 3 route lookup total 7 errors 0 interval 1000.0")
+        self.assertEqual(type(await in_time(self.inputs.get())), ArrivalReport)  # nobody has left or joined
         self.sessions.send(3, encode([b"CONFIG", b"stamp", b"9"]))
-        self.assertEqual(await second.hear(), "CONFIG stamp 9")
+        self.assertEqual(await second.receive(), "CONFIG stamp 9")
 
     async def test_the_newest_of_three_connections_in_one_turn_holds(self) -> None:
         await self.listening()
         streams = [await self.connect(self.program) for _ in range(3)]
         for stream in streams:
-            stream.say("PING")
-            self.assertEqual(await stream.hear(), "PONG")
+            stream.send("PING")
+            self.assertEqual(await stream.receive(), "PONG")
         for stream in streams:  # in one turn of the loop: all is there before it reads
             cast(socket.socket, stream.writer.get_extra_info("socket")).setsockopt(
                 socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
             )
             stream.join(3)
-            stream.say("ACK node 3 nonce 1 latency 1")
-        came = [type(await soon(self.inputs.get())) for _ in range(8)]
+            stream.send("ACK node 3 nonce 1 latency 1")
+        came = [type(await in_time(self.inputs.get())) for _ in range(8)]
         self.assertEqual(came.count(ProxyConnected) - came.count(ProxyDisconnected), 1)
         self.sessions.send(3, encode([b"CONFIG", b"stamp", b"9"]))
-        self.assertEqual(await streams[2].hear(), "CONFIG stamp 9")
+        self.assertEqual(await streams[2].receive(), "CONFIG stamp 9")
 
     async def test_a_connection_accepted_during_close_is_ended(self) -> None:
         """It was opened behind the close, answered pings and took joins until the process ended."""
@@ -94,17 +97,17 @@
 
         with mock.patch.object(stream_listener, "ProtocolConnection", Accepted):
             client = await self.connect(self.program, "PING")
-            await client.ended()
-        self.assertEqual((len(closing), client.come), (1, []))
+            await client.wait_closed()
+        self.assertEqual((len(closing), client.received), (1, []))
         with self.assertRaises(EOFError):
-            await client.hear()
+            await client.receive()
 
 
-class ConnectionFloodTests(Rig):
+class ConnectionFloodTests(ManagerTestCase):
     async def gone(self, stranger: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         with suppress(OSError):
-            while await soon(loop.sock_recv(stranger, 4096)):
+            while await in_time(loop.sock_recv(stranger, 4096)):
                 pass
 
     async def test_two_thousand_dials_do_not_delay_proxies_or_a_drain(self) -> None:
@@ -114,7 +117,7 @@
         program = await self.serving(limits={"memory_mb": 192, "sockets": 512})
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (512, 512))
         first = await self.join(program, 0)
-        first.ack(await first.hear_of("stamp"))
+        first.acknowledge(await first.receive_until("stamp"))
         flood = [socket.socket() for _ in range(2000)]
         for stranger in flood:  # the kernel takes them all: the program accepts them when it can
             self.addCleanup(stranger.close)
@@ -124,12 +127,14 @@
             with suppress(OSError):
                 stranger.send(b"GET / HTTP/1.1\r\n\r\n")
         proxies = [await self.join(program, node) for node in range(1, 8)]
-        await self.discovery.tell(listing(42, entry("s-1", "Terminating"), entry("s-3")))
+        await self.discovery.send_updates(
+            endpoint_list(42, endpoint_entry("s-1", "Terminating"), endpoint_entry("s-3"))
+        )
         for proxy in proxies:
-            await proxy.hear_of("replace")
-        await first.hear_of("s-1:0.0")
-        first.say("PING")
-        await first.hear_of("PONG")
+            await proxy.receive_until("replace")
+        await first.receive_until("s-1:0.0")
+        first.send("PING")
+        await first.receive_until("PONG")
         for stranger in flood:
             await self.gone(stranger)
         status = Path(f"/proc/{program.process.pid}/status").read_text()
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -52,7 +52,7 @@
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from cottonladder.state.order_dispatcher import OrderDispatcher, OrderRejectedError
 from cottonladder.state.worker_registry import WorkerRegistry
-from tests.test_scenarios import USUAL
+from tests.policy.test_scenarios import USUAL
 
 
 class ScenarioPlayer:
@@ -275,13 +275,15 @@
 
     def check_agreement(self) -> None:
         """Once all has arrived, bound proxies hold and shut out what the module takes them to."""
-        for table in self.controller.tables:
-            for p in table.users:
+        for table in self.controller.fleet.tables:
+            for p in table.readers:
                 stand_in = self.proxies[p]
                 stand_in.arrive()
-                expect_equal(self.workers.ids.keys() >= self.controller.bes.keys(), True)
+                expect_equal(self.workers.ids.keys() >= self.controller.fleet.workers.keys(), True)
                 sent = {self.workers.ids[i]: w for i, w in table.sent.items() if w > 0}
-                out = {self.workers.ids[i] for i in table.sent if self.controller.bes[i].cordoned}
+                out = {
+                    self.workers.ids[i] for i in table.sent if self.controller.fleet.workers[i].is_excluded
+                }
                 expect_equal(stand_in.rows, sent)
                 expect_equal(stand_in.out & set(sent), out & set(sent))
 
