--- a/tests/control/test_signal_races.py
+++ b/tests/control/test_signal_races.py
@@ -100,7 +100,7 @@
         other.replace(pipe)
         program.process.send_signal(signal.SIGHUP)
         os.close(held)
-        await program.logged("configuration taken", f"discovery={at}")
+        await program.logged("config_reloaded", f"discovery={at}")
         self.assertEqual(await in_time(new.calls.get()), "/v1/servers")
 
     async def test_a_stop_while_the_file_is_read_ends_silently(self) -> None:
--- a/tests/forwarder/test_manager_stream.py
+++ b/tests/forwarder/test_manager_stream.py
@@ -133,7 +133,7 @@
         manager = await self.manager(upgrades=None)
         forwarder = await self.forwarder(manager.port)
         await self.bound(forwarder, "s-1", "s-2")
-        await manager.logged("message left out", "UPGRADES: unknown kind")
+        await manager.logged("message_rejected", "UPGRADES: unknown kind")
         await self.open(forwarder, 20)
         await self.discovery.set_state("s-1", "Terminating")
         await self.emptied("s-1")  # paced by the forwarder alone
@@ -147,7 +147,7 @@
         self.say(writer, "HELD node 5 whole 1 holds s-1:50:0:0")
         self.say(writer, "MOVED node 5 move 1 done 1 failed 0")
         self.say(writer, "HELD node 5 whole 1 holds s-1:50:99:0")
-        await manager.logged("message left out", "more busy")
+        await manager.logged("message_rejected", "more busy")
         config = await self.hear(reader, come, b"CONFIG")  # bound to a table that names it
         await self.discovery.set_state("s-1", "Terminating")
         while b"s-1:0.0" not in b" ".join(config):
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -336,7 +336,7 @@
         self.addAsyncCleanup(asyncio.gather, speaking, return_exceptions=True)
         self.addCleanup(speaking.cancel)
         program.reload(discovery=await self.start_http_server(new.handle))
-        await program.logged("configuration taken")
+        await program.logged("config_reloaded")
         await in_time(again.wait())
 
 
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -121,7 +121,7 @@
         self.stack.push_async_callback(manager.stop)
         one = ForwarderProcess(1, self.at, [f"127.0.0.1:{manager.port}"], None, **part)
         await one.serving()
-        await one.logged("stream opened")
+        await one.logged("stream_opened")
         kept = str(self.folder / "f")
         end = time.monotonic() + 20.0
         while True:
