--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -164,7 +164,7 @@
     manager = ManagerProcess(discovery_address, discovery.listing(), None, {"serve": [server]})
     stack.push_async_callback(manager.stop)
     await manager.serving()
-    line = await manager.logged("advice served")
+    line = await manager.logged("advice_server_started")
     return int(line.split("port=")[1].split()[0])
 
 
--- a/cottonladder/control/admin_socket.py
+++ b/cottonladder/control/admin_socket.py
@@ -39,7 +39,7 @@
         os.chmod(self._path, 0o600)
         stack.callback(self._remove)
         stack.callback(server.close)
-        self.log.info("control", path=self._path)
+        self.log.info("admin_socket_opened", path=self._path)
 
     def _remove(self) -> None:
         with suppress(OSError):
--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -83,7 +83,10 @@
             turn = self._scheduler.tasks[name]
             if turn.overruns & (turn.overruns - 1) == 0:  # the first, second, fourth, ...
                 self.log.info(
-                    "task overran", task=name, ms=round((ended - begun) * 1000, 1), times=turn.overruns
+                    "task_overran",
+                    task=name,
+                    duration_ms=round((ended - begun) * 1000, 1),
+                    times=turn.overruns,
                 )
         if done or failed:
             self._running.pop(name, None)
@@ -107,7 +110,9 @@
     def _log_failure(self, name: str, exc: Exception) -> None:
         row = self._scheduler.tasks[name].consecutive_failures
         if row & (row - 1) == 0:
-            self.log.warning("task failed", task=name, why=str(exc) or type(exc).__name__, in_row=row + 1)
+            self.log.warning(
+                "task_failed", task=name, reason=str(exc) or type(exc).__name__, consecutive_failures=row + 1
+            )
 
     def status_rows(self) -> list[dict[str, object]]:
         """For operators: how each task stands."""
@@ -143,8 +148,13 @@
                         if step is not None:
                             await step
         except TimeoutError:
-            self.log.warning("tasks cut at the stop", tasks=",".join(self._awaited) or ",".join(last))
+            self.log.warning("tasks_cancelled", tasks=",".join(self._awaited) or ",".join(last))
         except Exception as exc:
-            self.log.warning("task failed", task=",".join(last), why=str(exc) or type(exc).__name__, in_row=1)
+            self.log.warning(
+                "task_failed",
+                task=",".join(last),
+                reason=str(exc) or type(exc).__name__,
+                consecutive_failures=1,
+            )
         for wait in list(self._awaited.values()):
             wait.cancel()
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -164,11 +164,13 @@
         for worker in totals.keys() & leaving - self._draining_connections.keys():
             open_count = totals[worker].open
             self._draining_connections[worker] = open_count
-            self.log.info("connections drain", be=self._workers.ids[worker].decode(), open=open_count)
+            self.log.info(
+                "held_connections_draining", worker_id=self._workers.ids[worker].decode(), open=open_count
+            )
         for worker in list(self._draining_connections):
             if worker in leaving and worker in totals:
                 continue
             count_at_start = self._draining_connections.pop(worker)
             name = self._workers.ids.get(worker, b"?").decode()
-            outcome = "drain taken back" if worker in totals else "drained"
-            self.log.info(f"connections {outcome}", be=name, begun=count_at_start)
+            event = "held_connections_drain_cancelled" if worker in totals else "held_connections_drained"
+            self.log.info(event, worker_id=name, open_at_start=count_at_start)
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -62,15 +62,20 @@
             self._is_open = True
             found = self.store.read_newest()
         except SnapshotError as exc:
-            self.log.warning("memory not read", why=str(exc))
+            self.log.warning("snapshot_unreadable", reason=str(exc))
             return None
         aside, self.store.quarantine_messages = "; ".join(self.store.quarantine_messages), []
         if found is None:
-            self.log.info("memory empty", aside=aside or "none")
+            self.log.info("snapshot_missing", quarantined=aside or "none")
             return None
         age = time.time() - found.written_at
-        self.log.info("memory read", generation=found.number, age=round(age, 1), aside=aside or "none",
-                      ms=round((time.monotonic() - begun) * 1000, 1))  # fmt: skip
+        self.log.info(
+            "snapshot_read",
+            generation=found.number,
+            age_s=round(age, 1),
+            quarantined=aside or "none",
+            duration_ms=round((time.monotonic() - begun) * 1000, 1),
+        )
         return found
 
     def write(self, sections: Mapping[str, Any]) -> None:
@@ -111,7 +116,7 @@
             return
         life, why = decode_section("manager", found.sections, ManagerSnapshot)
         if life is None:
-            self.log.warning("memory not used", why=why or "no section manager")
+            self.log.warning("snapshot_rejected", reason=why or "no section manager")
             return
         age = ageing.snapshot_age(found.written_at, time.time())
         self._restore_endpoints(life)
@@ -171,7 +176,7 @@
         life, self._restored_state = self._restored_state, None
         out = sum(past.was_ejected for past in life.workers)
         leaving = sum(past.was_draining for past in life.workers)
-        self.log.info("memory used", workers=len(life.workers), suspected=out, leaving=leaving)
+        self.log.info("snapshot_restored", workers=len(life.workers), ejected=out, draining=leaving)
         return [life]
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -91,7 +91,7 @@
             host, port = host_port(serving.listen)
             bound = await server.listen((host, port), stack)
             self._servers.append(server)
-            self.log.info("advice served", protocol=serving.protocol, host=host, port=bound)
+            self.log.info("advice_server_started", protocol=serving.protocol, host=host, port=bound)
         chance = random.Random(time.time_ns())
         for n, following in enumerate(self._config.follow):
             follower = self._create_follower(following, f"$.advice.follow[{n}]", chance)
@@ -175,9 +175,9 @@
             follower = next((f for f in self._followers if f.name == name), None)
             unmatched = follower.unmatched if follower else 0
             self.log.info(
-                "advisor stands", advisor=name, credit=round(stands.credit, 3), words=stands.weight_count,
-                unmatched=unmatched, age=round(min(stands.age_s, 1e6), 1),
+                "advisor_status", advisor=name, credit=round(stands.credit, 3), weights=stands.weight_count,
+                unmatched=unmatched, age_s=round(min(stands.age_s, 1e6), 1),
             )  # fmt: skip
         for server in self._servers:
             for row in server.status():
-                self.log.info("balancer stands", **row)
+                self.log.info("balancer_status", **row)
--- a/tests/forwarder/test_draining.py
+++ b/tests/forwarder/test_draining.py
@@ -80,7 +80,7 @@
         await self.discovery.set_state("s-1", "Terminating")
         await self.until(lambda: self.workers["s-1"].held_connections < before["s-1"] * 0.7)
         await self.discovery.set_state("s-1", "Ready")
-        await manager.logged("drain taken back", "be=s-1")
+        await manager.logged("held_connections_drain_cancelled", "worker_id=s-1")
         kept = self.workers["s-1"].held_connections
         self.assertGreater(kept, 0)
         await self.emptied("s-0")
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -66,8 +66,8 @@
         await self.discovery.set_down(True)
         again = await self.manager(known=known)  # the configuration's list is an old one
         self.stack.push_async_callback(again.stop)
-        line = await again.logged("memory used")
-        self.assertIn("leaving=1", line)
+        line = await again.logged("snapshot_restored")
+        self.assertIn("draining=1", line)
         proxy_table = await self.table(again)
         self.assertNotIn("s-1", proxy_table)
         self.assertIn("s-0", proxy_table)
@@ -83,7 +83,7 @@
     async def test_files_that_can_not_be_used_never_stop_a_start(self) -> None:
         folder = self.folder / "m"
         for prepare, why in (
-            (lambda: folder.mkdir(), "memory empty"),
+            (lambda: folder.mkdir(), "snapshot_missing"),
             (lambda: (folder / "state-3.clm").write_bytes(b"what"), "state-3.clm: cut short"),
             (lambda: (folder / "state-9.clm").mkdir(), "state-9.clm"),
             (
@@ -100,8 +100,8 @@
         owner.open()
         self.addCleanup(owner.close)
         manager = await self.manager()
-        await manager.logged("memory not read", "another process owns it")
-        await manager.logged("task failed", "another process owns it")
+        await manager.logged("snapshot_unreadable", "another process owns it")
+        await manager.logged("task_failed", "another process owns it")
         self.assertIn("s-0", await self.table(manager))
         owner.close()
         await self.wrote(14)  # tried again
@@ -134,7 +134,7 @@
         two = ForwarderProcess(1, self.at, ["127.0.0.1:9"], None, **part)
         await two.serving()
         self.stack.push_async_callback(two.stop)
-        self.assertIn("table fetch", await two.logged("memory used"))
+        self.assertIn("table fetch", await two.logged("snapshot_restored"))
 
 
 if __name__ == "__main__":
--- a/tests/weight_advice/test_server_and_client.py
+++ b/tests/weight_advice/test_server_and_client.py
@@ -63,7 +63,7 @@
         return manager
 
     async def port(self, manager: ManagerProcess, protocol: str) -> int:
-        return int((await manager.logged("advice served", protocol)).split("port=")[1])
+        return int((await manager.logged("advice_server_started", protocol)).split("port=")[1])
 
     async def balancer(self, port: int, uid: bytes = b"lb-1", **more: object) -> SaspBalancer:
         balancer = SaspBalancer(uid)
@@ -141,7 +141,7 @@
             secret = {"key": 7, "file": str(path)}
             manager = await self.manager({"protocol": "dfp", "secret": secret}, {"protocol": "dfp"})
         await manager.logged("event=serving")
-        ports = [int(line.split("port=")[1]) for line in manager.lines if "advice served" in line]
+        ports = [int(line.split("port=")[1]) for line in manager.lines if "advice_server_started" in line]
         for port, key in zip(ports, ((7, b"month's end"), None), strict=True):
             await self.discovery.set_state("s-2", "Ready")
             heard = await read_dfp_reports(port, 2, key)
@@ -329,8 +329,8 @@
         proxy, table = await self.join(manager), dict[str, float]()
         await self.rows(proxy, table, lambda: self.ratio(table) > 1.5)
         self.assertIsNotNone(agent.keep_alive)
-        line = await manager.logged("advisor stands", "unmatched=1", wait=40.0)
-        self.assertIn("words=4", line)
+        line = await manager.logged("advisor_status", "unmatched=1", wait=40.0)
+        self.assertIn("weights=4", line)
 
 
 class CommandLine(Rig):
