--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -211,7 +211,7 @@
     weight_sum = sum(live.values())
     capacity_sum = sum(plain_capacities[worker] for worker in live)
     bound = math.log(MAX_FACTOR)
-    ratios = {worker: -bound for worker in current}
+    ratios = dict.fromkeys(current, -bound)
     for worker, weight in live.items():
         ratio = math.log((weight / weight_sum) / (plain_capacities[worker] / capacity_sum))
         ratios[worker] = min(bound, max(-bound, ratio))
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -119,7 +119,7 @@
         self.result = MonthEndResult()
         self._advisors = advisors
         self._tables: dict[int, dict[int, float]] = defaultdict(dict)  # weights by table and worker
-        self._bound_tables = {proxy: -1 for proxy in range(PROXY_COUNT)}  # -1: not bound yet
+        self._bound_tables = dict.fromkeys(range(PROXY_COUNT), -1)  # -1: not bound yet
         self._excluded: set[int] = set()
         self._scheduled: list[tuple[float, int, Input]] = []  # a heap of inputs on their way
         self._schedule_count = 0
@@ -275,7 +275,7 @@
 
     def _send_requests(self, now: float) -> None:
         """All requests that come until the next step, in order."""
-        fallback = {index: 1.0 for index in list(self.workers)[:FALLBACK_WORKERS]}
+        fallback = dict.fromkeys(list(self.workers)[:FALLBACK_WORKERS], 1.0)
         weights = [self.usable_weights(proxy) or fallback for proxy in range(PROXY_COUNT)]
         request_rate = self.request_rate(now - START_TIME_S)
         at = now + self.random.expovariate(request_rate)
