--- a/tests/control/test_log_events.py
+++ b/tests/control/test_log_events.py
@@ -36,7 +36,7 @@
         if isinstance(node, ast.Call) and node.args and (is_log_call(node) or is_fault_log(node)):
             event = node.args[0]
             for value in texts.get(event.id, []) if isinstance(event, ast.Name) else [event]:
-                yield from (part for part in constants(value))
+                yield from constants(value)
 
 
 def constants(value: ast.expr) -> Iterator[str]:
