--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -17,12 +17,12 @@
     Checkpoint,
     FetchEndpoints,
     HealthCheck,
-    LogModeChange,
     Order,
     SendGossip,
     StartTimer,
     WatchEndpoints,
 )
+from ..model.state_changes import AdmissionChanged, StateChange, WorkerStateChanged
 from ..policy.controller import RoutingController
 from ..protocol.discovery import DiscoveryClient
 from ..protocol.gossip import GossipSocket
@@ -30,6 +30,7 @@
 from ..protocol.messages import ExtensionMessage
 from ..state.order_dispatcher import OrderDispatcher, OrderRejectedError
 from ..state.proxy_sessions import ProxySessions
+from .state_change_log import StateChangeLog
 
 MIN_LOOP_LAG = 0.01  # s: what is shorter nobody feels, as the policy looks each quarter of a second
 LAG_GROWTH = 1.5  # a lag is logged where it is this many times the longest one before
@@ -105,14 +106,14 @@
     """For a manager without background work."""
 
 
-def _ignore_mode_change(message: str) -> None:
+def _ignore_state_change(change: StateChange) -> None:
     """For a manager without plug-ins."""
 
 
 class ControlLoop:
     """Owns the routing controller and its timers.
 
-    `on_loop_lag` is called when a batch or timer was late; `on_mode_change` with each mode change's text.
+    `on_loop_lag` is called when a batch or timer was late; `on_state_change` with each state change.
     """
 
     def __init__(
@@ -122,18 +123,20 @@
         sessions: ProxySessions,
         dispatcher: OrderDispatcher,
         effects: Effects,
+        state_change_log: StateChangeLog,
         extensions: Iterable[ControlLoopExtension] = (),
         on_loop_lag: Callable[[], None] = _ignore_loop_lag,
-        on_mode_change: Callable[[str], None] = _ignore_mode_change,
+        on_state_change: Callable[[StateChange], None] = _ignore_state_change,
     ) -> None:
         self._controller = controller
         self._input_queue = input_queue
         self._sessions = sessions
         self._dispatcher = dispatcher
         self._effects = effects
+        self._state_change_log = state_change_log
         self._extensions = list(extensions)
         self._on_loop_lag = on_loop_lag
-        self._on_mode_change = on_mode_change
+        self._on_state_change = on_state_change
         controller.channel_budget.extra_lines = dispatcher.count_added_lines
         self._clock = Clock()
         self._last_timer = 0
@@ -145,7 +148,8 @@
             FetchEndpoints: self._fetch_endpoints,
             HealthCheck: self._check_health,
             SendGossip: self._send_gossip,
-            LogModeChange: self._log_mode_change,
+            WorkerStateChanged: self._log_worker_state,
+            AdmissionChanged: self._log_admission,
         }
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
@@ -227,9 +231,13 @@
     def _send_gossip(self, order: SendGossip) -> None:
         self._effects.gossip.send_datagram(order.recipient, order.text)
 
-    def _log_mode_change(self, order: LogModeChange) -> None:
-        self.log.info("mode_change", message=order.message)
-        self._on_mode_change(order.message)
+    def _log_worker_state(self, change: WorkerStateChanged) -> None:
+        self._state_change_log.worker_state_changed(change)
+        self._on_state_change(change)
+
+    def _log_admission(self, change: AdmissionChanged) -> None:
+        self._state_change_log.admission_changed(change)
+        self._on_state_change(change)
 
     def _record_loop_lag(self, source: str, lag_s: float) -> None:
         """Logs a batch that took longer, or a timer that came later, than all before by half."""
--- a/cottonladder/control/extensions.py
+++ b/cottonladder/control/extensions.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from contextlib import AsyncExitStack
 from dataclasses import dataclass
-from functools import partial
 from typing import TYPE_CHECKING
 
 from ..config.manager_config import ManagerConfig
+from ..model.state_changes import StateChange
 from ..protocol.discovery import DiscoveryClient
 from ..protocol.messages import MessageReader
 from .control_loop import ControlLoopExtension
@@ -50,11 +50,11 @@
         )
         return [extension for extension in every if extension is not None]
 
-    def mode_change_observer(self) -> Callable[[str], None] | None:
-        """Who is told of mode changes, if anyone."""
+    def state_change_observer(self) -> Callable[[StateChange], None] | None:
+        """What is called with each state change of the policy, if anything."""
         if self.plugins is None:
             return None
-        return partial(self.plugins.queue_event, "mode")
+        return self.plugins.queue_state_change
 
 
 async def start_background_work(
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -31,6 +31,7 @@
     start_background_work,
 )
 from .reload import ConfigReloader
+from .state_change_log import StateChangeLog
 
 if TYPE_CHECKING:
     from ..config.operator_config import OperatorConfig
@@ -122,15 +123,16 @@
     observers: dict[str, Callable[..., None]] = {}
     if background.scheduler is not None:
         observers["on_loop_lag"] = background.scheduler.pause_for_loop_lag
-    on_mode_change = extensions.mode_change_observer()
-    if on_mode_change is not None:
-        observers["on_mode_change"] = on_mode_change
+    on_state_change = extensions.state_change_observer()
+    if on_state_change is not None:
+        observers["on_state_change"] = on_state_change
     return ControlLoop(
         RoutingController(settings.parameters),
         input_queue,
         sessions,
         OrderDispatcher(list(settings.classes), settings.parameters.manager_count, config.workers),
         effects,
+        StateChangeLog(config.workers, list(settings.zones)),
         loop_extensions,
         **observers,
     )
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -12,6 +12,8 @@
 
 from ..config.operator_config import ManagerPluginsConfig
 from ..model.inputs import AdvisedFactor, EndpointList, Input
+from ..model.state_change_text import state_change_text
+from ..model.state_changes import StateChange
 from ..model.views import WorkerCapacityView
 from ..planning.controller_views import capacity_views
 from ..planning.migration_orders import MigrateConnections
@@ -56,7 +58,7 @@
                 self.queue_event("listed", f"{name} {entry.state.name.lower()}")
 
     def queue_event(self, what: str, words: str) -> None:
-        """Adds an event for the next step; also for the policy's mode changes."""
+        """Adds an event for the next step."""
         if not self.chain.has_hook(EVENT):
             return
         if len(self._events) >= MAX_EVENTS:
@@ -64,6 +66,10 @@
             return
         self._events.append((what, words))
 
+    def queue_state_change(self, change: StateChange) -> None:
+        """Adds a state change of the policy, in the text form that plug-ins know."""
+        self.queue_event("mode", state_change_text(change))
+
     def collect_inputs(self, now: float) -> list[Input]:
         events, self._events = self._events, []
         for what, words in events:
--- /dev/null
+++ b/cottonladder/control/state_change_log.py
@@ -0,0 +1,66 @@
+"""Log events for state changes of the routing policy, with the ids and addresses that discovery lists."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Any
+
+import structlog
+
+from ..model.state_changes import (
+    AdmissionChanged,
+    EndpointEvidence,
+    Evidence,
+    HealthCheckEvidence,
+    OutlierEvidence,
+    WorkerStateChanged,
+)
+from ..state.worker_registry import WorkerRegistry
+
+
+class StateChangeLog:
+    """Writes one event a change; `zone_names` are in the order of the zones' indices."""
+
+    def __init__(self, workers: WorkerRegistry, zone_names: Sequence[str]) -> None:
+        self._workers = workers
+        self._zone_names = zone_names
+        self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
+
+    def worker_state_changed(self, change: WorkerStateChanged) -> None:
+        """Names the worker as discovery lists it, and gives the figures that the policy decided by."""
+        self.log.info(
+            "worker_state_changed",
+            worker_id=self._workers.ids.get(change.worker_index, b"").decode(),
+            address=self._workers.address_of(change.worker_index),
+            zone=self._zone_names[change.zone],
+            from_state=change.from_state.value,
+            to_state=change.to_state.value,
+            reason=change.event.value,
+            **_evidence_fields(change.evidence),
+        )
+
+    def admission_changed(self, change: AdmissionChanged) -> None:
+        """Load shedding began or ended."""
+        self.log.info(
+            "admission_changed",
+            from_ratio=round(change.from_ratio, 2),
+            to_ratio=round(change.to_ratio, 2),
+            overload_signal=round(change.overload_signal, 2),
+        )
+
+
+def _evidence_fields(evidence: Evidence | None) -> dict[str, Any]:
+    match evidence:
+        case EndpointEvidence(endpoint_state, uptime_s):
+            return {"endpoint_state": endpoint_state.name.lower(), "uptime_s": round(uptime_s, 1)}
+        case OutlierEvidence(failed_count, attempt_count, others_failed_ratio, lost_check_count):
+            return {
+                "failed_count": round(failed_count),
+                "attempt_count": round(attempt_count),
+                "others_failed_ratio": round(others_failed_ratio, 2),
+                "lost_check_count": lost_check_count,
+            }
+        case HealthCheckEvidence(duration_s):
+            return {"duration_ms": round(duration_s * 1000)}
+        case None:
+            return {}
--- a/cottonladder/model/__init__.py
+++ b/cottonladder/model/__init__.py
@@ -6,7 +6,15 @@
 from .load_shedding import common_limit, shed_in_order
 from .min_cost_flow import min_cost_flow
 from .parameters import DeploymentParameters
-from .records import IN_SERVICE, RoutingTable, WorkerRecord, WorkerState
+from .records import IN_SERVICE, RoutingTable, WorkerRecord
+from .state_changes import (
+    AdmissionChanged,
+    EndpointEvidence,
+    HealthCheckEvidence,
+    OutlierEvidence,
+    WorkerEvent,
+    WorkerState,
+)
 from .state_table import StateTable
 from .statistics import median_or_zero
 from .weight_ring import arcs, cut
@@ -14,14 +22,19 @@
 
 __all__ = [
     "IN_SERVICE",
+    "AdmissionChanged",
     "Demand",
     "DeploymentParameters",
+    "EndpointEvidence",
     "Fleet",
+    "HealthCheckEvidence",
     "LineAccount",
     "LineLimit",
+    "OutlierEvidence",
     "RecordSettings",
     "RoutingTable",
     "StateTable",
+    "WorkerEvent",
     "WorkerRecord",
     "WorkerState",
     "ZoneGroups",
--- a/cottonladder/model/fleet.py
+++ b/cottonladder/model/fleet.py
@@ -10,10 +10,11 @@
 from . import inputs
 from .gossip_text import decode_zone_figures, encode_zone_figures
 from .latency import LatencyHistogram, LinkLatencies
-from .orders import ALL_TABLES, ExcludeWorker, LogModeChange, Order, RemoveWorker, SendGossip
+from .orders import ALL_TABLES, ExcludeWorker, Order, RemoveWorker, SendGossip
 from .parameters import DeploymentParameters
 from .peer_demand import PeerDemand
-from .records import ProxyRecord, RoutingTable, WorkerRecord, WorkerState
+from .records import ProxyRecord, RoutingTable, WorkerRecord
+from .state_changes import Evidence, WorkerEvent, WorkerState, WorkerStateChanged
 from .state_table import StateTable
 
 
@@ -177,15 +178,16 @@
                 known.append(past)
         return known
 
-    def transition(self, table: StateTable, index: int, event: str, reason: str) -> None:
+    def transition(
+        self, table: StateTable, index: int, event: WorkerEvent, evidence: Evidence | None = None
+    ) -> None:
         """Applies one event to a worker, if its state knows it."""
         worker = self.workers[index]
         sources, target = table.transitions[event]
         if worker.state not in sources:
             return
         if worker.state not in (target, WorkerState.ABSENT):
-            change = f"be {index} {worker.state}>{target} {event}: {reason}"
-            self.pending.append(LogModeChange(change))
+            self.pending.append(WorkerStateChanged(index, worker.zone, worker.state, target, event, evidence))
         wait_s = 0.0
         if target == WorkerState.EJECTED:
             wait_s = table.ejection_time_s * self.random.uniform(*table.ejection_jitter)
--- a/cottonladder/model/orders.py
+++ b/cottonladder/model/orders.py
@@ -8,6 +8,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
+from .state_changes import AdmissionChanged, WorkerStateChanged
+
 
 class RetryPolicy(IntEnum):
     """When a proxy tries another backend."""
@@ -114,13 +116,6 @@
     worker_index: int
 
 
-@dataclass(frozen=True, slots=True)
-class LogModeChange:
-    """A change of mode for the log."""
-
-    message: str
-
-
 Order = (
     SetWeight
     | ClearTable
@@ -134,5 +129,6 @@
     | SendGossip
     | StartTimer
     | RemoveWorker
-    | LogModeChange
+    | WorkerStateChanged
+    | AdmissionChanged
 )
--- a/cottonladder/model/records.py
+++ b/cottonladder/model/records.py
@@ -7,22 +7,11 @@
 
 import math
 from collections import deque
-from enum import StrEnum
 
 from .inputs import ArrivalReport, HealthCheckResult, LoadReport
 from .latency import LatencyHistogram
 from .orders import Order, RetryPolicy, SetAdmission, SetWeight
-
-
-class WorkerState(StrEnum):
-    """Where a worker stands; the values are the words of the log's mode changes."""
-
-    ABSENT = "absent"
-    HEALTHY = "well"
-    SLOW_START = "ramp"
-    EJECTED = "out"
-    REMOVED = "gone"
-
+from .state_changes import WorkerState
 
 IN_SERVICE = (WorkerState.HEALTHY, WorkerState.SLOW_START)
 
--- a/cottonladder/model/state_table.py
+++ b/cottonladder/model/state_table.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from .records import WorkerState
+from .state_changes import WorkerEvent, WorkerState
 
 
 @dataclass(frozen=True)
@@ -14,6 +14,6 @@
     `ejection_time_s` is how long an ejected worker waits, times a random number within `ejection_jitter`.
     """
 
-    transitions: dict[str, tuple[tuple[WorkerState, ...], WorkerState]]
+    transitions: dict[WorkerEvent, tuple[tuple[WorkerState, ...], WorkerState]]
     ejection_time_s: float
     ejection_jitter: tuple[float, float]
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterable
 
 from ..model.inputs import RestoredState, WorkerHistory
-from ..model.records import IN_SERVICE, WorkerState
+from ..model.records import IN_SERVICE
+from ..model.state_changes import WorkerState
 from ..model.views import WorkerCapacityView
 from ..policy.controller import RoutingController
 
--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from functools import partial
 
-from ..model import DeploymentParameters, Fleet, WorkerState, inputs, orders
+from ..model import DeploymentParameters, EndpointEvidence, Fleet, WorkerEvent, WorkerState, inputs, orders
 from . import worker_lifecycle
 from .capacity import CapacityEstimator
 from .channel_budget import BIND_LIMIT, MAX_CHANNEL_SLOWDOWN, MAX_CHECKPOINTS, RULE_LIMIT, ChannelBudget
@@ -93,15 +93,15 @@
             is_failed = listing.kind == inputs.ListUpdateKind.FAILED
             self.next_watch_at = fleet.now + delay if is_failed else math.inf
         for index in fleet.unlisted(listing):
-            fleet.transition(worker_lifecycle.STATE_TABLE, index, "leaving", "not listed")
+            fleet.transition(worker_lifecycle.STATE_TABLE, index, WorkerEvent.NOT_LISTED)
         for endpoint in listing.endpoints:
-            event = "seen" if self.has_endpoint_list else "listed"
+            event = WorkerEvent.DISCOVERED if self.has_endpoint_list else WorkerEvent.LISTED_AT_START
             if fleet.update_worker(endpoint):
-                event = "started"
+                event = WorkerEvent.STARTED
             if endpoint.state != inputs.EndpointState.READY:
-                event = "leaving"
-            reason = f"{endpoint.state.name.lower()}, up {fleet.now - endpoint.started_at:.1f} s"
-            fleet.transition(worker_lifecycle.STATE_TABLE, endpoint.worker_index, event, reason)
+                event = WorkerEvent.ENDPOINT_NOT_READY
+            evidence = EndpointEvidence(endpoint.state, fleet.now - endpoint.started_at)
+            fleet.transition(worker_lifecycle.STATE_TABLE, endpoint.worker_index, event, evidence)
         self.has_endpoint_list = True
         self.is_send_due = True
 
@@ -110,8 +110,9 @@
         self.channel_budget.last_checkpoint = restored.last_checkpoint
         for past in self.fleet.restore(restored):
             if past.was_draining or past.was_ejected:
-                event = "leaving" if past.was_draining else "bad"
-                self.fleet.transition(worker_lifecycle.STATE_TABLE, past.worker_index, event, "remembered")
+                was_draining = past.was_draining
+                event = WorkerEvent.RESTORED_AS_DRAINING if was_draining else WorkerEvent.RESTORED_AS_EJECTED
+                self.fleet.transition(worker_lifecycle.STATE_TABLE, past.worker_index, event)
 
     def _on_proxy_connected(self, connected: inputs.ProxyConnected) -> None:
         self.fleet.connect(connected)
--- a/cottonladder/policy/overload.py
+++ b/cottonladder/policy/overload.py
@@ -1,6 +1,14 @@
 """Load shedding: how far the fleet is overloaded, and what share of each class is let in."""
 
-from ..model import IN_SERVICE, Fleet, WorkerRecord, common_limit, median_or_zero, orders, shed_in_order
+from ..model import (
+    IN_SERVICE,
+    AdmissionChanged,
+    Fleet,
+    WorkerRecord,
+    common_limit,
+    median_or_zero,
+    shed_in_order,
+)
 
 OVERLOAD_FAILED = 0.1  # failed part of a middle worker's attempts that means overload
 OVERLOAD_LATENCY = 0.35  # latency over the tightest objective that does: at half, a fifth of all were late
@@ -54,8 +62,7 @@
         step = 0.0 if is_near else ADMISSION_STEP * (ADMISSION_SETPOINT - signal)
         self.admission_ratio = min(1.0, max(MIN_ADMISSION, before + max(-MAX_ADMISSION_FALL, step)))
         if (before < 1.0) != (self.admission_ratio < 1.0):
-            change = f"levels {before:.2f}>{self.admission_ratio:.2f}: overload {signal:.2f}"
-            self.fleet.pending.append(orders.LogModeChange(change))
+            self.fleet.pending.append(AdmissionChanged(before, self.admission_ratio, signal))
 
     def class_admission(self) -> dict[int, tuple[float, float]]:
         """By class, least worth for its latency objective first: the share let in, and as proxies take it."""
--- a/cottonladder/policy/worker_lifecycle.py
+++ b/cottonladder/policy/worker_lifecycle.py
@@ -1,17 +1,37 @@
 """Which workers take traffic: the state table, health checks, outlier ejection and slow start."""
 
-from ..model import IN_SERVICE, Fleet, StateTable, WorkerRecord, WorkerState, inputs, median_or_zero, orders
+from ..model import (
+    IN_SERVICE,
+    Fleet,
+    HealthCheckEvidence,
+    OutlierEvidence,
+    StateTable,
+    WorkerEvent,
+    WorkerRecord,
+    WorkerState,
+    inputs,
+    median_or_zero,
+    orders,
+)
 from .tuning import SOLVE_INTERVAL
 
 # By event: the states that it moves a worker out of, and the one it moves it to.  Others ignore it.
+REMOVAL = ((WorkerState.ABSENT, WorkerState.EJECTED, *IN_SERVICE), WorkerState.REMOVED)
+EJECTION = (IN_SERVICE, WorkerState.EJECTED)
+RETURN = ((WorkerState.EJECTED,), WorkerState.SLOW_START)
 TRANSITIONS = {
-    "started": (tuple(WorkerState), WorkerState.SLOW_START),
-    "leaving": ((WorkerState.ABSENT, WorkerState.EJECTED, *IN_SERVICE), WorkerState.REMOVED),
-    "bad": (IN_SERVICE, WorkerState.EJECTED),
-    "seen": ((WorkerState.ABSENT, WorkerState.REMOVED), WorkerState.SLOW_START),
-    "listed": ((WorkerState.ABSENT,), WorkerState.HEALTHY),
-    "grown": ((WorkerState.SLOW_START,), WorkerState.HEALTHY),
-    "due": ((WorkerState.EJECTED,), WorkerState.SLOW_START),
+    WorkerEvent.STARTED: (tuple(WorkerState), WorkerState.SLOW_START),
+    WorkerEvent.ENDPOINT_NOT_READY: REMOVAL,
+    WorkerEvent.NOT_LISTED: REMOVAL,
+    WorkerEvent.RESTORED_AS_DRAINING: REMOVAL,
+    WorkerEvent.HIGH_FAILURE_RATIO: EJECTION,
+    WorkerEvent.HEALTH_CHECKS_LOST: EJECTION,
+    WorkerEvent.RESTORED_AS_EJECTED: EJECTION,
+    WorkerEvent.DISCOVERED: ((WorkerState.ABSENT, WorkerState.REMOVED), WorkerState.SLOW_START),
+    WorkerEvent.LISTED_AT_START: ((WorkerState.ABSENT,), WorkerState.HEALTHY),
+    WorkerEvent.SLOW_START_COMPLETED: ((WorkerState.SLOW_START,), WorkerState.HEALTHY),
+    WorkerEvent.HEALTH_CHECK_SUCCEEDED: RETURN,
+    WorkerEvent.EJECTION_EXPIRED: RETURN,
 }
 EJECTION_TIME = 5.0  # s; then a worker starts again like a new one
 EJECTION_JITTER = (0.9, 1.1)  # times that, at random: workers don't return all at once
@@ -53,8 +73,8 @@
     """An ejected worker that answers returns when its time is over."""
     worker = fleet.add_health_check(result)
     if worker is not None and result.succeeded and fleet.now >= worker.due_at:
-        answer = f"probe answered in {result.duration_s * 1000:.0f} ms"
-        fleet.transition(STATE_TABLE, result.worker_index, "due", answer)  # none but ejected ones know it
+        event = WorkerEvent.HEALTH_CHECK_SUCCEEDED  # only ejected workers have a transition for it
+        fleet.transition(STATE_TABLE, result.worker_index, event, HealthCheckEvidence(result.duration_s))
 
 
 def detect_outliers(fleet: Fleet) -> None:
@@ -73,14 +93,14 @@
         fits = ejected_weight + worker.weight <= max_weight
         if worker.state in IN_SERVICE and is_outlier and fits:
             ejected_weight += worker.weight
-            counts = f"errored {worker.failed:.0f} of {worker.attempts:.0f}"
-            reason = f"{counts}, others {others_failed:.2f}, lost {worker.lost_checks}"
-            fleet.transition(STATE_TABLE, index, "bad", reason)
+            event = WorkerEvent.HEALTH_CHECKS_LOST if is_lost else WorkerEvent.HIGH_FAILURE_RATIO
+            evidence = OutlierEvidence(worker.failed, worker.attempts, others_failed, worker.lost_checks)
+            fleet.transition(STATE_TABLE, index, event, evidence)
         elif worker.state == WorkerState.SLOW_START and slow_start_share(fleet, worker) >= SLOW_START_END:
-            fleet.transition(STATE_TABLE, index, "grown", "ramp over")
+            fleet.transition(STATE_TABLE, index, WorkerEvent.SLOW_START_COMPLETED)
         elif worker.state == WorkerState.EJECTED and fleet.now >= worker.due_at:
             if unreachable[worker.zone] or not fleet.parameters.health_checks:  # no check can tell
-                fleet.transition(STATE_TABLE, index, "due", "waited")
+                fleet.transition(STATE_TABLE, index, WorkerEvent.EJECTION_EXPIRED)
 
 
 def unreachable_zones(fleet: Fleet, checked: list[WorkerRecord]) -> list[bool]:
--- a/cottonladder/simulator/codec.py
+++ b/cottonladder/simulator/codec.py
@@ -33,7 +33,6 @@
     ExcludeWorker,
     FetchEndpoints,
     HealthCheck,
-    LogModeChange,
     Order,
     SendGossip,
     SetAdmission,
@@ -41,6 +40,8 @@
     StartTimer,
     WatchEndpoints,
 )
+from ..model.state_change_text import state_change_text
+from ..model.state_changes import AdmissionChanged, StateChange, WorkerStateChanged
 
 KNOWN_STATES = (EndpointState.DRAINING, EndpointState.READY, EndpointState.GONE)
 KNOWN_LIST_KINDS = (
@@ -223,8 +224,8 @@
     def _start_timer(self, order: StartTimer) -> dict[str, Any]:
         return {"DEFER": {"SleepForMs": order.delay_s * 1000.0, "Nonce": order.token}}
 
-    def _log_mode_change(self, order: LogModeChange) -> dict[str, Any]:
-        return {"REMARK": {"Words": order.message}}
+    def _state_change(self, change: StateChange) -> dict[str, Any]:
+        return {"REMARK": {"Words": state_change_text(change)}}
 
 
 _EVENT_READERS: dict[str, Callable[[ManagerCodec, Any, str], Input]] = {
@@ -254,5 +255,6 @@
     HealthCheck: ManagerCodec._health_check,
     SendGossip: ManagerCodec._send_gossip,
     StartTimer: ManagerCodec._start_timer,
-    LogModeChange: ManagerCodec._log_mode_change,
+    WorkerStateChanged: ManagerCodec._state_change,
+    AdmissionChanged: ManagerCodec._state_change,
 }
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -23,13 +23,13 @@
     Checkpoint,
     FetchEndpoints,
     HealthCheck,
-    LogModeChange,
     Order,
     SendGossip,
     StartTimer,
     WatchEndpoints,
 )
 from ..model.parameters import DeploymentParameters, RequestClass
+from ..model.state_changes import AdmissionChanged, WorkerStateChanged
 from ..policy.controller import RoutingController
 from ..policy.tuning import TICK_INTERVAL
 from ..protocol.resp import MAX_MESSAGE_SIZE, RespReader
@@ -69,7 +69,14 @@
 CLOCK_TOLERANCE_S = 1e-9  # steps of a fraction of a second don't add up exactly
 LISTED_FIELDS = (b"rows", b"drop", b"undrop")  # each of their items is a line
 SINGLE_FIELDS = (b"replace", b"gate", b"stamp")  # each is one line
-UNDISPATCHED_ORDERS = (WatchEndpoints, FetchEndpoints, HealthCheck, SendGossip, LogModeChange)
+UNDISPATCHED_ORDERS = (
+    WatchEndpoints,
+    FetchEndpoints,
+    HealthCheck,
+    SendGossip,
+    WorkerStateChanged,
+    AdmissionChanged,
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -31,11 +31,11 @@
 from cottonladder.model.orders import (
     Checkpoint,
     HealthCheck,
-    LogModeChange,
     SendGossip,
     StartTimer,
     WatchEndpoints,
 )
+from cottonladder.model.state_changes import AdmissionChanged, WorkerStateChanged
 from cottonladder.policy.controller import RoutingController
 from cottonladder.protocol.endpoint_list import read_endpoint_list
 from cottonladder.protocol.messages import MessageReader
@@ -102,7 +102,7 @@
         for order in orders:
             if isinstance(order, StartTimer):
                 self.due = (now + order.delay_s, order.token)
-            elif isinstance(order, (LogModeChange, SendGossip)):
+            elif isinstance(order, (WorkerStateChanged, AdmissionChanged, SendGossip)):
                 self.said.append(f"{now:.2f} {order}")
             elif not isinstance(order, (WatchEndpoints, HealthCheck)):
                 self.spread.apply(order)
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -73,7 +73,14 @@
             endpoint_list(42, endpoint_entry("s-1", "Terminating"), endpoint_entry("s-3", zone="b"))
         )
         await proxy.receive_until("s-1:0.0")
-        await program.logged("event=mode_change", "well>gone leaving: draining")
+        await program.logged(
+            "event=worker_state_changed",
+            "worker_id=s-1",
+            "from_state=healthy",
+            "to_state=removed",
+            "reason=endpoint_not_ready",
+            "endpoint_state=draining",
+        )
         collector.send("PING")
         self.assertEqual(await collector.receive(), "PONG")
         self.assertEqual(collector.received, [])  # nothing else was ever written to it
@@ -172,9 +179,9 @@
         program = await self.serving(settings=settings)
         for words in bad:
             await program.logged("discovery_call_failed", *words.split())
-        self.assertFalse([line for line in program.lines if "gone" in line])
+        self.assertFalse([line for line in program.lines if "worker_state_changed" in line])
         await self.discovery.send_updates(gone)
-        await program.logged("event=mode_change", "well>gone")
+        await program.logged("event=worker_state_changed", "from_state=healthy", "to_state=removed")
 
     async def test_a_discovery_that_started_over_is_followed_again(self) -> None:
         """A version that goes back is a failed call; the next one asks for all, or drains were unheard of."""
@@ -187,7 +194,13 @@
         await program.logged("discovery_call_failed", "version 7 after 41")
         asked = [await in_time(self.discovery.calls.get()) for _ in range(2)]
         self.assertEqual([call.rpartition("after=")[2] for call in asked], ["41", "/v1/servers"])
-        await program.logged("event=mode_change", "be 0 well>gone leaving: not listed")
+        await program.logged(
+            "event=worker_state_changed",
+            "worker_id=s-1",
+            "from_state=healthy",
+            "to_state=removed",
+            "reason=not_listed",
+        )
 
     async def test_a_moved_discovery_is_followed_at_once(self) -> None:
         """Asked for the whole list; the old one counts until the new one has answered, and no longer."""
@@ -207,7 +220,14 @@
         await program.logged("config_reloaded", "unchangeable=none")
         await program.logged("discovery_call_failed", "503")
         await self.discovery.send_updates(endpoint_list(42, endpoint_entry("s-1", "Gone")))
-        await program.logged("be 0 well>gone leaving: gone")
+        await program.logged(
+            "event=worker_state_changed",
+            "worker_id=s-1",
+            "from_state=healthy",
+            "to_state=removed",
+            "reason=endpoint_not_ready",
+            "endpoint_state=gone",
+        )
         self.assertEqual([await in_time(new.calls.get()) for _ in range(2)], ["/v1/servers"] * 2)
         ready.set()
         self.assertIn("watch=1&after=43", await in_time(new.calls.get()))
@@ -300,7 +320,14 @@
         settings = {"Limits": {"Probing": True, "Peers": False}, "Prices": {"Probe": 0.0}}
         program = await self.serving(settings=settings, known=endpoint_list(1, *good, lost, full=True))
         self.assertEqual(await in_time(asked.get()), "/load")
-        await program.logged("event=mode_change", "be 5 well>out bad", "lost 2")
+        await program.logged(
+            "event=worker_state_changed",
+            "worker_id=s-9",
+            "from_state=healthy",
+            "to_state=ejected",
+            "reason=health_checks_lost",
+            "lost_check_count=2",
+        )
 
     async def test_datagrams(self) -> None:
         """What the module tells goes to all peers; strangers and what can't be read are dropped."""
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -54,7 +54,6 @@
     Checkpoint,
     ExcludeWorker,
     HealthCheck,
-    LogModeChange,
     Order,
     SendGossip,
     SetAdmission,
@@ -62,6 +61,8 @@
     StartTimer,
 )
 from cottonladder.model.parameters import DeploymentParameters, RequestClass
+from cottonladder.model.state_change_text import state_change_text
+from cottonladder.model.state_changes import AdmissionChanged, WorkerStateChanged
 from cottonladder.policy.controller import RoutingController
 from cottonladder.policy.demand import estimate_demand
 
@@ -244,7 +245,8 @@
         if what in ("known", "unknown"):
             return all((i in self.ladder.fleet.workers) == (what == "known") for i in ids)
         if what == "log":
-            return any(isinstance(o, LogModeChange) and " ".join(args) in o.message for o in self.orders)
+            changes = [o for o in self.orders if isinstance(o, (WorkerStateChanged, AdmissionChanged))]
+            return any(" ".join(args) in state_change_text(change) for change in changes)
         raise ValueError(f"unknown word {what}")
 
 
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -38,7 +38,6 @@
     ClearTable,
     ExcludeWorker,
     HealthCheck,
-    LogModeChange,
     Order,
     RemoveWorker,
     RetryPolicy,
@@ -48,12 +47,15 @@
     StartTimer,
     WatchEndpoints,
 )
+from cottonladder.model.state_changes import AdmissionChanged, WorkerStateChanged
 from cottonladder.policy.controller import RoutingController
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from cottonladder.state.order_dispatcher import OrderDispatcher, OrderRejectedError
 from cottonladder.state.worker_registry import WorkerRegistry
 from tests.policy.test_scenarios import USUAL
 
+UNDISPATCHED_ORDERS = (WatchEndpoints, HealthCheck, SendGossip, WorkerStateChanged, AdmissionChanged)
+
 
 class ScenarioPlayer:
     """Carries out the lines of one scenario."""
@@ -268,7 +270,7 @@
         for order in self.controller.decide(self.now, inputs):
             if isinstance(order, StartTimer):
                 self.token = order.token
-            elif not isinstance(order, (WatchEndpoints, HealthCheck, SendGossip, LogModeChange)):
+            elif not isinstance(order, UNDISPATCHED_ORDERS):
                 self.dispatcher.apply(order)
         for p, data in self.dispatcher.take_messages():
             self.proxies[p].waiting.append(data)
--- a/tests/support/wire_fleet.py
+++ b/tests/support/wire_fleet.py
@@ -25,6 +25,7 @@
 from cottonladder.control.connection_migrator import ConnectionMigrator
 from cottonladder.control.control_loop import ControlLoop, Effects, InputQueue
 from cottonladder.control.snapshot_manager import SnapshotManager
+from cottonladder.control.state_change_log import StateChangeLog
 from cottonladder.model.inputs import (
     AdvisedFactor,
     EndpointList,
@@ -169,6 +170,7 @@
             cast(ProxySessions, self.outside),
             OrderDispatcher(list(self.site.classes), self.site.parameters.manager_count, self.workers),
             Effects(outside, outside, outside),
+            StateChangeLog(self.workers, list(self.site.zones)),
             [self.keeper, mover],
         )
         self.clock = SteppedClock()
