--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -234,8 +234,14 @@
         with suppress(ConnectionError):
             await self.discovery.send_updates(endpoint_list(99, endpoint_entry("s-2", "Gone")))
         await new.send_updates(endpoint_list(44, endpoint_entry("s-3", "Terminating")))
-        await program.logged("be 2 ", "gone leaving: draining")
-        self.assertFalse([line for line in program.lines if "be 1 " in line])
+        await program.logged(
+            "event=worker_state_changed",
+            "worker_id=s-3",
+            "to_state=removed",
+            "reason=endpoint_not_ready",
+            "endpoint_state=draining",
+        )
+        self.assertFalse([line for line in program.lines if "worker_id=s-2" in line])
 
     async def test_a_configuration_that_a_reload_can_not_take(self) -> None:
         """One line each, and the manager goes on with what it had; SIGHUP may follow the first answer."""
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -58,7 +58,9 @@
         known = self.discovery.listing()
         manager = await self.manager()
         await self.discovery.set_state("s-1", "Terminating")
-        await manager.logged("be 1 well>gone")
+        await manager.logged(
+            "event=worker_state_changed", "worker_id=s-1", "from_state=healthy", "to_state=removed"
+        )
         await self.wrote(5)
         asked = CliRunner().invoke(cli.main, ["tasks", str(self.folder / "c"), "--json"])
         self.assertEqual([row["task"] for row in json.loads(asked.output)], ["snapshot"])
