--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -113,7 +113,7 @@
 
     def reports(self) -> Iterator[Input]:
         """What a step brings from collectors, proxies, health checks and other managers."""
-        workers = list(self.controller.fleet.workers)
+        workers = list(self.controller.state.workers.by_index)
         proxies = list(self.proxies)
         zones = self.size.zones
         for _ in range(LOAD_REPORTS_PER_STEP):
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -20,8 +20,8 @@
 from ..planning.plugin_bounds import bounded_factor, may_veto
 from ..plugins.abi import EVENT, MOVE, WORKER, encode_record
 from ..plugins.chain import PluginChain, PluginSpec
+from ..policy.cadence import SOLVE_INTERVAL_S
 from ..policy.controller import RoutingController
-from ..policy.tuning import SOLVE_INTERVAL
 from ..protocol.messages import ExtensionMessage
 from ..state.worker_registry import WorkerRegistry
 
@@ -110,7 +110,7 @@
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
         """No messages; each interval, the round over the workers begins anew."""
         if now >= self._next_round_at:
-            self._next_round_at = now + SOLVE_INTERVAL
+            self._next_round_at = now + SOLVE_INTERVAL_S
             self._capacity = capacity_views(controller)
             self._factors = {
                 worker: factor for worker, factor in self._factors.items() if worker in self._capacity
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -189,8 +189,8 @@
             return
         ids, workers, listed = self._workers.ids, list[WorkerSnapshot](), list[EndpointSnapshot]()
         bes, proxies, rates, mark = (
-            list(ladder.fleet.workers),
-            list(ladder.fleet.proxies),
+            list(ladder.state.workers.by_index),
+            list(ladder.state.proxies.by_number),
             dict[int, float](),
             0,
         )
@@ -198,7 +198,7 @@
         for n in range(0, len(bes), ENTRIES_PER_SLICE):
             for p in collect_state(ladder, bes[n : n + ENTRIES_PER_SLICE], ()).workers:
                 if (name := ids.get(p.worker_index)) is None or (
-                    be := ladder.fleet.workers.get(p.worker_index)
+                    be := ladder.state.workers.by_index.get(p.worker_index)
                 ) is None:
                     continue
                 word = name.decode()
--- a/cottonladder/model/__init__.py
+++ b/cottonladder/model/__init__.py
@@ -1,21 +1,25 @@
 """Typed inputs, orders, records and deployment parameters, and general algorithms without a tuned value."""
 
+from .admission_shares import ClassAdmission, common_limit, shed_in_order
+from .controller_state import ControllerState
 from .demand import Demand
-from .fleet import Fleet, RecordSettings
+from .gossip_text import decode_zone_figures, encode_zone_figures
+from .latency import LatencyHistogram, LinkLatencies
 from .line_account import LineAccount, LineLimit
-from .load_shedding import common_limit, shed_in_order
 from .min_cost_flow import min_cost_flow
 from .parameters import DeploymentParameters
-from .records import IN_SERVICE, RoutingTable, WorkerRecord
+from .peer_demand import PeerDemand
+from .records import IN_SERVICE, ProxyRecord, RoutingTable, WorkerRecord
 from .state_changes import (
     AdmissionChanged,
     EndpointEvidence,
+    Evidence,
     HealthCheckEvidence,
     OutlierEvidence,
     WorkerEvent,
     WorkerState,
+    WorkerStateChanged,
 )
-from .state_table import StateTable
 from .statistics import median_or_zero
 from .weight_ring import arcs, cut
 from .zone_groups import ZoneGroups
@@ -23,24 +27,31 @@
 __all__ = [
     "IN_SERVICE",
     "AdmissionChanged",
+    "ClassAdmission",
+    "ControllerState",
     "Demand",
     "DeploymentParameters",
     "EndpointEvidence",
-    "Fleet",
+    "Evidence",
     "HealthCheckEvidence",
+    "LatencyHistogram",
     "LineAccount",
     "LineLimit",
+    "LinkLatencies",
     "OutlierEvidence",
-    "RecordSettings",
+    "PeerDemand",
+    "ProxyRecord",
     "RoutingTable",
-    "StateTable",
     "WorkerEvent",
     "WorkerRecord",
     "WorkerState",
+    "WorkerStateChanged",
     "ZoneGroups",
     "arcs",
     "common_limit",
     "cut",
+    "decode_zone_figures",
+    "encode_zone_figures",
     "median_or_zero",
     "min_cost_flow",
     "shed_in_order",
--- /dev/null
+++ b/cottonladder/model/controller_state.py
@@ -0,0 +1,28 @@
+"""What one routing controller knows: its clock, its deployment, and the owners of its records."""
+
+from __future__ import annotations
+
+import random
+
+from .parameters import DeploymentParameters
+from .pending_orders import PendingOrders
+from .proxies import Proxies
+from .routing_tables import RoutingTables
+from .workers import Workers
+
+
+class ControllerState:
+    """The records that the parts of the policy share.  Each owner keeps one kind of record."""
+
+    def __init__(self, parameters: DeploymentParameters) -> None:
+        self.parameters = parameters
+        self.now = 0.0  # s, the time of the present call
+        self.random = random.Random(parameters.seed)
+        self.zones = range(parameters.zone_count)
+        self.classes = range(len(parameters.request_classes))
+        self.tightest_objective_s = min(c.latency_objective_s for c in parameters.request_classes)
+        self.workers = Workers()
+        self.proxies = Proxies(parameters.zone_count, len(parameters.request_classes))
+        self.tables = RoutingTables(parameters.zone_count)
+        self.pending = PendingOrders()
+        self.needs_solution = False  # The workers changed since the flow was last solved.
--- /dev/null
+++ b/cottonladder/model/pending_orders.py
@@ -0,0 +1,28 @@
+"""Orders that wait for the end of the present call of the controller."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from .orders import Order
+
+
+class PendingOrders:
+    """Collects orders in the sequence in which they are to be carried out."""
+
+    def __init__(self) -> None:
+        self._orders: list[Order] = []
+
+    def add(self, order: Order) -> None:
+        """Appends one order."""
+        self._orders.append(order)
+
+    def extend(self, orders: Iterable[Order]) -> None:
+        """Appends several orders."""
+        self._orders.extend(orders)
+
+    def take(self) -> list[Order]:
+        """Returns all collected orders and starts an empty collection."""
+        taken = self._orders
+        self._orders = []
+        return taken
--- /dev/null
+++ b/cottonladder/model/workers.py
@@ -0,0 +1,24 @@
+"""The owner of the worker records."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from .records import WorkerRecord
+from .state_changes import WorkerState
+
+
+class Workers:
+    """Records of the known workers by worker index."""
+
+    def __init__(self) -> None:
+        self.by_index: dict[int, WorkerRecord] = {}
+
+    def in_state(self, *states: WorkerState) -> dict[int, WorkerRecord]:
+        """Returns the workers that are in one of the states, by index."""
+        return {index: worker for index, worker in self.by_index.items() if worker.state in states}
+
+    def attempts(self, states: Iterable[WorkerState]) -> tuple[float, float]:
+        """Returns how many attempts went to the workers in these states, and how many of them failed."""
+        workers = self.in_state(*states).values()
+        return sum(worker.attempts for worker in workers), sum(worker.failed for worker in workers)
--- a/cottonladder/model/zone_groups.py
+++ b/cottonladder/model/zone_groups.py
@@ -1,39 +1,53 @@
-"""Capacities of usable workers, grouped by the zone that they stand in."""
+"""Capacities of usable workers, grouped by the zone that the workers run in."""
 
 from __future__ import annotations
 
-from .fleet import Fleet
+from collections.abc import Collection
 
+from .records import WorkerRecord
 
-class ZoneGroups:
-    """A group is the workers of one zone; capacities are requests a second, or have no unit."""
 
-    def __init__(self, fleet: Fleet, capacities: dict[int, float]) -> None:
-        self.fleet = fleet
+class ZoneGroups:
+    """A group is the workers of one zone.  Capacities are requests/s, or relative where none is reported.
+
+    `warm` holds the capacities of the workers that are not in `warming_up`.
+    """
+
+    def __init__(
+        self,
+        workers: dict[int, WorkerRecord],
+        zones: range,
+        capacities: dict[int, float],
+        warming_up: Collection[int],
+    ) -> None:
         self.capacities = capacities
-        self.workers = [[i for i in capacities if fleet.workers[i].zone == zone] for zone in fleet.zones]
+        self.warm = {i: capacity for i, capacity in capacities.items() if i not in warming_up}
+        self.workers = [[i for i in capacities if workers[i].zone == zone] for zone in zones]
         self.totals = [sum(capacities[i] for i in group) for group in self.workers]
-        self.warm = {i: c for i, c in capacities.items() if not fleet.is_warming_up(fleet.workers[i])}
+        self._records = workers
 
     def split(self, zone: int, amount: float) -> dict[int, float]:
-        """An amount dealt over a zone's workers by their capacities."""
+        """Divides an amount among a zone's workers in proportion to their capacities."""
         return {i: amount * self.capacities[i] / self.totals[zone] for i in self.workers[zone]}
 
     def has_warm(self, zone: int) -> bool:
-        """Whether any of a zone's workers is past its warm-up."""
+        """Returns whether any worker of a zone is past its warm-up."""
         return any(i in self.warm for i in self.workers[zone])
 
     def warm_shares(self) -> dict[int, float]:
-        """Each warm worker's part of their capacities."""
+        """Returns each warm worker's share of the capacity of all warm workers."""
         total = sum(self.warm.values())
         return {i: capacity / total for i, capacity in self.warm.items()}
 
-    def keep_plan(self, flow: list[list[float]], is_new_interval: bool) -> None:
-        """Notes what a flow by proxy zone and worker zone brings each worker, and brought an interval ago."""
-        for zone in self.fleet.zones:
+    def record_plan(self, flow: list[list[float]], is_new_interval: bool) -> None:
+        """Records the planned rate of each worker from a flow by proxy zone and worker zone.
+
+        At a new interval the former planned rate becomes the previous one.
+        """
+        for zone in range(len(self.workers)):
             planned = sum(row[zone] for row in flow)
             for index, rate in self.split(zone, planned).items():
-                worker = self.fleet.workers[index]
+                worker = self._records[index]
                 if is_new_interval:
                     worker.previous_planned_rate = worker.planned_rate
                 worker.planned_rate = rate
--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from ..model.views import WorkerCapacityView
-from ..policy.tables import MAX_WARM_UP_SHARE
+from ..policy.warm_up import MAX_WARM_UP_WEIGHT
 
 # Weight of the heaviest member: shares of a hundredth of a percent can be told apart.
 MAX_WEIGHT = 10_000
@@ -77,7 +77,7 @@
     for worker, capacity in live.items():
         if worker not in warm:
             group_share = capacity / (warm_capacity + capacity)
-            share = min(group_share, MAX_WARM_UP_SHARE * capacity / fleet_capacity, MAX_WARMING_SHARE)
+            share = min(group_share, MAX_WARM_UP_WEIGHT * capacity / fleet_capacity, MAX_WARMING_SHARE)
             shares[worker] = warm_capacity * share / (1.0 - share)
     return shares
 
--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 
 from ..model.views import WorkerCapacityView
-from ..policy.tuning import SOLVE_INTERVAL
+from ..policy.cadence import SOLVE_INTERVAL_S
 
 # The most that all advice together may lift or lower an estimate by: speeds differ by as much.
 MAX_FACTOR = 2.0
@@ -52,7 +52,7 @@
 # Logarithm of a factor below which it counts as neutral.
 NEUTRAL_LOG = 1e-4
 # s between two calls of `update_factors`: the routing policy's own interval.
-UPDATE_INTERVAL = SOLVE_INTERVAL
+UPDATE_INTERVAL = SOLVE_INTERVAL_S
 
 
 @dataclass(frozen=True, slots=True)
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -22,7 +22,7 @@
 
 from ..model.min_cost_flow import min_cost_flow
 from ..model.views import WorkerCapacityView
-from ..policy.flow import CROSS_ZONE_COST
+from ..policy.zone_flow import CROSS_ZONE_COST
 from .migration_orders import (
     AdmitForwarder,
     HeldConnectionCounts,
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -1,4 +1,4 @@
-"""What others may read of a ladder: nothing is decided here, and nothing changes by being read."""
+"""What other parts may read of a routing controller.  Reading changes nothing."""
 
 from __future__ import annotations
 
@@ -6,42 +6,51 @@
 from collections.abc import Iterable
 
 from ..model.inputs import RestoredState, WorkerHistory
-from ..model.records import IN_SERVICE
+from ..model.records import IN_SERVICE, WorkerRecord
 from ..model.state_changes import WorkerState
 from ..model.views import WorkerCapacityView
 from ..policy.controller import RoutingController
+from ..policy.warm_up import is_warming_up
 
 
 def capacity_views(controller: RoutingController) -> dict[int, WorkerCapacityView]:
-    """Each server as last solved."""
+    """Returns each worker's capacity as last solved, by worker index."""
     return {
-        i: WorkerCapacityView(
-            be.zone,
-            controller.capacities.get(i, 0.0) if be.state in IN_SERVICE else 0.0,
-            controller.fleet.is_warming_up(be),
-            be.due_at if be.state == WorkerState.REMOVED else -1.0,
-            math.sqrt(be.base_latency_s * be.latency.mean()),
-        )
-        for i, be in controller.fleet.workers.items()
+        index: _capacity_view(controller, index, worker)
+        for index, worker in controller.state.workers.by_index.items()
     }
 
 
 def collect_state(
-    controller: RoutingController, worker_indices: Iterable[int], proxies: Iterable[int]
+    controller: RoutingController, worker_indices: Iterable[int], proxy_numbers: Iterable[int]
 ) -> RestoredState:
-    """What the next life may start from, of these; in parts, as all of a large fleet takes too long."""
-    pasts = tuple(
-        WorkerHistory(
-            i,
-            be.started_at,
-            be.base_latency_s,
-            be.latency_factor,
-            be.state == WorkerState.EJECTED,
-            be.state == WorkerState.REMOVED,
-        )
-        for i in worker_indices
-        if (be := controller.fleet.workers.get(i)) is not None
+    """Returns what a restarted manager may begin with, of these workers and proxies.
+
+    A large fleet is read in parts, because reading all of it would hold up the control loop.
+    """
+    workers = controller.state.workers.by_index
+    proxies = controller.state.proxies.by_number
+    histories = tuple(_worker_history(i, workers[i]) for i in worker_indices if i in workers)
+    rates = tuple((number, proxies[number].request_rate()) for number in proxy_numbers if number in proxies)
+    return RestoredState(controller.channel_budget.last_checkpoint, histories, rates)
+
+
+def _capacity_view(controller: RoutingController, index: int, worker: WorkerRecord) -> WorkerCapacityView:
+    return WorkerCapacityView(
+        zone=worker.zone,
+        capacity=controller.capacities.get(index, 0.0) if worker.state in IN_SERVICE else 0.0,
+        warming_up=is_warming_up(controller.state, worker),
+        draining_since=worker.due_at if worker.state == WorkerState.REMOVED else -1.0,
+        latency_s=math.sqrt(worker.base_latency_s * worker.latency.mean()),
+    )
+
+
+def _worker_history(index: int, worker: WorkerRecord) -> WorkerHistory:
+    return WorkerHistory(
+        worker_index=index,
+        started_at=worker.started_at,
+        base_latency_s=worker.base_latency_s,
+        latency_factor=worker.latency_factor,
+        was_ejected=worker.state == WorkerState.EJECTED,
+        was_draining=worker.state == WorkerState.REMOVED,
     )
-    here = ((p, controller.fleet.proxies[p]) for p in proxies if p in controller.fleet.proxies)
-    rates = tuple((p, sum(map(x.class_rate, range(len(x.request_counts))))) for p, x in here)
-    return RestoredState(controller.channel_budget.last_checkpoint, pasts, rates)
--- a/cottonladder/planning/snapshot_staleness.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -13,7 +13,7 @@
 from dataclasses import replace
 
 from ..model.inputs import RestoredState, WorkerHistory
-from ..policy.worker_lifecycle import MAX_EJECTED_RATIO as MAX_EJECTED_RATIO
+from ..policy.outlier_ejection import MAX_EJECTED_RATIO as MAX_EJECTED_RATIO
 
 # s that a suspicion may be old: an ejected worker is tried again after 5 s anyway.
 MAX_SUSPICION_AGE = 20.0
--- a/cottonladder/policy/channel_budget.py
+++ b/cottonladder/policy/channel_budget.py
@@ -1,43 +1,52 @@
-"""What may be written to proxies, and when: the rule on queued lines and on messages a window."""
+"""The channel budget: how many lines may be written to proxies, and when.
+
+Lines that were written wait in a channel of limited pace, and proxies take a limited number of messages in
+a window of time. Each order for proxies reserves its lines here at the tick that sends it. Orders that a
+rule demands count the lines that wait by time, other deltas the lines that are not acknowledged, under a
+lower limit. This keeps the queue short, so that a drain never waits behind changes that could have waited.
+"""
 
 import math
 from collections.abc import Iterable
 
 from ..model import LineAccount, LineLimit, orders
 
-MAX_CHANNEL_SLOWDOWN = 16.0  # times slower than usual a channel may be, until acknowledgements tell otherwise
-MAX_CHECKPOINTS = 256  # kept without an answer; over it the oldest is taken as lost
-RULE_LIMIT = LineLimit(0.9, math.inf)  # for orders that a rule asks for: they can't wait for lost answers
-BIND_LIMIT = LineLimit(0.9, 2.5)  # what waits longer is old when it leaves, and drains wait behind it
-DELTA_LIMIT = LineLimit(0.45, 1.5)  # the rest; goes by answers alone, and harms when late
+MAX_CHANNEL_SLOWDOWN = 16.0  # times slower than deployed that a channel may be before acknowledgements tell
+MAX_CHECKPOINTS = 256  # without acknowledgement; when there are more, the oldest counts as lost
+RULE_LIMIT = LineLimit(queue_ratio=0.9, channel_s=math.inf)  # for removals, exclusions and overdue binds
+BIND_LIMIT = LineLimit(queue_ratio=0.9, channel_s=2.5)
+DELTA_LIMIT = LineLimit(queue_ratio=0.45, channel_s=1.5)
 
 
 class ChannelBudget(LineAccount):
-    """The one way out for orders to proxies."""
-
-    def _may_write(self, proxy: int, limit: LineLimit) -> bool:
-        """Deltas leave a third of the messages to rule-bearing orders, which are spread over the window."""
-        times = self.message_times(proxy)
-        allowed = self.parameters.max_messages
-        if allowed <= 0:
-            return True
-        if limit is not DELTA_LIMIT and self.quiet_s(times) >= self.parameters.message_window_s / allowed:
-            return len(times) < allowed
-        return len(times) < allowed * 2 // 3
+    """The only way for orders to proxies."""
 
     def available_lines(self, proxies: Iterable[int], limit: LineLimit) -> int:
-        """Lines that may still be ordered for these proxies, beside message headers and checkpoints."""
+        """Returns how many lines may still be ordered for these proxies, beside headers and checkpoints."""
         waiting = self.in_flight.total if limit is DELTA_LIMIT else self.waiting_lines
         queue_lines = self.parameters.max_queued_lines * limit.queue_ratio
         channel_lines = self.parameters.channel_lines_per_s * limit.channel_s
-        taken = waiting + self.reserved_total
-        return int(min(queue_lines, channel_lines) - taken - self.header_cost(proxies))
+        used_lines = waiting + self.reserved_total
+        return int(min(queue_lines, channel_lines) - used_lines - self.header_cost(proxies))
 
     def reserve(self, changes: list[orders.Order], cost: dict[int, int], limit: LineLimit) -> bool:
-        """Takes the orders if they fit; `cost` is lines by proxy, to which headers are added."""
+        """Reserves the lines of orders if they fit; `cost` is lines by proxy, to which headers are added."""
         if cost and sum(cost.values()) > self.available_lines(cost, limit):
             return False
         if not all(proxy in self.reserved_lines or self._may_write(proxy, limit) for proxy in cost):
             return False
         self.add(changes, cost)
         return True
+
+    def _may_write(self, proxy: int, limit: LineLimit) -> bool:
+        """Returns whether a proxy may be sent a message now.
+
+        Deltas leave a third of the messages to other orders, which keep an even distance in time.
+        """
+        times = self.message_times(proxy)
+        allowed = self.parameters.max_messages
+        if allowed <= 0:
+            return True
+        if limit is not DELTA_LIMIT and self.quiet_s(times) >= self.parameters.message_window_s / allowed:
+            return len(times) < allowed
+        return len(times) < allowed * 2 // 3
--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -1,192 +1,182 @@
-"""The routing policy of one manager: inputs in, and at each tick orders out.
-
-Beside the design page, as `docs/design.md` explains:
-1. channel budget: an account of lines by answers; rule-bearing orders first, deltas in pieces that fit;
-2. worker lifecycle: unresponsive workers are ejected and return by slow start, new ones warm up;
-3. latency factor: a worker's capacity falls with its latency, failures and queue against the fleet's;
-4. even filling: zones are filled to a little over the fleet's mean utilization, not to their capacities;
-5. unseen proxies: other managers' demand, by gossip where it is allowed, else as a guess;
-6. load shedding: while most workers show overload, the requests worth least for their time are rejected.
+"""The routing controller: inputs in, and at each tick orders out.
+
+The controller gives each input to the part of the policy that it concerns, and keeps the cadence of ticks
+and solutions. Most inputs only change records; orders follow at a tick, at an endpoint list, or at the
+acknowledgement that a table has waited for. It reads no clock, does no I/O, and draws chance from its seed
+alone, so that the same inputs always give the same orders. `docs/design.md` tells how the policy differs
+from its sources, and why.
 """
 
 import math
-from collections.abc import Iterable
-from functools import partial
+from collections.abc import Callable, Iterable
+from typing import Any
 
-from ..model import DeploymentParameters, EndpointEvidence, Fleet, WorkerEvent, WorkerState, inputs, orders
-from . import worker_lifecycle
+from ..model import IN_SERVICE, ControllerState, DeploymentParameters, WorkerState, inputs, orders
+from .cadence import SOLVE_INTERVAL_S, TICK_INTERVAL_S
 from .capacity import CapacityEstimator
-from .channel_budget import BIND_LIMIT, MAX_CHANNEL_SLOWDOWN, MAX_CHECKPOINTS, RULE_LIMIT, ChannelBudget
+from .channel_budget import MAX_CHANNEL_SLOWDOWN, MAX_CHECKPOINTS, ChannelBudget
 from .demand import estimate_demand
-from .flow import FlowPlanner
-from .overload import OverloadControl
-from .tables import TablePlanner
-from .tuning import RECORD_SETTINGS, SOLVE_INTERVAL, TICK_INTERVAL
-
-WATCH_TIMEOUT = 5.0  # s; a call to discovery that was never answered is made again
-RETRY_DELAY = (0.1, 0.2)  # of the time within which to poll, at random, until a failed call is made again
-DRAIN_HOLD_RATIO = 0.4  # of the drains' grace that removals wait for binds, and binds for the busiest
-MAX_TABLE_ORDERS = 65536  # a whole table
-ACK_QUORUM = 0.5  # of a table's readers: over it the next delta may go (design page)
+from .gossip_exchange import GossipExchange
+from .health_check_schedule import HealthCheckSchedule
+from .load_shedding import LoadShedding
+from .outlier_ejection import OutlierDetector
+from .overload_signal import OverloadSignal
+from .proxy_binding import ProxyBinding
+from .report_intake import ReportIntake
+from .table_deltas import TableDeltas
+from .table_partition import TablePartition
+from .warm_up import overweight_workers
+from .worker_discovery import WorkerDiscovery
+from .worker_exclusion import send_exclusions
+from .worker_removal import due_removals, first_departure, forget_departed
+from .zone_flow import FlowPlanner
+from .zone_reachability import ZoneReachability
+
+DRAIN_HOLD_RATIO = 0.4  # of the drain grace, for which removals wait while there are proxies to bind
 
 
 class RoutingController:
-    """Takes inputs and gives orders; knows no clock and does no I/O."""
+    """The routing policy of one manager."""
 
     def __init__(self, parameters: DeploymentParameters) -> None:
-        self.fleet = Fleet(parameters, RECORD_SETTINGS)
+        self.state = ControllerState(parameters)
         self.channel_budget = ChannelBudget(parameters)
-        self.overload = OverloadControl(self.fleet)
-        self.capacity = CapacityEstimator(self.fleet, self.overload)
-        self.tables = TablePlanner(self.fleet, self.channel_budget)
-        self.flow = FlowPlanner(self.fleet, self.capacity, self.tables)
-        self.capacities: dict[int, float] = {}  # as last solved
+        self.gossip = GossipExchange(self.state)
+        self.overload = OverloadSignal(self.state)
+        self.shedding = LoadShedding(self.state, self.overload)
+        self.capacity = CapacityEstimator(self.state, self.overload, self.shedding)
+        self.capacities: dict[int, float] = {}  # by worker, as last solved
+        self._deltas = TableDeltas(self.state, self.channel_budget)
+        self._binding = ProxyBinding(self.state, self.channel_budget, self._deltas)
+        self._flow = FlowPlanner(
+            self.state, self.capacity, self.overload, self.shedding, TablePartition(self.state)
+        )
+        self._discovery = WorkerDiscovery(self.state)
+        self._health_checks = HealthCheckSchedule(self.state)
+        self._reachability = ZoneReachability(self.state)
+        self._reports = ReportIntake(self.state, self._flow.links, self._reachability)
         self.tick = 0
-        self.next_solve_at = 0.0
-        self.next_measure_at = 0.0
-        self.next_watch_at = 0.0
-        self.has_endpoint_list = False
-        self.is_send_due = False
-        self._handlers = self.fleet.recorders | {
+        self._next_solve_at = 0.0
+        self._next_measure_at = 0.0
+        self._is_send_due = False
+        # Inputs on slices have no handler: where slices are deployed no table is ordered.
+        self._handlers: dict[type, Callable[[Any], None]] = {
             inputs.EndpointList: self._on_endpoint_list,
             inputs.TimerFired: self._on_timer,
-            inputs.HealthCheckResult: partial(worker_lifecycle.take_health_check, self.fleet),
             inputs.ProxyConnected: self._on_proxy_connected,
+            inputs.ProxyDisconnected: self._reports.disconnect_proxy,
             inputs.Acknowledged: self._on_acknowledged,
+            inputs.LoadReport: self._reports.add_load_report,
+            inputs.ArrivalReport: self._reports.add_arrivals,
+            inputs.HealthCheckResult: self._reports.add_health_check,
+            inputs.HeldLoad: self._reports.set_held_load,
+            inputs.AdvisedFactor: self._reports.set_advised_factor,
+            inputs.GossipReceived: self.gossip.receive,
             inputs.ExtraLinesWritten: self.channel_budget.add_extra,
             inputs.RestoredState: self._on_restored_state,
-        }  # of slices it knows nothing: where they are, no table is ordered
+        }
+
+    @property
+    def has_endpoint_list(self) -> bool:
+        """Whether an endpoint list has arrived."""
+        return self._discovery.has_endpoint_list
 
     def decide(self, now: float, arrived: Iterable[inputs.Input]) -> list[orders.Order]:
-        """The orders that follow from these inputs.  Most inputs wait for the next tick."""
-        self.fleet.now = now
-        self.is_send_due = False
-        for item in [inputs.TimerFired(0), *arrived] if self.tick == 0 else arrived:
+        """Returns the orders that follow from these inputs.  Most inputs wait for the next tick."""
+        self.state.now = now
+        self._is_send_due = False
+        if self.tick == 0:
+            arrived = [inputs.TimerFired(0), *arrived]
+        for item in arrived:
             if type(item) in self._handlers:
                 self._handlers[type(item)](item)
-        if self.is_send_due:
-            if self.has_endpoint_list and (self.fleet.needs_solution or now >= self.next_solve_at):
+        if self._is_send_due:
+            if self.has_endpoint_list and (self.state.needs_solution or now >= self._next_solve_at):
                 self._solve()
             self._send()
-        return self.fleet.take_pending()
+        return self.state.pending.take()
 
     def _on_timer(self, timer: inputs.TimerFired) -> None:
+        """Begins a tick: orders what does not depend on a solution, and updates the states of workers."""
         if timer.token != self.tick:
             return
-        fleet = self.fleet
+        state = self.state
         self.tick += 1
-        self.is_send_due = True
-        fleet.pending.append(orders.StartTimer(TICK_INTERVAL, self.tick))
-        if fleet.parameters.watches_endpoints and fleet.now >= self.next_watch_at:
-            fleet.pending.append(orders.WatchEndpoints(True))
-            self.next_watch_at = fleet.now + WATCH_TIMEOUT
-        joining_rate = fleet.note_joining_rate()
-        if fleet.parameters.health_checks and self.has_endpoint_list:
-            worker_lifecycle.order_health_checks(fleet, joining_rate)
-        self.overload.observe()
-        worker_lifecycle.detect_outliers(fleet)
-
-    def _on_endpoint_list(self, listing: inputs.EndpointList) -> None:
-        fleet = self.fleet
-        if listing.kind not in (inputs.ListUpdateKind.CACHED, inputs.ListUpdateKind.SUPERSEDED):
-            delay = fleet.parameters.poll_within_s * fleet.random.uniform(*RETRY_DELAY)
-            is_failed = listing.kind == inputs.ListUpdateKind.FAILED
-            self.next_watch_at = fleet.now + delay if is_failed else math.inf
-        for index in fleet.unlisted(listing):
-            fleet.transition(worker_lifecycle.STATE_TABLE, index, WorkerEvent.NOT_LISTED)
-        for endpoint in listing.endpoints:
-            event = WorkerEvent.DISCOVERED if self.has_endpoint_list else WorkerEvent.LISTED_AT_START
-            if fleet.update_worker(endpoint):
-                event = WorkerEvent.STARTED
-            if endpoint.state != inputs.EndpointState.READY:
-                event = WorkerEvent.ENDPOINT_NOT_READY
-            evidence = EndpointEvidence(endpoint.state, fleet.now - endpoint.started_at)
-            fleet.transition(worker_lifecycle.STATE_TABLE, endpoint.worker_index, event, evidence)
-        self.has_endpoint_list = True
-        self.is_send_due = True
+        self._is_send_due = True
+        state.pending.add(orders.StartTimer(TICK_INTERVAL_S, self.tick))
+        self._discovery.order_watch_if_due()
+        joining_rate = state.proxies.update_joining_rate()
+        if state.parameters.health_checks and self.has_endpoint_list:
+            self._health_checks.order_due_checks(joining_rate)
+        self.overload.update()
+        checked = list(state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE).values())
+        unreachable = self._reachability.unreachable_zones(checked)
+        OutlierDetector(state, checked, unreachable).update_worker_states()
+
+    def _on_endpoint_list(self, endpoint_list: inputs.EndpointList) -> None:
+        self._discovery.apply_endpoint_list(endpoint_list)
+        self._is_send_due = True
 
     def _on_restored_state(self, restored: inputs.RestoredState) -> None:
-        """Before anything is heard: who left stays out until listed again, suspects are ejected."""
+        """Applies a snapshot, before any proxy has connected."""
         self.channel_budget.last_checkpoint = restored.last_checkpoint
-        for past in self.fleet.restore(restored):
-            if past.was_draining or past.was_ejected:
-                was_draining = past.was_draining
-                event = WorkerEvent.RESTORED_AS_DRAINING if was_draining else WorkerEvent.RESTORED_AS_EJECTED
-                self.fleet.transition(worker_lifecycle.STATE_TABLE, past.worker_index, event)
+        self.state.proxies.restored_rates = dict(restored.proxy_rates)
+        self._discovery.restore(restored.workers)
 
     def _on_proxy_connected(self, connected: inputs.ProxyConnected) -> None:
-        self.fleet.connect(connected)
+        self._reports.connect_proxy(connected)
         self.channel_budget.written_at.pop(connected.proxy, None)
-        self.next_solve_at = self.fleet.now
+        self._next_solve_at = self.state.now
 
-    def _on_acknowledged(self, answer: inputs.Acknowledged) -> None:
-        self.channel_budget.acknowledge(answer.checkpoint, answer.proxy)
-        self.is_send_due |= self.fleet.acknowledge(answer, ACK_QUORUM)
+    def _on_acknowledged(self, acknowledged: inputs.Acknowledged) -> None:
+        self.channel_budget.acknowledge(acknowledged.checkpoint, acknowledged.proxy)
+        proxy = self.state.proxies.by_number.get(acknowledged.proxy)
+        if proxy is not None:
+            self._reachability.record_proxy(proxy.zone)
+            self._is_send_due |= self._deltas.acknowledge(acknowledged)
 
     def _solve(self) -> None:
-        now = self.fleet.now
-        is_new_interval = now >= self.next_measure_at
+        """Estimates capacities and demand, and solves the flow; once an interval it measures before."""
+        now = self.state.now
+        is_new_interval = now >= self._next_measure_at
         if is_new_interval:
-            self.fleet.remove_departed(worker_lifecycle.REMOVED_TTL)
+            forget_departed(self.state)
             self.capacity.measure()
-            self.overload.update_admission()
-            self.fleet.links.start_interval()
-            self.next_measure_at = now + SOLVE_INTERVAL
-        self.next_solve_at = now + SOLVE_INTERVAL
-        self.fleet.needs_solution = False
+            self.shedding.update_admission_ratio()
+            self._flow.links.start_interval()
+            self._next_measure_at = now + SOLVE_INTERVAL_S
+        self._next_solve_at = now + SOLVE_INTERVAL_S
+        self.state.needs_solution = False
         self.capacities = self.capacity.estimate(self.tick)
-        demand = estimate_demand(self.fleet)
-        if is_new_interval and self.fleet.parameters.gossip:
-            self.fleet.pending += self.fleet.gossip(demand.own)
-        self.flow.plan(demand, self.capacities, is_new_interval)
+        demand = estimate_demand(self.state, self.gossip)
+        if is_new_interval and self.state.parameters.gossip:
+            self.gossip.send(demand.own)
+        self._flow.plan(demand, self.capacities, is_new_interval)
 
     def _send(self) -> None:
-        """Exclusions, binds, removals, then other deltas: as much as the channel budget takes."""
-        fleet = self.fleet
-        self.channel_budget.advance(fleet.now, MAX_CHANNEL_SLOWDOWN)
-        self.tables.class_admission = self.overload.class_admission()
-        self._send_exclusions()
-        hold_until = fleet.now - DRAIN_HOLD_RATIO * fleet.parameters.drain_grace_s
-        if not fleet.parameters.slice_count:
-            self._send_binds(hold_until)
-        if all(proxy.table for proxy in fleet.proxies.values()):
+        """Sends exclusions, binds, removals, then other deltas, as far as the channel budget allows."""
+        state = self.state
+        self.channel_budget.advance(state.now, MAX_CHANNEL_SLOWDOWN)
+        self._deltas.class_admissions = self.shedding.class_admissions()
+        send_exclusions(state, self.channel_budget)
+        hold_until = state.now - DRAIN_HOLD_RATIO * state.parameters.drain_grace_s
+        if not state.parameters.slice_count:
+            self._binding.bind_proxies(hold_until)
+        self._send_removals(hold_until)
+        overweight = overweight_workers(state)
+        for table in state.tables.all:
+            self._deltas.send_update(table, overweight)
+        written, lines_by_proxy = self.channel_budget.commit(MAX_CHECKPOINTS)
+        state.pending.extend(written)
+        state.tables.mark_written(self.channel_budget.last_checkpoint, state.now, lines_by_proxy)
+
+    def _send_removals(self, hold_until: float) -> None:
+        """Takes departed workers out of the tables, those that left first at first.
+
+        While there are proxies to bind, only workers are taken out that departed by `hold_until`.
+        """
+        state = self.state
+        if all(proxy.table for proxy in state.proxies.by_number.values()):
             hold_until = math.inf
-        for table in sorted(fleet.tables, key=fleet.first_removal):
-            self.tables.send_delta(table, fleet.removed_by(table, hold_until), True)
-        overweight = self.tables.overweight()
-        for table in fleet.tables:
-            self.tables.send_delta(table, [i for i in table.sent if i in overweight], False)
-        written, lines = self.channel_budget.commit(MAX_CHECKPOINTS)
-        fleet.pending += written
-        fleet.mark_written(self.channel_budget.last_checkpoint, lines)
-
-    def _send_exclusions(self) -> None:
-        """Only where no table can be laid: a proxy keeps what it excludes across its streams."""
-        fleet = self.fleet
-        laid = {table.zone for table in fleet.tables if table.wanted}
-        is_stuck = fleet.parameters.slice_count or any(p.zone not in laid for p in fleet.proxies.values())
-        for index, worker in fleet.workers.items():
-            exclude = worker.state == WorkerState.REMOVED
-            if worker.is_excluded != exclude and (is_stuck or not exclude):
-                cost = dict.fromkeys(fleet.holders(index), 1)  # others have nothing to exclude
-                if self.channel_budget.reserve([orders.ExcludeWorker(index, exclude)], cost, RULE_LIMIT):
-                    worker.is_excluded = exclude
-
-    def _send_binds(self, long_ago: float) -> None:
-        """Busiest first, unless some have waited for long, with tables that may name removed workers."""
-        fleet = self.fleet
-        unbound = {number: proxy for number, proxy in fleet.proxies.items() if proxy.table is None}
-        rank = {n: (p.connected_at > long_ago, -p.joining_rate, n) for n, p in unbound.items()}
-        for number in sorted(unbound, key=rank.__getitem__):
-            limit = BIND_LIMIT if unbound[number].connected_at > long_ago else RULE_LIMIT
-            if self.channel_budget.available_lines([number], limit) <= 0:
-                break  # nor is there room for who comes behind
-            tables = [table for table in fleet.tables if table.zone == unbound[number].zone]
-            table = min(tables, key=lambda t: (bool(fleet.removed_workers(t)), t.request_rate, t.number))
-            self.tables.send_delta(table, fleet.removed_workers(table), True)  # else it is written twice
-            if not table.readers:  # nobody reads the table: laying it costs nothing
-                self.channel_budget.add(self.tables.changes(table, 0.0, MAX_TABLE_ORDERS, []), {})
-            cost = self.channel_budget.bind_cost(number, table, fleet.excluded(table))
-            bind = orders.BindProxy(number, table.number, 0)
-            if table.sent and self.channel_budget.reserve([bind], cost, limit):
-                fleet.bind(number, table)
+        for table in sorted(state.tables.all, key=lambda table: first_departure(state, table)):
+            self._deltas.send_removals(table, due_removals(state, table, hold_until))
--- a/cottonladder/policy/demand.py
+++ b/cottonladder/policy/demand.py
@@ -1,24 +1,34 @@
-"""Demand by zone: of the proxies here, and of those at other managers."""
+"""Demand: how many requests arrive in each zone, at the proxies here and at those of other managers.
+
+Own demand comes from arrival reports. Others' demand comes from gossip, and is guessed for the proxies that
+neither are connected here nor appear in gossip, in the zones that lack them. It is estimated at each
+solution. Where more proxies are counted than deployed, the others' demand shrinks in proportion, which
+protects against counting a proxy twice that has just changed its manager.
+"""
 
 from statistics import fmean
 
-from ..model import Demand, Fleet
-from .tuning import SOLVE_INTERVAL
+from ..model import ControllerState, Demand
+from .gossip_exchange import GossipExchange
 
-PEER_DEMAND_TTL = 3 * SOLVE_INTERVAL  # s that a peer's figures count; a lost datagram is a guess again
+DEMAND_WINDOW_S = 4.0  # that the counts of arrivals cover at most
 
 
-def estimate_demand(fleet: Fleet) -> Demand:
-    """Requests/s by zone, own and others': what they told, and a guess for proxies that are missing."""
-    own, proxies = fleet.own_demand()
-    others = fleet.peers.add_recent(proxies, fleet.now, PEER_DEMAND_TTL)
-    missing = fleet.parameters.proxy_count - sum(proxies)
-    if missing < 0:  # a proxy that has come over is still told of as there: nobody counts twice
-        told = max(1.0, sum(proxies) - len(fleet.proxies))
-        others = [max(0.0, rate + rate * missing / told) for rate in others]
-    gaps = [max(0.0, fleet.parameters.proxy_count / len(fleet.zones) - count) for count in proxies]
-    if fleet.parameters.manager_count > 1 and missing > 0 and fleet.proxies and sum(gaps) > 0:
-        # Few proxies carry most, so a median would be far below the mean.
-        mean = fmean(proxy.joining_rate for proxy in fleet.proxies.values())
-        others = [rate + missing * mean * gap / sum(gaps) for rate, gap in zip(others, gaps, strict=True)]
-    return Demand(own, others)
+def estimate_demand(state: ControllerState, gossip: GossipExchange) -> Demand:
+    """Returns the requests/s by zone, own and others'."""
+    parameters = state.parameters
+    own = state.proxies.own_demand()
+    proxy_counts = own.proxy_counts
+    others = gossip.add_recent(proxy_counts)
+    missing_count = parameters.proxy_count - sum(proxy_counts)
+    if missing_count < 0:
+        peer_count = max(1.0, sum(proxy_counts) - len(state.proxies.by_number))
+        others = [max(0.0, rate + rate * missing_count / peer_count) for rate in others]
+    gaps = [max(0.0, parameters.proxy_count / len(state.zones) - count) for count in proxy_counts]
+    if parameters.manager_count > 1 and missing_count > 0 and state.proxies.by_number and sum(gaps) > 0:
+        # The mean stands for a missing proxy: few proxies carry most requests, so a median would be too low.
+        mean_rate = fmean(proxy.joining_rate for proxy in state.proxies.by_number.values())
+        others = [
+            rate + missing_count * mean_rate * gap / sum(gaps) for rate, gap in zip(others, gaps, strict=True)
+        ]
+    return Demand(own.request_rates, others)
--- /dev/null
+++ b/cottonladder/policy/gossip_exchange.py
@@ -0,0 +1,38 @@
+"""What managers tell each other of their proxies, and how long it counts.
+
+Once an interval each manager sends the number of its proxies and their demand by zone to all others, where
+the deployment allows gossip. What another manager sent replaces its former figures and counts for three
+intervals. A datagram that does not have the right number of figures is dropped, which protects the demand
+estimate from corrupted datagrams; a lost one costs no more than a guess in its place.
+"""
+
+from ..model import ControllerState, PeerDemand, decode_zone_figures, encode_zone_figures, inputs, orders
+from .cadence import SOLVE_INTERVAL_S
+
+MAX_GOSSIP_ZONES = 18  # that one datagram holds
+PEER_DEMAND_TTL_S = 3 * SOLVE_INTERVAL_S
+ALL_PEERS = -1
+
+
+class GossipExchange:
+    """Sends this manager's figures, and keeps those of the others."""
+
+    def __init__(self, state: ControllerState) -> None:
+        self._state = state
+        self._peers = PeerDemand(state.parameters.zone_count)
+
+    def receive(self, gossip: inputs.GossipReceived) -> None:
+        """Records another manager's figures."""
+        figures = decode_zone_figures(gossip.text, len(self._state.zones), MAX_GOSSIP_ZONES)
+        if figures is not None:
+            self._peers.update(gossip.sender, self._state.now, figures)
+
+    def send(self, request_rates: list[float]) -> None:
+        """Orders gossip of the connected proxies and their requests/s by zone."""
+        counts = self._state.proxies.zone_counts()
+        texts = encode_zone_figures(counts, request_rates, MAX_GOSSIP_ZONES)
+        self._state.pending.extend(orders.SendGossip(ALL_PEERS, text) for text in texts)
+
+    def add_recent(self, proxy_counts: list[float]) -> list[float]:
+        """Returns the others' requests/s by zone, and adds the numbers of their proxies to `proxy_counts`."""
+        return self._peers.add_recent(proxy_counts, self._state.now, PEER_DEMAND_TTL_S)
--- /dev/null
+++ b/cottonladder/policy/health_check_schedule.py
@@ -0,0 +1,40 @@
+"""When the workers' health is checked.
+
+All workers that are in service or ejected are checked together, at intervals that follow from the price of
+a health check and from the present request rate. A worker that lost one check is checked again at the next
+tick. Health checks show an unresponsive worker or a long queue before load reports do; the price limit
+keeps their cost small beside that of the requests.
+"""
+
+import math
+
+from ..model import IN_SERVICE, ControllerState, WorkerState, orders
+from .outlier_ejection import MAX_LOST_CHECKS
+
+MIN_CHECK_INTERVAL_S = 1.0
+CHECK_JITTER = (-0.1, 0.1)  # of MIN_CHECK_INTERVAL_S, so that managers do not check at the same moment
+MAX_CHECK_PRICE_RATIO = 0.003  # of the requests' value that health checks may cost
+
+
+class HealthCheckSchedule:
+    """Orders health checks when they are due."""
+
+    def __init__(self, state: ControllerState) -> None:
+        self._state = state
+        self._last_checked_at = -math.inf
+
+    def order_due_checks(self, joining_rate: float) -> None:
+        """Orders the checks that are due; `joining_rate` is the requests/s that proxies connected with."""
+        state = self._state
+        checked = state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE)
+        cost = len(checked) * state.parameters.health_check_cost
+        request_rate = state.proxies.request_rate(state.proxies.by_number)
+        price = cost / max(1.0, joining_rate, request_rate)
+        interval_s = max(MIN_CHECK_INTERVAL_S, price / MAX_CHECK_PRICE_RATIO)
+        is_due = state.now >= self._last_checked_at + interval_s
+        if is_due:
+            jitter_s = MIN_CHECK_INTERVAL_S * state.random.uniform(*CHECK_JITTER)
+            self._last_checked_at = state.now + jitter_s
+        for index, worker in checked.items():
+            if is_due or 0 < worker.lost_checks < MAX_LOST_CHECKS:
+                state.pending.add(orders.HealthCheck(index))
--- /dev/null
+++ b/cottonladder/policy/latency_factor.py
@@ -0,0 +1,79 @@
+"""The latency factor: how far a worker's capacity is cut for latency, failures and queue.
+
+Each interval a worker's mean latency is compared with its base latency, its failures and its requests in
+flight with those of the fleet, and its factor moves towards what they suggest. The mean factor of a zone
+moves more slowly than that of a single worker, because all managers see the same fault and would leave the
+zone at the same moment. Factors protect against slow and failing workers, which ejection does not catch.
+"""
+
+from statistics import fmean
+
+from ..model import IN_SERVICE, ControllerState, WorkerRecord, median_or_zero
+from .overload_signal import OverloadSignal
+
+MIN_LATENCY_RATIO = 1 / 64  # of the tightest latency objective: the lower bound of the first histogram bin
+LATENCY_BIN_RATIO = 1.5  # of a bin's upper bound to its lower bound
+LATENCY_BIN_COUNT = 16
+COUNT_DECAY = 0.5  # part of all counts that is kept at the end of each interval
+BASE_LATENCY_FALL = 0.8  # step of a base latency towards a lower mean, in each interval
+BASE_LATENCY_RISE = 0.01  # step towards a higher mean, which may be a fault
+MAX_SLOWDOWN = 2.0  # times the fleet's slowdown or queue that does not cut a factor yet
+SUCCESS_EXPONENT = 3.0  # of the succeeded part of attempts, relative to the fleet's
+MIN_USUAL_SUCCESS = 0.1  # succeeded part of the fleet's attempts to compare with, at least
+MIN_LATENCY_FACTOR = 0.03
+FACTOR_FALL = 0.8  # step of a factor towards a lower target, in each interval
+FACTOR_RISE = 0.5  # step towards a higher target
+ZONE_FACTOR_STEP = 0.25  # step of a zone's mean factor, in each interval
+
+
+class LatencyFactors:
+    """Updates the factors of workers and zones once an interval."""
+
+    def __init__(self, state: ControllerState, overload: OverloadSignal) -> None:
+        self.zone_correction = [1.0 for _ in state.zones]  # a zone's followed factor over its present mean
+        self._state = state
+        self._overload = overload
+        self._zone_factor = [1.0 for _ in state.zones]
+
+    def update(self, uses_queues: bool) -> None:
+        """Updates base latencies, then factors; requests in flight count only if `uses_queues`."""
+        in_service = self._state.workers.in_state(*IN_SERVICE)
+        queues = {i: uses_queues * w.smoothed_in_flight / w.weight for i, w in in_service.items()}
+        usual_queue = max(1.0, median_or_zero(queues.values()))
+        self._update_base_latencies(queues, usual_queue)
+        queue_ratios = {index: queue / usual_queue for index, queue in queues.items()}
+        self._update_worker_factors(in_service, queue_ratios)
+        self._update_zone_factors(in_service)
+
+    def _update_base_latencies(self, queues: dict[int, float], usual_queue: float) -> None:
+        """A worker's first base latency is not taken while its queue is long."""
+        for index, worker in self._state.workers.by_index.items():
+            if worker.base_latency_s or queues.get(index, 0.0) < MAX_SLOWDOWN * usual_queue:
+                worker.follow_base_latency(BASE_LATENCY_FALL, BASE_LATENCY_RISE)
+
+    def _update_worker_factors(
+        self, in_service: dict[int, WorkerRecord], queue_ratios: dict[int, float]
+    ) -> None:
+        slowdowns = {
+            index: worker.latency.mean() / worker.base_latency_s
+            for index, worker in in_service.items()
+            if worker.base_latency_s > 0
+        }
+        failed_ratios = {i: w.failed_ratio() for i, w in in_service.items() if w.attempts >= 1.0}
+        usual_slowdown = max(median_or_zero(slowdowns.values()), 1e-9)
+        usual_success = max(MIN_USUAL_SUCCESS, 1.0 - median_or_zero(failed_ratios.values()))
+        overload = max(1.0, self._overload.value)  # under overload the latencies of well workers differ too
+        for index, worker in in_service.items():
+            slowdown = max(slowdowns.get(index, 0.0) / usual_slowdown, queue_ratios[index], 1e-9)
+            success = (1.0 - failed_ratios.get(index, 0.0)) / usual_success
+            target = min(1.0, overload * MAX_SLOWDOWN / slowdown)
+            target *= min(1.0, success) ** (SUCCESS_EXPONENT / overload)
+            worker.follow_latency_factor(target, FACTOR_FALL, FACTOR_RISE, MIN_LATENCY_FACTOR)
+            worker.decay(COUNT_DECAY)
+
+    def _update_zone_factors(self, in_service: dict[int, WorkerRecord]) -> None:
+        for zone in self._state.zones:
+            factors = [worker.latency_factor for worker in in_service.values() if worker.zone == zone]
+            mean = fmean(factors or [1.0])
+            self._zone_factor[zone] += (mean - self._zone_factor[zone]) * ZONE_FACTOR_STEP
+            self.zone_correction[zone] = self._zone_factor[zone] / mean
--- /dev/null
+++ b/cottonladder/policy/load_shedding.py
@@ -0,0 +1,62 @@
+"""Load shedding: what part of the requests is admitted while the fleet is overloaded, and which classes lose.
+
+The admission ratio falls once an interval while the overload signal is over 1, and rises while it is well
+under 1. What has to be shed is taken first from the class with the lowest priority weight for its latency
+objective, then from the next. Shedding protects the requests worth most from latencies over their
+objectives; limits on each step and on the lowest ratio protect against shedding far more than the overload
+asks for.
+"""
+
+from ..model import AdmissionChanged, ClassAdmission, ControllerState, common_limit, shed_in_order
+from .overload_signal import OverloadSignal
+
+ADMISSION_STEP = 0.5  # of the distance between the signal and its setpoint, in each interval
+ADMISSION_SETPOINT = 0.8  # signal under which admission rises
+MAX_ADMISSION_FALL = 0.35  # of all requests, in each interval
+MIN_ADMISSION_RATIO = 0.4  # of all requests
+MIN_CLASS_ADMISSION_RATIO = 0.1  # of one class
+MIN_ADMISSION_RATE = 0.1  # requests/s of a proxy, where admission is ordered as a rate
+UNLIMITED_RATE = 1e6  # requests/s that stand for no limit
+
+
+class LoadShedding:
+    """Decides on the admission ratio, and divides it among the classes."""
+
+    def __init__(self, state: ControllerState, overload: OverloadSignal) -> None:
+        self.admission_ratio = 1.0
+        self._state = state
+        self._overload = overload
+
+    def update_admission_ratio(self) -> None:
+        """Moves the admission ratio by one step, and reports where shedding begins or ends."""
+        former = self.admission_ratio
+        signal = self._overload.value if self._is_enabled() else 0.0
+        is_near_setpoint = ADMISSION_SETPOINT <= signal <= 1.0
+        step = 0.0 if is_near_setpoint else ADMISSION_STEP * (ADMISSION_SETPOINT - signal)
+        limited_step = max(-MAX_ADMISSION_FALL, step)
+        self.admission_ratio = min(1.0, max(MIN_ADMISSION_RATIO, former + limited_step))
+        if (former < 1.0) != (self.admission_ratio < 1.0):
+            self._state.pending.add(AdmissionChanged(former, self.admission_ratio, signal))
+
+    def class_admissions(self) -> dict[int, ClassAdmission]:
+        """Returns what is admitted of each class, in the order in which classes are shed."""
+        if not self._is_enabled():
+            return {}
+        classes = self._state.parameters.request_classes
+        values = [c.priority_weight / c.latency_objective_s for c in classes]
+        arrivals = self._state.proxies.class_rates()
+        shed = (1.0 - self.admission_ratio) * sum(arrivals)
+        order = sorted(self._state.classes, key=values.__getitem__)
+        shares = shed_in_order(arrivals, order, shed, MIN_CLASS_ADMISSION_RATIO)
+        return {k: ClassAdmission(share, self._ordered_admission(k, share)) for k, share in shares.items()}
+
+    def _is_enabled(self) -> bool:
+        return self._state.parameters.admission_mode != "none"
+
+    def _ordered_admission(self, class_index: int, share: float) -> float:
+        """Returns the share, or the rate limit for each proxy that admits this share of the class."""
+        if self._state.parameters.admission_mode == "ratio":
+            return share
+        rates = [proxy.class_rate(class_index) for proxy in self._state.proxies.by_number.values()]
+        limit = common_limit(rates, share)
+        return UNLIMITED_RATE if limit is None else max(MIN_ADMISSION_RATE, limit)
--- /dev/null
+++ b/cottonladder/policy/outlier_ejection.py
@@ -0,0 +1,88 @@
+"""Outlier ejection: which workers are taken out of service for a fault, and when they return.
+
+A worker is ejected if nearly all its attempts fail while the others' succeed, or if its health checks are
+lost while its zone can be reached. Each worker is judged at each tick; an ejected one returns by slow start
+after the ejection time, once a health check succeeds or where no health check can tell. Ejected workers
+never hold more than a third of the fleet's weight, which protects against a fault of the network or of the
+reports that makes many workers look unresponsive at once.
+"""
+
+from ..model import (
+    IN_SERVICE,
+    ControllerState,
+    HealthCheckEvidence,
+    OutlierEvidence,
+    WorkerEvent,
+    WorkerRecord,
+    WorkerState,
+    inputs,
+)
+from .slow_start import complete_slow_start
+from .worker_states import apply_event
+
+OUTLIER_FAILED_RATIO = 0.85  # failed part of attempts; an unresponsive worker fails nearly all
+MAX_OTHERS_FAILED_RATIO = 0.2  # failed part of the others' attempts; over it the fault is not the worker's
+MIN_OUTLIER_ATTEMPTS = 4.0  # attempts to judge by
+MAX_LOST_CHECKS = 2  # consecutive health checks
+MAX_EJECTED_RATIO = 0.34  # of the fleet's weight
+
+
+class OutlierDetector:
+    """Judges each worker once, by sums over the fleet that are taken at the beginning."""
+
+    def __init__(self, state: ControllerState, checked: list[WorkerRecord], unreachable: list[bool]) -> None:
+        self._state = state
+        self._unreachable = unreachable  # by zone
+        self._attempts, self._failed = state.workers.attempts(IN_SERVICE)
+        ejected = state.workers.in_state(WorkerState.EJECTED).values()
+        self._ejected_weight = sum(worker.weight for worker in ejected)
+        self._max_ejected_weight = MAX_EJECTED_RATIO * sum(worker.weight for worker in checked)
+
+    def update_worker_states(self) -> None:
+        """Ejects outliers, completes slow starts, and lets workers return whose ejection is over."""
+        for index, worker in self._state.workers.by_index.items():
+            if worker.state in IN_SERVICE:
+                if not self._eject_if_outlier(index, worker):
+                    complete_slow_start(self._state, index, worker)
+            elif worker.state == WorkerState.EJECTED:
+                self._return_if_expired(index, worker)
+
+    def _eject_if_outlier(self, index: int, worker: WorkerRecord) -> bool:
+        """Ejects a worker that is an outlier, as far as the limit on ejected weight allows."""
+        others_failed_ratio = self._others_failed_ratio(worker)
+        has_lost_checks = worker.lost_checks >= MAX_LOST_CHECKS and not self._unreachable[worker.zone]
+        if not has_lost_checks and not self._fails_alone(worker, others_failed_ratio):
+            return False
+        if self._ejected_weight + worker.weight > self._max_ejected_weight:
+            return False
+        self._ejected_weight += worker.weight
+        event = WorkerEvent.HEALTH_CHECKS_LOST if has_lost_checks else WorkerEvent.HIGH_FAILURE_RATIO
+        evidence = OutlierEvidence(worker.failed, worker.attempts, others_failed_ratio, worker.lost_checks)
+        apply_event(self._state, index, event, evidence)
+        return True
+
+    def _others_failed_ratio(self, worker: WorkerRecord) -> float:
+        others_attempts = self._attempts - worker.attempts
+        return (self._failed - worker.failed) / others_attempts if others_attempts > 0 else 0.0
+
+    def _fails_alone(self, worker: WorkerRecord, others_failed_ratio: float) -> bool:
+        """Returns whether the worker fails nearly all its attempts while the others' succeed."""
+        if worker.attempts < MIN_OUTLIER_ATTEMPTS or others_failed_ratio >= MAX_OTHERS_FAILED_RATIO:
+            return False
+        return worker.failed >= OUTLIER_FAILED_RATIO * worker.attempts
+
+    def _return_if_expired(self, index: int, worker: WorkerRecord) -> None:
+        """Ends an ejection by time alone where no health check can tell whether the worker is well."""
+        if self._state.now < worker.due_at:
+            return
+        if self._unreachable[worker.zone] or not self._state.parameters.health_checks:
+            apply_event(self._state, index, WorkerEvent.EJECTION_EXPIRED)
+
+
+def return_after_health_check(
+    state: ControllerState, worker: WorkerRecord, result: inputs.HealthCheckResult
+) -> None:
+    """Lets an ejected worker return if its ejection time is over and the health check succeeded."""
+    if result.succeeded and state.now >= worker.due_at:
+        evidence = HealthCheckEvidence(result.duration_s)
+        apply_event(state, result.worker_index, WorkerEvent.HEALTH_CHECK_SUCCEEDED, evidence)
--- /dev/null
+++ b/cottonladder/policy/proxy_binding.py
@@ -0,0 +1,62 @@
+"""Which proxies are bound to a table first, and to which table.
+
+At each tick the proxies that read no table are bound, as many as the channel budget allows: first those
+that have waited for a part of the drain grace, then the busiest. Each gets the table of its zone that names
+no departed workers and whose readers have the lowest demand. The order protects most requests from a table
+of another manager that is out of date, and keeps a quiet proxy from waiting for ever.
+"""
+
+from ..model import ControllerState, ProxyRecord, RoutingTable, orders
+from .channel_budget import BIND_LIMIT, RULE_LIMIT, ChannelBudget
+from .table_deltas import TableDeltas
+from .worker_removal import removed_workers
+
+ALL_CLASSES = 0  # as a class mask of a bind
+
+
+class ProxyBinding:
+    """Binds proxies to tables."""
+
+    def __init__(self, state: ControllerState, budget: ChannelBudget, deltas: TableDeltas) -> None:
+        self._state = state
+        self._budget = budget
+        self._deltas = deltas
+
+    def bind_proxies(self, connected_until: float) -> None:
+        """Binds unbound proxies; those that connected by the given time go first."""
+        unbound = {n: proxy for n, proxy in self._state.proxies.by_number.items() if proxy.table is None}
+        ranks = {
+            number: (proxy.connected_at > connected_until, -proxy.joining_rate, number)
+            for number, proxy in unbound.items()
+        }
+        for number in sorted(unbound, key=ranks.__getitem__):
+            if not self._bind_if_affordable(number, unbound[number], connected_until):
+                break
+
+    def _bind_if_affordable(self, number: int, proxy: ProxyRecord, connected_until: float) -> bool:
+        """Returns whether the budget may allow further binds."""
+        limit = BIND_LIMIT if proxy.connected_at > connected_until else RULE_LIMIT
+        if self._budget.available_lines([number], limit) <= 0:
+            return False
+        table = self._select_table(proxy.zone)
+        # Readers that the table has already must not keep what is left out of it for the new one.
+        self._deltas.send_removals(table, removed_workers(self._state, table))
+        if not table.readers:
+            self._budget.add(self._deltas.draft_complete(table), {})
+        excluded = {i for i in table.sent if self._state.workers.by_index[i].is_excluded}
+        cost = self._budget.bind_cost(number, table, excluded)
+        bind = orders.BindProxy(number, table.number, ALL_CLASSES)
+        if table.sent and self._budget.reserve([bind], cost, limit):
+            self._state.tables.bind(number, table, self._state.proxies)
+        return True
+
+    def _select_table(self, zone: int) -> RoutingTable:
+        """Returns the table of the zone with no departed workers, if there is one, and the lowest demand."""
+        return min(
+            self._state.tables.in_zone(zone),
+            key=lambda table: (
+                bool(removed_workers(self._state, table)),
+                table.request_rate,
+                table.number,
+            ),
+        )
--- /dev/null
+++ b/cottonladder/policy/report_intake.py
@@ -0,0 +1,80 @@
+"""How reports are added to the records of workers and proxies.
+
+Load reports, arrival reports, health check results, held connections, advised factors, and the coming and
+going of proxies are applied to the records as they arrive, and no order follows before the next tick. What
+is known of a worker or a proxy that is not on record is dropped. `report_plausibility` says which figures
+are believed; this protects the estimates from corrupted reports and from late reports on forgotten workers.
+"""
+
+from ..model import ControllerState, LinkLatencies, inputs
+from . import report_plausibility
+from .capacity import MAX_ADVISED_FACTOR
+from .demand import DEMAND_WINDOW_S
+from .outlier_ejection import return_after_health_check
+from .zone_reachability import ZoneReachability
+
+
+class ReportIntake:
+    """Applies reports to the records."""
+
+    def __init__(self, state: ControllerState, links: LinkLatencies, reachability: ZoneReachability) -> None:
+        self._state = state
+        self._links = links
+        self._reachability = reachability
+
+    def connect_proxy(self, connected: inputs.ProxyConnected) -> None:
+        """Adds a proxy at its restored request rate, or else at the rate that it states."""
+        proxies = self._state.proxies
+        rate = proxies.restored_rates.pop(connected.proxy, connected.requests_per_s)
+        believed = report_plausibility.believed_rate(rate)
+        proxies.connect(connected.proxy, connected.zone, believed, self._state.now)
+        self._reachability.record_proxy(connected.zone)
+
+    def disconnect_proxy(self, disconnected: inputs.ProxyDisconnected) -> None:
+        """Removes a proxy."""
+        self._state.proxies.disconnect(disconnected.proxy)
+
+    def add_load_report(self, report: inputs.LoadReport) -> None:
+        """Adds the attempts at a worker, and their latency if it is believed."""
+        state = self._state
+        worker = state.workers.by_index.get(report.worker_index)
+        if worker is None or report.attempts <= 0:
+            return
+        usual_rate = state.proxies.highest_joining_rate
+        if not report_plausibility.is_believed(report.attempts, report.interval_s, usual_rate):
+            return
+        worker.add_load_report(report, report_plausibility.MAX_REPORT_RATIO)
+        is_believed = report_plausibility.is_latency_believed(report.duration_s, state.tightest_objective_s)
+        if report.attempts > report.failed and is_believed:
+            worker.latency.add(report.duration_s, report.attempts - report.failed)
+            self._links.add(report.zone, worker.zone, report.duration_s)
+            self._reachability.record_worker_answer(worker.zone)
+
+    def add_arrivals(self, report: inputs.ArrivalReport) -> None:
+        """Adds the requests that arrived at a proxy."""
+        proxy = self._state.proxies.by_number.get(report.proxy)
+        if proxy is None:
+            return
+        if report_plausibility.is_believed(report.requests, report.interval_s, proxy.joining_rate):
+            proxy.add_arrivals(report, DEMAND_WINDOW_S)
+
+    def add_health_check(self, result: inputs.HealthCheckResult) -> None:
+        """Adds a health check result, after which an ejected worker may return."""
+        worker = self._state.workers.by_index.get(result.worker_index)
+        if worker is None:
+            return
+        usual_rate = self._state.proxies.highest_joining_rate
+        worker.add_health_check(result, report_plausibility.max_in_flight(usual_rate))
+        return_after_health_check(self._state, worker, result)
+
+    def set_held_load(self, held: inputs.HeldLoad) -> None:
+        """Records the load of a worker's held connections, in requests/s."""
+        worker = self._state.workers.by_index.get(held.worker_index)
+        if worker is not None:
+            worker.held_request_rate = report_plausibility.believed_rate(held.requests_per_s)
+
+    def set_advised_factor(self, advised: inputs.AdvisedFactor) -> None:
+        """Records one advisor's factor for a worker."""
+        worker = self._state.workers.by_index.get(advised.worker_index)
+        if worker is not None:
+            worker.advise(advised.source, advised.factor, MAX_ADVISED_FACTOR)
--- /dev/null
+++ b/cottonladder/policy/slow_start.py
@@ -0,0 +1,27 @@
+"""Slow start: how fast the load of a new or returned worker grows, and when it counts as healthy.
+
+From the time that a worker entered slow start follows its share of an average worker's load, which doubles
+at each interval. The worker is healthy once that share is well over one, and this is looked at on each
+tick. Slow start protects a worker with empty caches or an unknown fault from a full load in its first
+seconds.
+"""
+
+from ..model import ControllerState, WorkerEvent, WorkerRecord, WorkerState
+from .cadence import SOLVE_INTERVAL_S
+from .worker_states import apply_event
+
+INITIAL_SHARE = 0.25  # of an average worker's capacity
+FINAL_SHARE = 4.0  # of an average worker's capacity: at this share slow start is over
+MAX_DOUBLINGS = 10.0  # keeps the share finite
+
+
+def slow_start_share(state: ControllerState, worker: WorkerRecord) -> float:
+    """Returns the share of an average worker's capacity that the worker may use at most."""
+    intervals = max(0.0, state.now - worker.entered_at) // SOLVE_INTERVAL_S
+    return float(INITIAL_SHARE * 2.0 ** min(MAX_DOUBLINGS, intervals))
+
+
+def complete_slow_start(state: ControllerState, worker_index: int, worker: WorkerRecord) -> None:
+    """Makes a worker healthy whose share has reached the final one."""
+    if worker.state == WorkerState.SLOW_START and slow_start_share(state, worker) >= FINAL_SHARE:
+        apply_event(state, worker_index, WorkerEvent.SLOW_START_COMPLETED)
--- /dev/null
+++ b/cottonladder/policy/table_deltas.py
@@ -0,0 +1,115 @@
+"""Table deltas: which changes of a table are sent to its readers, and when.
+
+Each tick, a table's sent weights and admission are compared with the wanted ones, and the largest changes
+that the channel budget allows are sent. A delta waits until most readers have acknowledged the former one,
+or for a timeout. Lines of departed workers and lines that give a warming-up worker too much wait for
+nobody, and as many other changes as fit go with them, so that the remaining workers take over in
+proportion. This protects the channel from many small changes, and the remaining workers from sudden load.
+"""
+
+from collections.abc import Collection
+
+from ..model import ClassAdmission, ControllerState, LineLimit, RoutingTable, inputs, orders
+from .channel_budget import BIND_LIMIT, DELTA_LIMIT, RULE_LIMIT, ChannelBudget
+from .warm_up import is_warming_up
+
+MIN_WEIGHT_CHANGE = 0.1  # of the sent weight or share; a smaller change is not sent
+MAX_TABLE_ORDERS = 65536  # enough for a complete table
+ACK_TIMEOUT_S = 3.0
+ACK_QUORUM = 0.5  # of a table's readers; once more have acknowledged, its next delta may be sent
+RETRY_POLICY = orders.RetryPolicy.IF_NOT_STARTED  # an attempt that has started may still run
+
+
+class TableDeltas:
+    """Writes the changes of tables through the channel budget."""
+
+    def __init__(self, state: ControllerState, budget: ChannelBudget) -> None:
+        self.class_admissions: dict[int, ClassAdmission] = {}
+        self._state = state
+        self._budget = budget
+
+    def acknowledge(self, acknowledged: inputs.Acknowledged) -> bool:
+        """Records an acknowledgement, and returns whether a table's next delta may be sent because of it."""
+        proxy = self._state.proxies.by_number.get(acknowledged.proxy)
+        if proxy is None or proxy.table is None:
+            return False
+        return proxy.table.checkpoint == acknowledged.checkpoint and proxy.table.acknowledge(ACK_QUORUM)
+
+    def send_removals(self, table: RoutingTable, removed_workers: list[int]) -> None:
+        """Takes departed workers out of a table, without waiting for acknowledgements."""
+        self._expire_acknowledgement(table)
+        urgent = self._not_excluded(removed_workers)
+        if urgent and table.readers and table.wanted:
+            self._send(table, urgent, RULE_LIMIT, self._keeps_lasting_line(table, urgent))
+
+    def send_update(self, table: RoutingTable, overweight: Collection[int]) -> None:
+        """Brings a table closer to what is wanted; lines of `overweight` workers go first and do not wait."""
+        self._expire_acknowledgement(table)
+        if not table.readers or not table.wanted:
+            return
+        urgent = self._not_excluded([index for index in table.sent if index in overweight])
+        keeps_lasting_line = self._keeps_lasting_line(table, urgent)
+        if table.awaits_acknowledgement and keeps_lasting_line and not urgent:
+            return
+        limit = BIND_LIMIT if urgent else DELTA_LIMIT
+        if not keeps_lasting_line:
+            limit = RULE_LIMIT
+        self._send(table, urgent, limit, keeps_lasting_line)
+
+    def draft_complete(self, table: RoutingTable) -> list[orders.Order]:
+        """Returns orders for all wanted lines of a table that no proxy reads; they count as sent."""
+        return self._draft(table, 0.0, MAX_TABLE_ORDERS, [])
+
+    def _expire_acknowledgement(self, table: RoutingTable) -> None:
+        if self._state.now - table.written_at > ACK_TIMEOUT_S:
+            table.awaits_acknowledgement = False
+
+    def _not_excluded(self, worker_indices: list[int]) -> list[int]:
+        workers = self._state.workers.by_index
+        return [index for index in worker_indices if not workers[index].is_excluded]
+
+    def _keeps_lasting_line(self, table: RoutingTable, urgent: list[int]) -> bool:
+        """Returns whether readers keep a worker to send to once the urgent lines are changed.
+
+        Workers that warm up count only where no other worker is wanted.
+        """
+        workers = self._state.workers.by_index
+        warm = {index for index in table.wanted if not is_warming_up(self._state, workers[index])}
+        lasting = warm or table.wanted.keys()
+        return any(index in lasting and index not in urgent for index in table.sent)
+
+    def _send(
+        self, table: RoutingTable, urgent: list[int], limit: LineLimit, keeps_lasting_line: bool
+    ) -> None:
+        """Sends as many changes as the budget allows; without a lasting line, new lines go before others."""
+        max_orders = self._available_orders(table, limit)
+        if urgent and keeps_lasting_line:
+            max_orders = min(max_orders, max(len(urgent), self._available_orders(table, DELTA_LIMIT)))
+        former = table.copy_sent()
+        changes = self._draft(table, MIN_WEIGHT_CHANGE, max_orders, urgent if keeps_lasting_line else [])
+        if not self._budget.reserve(changes, self._budget.delta_cost(changes, table.readers), limit):
+            table.restore_sent(former)
+
+    def _available_orders(self, table: RoutingTable, limit: LineLimit) -> int:
+        """Returns how many orders may be sent to every reader of the table."""
+        return max(0, self._budget.available_lines(table.readers, limit) // len(table.readers))
+
+    def _draft(
+        self, table: RoutingTable, threshold: float, max_orders: int, urgent: list[int]
+    ) -> list[orders.Order]:
+        """Returns at most so many orders towards what is wanted, which then count as sent.
+
+        Admission comes first, then urgent workers, then the largest changes of weight.
+        """
+        admissions = table.take_admission(self.class_admissions, threshold, RETRY_POLICY)
+        weight_changes = table.weight_changes(threshold)
+        names_no_wanted_worker = not any(index in table.wanted for index in table.sent)
+        workers = self._state.workers.by_index
+
+        def sort_key(index: int) -> tuple[bool, bool, float]:
+            change = weight_changes[index]
+            is_late_removal = names_no_wanted_worker and change < 0
+            return index not in urgent, is_late_removal, -abs(change) * (not workers[index].is_excluded)
+
+        ranked = sorted(weight_changes, key=sort_key)[: max(0, max_orders - len(admissions))]
+        return admissions + [table.take_weight(index) for index in ranked]
--- /dev/null
+++ b/cottonladder/policy/worker_discovery.py
@@ -0,0 +1,113 @@
+"""How the endpoint list and a snapshot change which workers are known.
+
+Each endpoint list that arrives adds workers, updates them and turns their listed state into events: new
+workers enter slow start, and workers that are not ready or not listed depart. The watch on the list is
+ordered anew when a call was not answered in time, and after a random delay when it failed, which keeps
+managers from calling discovery all at once. A snapshot is applied once, after the first list, so that a
+restarted manager keeps known faults out of service.
+"""
+
+import math
+
+from ..model import (
+    ControllerState,
+    EndpointEvidence,
+    LatencyHistogram,
+    WorkerEvent,
+    WorkerRecord,
+    inputs,
+    orders,
+)
+from .capacity import MAX_CAPACITY_SAMPLES
+from .latency_factor import LATENCY_BIN_COUNT, LATENCY_BIN_RATIO, MIN_LATENCY_RATIO
+from .worker_states import apply_event
+
+WATCH_TIMEOUT_S = 5.0
+RETRY_DELAY_RATIO = (0.1, 0.2)  # of the time within which the list is to be polled
+MIN_WEIGHT = 1e-6  # a listed weight of 0 would be divided by
+
+
+class WorkerDiscovery:
+    """Keeps the known workers equal to the endpoint list."""
+
+    def __init__(self, state: ControllerState) -> None:
+        self.has_endpoint_list = False
+        self._state = state
+        self._next_watch_at = 0.0
+
+    def order_watch_if_due(self) -> None:
+        """Orders a watch on the list if the last call failed or was not answered."""
+        state = self._state
+        if state.parameters.watches_endpoints and state.now >= self._next_watch_at:
+            state.pending.add(orders.WatchEndpoints(True))
+            self._next_watch_at = state.now + WATCH_TIMEOUT_S
+
+    def apply_endpoint_list(self, endpoint_list: inputs.EndpointList) -> None:
+        """Applies a complete list or a list of changes."""
+        self._schedule_watch(endpoint_list.kind)
+        for worker_index in self._unlisted(endpoint_list):
+            apply_event(self._state, worker_index, WorkerEvent.NOT_LISTED)
+        for endpoint in endpoint_list.endpoints:
+            self._apply_endpoint(endpoint)
+        self.has_endpoint_list = True
+
+    def restore(self, histories: tuple[inputs.WorkerHistory, ...]) -> None:
+        """Applies what a snapshot says of the workers that have not been restarted since."""
+        for history in histories:
+            worker = self._state.workers.by_index.get(history.worker_index)
+            if worker is None or worker.started_at != history.started_at:
+                continue
+            worker.base_latency_s = history.base_latency_s
+            worker.latency_factor = history.latency_factor
+            if history.was_draining:
+                apply_event(self._state, history.worker_index, WorkerEvent.RESTORED_AS_DRAINING)
+            elif history.was_ejected:
+                apply_event(self._state, history.worker_index, WorkerEvent.RESTORED_AS_EJECTED)
+
+    def _schedule_watch(self, kind: inputs.ListUpdateKind) -> None:
+        """Sets the time of the next watch: after a delay if the call failed, never while it is answered."""
+        if kind in (inputs.ListUpdateKind.CACHED, inputs.ListUpdateKind.SUPERSEDED):
+            return
+        state = self._state
+        delay_s = state.parameters.poll_within_s * state.random.uniform(*RETRY_DELAY_RATIO)
+        has_failed = kind == inputs.ListUpdateKind.FAILED
+        self._next_watch_at = state.now + delay_s if has_failed else math.inf
+
+    def _unlisted(self, endpoint_list: inputs.EndpointList) -> list[int]:
+        """Returns the known workers that a complete list leaves out."""
+        if endpoint_list.kind not in (inputs.ListUpdateKind.FULL, inputs.ListUpdateKind.CACHED):
+            return []
+        listed = {endpoint.worker_index for endpoint in endpoint_list.endpoints}
+        return [index for index in self._state.workers.by_index if index not in listed]
+
+    def _apply_endpoint(self, endpoint: inputs.Endpoint) -> None:
+        has_started = self._update_record(endpoint)
+        if endpoint.state != inputs.EndpointState.READY:
+            event = WorkerEvent.ENDPOINT_NOT_READY
+        elif has_started:
+            event = WorkerEvent.STARTED
+        elif self.has_endpoint_list:
+            event = WorkerEvent.DISCOVERED
+        else:
+            event = WorkerEvent.LISTED_AT_START
+        evidence = EndpointEvidence(endpoint.state, self._state.now - endpoint.started_at)
+        apply_event(self._state, endpoint.worker_index, event, evidence)
+
+    def _update_record(self, endpoint: inputs.Endpoint) -> bool:
+        """Updates a worker from its list entry, and returns whether it was started lately."""
+        state = self._state
+        worker = state.workers.by_index.get(endpoint.worker_index)
+        if worker is None:
+            worker = self._new_record()
+            state.workers.by_index[endpoint.worker_index] = worker
+        warm_up_began_after = state.now - state.parameters.warm_up_s
+        has_started = worker.started_at < endpoint.started_at > warm_up_began_after
+        worker.zone = endpoint.zone
+        worker.weight = max(endpoint.weight, MIN_WEIGHT)
+        worker.started_at = endpoint.started_at
+        return has_started
+
+    def _new_record(self) -> WorkerRecord:
+        min_latency_s = self._state.tightest_objective_s * MIN_LATENCY_RATIO
+        latency = LatencyHistogram(min_latency_s, LATENCY_BIN_RATIO, LATENCY_BIN_COUNT)
+        return WorkerRecord(latency, MAX_CAPACITY_SAMPLES)
--- /dev/null
+++ b/cottonladder/policy/worker_exclusion.py
@@ -0,0 +1,38 @@
+"""When proxies are told to exclude a departed worker from every table that they hold.
+
+Usually a departed worker loses its line in the tables, and no exclusion is needed. Where a proxy cannot be
+given a table, because its zone has none to give or because slices are deployed, it is told to exclude the
+worker instead, and to lift that when the worker is back. This is looked at on each tick. It protects
+against requests to a departed worker by a table that the proxy brought along from another manager.
+"""
+
+from ..model import ControllerState, WorkerState, orders
+from .channel_budget import RULE_LIMIT, ChannelBudget
+
+
+def send_exclusions(state: ControllerState, budget: ChannelBudget) -> None:
+    """Orders the exclusions that are due, as far as the channel budget allows."""
+    cannot_give_tables = _cannot_give_tables(state)
+    for index, worker in state.workers.by_index.items():
+        exclude = worker.state == WorkerState.REMOVED
+        if worker.is_excluded == exclude or (exclude and not cannot_give_tables):
+            continue
+        cost = dict.fromkeys(_holders(state, index), 1)
+        if budget.reserve([orders.ExcludeWorker(index, exclude)], cost, RULE_LIMIT):
+            worker.is_excluded = exclude
+
+
+def _cannot_give_tables(state: ControllerState) -> bool:
+    """Returns whether some connected proxy cannot be given a table."""
+    zones_with_tables = {table.zone for table in state.tables.all if table.wanted}
+    proxies = state.proxies.by_number.values()
+    return bool(state.parameters.slice_count) or any(p.zone not in zones_with_tables for p in proxies)
+
+
+def _holders(state: ControllerState, worker_index: int) -> list[int]:
+    """Returns the proxies that may know a worker: its table names it, or the proxy is not bound yet."""
+    return [
+        number
+        for number, proxy in state.proxies.by_number.items()
+        if proxy.table is None or worker_index in proxy.table.sent
+    ]
--- /dev/null
+++ b/cottonladder/policy/worker_removal.py
@@ -0,0 +1,48 @@
+"""How a worker that departed leaves the tables, and when it is forgotten.
+
+A worker departs when the endpoint list calls it not ready or leaves it out. At each tick the tables that
+still name it lose its line; at each interval its record is forgotten once it departed long enough ago, no
+table names it, it holds no connections, and every connected proxy reads a table of this manager. The last
+condition protects against a proxy that still sends to the worker by a table of another manager.
+"""
+
+import math
+
+from ..model import ControllerState, RoutingTable, WorkerState, orders
+
+REMOVED_TTL_S = 20.0
+
+
+def removed_workers(state: ControllerState, table: RoutingTable) -> list[int]:
+    """Returns the departed workers that a table still names, as sent."""
+    workers = state.workers.by_index
+    removed = WorkerState.REMOVED
+    return [index for index in table.sent if workers[index].state is removed]
+
+
+def first_departure(state: ControllerState, table: RoutingTable) -> float:
+    """Returns when the first departed worker that a table still names left; infinite if there is none."""
+    workers = state.workers.by_index
+    return min([workers[index].due_at for index in removed_workers(state, table)], default=math.inf)
+
+
+def due_removals(state: ControllerState, table: RoutingTable, departed_until: float) -> list[int]:
+    """Returns the departed workers that a table still names, if the first of them left by the given time."""
+    removed = removed_workers(state, table)
+    workers = state.workers.by_index
+    if removed and min([workers[index].due_at for index in removed]) > departed_until:
+        return []
+    return removed
+
+
+def forget_departed(state: ControllerState) -> None:
+    """Forgets departed workers that nobody can reach any more."""
+    if state.tables.reader_count() != len(state.proxies.by_number):
+        return
+    named = {index for table in state.tables.all for index in table.sent}
+    for index, worker in state.workers.in_state(WorkerState.REMOVED).items():
+        is_old = state.now - worker.due_at > REMOVED_TTL_S
+        if is_old and index not in named and not worker.held_request_rate:
+            del state.workers.by_index[index]
+            state.pending.add(orders.ExcludeWorker(index, False))
+            state.pending.add(orders.RemoveWorker(index))
--- /dev/null
+++ b/cottonladder/policy/worker_states.py
@@ -0,0 +1,88 @@
+"""The states of a worker, and the one transition table between them.
+
+Each event moves a worker out of some states into one other state, and workers in other states ignore it.
+The events come from the endpoint list, from outlier ejection, from health checks, from slow start and from
+a snapshot, at the moment that they are noticed. Every transition is reported as an order for the log. A
+single table protects against two parts of the policy that disagree on what may follow a state.
+"""
+
+from dataclasses import dataclass
+
+from ..model import (
+    IN_SERVICE,
+    ControllerState,
+    Evidence,
+    WorkerEvent,
+    WorkerRecord,
+    WorkerState,
+    WorkerStateChanged,
+)
+
+EJECTION_TIME_S = 5.0
+EJECTION_JITTER = (0.9, 1.1)  # times EJECTION_TIME_S, so that workers do not return all at once
+
+
+@dataclass(frozen=True, slots=True)
+class Transition:
+    """The states that an event moves a worker out of, and the state that it moves the worker to."""
+
+    sources: tuple[WorkerState, ...]
+    target: WorkerState
+
+
+REMOVAL = Transition((WorkerState.ABSENT, WorkerState.EJECTED, *IN_SERVICE), WorkerState.REMOVED)
+EJECTION = Transition(IN_SERVICE, WorkerState.EJECTED)
+RETURN = Transition((WorkerState.EJECTED,), WorkerState.SLOW_START)
+TRANSITIONS = {
+    WorkerEvent.STARTED: Transition(tuple(WorkerState), WorkerState.SLOW_START),
+    WorkerEvent.ENDPOINT_NOT_READY: REMOVAL,
+    WorkerEvent.NOT_LISTED: REMOVAL,
+    WorkerEvent.RESTORED_AS_DRAINING: REMOVAL,
+    WorkerEvent.HIGH_FAILURE_RATIO: EJECTION,
+    WorkerEvent.HEALTH_CHECKS_LOST: EJECTION,
+    WorkerEvent.RESTORED_AS_EJECTED: EJECTION,
+    WorkerEvent.DISCOVERED: Transition((WorkerState.ABSENT, WorkerState.REMOVED), WorkerState.SLOW_START),
+    WorkerEvent.LISTED_AT_START: Transition((WorkerState.ABSENT,), WorkerState.HEALTHY),
+    WorkerEvent.SLOW_START_COMPLETED: Transition((WorkerState.SLOW_START,), WorkerState.HEALTHY),
+    WorkerEvent.HEALTH_CHECK_SUCCEEDED: RETURN,
+    WorkerEvent.EJECTION_EXPIRED: RETURN,
+}
+
+
+def apply_event(
+    state: ControllerState, worker_index: int, event: WorkerEvent, evidence: Evidence | None = None
+) -> None:
+    """Applies one event to a worker, unless the worker's state ignores it."""
+    worker = state.workers.by_index[worker_index]
+    transition = TRANSITIONS[event]
+    if worker.state not in transition.sources:
+        return
+    former, target = worker.state, transition.target
+    if former not in (target, WorkerState.ABSENT):
+        state.pending.add(WorkerStateChanged(worker_index, worker.zone, former, target, event, evidence))
+    worker.state = target
+    if target == WorkerState.SLOW_START:
+        _enter_slow_start(worker, state.now)
+    elif target == WorkerState.EJECTED:
+        ejection_s = EJECTION_TIME_S * state.random.uniform(*EJECTION_JITTER)
+        _leave_service(worker, state.now + ejection_s)
+    elif target == WorkerState.REMOVED:
+        _leave_service(worker, state.now)
+    state.needs_solution = True
+
+
+def _enter_slow_start(worker: WorkerRecord, now: float) -> None:
+    """Drops the measurements of the worker, which may have been replaced or repaired since."""
+    worker.entered_at = now
+    worker.due_at = 0.0
+    worker.latency_factor = 1.0
+    worker.smoothed_in_flight = -1.0
+    worker.in_flight = -1.0
+    worker.lost_checks = 0
+    worker.decay(0.0)
+
+
+def _leave_service(worker: WorkerRecord, due_at: float) -> None:
+    """Takes the planned load off the worker."""
+    worker.due_at = due_at
+    worker.planned_rate = 0.0
--- /dev/null
+++ b/cottonladder/policy/zone_flow.py
@@ -0,0 +1,132 @@
+"""The min-cost flow from proxy zones to groups of workers, and the shares of workers that follow from it.
+
+A group is the workers of one zone. At each solution the demand of the zones and the capacities of the
+groups give the flow, in which a request to another zone costs more than one to the own zone; a zone's share
+of each worker follows from it. Groups are filled to little more than the fleet's mean utilization and not
+to their full capacity, which protects against capacities that are estimated too high. Slow links to other
+zones carry nothing, and what the flow cannot place goes to the nearest group.
+"""
+
+import math
+
+from ..model import ControllerState, Demand, LinkLatencies, ZoneGroups, median_or_zero, min_cost_flow
+from .capacity import CapacityEstimator
+from .load_shedding import LoadShedding
+from .overload_signal import OverloadSignal
+from .table_partition import TablePartition
+from .warm_up import is_warming_up, weight_limit
+
+LINK_INTERVALS = 3  # solve intervals over which the lowest latency of a link is kept
+CROSS_ZONE_COST = 1.0  # of a request to another zone; one to the own zone costs 0
+MAX_LINK_RATIO = 2.0  # of a link's latency to the median link's: a slower link to another zone is cut
+MIN_FLOW_SHARE = 0.02  # of a zone's demand; a smaller flow is left out of its tables
+CAPACITY_SLACK = 0.05  # over the mean utilization up to which a group is filled
+SLACK_PER_CROSS_ZONE_COST = 0.5  # more slack, for each unit of the deployment's cost of crossing zones
+MIN_FREE_RATIO = 0.1  # of a worker's capacity, left to requests beside held connections
+MIN_NOMINAL_CAPACITY = 1e-9
+
+
+class FlowPlanner:
+    """Solves the flow, and gives each zone's tables their wanted weights."""
+
+    def __init__(
+        self,
+        state: ControllerState,
+        capacity: CapacityEstimator,
+        overload: OverloadSignal,
+        shedding: LoadShedding,
+        tables: TablePartition,
+    ) -> None:
+        self.links = LinkLatencies(state.parameters.zone_count, LINK_INTERVALS)
+        self._state = state
+        self._capacity = capacity
+        self._overload = overload
+        self._shedding = shedding
+        self._tables = tables
+
+    def plan(self, zone_demand: Demand, capacities: dict[int, float], is_new_interval: bool) -> None:
+        """Solves the flow for this demand, and updates the wanted tables and the planned rates."""
+        state = self._state
+        # Other managers see the same overload, so their demand is taken to be shed as much.
+        demand = [rate * self._shedding.admission_ratio for rate in zone_demand.total()]
+        groups = self._group_workers(capacities, sum(demand))
+        utilization = sum(demand) / sum(groups.totals) if sum(groups.totals) > 0 else 0.0
+        has_unit = any(worker.capacity_samples for worker in state.workers.by_index.values())
+        self._overload.utilization = utilization if has_unit else 0.0
+        slack = SLACK_PER_CROSS_ZONE_COST * state.parameters.cross_zone_cost
+        fill = utilization * (1.0 + CAPACITY_SLACK + slack)
+        latencies = self.links.least()
+        limits = [total * fill for total in groups.totals]
+        flow = min_cost_flow(demand, limits, self._link_costs(latencies, groups))
+        for zone in state.zones:
+            overflow_group = self._overflow_group(zone, groups, latencies[zone])
+            flow[zone][overflow_group] += max(0.0, demand[zone] - sum(flow[zone]))
+            weights = self._weights(flow[zone], overflow_group, sum(demand), groups)
+            self._tables.update_wanted(zone, weights, groups.warm)
+        groups.record_plan(flow, is_new_interval)
+        self._capacity.own_share = zone_demand.own_shares(flow)
+
+    def _group_workers(self, capacities: dict[int, float], demand: float) -> ZoneGroups:
+        workers = self._state.workers.by_index
+        warming_up = {index for index in capacities if is_warming_up(self._state, workers[index])}
+        free = self._free_capacities(capacities, demand)
+        return ZoneGroups(workers, self._state.zones, free, warming_up)
+
+    def _free_capacities(self, capacities: dict[int, float], demand: float) -> dict[int, float]:
+        """Returns what the workers' held connections leave of their capacities for requests."""
+        workers = self._state.workers.by_index
+        held = {index: workers[index].held_request_rate for index in capacities}
+        if not sum(held.values()):
+            return capacities
+        # Held connections are in requests/s and capacities may be relative, hence the conversion.
+        unit = sum(capacities.values()) / (demand + sum(held.values()))
+        return {i: max(MIN_FREE_RATIO * c, c - unit * held[i]) for i, c in capacities.items()}
+
+    def _link_costs(self, latencies: list[list[float]], groups: ZoneGroups) -> list[list[float | None]]:
+        """Returns costs by proxy zone and group; None means that the link is cut or leads to no worker."""
+        usual_s = median_or_zero(latency for row in latencies for latency in row if latency < math.inf)
+        max_latency_s = MAX_LINK_RATIO * usual_s
+        return [
+            [self._link_cost(zone, group, groups, latencies[zone][group], max_latency_s) for group in zones]
+            for zones in [self._state.zones]
+            for zone in zones
+        ]
+
+    def _link_cost(
+        self, zone: int, group: int, groups: ZoneGroups, latency_s: float, max_latency_s: float
+    ) -> float | None:
+        """A zone's link to its own group is never cut, because its workers and not the way make it slow."""
+        is_slow = max_latency_s <= latency_s < math.inf
+        if not groups.workers[group] or (is_slow and zone != group):
+            return None
+        return CROSS_ZONE_COST * (zone != group)
+
+    def _overflow_group(self, zone: int, groups: ZoneGroups, latencies: list[float]) -> int:
+        """Returns the group that takes what finds no capacity: the own, or else the nearest with workers."""
+        candidates = [group for group in self._state.zones if groups.has_warm(group)]
+        return min(
+            candidates or self._state.zones,
+            key=lambda group: (group != zone, not groups.workers[group], latencies[group]),
+        )
+
+    def _weights(
+        self, flow: list[float], overflow_group: int, demand: float, groups: ZoneGroups
+    ) -> dict[int, float]:
+        """Returns the weights of workers that a zone's tables should have together."""
+        total = sum(flow)
+        if total > 0:
+            shares = [part / total for part in flow]
+        else:
+            shares = [float(group == overflow_group) for group in range(len(flow))]
+        weights: dict[int, float] = {}
+        for group, share in enumerate(shares):
+            if share >= MIN_FLOW_SHARE:
+                weights |= groups.split(group, share)
+        if groups.warm and not any(index in groups.warm for index in weights):
+            weights = groups.warm_shares()
+        nominal = max(self._capacity.nominal_total * total, MIN_NOMINAL_CAPACITY)
+        limit = weight_limit(self._overload, demand, nominal)
+        return {
+            index: weight if index in groups.warm else min(weight, limit * groups.capacities[index])
+            for index, weight in weights.items()
+        }
--- /dev/null
+++ b/cottonladder/policy/zone_reachability.py
@@ -0,0 +1,46 @@
+"""Which zones count as unreachable, so that lost health checks there are no sign against a worker.
+
+A zone is silent if most of its workers lost their last health check. A silent zone counts as unreachable
+unless its proxies were heard after its workers last answered anybody, while other zones still answer: then
+the network works and the workers do not. This is judged at each tick, and it protects the workers of a zone
+from ejection when only the way from this manager to the zone is interrupted.
+"""
+
+import math
+
+from ..model import ControllerState, WorkerRecord, median_or_zero
+from .health_check_schedule import MIN_CHECK_INTERVAL_S
+
+
+class ZoneReachability:
+    """Records when each zone was last heard."""
+
+    def __init__(self, state: ControllerState) -> None:
+        self._state = state
+        self._proxy_heard_at = [-math.inf for _ in state.zones]  # connected or acknowledged
+        self._worker_answered_at = [0.0 for _ in state.zones]  # answered a request or a health check
+
+    def record_proxy(self, zone: int) -> None:
+        """Records that a proxy of the zone connected or acknowledged a checkpoint."""
+        self._proxy_heard_at[zone] = self._state.now
+
+    def record_worker_answer(self, zone: int) -> None:
+        """Records that a worker of the zone answered a request."""
+        self._worker_answered_at[zone] = self._state.now
+
+    def unreachable_zones(self, checked: list[WorkerRecord]) -> list[bool]:
+        """Returns by zone whether it is unreachable, given the workers that are health-checked."""
+        is_silent = [self._is_silent(zone, checked) for zone in self._state.zones]
+        for zone in self._state.zones:
+            if not is_silent[zone]:
+                self.record_worker_answer(zone)
+        if all(is_silent):
+            return is_silent
+        return [is_silent[zone] and not self._proxies_are_heard(zone) for zone in self._state.zones]
+
+    def _is_silent(self, zone: int, checked: list[WorkerRecord]) -> bool:
+        return median_or_zero(worker.lost_checks for worker in checked if worker.zone == zone) >= 1
+
+    def _proxies_are_heard(self, zone: int) -> bool:
+        """Returns whether proxies of a zone were heard well after its workers last answered."""
+        return self._proxy_heard_at[zone] > self._worker_answered_at[zone] + MIN_CHECK_INTERVAL_S
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -155,9 +155,11 @@
     def restart_manager(self, restore: Callable[[RestoredState], RestoredState | None]) -> None:
         """The manager dies and a new one starts with the list, and with what `restore` makes of the old one's
         state.  Proxies keep their tables and join anew within a second."""
-        workers = list(self.controller.fleet.workers)
-        state = restore(collect_state(self.controller, workers, list(self.controller.fleet.proxies)))
-        now = self.controller.fleet.now
+        workers = list(self.controller.state.workers.by_index)
+        state = restore(
+            collect_state(self.controller, workers, list(self.controller.state.proxies.by_number))
+        )
+        now = self.controller.state.now
         self.controller = RoutingController(PARAMETERS)
         self._scheduled = [
             entry for entry in self._scheduled if not isinstance(entry[2], TimerFired | Acknowledged)
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -30,8 +30,8 @@
 )
 from ..model.parameters import DeploymentParameters, RequestClass
 from ..model.state_changes import AdmissionChanged, WorkerStateChanged
+from ..policy.cadence import TICK_INTERVAL_S
 from ..policy.controller import RoutingController
-from ..policy.tuning import TICK_INTERVAL
 from ..protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.worker_registry import WorkerRegistry
@@ -319,8 +319,8 @@
         """Lets time pass, in steps of the controller's own interval."""
         end = self.now + seconds
         while self.now < end - CLOCK_TOLERANCE_S:
-            self.now += TICK_INTERVAL
-            self.send_for(TICK_INTERVAL)
+            self.now += TICK_INTERVAL_S
+            self.send_for(TICK_INTERVAL_S)
             arrived = [message for at, message in self.pending_inputs if at <= self.now]
             self.pending_inputs = [(at, message) for at, message in self.pending_inputs if at > self.now]
             self.step("look", [*arrived, *self.extra_inputs(), TimerFired(self.timer_token)])
--- a/tests/config/test_operator_defaults.py
+++ b/tests/config/test_operator_defaults.py
@@ -8,7 +8,7 @@
 from cottonladder.config.operator_config import LimitsConfig, UpgradesConfig
 from cottonladder.forwarder.operator_settings import resource_limits
 from cottonladder.forwarder.resource_limits import ResourceLimits
-from cottonladder.policy import tuning
+from cottonladder.policy.report_plausibility import MAX_REQUEST_RATE
 
 
 class Defaults(unittest.TestCase):
@@ -16,7 +16,7 @@
         self.assertEqual(resource_limits(LimitsConfig()), ResourceLimits())
 
     def test_no_rate_is_stated_over_what_the_policy_counts(self) -> None:
-        self.assertEqual(defaults.MAX_REQUESTS_PER_S, tuning.RECORD_SETTINGS.max_request_rate)
+        self.assertEqual(defaults.MAX_REQUESTS_PER_S, MAX_REQUEST_RATE)
 
     def test_held_connections(self) -> None:
         upgrades = UpgradesConfig(grace=30.0)
--- a/tests/planning/test_advertised_weights.py
+++ b/tests/planning/test_advertised_weights.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from cottonladder.planning.advertised_weights import advertise_weights, has_changed
-from cottonladder.policy.tables import MAX_WARM_UP_SHARE
+from cottonladder.policy.warm_up import MAX_WARM_UP_WEIGHT
 from tests.support.capacity_views import stands
 
 
@@ -38,7 +38,7 @@
                 if standing[be].draining_since >= 0:
                     self.assertEqual((offer.weight, offer.is_leaving), (0, True))
                 elif standing[be].warming_up and warm:
-                    part = MAX_WARM_UP_SHARE * standing[be].capacity / whole
+                    part = MAX_WARM_UP_WEIGHT * standing[be].capacity / whole
                     self.assertLessEqual(offer.weight / total, part + 1.0 / total)
 
     def test_small_moves_are_not_told(self) -> None:
--- a/tests/planning/test_snapshot_staleness.py
+++ b/tests/planning/test_snapshot_staleness.py
@@ -21,6 +21,7 @@
 from cottonladder.planning import snapshot_staleness as ageing
 from cottonladder.planning.controller_views import collect_state
 from cottonladder.policy.controller import RoutingController
+from cottonladder.policy.warm_up import is_warming_up
 from cottonladder.testbed import month_end as me
 
 
@@ -76,25 +77,27 @@
         ladder = self.ladder(
             worker_history(0, leaving=True), worker_history(1, out=True), worker_history(9, leaving=True)
         )
-        states = {be: state.state for be, state in ladder.fleet.workers.items()}
+        states = {be: state.state for be, state in ladder.state.workers.by_index.items()}
         self.assertEqual((states[0], states[1], states[2], 9 in states), ("gone", "out", "well", False))
         self.assertEqual(ladder.channel_budget.last_checkpoint, 7)
         ready = Endpoint(0, 0, EndpointState.READY, 1.0, 0.0)
         ladder.decide(1001.0, [EndpointList(ListUpdateKind.DELTA, (ready,))])
-        self.assertEqual(ladder.fleet.workers[0].state, "ramp")
+        self.assertEqual(ladder.state.workers.by_index[0].state, "ramp")
         ladder.decide(1008.0, [TimerFired(ladder.tick)])
         self.assertIn(
-            ladder.fleet.workers[1].state, ("ramp", "well")
+            ladder.state.workers.by_index[1].state, ("ramp", "well")
         )  # a recovered one is back within seconds
         replaced = self.ladder(worker_history(0, leaving=True), started=995.0)
-        self.assertNotEqual(replaced.fleet.workers[0].state, "gone")
-        self.assertTrue(replaced.fleet.is_warming_up(replaced.fleet.workers[0]))  # and still cold
+        self.assertNotEqual(replaced.state.workers.by_index[0].state, "gone")
+        self.assertTrue(is_warming_up(replaced.state, replaced.state.workers.by_index[0]))  # and still cold
 
     def test_a_life_goes_round(self) -> None:
         day = me.MonthEndRun({}, duration_s=30.0)
         day.run()
         life = collect_state(
-            day.controller, list(day.controller.fleet.workers), list(day.controller.fleet.proxies)
+            day.controller,
+            list(day.controller.state.workers.by_index),
+            list(day.controller.state.proxies.by_number),
         )
         self.assertEqual({p.worker_index for p in life.workers}, set(day.workers))
         self.assertTrue(all(p.base_latency_s > 0 for p in life.workers))
--- a/tests/policy/test_drains.py
+++ b/tests/policy/test_drains.py
@@ -101,7 +101,7 @@
         fleet = self.fleet(terms)
         fleet.join(range(40))
         fleet.run(2)
-        table = fleet.controller.fleet.proxies[0].table
+        table = fleet.controller.state.proxies.by_number[0].table
         assert table is not None
         fleet.controller.channel_budget.written_at[0] = [fleet.now - 0.1 * n for n in range(6)]
         self.tell(fleet, LEAVE)
@@ -124,7 +124,7 @@
         load, ladder = fleet.worker_load(), fleet.controller
         for n in range(60):
             be = fleet.workers.register(f"n-{n:04x}", "127.0.0.1:1", 0.0)
-            part = ladder.fleet.workers[be].planned_rate * ladder.capacity.own_share[n % 4]
+            part = ladder.state.workers.by_index[be].planned_rate * ladder.capacity.own_share[n % 4]
             self.assertLess(load.get(b"n-%04x" % n, 0.0), 1.5 * part)
 
     def test_where_nobody_is_left_all_are_shut_out(self) -> None:
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -224,7 +224,7 @@
             lines = gate.waiting_lines if what == "waiting" else gate.in_flight.total
             return _compare(lines, args[0], args[1]) and lines >= 0
         if what in ("demand", "others"):
-            demand = estimate_demand(self.ladder.fleet)
+            demand = estimate_demand(self.ladder.state, self.ladder.gossip)
             return _compare(sum(demand.others if what == "others" else demand.own), args[0], args[1])
         if what == "words":
             return _compare(
@@ -243,7 +243,7 @@
         if what in ("order", "no"):
             return any(type(o).__name__ == args[-1] for o in self.orders) == (what == "order")
         if what in ("known", "unknown"):
-            return all((i in self.ladder.fleet.workers) == (what == "known") for i in ids)
+            return all((i in self.ladder.state.workers.by_index) == (what == "known") for i in ids)
         if what == "log":
             changes = [o for o in self.orders if isinstance(o, (WorkerStateChanged, AdmissionChanged))]
             return any(" ".join(args) in state_change_text(change) for change in changes)
--- a/tests/policy/test_tables.py
+++ b/tests/policy/test_tables.py
@@ -6,7 +6,7 @@
 
 from cottonladder.model.inputs import EndpointList, EndpointState, ListUpdateKind
 from cottonladder.model.weight_ring import cut
-from cottonladder.policy.tables import MIN_WEIGHT_CHANGE
+from cottonladder.policy.table_deltas import MIN_WEIGHT_CHANGE
 from cottonladder.testbed.simulated_fleet import SimulatedFleet, fleet_parameters
 
 
@@ -51,7 +51,7 @@
         fleet = self.fleet(24, proxies=60)
         fleet.join(range(12))
         fleet.run(3)
-        self.assertEqual([t.number for t in fleet.controller.fleet.tables], [0, 1, 2, 3])
+        self.assertEqual([t.number for t in fleet.controller.state.tables.all], [0, 1, 2, 3])
         self.assertEqual({len(held.weights) for held in fleet.proxies.values()}, {6})
 
     def test_a_group_that_grows_is_dealt_anew(self) -> None:
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -277,14 +277,16 @@
 
     def check_agreement(self) -> None:
         """Once all has arrived, bound proxies hold and shut out what the module takes them to."""
-        for table in self.controller.fleet.tables:
+        for table in self.controller.state.tables.all:
             for p in table.readers:
                 stand_in = self.proxies[p]
                 stand_in.arrive()
-                expect_equal(self.workers.ids.keys() >= self.controller.fleet.workers.keys(), True)
+                expect_equal(self.workers.ids.keys() >= self.controller.state.workers.by_index.keys(), True)
                 sent = {self.workers.ids[i]: w for i, w in table.sent.items() if w > 0}
                 out = {
-                    self.workers.ids[i] for i in table.sent if self.controller.fleet.workers[i].is_excluded
+                    self.workers.ids[i]
+                    for i in table.sent
+                    if self.controller.state.workers.by_index[i].is_excluded
                 }
                 expect_equal(stand_in.rows, sent)
                 expect_equal(stand_in.out & set(sent), out & set(sent))
