--- a/cottonladder/model/controller_state.py
+++ b/cottonladder/model/controller_state.py
@@ -20,7 +20,9 @@
         self.random = random.Random(parameters.seed)
         self.zones = range(parameters.zone_count)
         self.classes = range(len(parameters.request_classes))
-        self.tightest_objective_s = min(c.latency_objective_s for c in parameters.request_classes)
+        self.tightest_objective_s = min(
+            request_class.latency_objective_s for request_class in parameters.request_classes
+        )
         self.workers = Workers()
         self.proxies = Proxies(parameters.zone_count, len(parameters.request_classes))
         self.tables = RoutingTables(parameters.zone_count)
--- a/cottonladder/model/gossip_text.py
+++ b/cottonladder/model/gossip_text.py
@@ -12,26 +12,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneFigures:
-    """Proxy count and requests a second of each zone in turn, from `first_zone` on."""
+    """Proxy count and requests/s of each zone in turn, from `first_zone` on."""
 
     first_zone: int
     figures: list[float]
 
 
 def encode_zone_figures(counts: list[int], demand: list[float], max_zones: int) -> Iterator[str]:
-    """Texts of at most `max_zones` zones each."""
-    words = [f"{count} {rate:.1f}" for count, rate in zip(counts, demand, strict=True)]
-    for first in range(0, len(words), max_zones):
-        mark = [f"@{first}"] if len(words) > max_zones else []
-        yield " ".join(mark + words[first : first + max_zones])
+    """Yields texts of at most `max_zones` zones each; `demand` is requests/s by zone."""
+    figures = [f"{count} {rate:.1f}" for count, rate in zip(counts, demand, strict=True)]
+    for first in range(0, len(figures), max_zones):
+        prefix = [f"@{first}"] if len(figures) > max_zones else []
+        yield " ".join(prefix + figures[first : first + max_zones])
 
 
 def decode_zone_figures(text: str, zone_count: int, max_zones: int) -> ZoneFigures | None:
-    """None where the text is not two figures for each of its zones: it may have been spoilt on its way."""
-    first, rest = "0", text
+    """Returns None for a text that does not have two figures for each of its zones."""
+    first = "0"
+    rest = text
     if text[:1] == "@":
         first, _, rest = text[1:].partition(" ")
-    figures = [float(word) for word in rest.split() if word.replace(".", "", 1).isdecimal()]
+    figures = [float(figure) for figure in rest.split() if figure.replace(".", "", 1).isdecimal()]
     if not first.isdecimal() or len(figures) != 2 * min(max_zones, zone_count - int(first)):
         return None
     return ZoneFigures(int(first), figures)
--- a/cottonladder/model/in_flight.py
+++ b/cottonladder/model/in_flight.py
@@ -1,30 +1,30 @@
-"""Lines of orders that were written and have yet to be acknowledged."""
+"""Lines of orders that were written and are not acknowledged yet."""
 
 from __future__ import annotations
 
 
 class InFlightLines:
-    """Lines by checkpoint and proxy.  Checkpoints are kept in the order they were written."""
+    """Counts lines by checkpoint and proxy, with checkpoints in the sequence in which they were written."""
 
     def __init__(self) -> None:
         self.by_checkpoint: dict[int, dict[int, int]] = {}
         self.total = 0.0
 
     def add(self, checkpoint: int, lines: dict[int, int], max_checkpoints: int) -> None:
-        """Past `max_checkpoints` the oldest counts as never to be acknowledged, and is forgotten."""
+        """Adds the lines of a checkpoint; over `max_checkpoints`, the oldest one is dropped as lost."""
         self.total += sum(lines.values())
         self.by_checkpoint[checkpoint] = lines
         if len(self.by_checkpoint) > max_checkpoints:
             self._drop_oldest()
 
     def acknowledge(self, checkpoint: int, proxy: int) -> None:
-        """Older checkpoints left before this one, so nothing of them is in flight any more."""
+        """Records an acknowledgement, which implies those of all older checkpoints."""
         while checkpoint in self.by_checkpoint and next(iter(self.by_checkpoint)) != checkpoint:
             self._drop_oldest()
         self.total -= self.by_checkpoint.get(checkpoint, {}).pop(proxy, 0)
 
     def replace(self, checkpoint: int, lines: dict[int, int]) -> int:
-        """Puts what was written in place of what was reserved; gives how much more it is."""
+        """Replaces the reserved lines by the written ones, and returns the difference."""
         reserved = self.by_checkpoint.pop(checkpoint, {})
         self.by_checkpoint[checkpoint] = lines
         more = sum(lines.values()) - sum(reserved.values())
--- a/cottonladder/model/inputs.py
+++ b/cottonladder/model/inputs.py
@@ -1,7 +1,7 @@
-"""What a controller is told: endpoint lists, reports, acknowledgements and timers.
+"""The inputs of a controller: endpoint lists, reports, acknowledgements and timers.
 
-Times are in seconds.  Workers, zones and request classes stand as small indices; whoever reads the wire maps
-its names to them.
+Times are in seconds.  Workers, zones and request classes are small indices; the code that reads the wire maps
+the names there to them.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class EndpointState(IntEnum):
-    """What the list says of a backend."""
+    """The state of a worker in the endpoint list."""
 
     DRAINING = 0
     READY = 1
@@ -19,7 +19,11 @@
 
 
 class ListUpdateKind(IntEnum):
-    """How much of the list a `Listing` carries; `FORMER`: changes, from where it is no longer asked for."""
+    """How much of the list an `EndpointList` carries, and where it comes from.
+
+    FULL is a complete list, CACHED a complete list from a snapshot or file, DELTA the changes, FAILED a call
+    without a result, and SUPERSEDED the changes from a former discovery address.
+    """
 
     FULL = 0
     FAILED = 1
@@ -30,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One backend as the list has it; `started` is 0 for long ago."""
+    """One worker as the endpoint list has it; `started_at` is 0 if the worker started long ago."""
 
     worker_index: int
     zone: int
@@ -41,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """What discovery lists: all workers, or those that changed, by kind."""
+    """All workers that discovery lists, or those that changed, by kind."""
 
     kind: ListUpdateKind
     endpoints: tuple[Endpoint, ...]
@@ -49,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was ordered is due; its token is the order's."""
+    """An ordered timer is due; its token is that of the order."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """An answer of a worker with what it measures of itself, or none in time."""
+    """The result of a health check, with the metrics that the worker reports if it answered in time."""
 
     worker_index: int
     succeeded: bool
@@ -66,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A message from another manager; it may have been lost or be old."""
+    """Gossip from another manager; it may be late."""
 
     sender: int
     text: str
@@ -74,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyConnected:
-    """`fresh`: the proxy holds nothing but what it drew at its own start."""
+    """A proxy connected; `is_fresh` means that it has no table of another manager."""
 
     proxy: int
     zone: int
@@ -84,14 +88,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyDisconnected:
-    """A proxy's stream broke, or it left."""
+    """A proxy's stream was closed."""
 
     proxy: int
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What the joined proxies of a zone met at a backend."""
+    """Attempts of a zone's connected proxies at a worker, with their mean latency as `duration_s`."""
 
     worker_index: int
     zone: int
@@ -104,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ArrivalReport:
-    """What came to a joined proxy."""
+    """Requests of one class that arrived at a connected proxy."""
 
     proxy: int
     class_index: int
@@ -126,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceAssigned:
-    """Whether this manager owns a slice table."""
+    """Whether a slice table is assigned to this manager."""
 
     table: int
     assigned: bool
@@ -143,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """A proxy answered a checkpoint, so it holds all that was written before."""
+    """A proxy acknowledged a checkpoint, so it has applied everything that was written before."""
 
     proxy: int
     checkpoint: int
@@ -152,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldLoad:
-    """What connections held open lay on a backend beside reqs, as reqs a second; the whole each time."""
+    """The load of a worker's held connections in requests/s; each input replaces the former one."""
 
     worker_index: int
     requests_per_s: float
@@ -160,8 +164,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdvisedFactor:
-    """What outside advice makes of a backend: a bounded factor on its estimate, 1 where it says nothing.
-    Factors of several sources multiply."""
+    """One advisor's factor on a worker's capacity, 1 where it has no advice.
+
+    The factors of several sources are multiplied.
+    """
 
     worker_index: int
     factor: float
@@ -170,9 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerHistory:
-    """What an earlier life knew of a backend, as far as it still holds: `base` s of its answers in calm
-    times (0: not known), `slowness` its factor for trouble, `out` shut out by suspicion, `leaving` draining
-    or gone."""
+    """What a snapshot says of a worker, as far as it still holds; a base latency of 0 is unknown."""
 
     worker_index: int
     started_at: float
@@ -184,8 +188,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredState:
-    """An earlier life's knowledge, given once, right behind the first list.  `mark`: the last number used;
-    `rates`: reqs a second by proxy."""
+    """A snapshot of an earlier incarnation, given once, directly after the first endpoint list.
+
+    `proxy_rates` holds proxies with their requests/s.
+    """
 
     last_checkpoint: int
     workers: tuple[WorkerHistory, ...]
@@ -194,7 +200,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExtraLinesWritten:
-    """Lines written to proxies beside the orders; they wait in the same channel."""
+    """Lines that were written to proxies beside the orders, and wait in the same channel."""
 
     line_count: int
 
--- a/cottonladder/model/latency.py
+++ b/cottonladder/model/latency.py
@@ -1,4 +1,4 @@
-"""Latencies as a controller keeps them: a coarse histogram for a worker, the least of late for each link."""
+"""Latency records: a coarse histogram for each worker, and the recent minimum for each link."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
         self.bins = [0.0] * bin_count
 
     def add(self, latency_s: float, count: float) -> None:
-        """Counts that many requests of one latency; what is over the last bin falls into it."""
+        """Adds requests of one latency; a latency over the last bin is counted in it."""
         ratio = max(latency_s / self.min_latency_s, 1.0)
         bin_index = min(int(math.log(ratio, self.bin_ratio)), len(self.bins) - 1)
         self.bins[bin_index] += count
 
     def mean(self) -> float:
-        """The geometric mean in seconds; 0 under two requests."""
+        """Returns the geometric mean in seconds, or 0 if fewer than two requests are counted."""
         total = sum(self.bins)
-        place = sum((index + 0.5) * count for index, count in enumerate(self.bins)) / max(total, 1.0)
+        mean_bin = sum((index + 0.5) * count for index, count in enumerate(self.bins)) / max(total, 1.0)
         if total < 2.0:
             return 0.0
-        return float(self.min_latency_s * self.bin_ratio**place)
+        return float(self.min_latency_s * self.bin_ratio**mean_bin)
 
     def decay(self, keep: float) -> None:
-        """Keeps that part of every count."""
+        """Keeps this part of every count."""
         self.bins = [count * keep for count in self.bins]
 
 
 class LinkLatencies:
-    """The least latency in seconds from each proxy zone to each worker zone, over the last intervals."""
+    """The lowest latency in seconds from each proxy zone to each worker zone, over the last intervals."""
 
     def __init__(self, zone_count: int, interval_count: int) -> None:
         zones = range(zone_count)
         self._intervals = [[[math.inf] * interval_count for _ in zones] for _ in zones]
 
     def add(self, proxy_zone: int, worker_zone: int, latency_s: float) -> None:
-        """Takes one latency into the present interval."""
+        """Adds one latency to the present interval."""
         intervals = self._intervals[proxy_zone][worker_zone]
         intervals[0] = min(intervals[0], latency_s)
 
     def least(self) -> list[list[float]]:
-        """Seconds by proxy zone and worker zone; infinite where none was measured."""
+        """Returns seconds by proxy zone and worker zone; infinite where none was measured."""
         return [[min(intervals) for intervals in row] for row in self._intervals]
 
     def start_interval(self) -> None:
-        """Opens an interval and drops the oldest."""
+        """Starts an interval and drops the oldest."""
         self._intervals = [[[math.inf, *intervals[:-1]] for intervals in row] for row in self._intervals]
--- a/cottonladder/model/orders.py
+++ b/cottonladder/model/orders.py
@@ -1,6 +1,6 @@
-"""What a controller orders; they are carried out in the order given.
+"""The orders of a controller, which are carried out in the sequence in which it returns them.
 
-Times are in seconds.  Workers, zones and request classes stand as small indices.
+Times are in seconds.  Workers, zones and request classes are small indices.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RetryPolicy(IntEnum):
-    """When a proxy tries another backend."""
+    """When a proxy retries a request at another worker."""
 
     NEVER = 0
     IF_NOT_STARTED = 1
@@ -20,12 +20,12 @@
     TWICE = 3
 
 
-ALL_TABLES = 65535
+ALL_TABLES = 65535  # as a table number: every table; table numbers are lower
 
 
 @dataclass(frozen=True, slots=True)
 class SetWeight:
-    """A worker's weight in a table; 0 takes it out."""
+    """Sets a worker's weight in a table; a weight of 0 removes the worker from it."""
 
     table: int
     worker_index: int
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClearTable:
-    """Takes every worker out of a table."""
+    """Removes every worker from a table."""
 
     table: int
 
 
 @dataclass(frozen=True, slots=True)
 class BindProxy:
-    """Kinds are a sum of 2**index; 0 stands for all of them."""
+    """Makes a proxy read a table for the classes in a bit mask; a mask of 0 means all classes."""
 
     proxy: int
     table: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExcludeWorker:
-    """Has proxies send a worker nothing in any table, or lifts that."""
+    """Makes proxies exclude a worker from all their tables, or lifts that."""
 
     worker_index: int
     excluded: bool
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmission:
-    """What a table lets in of the classes in a bit mask: a share or a rate, as deployed."""
+    """Sets the admission of the classes in a bit mask: a share or a rate, as deployed."""
 
     table: int
     admission: float
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """Asks who was written to for an answer once all before it is applied."""
+    """Asks proxies for an acknowledgement once they have applied everything written before."""
 
     number: int
     to_all_proxies: bool
@@ -76,14 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask for the list's changes from now on."""
+    """Starts or ends the watch on the changes of the endpoint list."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Asks discovery for one whole list."""
+    """Fetches one complete endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """To another manager, or to all of them with -1."""
+    """Sends gossip to another manager, or to all of them with -1."""
 
     recipient: int
     text: str
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoveWorker:
-    """A backend that is gone: nothing more will be ordered of it, and what is kept for it may go."""
+    """Tells that a worker is forgotten: no further order names it, and its state may be deleted."""
 
     worker_index: int
 
--- a/cottonladder/model/parameters.py
+++ b/cottonladder/model/parameters.py
@@ -1,6 +1,6 @@
-"""What a controller is given at its start: the deployment, as its settings describe it.
+"""The deployment as the settings describe it, which a controller is given at its start.
 
-Times are in seconds.  Workers, zones and request classes stand as small indices everywhere behind the wire.
+Times are in seconds.  Workers, zones and request classes are small indices everywhere behind the wire.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentParameters:
-    """What a start hands over: what this instance may do and what it must keep to."""
+    """What this manager may do in the deployment, and which limits it must keep."""
 
     seed: int
     manager_count: int
--- a/cottonladder/model/pending_orders.py
+++ b/cottonladder/model/pending_orders.py
@@ -23,6 +23,6 @@
 
     def take(self) -> list[Order]:
         """Returns all collected orders and starts an empty collection."""
-        taken = self._orders
+        orders = self._orders
         self._orders = []
-        return taken
+        return orders
--- a/cottonladder/model/state_change_text.py
+++ b/cottonladder/model/state_change_text.py
@@ -1,6 +1,6 @@
 """Text form of state changes, as the simulator's wire and the plug-ins' `event` hook carry it.
 
-The words for states and events are fixed by those interfaces and appear nowhere else.
+The texts for states and events are fixed by those interfaces and appear nowhere else.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
     WorkerStateChanged,
 )
 
-STATE_WORDS = {
+STATE_TEXTS = {
     WorkerState.ABSENT: "absent",
     WorkerState.HEALTHY: "well",
     WorkerState.SLOW_START: "ramp",
     WorkerState.EJECTED: "out",
     WorkerState.REMOVED: "gone",
 }
-EVENT_WORDS = {
+EVENT_TEXTS = {
     WorkerEvent.LISTED_AT_START: "listed",
     WorkerEvent.DISCOVERED: "seen",
     WorkerEvent.STARTED: "started",
@@ -47,13 +47,13 @@
 
 
 def state_change_text(change: StateChange) -> str:
-    """One line that names the change and the figures behind it."""
+    """Returns one line that names the change and the figures behind it."""
     if not isinstance(change, WorkerStateChanged):
         ratios = f"{change.from_ratio:.2f}>{change.to_ratio:.2f}"
         return f"levels {ratios}: overload {change.overload_signal:.2f}"
-    states = f"{STATE_WORDS[change.from_state]}>{STATE_WORDS[change.to_state]}"
+    states = f"{STATE_TEXTS[change.from_state]}>{STATE_TEXTS[change.to_state]}"
     reason = _evidence_text(change.evidence) or REASONS_WITHOUT_EVIDENCE[change.event]
-    return f"be {change.worker_index} {states} {EVENT_WORDS[change.event]}: {reason}"
+    return f"be {change.worker_index} {states} {EVENT_TEXTS[change.event]}: {reason}"
 
 
 def _evidence_text(evidence: Evidence | None) -> str:
--- a/cottonladder/model/statistics.py
+++ b/cottonladder/model/statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of what may be empty."""
+"""Statistics of collections that may be empty."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 
 
 def median_or_zero(values: Iterable[float]) -> float:
-    """The median; 0 where there is none."""
+    """Returns the median, or 0 if there are no values."""
     return median([*values] or [0.0])
--- a/cottonladder/model/views.py
+++ b/cottonladder/model/views.py
@@ -1,4 +1,4 @@
-"""What others may read of a controller's state."""
+"""Read-only views of a controller's records."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerCapacityView:
-    """A backend as last solved, for whoever plans beside the flow.
+    """A worker's capacity as last solved, for planners beside the policy.
 
-    `estimate` is in the flow's own unit, 0 where the backend takes nothing new; a cold one's is what the cold
-    rule leaves.  `leaving_since`: when this manager knew that it drains or is gone; below 0 while it doesn't.
-    `time`: s of its answers, between those of late and those of calm times; 0 where too few were heard.
+    `capacity` is in the unit of the flow, with the bounds on warm-up applied, and 0 where the worker takes no
+    new load.  `draining_since` is when this manager learned that the worker drains or departed, and negative
+    before.  `latency_s` is the geometric mean of the present and the base latency, and 0 if unknown.
     """
 
     zone: int
--- a/cottonladder/model/weight_ring.py
+++ b/cottonladder/model/weight_ring.py
@@ -1,11 +1,13 @@
-"""Weights laid side by side on a ring, and arcs cut out of it."""
+"""A ring that is divided among workers by weight, and arcs that are cut out of it."""
 
 from __future__ import annotations
 
 
 def arcs(loads: list[float], overlap: float) -> list[tuple[float, float]]:
-    """Start and end of consecutive arcs on a ring of length 1, each as long as its load's part of all; each
-    reaches into the next one by `overlap` of it."""
+    """Returns start and end of consecutive arcs on a ring of length 1.
+
+    Each arc is as long as its load's part of all loads, and reaches into the next arc by `overlap` of that.
+    """
     total = sum(loads)
     edges = [sum(loads[:index]) / total for index in range(len(loads) + 1)]
     edges.append(1.0 + loads[0] / total)
@@ -15,11 +17,11 @@
     ]
 
 
-def cut(ring: dict[int, float], start: float, end: float, sliver: float) -> dict[int, float]:
-    """The weights that lie from start to end on a ring of length 1.
+def cut(ring: dict[int, float], start: float, end: float, min_part: float) -> dict[int, float]:
+    """Returns the weights between start and end on a ring of length 1.
 
-    Weights lie in the order of `ring`, each as long as its part of their sum.  Parts under `sliver` of a
-    weight are left out.
+    The weights follow each other in the order of `ring`, each as long as its part of their sum.  Parts up to
+    `min_part` of a weight are left out.
     """
     unit = max(1e-9, sum(ring.values()))
     parts: dict[int, float] = {}
@@ -27,7 +29,7 @@
     for index, weight in ring.items():
         finish = begin + weight / unit
         overlap = sum(max(0.0, min(finish + turn, end) - max(begin + turn, start)) for turn in (0, 1))
-        if overlap > sliver * (finish - begin):
+        if overlap > min_part * (finish - begin):
             parts[index] = overlap / (end - start)
         begin = finish
     return parts
--- a/cottonladder/policy/capacity.py
+++ b/cottonladder/policy/capacity.py
@@ -69,9 +69,14 @@
 
     def _nominal_capacities(self, workers: dict[int, WorkerRecord]) -> dict[int, float]:
         """Returns weight times speed, by samples or else by base latency, in the unit of the fleet."""
-        sampled = {i: w.measured_capacity() / w.weight for i, w in workers.items() if w.capacity_samples}
+        sampled = {
+            index: worker.measured_capacity() / worker.weight
+            for index, worker in workers.items()
+            if worker.capacity_samples
+        }
         unit = median_or_zero(sampled.values()) or 1.0
-        usual_base_s = median_or_zero(w.base_latency_s for w in workers.values() if w.base_latency_s > 0)
+        bases_s = [worker.base_latency_s for worker in workers.values()]
+        usual_base_s = median_or_zero(base_s for base_s in bases_s if base_s > 0)
         capacities = {}
         for index, worker in workers.items():
             speed = usual_base_s / worker.base_latency_s if worker.base_latency_s > 0 else 1.0
--- a/cottonladder/policy/latency_factor.py
+++ b/cottonladder/policy/latency_factor.py
@@ -38,7 +38,10 @@
     def update(self, uses_queues: bool) -> None:
         """Updates base latencies, then factors; requests in flight count only if `uses_queues`."""
         in_service = self._state.workers.in_state(*IN_SERVICE)
-        queues = {i: uses_queues * w.smoothed_in_flight / w.weight for i, w in in_service.items()}
+        queues = {
+            index: uses_queues * worker.smoothed_in_flight / worker.weight
+            for index, worker in in_service.items()
+        }
         usual_queue = max(1.0, median_or_zero(queues.values()))
         self._update_base_latencies(queues, usual_queue)
         queue_ratios = {index: queue / usual_queue for index, queue in queues.items()}
@@ -59,7 +62,9 @@
             for index, worker in in_service.items()
             if worker.base_latency_s > 0
         }
-        failed_ratios = {i: w.failed_ratio() for i, w in in_service.items() if w.attempts >= 1.0}
+        failed_ratios = {
+            index: worker.failed_ratio() for index, worker in in_service.items() if worker.attempts >= 1.0
+        }
         usual_slowdown = max(median_or_zero(slowdowns.values()), 1e-9)
         usual_success = max(MIN_USUAL_SUCCESS, 1.0 - median_or_zero(failed_ratios.values()))
         overload = max(1.0, self._overload.value)  # under overload the latencies of well workers differ too
--- a/cottonladder/policy/load_shedding.py
+++ b/cottonladder/policy/load_shedding.py
@@ -2,7 +2,7 @@
 
 The admission ratio falls once an interval while the overload signal is over 1, and rises while it is well
 under 1. What has to be shed is taken first from the class with the lowest priority weight for its latency
-objective, then from the next. Shedding protects the requests worth most from latencies over their
+objective, then from the next. Shedding protects the most valuable requests from latencies over their
 objectives; limits on each step and on the lowest ratio protect against shedding far more than the overload
 asks for.
 """
@@ -43,7 +43,7 @@
         if not self._is_enabled():
             return {}
         classes = self._state.parameters.request_classes
-        values = [c.priority_weight / c.latency_objective_s for c in classes]
+        values = [item.priority_weight / item.latency_objective_s for item in classes]
         arrivals = self._state.proxies.class_rates()
         shed = (1.0 - self.admission_ratio) * sum(arrivals)
         order = sorted(self._state.classes, key=values.__getitem__)
--- a/cottonladder/policy/proxy_binding.py
+++ b/cottonladder/policy/proxy_binding.py
@@ -39,7 +39,7 @@
         if self._budget.available_lines([number], limit) <= 0:
             return False
         table = self._select_table(proxy.zone)
-        # Readers that the table has already must not keep what is left out of it for the new one.
+        # Otherwise the new reader would be sent the lines of departed workers, and then their removal.
         self._deltas.send_removals(table, removed_workers(self._state, table))
         if not table.readers:
             self._budget.add(self._deltas.draft_complete(table), {})
--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -67,11 +67,11 @@
         worker.add_health_check(result, report_plausibility.max_in_flight(usual_rate))
         return_after_health_check(self._state, worker, result)
 
-    def set_held_load(self, held: inputs.HeldLoad) -> None:
+    def set_held_load(self, load: inputs.HeldLoad) -> None:
         """Records the load of a worker's held connections, in requests/s."""
-        worker = self._state.workers.by_index.get(held.worker_index)
+        worker = self._state.workers.by_index.get(load.worker_index)
         if worker is not None:
-            worker.held_request_rate = report_plausibility.believed_rate(held.requests_per_s)
+            worker.held_request_rate = report_plausibility.believed_rate(load.requests_per_s)
 
     def set_advised_factor(self, advised: inputs.AdvisedFactor) -> None:
         """Records one advisor's factor for a worker."""
--- a/cottonladder/policy/table_deltas.py
+++ b/cottonladder/policy/table_deltas.py
@@ -107,6 +107,7 @@
         workers = self._state.workers.by_index
 
         def sort_key(index: int) -> tuple[bool, bool, float]:
+            """Urgent workers come first, then the largest changes; excluded workers come last."""
             change = weight_changes[index]
             is_late_removal = names_no_wanted_worker and change < 0
             return index not in urgent, is_late_removal, -abs(change) * (not workers[index].is_excluded)
--- a/cottonladder/policy/warm_up.py
+++ b/cottonladder/policy/warm_up.py
@@ -11,6 +11,9 @@
 3. `WarmUpShares.share`: its capacity falls to what it surely bears by now, or to nothing in trouble.
 4. `weight_limit`: its weight in a table is at most what its capacity allows under the admitted demand.
 5. `overweight_workers`: a line over its wanted share by more than a tolerance is corrected at once.
+
+Beside these bounds, `zone_flow` sends overflow to zones with warm workers, and neither a zone nor a table
+is left with warming-up workers alone while others exist.
 """
 
 import math
@@ -100,7 +103,11 @@
 def overweight_workers(state: ControllerState) -> set[int]:
     """Returns warming-up or ejected workers to which all tables together bring more than they should."""
     known = state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE).items()
-    guarded = {i for i, w in known if w.state == WorkerState.EJECTED or is_warming_up(state, w)}
+    guarded = {
+        index
+        for index, worker in known
+        if worker.state == WorkerState.EJECTED or is_warming_up(state, worker)
+    }
     sent = dict.fromkeys(guarded, NO_REQUEST_RATE)  # requests/s by worker
     wanted = dict.fromkeys(guarded, NO_REQUEST_RATE)
     for table in state.tables.all:
--- a/cottonladder/policy/worker_discovery.py
+++ b/cottonladder/policy/worker_discovery.py
@@ -2,7 +2,7 @@
 
 Each endpoint list that arrives adds workers, updates them and turns their listed state into events: new
 workers enter slow start, and workers that are not ready or not listed depart. The watch on the list is
-ordered anew when a call was not answered in time, and after a random delay when it failed, which keeps
+ordered again when a call was not answered in time, and after a random delay when it failed, which keeps
 managers from calling discovery all at once. A snapshot is applied once, after the first list, so that a
 restarted manager keeps known faults out of service.
 """
@@ -45,7 +45,7 @@
     def apply_endpoint_list(self, endpoint_list: inputs.EndpointList) -> None:
         """Applies a complete list or a list of changes."""
         self._schedule_watch(endpoint_list.kind)
-        for worker_index in self._unlisted(endpoint_list):
+        for worker_index in self._missing_workers(endpoint_list):
             apply_event(self._state, worker_index, WorkerEvent.NOT_LISTED)
         for endpoint in endpoint_list.endpoints:
             self._apply_endpoint(endpoint)
@@ -73,7 +73,7 @@
         has_failed = kind == inputs.ListUpdateKind.FAILED
         self._next_watch_at = state.now + delay_s if has_failed else math.inf
 
-    def _unlisted(self, endpoint_list: inputs.EndpointList) -> list[int]:
+    def _missing_workers(self, endpoint_list: inputs.EndpointList) -> list[int]:
         """Returns the known workers that a complete list leaves out."""
         if endpoint_list.kind not in (inputs.ListUpdateKind.FULL, inputs.ListUpdateKind.CACHED):
             return []
--- a/cottonladder/policy/worker_exclusion.py
+++ b/cottonladder/policy/worker_exclusion.py
@@ -1,8 +1,8 @@
-"""When proxies are told to exclude a departed worker from every table that they hold.
+"""Worker exclusion: when proxies must leave a departed worker out of every table that they hold.
 
 Usually a departed worker loses its line in the tables, and no exclusion is needed. Where a proxy cannot be
-given a table, because its zone has none to give or because slices are deployed, it is told to exclude the
-worker instead, and to lift that when the worker is back. This is looked at on each tick. It protects
+given a table, because its zone has none to give or because slices are deployed, it is ordered to exclude
+the worker instead, and to lift that when the worker is back. This is looked at on each tick. It protects
 against requests to a departed worker by a table that the proxy brought along from another manager.
 """
 
--- a/cottonladder/policy/worker_states.py
+++ b/cottonladder/policy/worker_states.py
@@ -57,7 +57,8 @@
     transition = TRANSITIONS[event]
     if worker.state not in transition.sources:
         return
-    former, target = worker.state, transition.target
+    former = worker.state
+    target = transition.target
     if former not in (target, WorkerState.ABSENT):
         state.pending.add(WorkerStateChanged(worker_index, worker.zone, former, target, event, evidence))
     worker.state = target
--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -75,20 +75,23 @@
     def _free_capacities(self, capacities: dict[int, float], demand: float) -> dict[int, float]:
         """Returns what the workers' held connections leave of their capacities for requests."""
         workers = self._state.workers.by_index
-        held = {index: workers[index].held_request_rate for index in capacities}
-        if not sum(held.values()):
+        held_rates = {index: workers[index].held_request_rate for index in capacities}
+        if not sum(held_rates.values()):
             return capacities
         # Held connections are in requests/s and capacities may be relative, hence the conversion.
-        unit = sum(capacities.values()) / (demand + sum(held.values()))
-        return {i: max(MIN_FREE_RATIO * c, c - unit * held[i]) for i, c in capacities.items()}
+        unit = sum(capacities.values()) / (demand + sum(held_rates.values()))
+        return {
+            index: max(MIN_FREE_RATIO * capacity, capacity - unit * held_rates[index])
+            for index, capacity in capacities.items()
+        }
 
     def _link_costs(self, latencies: list[list[float]], groups: ZoneGroups) -> list[list[float | None]]:
         """Returns costs by proxy zone and group; None means that the link is cut or leads to no worker."""
         usual_s = median_or_zero(latency for row in latencies for latency in row if latency < math.inf)
         max_latency_s = MAX_LINK_RATIO * usual_s
+        zones = self._state.zones
         return [
             [self._link_cost(zone, group, groups, latencies[zone][group], max_latency_s) for group in zones]
-            for zones in [self._state.zones]
             for zone in zones
         ]
 
