--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -28,7 +28,8 @@
 from ..protocol.gossip import GossipSocket
 from ..protocol.health_checks import HealthChecker
 from ..protocol.messages import ExtensionMessage
-from ..state.order_dispatcher import OrderDispatcher, OrderRejectedError
+from ..state.order_dispatcher import OrderDispatcher
+from ..state.order_errors import OrderRejectedError
 from ..state.proxy_sessions import ProxySessions
 from .state_change_log import StateChangeLog
 
@@ -198,7 +199,9 @@
         try:
             self._dispatcher.apply(order)
         except OrderRejectedError as exc:
-            self.log.error("order_rejected", order=type(order).__name__, reason=exc.reason)
+            self.log.error(
+                "order_rejected", order=type(order).__name__, reason=exc.reason.value, **exc.details()
+            )
 
     def _send_messages(self, now: float) -> None:
         for proxy, data in self._dispatcher.take_messages():
--- a/cottonladder/control/state_change_log.py
+++ b/cottonladder/control/state_change_log.py
@@ -51,8 +51,11 @@
 
 def _evidence_fields(evidence: Evidence | None) -> dict[str, Any]:
     match evidence:
-        case EndpointEvidence(endpoint_state, uptime_s):
-            return {"endpoint_state": endpoint_state.name.lower(), "uptime_s": round(uptime_s, 1)}
+        case EndpointEvidence(endpoint_state, uptime_s, is_start_known):
+            fields: dict[str, Any] = {"endpoint_state": endpoint_state.name.lower()}
+            if is_start_known:
+                fields["uptime_s"] = round(uptime_s, 1)
+            return fields
         case OutlierEvidence(failed_count, attempt_count, others_failed_ratio, lost_check_count):
             return {
                 "failed_count": round(failed_count),
--- a/cottonladder/model/state_changes.py
+++ b/cottonladder/model/state_changes.py
@@ -41,6 +41,7 @@
 
     endpoint_state: EndpointState
     uptime_s: float
+    is_start_known: bool = True  # else the list gives no start, and `uptime_s` counts from 1970
 
 
 @dataclass(frozen=True, slots=True)
--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -100,7 +100,9 @@
                 event = WorkerEvent.STARTED
             if endpoint.state != inputs.EndpointState.READY:
                 event = WorkerEvent.ENDPOINT_NOT_READY
-            evidence = EndpointEvidence(endpoint.state, fleet.now - endpoint.started_at)
+            evidence = EndpointEvidence(
+                endpoint.state, fleet.now - endpoint.started_at, endpoint.started_at > 0
+            )
             fleet.transition(worker_lifecycle.STATE_TABLE, endpoint.worker_index, event, evidence)
         self.has_endpoint_list = True
         self.is_send_due = True
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -35,19 +35,11 @@
     set_excluded,
     set_weight,
 )
+from .order_errors import InvalidAdmissionError, InvalidWeightError, UnknownWorkerError
 from .proxy_view import ProxyView
 from .worker_registry import WorkerRegistry
 
 
-class OrderRejectedError(ValueError):
-    """An order that must never be sent; nothing was applied."""
-
-    def __init__(self, order: Order, reason: str) -> None:
-        super().__init__(reason)
-        self.order = order
-        self.reason = reason
-
-
 @dataclass(slots=True)
 class TableContent:
     """What proxies bound to a table are to hold."""
@@ -60,6 +52,7 @@
     """Applies orders and collects, for each connected proxy, the lines that they cost."""
 
     def __init__(self, class_names: list[str], manager_count: int, workers: WorkerRegistry) -> None:
+        self._class_names = class_names
         self._class_count = len(class_names)
         self._all_classes = (1 << len(class_names)) - 1
         self._is_only_manager = manager_count == 1
@@ -108,12 +101,17 @@
 
     def _check(self, order: Order) -> None:
         if isinstance(order, SetWeight) and not _is_valid_figure(order.weight):
-            raise OrderRejectedError(order, f"weight {order.weight}")
+            worker_id = self._workers.ids.get(order.worker_index, b"").decode()
+            raise InvalidWeightError(order, worker_id)
         if isinstance(order, SetAdmission) and not _is_valid_figure(order.admission):
-            raise OrderRejectedError(order, f"level {order.admission}")
+            class_indices = self._classes_in(order.class_mask or self._all_classes)
+            raise InvalidAdmissionError(order, [self._class_names[index] for index in class_indices])
         if isinstance(order, (SetWeight, ExcludeWorker, RemoveWorker)):
-            if not self._workers.is_known(order.worker_index):
-                raise OrderRejectedError(order, f"worker {order.worker_index} was never listed")
+            self._check_worker(order)
+
+    def _check_worker(self, order: SetWeight | ExcludeWorker | RemoveWorker) -> None:
+        if not self._workers.is_known(order.worker_index):
+            raise UnknownWorkerError(order)
 
     def take_messages(self) -> Iterator[tuple[int, bytes]]:
         """Each proxy with pending operations and its encoded message; nothing is pending afterwards."""
--- a/tests/control/test_log_events.py
+++ b/tests/control/test_log_events.py
@@ -8,8 +8,12 @@
 from collections.abc import Iterator
 from pathlib import Path
 
+from cottonladder.model.state_changes import WorkerEvent
+from cottonladder.state.order_errors import RejectionReason
+
 ROOT = Path(__file__).parents[2]
 LOG_METHODS = {"debug", "info", "warning", "error"}
+REASON_ROW = re.compile(r"^\| `worker_state_changed reason=([a-z_]+)` \|", re.MULTILINE)
 TABLE_ROW = re.compile(r"^\| `([a-z_]+)` \|", re.MULTILINE)
 
 
@@ -48,13 +52,27 @@
         yield value.value
 
 
+def event_table() -> str:
+    """The part of the runbook that lists each event."""
+    page = (ROOT / "docs" / "runbook.md").read_text()
+    return page[page.index("## Log events") :]
+
+
 class LogEventTests(unittest.TestCase):
     def test_code_and_runbook_name_the_same_events(self) -> None:
         logged: set[str] = set()
         for path in (ROOT / "cottonladder").rglob("*.py"):
             if "testbed" not in path.parts:
                 logged.update(event_names(ast.parse(path.read_text())))
-        page = (ROOT / "docs" / "runbook.md").read_text()
-        described = set(TABLE_ROW.findall(page[page.index("## Log events") :]))
+        described = set(TABLE_ROW.findall(event_table()))
         self.assertEqual(logged, described)
         self.assertGreater(len(logged), 40)
+
+    def test_code_and_runbook_name_the_same_reasons_of_a_state_change(self) -> None:
+        described = set(REASON_ROW.findall(event_table()))
+        self.assertEqual(described, {event.value for event in WorkerEvent})
+
+    def test_runbook_names_each_reason_of_a_rejected_order(self) -> None:
+        (row,) = re.findall(r"^\| `order_rejected` \|.*$", event_table(), re.MULTILINE)
+        for reason in RejectionReason:
+            self.assertRegex(row, rf"\b{reason.value}\b")
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -73,7 +73,7 @@
             endpoint_list(42, endpoint_entry("s-1", "Terminating"), endpoint_entry("s-3", zone="b"))
         )
         await proxy.receive_until("s-1:0.0")
-        await program.logged(
+        line = await program.logged(
             "event=worker_state_changed",
             "worker_id=s-1",
             "from_state=healthy",
@@ -81,6 +81,7 @@
             "reason=endpoint_not_ready",
             "endpoint_state=draining",
         )
+        self.assertNotIn("uptime_s", line)  # the list gives no start for this worker
         collector.send("PING")
         self.assertEqual(await collector.receive(), "PONG")
         self.assertEqual(collector.received, [])  # nothing else was ever written to it
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -50,7 +50,8 @@
 from cottonladder.model.state_changes import AdmissionChanged, WorkerStateChanged
 from cottonladder.policy.controller import RoutingController
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
-from cottonladder.state.order_dispatcher import OrderDispatcher, OrderRejectedError
+from cottonladder.state.order_dispatcher import OrderDispatcher
+from cottonladder.state.order_errors import OrderRejectedError
 from cottonladder.state.worker_registry import WorkerRegistry
 from tests.policy.test_scenarios import USUAL
 
--- /dev/null
+++ b/tests/state/test_order_errors.py
@@ -0,0 +1,46 @@
+"""Rejected orders raise an error with the fields that the log gives."""
+
+from __future__ import annotations
+
+import math
+import unittest
+
+from cottonladder.model.orders import ALL_TABLES, ExcludeWorker, Order, RetryPolicy, SetAdmission, SetWeight
+from cottonladder.state.order_dispatcher import OrderDispatcher
+from cottonladder.state.order_errors import OrderRejectedError
+from cottonladder.state.worker_registry import WorkerRegistry
+
+
+class OrderErrorTests(unittest.TestCase):
+    def setUp(self) -> None:
+        self.workers = WorkerRegistry()
+        self.worker_index = self.workers.register("s-1", "10.0.0.1:8080", 0.0)
+        self.dispatcher = OrderDispatcher(["lookup", "order"], 1, self.workers)
+
+    def rejection(self, order: Order) -> tuple[str, dict[str, object]]:
+        """The reason and the details of the order's rejection."""
+        with self.assertRaises(OrderRejectedError) as caught:
+            self.dispatcher.apply(order)
+        self.assertIs(caught.exception.order, order)
+        return caught.exception.reason.value, caught.exception.details()
+
+    def test_a_weight_below_zero_names_the_listed_worker(self) -> None:
+        self.assertEqual(
+            self.rejection(SetWeight(1, self.worker_index, -0.5)),
+            ("invalid_weight", {"worker_id": "s-1", "weight": -0.5}),
+        )
+
+    def test_an_infinite_admission_names_the_request_classes(self) -> None:
+        order = SetAdmission(ALL_TABLES, math.inf, 0b10, RetryPolicy.ONCE)
+        expected = {"classes": "order", "admission": math.inf}
+        self.assertEqual(self.rejection(order), ("invalid_admission", expected))
+        order = SetAdmission(1, math.inf, 0, RetryPolicy.ONCE)  # mask 0 stands for all classes
+        expected = {"classes": "lookup,order", "admission": math.inf}
+        self.assertEqual(self.rejection(order), ("invalid_admission", expected))
+
+    def test_a_worker_that_was_never_listed_has_only_its_index(self) -> None:
+        self.assertEqual(self.rejection(ExcludeWorker(7, True)), ("unknown_worker", {"worker_index": 7}))
+
+
+if __name__ == "__main__":
+    unittest.main()
