--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -22,7 +22,8 @@
 
 from benchmarks.harness import MILLISECONDS_PER_S, argument_parser, percentile, print_figures
 from cottonladder.control.background_scheduler import BackgroundScheduler
-from cottonladder.control.snapshot_manager import SnapshotFolder, SnapshotManager
+from cottonladder.control.snapshot_folder import SnapshotFolder
+from cottonladder.control.snapshot_manager import SnapshotManager
 from cottonladder.model.inputs import (
     Endpoint,
     EndpointList,
@@ -215,7 +216,7 @@
 
         def timed_snapshot() -> Iterator[Any]:
             started_at = time.perf_counter()
-            yield from manager._snapshot()
+            yield from manager._write_snapshot()
             durations_s.append(time.perf_counter() - started_at)
 
         plan = TaskPlan("snapshot", SNAPSHOT_INTERVAL_S, cpu_fraction=SNAPSHOT_CPU_FRACTION, jitter_ratio=0.0)
--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -1,16 +1,17 @@
-"""The scheduler of background work: one task of the loop that runs others' slices between the decisions.
+"""Runs background work in slices between the control loop's batches.
 
-A task is a function that gives an iterator; each step of it is one slice.  A step may give an awaitable,
-which is waited for with the task's turn over (a thread that writes a file); nothing else runs of that task
-meanwhile.  Which task is next is decided in `decisions.turns`.
+A task is a function that returns an iterator, and each step of the iterator is one slice.  A step may yield
+an awaitable, such as a thread that writes a file; the task is not scheduled again until that is done, while
+other tasks are.  `planning.priority_scheduling` chooses which task runs next.
 """
 
 from __future__ import annotations
 
 import asyncio
-import inspect
 import time
 from collections.abc import Awaitable, Callable, Iterator
+from contextlib import suppress
+from dataclasses import dataclass
 from typing import Any
 
 import structlog
@@ -18,15 +19,32 @@
 from ..planning.priority_scheduling import PriorityScheduler, ScheduledSlice, TaskPlan
 
 Work = Callable[[], Iterator[Awaitable[Any] | None]]
-LOOP_LAG_PAUSE = 0.05  # s for which nothing runs after a batch or timer came late
-STOP_TIMEOUT = 2.0  # s that runs under way, and those asked to run at the stop, have to end
+
+LOOP_LAG_PAUSE_S = 0.05  # without a slice after a batch or timer of the control loop came late
+STOP_TIMEOUT_S = 2.0  # for the awaitables under way and the final runs, at the stop
+MAX_IDLE_S = 1.0  # between two looks at what is due
+
+
+@dataclass(frozen=True, slots=True)
+class _SliceResult:
+    """What one slice yielded, and whether its run has thereby ended."""
+
+    awaitable: Awaitable[Any] | None = None
+    is_done: bool = False
+    has_failed: bool = False
 
 
 class BackgroundScheduler:
-    """Owns the tasks; `late` is told by the owner of the decisions."""
+    """Owns the task that runs the slices, and the tasks that await what slices yield.
+
+    A fault of one task is logged, and that task is tried again with backoff; the others go on.  `uniform`
+    returns a random number in 0 to 1.
+    """
 
     def __init__(self, uniform: Callable[[], float]) -> None:
-        self._scheduler, self._work, self._uniform = PriorityScheduler(), dict[str, Work](), uniform
+        self._scheduler = PriorityScheduler()
+        self._work: dict[str, Work] = {}
+        self._uniform = uniform
         self._running: dict[str, Iterator[Awaitable[Any] | None]] = {}
         self._awaited: dict[str, asyncio.Task[None]] = {}
         self._paused_until = 0.0
@@ -35,126 +53,150 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def add(self, plan: TaskPlan, work: Work) -> None:
+        """Adds a task, whose first run is due at a random moment within its period."""
         self._work[plan.name] = work
         self._scheduler.add(time.monotonic(), plan, self._uniform())
         self._wake.set()
 
     def start(self) -> None:
+        """Starts to run what is due; needs a running event loop."""
         self._task = asyncio.create_task(self._run())
 
     def pause_for_loop_lag(self) -> None:
-        """The decisions are behind: background work makes way."""
-        self._paused_until = time.monotonic() + LOOP_LAG_PAUSE
+        """Runs nothing for `LOOP_LAG_PAUSE_S`, as the control loop is behind."""
+        self._paused_until = time.monotonic() + LOOP_LAG_PAUSE_S
 
     def run_soon(self, name: str) -> None:
+        """Makes a task due now."""
         self._scheduler.make_due(name, time.monotonic())
         self._wake.set()
 
+    async def close(self, final_tasks: tuple[str, ...] = ()) -> None:
+        """Ends what runs, and runs `final_tasks` once more, all within `STOP_TIMEOUT_S`."""
+        if self._task is not None:
+            self._task.cancel()
+            await asyncio.gather(self._task, return_exceptions=True)
+        try:
+            async with asyncio.timeout(STOP_TIMEOUT_S):
+                await asyncio.gather(*self._awaited.values(), return_exceptions=True)
+                for name in final_tasks:
+                    await self._finish(name)
+        except TimeoutError:
+            self.log.warning("tasks_cancelled", tasks=",".join(self._awaited) or ",".join(final_tasks))
+        except Exception as exc:  # a fault of background work must not keep the process from ending
+            self._log_failure(",".join(final_tasks), exc, consecutive_failures=1)
+        cancelled = list(self._awaited.values())
+        for task in cancelled:
+            task.cancel()
+        await asyncio.gather(*cancelled, return_exceptions=True)
+
+    def status_rows(self) -> list[dict[str, object]]:
+        """One row a task with its plan and its counts, as the admin socket shows them."""
+        now = time.monotonic()
+        return [_status_row(task, now) for task in self._scheduler.tasks.values()]
+
     async def _run(self) -> None:
         while True:
             now = time.monotonic()
-            late = now < self._paused_until
-            name = self._scheduler.next_task(now, late, self._awaited)
-            if name is not None:
+            is_late = now < self._paused_until
+            name = self._scheduler.next_task(now, is_late, self._awaited)
+            if name is None:
+                await self._wait(now)
+            else:
                 self._run_slice(name, now)
-                await asyncio.sleep(0)
-                continue
-            wait = max(self._paused_until - now, self._scheduler.time_until_next(now, self._awaited))
-            self._wake.clear()
-            try:
-                await asyncio.wait_for(self._wake.wait(), min(wait, 1.0))
-            except TimeoutError:
-                pass
+                await asyncio.sleep(0)  # the control loop's batches come between two slices
+
+    async def _wait(self, now: float) -> None:
+        """Waits until a task may be due, or is added or made due."""
+        until_due_s = self._scheduler.time_until_next(now, self._awaited)
+        wait_s = max(self._paused_until - now, until_due_s)
+        self._wake.clear()
+        with suppress(TimeoutError):
+            await asyncio.wait_for(self._wake.wait(), min(wait_s, MAX_IDLE_S))
 
     def _run_slice(self, name: str, now: float) -> None:
         if self._scheduler.slice_started(name, now):
             self._running[name] = iter(self._work[name]())
-        begun, done, failed = time.monotonic(), False, False
-        step: Awaitable[Any] | None = None
+        started_at = time.monotonic()
+        result = self._step(name)
+        ended_at = time.monotonic()
+        duration_s = ended_at - started_at
+        has_overrun = self._scheduler.slice_finished(
+            name, ended_at, duration_s, result.is_done, result.has_failed, self._uniform()
+        )
+        if has_overrun:
+            self._log_overrun(name, duration_s)
+        if result.is_done or result.has_failed:
+            self._running.pop(name, None)
+        elif result.awaitable is not None:
+            self._awaited[name] = asyncio.create_task(self._await(name, result.awaitable))
+
+    def _step(self, name: str) -> _SliceResult:
         try:
-            step = next(self._running[name])
+            return _SliceResult(awaitable=next(self._running[name]))
         except StopIteration:
-            done = True
-        except Exception as exc:  # a fault of one task is not the others'
-            failed = True
-            self._log_failure(name, exc)
-        ended = time.monotonic()
-        if self._scheduler.slice_finished(name, ended, ended - begun, done, failed, self._uniform()):
-            turn = self._scheduler.tasks[name]
-            if turn.overruns & (turn.overruns - 1) == 0:  # the first, second, fourth, ...
-                self.log.info(
-                    "task_overran",
-                    task=name,
-                    duration_ms=round((ended - begun) * 1000, 1),
-                    times=turn.overruns,
-                )
-        if done or failed:
-            self._running.pop(name, None)
-        elif step is not None and inspect.isawaitable(step):
-            self._awaited[name] = asyncio.ensure_future(self._await(name, step))
+            return _SliceResult(is_done=True)
+        except Exception as exc:  # a fault of one task must not end the others
+            self._log_repeated_failure(name, exc)
+            return _SliceResult(has_failed=True)
 
-    async def _await(self, name: str, step: Awaitable[Any]) -> None:
+    async def _await(self, name: str, awaitable: Awaitable[Any]) -> None:
         try:
-            await step
-        except asyncio.CancelledError:
-            raise
-        except Exception as exc:
-            self._log_failure(name, exc)
-            now = time.monotonic()
+            await awaitable
+        except Exception as exc:  # a fault of one task must not end the others
+            self._log_repeated_failure(name, exc)
             self._running.pop(name, None)
-            self._scheduler.slice_finished(name, now, 0.0, True, True, self._uniform())
+            self._scheduler.slice_finished(name, time.monotonic(), 0.0, True, True, self._uniform())
         finally:
             self._awaited.pop(name, None)
             self._wake.set()
 
-    def _log_failure(self, name: str, exc: Exception) -> None:
-        row = self._scheduler.tasks[name].consecutive_failures
-        if row & (row - 1) == 0:
-            self.log.warning(
-                "task_failed", task=name, reason=str(exc) or type(exc).__name__, consecutive_failures=row + 1
+    async def _finish(self, name: str) -> None:
+        """Ends the run that is under way, or else runs the task from its beginning."""
+        steps = self._running.pop(name, None) or iter(self._work[name]())
+        for awaitable in steps:
+            if awaitable is not None:
+                await awaitable
+
+    def _log_overrun(self, name: str, duration_s: float) -> None:
+        overrun_count = self._scheduler.tasks[name].overruns
+        if _is_power_of_two(overrun_count):  # ever more rarely, where a task overruns again and again
+            self.log.info(
+                "task_overran",
+                task=name,
+                duration_ms=round(duration_s * 1000, 1),
+                overrun_count=overrun_count,
             )
 
-    def status_rows(self) -> list[dict[str, object]]:
-        """For operators: how each task stands."""
-        now = time.monotonic()
-
-        def row(t: ScheduledSlice) -> dict[str, object]:
-            return {
-                "task": t.plan.name,
-                "priority": t.plan.priority,
-                "period": t.plan.period_s,
-                "due_in": round(t.due_at - now, 3),
-                "runs": t.runs,
-                "slices": t.slices,
-                "overruns": t.overruns,
-                "failures": t.failures,
-                "missed": t.missed_deadlines,
-                "cpu_s": round(t.cpu_s, 4),
-                "longest_ms": round(t.longest_slice_s * 1000.0, 2),
-            }
-
-        return [row(t) for t in self._scheduler.tasks.values()]
-
-    async def close(self, last: tuple[str, ...] = ()) -> None:
-        """Ends what runs; the tasks named in `last` run once more, within a bounded time."""
-        if self._task is not None:
-            self._task.cancel()
-            await asyncio.gather(self._task, return_exceptions=True)
-        try:
-            async with asyncio.timeout(STOP_TIMEOUT):
-                await asyncio.gather(*self._awaited.values(), return_exceptions=True)
-                for name in last:
-                    for step in self._running.pop(name, None) or iter(self._work[name]()):
-                        if step is not None:
-                            await step
-        except TimeoutError:
-            self.log.warning("tasks_cancelled", tasks=",".join(self._awaited) or ",".join(last))
-        except Exception as exc:
-            self.log.warning(
-                "task_failed",
-                task=",".join(last),
-                reason=str(exc) or type(exc).__name__,
-                consecutive_failures=1,
-            )
-        for wait in list(self._awaited.values()):
-            wait.cancel()
+    def _log_repeated_failure(self, name: str, exc: Exception) -> None:
+        failure_count = self._scheduler.tasks[name].consecutive_failures + 1  # with this one
+        if failure_count == 1 or _is_power_of_two(failure_count - 1):  # ever more rarely in a long series
+            self._log_failure(name, exc, failure_count)
+
+    def _log_failure(self, name: str, exc: Exception, consecutive_failures: int) -> None:
+        self.log.warning(
+            "task_failed",
+            task=name,
+            reason=str(exc) or type(exc).__name__,
+            consecutive_failures=consecutive_failures,
+        )
+
+
+def _is_power_of_two(count: int) -> bool:
+    return count > 0 and count & (count - 1) == 0
+
+
+def _status_row(task: ScheduledSlice, now: float) -> dict[str, object]:
+    return {
+        "task": task.plan.name,
+        "priority": task.plan.priority,
+        "period": task.plan.period_s,
+        "due_in": round(task.due_at - now, 3),
+        "runs": task.runs,
+        "slices": task.slices,
+        "overruns": task.overruns,
+        "failures": task.failures,
+        "missed": task.missed_deadlines,
+        "cpu_s": round(task.cpu_s, 4),
+        "longest_ms": round(task.longest_slice_s * 1000.0, 2),
+    }
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -1,18 +1,18 @@
-"""The control loop: one task that feeds inputs to the routing policy and carries out the orders it gives."""
+"""The control loop: one task that feeds inputs to the routing policy and carries out the orders it gives.
+
+Nothing in a step waits, so a step is done entirely or not begun, whenever its task is cancelled.
+"""
 
 from __future__ import annotations
 
-import asyncio
 import time
-from collections import deque
 from collections.abc import Callable, Iterable
-from contextlib import AsyncExitStack
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Any
 
 import structlog
 
-from ..model.inputs import Input, TimerFired
+from ..model.inputs import Input
 from ..model.orders import (
     Checkpoint,
     FetchEndpoints,
@@ -31,90 +31,36 @@
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.order_errors import OrderRejectedError
 from ..state.proxy_sessions import ProxySessions
+from .clock import Clock
+from .control_loop_extension import ControlLoopExtension
+from .input_queue import InputQueue, LoopInput
+from .loop_lag import LoopLagMonitor
+from .policy_timers import PolicyTimers
 from .state_change_log import StateChangeLog
 
-MIN_LOOP_LAG = 0.01  # s: what is shorter nobody feels, as the policy looks each quarter of a second
-LAG_GROWTH = 1.5  # a lag is logged where it is this many times the longest one before
-
-
-class Clock:
-    """Unix time at the start, advanced by a monotonic clock.
-
-    Steps of the system's time don't reach it, and the start times of workers can be compared with it.
-    """
-
-    def __init__(self) -> None:
-        self._offset = time.time() - time.monotonic()
-
-    def now(self) -> float:
-        """Seconds since 1970."""
-        return self._offset + time.monotonic()
-
-
-class InputQueue:
-    """The unbounded queue into the control loop; `put` never waits."""
-
-    def __init__(self) -> None:
-        self._items: deque[Input | ExtensionMessage] = deque()
-        self._has_items = asyncio.Event()
-
-    def put(self, item: Input | ExtensionMessage) -> None:
-        """Adds an input and wakes the loop."""
-        self._items.append(item)
-        self._has_items.set()
-
-    async def take(self) -> list[Input | ExtensionMessage]:
-        """Waits until there is something, and takes all of it."""
-        await self._has_items.wait()
-        batch = list(self._items)
-        self._items.clear()
-        self._has_items.clear()
-        return batch
-
 
 @dataclass(frozen=True, slots=True)
 class Effects:
-    """The objects that carry out orders which are not messages to proxies."""
+    """The sockets' owners, which carry out the orders that are not messages to proxies."""
 
     discovery: DiscoveryClient
     health_checker: HealthChecker
     gossip: GossipSocket
 
 
-class ControlLoopExtension(Protocol):
-    """A planner beside the routing policy, in the same task.
-
-    In each step it observes the inputs, may add inputs of its own, and may send messages to proxies once the
-    policy has decided.
-    """
-
-    async def start(self, stack: AsyncExitStack) -> None:
-        """Opens what the extension needs; `stack` closes it."""
-
-    def observe(self, now: float, item: Input | ExtensionMessage) -> None:
-        """Called with each input, before the policy decides."""
-
-    def collect_inputs(self, now: float) -> list[Input]:
-        """Inputs for the policy in this step."""
-        ...
-
-    def collect_messages(self, now: float, controller: RoutingController) -> Iterable[tuple[int, bytes]]:
-        """Messages to proxies, each with the proxy's number, after the policy has decided."""
-        ...
-
-
 def _ignore_loop_lag() -> None:
-    """For a manager without background work."""
+    """Stands in where there is no background work to pause."""
 
 
 def _ignore_state_change(change: StateChange) -> None:
-    """For a manager without plug-ins."""
+    """Stands in where no plug-in observes state changes."""
 
 
 class ControlLoop:
     """Owns the routing controller and its timers.
 
-    `on_loop_lag` is called when a batch or timer was late; `on_state_change` with each state change.
+    Extensions are called in the order given.  `on_loop_lag` is called where a batch or a timer was late,
+    `on_state_change` with each state change that the policy reports.
     """
 
     def __init__(
@@ -136,13 +82,11 @@
         self._effects = effects
         self._state_change_log = state_change_log
         self._extensions = list(extensions)
-        self._on_loop_lag = on_loop_lag
         self._on_state_change = on_state_change
         controller.channel_budget.extra_lines = dispatcher.count_added_lines
         self._clock = Clock()
-        self._last_timer = 0
-        self._timers: dict[int, asyncio.TimerHandle] = {}
-        self._worst_lag_s: dict[str, float] = {}  # by what was late
+        self._lag_monitor = LoopLagMonitor(on_loop_lag)
+        self._timers = PolicyTimers(input_queue.put, self._lag_monitor)
         self._effect_handlers: dict[type, Callable[[Any], None]] = {
             StartTimer: self._start_timer,
             WatchEndpoints: self._watch_endpoints,
@@ -160,10 +104,10 @@
             batch = await self._input_queue.take()
             started_at = time.monotonic()
             self.step(batch)
-            self._record_loop_lag("batch", time.monotonic() - started_at)
+            self._lag_monitor.record("batch", time.monotonic() - started_at)
 
-    def step(self, batch: list[Input | ExtensionMessage]) -> None:
-        """One batch: inputs in, the policy's orders carried out, messages sent."""
+    def step(self, batch: list[LoopInput]) -> None:
+        """Handles one batch: the policy decides on its inputs, then its orders and messages go out."""
         now = self._clock.now()
         inputs = self._collect_inputs(now, batch)
         self._dispatcher.track_proxies(inputs)
@@ -175,12 +119,10 @@
         self._send_messages(now)
 
     def close(self) -> None:
-        """Cancels the timers."""
-        for timer in self._timers.values():
-            timer.cancel()
-        self._timers.clear()
+        """Cancels the policy's timers; called once `run` has ended."""
+        self._timers.cancel_all()
 
-    def _collect_inputs(self, now: float, batch: list[Input | ExtensionMessage]) -> list[Input]:
+    def _collect_inputs(self, now: float, batch: list[LoopInput]) -> list[Input]:
         inputs = [item for item in batch if not isinstance(item, ExtensionMessage)]
         for extension in self._extensions:
             for item in batch:
@@ -211,21 +153,12 @@
                 self._sessions.send(proxy, data)
 
     def _start_timer(self, order: StartTimer) -> None:
-        """The policy can't cancel a timer, so each is kept by a number of its own until it is due."""
-        self._last_timer += 1
-        loop = asyncio.get_running_loop()
-        handle = loop.call_later(order.delay_s, self._timer_due, self._last_timer, order.token)
-        self._timers[self._last_timer] = handle
-
-    def _timer_due(self, timer: int, token: int) -> None:
-        due_at = self._timers.pop(timer).when()
-        self._record_loop_lag("timer", asyncio.get_running_loop().time() - due_at)
-        self._input_queue.put(TimerFired(token))
+        self._timers.start(order)
 
     def _watch_endpoints(self, order: WatchEndpoints) -> None:
         self._effects.discovery.set_watching(order.enabled)
 
-    def _fetch_endpoints(self, order: FetchEndpoints) -> None:
+    def _fetch_endpoints(self, _order: FetchEndpoints) -> None:
         self._effects.discovery.fetch()
 
     def _check_health(self, order: HealthCheck) -> None:
@@ -241,11 +174,3 @@
     def _log_admission(self, change: AdmissionChanged) -> None:
         self._state_change_log.admission_changed(change)
         self._on_state_change(change)
-
-    def _record_loop_lag(self, source: str, lag_s: float) -> None:
-        """Logs a batch that took longer, or a timer that came later, than all before by half."""
-        if lag_s > MIN_LOOP_LAG:
-            self._on_loop_lag()
-        if lag_s > max(MIN_LOOP_LAG, LAG_GROWTH * self._worst_lag_s.get(source, 0.0)):
-            self._worst_lag_s[source] = lag_s
-            self.log.info("loop_lag", source=source, duration_ms=round(lag_s * 1000, 1))
--- /dev/null
+++ b/cottonladder/control/control_loop_extension.py
@@ -0,0 +1,34 @@
+"""The interface of planners that run beside the routing policy, in the control loop's task."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from contextlib import AsyncExitStack
+from typing import Protocol
+
+from ..model.inputs import Input
+from ..policy.controller import RoutingController
+from .input_queue import LoopInput
+
+
+class ControlLoopExtension(Protocol):
+    """A planner beside the routing policy.
+
+    In each step of the control loop it observes the inputs, may add inputs of its own for the policy, and may
+    send messages to proxies once the policy has decided.  `now` is the control loop's clock, in seconds since
+    1970.
+    """
+
+    async def start(self, stack: AsyncExitStack) -> None:
+        """Opens what the extension needs; `stack` closes it."""
+
+    def observe(self, now: float, item: LoopInput) -> None:
+        """Called with each input, before the policy decides."""
+
+    def collect_inputs(self, now: float) -> list[Input]:
+        """Returns further inputs for the policy in this step."""
+        ...
+
+    def collect_messages(self, now: float, controller: RoutingController) -> Iterable[tuple[int, bytes]]:
+        """Yields messages to proxies, each with the proxy's number, after the policy has decided."""
+        ...
--- a/cottonladder/control/extensions.py
+++ b/cottonladder/control/extensions.py
@@ -14,7 +14,7 @@
 from ..model.state_changes import StateChange
 from ..protocol.discovery import DiscoveryClient
 from ..protocol.messages import MessageReader
-from .control_loop import ControlLoopExtension
+from .control_loop_extension import ControlLoopExtension
 
 if TYPE_CHECKING:
     from ..config.operator_config import OperatorConfig
@@ -71,7 +71,8 @@
     scheduler = BackgroundScheduler(random.Random(config.settings.parameters.seed).random)
     snapshots: SnapshotManager | None = None
     if operator.memory is not None:
-        from .snapshot_manager import SNAPSHOT_TASK, SnapshotManager
+        from .snapshot_folder import SNAPSHOT_TASK
+        from .snapshot_manager import SnapshotManager
 
         snapshots = SnapshotManager(operator.memory.folder, operator.memory.every, config, scheduler)
         await snapshots.start(stack)
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -11,7 +11,6 @@
 import structlog
 
 from ..config.manager_config import ManagerConfig
-from ..model.inputs import EndpointList
 from ..policy.controller import RoutingController
 from ..protocol.discovery import DiscoveryClient
 from ..protocol.gossip import GossipSocket
@@ -22,7 +21,7 @@
 from ..state.proxy_sessions import ProxySessions
 from . import signals
 from .connection_limits import connection_limits
-from .control_loop import ControlLoop, Effects, InputQueue
+from .control_loop import ControlLoop, Effects
 from .extensions import (
     BackgroundWork,
     Extensions,
@@ -30,7 +29,9 @@
     create_extensions,
     start_background_work,
 )
+from .input_queue import InputQueue
 from .reload import ConfigReloader
+from .starting_list import StartingList
 from .state_change_log import StateChangeLog
 
 if TYPE_CHECKING:
@@ -47,14 +48,14 @@
     messages = MessageReader(config.settings, config.workers.find_index)
     async with AsyncExitStack() as stack:
         background = await start_background_work(config, operator, stack)
-        list_version, known_endpoints = _starting_list(config, background)
-        effects = await _open_effects(config, limits, list_version, input_queue, stack)
+        known = _starting_list(config, background)
+        effects = await _open_effects(config, limits, known.version, input_queue, stack)
         extensions = create_extensions(config, operator, messages)
         for extension in extensions.in_order():
             await extension.start(stack)
         control_loop = _create_control_loop(config, input_queue, sessions, effects, extensions, background)
         stack.callback(control_loop.close)
-        control_loop.step([known_endpoints])  # from here on it can decide, so from here on it answers
+        control_loop.step([known.endpoints])  # from here on it can decide, so from here on it answers
         listener = StreamListener(messages, sessions, limits)
         stack.push_async_callback(listener.close)
         port = await listener.listen(*config.listen)
@@ -78,11 +79,11 @@
     return stop
 
 
-def _starting_list(config: ManagerConfig, background: BackgroundWork) -> tuple[int, EndpointList]:
-    """The list of endpoints to begin with, and its version: the snapshot's where there is one."""
+def _starting_list(config: ManagerConfig, background: BackgroundWork) -> StartingList:
+    """The newer of the snapshot's endpoint list and the configuration's."""
     if background.snapshots is not None:
-        return background.snapshots.restored_list_version, background.snapshots.known_endpoints
-    return config.list_version, config.known_endpoints
+        return background.snapshots.starting_list
+    return StartingList(config.list_version, config.known_endpoints)
 
 
 async def _open_effects(
--- /dev/null
+++ b/cottonladder/control/snapshot_folder.py
@@ -0,0 +1,69 @@
+"""The folder with a process's snapshots, whose faults are logged and never end the service."""
+
+from __future__ import annotations
+
+import os
+import time
+from collections.abc import Mapping
+from typing import Any
+
+import structlog
+
+from ..snapshots.store import Generation, SnapshotError, SnapshotStore
+
+SNAPSHOT_TASK = "snapshot"  # name of the background task that writes
+SNAPSHOT_CPU_SHARE = 0.05  # of a core that the background task may take
+
+
+class SnapshotFolder:
+    """Reads the newest snapshot at the start and writes later ones.
+
+    A folder that can't be read means a start without a snapshot.  A fault in writing is raised, and the
+    background scheduler tries again later.
+    """
+
+    def __init__(self, folder: str) -> None:
+        self.store = SnapshotStore(folder)
+        self.size_bytes = 0  # of the file written last
+        self._is_open = False
+        self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
+
+    def read(self) -> Generation | None:
+        """Returns the newest snapshot that can be used, or None; logs which of these."""
+        started_at = time.monotonic()
+        try:
+            self.store.open()
+            self._is_open = True
+            found = self.store.read_newest()
+        except SnapshotError as exc:
+            self.log.warning("snapshot_unreadable", reason=str(exc))
+            return None
+        quarantined = "; ".join(self.store.quarantine_messages) or "none"
+        self.store.quarantine_messages = []
+        if found is None:
+            self.log.info("snapshot_missing", quarantined=quarantined)
+            return None
+        self.log.info(
+            "snapshot_read",
+            generation=found.number,
+            age_s=round(time.time() - found.written_at, 1),
+            quarantined=quarantined,
+            duration_ms=round((time.monotonic() - started_at) * 1000, 1),
+        )
+        return found
+
+    def write(self, sections: Mapping[str, Any]) -> None:
+        """Writes a snapshot; blocks, so it is called in a thread.
+
+        The folder is opened again where it vanished, or where another process owned it before.
+        """
+        if not self._is_open or not os.path.isdir(self.store.folder):
+            self.store.close()
+            self._is_open = False
+            self.store.open()
+            self._is_open = True
+        self.size_bytes = self.store.write(sections, time.time())
+
+    def close(self) -> None:
+        """Releases the folder's lock."""
+        self.store.close()
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -1,36 +1,24 @@
-"""Keeps what a process learned: reads it at the start, writes it as a background task.
+"""Control-loop extension for snapshots: restores the last one at the start and writes new ones.
 
-Faults of the folder are never the service's: it goes on without, tries again with backoff (as any task that
-fails does), and tells of it in one line.  What a figure is worth is decided in `decisions.ageing`.
+How far an old figure still counts is decided in `planning.snapshot_staleness`.
 """
 
 from __future__ import annotations
 
 import asyncio
-import os
 import time
-from collections.abc import Awaitable, Callable, Iterator, Mapping
+from collections.abc import Awaitable, Callable, Iterator
 from contextlib import AsyncExitStack
 from typing import Any
 
 import structlog
 
 from ..config.manager_config import ManagerConfig
-from ..model.inputs import (
-    Endpoint,
-    EndpointList,
-    EndpointState,
-    Input,
-    ListUpdateKind,
-    RestoredState,
-    WorkerHistory,
-)
-from ..planning import snapshot_staleness as ageing
-from ..planning.advice_weighting import INITIAL_CREDIT
+from ..model.inputs import EndpointState, Input, RestoredState, WorkerHistory
 from ..planning.controller_views import collect_state
 from ..planning.priority_scheduling import TaskPlan
+from ..planning.snapshot_staleness import snapshot_age
 from ..policy.controller import RoutingController
-from ..protocol.messages import ExtensionMessage
 from ..snapshots.sections import (
     EndpointSnapshot,
     ManagerSnapshot,
@@ -38,185 +26,148 @@
     decode_section,
     encode_section,
 )
-from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 from .background_scheduler import BackgroundScheduler
+from .input_queue import LoopInput
+from .snapshot_folder import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
+from .snapshot_restore import restored_credits, restored_state, starting_list
+from .starting_list import StartingList
 
-SNAPSHOT_TASK = "snapshot"
-SNAPSHOT_CPU_SHARE = 0.05  # of a core that snapshots may take
-ENTRIES_PER_SLICE = 200  # workers or proxies a slice: a millisecond or two
-
-
-class SnapshotFolder:
-    """A store that may fail: opened again when it is next written."""
-
-    def __init__(self, folder: str) -> None:
-        self.store, self._is_open = SnapshotStore(folder), False
-        self.size_bytes = 0
-        self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-
-    def read(self) -> Generation | None:
-        """The newest generation that holds, or none, in one line."""
-        begun = time.monotonic()
-        try:
-            self.store.open()
-            self._is_open = True
-            found = self.store.read_newest()
-        except SnapshotError as exc:
-            self.log.warning("snapshot_unreadable", reason=str(exc))
-            return None
-        aside, self.store.quarantine_messages = "; ".join(self.store.quarantine_messages), []
-        if found is None:
-            self.log.info("snapshot_missing", quarantined=aside or "none")
-            return None
-        age = time.time() - found.written_at
-        self.log.info(
-            "snapshot_read",
-            generation=found.number,
-            age_s=round(age, 1),
-            quarantined=aside or "none",
-            duration_ms=round((time.monotonic() - begun) * 1000, 1),
-        )
-        return found
-
-    def write(self, sections: Mapping[str, Any]) -> None:
-        """In a thread.  A folder that vanished, or that another process owned, is opened anew."""
-        if not self._is_open or not os.path.isdir(self.store.folder):
-            self.store.close()
-            self._is_open = False
-            self.store.open()
-            self._is_open = True
-        self.size_bytes = self.store.write(sections, time.time())
-
-    def close(self) -> None:
-        self.store.close()
+SECTION = "manager"  # of a snapshot file
+SNAPSHOT_PRIORITY = 3  # among background tasks; 0 runs first
+ENTRIES_PER_SLICE = 200  # workers or proxies; keeps a slice to a millisecond or two
 
 
 class SnapshotManager:
-    """The manager's: beside the ladder, hands it the earlier life with the first list."""
+    """Owns a manager's snapshot folder.
+
+    The snapshot is read when the object is made, and the state restored from it is the first step's input.
+    `current_list_version` and `current_credits` are set by whoever knows them.
+    """
 
     def __init__(
         self, folder: str, interval_s: float, config: ManagerConfig, scheduler: BackgroundScheduler
     ) -> None:
-        self._folder, self._workers, self._scheduler = SnapshotFolder(folder), config.workers, scheduler
+        self._folder = SnapshotFolder(folder)
+        self._workers = config.workers
+        self._scheduler = scheduler
         self._interval_s = interval_s
         self._controller: RoutingController | None = None
-        self._was_restored = False
-        self._restored_state: RestoredState | None = None
-        self.restored_list_version, self.known_endpoints = config.list_version, config.known_endpoints
-        self._zone_count = config.settings.parameters.zone_count
+        self._restored_state: RestoredState | None = None  # until the first step has taken it
+        self._starting_list = StartingList(config.list_version, config.known_endpoints)
         self.restored_credits: dict[str, float] = {}
-        self.current_list_version: Callable[[], int] = lambda: self.restored_list_version
+        self.current_list_version: Callable[[], int] = lambda: self._starting_list.version
         self.current_credits: Callable[[], dict[str, float]] = dict
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self._restore()
+        self._restore(config)
 
-    def _restore(self) -> None:
-        found = self._folder.read()
-        if found is None:
-            return
-        life, why = decode_section("manager", found.sections, ManagerSnapshot)
-        if life is None:
-            self.log.warning("snapshot_rejected", reason=why or "no section manager")
-            return
-        age = ageing.snapshot_age(found.written_at, time.time())
-        self._restore_endpoints(life)
-        ids = {w.id: self._workers.find_index(w.id.encode()) for w in life.workers}
-        pasts = tuple(
-            WorkerHistory(be, w.started_at, w.base_latency_s, w.latency_factor, w.was_ejected, w.was_draining)
-            for w in life.workers
-            if (be := ids[w.id]) is not None
-        )
-        life_then = RestoredState(life.last_checkpoint % 65536, pasts, tuple(life.proxy_rates.items()))
-        self._restored_state = ageing.discount(life_then, age)
-        self.restored_credits = {
-            name: ageing.discounted_credit(value, INITIAL_CREDIT, age)
-            for name, value in life.advisor_credits.items()
-        }
-
-    def _restore_endpoints(self, life: ManagerSnapshot) -> None:
-        """The list that the earlier life had, where it is newer than the one in the configuration."""
-        if life.list_version <= self.restored_list_version:
-            return
-        entries = [e for e in life.endpoints if 0 <= e.zone < self._zone_count and e.state in (0, 1) and e.id]
-        self.known_endpoints = EndpointList(
-            ListUpdateKind.CACHED,
-            tuple(
-                Endpoint(
-                    self._workers.register(e.id, e.address, e.started_at),
-                    e.zone,
-                    EndpointState(e.state),
-                    e.weight,
-                    e.started_at,
-                )
-                for e in entries
-            ),
-        )
-        self.restored_list_version = life.list_version
+    @property
+    def starting_list(self) -> StartingList:
+        """The endpoint list to start from: the snapshot's, or the configuration's where that is newer."""
+        return self._starting_list
 
     async def start(self, stack: AsyncExitStack) -> None:
+        """Adds the background task that writes snapshots; `stack` closes the folder."""
         stack.callback(self._folder.close)
-        self._scheduler.add(
-            TaskPlan(
-                SNAPSHOT_TASK,
-                self._interval_s,
-                priority=3,
-                cpu_fraction=SNAPSHOT_CPU_SHARE,
-                deadline_s=self._interval_s,
-            ),
-            self._snapshot,
+        plan = TaskPlan(
+            SNAPSHOT_TASK,
+            self._interval_s,
+            priority=SNAPSHOT_PRIORITY,
+            cpu_fraction=SNAPSHOT_CPU_SHARE,
+            deadline_s=self._interval_s,
         )
+        self._scheduler.add(plan, self._write_snapshot)
 
-    def observe(self, now: float, item: Input | ExtensionMessage) -> None:
-        """It asks the ladder, not the inputs."""
+    def observe(self, now: float, item: LoopInput) -> None:
+        """Does nothing: snapshots are taken from the controller, not from its inputs."""
 
-    def collect_inputs(self, now: float) -> list[Input]:
-        if self._was_restored or self._restored_state is None:
+    def collect_inputs(self, _now: float) -> list[Input]:
+        """The restored state in the first step, nothing afterwards."""
+        restored = self._restored_state
+        if restored is None:
             return []
-        self._was_restored = True
-        life, self._restored_state = self._restored_state, None
-        out = sum(past.was_ejected for past in life.workers)
-        leaving = sum(past.was_draining for past in life.workers)
-        self.log.info("snapshot_restored", workers=len(life.workers), ejected=out, draining=leaving)
-        return [life]
-
-    def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
+        self._restored_state = None
+        self.log.info(
+            "snapshot_restored",
+            worker_count=len(restored.workers),
+            ejected_count=sum(history.was_ejected for history in restored.workers),
+            draining_count=sum(history.was_draining for history in restored.workers),
+        )
+        return [restored]
+
+    def collect_messages(self, _now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
+        """Sends nothing; keeps the controller that the next snapshot is taken from."""
         self._controller = controller
         yield from ()
 
-    def _snapshot(self) -> Iterator[Awaitable[Any] | None]:
-        """In slices of some ms; the file is written by a thread."""
-        if (ladder := self._controller) is None:
+    def _restore(self, config: ManagerConfig) -> None:
+        found = self._folder.read()
+        if found is None:
             return
-        ids, workers, listed = self._workers.ids, list[WorkerSnapshot](), list[EndpointSnapshot]()
-        bes, proxies, rates, mark = (
-            list(ladder.fleet.workers),
-            list(ladder.fleet.proxies),
-            dict[int, float](),
-            0,
-        )
+        snapshot, reason = decode_section(SECTION, found.sections, ManagerSnapshot)
+        if snapshot is None:
+            self.log.warning("snapshot_rejected", reason=reason or f"no section {SECTION}")
+            return
+        age_s = snapshot_age(found.written_at, time.time())
+        self._starting_list = starting_list(config, snapshot)  # first, as it registers workers
+        self._restored_state = restored_state(snapshot, config.workers, age_s)
+        self.restored_credits = restored_credits(snapshot, age_s)
+
+    def _write_snapshot(self) -> Iterator[Awaitable[Any] | None]:
+        """The background task: collects in slices, then has a thread write the file."""
+        controller = self._controller
+        if controller is None:
+            return
+        workers: list[WorkerSnapshot] = []
+        endpoints: list[EndpointSnapshot] = []
+        proxy_rates: dict[int, float] = {}
+        last_checkpoint = 0
+        worker_indices = list(controller.fleet.workers)
+        proxies = list(controller.fleet.proxies)
         yield None
-        for n in range(0, len(bes), ENTRIES_PER_SLICE):
-            for p in collect_state(ladder, bes[n : n + ENTRIES_PER_SLICE], ()).workers:
-                if (name := ids.get(p.worker_index)) is None or (
-                    be := ladder.fleet.workers.get(p.worker_index)
-                ) is None:
-                    continue
-                word = name.decode()
-                workers.append(
-                    WorkerSnapshot(
-                        word, p.started_at, p.base_latency_s, p.latency_factor, p.was_ejected, p.was_draining
-                    )
-                )
-                mode = EndpointState.DRAINING if p.was_draining else EndpointState.READY
-                place = self._workers.address_of(p.worker_index)
-                listed.append(EndpointSnapshot(word, place, be.zone, int(mode), be.weight, p.started_at))
+        for first in range(0, len(worker_indices), ENTRIES_PER_SLICE):
+            chunk = worker_indices[first : first + ENTRIES_PER_SLICE]
+            for history in collect_state(controller, chunk, ()).workers:
+                if self._workers.is_known(history.worker_index):
+                    workers.append(self._worker_snapshot(history))
+                    endpoints.append(self._endpoint_snapshot(controller, history))
             yield None
-        for n in range(0, len(proxies) + 1, ENTRIES_PER_SLICE):
-            life = collect_state(ladder, (), proxies[n : n + ENTRIES_PER_SLICE])
-            rates.update(life.proxy_rates)
-            mark = life.last_checkpoint
+        for first in range(0, len(proxies) + 1, ENTRIES_PER_SLICE):  # once at least, for the checkpoint
+            chunk = proxies[first : first + ENTRIES_PER_SLICE]
+            state = collect_state(controller, (), chunk)
+            proxy_rates.update(state.proxy_rates)
+            last_checkpoint = state.last_checkpoint
             yield None
-        section = ManagerSnapshot(
-            mark, workers, rates, self.current_list_version(), listed, self.current_credits()
+        snapshot = ManagerSnapshot(
+            last_checkpoint,
+            workers,
+            proxy_rates,
+            self.current_list_version(),
+            endpoints,
+            self.current_credits(),
+        )
+        yield asyncio.to_thread(self._encode_and_write, snapshot)
+
+    def _worker_snapshot(self, history: WorkerHistory) -> WorkerSnapshot:
+        return WorkerSnapshot(
+            self._workers.ids[history.worker_index].decode(),
+            history.started_at,
+            history.base_latency_s,
+            history.latency_factor,
+            history.was_ejected,
+            history.was_draining,
         )
-        yield asyncio.to_thread(lambda: self._folder.write({"manager": encode_section("manager", section)}))
+
+    def _endpoint_snapshot(self, controller: RoutingController, history: WorkerHistory) -> EndpointSnapshot:
+        worker = controller.fleet.workers[history.worker_index]
+        state = EndpointState.DRAINING if history.was_draining else EndpointState.READY
+        return EndpointSnapshot(
+            self._workers.ids[history.worker_index].decode(),
+            self._workers.address_of(history.worker_index),
+            worker.zone,
+            int(state),
+            worker.weight,
+            history.started_at,
+        )
+
+    def _encode_and_write(self, snapshot: ManagerSnapshot) -> None:
+        self._folder.write({SECTION: encode_section(SECTION, snapshot)})
--- /dev/null
+++ b/cottonladder/control/snapshot_restore.py
@@ -0,0 +1,71 @@
+"""What of an earlier incarnation's snapshot a manager starts from."""
+
+from __future__ import annotations
+
+from ..config.manager_config import ManagerConfig
+from ..model.inputs import (
+    Endpoint,
+    EndpointList,
+    EndpointState,
+    ListUpdateKind,
+    RestoredState,
+    WorkerHistory,
+)
+from ..model.line_account import CHECKPOINT_NUMBERS
+from ..planning.advice_weighting import INITIAL_CREDIT
+from ..planning.snapshot_staleness import discount, discounted_credit
+from ..snapshots.sections import EndpointSnapshot, ManagerSnapshot
+from ..state.worker_registry import WorkerRegistry
+from .starting_list import StartingList
+
+STORED_STATES = (EndpointState.READY, EndpointState.DRAINING)  # that an endpoint of a snapshot may have
+
+
+def starting_list(config: ManagerConfig, snapshot: ManagerSnapshot) -> StartingList:
+    """The snapshot's list where it is newer than the configuration's; registers its workers."""
+    if snapshot.list_version <= config.list_version:
+        return StartingList(config.list_version, config.known_endpoints)
+    zone_count = config.settings.parameters.zone_count
+    endpoints = tuple(
+        _restored_endpoint(stored, config.workers)
+        for stored in snapshot.endpoints
+        if stored.id and 0 <= stored.zone < zone_count and stored.state in STORED_STATES
+    )
+    return StartingList(snapshot.list_version, EndpointList(ListUpdateKind.CACHED, endpoints))
+
+
+def restored_state(snapshot: ManagerSnapshot, workers: WorkerRegistry, age_s: float) -> RestoredState:
+    """The snapshot's knowledge of workers and proxies that is still of use after `age_s` seconds.
+
+    Workers that no list has named since are left out.
+    """
+    histories: list[WorkerHistory] = []
+    for stored in snapshot.workers:
+        worker_index = workers.find_index(stored.id.encode())
+        if worker_index is not None:
+            histories.append(
+                WorkerHistory(
+                    worker_index,
+                    stored.started_at,
+                    stored.base_latency_s,
+                    stored.latency_factor,
+                    stored.was_ejected,
+                    stored.was_draining,
+                )
+            )
+    last_checkpoint = snapshot.last_checkpoint % CHECKPOINT_NUMBERS
+    proxy_rates = tuple(snapshot.proxy_rates.items())
+    return discount(RestoredState(last_checkpoint, tuple(histories), proxy_rates), age_s)
+
+
+def restored_credits(snapshot: ManagerSnapshot, age_s: float) -> dict[str, float]:
+    """The credit of each weight advisor after `age_s` seconds."""
+    return {
+        advisor: discounted_credit(credit, INITIAL_CREDIT, age_s)
+        for advisor, credit in snapshot.advisor_credits.items()
+    }
+
+
+def _restored_endpoint(stored: EndpointSnapshot, workers: WorkerRegistry) -> Endpoint:
+    worker_index = workers.register(stored.id, stored.address, stored.started_at)
+    return Endpoint(worker_index, stored.zone, EndpointState(stored.state), stored.weight, stored.started_at)
--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -11,7 +11,7 @@
 from ..config.operator_config import OperatorConfig, SnapshotConfig
 from ..control.admin_socket import AdminSocket
 from ..control.background_scheduler import BackgroundScheduler
-from ..control.snapshot_manager import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
+from ..control.snapshot_folder import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
 from ..planning.priority_scheduling import TaskPlan
 from ..planning.snapshot_staleness import snapshot_age
 from ..snapshots.sections import ForwarderSnapshot, decode_section, encode_section
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -23,7 +23,7 @@
 from cottonladder.config.errors import InputError
 from cottonladder.config.manager_config import read_manager_config
 from cottonladder.control import manager
-from cottonladder.control.control_loop import Clock
+from cottonladder.control.clock import Clock
 from cottonladder.model.inputs import EndpointList, GossipReceived, Input, ListUpdateKind, TimerFired
 from cottonladder.model.orders import Order
 from cottonladder.policy.controller import RoutingController
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -69,7 +69,7 @@
         again = await self.manager(known=known)  # the configuration's list is an old one
         self.stack.push_async_callback(again.stop)
         line = await again.logged("snapshot_restored")
-        self.assertIn("draining=1", line)
+        self.assertIn("draining_count=1", line)
         proxy_table = await self.table(again)
         self.assertNotIn("s-1", proxy_table)
         self.assertIn("s-0", proxy_table)
--- a/tests/support/wire_fleet.py
+++ b/tests/support/wire_fleet.py
@@ -23,7 +23,8 @@
 from cottonladder.config.operator_config import UpgradesConfig
 from cottonladder.control.background_scheduler import BackgroundScheduler
 from cottonladder.control.connection_migrator import ConnectionMigrator
-from cottonladder.control.control_loop import ControlLoop, Effects, InputQueue
+from cottonladder.control.control_loop import ControlLoop, Effects
+from cottonladder.control.input_queue import InputQueue
 from cottonladder.control.snapshot_manager import SnapshotManager
 from cottonladder.control.state_change_log import StateChangeLog
 from cottonladder.model.inputs import (
@@ -177,7 +178,7 @@
         self.owner._clock = cast(Any, self.clock)
         self.held: dict[int, dict[int, list[int]]] = defaultdict(dict)  # connections by proxy and worker
         self.list_version = 1
-        self.batch: list[Input | ExtensionMessage] = [self.keeper.known_endpoints]
+        self.batch: list[Input | ExtensionMessage] = [self.keeper.starting_list.endpoints]
 
     async def start(self, stack: AsyncExitStack) -> None:
         await self.keeper.start(stack)
