--- a/cottonladder/protocol/protocol_connection.py
+++ b/cottonladder/protocol/protocol_connection.py
@@ -6,25 +6,24 @@
 import time
 from collections.abc import Callable
 from enum import Enum
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
 from ..config.errors import InputError
 from ..model.inputs import Acknowledged, ArrivalReport, Input, LoadReport, ProxyConnected
 from .errors import MessageError, ProtocolError
+from .fault_log import RateLimitedFaultLog
 from .message_fields import printable
 from .messages import (
     PONG,
     CollectorConnected,
     ExtensionMessage,
     IncomingMessage,
+    MessageReader,
     Ping,
     UnlistedWorkerReport,
 )
 from .resp import MAX_MESSAGE_SIZE, RespReader
 
-if TYPE_CHECKING:
-    from .stream_listener import StreamListener
-
 MAX_FIRST_MESSAGE_SIZE = 4096  # bytes of a message of an unidentified connection: the first ones are short
 ENDED_BY_PEER = "ended by the other side"
 
@@ -38,10 +37,50 @@
     SUPERSEDED = "old"  # another connection of its proxy took its place
 
 
+class StreamEvents(Protocol):
+    """Receives what identified connections deliver; the calls must not block."""
+
+    def proxy_connected(self, connection: ProtocolConnection, event: ProxyConnected) -> None:
+        """A connection has said which proxy it belongs to."""
+
+    def connection_ended(self, connection: ProtocolConnection) -> None:
+        """A proxy's connection is closed."""
+
+    def input_received(self, item: Input | ExtensionMessage) -> None:
+        """A report, an acknowledgement or a message of an extension has arrived."""
+
+
+class ConnectionOwner(Protocol):
+    """What a connection needs of the listener that accepted it."""
+
+    reader: MessageReader
+    events: StreamEvents
+    rejected_messages: RateLimitedFaultLog
+
+    @property
+    def max_unread_bytes(self) -> int:
+        """Bytes that one peer may leave unread before its connection is ended."""
+
+    def connection_opened(self, connection: ProtocolConnection) -> None:
+        """The connection is accepted and not yet identified."""
+
+    def connection_identified(self, connection: ProtocolConnection, client: str) -> None:
+        """The connection has said whose it is; `client` names it in the log."""
+
+    def mark_superseded(self, connection: ProtocolConnection) -> None:
+        """A newer connection of the same proxy has taken this one's place."""
+
+    def connection_closed(self, connection: ProtocolConnection, reason: str) -> None:
+        """The connection has ended, by either side."""
+
+
 class ProtocolConnection(asyncio.Protocol):
-    """One accepted connection."""
+    """Frames the bytes of one accepted connection and handles each message by the connection's state.
+
+    `proxy` and `zone` are indices, -1 until the connection has identified itself.
+    """
 
-    def __init__(self, listener: StreamListener) -> None:
+    def __init__(self, listener: ConnectionOwner) -> None:
         self.listener = listener
         self.state = ConnectionState.UNIDENTIFIED
         self.proxy = -1
@@ -106,7 +145,7 @@
         if transport is None or transport.is_closing():
             return
         unread_bytes = transport.get_write_buffer_size()
-        limit = self.listener.limits.max_unread_bytes
+        limit = self.listener.max_unread_bytes
         if unread_bytes and unread_bytes + len(data) > limit:  # a single message may be larger
             self.abort(f"left {unread_bytes} bytes unread")
         else:
--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -5,14 +5,12 @@
 import asyncio
 import socket
 from dataclasses import dataclass
-from typing import Protocol
 
 import structlog
 
-from ..model.inputs import Input, ProxyConnected
 from .fault_log import RateLimitedFaultLog
-from .messages import ExtensionMessage, MessageReader
-from .protocol_connection import ConnectionState, ProtocolConnection
+from .messages import MessageReader
+from .protocol_connection import ConnectionState, ProtocolConnection, StreamEvents
 
 # Connections at least that the kernel holds until they are accepted: all parties may dial at once.
 ACCEPT_QUEUE_LENGTH = 1024
@@ -23,19 +21,6 @@
 STOP_REASON = "the manager stops"
 
 
-class StreamEvents(Protocol):
-    """Receives what comes in; never waited for."""
-
-    def proxy_connected(self, connection: ProtocolConnection, event: ProxyConnected) -> None:
-        """A connection has said which proxy it belongs to."""
-
-    def connection_ended(self, connection: ProtocolConnection) -> None:
-        """A proxy's connection is closed."""
-
-    def input_received(self, item: Input | ExtensionMessage) -> None:
-        """A report, an acknowledgement or a message of an extension."""
-
-
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
     """What the limits of machine and process leave for each use; computed in `control/manager`."""
@@ -72,6 +57,11 @@
         self._server: asyncio.Server | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
 
+    @property
+    def max_unread_bytes(self) -> int:
+        """Bytes that one peer may leave unread, by the limits that hold now."""
+        return self.limits.max_unread_bytes
+
     async def listen(self, host: str, port: int) -> int:
         """Starts to accept connections; gives the port.
 
