--- a/cottonladder/cli/configuration.py
+++ b/cottonladder/cli/configuration.py
@@ -5,16 +5,17 @@
 from typing import TYPE_CHECKING
 
 from ..config.errors import InputError
-from ..config.manager_config import ManagerConfig, read_manager_config
+from ..control.startup_config import StartupConfig, read_startup_config
 from .errors import BadInputError
 
 if TYPE_CHECKING:
     from ..config.operator_config import OperatorConfig
 
 
-def load_manager_config(path: str) -> ManagerConfig:
+def load_startup_config(path: str) -> StartupConfig:
+    """Reads the manager's file and registers the workers that it lists."""
     try:
-        return read_manager_config(path)
+        return read_startup_config(path)
     except InputError as exc:
         raise BadInputError(str(exc)) from exc
 
--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -13,8 +13,9 @@
 from ..control import signals
 from ..control.manager import serve as serve_manager
 from ..control.reload import unchangeable_fields
+from ..control.startup_config import StartupConfig
 from ..protocol.messages import PING, PONG
-from .configuration import load_manager_config, load_operator_config
+from .configuration import load_operator_config, load_startup_config
 from .errors import BadInputError, CommandError
 from .options import CONFIG, OPERATOR_CONFIG
 from .serving import configure_logging, serve_then_block_signals
@@ -30,9 +31,9 @@
     """Serve proxies until SIGTERM; SIGHUP reloads the configuration."""
     configure_logging()
     signals.config_is_read_now()
-    manager_config = load_manager_config(config_path)
+    startup_config = load_startup_config(config_path)
     operator_config = load_operator_config(operator_path)
-    asyncio.run(serve_then_block_signals(serve_manager(manager_config, config_path, operator_config)))
+    asyncio.run(serve_then_block_signals(serve_manager(startup_config, config_path, operator_config)))
 
 
 @click.command()
@@ -48,10 +49,10 @@
         _check_operator_config(operator_path)
         if not config_path:
             return
-    manager_config = load_manager_config(config_path)
+    startup_config = load_startup_config(config_path)
     if running_path:
-        _check_reload(load_manager_config(running_path), manager_config)
-    click.echo(_summary(manager_config))
+        _check_reload(load_startup_config(running_path).manager, startup_config.manager)
+    click.echo(_summary(startup_config))
 
 
 def _check_operator_config(path: str) -> None:
@@ -71,11 +72,11 @@
         raise CommandError(f"a reload would not change: {', '.join(fixed)}")
 
 
-def _summary(config: ManagerConfig) -> str:
+def _summary(config: StartupConfig) -> str:
     parameters = config.settings.parameters
-    host, port = config.listen
+    host, port = config.manager.listen
     return (
-        f"{config.name}: listens on {host}:{port}, "
+        f"{config.manager.name}: listens on {host}:{port}, "
         f"{parameters.proxy_count} proxies in {parameters.zone_count} zones, "
         f"{len(config.known_endpoints.endpoints)} workers known (version {config.list_version}), "
         f"{parameters.manager_count} managers"
--- a/cottonladder/control/extensions.py
+++ b/cottonladder/control/extensions.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ..config.manager_config import ManagerConfig
 from ..model.state_changes import StateChange
 from ..protocol.discovery import DiscoveryClient
 from ..protocol.messages import MessageReader
 from .control_loop import ControlLoopExtension
+from .startup_config import StartupConfig
 
 if TYPE_CHECKING:
     from ..config.operator_config import OperatorConfig
@@ -58,7 +58,7 @@
 
 
 async def start_background_work(
-    config: ManagerConfig, operator: OperatorConfig | None, stack: AsyncExitStack
+    config: StartupConfig, operator: OperatorConfig | None, stack: AsyncExitStack
 ) -> BackgroundWork:
     """Starts the scheduler where something needs it; reads the last snapshot; opens the admin socket."""
     if operator is None or not (operator.memory or operator.control):
@@ -85,7 +85,7 @@
 
 
 def create_extensions(
-    config: ManagerConfig, operator: OperatorConfig | None, messages: MessageReader
+    config: StartupConfig, operator: OperatorConfig | None, messages: MessageReader
 ) -> Extensions:
     """The extensions that `operator` names, not yet started."""
     extensions = Extensions()
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -10,7 +10,6 @@
 
 import structlog
 
-from ..config.manager_config import ManagerConfig
 from ..model.inputs import EndpointList
 from ..policy.controller import RoutingController
 from ..protocol.discovery import DiscoveryClient
@@ -31,17 +30,18 @@
     start_background_work,
 )
 from .reload import ConfigReloader
+from .startup_config import StartupConfig
 from .state_change_log import StateChangeLog
 
 if TYPE_CHECKING:
     from ..config.operator_config import OperatorConfig
 
 
-async def serve(config: ManagerConfig, config_path: str, operator: OperatorConfig | None = None) -> None:
+async def serve(config: StartupConfig, config_path: str, operator: OperatorConfig | None = None) -> None:
     """Runs one manager until SIGTERM or SIGINT; a fault of the policy is raised from here."""
     log: structlog.stdlib.BoundLogger = structlog.get_logger()
     stop = _stop_event()
-    limits = connection_limits(config)
+    limits = connection_limits(config.manager)
     input_queue = InputQueue()
     sessions = ProxySessions(input_queue.put)
     messages = MessageReader(config.settings, config.workers.find_index)
@@ -57,16 +57,16 @@
         control_loop.step([known_endpoints])  # from here on it can decide, so from here on it answers
         listener = StreamListener(messages, sessions, limits)
         stack.push_async_callback(listener.close)
-        port = await listener.listen(*config.listen)
-        log.info("serving", name=config.name, host=config.listen[0], port=port)
-        reloader = ConfigReloader(config_path, config, effects.discovery, listener)
+        port = await listener.listen(*config.manager.listen)
+        log.info("serving", name=config.manager.name, host=config.manager.listen[0], port=port)
+        reloader = ConfigReloader(config_path, config.manager, effects.discovery, listener)
         stack.callback(reloader.close)
         _reload_on_signal(reloader)
         running = await stack.enter_async_context(_owned_task(control_loop.run()))
         await _wait_for_first(running, stop)
         if running.done():
             running.result()  # raises what ended it
-        log.info("stopping", name=config.name)
+        log.info("stopping", name=config.manager.name)
 
 
 def _stop_event() -> asyncio.Event:
@@ -78,7 +78,7 @@
     return stop
 
 
-def _starting_list(config: ManagerConfig, background: BackgroundWork) -> tuple[int, EndpointList]:
+def _starting_list(config: StartupConfig, background: BackgroundWork) -> tuple[int, EndpointList]:
     """The list of endpoints to begin with, and its version: the snapshot's where there is one."""
     if background.snapshots is not None:
         return background.snapshots.restored_list_version, background.snapshots.known_endpoints
@@ -86,7 +86,7 @@
 
 
 async def _open_effects(
-    config: ManagerConfig,
+    config: StartupConfig,
     limits: ConnectionLimits,
     list_version: int,
     input_queue: InputQueue,
@@ -94,20 +94,24 @@
 ) -> Effects:
     """Discovery client, health checks and gossip; their results come back through the queue."""
     settings, workers = config.settings, config.workers
-    discovery = DiscoveryClient(config.discovery, settings, workers.register, input_queue.put, list_version)
+    discovery = DiscoveryClient(
+        config.manager.discovery, settings, workers.register, input_queue.put, list_version
+    )
     stack.push_async_callback(discovery.close)
     path = "/load" if settings.load_reports else "/healthz"
     health_checker = HealthChecker(path, limits.max_health_checks, workers.address_of, input_queue.put)
     stack.push_async_callback(health_checker.close)
-    gossip = GossipSocket(settings.manager_index, config.peers, config.peers_all, input_queue.put)
+    gossip = GossipSocket(
+        settings.manager_index, config.manager.peers, config.manager.peers_all, input_queue.put
+    )
     stack.callback(gossip.close)
-    if config.peer_listen is not None:
-        await gossip.listen(config.peer_listen)
+    if config.manager.peer_listen is not None:
+        await gossip.listen(config.manager.peer_listen)
     return Effects(discovery, health_checker, gossip)
 
 
 def _create_control_loop(
-    config: ManagerConfig,
+    config: StartupConfig,
     input_queue: InputQueue,
     sessions: ProxySessions,
     effects: Effects,
--- a/cottonladder/control/reload.py
+++ b/cottonladder/control/reload.py
@@ -7,10 +7,11 @@
 import structlog
 
 from ..config.errors import InputError
-from ..config.manager_config import ManagerConfig, read_manager_config
+from ..config.manager_config import ManagerConfig
 from ..protocol.discovery import DiscoveryClient
 from ..protocol.stream_listener import StreamListener
 from .connection_limits import connection_limits
+from .startup_config import read_startup_config
 
 FIXED_FIELDS = ("name", "listen", "peer_listen", "peers", "peers_all", "settings")  # until the program ends
 
@@ -46,7 +47,7 @@
         if self._closed:
             return
         try:
-            new = read_manager_config(self._path)
+            new = read_startup_config(self._path).manager
         except InputError as exc:
             self.log.error("config_rejected", reason=str(exc))
             return
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -15,7 +15,6 @@
 
 import structlog
 
-from ..config.manager_config import ManagerConfig
 from ..model.inputs import (
     Endpoint,
     EndpointList,
@@ -40,6 +39,7 @@
 )
 from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 from .background_scheduler import BackgroundScheduler
+from .startup_config import StartupConfig
 
 SNAPSHOT_TASK = "snapshot"
 SNAPSHOT_CPU_SHARE = 0.05  # of a core that snapshots may take
@@ -95,7 +95,7 @@
     """The manager's: beside the ladder, hands it the earlier life with the first list."""
 
     def __init__(
-        self, folder: str, interval_s: float, config: ManagerConfig, scheduler: BackgroundScheduler
+        self, folder: str, interval_s: float, config: StartupConfig, scheduler: BackgroundScheduler
     ) -> None:
         self._folder, self._workers, self._scheduler = SnapshotFolder(folder), config.workers, scheduler
         self._interval_s = interval_s
--- /dev/null
+++ b/cottonladder/control/startup_config.py
@@ -0,0 +1,40 @@
+"""What a manager starts from: its file, and the workers that the file lists, registered."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..config.deployment import DeploymentSettings
+from ..config.manager_config import WHERE, ManagerConfig, ManagerFile, overflows_as_config_errors
+from ..model.inputs import EndpointList, ListUpdateKind
+from ..protocol.endpoint_list import read_endpoint_list
+from ..state.worker_registry import WorkerRegistry
+
+
+@dataclass(frozen=True, slots=True)
+class StartupConfig:
+    """The manager's configuration, with the last known endpoint list and the registry of its workers."""
+
+    manager: ManagerConfig
+    workers: WorkerRegistry
+    list_version: int
+    known_endpoints: EndpointList
+
+    @property
+    def settings(self) -> DeploymentSettings:
+        """The deployment's settings."""
+        return self.manager.settings
+
+
+def read_startup_config(path: str) -> StartupConfig:
+    """The file at `path`; an InputError names its first fault: of the settings, the known list, the rest."""
+    file = ManagerFile.load(path)
+    with overflows_as_config_errors():
+        settings = file.read_settings()
+        workers = WorkerRegistry()
+        list_version, known = read_endpoint_list(
+            file.known_list(), settings, workers.register, f"{WHERE}: known"
+        )
+        manager = file.read_manager_config(settings)
+    cached = EndpointList(ListUpdateKind.CACHED, known.endpoints)
+    return StartupConfig(manager, workers, list_version, cached)
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -15,7 +15,7 @@
 
 from cottonladder.config.deployment import read_settings
 from cottonladder.config.errors import InputError
-from cottonladder.config.manager_config import read_manager_config
+from cottonladder.control.startup_config import read_startup_config
 from cottonladder.model.inputs import (
     Acknowledged,
     ArrivalReport,
@@ -191,7 +191,7 @@
                 (folder / "config.json").write_text(json.dumps(body))
                 with self.subTest(place=place, value=value):
                     try:
-                        placement = read_manager_config(str(folder / "config.json"))
+                        placement = read_startup_config(str(folder / "config.json"))
                     except InputError as exc:
                         self.assertNotIn("\n", str(exc))
                         self.assertRegex(str(exc), "field|not JSON|object|zone|address|unknown")
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -21,9 +21,9 @@
 from cottonladder.cli import main as cli
 from cottonladder.config.deployment import read_settings
 from cottonladder.config.errors import InputError
-from cottonladder.config.manager_config import read_manager_config
 from cottonladder.control import manager
 from cottonladder.control.control_loop import Clock
+from cottonladder.control.startup_config import read_startup_config
 from cottonladder.model.inputs import EndpointList, GossipReceived, Input, ListUpdateKind, TimerFired
 from cottonladder.model.orders import Order
 from cottonladder.policy.controller import RoutingController
@@ -407,7 +407,7 @@
 
     async def test_a_fault_of_the_module_is_not_swallowed(self) -> None:
         program = await self.serving()
-        placement = read_manager_config(str(program.folder / "config.json"))
+        placement = read_startup_config(str(program.folder / "config.json"))
         await program.stop()
 
         class Faulty(RoutingController):
--- a/tests/control/test_signal_races.py
+++ b/tests/control/test_signal_races.py
@@ -17,8 +17,8 @@
 from typing import cast
 from unittest import mock
 
-from cottonladder.config.manager_config import read_manager_config
 from cottonladder.control.reload import ConfigReloader
+from cottonladder.control.startup_config import read_startup_config
 from cottonladder.protocol.resp import encode
 from tests.support.manager_program import ManagerProgram
 from tests.support.manager_test_case import ManagerTestCase
@@ -139,11 +139,11 @@
 
     async def test_a_reload_after_close_does_nothing(self) -> None:
         program = await self.serving()
-        placement = read_manager_config(str(program.folder / "config.json"))
+        placement = read_startup_config(str(program.folder / "config.json"))
         program.config["discovery"] = await self.start_http_server(ScriptedDiscovery().handle)
         (program.folder / "config.json").write_text(json.dumps(program.config))
         follower, where = mock.Mock(), mock.Mock()
-        reload = ConfigReloader(str(program.folder / "config.json"), placement, follower, where)
+        reload = ConfigReloader(str(program.folder / "config.json"), placement.manager, follower, where)
         reload.close()
         reload()
         follower.change_address.assert_not_called()
--- a/tests/support/wire_fleet.py
+++ b/tests/support/wire_fleet.py
@@ -19,12 +19,12 @@
 from typing import Any, cast
 from unittest import mock
 
-from cottonladder.config.manager_config import read_manager_config
 from cottonladder.config.operator_config import UpgradesConfig
 from cottonladder.control.background_scheduler import BackgroundScheduler
 from cottonladder.control.connection_migrator import ConnectionMigrator
 from cottonladder.control.control_loop import ControlLoop, Effects, InputQueue
 from cottonladder.control.snapshot_manager import SnapshotManager
+from cottonladder.control.startup_config import read_startup_config
 from cottonladder.control.state_change_log import StateChangeLog
 from cottonladder.model.inputs import (
     AdvisedFactor,
@@ -156,7 +156,7 @@
         with tempfile.TemporaryDirectory() as place:
             path = Path(place) / "config.json"
             path.write_text(json.dumps(configuration()))
-            placement = read_manager_config(str(path))
+            placement = read_startup_config(str(path))
         self.site = placement.settings
         self.workers = placement.workers
         self.messages = MessageReader(self.site, self.workers.find_index)
