--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -132,12 +132,16 @@
     for n in range(count):
         member = sasp.MemberData(TCP, n % 65536, IPv4Address(FIRST_ADDRESS + n), b"s-%d" % n)
         entries.append(sasp.WeightEntry(member, 0, 9, n % 65536))
-    return sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, tuple(entries)),))
+    return sasp.Message(
+        sasp.MessageType.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, tuple(entries)),)
+    )
 
 
 def dfp_report(count: int) -> bytes:
     hosts = tuple(dfp.HostPreference(IPv4Address(FIRST_ADDRESS + n), 0, n) for n in range(count))
-    return dfp.encode_message(dfp.Message(dfp.PREFERENCE_INFORMATION, (dfp.Load(80, TCP, hosts),)))
+    return dfp.encode_message(
+        dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, (dfp.Load(80, TCP, hosts),))
+    )
 
 
 def measure_codecs() -> dict[str, float]:
@@ -174,7 +178,7 @@
     await balancer.connect(port)
     stack.push_async_callback(balancer.close)
     flags = sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG
-    await balancer.ask(sasp.SET_LB_STATE_REQUEST, lb_uid=balancer.uid, flags=flags)
+    await balancer.ask(sasp.MessageType.SET_LB_STATE_REQUEST, lb_uid=balancer.uid, flags=flags)
     address = IPv4Address("127.0.0.9")
     members = [sasp.MemberData(TCP, 8000 + n, address, b"s-%d" % n) for n in range(PUSHED_WORKERS)]
     await balancer.register(b"g", *members)
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -29,15 +29,14 @@
 from ..policy.controller import RoutingController
 from ..protocol.messages import ExtensionMessage
 from ..state.worker_registry import WorkerRegistry
-from ..weight_advice.client import (
-    AdviceListener,
-    AdvisorClient,
-    DfpAdvisorClient,
-    ReportedWeight,
-    SaspAdvisorClient,
-    worker_locations,
-)
-from ..weight_advice.server import AdvertisedWeights, AdviceServer, DfpServer, SaspServer, tls_context
+from ..weight_advice.client import AdviceListener, AdvisorClient, ReportedWeight
+from ..weight_advice.dfp_client import DfpAdvisorClient
+from ..weight_advice.dfp_server import DfpServer
+from ..weight_advice.sasp_client import SaspAdvisorClient
+from ..weight_advice.sasp_server import SaspServer
+from ..weight_advice.server import AdvertisedWeights, AdviceServer
+from ..weight_advice.tls import tls_context
+from ..weight_advice.worker_locations import worker_locations
 
 MAX_SECRET_BYTES = 1024  # bytes of a secret's file
 LOG_INTERVAL = 30.0  # s between two lines on how advisors stand
@@ -173,7 +172,7 @@
     def _log_state(self, now: float) -> None:
         for name, stands in self._advice.status(now).items():
             follower = next((f for f in self._followers if f.name == name), None)
-            unmatched = follower.unmatched if follower else 0
+            unmatched = follower.unmatched_count if follower else 0
             self.log.info(
                 "advisor_status", advisor=name, credit=round(stands.credit, 3), weights=stands.weight_count,
                 unmatched=unmatched, age_s=round(min(stands.age_s, 1e6), 1),
--- a/cottonladder/testbed/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 from ..weight_advice import dfp, sasp
-from ..weight_advice.tlv import AdviceError
+from ..weight_advice.errors import AdviceError
 
 WeightFunction = Callable[[sasp.MemberData], int]  # a member's weight as this advisor has it
 ANSWER_TIMEOUT_S = 15.0
@@ -63,7 +63,7 @@
         if self.group is None:
             return
         for writer in self._writers:
-            self._send(writer, sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(self._weights(),)))
+            self._send(writer, sasp.Message(sasp.MessageType.SEND_WEIGHTS, 0, groups=(self._weights(),)))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connection_count += 1
@@ -83,10 +83,12 @@
         self.received_kinds.append(message.message_type)
         for group in message.groups:
             if isinstance(group, sasp.GroupOfEntries):
-                self._change_members(group, is_registration=message.message_type == sasp.REGISTRATION_REQUEST)
+                self._change_members(
+                    group, is_registration=message.message_type == sasp.MessageType.REGISTRATION_REQUEST
+                )
         groups: tuple[sasp.GroupOfEntries, ...] = ()
         interval = 0
-        if message.message_type == sasp.GET_WEIGHTS_REQUEST:
+        if message.message_type == sasp.MessageType.GET_WEIGHTS_REQUEST:
             interval = 1
             groups = (self._weights(),) if self.group else ()
         reply_kind = sasp.REPLY_TYPES[message.message_type]
@@ -160,7 +162,11 @@
         while True:
             if not self.is_silent:
                 loads = tuple(dfp.Load(port, 6, hosts) for port, hosts in self.hosts().items())
-                writer.write(dfp.encode_message(dfp.Message(dfp.PREFERENCE_INFORMATION, loads), self.secret))
+                writer.write(
+                    dfp.encode_message(
+                        dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, loads), self.secret
+                    )
+                )
             await asyncio.sleep(self.report_interval_s)
 
     async def close(self) -> None:
@@ -215,15 +221,17 @@
 
     async def register(self, name: bytes, *members: sasp.MemberData) -> int:
         reply = await self.ask(
-            sasp.REGISTRATION_REQUEST, flags=sasp.LOAD_BALANCER_FLAG, groups=(self.group(name, *members),)
+            sasp.MessageType.REGISTRATION_REQUEST,
+            flags=sasp.LOAD_BALANCER_FLAG,
+            groups=(self.group(name, *members),),
         )
         return reply.response_code
 
     async def weights(self, *names: bytes) -> dict[bytes, sasp.WeightEntry]:
         """Asks for the weights of groups; by the member's label."""
         groups = tuple(sasp.GroupData(self.uid, name) for name in names)
-        reply = await self.ask(sasp.GET_WEIGHTS_REQUEST, groups=groups)
-        assert reply.response_code == sasp.SUCCESSFUL, hex(reply.response_code)
+        reply = await self.ask(sasp.MessageType.GET_WEIGHTS_REQUEST, groups=groups)
+        assert reply.response_code == sasp.ResponseCode.SUCCESSFUL, hex(reply.response_code)
         return weights_by_label(reply)
 
     async def close(self) -> None:
@@ -249,15 +257,18 @@
 ) -> list[dfp.Message]:
     """A DFP manager that connects, asks for a report each second, and leaves after so many of them."""
     reader, writer = await asyncio.open_connection(LOOPBACK, port)
-    writer.write(dfp.encode_message(dfp.Message(dfp.DFP_PARAMETERS, keep_alive_s=2), secret))
-    writer.write(dfp.encode_message(dfp.Message(dfp.BIND_ID_REQUEST), secret))
     decoder = dfp.MessageReader(dict([secret]) if secret else None)
     messages: list[dfp.Message] = []
-    async with asyncio.timeout(ANSWER_TIMEOUT_S):
-        while sum(message.message_type == dfp.PREFERENCE_INFORMATION for message in messages) < count:
-            data = await reader.read(READ_SIZE_BYTES)
-            if not data:
-                raise ConnectionResetError("ended by the agent")
-            messages += decoder.feed(data)
-    writer.close()
+    try:
+        parameters = dfp.Message(dfp.MessageType.DFP_PARAMETERS, keep_alive_s=2)
+        writer.write(dfp.encode_message(parameters, secret))
+        writer.write(dfp.encode_message(dfp.Message(dfp.MessageType.BIND_ID_REQUEST), secret))
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            while sum(m.message_type == dfp.MessageType.PREFERENCE_INFORMATION for m in messages) < count:
+                data = await reader.read(READ_SIZE_BYTES)
+                if not data:
+                    raise ConnectionResetError("ended by the agent")
+                messages += decoder.feed(data)
+    finally:
+        writer.close()
     return messages
--- a/cottonladder/weight_advice/__init__.py
+++ b/cottonladder/weight_advice/__init__.py
@@ -1,2 +1,1 @@
-"""Weight advice: SASP and DFP, as server and as client; imported only where the operators' file asks for
-it."""
+"""Weight advice over SASP and DFP, as server and as client; imported only if configured."""
--- a/cottonladder/weight_advice/dfp.py
+++ b/cottonladder/weight_advice/dfp.py
@@ -1,7 +1,8 @@
 """DFP, the Dynamic Feedback Protocol (the published Internet-Draft, draft-eck-dfp): messages as bytes.
 
-No I/O.  Names are the draft's own.  A message is a signal header and TLVs; unknown TLVs are skipped, as the
-draft asks.  What could not be checked here stands in docs/design/weight-advice.md.
+The module does no I/O, and its names are those of the draft.  A message is a signal header and TLVs; unknown
+TLVs are skipped, as the draft asks.  docs/design/weight-advice.md lists what could not be tested against
+another implementation.
 """
 
 from __future__ import annotations
@@ -11,64 +12,95 @@
 import struct
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
+from enum import IntEnum
 from ipaddress import IPv4Address
 
-from .tlv import AdviceError, Cursor
-
-VERSION = 1
-# Bytes of a message's header: version, reserved, type, length.
-HEADER_SIZE = 8
-# Bytes of one message: some 100,000 hosts.
-MAX_MESSAGE_SIZE = 1 << 20
-# Hosts of one message, and of one list that was asked for.
-MAX_HOSTS = 20_000
-# TLVs of one message.
-MAX_TLVS = 4096
-
-# Message types.
-PREFERENCE_INFORMATION = 0x0101
-SERVER_STATE = 0x0201
-DFP_PARAMETERS = 0x0301
-BIND_ID_REQUEST = 0x0401
-BIND_ID_REPORT = 0x0402
-BIND_ID_CHANGE_NOTICE = 0x0403
-MESSAGE_TYPES = {
-    PREFERENCE_INFORMATION: "preference information",
-    SERVER_STATE: "server state",
-    DFP_PARAMETERS: "parameters",
-    BIND_ID_REQUEST: "BindID request",
-    BIND_ID_REPORT: "BindID report",
-    BIND_ID_CHANGE_NOTICE: "BindID change notice",
+from .errors import (
+    ComponentError,
+    DigestError,
+    MessageHeaderError,
+    MessageSizeError,
+    MissingSecurityError,
+    TooManyItemsError,
+    UnknownMessageError,
+    UnknownVersionError,
+)
+from .tlv import Cursor
+
+# Version that the signal header carries (draft-eck-dfp).
+PROTOCOL_VERSION = 1
+# Largest message accepted: some 100,000 hosts.
+MAX_MESSAGE_BYTES = 1 << 20
+# Hosts accepted in one message, over all of its loads.
+MAX_HOSTS_PER_MESSAGE = 20_000
+# TLVs accepted in one message.
+MAX_TLVS_PER_MESSAGE = 4096
+
+
+class MessageType(IntEnum):
+    """Types of messages (draft-eck-dfp)."""
+
+    PREFERENCE_INFORMATION = 0x0101
+    SERVER_STATE = 0x0201
+    DFP_PARAMETERS = 0x0301
+    BIND_ID_REQUEST = 0x0401
+    BIND_ID_REPORT = 0x0402
+    BIND_ID_CHANGE_NOTICE = 0x0403
+
+
+MESSAGE_NAMES: dict[int, str] = {
+    MessageType.PREFERENCE_INFORMATION: "preference information",
+    MessageType.SERVER_STATE: "server state",
+    MessageType.DFP_PARAMETERS: "parameters",
+    MessageType.BIND_ID_REQUEST: "BindID request",
+    MessageType.BIND_ID_REPORT: "BindID report",
+    MessageType.BIND_ID_CHANGE_NOTICE: "BindID change notice",
 }
 
-# TLV types.
-SECURITY_TLV = 0x0001
-LOAD_TLV = 0x0002
-KEEP_ALIVE_TLV = 0x0101
-BIND_ID_TABLE_TLV = 0x0301
 
-# The only algorithm that the draft names.
+class TlvType(IntEnum):
+    """Types of TLVs (draft-eck-dfp)."""
+
+    SECURITY = 0x0001
+    LOAD = 0x0002
+    KEEP_ALIVE = 0x0101
+    BIND_ID_TABLE = 0x0301
+
+
+# Number of MD5 in the security TLV, the only algorithm that the draft names.
 MD5_ALGORITHM = 1
-# Bytes of a digest.
-DIGEST_SIZE = 16
-_EMPTY_DIGEST = b"\0" * DIGEST_SIZE
-_HEADER = struct.Struct("!BBHI")  # version, reserved, type, length
-_TLV = struct.Struct("!HH")  # type, length
-_SECURITY = struct.Struct("!II16s")  # algorithm, key id, digest
-_LOAD = struct.Struct("!HBBHH")  # port, protocol, flags, hosts, reserved
-_HOST = struct.Struct("!4sHH")  # address, BindID, weight
-_KEEP_ALIVE = struct.Struct("!I")  # s
-_BIND_ID_TABLE = struct.Struct("!HH")  # entries, reserved
-_RESERVED_SIZE = 2
-_BIND_ID_ENTRY = struct.Struct("!HH4s4s")  # BindID, reserved, client network and its mask
-# Bytes of a TLV: its length is two bytes.
-MAX_TLV_SIZE = 0xFFFF
-HOSTS_PER_TLV = (MAX_TLV_SIZE - _TLV.size - _LOAD.size) // _HOST.size
+# Size of an MD5 digest (RFC 1321).
+DIGEST_BYTES = 16
+_EMPTY_DIGEST = bytes(DIGEST_BYTES)
+
+# Version, reserved, message type and length of the signal header.
+_HEADER = struct.Struct("!BBHI")
+# Type and length of a TLV.
+_TLV = struct.Struct("!HH")
+# Algorithm, key id and digest of a security TLV.
+_SECURITY = struct.Struct("!II16s")
+# Port, protocol, flags, number of hosts and reserved of a load TLV.
+_LOAD = struct.Struct("!HBBHH")
+# Address, BindID and weight of a host in a load TLV.
+_HOST = struct.Struct("!4sHH")
+# Seconds of a keep-alive TLV.
+_KEEP_ALIVE = struct.Struct("!I")
+# Number of entries and reserved of a BindID table TLV.
+_BIND_ID_TABLE = struct.Struct("!HH")
+# BindID, reserved, network and mask of an entry in a BindID table.
+_BIND_ID_ENTRY = struct.Struct("!HH4s4s")
+# Reserved bytes after the number of entries of a BindID table.
+_RESERVED_BYTES = 2
+
+# Largest TLV: its length is stored in two bytes.
+MAX_TLV_BYTES = 0xFFFF
+# Hosts that fit a load TLV.
+MAX_HOSTS_PER_TLV = (MAX_TLV_BYTES - _TLV.size - _LOAD.size) // _HOST.size
 
 
 @dataclass(frozen=True, slots=True)
 class HostPreference:
-    """A host's weight, 0 to 65535, for clients of one BindID; 0: all clients."""
+    """A host's weight, 0 to 65535, for the clients of one BindID; BindID 0 means all clients."""
 
     address: IPv4Address
     bind_id: int
@@ -77,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Hosts that serve one port by one protocol (6: TCP); port 0: all."""
+    """Hosts that serve a port by a protocol (6 is TCP); port 0 means all ports."""
 
     port: int
     protocol: int
@@ -87,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BindIdEntry:
-    """A BindID stands for clients of this network."""
+    """A BindID and the network whose clients it stands for."""
 
     bind_id: int
     network: IPv4Address
@@ -96,9 +128,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message, with what its TLVs hold.
+    """One message with the contents of its TLVs.
 
-    `key_id`: of the security TLV that was checked; `unknown_tlvs`: how many were skipped.
+    `key_id` is that of the security TLV, if the message has one.  `unknown_tlv_count` counts the skipped
+    TLVs.
     """
 
     message_type: int
@@ -106,76 +139,75 @@
     keep_alive_s: int | None = None
     bindings: tuple[BindIdEntry, ...] = ()
     key_id: int | None = None
-    unknown_tlvs: int = field(default=0, compare=False)
+    unknown_tlv_count: int = field(default=0, compare=False)
 
 
 def _digest(secret: bytes, message: bytes) -> bytes:
-    """MD5 over the message with an empty digest, then the secret."""
+    """Returns the MD5 digest of the message, with zeros in place of its digest, followed by the secret."""
     return hashlib.md5(message + secret, usedforsecurity=False).digest()
 
 
 class _MessageDecoder:
-    """Collects what the TLVs of one message hold."""
+    """Collects the contents of one message's TLVs."""
 
     def __init__(self, data: bytes, secrets: Mapping[int, bytes] | None) -> None:
         self._data = data
         self._secrets = secrets
-        self._hosts_left = MAX_HOSTS
+        self._remaining_hosts = MAX_HOSTS_PER_MESSAGE
         self.loads: list[Load] = []
         self.bindings: tuple[BindIdEntry, ...] = ()
         self.keep_alive_s: int | None = None
         self.key_id: int | None = None
-        self.unknown_tlvs = 0
+        self.unknown_tlv_count = 0
 
     def read_tlv(self, tlv_type: int, body: Cursor) -> None:
-        """Takes one TLV; an unknown one is skipped, as the draft asks."""
-        if tlv_type == LOAD_TLV:
+        """Decodes one TLV; an unknown one is counted and skipped."""
+        if tlv_type == TlvType.LOAD:
             self.loads.append(self._read_load(body))
-        elif tlv_type == KEEP_ALIVE_TLV:
+        elif tlv_type == TlvType.KEEP_ALIVE:
             self.keep_alive_s = body.read_u32()
-        elif tlv_type == BIND_ID_TABLE_TLV:
+        elif tlv_type == TlvType.BIND_ID_TABLE:
             self.bindings = _read_bind_id_table(body)
-        elif tlv_type == SECURITY_TLV:
+        elif tlv_type == TlvType.SECURITY:
             self.key_id = self._check_security(body)
         else:
-            self.unknown_tlvs += 1
+            self.unknown_tlv_count += 1
             return
         if body.remaining:
-            raise AdviceError(f"TLV {tlv_type:#06x}: {body.remaining} bytes too many")
+            raise ComponentError(f"TLV {tlv_type:#06x}", f": {body.remaining} bytes too many")
 
     def _read_load(self, body: Cursor) -> Load:
-        port, protocol, flags, count, _ = _LOAD.unpack_from(body.data, body.advance(_LOAD.size))
-        self._hosts_left -= count
-        if self._hosts_left < 0:
-            raise AdviceError(f"over {MAX_HOSTS} hosts in one message")
+        port, protocol, flags, host_count, _ = _LOAD.unpack_from(body.data, body.advance(_LOAD.size))
+        self._remaining_hosts -= host_count
+        if self._remaining_hosts < 0:
+            raise TooManyItemsError(MAX_HOSTS_PER_MESSAGE, "hosts")
         hosts: list[HostPreference] = []
-        for _ in range(count):
+        for _ in range(host_count):
             address, bind_id, weight = _HOST.unpack_from(body.data, body.advance(_HOST.size))
             hosts.append(HostPreference(IPv4Address(address), bind_id, weight))
         return Load(port, protocol, tuple(hosts), flags)
 
     def _check_security(self, body: Cursor) -> int:
-        """The key id; raises AdviceError where there are secrets and the digest doesn't hold."""
+        """Returns the key id; raises DigestError if secrets are configured and the digest does not match."""
         start = body.advance(_SECURITY.size)
         algorithm, key_id, digest = _SECURITY.unpack_from(self._data, start)
         if not self._secrets:
             return int(key_id)
-        digest_start = start + _SECURITY.size - DIGEST_SIZE
-        without_digest = self._data[:digest_start] + _EMPTY_DIGEST + self._data[digest_start + DIGEST_SIZE :]
-        if (
-            algorithm != MD5_ALGORITHM
-            or key_id not in self._secrets
-            or not hmac.compare_digest(_digest(self._secrets[key_id], without_digest), digest)
-        ):
-            raise AdviceError(f"security: algorithm {algorithm}, key {key_id}: the digest doesn't hold")
+        digest_start = start + _SECURITY.size - DIGEST_BYTES
+        without_digest = self._data[:digest_start] + _EMPTY_DIGEST + self._data[digest_start + DIGEST_BYTES :]
+        secret = self._secrets.get(key_id)
+        if algorithm != MD5_ALGORITHM or secret is None:
+            raise DigestError(algorithm, key_id)
+        if not hmac.compare_digest(_digest(secret, without_digest), digest):
+            raise DigestError(algorithm, key_id)
         return int(key_id)
 
 
 def _read_bind_id_table(body: Cursor) -> tuple[BindIdEntry, ...]:
-    count = body.read_u16()
-    body.advance(_RESERVED_SIZE)
+    entry_count = body.read_u16()
+    body.advance(_RESERVED_BYTES)
     entries: list[BindIdEntry] = []
-    for _ in range(count):
+    for _ in range(entry_count):
         start = body.advance(_BIND_ID_ENTRY.size)
         bind_id, _, network, mask = _BIND_ID_ENTRY.unpack_from(body.data, start)
         entries.append(BindIdEntry(bind_id, IPv4Address(network), IPv4Address(mask)))
@@ -183,53 +215,54 @@
 
 
 def decode_message(data: bytes, secrets: Mapping[int, bytes] | None = None) -> Message:
-    """One whole message; raises AdviceError for anything else.
+    """Decodes one complete message; raises AdviceError for anything else.
 
-    With `secrets` by key id, a message whose security TLV doesn't hold, or that has none, is refused.
+    `secrets` maps key ids to secrets.  If it is given, the message must have a security TLV with a valid
+    digest.
     """
     cursor = Cursor(data)
-    version, _, message_type, size = _HEADER.unpack_from(data, cursor.advance(HEADER_SIZE))
-    if version != VERSION or size != len(data):
-        raise AdviceError(f"header of version {version} with a length of {size}")
-    if message_type not in MESSAGE_TYPES:
-        raise AdviceError(f"unknown message {message_type:#06x}")
+    version, _, message_type, size = _HEADER.unpack_from(data, cursor.advance(_HEADER.size))
+    if version != PROTOCOL_VERSION or size != len(data):
+        raise MessageHeaderError(version, f"a length of {size}")
+    if message_type not in MESSAGE_NAMES:
+        raise UnknownMessageError(message_type)
     decoder = _MessageDecoder(data, secrets)
     tlv_count = 0
     while cursor.remaining:
         tlv_count += 1
-        if tlv_count > MAX_TLVS:
-            raise AdviceError(f"over {MAX_TLVS} TLVs in one message")
+        if tlv_count > MAX_TLVS_PER_MESSAGE:
+            raise TooManyItemsError(MAX_TLVS_PER_MESSAGE, "TLVs")
         tlv_type, length = cursor.read_header()
         if length < _TLV.size:
-            raise AdviceError(f"TLV {tlv_type:#06x} of {length} bytes")
+            raise ComponentError(f"TLV {tlv_type:#06x}", f" of {length} bytes")
         start = cursor.advance(length - _TLV.size)
         decoder.read_tlv(tlv_type, Cursor(data, start, cursor.position))
     if secrets and decoder.key_id is None:
-        raise AdviceError("no security TLV, where one is asked for")
+        raise MissingSecurityError
     return Message(
         message_type,
         tuple(decoder.loads),
         decoder.keep_alive_s,
         decoder.bindings,
         decoder.key_id,
-        decoder.unknown_tlvs,
+        decoder.unknown_tlv_count,
     )
 
 
 def _encode_tlv(tlv_type: int, body: bytes) -> bytes:
-    if _TLV.size + len(body) > MAX_TLV_SIZE:
-        raise AdviceError(f"TLV {tlv_type:#06x} over its size")
+    if _TLV.size + len(body) > MAX_TLV_BYTES:
+        raise ComponentError(f"TLV {tlv_type:#06x}", " over its size")
     return _TLV.pack(tlv_type, _TLV.size + len(body)) + body
 
 
 def _encode_load(load: Load) -> bytes:
-    """In several TLVs where one can't hold all hosts."""
+    """Encodes a load, in several TLVs if one can't hold all of its hosts."""
     encoded = b""
-    for start in range(0, len(load.hosts) or 1, HOSTS_PER_TLV):
-        hosts = load.hosts[start : start + HOSTS_PER_TLV]
+    for start in range(0, len(load.hosts) or 1, MAX_HOSTS_PER_TLV):
+        hosts = load.hosts[start : start + MAX_HOSTS_PER_TLV]
         head = _LOAD.pack(load.port, load.protocol, load.flags, len(hosts), 0)
         rows = [_HOST.pack(host.address.packed, host.bind_id, host.weight) for host in hosts]
-        encoded += _encode_tlv(LOAD_TLV, head + b"".join(rows))
+        encoded += _encode_tlv(TlvType.LOAD, head + b"".join(rows))
     return encoded
 
 
@@ -237,49 +270,58 @@
     rows = [
         _BIND_ID_ENTRY.pack(entry.bind_id, 0, entry.network.packed, entry.mask.packed) for entry in bindings
     ]
-    return _encode_tlv(BIND_ID_TABLE_TLV, _BIND_ID_TABLE.pack(len(bindings), 0) + b"".join(rows))
+    return _encode_tlv(TlvType.BIND_ID_TABLE, _BIND_ID_TABLE.pack(len(bindings), 0) + b"".join(rows))
 
 
 def encode_message(message: Message, secret: tuple[int, bytes] | None = None) -> bytes:
-    """The bytes of a message; with `secret`, a key id and its bytes, behind a security TLV."""
+    """Encodes a message; with a secret, given as key id and bytes, it starts with a security TLV."""
     body = b"".join(map(_encode_load, message.loads))
     if message.keep_alive_s is not None:
-        body += _encode_tlv(KEEP_ALIVE_TLV, _KEEP_ALIVE.pack(message.keep_alive_s))
-    if message.message_type == BIND_ID_REPORT or message.bindings:
+        body += _encode_tlv(TlvType.KEEP_ALIVE, _KEEP_ALIVE.pack(message.keep_alive_s))
+    if message.message_type == MessageType.BIND_ID_REPORT or message.bindings:
         body += _encode_bind_id_table(message.bindings)
     if secret is None:
-        return _HEADER.pack(VERSION, 0, message.message_type, HEADER_SIZE + len(body)) + body
+        return _encode_header(message, len(body)) + body
     key_id, secret_bytes = secret
-    body = _encode_tlv(SECURITY_TLV, _SECURITY.pack(MD5_ALGORITHM, key_id, _EMPTY_DIGEST)) + body
-    data = _HEADER.pack(VERSION, 0, message.message_type, HEADER_SIZE + len(body)) + body
-    digest_start = HEADER_SIZE + _TLV.size + _SECURITY.size - DIGEST_SIZE
-    return data[:digest_start] + _digest(secret_bytes, data) + data[digest_start + DIGEST_SIZE :]
+    body = _encode_tlv(TlvType.SECURITY, _SECURITY.pack(MD5_ALGORITHM, key_id, _EMPTY_DIGEST)) + body
+    data = _encode_header(message, len(body)) + body
+    digest_start = _HEADER.size + _TLV.size + _SECURITY.size - DIGEST_BYTES
+    return data[:digest_start] + _digest(secret_bytes, data) + data[digest_start + DIGEST_BYTES :]
+
+
+def _encode_header(message: Message, body_size: int) -> bytes:
+    return _HEADER.pack(PROTOCOL_VERSION, 0, message.message_type, _HEADER.size + body_size)
 
 
 class MessageReader:
-    """Cuts messages out of a connection's bytes."""
+    """Splits the bytes of a connection into messages; `secrets` is as for `decode_message`."""
 
     def __init__(
-        self, secrets: Mapping[int, bytes] | None = None, max_message_size: int = MAX_MESSAGE_SIZE
+        self, secrets: Mapping[int, bytes] | None = None, max_message_bytes: int = MAX_MESSAGE_BYTES
     ) -> None:
-        self.max_message_size = max_message_size
+        self._max_message_bytes = max_message_bytes
         self._secrets = secrets
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Message]:
-        """Takes bytes and gives the messages that are whole; raises AdviceError for what is none."""
+        """Adds received bytes and returns the complete messages; raises AdviceError for invalid ones."""
         self._buffer += data
         messages: list[Message] = []
-        if self._buffer and self._buffer[0] != VERSION:
-            raise AdviceError(f"unknown version {self._buffer[0]}")
-        while len(self._buffer) >= HEADER_SIZE:
-            version, _, _, size = _HEADER.unpack_from(self._buffer)
-            if version != VERSION:
-                raise AdviceError(f"unknown version {version}")
-            if not HEADER_SIZE <= size <= self.max_message_size:
-                raise AdviceError(f"a message of {size} bytes, {self.max_message_size} at most")
-            if len(self._buffer) < size:
+        if self._buffer and self._buffer[0] != PROTOCOL_VERSION:
+            raise UnknownVersionError(self._buffer[0])
+        while len(self._buffer) >= _HEADER.size:
+            message_size = self._next_message_size()
+            if len(self._buffer) < message_size:
                 break
-            messages.append(decode_message(bytes(self._buffer[:size]), self._secrets))
-            del self._buffer[:size]
+            messages.append(decode_message(bytes(self._buffer[:message_size]), self._secrets))
+            del self._buffer[:message_size]
         return messages
+
+    def _next_message_size(self) -> int:
+        """Reads the size in bytes of the message whose header is at the start of the buffer."""
+        version, _, _, message_size = _HEADER.unpack_from(self._buffer)
+        if version != PROTOCOL_VERSION:
+            raise UnknownVersionError(version)
+        if not _HEADER.size <= message_size <= self._max_message_bytes:
+            raise MessageSizeError(message_size, self._max_message_bytes)
+        return int(message_size)
--- /dev/null
+++ b/cottonladder/weight_advice/dfp_client.py
@@ -0,0 +1,79 @@
+"""A DFP manager (draft-eck-dfp) that asks an agent for reports and receives the weights of the workers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+
+from ..config.fields import HostPort
+from . import dfp, sasp
+from .client import AdviceListener, AdvisorClient, ReportedWeight
+from .errors import UnexpectedMessageError
+from .tlv import Address
+
+# Keep-alive interval that an agent is asked for.
+REQUESTED_KEEP_ALIVE_S = 10
+# Keep-alive intervals without a message after which the connection is closed.
+SILENCE_TIMEOUT_INTERVALS = 2.0
+# Port of a load that stands for all ports of its hosts.
+ALL_PORTS = 0  # port number
+
+
+class DfpAdvisorClient(AdvisorClient):
+    """Receives the reports of an agent; `secret` is the key id and key that messages are signed with."""
+
+    def __init__(
+        self,
+        address: HostPort,
+        listener: AdviceListener,
+        uniform: Callable[[], float],
+        secret: tuple[int, bytes] | None,
+    ) -> None:
+        super().__init__(address, listener, None, uniform)
+        self._secret = secret
+        self._reader = dfp.MessageReader()
+
+    def start_session(self) -> None:
+        """Asks for a report in each keep-alive interval."""
+        self._reader = dfp.MessageReader(dict([self._secret]) if self._secret else None)
+        parameters = dfp.Message(dfp.MessageType.DFP_PARAMETERS, keep_alive_s=REQUESTED_KEEP_ALIVE_S)
+        self.send(dfp.encode_message(parameters, self._secret))
+
+    @property
+    def silence_timeout_s(self) -> float:
+        """Time without a message after which the connection is closed."""
+        return SILENCE_TIMEOUT_INTERVALS * REQUESTED_KEEP_ALIVE_S
+
+    def receive(self, data: bytes) -> None:
+        """Passes reported weights to the listener; a message of a manager ends the connection."""
+        for message in self._reader.feed(data):
+            if message.message_type == dfp.MessageType.PREFERENCE_INFORMATION:
+                self._report_weights(message)
+            elif message.message_type not in (
+                dfp.MessageType.BIND_ID_REPORT,
+                dfp.MessageType.BIND_ID_CHANGE_NOTICE,
+            ):
+                raise UnexpectedMessageError(dfp.MESSAGE_NAMES[message.message_type], ": not an agent's")
+
+    def _report_weights(self, message: dfp.Message) -> None:
+        """Reports one weight for each worker: the lowest, if several BindIDs have one."""
+        workers_by_address: dict[Address | None, list[int]] = {}
+        for location in self.locations:
+            workers_by_address.setdefault(location.address, []).append(location.worker_index)
+        lowest: dict[int, int] = {}
+        self.unmatched_count = 0
+        for load in message.loads:
+            for host in load.hosts:
+                if load.port == ALL_PORTS:
+                    workers: Sequence[int] = workers_by_address.get(host.address, [])
+                else:
+                    workers = self._workers_at(load, host)
+                if not workers:
+                    self.unmatched_count += 1
+                for worker_index in workers:
+                    lowest[worker_index] = min(lowest.get(worker_index, host.weight), host.weight)
+        reported = [ReportedWeight(worker_index, weight, True) for worker_index, weight in lowest.items()]
+        self.listener.weights_received(self.name, reported, is_complete=False)
+
+    def _workers_at(self, load: dfp.Load, host: dfp.HostPreference) -> list[int]:
+        worker_index = self.members.find(sasp.MemberData(load.protocol, load.port, host.address))
+        return [] if worker_index is None else [worker_index]
--- a/cottonladder/weight_advice/query.py
+++ b/cottonladder/weight_advice/query.py
@@ -1,4 +1,4 @@
-"""One question to an advisor, for the command line: connect, ask for weights, disconnect."""
+"""One exchange with an advisor, for the command line: connect, ask for weights, disconnect."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from ..config.errors import InputError
 from ..config.fields import address
-from . import dfp, sasp
-from .tlv import AdviceError, parse_address
+from . import dfp, limits, sasp
+from .errors import ConnectionEndedError, RequestRejectedError
+from .sasp import MessageType, ResponseCode
+from .tlv import TCP_PROTOCOL_NUMBER, parse_address
 
-READ_SIZE_BYTES = 65_536
 BALANCER_UID = b"cottonladder-show"
-BALANCER_HEALTH = 0x7F  # the highest that SASP knows
-TCP = 6  # IP's number of the protocol
+GROUP_NAME = b"shown"
 DFP_KEEP_ALIVE_S = 1
 FLAG_NAMES = {
     sasp.CONTACT_SUCCESS_FLAG: "contact",
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberWeight:
-    """What an advisor says of one member; `place` is its host:port."""
+    """An advisor's weight of one member; `place` is its host:port."""
 
     label: str
     place: str
@@ -41,55 +41,56 @@
     ip_address = parse_address(host.strip("[]"))
     if ip_address is None:
         raise InputError(f"--member: {host} is no literal address")
-    return sasp.MemberData(TCP, port, ip_address, label.encode())
+    return sasp.MemberData(TCP_PROTOCOL_NUMBER, port, ip_address, label.encode())
 
 
 class SaspQuery:
-    """One SASP connection on which requests are answered one after another."""
+    """A SASP connection that sends one request at a time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
         self._writer = writer
         self._decoder = sasp.MessageReader()
-        self._number = 0
+        self._message_id = 0
 
-    async def ask(self, message_type: int, **fields: object) -> sasp.Message:
-        """Sends a request and waits for its reply; an error code in it is an AdviceError."""
-        self._number += 1
-        self._writer.write(sasp.encode_message(sasp.Message(message_type, self._number, **fields)))  # type: ignore[arg-type]
+    async def ask(self, message_type: MessageType, **fields: object) -> sasp.Message:
+        """Sends a request and waits for its reply; raises RequestRejectedError if it reports a fault."""
+        self._message_id += 1
+        request = sasp.Message(message_type, self._message_id, **fields)  # type: ignore[arg-type]
+        self._writer.write(sasp.encode_message(request))
         while True:
             for message in self._decoder.feed(await _read_some(self._reader)):
-                if (
-                    message.message_id != self._number
-                    or message.message_type != sasp.REPLY_TYPES[message_type]
-                ):
+                is_reply = message.message_type == sasp.REPLY_TYPES[message_type]
+                if not is_reply or message.message_id != self._message_id:
                     continue
-                if message.response_code != sasp.SUCCESSFUL:
-                    code = message.response_code
-                    raise AdviceError(f"refused: {sasp.RESPONSE_TEXTS.get(code, hex(code))}")
+                if message.response_code != ResponseCode.SUCCESSFUL:
+                    reason = sasp.response_text(message.response_code)
+                    raise RequestRejectedError(message.response_code, reason)
                 return message
 
 
 async def _read_some(reader: asyncio.StreamReader) -> bytes:
-    data = await reader.read(READ_SIZE_BYTES)
+    data = await reader.read(limits.READ_SIZE_BYTES)
     if not data:
-        raise AdviceError("ended before its answer")
+        raise ConnectionEndedError
     return data
 
 
 async def query_sasp(host: str, port: int, members: Sequence[str]) -> list[MemberWeight]:
-    """Registers members, each `[LABEL@]HOST:PORT`, as a balancer and asks for their weights; without members
-    it only greets."""
+    """Registers members, each `[LABEL@]HOST:PORT`, as a load balancer and asks for their weights.
+
+    Without members it only checks that the advisor accepts a load balancer's state.
+    """
     reader, writer = await asyncio.open_connection(host, port)
     try:
         query = SaspQuery(reader, writer)
-        await query.ask(sasp.SET_LB_STATE_REQUEST, lb_uid=BALANCER_UID, lb_health=BALANCER_HEALTH)
+        await query.ask(MessageType.SET_LB_STATE_REQUEST, lb_uid=BALANCER_UID, lb_health=sasp.MAX_LB_HEALTH)
         if not members:
             return []
-        group = sasp.GroupData(BALANCER_UID, b"shown")
+        group = sasp.GroupData(BALANCER_UID, GROUP_NAME)
         registered = sasp.GroupOfEntries(group, tuple(parse_member(text) for text in members))
-        await query.ask(sasp.REGISTRATION_REQUEST, flags=sasp.LOAD_BALANCER_FLAG, groups=(registered,))
-        reply = await query.ask(sasp.GET_WEIGHTS_REQUEST, groups=(group,))
+        await query.ask(MessageType.REGISTRATION_REQUEST, flags=sasp.LOAD_BALANCER_FLAG, groups=(registered,))
+        reply = await query.ask(MessageType.GET_WEIGHTS_REQUEST, groups=(group,))
         return _sasp_weights(reply)
     finally:
         writer.close()
@@ -110,15 +111,17 @@
 
 
 async def query_dfp(host: str, port: int, first_answer: bool = False) -> list[MemberWeight]:
-    """Connects as a DFP manager and waits for a report; with `first_answer` any message is enough."""
+    """Connects as a DFP manager and waits for a report, or with `first_answer` for any message."""
     reader, writer = await asyncio.open_connection(host, port)
     try:
-        writer.write(dfp.encode_message(dfp.Message(dfp.DFP_PARAMETERS, keep_alive_s=DFP_KEEP_ALIVE_S)))
-        writer.write(dfp.encode_message(dfp.Message(dfp.BIND_ID_REQUEST)))
+        writer.write(
+            dfp.encode_message(dfp.Message(dfp.MessageType.DFP_PARAMETERS, keep_alive_s=DFP_KEEP_ALIVE_S))
+        )
+        writer.write(dfp.encode_message(dfp.Message(dfp.MessageType.BIND_ID_REQUEST)))
         decoder = dfp.MessageReader()
         while True:
             for message in decoder.feed(await _read_some(reader)):
-                if message.message_type == dfp.PREFERENCE_INFORMATION:
+                if message.message_type == dfp.MessageType.PREFERENCE_INFORMATION:
                     return _dfp_weights(message)
                 if first_answer:
                     return []
--- a/cottonladder/weight_advice/registry.py
+++ b/cottonladder/weight_advice/registry.py
@@ -1,75 +1,36 @@
-"""Which balancers registered which members: SASP's state of a workload manager, without sockets.
+"""The registrations of a SASP workload manager: which load balancer registered which members.
 
-A balancer is a connection; what it registered goes with it.  Every request gets its reply here, by tables of
-(message) -> what is done; weights come from `decisions.offers`.
+A load balancer is known by the number of its connection, and its registrations end with that connection.
+Each request gets its reply here; the weights in it come from `planning.advertised_weights`.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass, field
-from typing import NamedTuple
+from collections.abc import Callable, Iterator, Mapping
 
 from ..model.views import WorkerCapacityView
-from ..planning.advertised_weights import AdvertisedWeight, advertise_weights, has_changed
 from . import limits, sasp
-from .sasp import GroupData, GroupOfEntries, MemberData, MemberStateInstance, Message, WeightEntry
-from .tlv import Address
+from .load_balancer import FleetView, LoadBalancer, RegisteredGroup
+from .sasp import (
+    GroupData,
+    GroupOfEntries,
+    MemberData,
+    MemberStateInstance,
+    Message,
+    MessageType,
+    ResponseCode,
+)
+from .worker_locations import MemberIndex
 
-MemberLookup = Callable[[MemberData], int | None]
+NewMembers = dict[bytes, dict[MemberData, None]]
 
 
-class MemberIndex:
-    """Members to workers: by label, which is the worker's id, else by address and port."""
+class RegistryError(Exception):
+    """A request that is answered with a response code other than success."""
 
-    def __init__(self, workers: Iterable[tuple[int, bytes, Address | None, int]]) -> None:
-        self._by_id: dict[bytes, int] = {}
-        self._by_location: dict[tuple[Address, int], int] = {}
-        for worker_index, worker_id, address, port in workers:
-            self._by_id[worker_id] = worker_index
-            if address is not None:
-                self._by_location[address, port] = worker_index
-
-    def __call__(self, member: MemberData) -> int | None:
-        worker_index = self._by_id.get(member.label)
-        if worker_index is not None:
-            return worker_index
-        return self._by_location.get((member.address, member.port))
-
-
-@dataclass(slots=True)
-class RegisteredGroup:
-    """One group of a balancer."""
-
-    members: dict[MemberData, None] = field(default_factory=dict)
-    quiesced: set[MemberData] = field(default_factory=set)
-    sent: dict[MemberData, AdvertisedWeight] = field(default_factory=dict)
-
-
-@dataclass(slots=True)
-class LoadBalancer:
-    """One load balancer's connection: its UID, flags and health as it set them, its groups by name."""
-
-    lb_uid: bytes = b""
-    flags: int = 0
-    health: int = 0
-    groups: dict[bytes, RegisteredGroup] = field(default_factory=dict)
-
-    @property
-    def wants_push(self) -> bool:
-        """Whether it asked for weights to be pushed."""
-        return bool(self.flags & sasp.PUSH_FLAG)
-
-    def member_count(self) -> int:
-        """Members over all of its groups."""
-        return sum(len(listed.members) for listed in self.groups.values())
-
-
-class OwnerLookup(NamedTuple):
-    """The load balancer whose groups a request speaks of; none, with a SASP response code that says why."""
-
-    owner: LoadBalancer | None
-    response_code: int
+    def __init__(self, response_code: ResponseCode) -> None:
+        super().__init__(sasp.response_text(response_code))
+        self.response_code = response_code
 
 
 class LoadBalancerRegistry:
@@ -77,248 +38,219 @@
 
     def __init__(self) -> None:
         self._balancers: dict[int, LoadBalancer] = {}
-        self._views: Mapping[int, WorkerCapacityView] = {}
-        self._lookup: MemberLookup = lambda member: None
+        self._fleet = FleetView({}, MemberIndex(()))
 
-    def update(self, views: Mapping[int, WorkerCapacityView], lookup: MemberLookup) -> None:
-        """Takes the workers as last solved, and how members are matched to them."""
-        self._views, self._lookup = views, lookup
+    def update(self, capacity_views: Mapping[int, WorkerCapacityView], members: MemberIndex) -> None:
+        """Takes over the workers as last solved, and how members are matched to them."""
+        self._fleet = FleetView(capacity_views, members)
 
-    def connection_opened(self, number: int) -> None:
-        """A connection came: a load balancer that has registered nothing."""
-        self._balancers[number] = LoadBalancer()
+    def connection_opened(self, connection_number: int) -> None:
+        """Adds a load balancer without registrations for a new connection."""
+        self._balancers[connection_number] = LoadBalancer()
 
-    def connection_closed(self, number: int) -> None:
-        """A connection ended; what was registered by it ends too."""
-        self._balancers.pop(number, None)
+    def connection_closed(self, connection_number: int) -> None:
+        """Removes the load balancer of a connection with all that it registered."""
+        self._balancers.pop(connection_number, None)
 
-    def push_subscribers(self) -> list[int]:
-        """Numbers of the connections that asked for pushes."""
-        return [number for number, balancer in self._balancers.items() if balancer.wants_push]
+    def wants_push(self, connection_number: int) -> bool:
+        """Tells whether the load balancer of a connection asked for weights to be pushed."""
+        balancer = self._balancers.get(connection_number)
+        return balancer is not None and balancer.wants_push
 
     def status(self) -> list[dict[str, object]]:
-        """For operators: who registered how much, and how much of it is nobody's."""
+        """Gives a log line's fields for each load balancer: what it registered, and how much is unknown."""
         return [
             {
                 "uid": balancer.lb_uid.decode(errors="replace"),
                 "groups": len(balancer.groups),
-                "members": balancer.member_count(),
-                "unmatched": sum(
-                    self._lookup(member) is None
-                    for group in balancer.groups.values()
-                    for member in group.members
-                ),
+                "members": balancer.member_count,
+                "unmatched": balancer.unmatched_count(self._fleet.members),
                 "push": balancer.wants_push,
             }
             for balancer in self._balancers.values()
         ]
 
-    def handle_request(self, number: int, request: Message) -> Message | None:
-        """The reply to a balancer's message; none to what is no request."""
-        handler = HANDLERS.get(request.message_type)
+    def handle_request(self, connection_number: int, request: Message) -> Message | None:
+        """Returns the reply to a load balancer's request, or None if the message is not a request."""
+        handler = _HANDLERS.get(request.message_type)
         if handler is None:
             return None
-        return handler(self, self._balancers[number], request)
-
-    def _reply(self, request: Message, code: int, groups: tuple[GroupOfEntries, ...] = ()) -> Message:
-        interval = limits.POLL_INTERVAL if request.message_type == sasp.GET_WEIGHTS_REQUEST else 0
+        groups: tuple[GroupOfEntries, ...] = ()
+        response_code = ResponseCode.SUCCESSFUL
+        try:
+            groups = handler(self, self._balancers[connection_number], request)
+        except RegistryError as exc:
+            response_code = exc.response_code
+        asks_for_weights = request.message_type == MessageType.GET_WEIGHTS_REQUEST
         return Message(
             sasp.REPLY_TYPES[request.message_type],
             request.message_id,
-            response_code=code,
-            interval_s=interval,
+            response_code=response_code,
+            interval_s=limits.POLL_INTERVAL_S if asks_for_weights else 0,
             groups=groups,
         )
 
-    def _resolve_owner(self, balancer: LoadBalancer, request: Message) -> OwnerLookup:
-        """Whose groups a message speaks of: its own balancer's, or, where the members themselves speak, that
-        of the balancer which trusts them."""
-        uids = {
-            grouped.group.lb_uid if isinstance(grouped, GroupOfEntries) else grouped.lb_uid
-            for grouped in request.groups
-        }
-        if len(uids) != 1 or not 0 < len(uid := next(iter(uids))) <= limits.MAX_LB_UID_LENGTH:
-            return OwnerLookup(None, sasp.INVALID_LB_UID)
-        if request.flags & sasp.LOAD_BALANCER_FLAG or request.message_type == sasp.GET_WEIGHTS_REQUEST:
-            if balancer.lb_uid and balancer.lb_uid != uid:
-                return OwnerLookup(None, sasp.SENDER_NOT_ACCEPTED)
-            return OwnerLookup(balancer, sasp.SUCCESSFUL)
-        owner = next((other for other in self._balancers.values() if other.lb_uid == uid), None)
-        if owner is None:
-            return OwnerLookup(None, sasp.LB_NOT_CONNECTED)
-        if not owner.flags & sasp.TRUST_FLAG:
-            return OwnerLookup(None, sasp.SENDER_NOT_ACCEPTED)
-        return OwnerLookup(owner, sasp.SUCCESSFUL)
-
-    def _register(self, balancer: LoadBalancer, request: Message) -> Message:
-        owner, code = self._resolve_owner(balancer, request)
-        if owner is None:
-            return self._reply(request, code)
-        fresh: dict[bytes, dict[MemberData, None]] = {}
-        for grouped in request.groups:
-            assert isinstance(grouped, GroupOfEntries)
-            if not grouped.group.group_name:
-                return self._reply(request, sasp.MISSING_GROUP_NAME)
-            added = fresh.setdefault(grouped.group.group_name, {})
-            known = (
-                owner.groups[grouped.group.group_name].members
-                if grouped.group.group_name in owner.groups
-                else {}
-            )
-            for member in grouped.entries:
+    def push_message(self, connection_number: int) -> Message | None:
+        """Returns the message to push to a load balancer now, or None if it knows all weights already."""
+        groups = self._balancers[connection_number].pushed_weights(self._fleet)
+        if not groups:
+            return None
+        return Message(MessageType.SEND_WEIGHTS, 0, groups=groups)
+
+    def _register(self, sender: LoadBalancer, request: Message) -> tuple[GroupOfEntries, ...]:
+        """Registers all members of the request, or none of them if one can't be."""
+        balancer = self._resolve_balancer(sender, request)
+        new_members = _new_members(balancer, request)
+        member_count = balancer.member_count + sum(map(len, new_members.values()))
+        group_count = len(balancer.groups.keys() | new_members.keys())
+        if group_count > limits.MAX_GROUPS or member_count > limits.MAX_MEMBERS:
+            raise RegistryError(ResponseCode.INVALID_GROUP)
+        if not balancer.lb_uid:
+            balancer.lb_uid = _group_uid(request.groups[0])
+        for group_name, members in new_members.items():
+            balancer.groups.setdefault(group_name, RegisteredGroup()).add(members)
+        return ()
+
+    def _deregister(self, sender: LoadBalancer, request: Message) -> tuple[GroupOfEntries, ...]:
+        """Removes all members of the request, or none; a group named without members is removed entirely."""
+        balancer = self._resolve_balancer(sender, request)
+        for group_name, entries in _entries_by_group(request):
+            members = _registered_group(balancer, group_name).members
+            if any(member not in members for member in entries):
+                raise RegistryError(ResponseCode.MEMBER_NOT_REGISTERED)
+        for group_name, entries in _entries_by_group(request):
+            group = balancer.groups.get(group_name)
+            if group is None:  # an earlier part of the same request removed it
+                continue
+            for member in entries:
                 assert isinstance(member, MemberData)
-                if member in added:
-                    return self._reply(request, sasp.DUPLICATE_MEMBER_IN_REQUEST)
-                if member in known:
-                    return self._reply(request, sasp.MEMBER_ALREADY_REGISTERED)
-                added[member] = None
-        total = owner.member_count() + sum(map(len, fresh.values()))
-        if len(owner.groups.keys() | fresh.keys()) > limits.MAX_GROUPS or total > limits.MAX_MEMBERS:
-            return self._reply(request, sasp.INVALID_GROUP)
-        owner.lb_uid = owner.lb_uid or self._uid(request)
-        for name, members in fresh.items():  # all of the message, or nothing of it
-            owner.groups.setdefault(name, RegisteredGroup()).members.update(members)
-        return self._reply(request, sasp.SUCCESSFUL)
-
-    @staticmethod
-    def _uid(request: Message) -> bytes:
-        first = request.groups[0]
-        return first.group.lb_uid if isinstance(first, GroupOfEntries) else first.lb_uid
-
-    def _deregister(self, balancer: LoadBalancer, request: Message) -> Message:
-        owner, code = self._resolve_owner(balancer, request)
-        if owner is None:
-            return self._reply(request, code)
-        for grouped in request.groups:
-            assert isinstance(grouped, GroupOfEntries)
-            if grouped.group.group_name not in owner.groups:
-                return self._reply(request, sasp.GROUP_NOT_REGISTERED)
-            if any(
-                member not in owner.groups[grouped.group.group_name].members for member in grouped.entries
-            ):
-                return self._reply(request, sasp.MEMBER_NOT_REGISTERED)
-        for grouped in request.groups:
-            assert isinstance(grouped, GroupOfEntries)
-            listed = owner.groups.get(grouped.group.group_name)
-            for member in grouped.entries if listed else ():
-                assert listed is not None and isinstance(member, MemberData)
-                listed.members.pop(member, None)
-                listed.quiesced.discard(member)
-                listed.sent.pop(member, None)
-            if listed is not None and (
-                not grouped.entries or not listed.members
-            ):  # no members named: the group
-                owner.groups.pop(grouped.group.group_name, None)
-        return self._reply(request, sasp.SUCCESSFUL)
-
-    def _weights(self, balancer: LoadBalancer, request: Message) -> Message:
-        """Of the groups named, or of all where none is."""
+                group.remove(member)
+            if not entries or not group.members:
+                del balancer.groups[group_name]
+        return ()
+
+    def _get_weights(self, sender: LoadBalancer, request: Message) -> tuple[GroupOfEntries, ...]:
+        """Gives the weights of the groups named, or of all groups if none is named."""
         if request.groups:
-            owner, code = self._resolve_owner(balancer, request)
-            if owner is None:
-                return self._reply(request, code)
-        names = [grouped.group_name for grouped in request.groups if isinstance(grouped, GroupData)] or list(
-            balancer.groups
-        )
-        if len(set(names)) < len(names):
-            return self._reply(request, sasp.DUPLICATE_GROUP)
-        if any(name not in balancer.groups for name in names):
-            return self._reply(request, sasp.GROUP_NOT_REGISTERED)
-        return self._reply(request, sasp.SUCCESSFUL, tuple(self._entries(balancer, names, whole=True)))
-
-    def _balancer(self, balancer: LoadBalancer, request: Message) -> Message:
-        if not 0 < len(request.lb_uid) <= limits.MAX_LB_UID_LENGTH or (
-            balancer.lb_uid and balancer.lb_uid != request.lb_uid
-        ):
-            return self._reply(request, sasp.INVALID_LB_UID)
-        if any(
-            other is not balancer and other.lb_uid == request.lb_uid for other in self._balancers.values()
-        ):
-            return self._reply(request, sasp.SENDER_NOT_ACCEPTED)
-        balancer.lb_uid, balancer.flags, balancer.health = request.lb_uid, request.flags, request.lb_health
-        for listed in balancer.groups.values():
-            listed.sent.clear()  # it may have forgotten what it was told
-        return self._reply(request, sasp.SUCCESSFUL)
-
-    def _member(self, balancer: LoadBalancer, request: Message) -> Message:
-        owner, code = self._resolve_owner(balancer, request)
-        if owner is None:
-            return self._reply(request, code)
+            self._resolve_balancer(sender, request)
+        named = [group.group_name for group in request.groups if isinstance(group, GroupData)]
+        group_names = named or list(sender.groups)
+        if len(set(group_names)) < len(group_names):
+            raise RegistryError(ResponseCode.DUPLICATE_GROUP)
+        for group_name in group_names:
+            _registered_group(sender, group_name)
+        return sender.all_weights(self._fleet, group_names)
+
+    def _set_lb_state(self, sender: LoadBalancer, request: Message) -> tuple[GroupOfEntries, ...]:
+        if not _is_valid_uid(request.lb_uid):
+            raise RegistryError(ResponseCode.INVALID_LB_UID)
+        if sender.lb_uid and sender.lb_uid != request.lb_uid:
+            raise RegistryError(ResponseCode.INVALID_LB_UID)
+        if self._find_balancer(request.lb_uid, besides=sender) is not None:
+            raise RegistryError(ResponseCode.SENDER_NOT_ACCEPTED)
+        sender.lb_uid = request.lb_uid
+        sender.flags = request.flags
+        sender.health = request.lb_health
+        sender.forget_sent_weights()  # it may have restarted since
+        return ()
+
+    def _set_member_state(self, sender: LoadBalancer, request: Message) -> tuple[GroupOfEntries, ...]:
+        """Quiesces or resumes all members of the request, or none of them if one is not registered."""
+        balancer = self._resolve_balancer(sender, request)
         states: list[tuple[RegisteredGroup, MemberStateInstance]] = []
-        for grouped in request.groups:
-            assert isinstance(grouped, GroupOfEntries)
-            if (listed := owner.groups.get(grouped.group.group_name)) is None:
-                return self._reply(request, sasp.GROUP_NOT_REGISTERED)
-            for entry in grouped.entries:
+        for group_name, entries in _entries_by_group(request):
+            group = _registered_group(balancer, group_name)
+            for entry in entries:
                 assert isinstance(entry, MemberStateInstance)
-                if entry.member not in listed.members:
-                    return self._reply(request, sasp.MEMBER_NOT_REGISTERED)
-                states.append((listed, entry))
-        for listed, entry in states:
-            (listed.quiesced.add if entry.flags & sasp.MEMBER_QUIESCE_FLAG else listed.quiesced.discard)(
-                entry.member
-            )
-        return self._reply(request, sasp.SUCCESSFUL)
-
-    def _entries(
-        self, balancer: LoadBalancer, names: Iterable[bytes], whole: bool
-    ) -> Iterable[GroupOfEntries]:
-        """Weights by group; where not the whole is wanted, of those that moved, and no group without one."""
-        for name in names:
-            listed = balancer.groups[name]
-            found = {member: self._lookup(member) for member in listed.members}
-            quiesced = frozenset(
-                worker_index
-                for member, worker_index in found.items()
-                if member in listed.quiesced and worker_index is not None
-            )
-            offered = advertise_weights(
-                self._views,
-                {worker_index for worker_index in found.values() if worker_index is not None},
-                quiesced,
-            )
-            rows: list[WeightEntry] = []
-            for member, worker_index in found.items():
-                offer = (
-                    offered[worker_index] if worker_index is not None else AdvertisedWeight(0, False, False)
-                )
-                if not whole and not has_changed(listed.sent.get(member), offer):
-                    continue
-                listed.sent[member] = offer
-                flags = sasp.CONTACT_SUCCESS_FLAG * offer.is_reachable | sasp.QUIESCE_FLAG * (
-                    offer.is_leaving or worker_index in quiesced
-                )
-                rows.append(
-                    WeightEntry(
-                        member, 0, flags | sasp.CONFIDENT_FLAG * (worker_index is not None), offer.weight
-                    )
-                )
-            if rows or whole:
-                yield GroupOfEntries(GroupData(balancer.lb_uid, name), tuple(rows))
-
-    def push_message(self, number: int) -> Message | None:
-        """What a balancer that asked to be pushed to must hear of now: what moved where it wants no more than
-        that, else all of its groups as soon as anything has."""
-        balancer = self._balancers[number]
-        if not balancer.groups:
-            return None
-        if not balancer.flags & sasp.NO_CHANGE_NO_SEND_FLAG:
-            told = {name: dict(listed.sent) for name, listed in balancer.groups.items()}
-            if not list(self._entries(balancer, list(balancer.groups), whole=False)):
-                return None
-            for name, listed in balancer.groups.items():
-                listed.sent = told[name]
-            return Message(
-                sasp.SEND_WEIGHTS, 0, groups=tuple(self._entries(balancer, list(balancer.groups), whole=True))
-            )
-        groups = tuple(self._entries(balancer, list(balancer.groups), whole=False))
-        return Message(sasp.SEND_WEIGHTS, 0, groups=groups) if groups else None
-
-
-HANDLERS: dict[int, Callable[[LoadBalancerRegistry, LoadBalancer, Message], Message]] = {
-    sasp.REGISTRATION_REQUEST: LoadBalancerRegistry._register,
-    sasp.DEREGISTRATION_REQUEST: LoadBalancerRegistry._deregister,
-    sasp.GET_WEIGHTS_REQUEST: LoadBalancerRegistry._weights,
-    sasp.SET_LB_STATE_REQUEST: LoadBalancerRegistry._balancer,
-    sasp.SET_MEMBER_STATE_REQUEST: LoadBalancerRegistry._member,
+                if entry.member not in group.members:
+                    raise RegistryError(ResponseCode.MEMBER_NOT_REGISTERED)
+                states.append((group, entry))
+        for group, entry in states:
+            group.set_quiesced(entry.member, bool(entry.flags & sasp.MEMBER_QUIESCE_FLAG))
+        return ()
+
+    def _resolve_balancer(self, sender: LoadBalancer, request: Message) -> LoadBalancer:
+        """Finds the load balancer whose groups a request is about.
+
+        That is the sender itself, or, if members send the request, the load balancer that trusts them.
+        """
+        lb_uid = _request_uid(request)
+        is_from_balancer = bool(request.flags & sasp.LOAD_BALANCER_FLAG)
+        if is_from_balancer or request.message_type == MessageType.GET_WEIGHTS_REQUEST:
+            if sender.lb_uid and sender.lb_uid != lb_uid:
+                raise RegistryError(ResponseCode.SENDER_NOT_ACCEPTED)
+            return sender
+        balancer = self._find_balancer(lb_uid)
+        if balancer is None:
+            raise RegistryError(ResponseCode.LB_NOT_CONNECTED)
+        if not balancer.trusts_members:
+            raise RegistryError(ResponseCode.SENDER_NOT_ACCEPTED)
+        return balancer
+
+    def _find_balancer(self, lb_uid: bytes, besides: LoadBalancer | None = None) -> LoadBalancer | None:
+        for balancer in self._balancers.values():
+            if balancer is not besides and balancer.lb_uid == lb_uid:
+                return balancer
+        return None
+
+
+_Handler = Callable[[LoadBalancerRegistry, LoadBalancer, Message], tuple[GroupOfEntries, ...]]
+_HANDLERS: dict[int, _Handler] = {
+    MessageType.REGISTRATION_REQUEST: LoadBalancerRegistry._register,
+    MessageType.DEREGISTRATION_REQUEST: LoadBalancerRegistry._deregister,
+    MessageType.GET_WEIGHTS_REQUEST: LoadBalancerRegistry._get_weights,
+    MessageType.SET_LB_STATE_REQUEST: LoadBalancerRegistry._set_lb_state,
+    MessageType.SET_MEMBER_STATE_REQUEST: LoadBalancerRegistry._set_member_state,
 }
+
+
+def _is_valid_uid(lb_uid: bytes) -> bool:
+    return 0 < len(lb_uid) <= limits.MAX_LB_UID_BYTES
+
+
+def _group_uid(group: GroupData | GroupOfEntries) -> bytes:
+    if isinstance(group, GroupOfEntries):
+        return group.group.lb_uid
+    return group.lb_uid
+
+
+def _request_uid(request: Message) -> bytes:
+    """Returns the UID that all groups of a request share; raises RegistryError if there is no such UID."""
+    uids = {_group_uid(group) for group in request.groups}
+    if len(uids) != 1:
+        raise RegistryError(ResponseCode.INVALID_LB_UID)
+    lb_uid = uids.pop()
+    if not _is_valid_uid(lb_uid):
+        raise RegistryError(ResponseCode.INVALID_LB_UID)
+    return lb_uid
+
+
+def _registered_group(balancer: LoadBalancer, group_name: bytes) -> RegisteredGroup:
+    group = balancer.groups.get(group_name)
+    if group is None:
+        raise RegistryError(ResponseCode.GROUP_NOT_REGISTERED)
+    return group
+
+
+def _entries_by_group(request: Message) -> Iterator[tuple[bytes, tuple[sasp.Entry, ...]]]:
+    for group in request.groups:
+        assert isinstance(group, GroupOfEntries)
+        yield group.group.group_name, group.entries
+
+
+def _new_members(balancer: LoadBalancer, request: Message) -> NewMembers:
+    """Collects the members of a registration by group; raises RegistryError for one that is known already."""
+    new_members: NewMembers = {}
+    for group_name, entries in _entries_by_group(request):
+        if not group_name:
+            raise RegistryError(ResponseCode.MISSING_GROUP_NAME)
+        group = balancer.groups.get(group_name)
+        added = new_members.setdefault(group_name, {})
+        for member in entries:
+            assert isinstance(member, MemberData)
+            if member in added:
+                raise RegistryError(ResponseCode.DUPLICATE_MEMBER_IN_REQUEST)
+            if group is not None and member in group.members:
+                raise RegistryError(ResponseCode.MEMBER_ALREADY_REGISTERED)
+            added[member] = None
+    return new_members
--- /dev/null
+++ b/cottonladder/weight_advice/sasp/decoding.py
@@ -0,0 +1,236 @@
+"""Decodes SASP messages by the layouts in `messages`, with bounds on everything that the sender controls."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from ..errors import (
+    ComponentError,
+    MessageHeaderError,
+    MessageSizeError,
+    MissingHeaderError,
+    TooManyItemsError,
+    UnexpectedComponentError,
+    UnknownMessageError,
+    UnknownVersionError,
+)
+from ..tlv import Cursor, decode_address
+from .codes import PROTOCOL_VERSION, ComponentType
+from .messages import (
+    COMPONENT_STRUCT,
+    COUNT_STRUCT,
+    ENTRY_TYPES,
+    GROUP_OF_ENTRIES_STRUCT,
+    HEADER_START_STRUCT,
+    HEADER_STRUCT,
+    LABEL_FIELD,
+    MEMBER_STRUCT,
+    MESSAGE_LAYOUTS,
+    STATE_STRUCT,
+    WEIGHT_STRUCT,
+    Entry,
+    FixedField,
+    Group,
+    GroupData,
+    GroupOfEntries,
+    MemberData,
+    MemberStateInstance,
+    Message,
+    WeightEntry,
+)
+
+# Largest message accepted: some 100,000 members.
+MAX_MESSAGE_BYTES = 4 << 20
+# Members accepted in one message, over all of its groups.
+MAX_MEMBERS_PER_MESSAGE = 20_000
+# Groups accepted in one message.
+MAX_GROUPS_PER_MESSAGE = 1024
+
+# Smallest message: the header and an empty component.
+_MIN_MESSAGE_BYTES = HEADER_STRUCT.size + COMPONENT_STRUCT.size
+# Bytes of unexpected input that an error quotes.
+_QUOTED_BYTES = 4
+
+
+class MessageReader:
+    """Splits the bytes of a connection into messages; rejects a bad header before it buffers the message."""
+
+    def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
+        self._max_message_bytes = max_message_bytes
+        self._buffer = bytearray()
+
+    def feed(self, data: bytes) -> list[Message]:
+        """Adds received bytes and returns the complete messages; raises AdviceError for invalid ones."""
+        self._buffer += data
+        messages: list[Message] = []
+        while len(self._buffer) >= HEADER_STRUCT.size:
+            message_size = self._next_message_size()
+            if len(self._buffer) < message_size:
+                break
+            messages.append(decode_message(bytes(self._buffer[:message_size])))
+            del self._buffer[:message_size]
+        self._check_partial_header()
+        return messages
+
+    def _next_message_size(self) -> int:
+        """Reads the size in bytes of the message whose header is at the start of the buffer."""
+        component_type, length, version, message_size = HEADER_START_STRUCT.unpack_from(self._buffer)
+        if component_type != ComponentType.HEADER or length != HEADER_STRUCT.size:
+            raise MissingHeaderError(bytes(self._buffer[:_QUOTED_BYTES]))
+        if version != PROTOCOL_VERSION:
+            raise UnknownVersionError(version)
+        if not _MIN_MESSAGE_BYTES <= message_size <= self._max_message_bytes:
+            raise MessageSizeError(message_size, self._max_message_bytes)
+        return int(message_size)
+
+    def _check_partial_header(self) -> None:
+        """Rejects a buffer that can't become a message, whatever follows."""
+        expected = COUNT_STRUCT.pack(ComponentType.HEADER)
+        if self._buffer[: len(expected)] != expected[: len(self._buffer)]:
+            raise MissingHeaderError(bytes(self._buffer[:_QUOTED_BYTES]))
+
+
+def decode_message(data: bytes) -> Message:
+    """Decodes one complete message with its header; raises AdviceError for anything else."""
+    cursor = Cursor(data)
+    message_id = _read_message_header(cursor)
+    start = cursor.position
+    message_type, length = cursor.read_header()
+    layout = MESSAGE_LAYOUTS.get(message_type)
+    if layout is None:
+        raise UnknownMessageError(message_type)
+    fields = {fixed_field.name: _read_field(cursor, fixed_field) for fixed_field in layout.fields}
+    groups: list[Group] = []
+    fixed_size = cursor.position - start
+    if layout.nested_type is not None:
+        group_count = cursor.read_u16()
+        fixed_size = cursor.position - start
+        if group_count > MAX_GROUPS_PER_MESSAGE:
+            raise TooManyItemsError(MAX_GROUPS_PER_MESSAGE, "groups")
+        groups = _read_groups(cursor, layout.nested_type, group_count)
+    _check_length(cursor, message_type, start, length, fixed_size)
+    if cursor.remaining:
+        raise ComponentError(f"{cursor.remaining} bytes", f" behind a message of {message_type:#06x}")
+    return Message(message_type, message_id, groups=tuple(groups), **fields)  # type: ignore[arg-type]
+
+
+def _read_message_header(cursor: Cursor) -> int:
+    """Checks the header and returns the message id."""
+    length = _expect(cursor, ComponentType.HEADER)
+    version = cursor.read_u8()
+    message_size = cursor.read_u32()
+    message_id = cursor.read_u32()
+    if length != HEADER_STRUCT.size or version != PROTOCOL_VERSION or message_size != len(cursor.data):
+        raise MessageHeaderError(version, f"lengths {length} and {message_size}")
+    return message_id
+
+
+def _read_field(cursor: Cursor, fixed_field: FixedField) -> int | bytes:
+    if fixed_field.size_bytes == LABEL_FIELD:
+        return cursor.read_label()
+    if fixed_field.size_bytes == 1:
+        return cursor.read_u8()
+    return cursor.read_u16()
+
+
+def _read_groups(cursor: Cursor, nested_type: ComponentType, group_count: int) -> list[Group]:
+    if nested_type == ComponentType.GROUP_DATA:
+        return [_read_group(cursor) for _ in range(group_count)]
+    budget = _MemberBudget()
+    return [_read_group_of_entries(cursor, nested_type, budget) for _ in range(group_count)]
+
+
+class _MemberBudget:
+    """Limits the number of members in one message, over all of its groups."""
+
+    def __init__(self) -> None:
+        self._remaining = MAX_MEMBERS_PER_MESSAGE
+
+    def reserve(self, member_count: int) -> None:
+        """Takes members off the budget before any of them is read; raises AdviceError if it is exceeded."""
+        self._remaining -= member_count
+        if self._remaining < 0:
+            raise TooManyItemsError(MAX_MEMBERS_PER_MESSAGE, "members")
+
+
+def _read_group_of_entries(
+    cursor: Cursor, component_type: ComponentType, budget: _MemberBudget
+) -> GroupOfEntries:
+    start = cursor.position
+    length = _expect(cursor, component_type)
+    entry_count = cursor.read_u16()
+    budget.reserve(entry_count)
+    group = _read_group(cursor)
+    read_entry = _ENTRY_READERS[ENTRY_TYPES[component_type]]
+    entries = tuple(read_entry(cursor) for _ in range(entry_count))
+    _check_length(cursor, component_type, start, length, GROUP_OF_ENTRIES_STRUCT.size)
+    return GroupOfEntries(group, entries)
+
+
+def _read_group(cursor: Cursor) -> GroupData:
+    start = cursor.position
+    length = _expect(cursor, ComponentType.GROUP_DATA)
+    lb_uid = cursor.read_label()
+    group_name = cursor.read_label()
+    size = cursor.position - start
+    if length != size:
+        raise ComponentError("group data", f": a length of {length}, {size} expected")
+    return GroupData(lb_uid, group_name)
+
+
+def _read_member(cursor: Cursor) -> MemberData:
+    start = cursor.advance(MEMBER_STRUCT.size)
+    component_type, length, protocol, port, address, label_size = MEMBER_STRUCT.unpack_from(
+        cursor.data, start
+    )
+    if component_type != ComponentType.MEMBER_DATA or length != MEMBER_STRUCT.size + label_size:
+        fault = f" of {length} bytes where a member is expected"
+        raise ComponentError(f"component {component_type:#06x}", fault)
+    return MemberData(protocol, port, decode_address(address), cursor.read_bytes(label_size))
+
+
+def _read_weight(cursor: Cursor) -> WeightEntry:
+    start = cursor.position
+    length = _expect(cursor, ComponentType.WEIGHT_ENTRY)
+    member = _read_member(cursor)
+    weight_start = cursor.advance(WEIGHT_STRUCT.size)
+    opaque_state, flags, weight = WEIGHT_STRUCT.unpack_from(cursor.data, weight_start)
+    fixed_size = COMPONENT_STRUCT.size + WEIGHT_STRUCT.size
+    _check_length(cursor, ComponentType.WEIGHT_ENTRY, start, length, fixed_size)
+    return WeightEntry(member, opaque_state, flags, weight)
+
+
+def _read_state(cursor: Cursor) -> MemberStateInstance:
+    start = cursor.position
+    length = _expect(cursor, ComponentType.MEMBER_STATE_INSTANCE)
+    member = _read_member(cursor)
+    opaque_state, flags = STATE_STRUCT.unpack_from(cursor.data, cursor.advance(STATE_STRUCT.size))
+    fixed_size = COMPONENT_STRUCT.size + STATE_STRUCT.size
+    _check_length(cursor, ComponentType.MEMBER_STATE_INSTANCE, start, length, fixed_size)
+    return MemberStateInstance(member, opaque_state, flags)
+
+
+_ENTRY_READERS: dict[ComponentType, Callable[[Cursor], Entry]] = {
+    ComponentType.MEMBER_DATA: _read_member,
+    ComponentType.WEIGHT_ENTRY: _read_weight,
+    ComponentType.MEMBER_STATE_INSTANCE: _read_state,
+}
+
+
+def _expect(cursor: Cursor, expected_type: ComponentType) -> int:
+    """Reads the header of a component of this type and returns its length."""
+    component_type, length = cursor.read_header()
+    if component_type != expected_type:
+        raise UnexpectedComponentError(component_type, expected_type)
+    return length
+
+
+def _check_length(cursor: Cursor, component_type: int, start: int, length: int, fixed_size: int) -> None:
+    """Checks a container's length, which may cover its fixed part alone or the nested components as well.
+
+    The RFC can be read either way.  Any other length is an AdviceError.
+    """
+    nested_size = cursor.position - start
+    if length not in (fixed_size, nested_size):
+        fault = f": a length of {length}, {fixed_size} or {nested_size} expected"
+        raise ComponentError(f"component {component_type:#06x}", fault)
--- a/cottonladder/weight_advice/tlv.py
+++ b/cottonladder/weight_advice/tlv.py
@@ -1,30 +1,35 @@
-"""What SASP and DFP share: big-endian fields read from bounded bytes, written to a buffer."""
+"""Field encodings that SASP and DFP share: big-endian integers, labels and addresses, read within bounds."""
 
 from __future__ import annotations
 
 import struct
 from ipaddress import IPv4Address, IPv6Address, ip_address
 
-from ..config.errors import InputError
+from .errors import LabelTooLongError, TruncatedDataError
 
 _U16 = struct.Struct("!H")
 _U32 = struct.Struct("!I")
-_HEADER = struct.Struct("!HH")  # type, length
-# Bytes of a label at the most: its length is one byte.
-MAX_LABEL_LENGTH = 255
-# Before the 4 bytes of an IPv4-mapped IPv6 address (RFC 4291, 2.5.5.2).
-_MAPPED_PREFIX = b"\0" * 10 + b"\xff\xff"
-
-
-class AdviceError(InputError):
-    """Bytes that the protocol doesn't allow; one plain line.  After it no message can be told from the
-    next."""
+# Type and length of a component or TLV.
+_HEADER = struct.Struct("!HH")
+# Longest label: its length is stored in one byte.
+MAX_LABEL_BYTES = 255
+# IANA's protocol number of TCP, which identifies the protocol of members and loads.
+TCP_PROTOCOL_NUMBER = 6
+
+# First 10 bytes of an IPv4 address in IPv6 form (RFC 4291, 2.5.5).
+_ZERO_PREFIX = bytes(10)
+# The next 2 bytes of an IPv4-mapped address (RFC 4291, 2.5.5.2) and of an IPv4-compatible one (2.5.5.1).
+_MAPPED_MARK = b"\xff\xff"
+_COMPATIBLE_MARK = b"\0\0"
+_MAPPED_PREFIX = _ZERO_PREFIX + _MAPPED_MARK
+# Up to ::1 (unspecified and loopback address) an IPv4-compatible form is no IPv4 address.
+_LOOPBACK_SUFFIX = b"\0\0\0\1"
 
 
 class Cursor:
-    """Reads on in `data` up to `end`; whatever would pass it is an AdviceError."""
+    """Reads fields of `data` one after another, up to `end`; a field beyond it is a TruncatedDataError."""
 
-    __slots__ = ("data", "position", "end")
+    __slots__ = ("data", "end", "position")
 
     def __init__(self, data: bytes, position: int = 0, end: int | None = None) -> None:
         self.data = data
@@ -33,48 +38,48 @@
 
     @property
     def remaining(self) -> int:
-        """Bytes up to the end."""
+        """Number of bytes up to the end."""
         return self.end - self.position
 
     def advance(self, size: int) -> int:
-        """Where the next `size` bytes begin; the cursor stands behind them."""
-        at = self.position
-        if at + size > self.end:
-            raise AdviceError(f"cut short: {size} bytes expected, {self.end - at} left")
-        self.position = at + size
-        return at
+        """Skips `size` bytes and returns the position of the first of them."""
+        start = self.position
+        if start + size > self.end:
+            raise TruncatedDataError(size, self.end - start)
+        self.position = start + size
+        return start
 
     def read_u8(self) -> int:
-        """One byte."""
+        """Reads one byte."""
         return self.data[self.advance(1)]
 
     def read_u16(self) -> int:
-        """Two bytes, unsigned."""
+        """Reads an unsigned integer of two bytes."""
         return int(_U16.unpack_from(self.data, self.advance(2))[0])
 
     def read_u32(self) -> int:
-        """Four bytes, unsigned."""
+        """Reads an unsigned integer of four bytes."""
         return int(_U32.unpack_from(self.data, self.advance(4))[0])
 
     def read_bytes(self, size: int) -> bytes:
-        """The next `size` bytes."""
-        at = self.advance(size)
-        return self.data[at : at + size]
+        """Reads `size` bytes."""
+        start = self.advance(size)
+        return self.data[start : start + size]
 
     def read_header(self) -> tuple[int, int]:
-        """A component's type and length."""
-        kind, length = _HEADER.unpack_from(self.data, self.advance(4))
-        return int(kind), int(length)
+        """Reads the type and length of a component or TLV."""
+        component_type, length = _HEADER.unpack_from(self.data, self.advance(_HEADER.size))
+        return int(component_type), int(length)
 
     def read_label(self) -> bytes:
-        """A length of one byte and so many bytes."""
+        """Reads a label: one byte of length and that many bytes."""
         return self.read_bytes(self.read_u8())
 
 
 def encode_label(label: bytes) -> bytes:
-    """A length of one byte and the label; raises AdviceError where it is too long."""
-    if len(label) > MAX_LABEL_LENGTH:
-        raise AdviceError(f"a label of {len(label)} bytes, {MAX_LABEL_LENGTH} at most")
+    """Encodes a label with its length in front; raises AdviceError if it is too long."""
+    if len(label) > MAX_LABEL_BYTES:
+        raise LabelTooLongError(len(label), MAX_LABEL_BYTES)
     return bytes([len(label)]) + label
 
 
@@ -82,21 +87,24 @@
 
 
 def encode_address(address: Address) -> bytes:
-    """16 bytes; an IPv4 address is written as an IPv4-mapped one (RFC 4291, 2.5.5.2)."""
+    """Encodes an address in 16 bytes; IPv4 takes the IPv4-mapped form (RFC 4291, 2.5.5.2)."""
     if isinstance(address, IPv4Address):
         return _MAPPED_PREFIX + address.packed
     return address.packed
 
 
 def decode_address(data: bytes) -> Address:
-    """Mapped and compatible forms of an IPv4 address are read as the address itself."""
-    if data[:10] == b"\0" * 10 and data[10:12] in (b"\xff\xff", b"\0\0") and data[12:] > b"\0\0\0\1":
-        return IPv4Address(data[12:])
+    """Decodes 16 bytes; IPv4-mapped and IPv4-compatible addresses become IPv4 ones."""
+    prefix = data[:10]
+    mark = data[10:12]
+    suffix = data[12:]
+    if prefix == _ZERO_PREFIX and mark in (_MAPPED_MARK, _COMPATIBLE_MARK) and suffix > _LOOPBACK_SUFFIX:
+        return IPv4Address(suffix)
     return IPv6Address(data)
 
 
 def parse_address(host: str) -> Address | None:
-    """A literal address, or none: names are not looked up here."""
+    """Parses a literal address; returns None for a host name, which is not resolved here."""
     try:
         return ip_address(host)
     except ValueError:
--- a/tests/weight_advice/test_codecs.py
+++ b/tests/weight_advice/test_codecs.py
@@ -11,50 +11,62 @@
 from hypothesis import strategies as st
 
 from cottonladder.weight_advice import dfp, sasp
-from cottonladder.weight_advice.tlv import AdviceError
+from cottonladder.weight_advice.errors import AdviceError
 
 A, B, C = (sasp.MemberData(6, 80, IPv4Address(f"10.0.0.{n}"), b"s-%d" % n) for n in (1, 2, 3))
 SIX = sasp.MemberData(17, 65535, IPv6Address("2001:db8::7"))
 GROUP = sasp.GroupData(b"lb-1", b"workers")
 MESSAGES = [
-    sasp.Message(sasp.REGISTRATION_REQUEST, 1, flags=1, groups=(sasp.GroupOfEntries(GROUP, (A, B, SIX)),)),
-    sasp.Message(sasp.REGISTRATION_REPLY, 1, response_code=sasp.MEMBER_ALREADY_REGISTERED),
     sasp.Message(
-        sasp.DEREGISTRATION_REQUEST, 2, flags=1, reason=1, groups=(sasp.GroupOfEntries(GROUP, (A,)),)
+        sasp.MessageType.REGISTRATION_REQUEST, 1, flags=1, groups=(sasp.GroupOfEntries(GROUP, (A, B, SIX)),)
     ),
-    sasp.Message(sasp.DEREGISTRATION_REPLY, 2),
-    sasp.Message(sasp.GET_WEIGHTS_REQUEST, 3, groups=(GROUP, sasp.GroupData(b"lb-1", b"other"))),
     sasp.Message(
-        sasp.GET_WEIGHTS_REPLY,
+        sasp.MessageType.REGISTRATION_REPLY, 1, response_code=sasp.ResponseCode.MEMBER_ALREADY_REGISTERED
+    ),
+    sasp.Message(
+        sasp.MessageType.DEREGISTRATION_REQUEST,
+        2,
+        flags=1,
+        reason=1,
+        groups=(sasp.GroupOfEntries(GROUP, (A,)),),
+    ),
+    sasp.Message(sasp.MessageType.DEREGISTRATION_REPLY, 2),
+    sasp.Message(sasp.MessageType.GET_WEIGHTS_REQUEST, 3, groups=(GROUP, sasp.GroupData(b"lb-1", b"other"))),
+    sasp.Message(
+        sasp.MessageType.GET_WEIGHTS_REPLY,
         3,
         interval_s=9,
         groups=(sasp.GroupOfEntries(GROUP, (sasp.WeightEntry(A, 0, 3, 65535),)),),
     ),
-    sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, ()),)),
-    sasp.Message(sasp.SET_LB_STATE_REQUEST, 4, lb_uid=b"lb-1", lb_health=127, flags=7),
-    sasp.Message(sasp.SET_LB_STATE_REPLY, 4),
+    sasp.Message(sasp.MessageType.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, ()),)),
+    sasp.Message(sasp.MessageType.SET_LB_STATE_REQUEST, 4, lb_uid=b"lb-1", lb_health=127, flags=7),
+    sasp.Message(sasp.MessageType.SET_LB_STATE_REPLY, 4),
     sasp.Message(
-        sasp.SET_MEMBER_STATE_REQUEST,
+        sasp.MessageType.SET_MEMBER_STATE_REQUEST,
         5,
         flags=1,
         groups=(sasp.GroupOfEntries(GROUP, (sasp.MemberStateInstance(A, 2, 1),)),),
     ),
-    sasp.Message(sasp.SET_MEMBER_STATE_REPLY, 2**32 - 1, response_code=sasp.MEMBER_NOT_REGISTERED),
+    sasp.Message(
+        sasp.MessageType.SET_MEMBER_STATE_REPLY,
+        2**32 - 1,
+        response_code=sasp.ResponseCode.MEMBER_NOT_REGISTERED,
+    ),
 ]
 HOSTS = (
     dfp.HostPreference(IPv4Address("10.0.0.1"), 0, 65535),
     dfp.HostPreference(IPv4Address("10.0.0.2"), 7, 0),
 )
 REPORTS = [
-    dfp.Message(dfp.PREFERENCE_INFORMATION, (dfp.Load(80, 6, HOSTS), dfp.Load(0, 17, ()))),
-    dfp.Message(dfp.SERVER_STATE, (dfp.Load(80, 6, HOSTS[:1], 1),)),
-    dfp.Message(dfp.DFP_PARAMETERS, keep_alive_s=30),
-    dfp.Message(dfp.BIND_ID_REQUEST),
+    dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, (dfp.Load(80, 6, HOSTS), dfp.Load(0, 17, ()))),
+    dfp.Message(dfp.MessageType.SERVER_STATE, (dfp.Load(80, 6, HOSTS[:1], 1),)),
+    dfp.Message(dfp.MessageType.DFP_PARAMETERS, keep_alive_s=30),
+    dfp.Message(dfp.MessageType.BIND_ID_REQUEST),
     dfp.Message(
-        dfp.BIND_ID_REPORT,
+        dfp.MessageType.BIND_ID_REPORT,
         bindings=(dfp.BindIdEntry(7, IPv4Address("10.1.0.0"), IPv4Address("255.255.0.0")),),
     ),
-    dfp.Message(dfp.BIND_ID_CHANGE_NOTICE),
+    dfp.Message(dfp.MessageType.BIND_ID_CHANGE_NOTICE),
 ]
 
 
@@ -124,7 +136,7 @@
         data = dfp.encode_message(REPORTS[2]) + struct.pack("!HH4s", 0x7777, 8, b"what")
         data = data[:4] + struct.pack("!I", len(data)) + data[8:]
         read = dfp.decode_message(data)
-        self.assertEqual((read, read.unknown_tlvs), (REPORTS[2], 1))
+        self.assertEqual((read, read.unknown_tlv_count), (REPORTS[2], 1))
 
     def test_the_security_tlv_holds_or_the_message_is_refused(self) -> None:
         secret = (7, b"month's end")
@@ -143,11 +155,11 @@
         rows = tuple(
             sasp.WeightEntry(sasp.MemberData(6, n, A.address, b"s-%d" % n), 0, 1, n) for n in range(10_000)
         )
-        whole = sasp.Message(sasp.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, rows),))
+        whole = sasp.Message(sasp.MessageType.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, rows),))
         self.assertEqual(sasp.MessageReader().feed(sasp.encode_message(whole)), [whole])
         hosts = tuple(dfp.HostPreference(IPv4Address(n), 0, n) for n in range(10_000))
         read = dfp.decode_message(
-            dfp.encode_message(dfp.Message(dfp.PREFERENCE_INFORMATION, (dfp.Load(80, 6, hosts),)))
+            dfp.encode_message(dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, (dfp.Load(80, 6, hosts),)))
         )
         self.assertEqual([h for load in read.loads for h in load.hosts], list(hosts))
 
--- a/tests/weight_advice/test_server_and_client.py
+++ b/tests/weight_advice/test_server_and_client.py
@@ -105,13 +105,16 @@
         flags = sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG
         self.assertEqual(
             (
-                await balancer.ask(sasp.SET_LB_STATE_REQUEST, lb_uid=b"lb-1", lb_health=9, flags=flags)
+                await balancer.ask(
+                    sasp.MessageType.SET_LB_STATE_REQUEST, lb_uid=b"lb-1", lb_health=9, flags=flags
+                )
             ).response_code,
             0,
         )
         by_place = sasp.MemberData(6, 8002, IPv4Address("127.0.0.9"), b"another name")
         self.assertEqual(
-            await balancer.register(b"g", member("s-1"), by_place, member("nobody")), sasp.SUCCESSFUL
+            await balancer.register(b"g", member("s-1"), by_place, member("nobody")),
+            sasp.ResponseCode.SUCCESSFUL,
         )
         rows = await balancer.weights(b"g")
         self.assertEqual({name: w.weight for name, w in rows.items()},
@@ -145,8 +148,8 @@
         for port, key in zip(ports, ((7, b"month's end"), None), strict=True):
             await self.discovery.set_state("s-2", "Ready")
             heard = await read_dfp_reports(port, 2, key)
-            self.assertIn(dfp.BIND_ID_REPORT, {m.message_type for m in heard})
-            loads = [m for m in heard if m.message_type == dfp.PREFERENCE_INFORMATION][-1].loads
+            self.assertIn(dfp.MessageType.BIND_ID_REPORT, {m.message_type for m in heard})
+            loads = [m for m in heard if m.message_type == dfp.MessageType.PREFERENCE_INFORMATION][-1].loads
             weights = {(str(h.address), load.port): h.weight for load in loads for h in load.hosts}
             self.assertEqual(weights, {("127.0.0.9", 8000 + n): MAX_WEIGHT for n in range(1, 5)})
         with self.assertRaises(ConnectionError):
@@ -158,9 +161,12 @@
         port = await self.port(manager, "sasp")
         good = await self.balancer(port)
         await good.register(b"g", member("s-1"))
-        data = sasp.encode_message(sasp.Message(sasp.SET_LB_STATE_REQUEST, 1, lb_uid=b"lb-1"))
+        data = sasp.encode_message(sasp.Message(sasp.MessageType.SET_LB_STATE_REQUEST, 1, lb_uid=b"lb-1"))
         bad = [data[:4] + b"\x09" + data[5:], data[:13] + b"\x99" + data[14:]]
-        bad += [b"GET / HTTP/1.1\r\n\r\n", sasp.encode_message(sasp.Message(sasp.SEND_WEIGHTS, 1))]
+        bad += [
+            b"GET / HTTP/1.1\r\n\r\n",
+            sasp.encode_message(sasp.Message(sasp.MessageType.SEND_WEIGHTS, 1)),
+        ]
         for said in bad:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(said)
@@ -199,15 +205,17 @@
         rows = tuple(member(f"x-{n}", n) for n in range(10_000))
         group = sasp.GroupData(b"lb-1", b"g")
         asked = sasp.Message(
-            sasp.REGISTRATION_REQUEST, 1, flags=1, groups=(sasp.GroupOfEntries(group, rows),)
+            sasp.MessageType.REGISTRATION_REQUEST, 1, flags=1, groups=(sasp.GroupOfEntries(group, rows),)
         )
         writer.write(sasp.encode_message(asked))
         for _ in range(60):
-            writer.write(sasp.encode_message(sasp.Message(sasp.GET_WEIGHTS_REQUEST, 2, groups=(group,))))
+            writer.write(
+                sasp.encode_message(sasp.Message(sasp.MessageType.GET_WEIGHTS_REQUEST, 2, groups=(group,)))
+            )
         await manager.logged("advice_client_disconnected", "unread")
         writer.transport.abort()
         other = await self.balancer(port)
-        self.assertEqual(await other.register(b"g", member("s-1")), sasp.SUCCESSFUL)
+        self.assertEqual(await other.register(b"g", member("s-1")), sasp.ResponseCode.SUCCESSFUL)
 
     async def test_tls_with_certificates_of_both_sides(self) -> None:
         with TemporaryDirectory() as name:
@@ -222,7 +230,7 @@
             context = ssl.create_default_context(cafile=str(folder / "ca.pem"))
             context.load_cert_chain(folder / "client.pem", folder / "client.key")
             balancer = await self.balancer(port, ssl=context, server_hostname="localhost")
-            self.assertEqual(await balancer.register(b"g", member("s-1")), sasp.SUCCESSFUL)
+            self.assertEqual(await balancer.register(b"g", member("s-1")), sasp.ResponseCode.SUCCESSFUL)
             bare = ssl.create_default_context(cafile=str(folder / "ca.pem"))
             stranger = await self.balancer(port, b"lb-2", ssl=bare, server_hostname="localhost")
             with self.assertRaises((ConnectionError, ssl.SSLError)):
