--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -19,7 +19,7 @@
 from .restored_state import restore, snapshot_of
 
 SNAPSHOT_PRIORITY = 3
-MAX_LOGGED_AGE = 1e9  # s
+MAX_LOGGED_AGE_S = 1e9  # s
 SECTION = "forwarder"  # of a snapshot file
 
 
@@ -79,7 +79,7 @@
             forwarder.workers.is_known,
         )
         forwarder.stream.is_cold = not forwarder.router.has_ordered_table
-        shown_age_s = round(min(age_s, MAX_LOGGED_AGE), 1)
+        shown_age_s = round(min(age_s, MAX_LOGGED_AGE_S), 1)
         forwarder.log.info("snapshot_restored", restored=restored, age_s=shown_age_s)
 
     forwarder.workers.restore_snapshot = restore_snapshot
--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -11,15 +11,15 @@
 from aiohttp.web_protocol import RequestHandler
 
 from ..protocol.fault_log import RateLimitedFaultLog
-from .resource_limits import HEADER_TIMEOUT, ConnectionSlots, ResourceLimits
+from .resource_limits import HEADER_TIMEOUT_S, ConnectionSlots, ResourceLimits
 from .tunnel_ends import ClientEnd, HandshakeReply
 
-SWEEP_INTERVAL = 0.5  # s between looks at who has not sent a head yet
-STOP_TIMEOUT = 5.0  # s that plain requests under way have at the stop
-SHUTDOWN_MARGIN = 1.0  # s more that aiohttp has to end them
-LINGERING_TIME = 0.5  # s that the rest of a body that nobody wants is read
-BACKLOG = 1024  # connections that the system keeps until they are accepted
-TOO_MANY_CONNECTIONS = (
+SWEEP_INTERVAL_S = 0.5  # s between looks at who has not sent a head yet
+STOP_TIMEOUT_S = 5.0  # s that plain requests under way have at the stop
+SHUTDOWN_MARGIN_S = 1.0  # s more that aiohttp has to end them
+LINGERING_TIME_S = 0.5  # s that the rest of a body that nobody wants is read
+MAX_PENDING_CONNECTIONS = 1024  # connections that the system keeps until they are accepted
+CONNECTION_LIMIT_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
 
@@ -69,7 +69,9 @@
     async def listen(self, host: str, port: int) -> int:
         """Accepts connections; the port."""
         loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(self._connection_handler, host, port, backlog=BACKLOG)
+        self._listener = await loop.create_server(
+            self._connection_handler, host, port, backlog=MAX_PENDING_CONNECTIONS
+        )
         self._close_overdue()
         return int(self._listener.sockets[0].getsockname()[1])
 
@@ -79,11 +81,11 @@
             self,
             self._server,
             loop=asyncio.get_running_loop(),
-            keepalive_timeout=self.limits.idle_timeout,
+            keepalive_timeout=self.limits.idle_timeout_s,
             access_log=None,
             max_line_size=self.limits.header_bytes,
             max_field_size=self.limits.header_bytes,
-            lingering_time=LINGERING_TIME,
+            lingering_time=LINGERING_TIME_S,
             auto_decompress=False,
         )
 
@@ -95,7 +97,7 @@
             return
         self.faults.report("too many connections", client=handler.client)
         if handler.transport is not None:
-            handler.transport.write(TOO_MANY_CONNECTIONS)
+            handler.transport.write(CONNECTION_LIMIT_RESPONSE)
         handler.force_close()
 
     def connection_closed(self, handler: LimitedRequestHandler) -> None:
@@ -115,10 +117,10 @@
                 self.faults.report("no request in time", client=handler.client)
                 handler.force_close()
         self._overdue = [
-            handler for handler in self._awaiting_head if now - handler.accepted_at >= HEADER_TIMEOUT
+            handler for handler in self._awaiting_head if now - handler.accepted_at >= HEADER_TIMEOUT_S
         ]
         self.faults.summarize(now)
-        self._timer = loop.call_later(SWEEP_INTERVAL, self._close_overdue)
+        self._timer = loop.call_later(SWEEP_INTERVAL_S, self._close_overdue)
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
         self._awaiting_head.pop(cast(LimitedRequestHandler, request.protocol), None)
@@ -149,7 +151,7 @@
         if self._listener is not None:
             self._listener.close()
         with suppress(TimeoutError):
-            await asyncio.wait_for(self._server.shutdown(STOP_TIMEOUT), STOP_TIMEOUT + SHUTDOWN_MARGIN)
+            await asyncio.wait_for(self._server.shutdown(STOP_TIMEOUT_S), STOP_TIMEOUT_S + SHUTDOWN_MARGIN_S)
 
     def stop_listening(self) -> None:
         """Accepts no more connections."""
--- a/cottonladder/forwarder/connection_drainer.py
+++ b/cottonladder/forwarder/connection_drainer.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-TICK_INTERVAL = 0.1  # s between looks
-ORDER_WAIT_PART = 0.2  # part of the grace that a manager has for its first order, or the next one
-FINAL_PART = 0.1  # part of the grace at its end: whatever is idle goes, whoever paces
-CUT_PART = 0.05  # part of the grace at its end in which what was closed may still end by itself
+TICK_INTERVAL_S = 0.1  # s between looks
+ORDER_WAIT_FRACTION = 0.2  # part of the grace that a manager has for its first order, or the next one
+FINAL_PHASE_FRACTION = 0.1  # part of the grace at its end: whatever is idle goes, whoever paces
+CUT_PHASE_FRACTION = 0.05  # part of the grace at its end in which what was closed may still end by itself
 # s that an order waits for busy connections to fall idle before it is answered: less than the slices after
 # which the manager counts an order as lost
-ORDER_TIMEOUT = 1.8
+ORDER_TIMEOUT_S = 1.8
 NO_ORDER = -1  # a move that no manager has ordered
 
 
@@ -78,14 +78,14 @@
         """How many of its connections should have begun by now: evenly over its span."""
         elapsed_part = 1.0
         if self.within > 0:
-            elapsed_part = min(1.0, (now - self.received_at + TICK_INTERVAL) / self.within)
+            elapsed_part = min(1.0, (now - self.received_at + TICK_INTERVAL_S) / self.within)
         return max(0, math.ceil(self.count * elapsed_part) - self.started)
 
     def is_done(self, now: float) -> bool:
         """Every connection has settled, or the busy ones have been waited for long enough."""
         if self.settled >= self.count:
             return True
-        has_waited = now - self.received_at > max(ORDER_TIMEOUT, self.within)
+        has_waited = now - self.received_at > max(ORDER_TIMEOUT_S, self.within)
         return has_waited and self.settled >= self.started
 
 
@@ -238,9 +238,9 @@
                 order.settled += 1
                 order.failed += not succeeded
 
-    def forget_finished(self, held_workers: set[str], excluded: set[str]) -> None:
+    def forget_finished(self, workers_with_connections: set[str], excluded: set[str]) -> None:
         """Workers without connections that are not excluded are drained no more."""
-        for worker_id in set(self._drains) - held_workers - excluded:
+        for worker_id in set(self._drains) - workers_with_connections - excluded:
             del self._drains[worker_id]
 
     # what is due
@@ -265,7 +265,7 @@
     ) -> list[StartMove | CutConnections]:
         """What is due at one worker."""
         self._advance(now, worker_id, drain)
-        if now >= drain.ends_at - CUT_PART * self.grace:
+        if now >= drain.ends_at - CUT_PHASE_FRACTION * self.grace:
             self._cancel_orders(drain)
             return [CutConnections(worker_id)] if held else []
         actions: list[StartMove | CutConnections] = []
@@ -281,11 +281,11 @@
 
     def _advance(self, now: float, worker_id: str, drain: Drain) -> None:
         """Changes of state that come with time alone."""
-        if now >= drain.ends_at - FINAL_PART * self.grace:
+        if now >= drain.ends_at - FINAL_PHASE_FRACTION * self.grace:
             self._step(worker_id, DrainEvent.ENDING)
             return
         awaits = drain.state in (DrainState.AWAITING_ORDERS, DrainState.ORDERED) and not drain.orders
-        if awaits and now - drain.last_order_at > ORDER_WAIT_PART * self.grace:
+        if awaits and now - drain.last_order_at > ORDER_WAIT_FRACTION * self.grace:
             self._step(worker_id, DrainEvent.UNHEARD)
 
     @staticmethod
@@ -306,8 +306,8 @@
         if drain.state is DrainState.FINAL:
             due = idle
         elif drain.state is DrainState.SELF_PACED:
-            time_left = drain.ends_at - FINAL_PART * self.grace - now
-            due = math.ceil(held * TICK_INTERVAL / max(TICK_INTERVAL, time_left))
+            time_left = drain.ends_at - FINAL_PHASE_FRACTION * self.grace - now
+            due = math.ceil(held * TICK_INTERVAL_S / max(TICK_INTERVAL_S, time_left))
         else:
             return []
         return [StartMove(worker_id, None, False, NO_ORDER)] * min(idle, due)
--- a/cottonladder/forwarder/connection_registry.py
+++ b/cottonladder/forwarder/connection_registry.py
@@ -17,7 +17,7 @@
     """A connection, as far as it is counted here."""
 
     @property
-    def is_held(self) -> bool:
+    def is_open(self) -> bool:
         """It is not on its way from its worker."""
         ...
 
@@ -87,7 +87,7 @@
 
     def idle_and_held(self, worker_id: str, now: float) -> tuple[list[T], int]:
         """Those that may be moved now, the ones added first in front, and how many are held in all."""
-        held = [connection for connection in self.connections_of(worker_id) if connection.is_held]
+        held = [connection for connection in self.connections_of(worker_id) if connection.is_open]
         idle = [connection for connection in held if not connection.is_busy(now)]
         return idle, len(held)
 
--- a/cottonladder/forwarder/errors.py
+++ b/cottonladder/forwarder/errors.py
@@ -12,7 +12,7 @@
     """Base class of every error that the forwarder raises itself."""
 
 
-class OrderRejected(ForwarderError, ValueError):
+class OrderRejectedError(ForwarderError, ValueError):
     """An order that can't be carried out; the stream that brought it is reset."""
 
 
@@ -24,7 +24,7 @@
     """A request's body is over the limit."""
 
 
-class RequestRejected(ForwarderError):
+class RequestRejectedError(ForwarderError):
     """A request that is answered without being sent to a worker; `answer` is what the client gets."""
 
     def __init__(self, answer: FinalAnswer) -> None:
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -15,10 +15,10 @@
 
 from ..config.operator_config import ForwarderConfig, OperatorConfig, host_port
 from ..protocol import upgrade_extension as upgrades
-from .connection_drainer import TICK_INTERVAL, ConnectionDrainer
-from .errors import OrderRejected
+from .connection_drainer import TICK_INTERVAL_S, ConnectionDrainer
+from .errors import OrderRejectedError
 from .fleet import Fleet
-from .load_recorder import REPORT_INTERVAL, LoadRecorder
+from .load_recorder import REPORT_INTERVAL_S, LoadRecorder
 from .load_reporter import LoadReporter
 from .manager_stream import ManagerStream
 from .operator_settings import request_classes, resource_limits
@@ -30,11 +30,11 @@
 from .upgrade_policy import UpgradePolicy
 from .worker_list import WorkerList
 
-HELD_REPORT_INTERVAL = 0.25  # s between reports on held connections: managers plan each half second
-MAX_STOP_TIME = 10.0  # s that connections have at SIGTERM, or the grace if that is less
-STOP_CLOSE_PART = 0.8  # of the time to stop, over which connections are closed evenly
-STOP_BUSY_TIME = 2.0  # s more that the busy ones have
-DEFAULT_GRACE = (
+CONNECTION_REPORT_INTERVAL_S = 0.25  # s between reports on held connections: managers plan each half second
+MAX_STOP_TIME_S = 10.0  # s that connections have at SIGTERM, or the grace if that is less
+STOP_CLOSE_FRACTION = 0.8  # of the time to stop, over which connections are closed evenly
+STOP_BUSY_TIME_S = 2.0  # s more that the busy ones have
+DEFAULT_GRACE_S = (
     30.0  # s for drains where the file has no grace: upgraded connections are carried all the same
 )
 
@@ -47,7 +47,7 @@
         policies[kind.name] = UpgradePolicy(
             request_prefix=None if busy.opens is None else busy.opens.encode(),
             response_prefix=busy.ends.encode(),
-            quiet_time=busy.quiet,
+            quiet_time_s=busy.quiet,
             ticket_header=kind.ticket,
         )
     return policies
@@ -64,7 +64,7 @@
         self.loop = asyncio.get_running_loop()
         rng = random.Random(config.seed or time.time_ns())
         classes = request_classes(config)
-        grace = operator.upgrades.grace if operator.upgrades else DEFAULT_GRACE
+        grace = operator.upgrades.grace if operator.upgrades else DEFAULT_GRACE_S
         arrival_rate = operator.upgrades.arrivals if operator.upgrades else float(config.limits.worker)
         self.router = Router(classes, config.levels, rng.random)
         self.drainer = ConnectionDrainer(grace)
@@ -88,7 +88,7 @@
             self.router,
             self.pacer,
             rng,
-            self.plugins.on_labels,
+            self.plugins.record_labels,
             self.handler.tunnels.registry.workers,
         )
         self._held_report_at = 0.0
@@ -124,20 +124,20 @@
         self.handler.stop_accepting()
         self.handler.listener.stop_listening()
         tunnels = self.handler.tunnels
-        ends_at = self.loop.time() + min(MAX_STOP_TIME, self.drainer.grace) * STOP_CLOSE_PART
+        ends_at = self.loop.time() + min(MAX_STOP_TIME_S, self.drainer.grace) * STOP_CLOSE_FRACTION
         while tunnels.registry.total() or self.handler.in_flight:
             if not tunnels.registry.total() and self.loop.time() > ends_at:
                 return  # what is left of the requests is answered by the handler's close
-            time_left = max(TICK_INTERVAL, ends_at - self.loop.time())
-            open_count = tunnels.close_part(min(1.0, TICK_INTERVAL / time_left))
-            if not open_count and self.loop.time() > ends_at + STOP_BUSY_TIME:
+            time_left = max(TICK_INTERVAL_S, ends_at - self.loop.time())
+            open_count = tunnels.close_part(min(1.0, TICK_INTERVAL_S / time_left))
+            if not open_count and self.loop.time() > ends_at + STOP_BUSY_TIME_S:
                 return
-            await asyncio.sleep(TICK_INTERVAL)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     # orders of managers
 
     def check(self, parts: Sequence[ConfigPart]) -> None:
-        """Raises OrderRejected for what can't be carried out."""
+        """Raises OrderRejectedError for what can't be carried out."""
         self.router.check(parts, self.workers.is_known)
 
     def apply(self, parts: Sequence[ConfigPart]) -> list[int]:
@@ -154,7 +154,7 @@
         self._report_held(is_full=True)
 
     def apply_extension(self, message: upgrades.FromManager) -> None:
-        """Carries out a message of the extension.  Raises OrderRejected."""
+        """Carries out a message of the extension.  Raises OrderRejectedError."""
         if isinstance(message, upgrades.AnnouncementAccepted):
             self.pacer.share = message.arrival_share
             self.pacer.rate = message.worker_arrival_rate
@@ -166,7 +166,7 @@
     def _start_migration(self, order: upgrades.MigrationOrdered) -> None:
         for worker_id in (order.source, *order.destinations):
             if not self.workers.is_known(worker_id):
-                raise OrderRejected(f"MOVE: worker {worker_id[:MAX_NAME_IN_ERROR]!r} was never listed")
+                raise OrderRejectedError(f"MOVE: worker {worker_id[:MAX_NAME_IN_ERROR]!r} was never listed")
         if not self.handler.tunnels.registry.count(order.source):
             self._send_migration_result(order.number, 0, 0)
             return
@@ -193,16 +193,16 @@
     def _tick(self) -> None:
         """What is due of drains and reports."""
         now = self.loop.time()
-        self._tick_timer = self.loop.call_later(TICK_INTERVAL, self._tick)
+        self._tick_timer = self.loop.call_later(TICK_INTERVAL_S, self._tick)
         self.handler.tunnels.tick_drains()
         for result in self.drainer.results:
             self._send_migration_result(result.number, result.succeeded, result.failed)
         self.drainer.results.clear()
         if self.stream.speaks_extension and now >= self._held_report_at:
-            self._held_report_at = now + HELD_REPORT_INTERVAL
+            self._held_report_at = now + CONNECTION_REPORT_INTERVAL_S
             self._report_held(is_full=False)
         if now >= self._load_report_at:
-            self._load_report_at = now + REPORT_INTERVAL
+            self._load_report_at = now + REPORT_INTERVAL_S
             self._report_load(now)
 
     def _report_load(self, now: float) -> None:
--- a/cottonladder/forwarder/load_recorder.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -6,7 +6,7 @@
 
 from ..protocol import resp
 
-REPORT_INTERVAL = 1.0  # s between reports: managers solve each 2 s
+REPORT_INTERVAL_S = 1.0  # s between reports: managers solve each 2 s
 MIN_INTERVAL_MS = 1.0  # ms that a report covers at the least
 
 
--- a/cottonladder/forwarder/load_reporter.py
+++ b/cottonladder/forwarder/load_reporter.py
@@ -6,9 +6,9 @@
 
 from ..config.fields import HostPort
 from ..protocol import resp
-from .manager_stream import CONNECT_TIMEOUT, MAX_UNREAD_BYTES
+from .manager_stream import CONNECT_TIMEOUT_S, MAX_UNREAD_BYTES
 
-DISCARDED_BYTES = 4096  # read at a time, of what nobody looks at
+MAX_DISCARDED_BYTES = 4096  # read at a time, of what nobody looks at
 
 
 class LoadReporter:
@@ -23,13 +23,13 @@
 
     async def _run(self, manager: HostPort) -> None:
         try:
-            reader, writer = await asyncio.wait_for(asyncio.open_connection(*manager), CONNECT_TIMEOUT)
+            reader, writer = await asyncio.wait_for(asyncio.open_connection(*manager), CONNECT_TIMEOUT_S)
         except (OSError, TimeoutError):
             return
         writer.write(resp.encode([b"SOURCE", b"locality", self._zone.encode()]))
         self._writer = writer
         try:
-            while await reader.read(DISCARDED_BYTES):
+            while await reader.read(MAX_DISCARDED_BYTES):
                 pass
         except OSError:
             pass
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -19,22 +19,22 @@
 from ..protocol import upgrade_extension as upgrades
 from ..protocol.messages import PING
 from .config_parts import read_part
-from .errors import OrderRejected
+from .errors import OrderRejectedError
 from .router import ConfigPart
 
-CONNECT_TIMEOUT = 1.0  # s for a connection to a manager
-MIN_RECONNECT_DELAY = 0.1  # s between dials at first, doubled from one to the other
-MAX_RECONNECT_DELAY = 2.0  # s between dials at the most
-MIN_DELAY_JITTER = 0.5  # of a delay, at the least; the whole at the most
-PING_AFTER = 1.0  # s without a message after which a manager is asked for a sign of life
-SILENCE_TIMEOUT = (
+CONNECT_TIMEOUT_S = 1.0  # s for a connection to a manager
+MIN_RECONNECT_DELAY_S = 0.1  # s between dials at first, doubled from one to the other
+MAX_RECONNECT_DELAY_S = 2.0  # s between dials at the most
+MIN_DELAY_FACTOR = 0.5  # of a delay, at the least; the whole at the most
+PING_INTERVAL_S = 1.0  # s without a message after which a manager is asked for a sign of life
+SILENCE_TIMEOUT_S = (
     3.0  # s without a message after which it is given up: keep-alive tells of no cut-off machine
 )
-READ_BYTES = 65_536  # at a time
+MAX_READ_BYTES = 65_536  # at a time
 MAX_PARTS = 64  # parts of one message, by the protocol
 MAX_UNREAD_BYTES = 131_072  # that a manager may leave unread: the protocol's own bound the other way
-LIST_TIMEOUT = 2.0  # s that an order of an unknown worker waits for the list, which comes by its own way
-LIST_CHECK_INTERVAL = 0.1  # s between looks whether the list has come
+LIST_TIMEOUT_S = 2.0  # s that an order of an unknown worker waits for the list, which comes by its own way
+LIST_CHECK_INTERVAL_S = 0.1  # s between looks whether the list has come
 MAX_NAME_IN_ERROR = 32  # bytes of a message's name that is not known
 IGNORED_MESSAGES = (b"PONG", b"NACK")
 
@@ -43,7 +43,7 @@
     """Who carries orders out."""
 
     def check(self, parts: Sequence[ConfigPart]) -> None:
-        """Raises OrderRejected before anything has changed."""
+        """Raises OrderRejectedError before anything has changed."""
 
     def apply(self, parts: Sequence[ConfigPart]) -> list[int]:
         """Carries out one message; gives the checkpoints to acknowledge."""
@@ -114,21 +114,21 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
     async def _run(self) -> None:
-        delay = MIN_RECONNECT_DELAY
+        delay = MIN_RECONNECT_DELAY_S
         while True:
             host, port = self._managers[self._manager_index]
             self._got_orders = False
             reason = await self._serve(host, port)
             self.log.info("stream_ended", manager=f"{host}:{port}", reason=reason)
-            delay = MIN_RECONNECT_DELAY if self._got_orders else min(MAX_RECONNECT_DELAY, 2 * delay)
+            delay = MIN_RECONNECT_DELAY_S if self._got_orders else min(MAX_RECONNECT_DELAY_S, 2 * delay)
             self._manager_index = (self._manager_index + 1) % len(self._managers)
-            await asyncio.sleep(delay * self._uniform(MIN_DELAY_JITTER, 1.0))
+            await asyncio.sleep(delay * self._uniform(MIN_DELAY_FACTOR, 1.0))
 
     async def _serve(self, host: str, port: int) -> str:
         """One stream from its dial to its end; the reason of its end."""
         try:
             connecting = asyncio.open_connection(host, port)
-            reader, writer = await asyncio.wait_for(connecting, CONNECT_TIMEOUT)
+            reader, writer = await asyncio.wait_for(connecting, CONNECT_TIMEOUT_S)
         except (OSError, TimeoutError) as exc:
             return f"no connection: {exc or 'timed out'}"
         self._writer = writer
@@ -140,7 +140,7 @@
                 self._write(upgrades.encode_announcement(self.node))
             self.log.info("stream_opened", manager=f"{host}:{port}")
             return await self._read(reader)
-        except (InputError, OrderRejected, OSError) as exc:
+        except (InputError, OrderRejectedError, OSError) as exc:
             return str(exc) or type(exc).__name__
         finally:
             self._writer = None
@@ -162,10 +162,10 @@
         is_asked = False
         while True:
             try:
-                data = await asyncio.wait_for(reader.read(READ_BYTES), PING_AFTER)
+                data = await asyncio.wait_for(reader.read(MAX_READ_BYTES), PING_INTERVAL_S)
             except TimeoutError:
-                if time.monotonic() - last_heard_at > SILENCE_TIMEOUT:
-                    return f"silent for {SILENCE_TIMEOUT:g} s"
+                if time.monotonic() - last_heard_at > SILENCE_TIMEOUT_S:
+                    return f"silent for {SILENCE_TIMEOUT_S:g} s"
                 if not is_asked:
                     self._write(PING)
                 is_asked = True
@@ -209,8 +209,8 @@
         if self._is_applicable(parts):
             return
         self._orders.refresh_list()
-        for _ in range(int(LIST_TIMEOUT / LIST_CHECK_INTERVAL)):
-            await asyncio.sleep(LIST_CHECK_INTERVAL)
+        for _ in range(int(LIST_TIMEOUT_S / LIST_CHECK_INTERVAL_S)):
+            await asyncio.sleep(LIST_CHECK_INTERVAL_S)
             if self._is_applicable(parts):
                 break
         self._orders.check(parts)
@@ -218,7 +218,7 @@
     def _is_applicable(self, parts: list[ConfigPart]) -> bool:
         try:
             self._orders.check(parts)
-        except OrderRejected:
+        except OrderRejectedError:
             return False
         return True
 
--- a/cottonladder/forwarder/operator_settings.py
+++ b/cottonladder/forwarder/operator_settings.py
@@ -28,8 +28,8 @@
         connections_per_client=config.client,
         header_bytes=config.header_bytes,
         body_bytes=config.body_bytes,
-        connect_timeout=config.connect_wait,
-        first_byte_timeout=config.first_byte_wait,
-        idle_timeout=config.idle_wait,
+        connect_timeout_s=config.connect_wait,
+        first_byte_timeout_s=config.first_byte_wait,
+        idle_timeout_s=config.idle_wait,
         pool_size=config.pool,
     )
--- a/cottonladder/forwarder/plain_requests.py
+++ b/cottonladder/forwarder/plain_requests.py
@@ -12,7 +12,7 @@
 from .plugin_verdicts import PluginVerdicts
 from .request_body import RequestBody, read_body
 from .request_context import RequestContext
-from .resource_limits import MIN_ATTEMPT_TIMEOUT
+from .resource_limits import MIN_ATTEMPT_TIMEOUT_S
 from .response_relay import ResponseRelay
 from .responses import (
     BODY_TOO_LARGE,
@@ -100,8 +100,8 @@
         headers = forwarded_headers(context.headers)
         headers.popall("Expect", None)
         headers.add("X-Forwarded-For", context.request.remote or "?")
-        left = max(MIN_ATTEMPT_TIMEOUT, deadline - self._fleet.now())
-        timeout_s = min(self._fleet.limits.first_byte_timeout, left)
+        left = max(MIN_ATTEMPT_TIMEOUT_S, deadline - self._fleet.now())
+        timeout_s = min(self._fleet.limits.first_byte_timeout_s, left)
         request = WorkerRequest(context.request.method, context.request.raw_path, headers, body.data())
         return await self._connections.send(address, request, timeout_s)
 
@@ -112,7 +112,7 @@
         policy = self._fleet.retry_policy(request_class.name)
         if not should_retry(request_class, policy, failed.count, failed.may_have_run):
             return False
-        if self._fleet.now() >= deadline or not body.can_be_sent_again:
+        if self._fleet.now() >= deadline or not body.is_repeatable:
             return False
         return not self._verdicts.forbids_retry(context, failed)
 
--- a/cottonladder/forwarder/plugin_loading.py
+++ b/cottonladder/forwarder/plugin_loading.py
@@ -57,7 +57,7 @@
         self._verdicts.falls_back = config.missing == "fall back"
         self._verdicts.allowed_headers = frozenset(name.lower() for name in config.headers)
 
-    def on_labels(self, endpoint: dict[str, Any]) -> None:
+    def record_labels(self, endpoint: dict[str, Any]) -> None:
         """Labels as the list has them, beside those of the operators' file."""
         labels = endpoint.get("labels")
         if self._config is None or not isinstance(labels, list):
--- a/cottonladder/forwarder/plugin_verdicts.py
+++ b/cottonladder/forwarder/plugin_verdicts.py
@@ -9,11 +9,11 @@
 from multidict import CIMultiDict
 
 from ..planning.plugin_bounds import RoutePreference, narrow_candidates
-from .errors import RequestRejected
+from .errors import RequestRejectedError
 from .fleet import Fleet
 from .request_classes import RequestClass
 from .request_context import RequestContext
-from .responses import NO_MATCHING_WORKER, denied_by_plugin
+from .responses import NO_MATCHING_WORKER, rejected_by_plugin
 from .retries import FailedAttempts
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
         self.allowed_headers: frozenset[str] = frozenset()  # that plug-ins may change, in small letters
 
     def apply(self, context: RequestContext) -> RequestContext:
-        """The request as the plug-ins leave it.  Raises RequestRejected."""
+        """The request as the plug-ins leave it.  Raises RequestRejectedError."""
         if self.chain is None:
             return context
         hook = "upgrade" if "Upgrade" in context.request.headers else "route"
@@ -42,7 +42,7 @@
         if verdict.changes_nothing:
             return context
         if verdict.deny is not None:
-            raise RequestRejected(denied_by_plugin(verdict.deny))
+            raise RequestRejectedError(rejected_by_plugin(verdict.deny))
         context = self._with_class(self.chain, context, verdict)
         context = self._with_workers(self.chain, context, verdict)
         return self._with_headers(self.chain, context, verdict)
@@ -82,7 +82,7 @@
         if choice.was_limited:
             chain.record_clipped()
         if choice.admitted_fraction < 1.0 and self._fleet.rng.random() >= choice.admitted_fraction:
-            raise RequestRejected(NO_MATCHING_WORKER)
+            raise RequestRejectedError(NO_MATCHING_WORKER)
         return replace(context, preferred=choice.weights)
 
     def _with_headers(self, chain: PluginChain, context: RequestContext, verdict: Verdict) -> RequestContext:
--- a/cottonladder/forwarder/request_body.py
+++ b/cottonladder/forwarder/request_body.py
@@ -8,14 +8,14 @@
 from aiohttp import web
 
 from .errors import BodyTooLargeError
-from .resource_limits import MAX_BUFFERED_BODY_BYTES, STALL_TIMEOUT
+from .resource_limits import MAX_BUFFERED_BODY_BYTES, STALL_TIMEOUT_S
 
 
 async def body_pieces(request: web.BaseRequest, max_bytes: int) -> AsyncIterator[bytes]:
     """The body in pieces, as the client sends it; reading on is what lets the client send more."""
     read_bytes = 0
     while True:
-        piece = await asyncio.wait_for(request.content.readany(), STALL_TIMEOUT)
+        piece = await asyncio.wait_for(request.content.readany(), STALL_TIMEOUT_S)
         if not piece:
             return
         read_bytes += len(piece)
@@ -28,7 +28,7 @@
     """A body that can be sent to workers."""
 
     @property
-    def can_be_sent_again(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether another attempt would send the same bytes."""
         return True
 
@@ -62,7 +62,7 @@
         self._is_too_large = False
 
     @property
-    def can_be_sent_again(self) -> bool:
+    def is_repeatable(self) -> bool:
         """What has been read of it is gone."""
         return not self._is_started
 
--- a/cottonladder/forwarder/request_handler.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -13,7 +13,7 @@
 
 from .client_listener import ClientListener
 from .connection_drainer import ConnectionDrainer
-from .errors import RequestRejected
+from .errors import RequestRejectedError
 from .fleet import Fleet
 from .plain_requests import PlainRequestForwarder
 from .plugin_verdicts import PluginVerdicts
@@ -32,7 +32,7 @@
 from .upgrade_requests import UpgradeForwarder
 from .worker_connections import WorkerConnections
 
-FINAL_ANSWER_TIMEOUT = 1.0  # s that the last answers have at the stop
+FINAL_ANSWER_TIMEOUT_S = 1.0  # s that the last answers have at the stop
 
 
 class RequestHandler:
@@ -92,7 +92,7 @@
         context = RequestContext(request, request_class, request.headers, progress)
         try:
             context = self.verdicts.apply(context)
-        except RequestRejected as rejected:
+        except RequestRejectedError as rejected:
             self._fleet.recorder.record_failure(request_class.name)
             return self._responses.build(rejected.answer)
         if context.is_upgrade:
@@ -106,7 +106,7 @@
         for task in self.in_flight:
             task.cancel()
         if self.in_flight:
-            await asyncio.wait(self.in_flight, timeout=FINAL_ANSWER_TIMEOUT)
+            await asyncio.wait(self.in_flight, timeout=FINAL_ANSWER_TIMEOUT_S)
         self.tunnels.abort()
         await self.listener.close()
         await self.connections.close()
--- a/cottonladder/forwarder/resource_limits.py
+++ b/cottonladder/forwarder/resource_limits.py
@@ -14,16 +14,16 @@
 MAX_HEADER_BYTES = 16_384  # of one request's headers, and of one line: far above any browser's
 MAX_BODY_BYTES = 8 << 20  # of one request
 MAX_BUFFERED_BODY_BYTES = 65_536  # of a body kept for a retry; a longer one is sent once
-CONNECT_TIMEOUT = 1.0  # s: a worker in another zone answers in a few ms, a dead one never
-FIRST_BYTE_TIMEOUT = 30.0  # s from a request's end to the answer's head where its class has no deadline
-MIN_ATTEMPT_TIMEOUT = 0.05  # s that an attempt has at the least, also one that starts near its deadline
-IDLE_TIMEOUT = 75.0  # s that a kept-alive connection may say nothing
-HEADER_TIMEOUT = 10.0  # s from accept to the end of the first head: slow clients hold no place for long
-STALL_TIMEOUT = 30.0  # s that either end may leave bytes unread before its connection is given up
-POOL_SIZE_PER_WORKER = 64  # open connections to one worker for plain requests
+CONNECT_TIMEOUT_S = 1.0  # s: a worker in another zone answers in a few ms, a dead one never
+FIRST_BYTE_TIMEOUT_S = 30.0  # s from a request's end to the answer's head where its class has no deadline
+MIN_ATTEMPT_TIMEOUT_S = 0.05  # s that an attempt has at the least, also one that starts near its deadline
+IDLE_TIMEOUT_S = 75.0  # s that a kept-alive connection may say nothing
+HEADER_TIMEOUT_S = 10.0  # s from accept to the end of the first head: slow clients hold no place for long
+STALL_TIMEOUT_S = 30.0  # s that either end may leave bytes unread before its connection is given up
+MAX_POOLED_CONNECTIONS_PER_WORKER = 64  # open connections to one worker for plain requests
 RELAY_BUFFER_BYTES = 65_536  # of either direction of a tunnel before its other end is paused
-MIN_RETRY_AFTER = 1  # s: what every Retry-After says at the least
-MAX_RETRY_AFTER = 30  # s: and at the most
+MIN_RETRY_AFTER_S = 1  # s: what every Retry-After says at the least
+MAX_RETRY_AFTER_S = 30  # s: and at the most
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,10 +35,10 @@
     connections_per_client: int = MAX_CONNECTIONS_PER_CLIENT
     header_bytes: int = MAX_HEADER_BYTES
     body_bytes: int = MAX_BODY_BYTES
-    connect_timeout: float = CONNECT_TIMEOUT
-    first_byte_timeout: float = FIRST_BYTE_TIMEOUT
-    idle_timeout: float = IDLE_TIMEOUT
-    pool_size: int = POOL_SIZE_PER_WORKER
+    connect_timeout_s: float = CONNECT_TIMEOUT_S
+    first_byte_timeout_s: float = FIRST_BYTE_TIMEOUT_S
+    idle_timeout_s: float = IDLE_TIMEOUT_S
+    pool_size: int = MAX_POOLED_CONNECTIONS_PER_WORKER
 
 
 @dataclass(slots=True)
@@ -74,8 +74,8 @@
     with a thousand connections dies and all come back at once.  Slots that a manager's order reserved are
     free of it, as the manager has counted them."""
 
-    BURST_WINDOW = 1.0  # s of arrivals that may come at once
-    RESERVATION_TTL = 15.0  # s that a slot which an order reserved is kept for whoever comes back
+    BURST_WINDOW_S = 1.0  # s of arrivals that may come at once
+    RESERVATION_TTL_S = 15.0  # s that a slot which an order reserved is kept for whoever comes back
 
     def __init__(self, rate: float, share: float) -> None:
         self.rate = rate
@@ -84,13 +84,13 @@
         self._reserved_until: dict[str, list[float]] = {}  # until when each slot is kept
 
     def _tokens(self, now: float, worker_id: str, rate: float) -> float:
-        burst = max(1.0, rate * self.BURST_WINDOW)
+        burst = max(1.0, rate * self.BURST_WINDOW_S)
         tokens, at = self._buckets.get(worker_id, (burst, now))
         return min(burst, tokens + (now - at) * rate)
 
     def reserve(self, now: float, worker_id: str, count: int) -> None:
         """Keeps slots at a worker for whoever comes back."""
-        self._reserved_until.setdefault(worker_id, []).extend([now + self.RESERVATION_TTL] * count)
+        self._reserved_until.setdefault(worker_id, []).extend([now + self.RESERVATION_TTL_S] * count)
 
     def cancel_reservations(self, worker_id: str) -> None:
         """The worker takes nobody any more."""
@@ -126,7 +126,7 @@
         self._buckets[worker_id] = (tokens, now)
         return (1.0 - tokens) / rate if rate > 0 else math.inf
 
-    def forget_unlisted(self, known: set[str]) -> None:
+    def retain_workers(self, known: set[str]) -> None:
         """Workers that are no longer listed are forgotten."""
         for worker_id in [worker_id for worker_id in self._buckets if worker_id not in known]:
             del self._buckets[worker_id]
@@ -135,5 +135,5 @@
 def retry_after(delay_s: float, jitter: float) -> int:
     """Whole seconds of a Retry-After; `jitter` in 0 to 1 deals those who were turned away together over as
     long again, so that they don't return together."""
-    least = max(float(MIN_RETRY_AFTER), min(delay_s, float(MAX_RETRY_AFTER)))
-    return min(MAX_RETRY_AFTER, math.ceil(least * (1.0 + jitter)))
+    least = max(float(MIN_RETRY_AFTER_S), min(delay_s, float(MAX_RETRY_AFTER_S)))
+    return min(MAX_RETRY_AFTER_S, math.ceil(least * (1.0 + jitter)))
--- a/cottonladder/forwarder/response_relay.py
+++ b/cottonladder/forwarder/response_relay.py
@@ -10,7 +10,7 @@
 from ..protocol.fault_log import RateLimitedFaultLog
 from .fleet import Fleet
 from .request_context import RequestContext
-from .resource_limits import STALL_TIMEOUT
+from .resource_limits import STALL_TIMEOUT_S
 from .worker_connections import forwarded_headers
 
 STATUSES_WITHOUT_BODY = (204, 304)
@@ -31,11 +31,11 @@
         reply = self._reply(context.request, answer)
         context.progress.is_answering = True
         try:
-            await asyncio.wait_for(reply.prepare(context.request), STALL_TIMEOUT)
+            await asyncio.wait_for(reply.prepare(context.request), STALL_TIMEOUT_S)
             async for piece in answer.content.iter_any():
-                await asyncio.wait_for(reply.write(piece), STALL_TIMEOUT)
+                await asyncio.wait_for(reply.write(piece), STALL_TIMEOUT_S)
             succeeded = answer.status < 500
-            await asyncio.wait_for(reply.write_eof(), STALL_TIMEOUT)
+            await asyncio.wait_for(reply.write_eof(), STALL_TIMEOUT_S)
         except (aiohttp.ClientError, TimeoutError) as exc:
             # Half an answer is out: its connection ends, so that nobody takes the half for the whole.
             self._faults.report(f"answer cut off: {type(exc).__name__}")
--- a/cottonladder/forwarder/responses.py
+++ b/cottonladder/forwarder/responses.py
@@ -9,8 +9,8 @@
 
 from .resource_limits import retry_after
 
-DEFAULT_RETRY_DELAY = 1.0  # s until a client may come again, where nothing tells more
-NO_SLOT_RETRY_DELAY = 5.0  # s until a client may come again, where no worker has a slot in sight
+DEFAULT_RETRY_DELAY_S = 1.0  # s until a client may come again, where nothing tells more
+NO_SLOT_RETRY_DELAY_S = 5.0  # s until a client may come again, where no worker has a slot in sight
 OUTCOME_UNKNOWN = "outcome unknown"  # also said in a close frame
 
 
@@ -39,7 +39,7 @@
 UPGRADE_WITHOUT_KEY = FinalAnswer(400, "a bad upgrade: no Sec-WebSocket-Key")
 
 
-def denied_by_plugin(reason: str) -> FinalAnswer:
+def rejected_by_plugin(reason: str) -> FinalAnswer:
     """A plug-in refused the request."""
     return FinalAnswer(403, f"denied: {reason[:200]}")
 
@@ -58,7 +58,7 @@
         self._rng = rng
         self.stopping = False
 
-    def build(self, answer: FinalAnswer, delay_s: float = DEFAULT_RETRY_DELAY) -> web.Response:
+    def build(self, answer: FinalAnswer, delay_s: float = DEFAULT_RETRY_DELAY_S) -> web.Response:
         """A response; `delay_s` is what Retry-After says at the least, where the answer has one."""
         text = answer.text + "\n"
         if not answer.may_come_again:
--- a/cottonladder/forwarder/router.py
+++ b/cottonladder/forwarder/router.py
@@ -10,15 +10,15 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from .errors import OrderRejected
+from .errors import OrderRejectedError
 from .request_classes import RequestClass
 from .retries import RetryPolicy
 
 MAX_CONSECUTIVE_FAILURES = 3  # attempts failed in a row, after which a worker is avoided
-AVOIDANCE_TIME = 4.0  # s that a worker is avoided on the average
-MIN_AVOIDANCE_FACTOR = 0.75  # of AVOIDANCE_TIME, so that a fleet does not come back at one time
-AVOIDANCE_JITTER = 0.5  # of AVOIDANCE_TIME, dealt by chance over the least
-MAX_RESTORED_AVOIDANCE = 2.0 * AVOIDANCE_TIME  # s that a snapshot may keep a worker avoided
+AVOIDANCE_TIME_S = 4.0  # s that a worker is avoided on the average
+MIN_AVOIDANCE_FACTOR = 0.75  # of AVOIDANCE_TIME_S, so that a fleet does not come back at one time
+AVOIDANCE_JITTER_FACTOR = 0.5  # of AVOIDANCE_TIME_S, dealt by chance over the least
+MAX_RESTORED_AVOIDANCE_S = 2.0 * AVOIDANCE_TIME_S  # s that a snapshot may keep a worker avoided
 DEFAULT_TABLE_SIZE = 5  # listed workers of the own zone that stand in until a table is ordered
 MAX_NAME_IN_ERROR = 32  # characters of a name that was not known
 
@@ -104,14 +104,16 @@
     # orders
 
     def check(self, parts: Iterable[ConfigPart], known: Callable[[str], bool]) -> None:
-        """Raises OrderRejected for what can't be carried out, before any of it is."""
+        """Raises OrderRejectedError for what can't be carried out, before any of it is."""
         for part in parts:
             for name in part.classes:
                 if name not in self.classes:
-                    raise OrderRejected(f"CONFIG: unknown class {name[:MAX_NAME_IN_ERROR]!r}")
+                    raise OrderRejectedError(f"CONFIG: unknown class {name[:MAX_NAME_IN_ERROR]!r}")
             for worker_id in part.worker_ids():
                 if not known(worker_id):
-                    raise OrderRejected(f"CONFIG: worker {worker_id[:MAX_NAME_IN_ERROR]!r} was never listed")
+                    raise OrderRejectedError(
+                        f"CONFIG: worker {worker_id[:MAX_NAME_IN_ERROR]!r} was never listed"
+                    )
 
     def apply(self, parts: Iterable[ConfigPart]) -> list[int]:
         """Carries out one message, all its parts together; gives the checkpoints to acknowledge."""
@@ -160,7 +162,7 @@
     def avoid(self, now: float, seconds_left: Mapping[str, float]) -> None:
         """Workers that a snapshot has as avoided."""
         for worker_id, left in seconds_left.items():
-            self._avoided_until[worker_id] = now + min(left, MAX_RESTORED_AVOIDANCE)
+            self._avoided_until[worker_id] = now + min(left, MAX_RESTORED_AVOIDANCE_S)
 
     def record_result(self, now: float, worker_id: str, succeeded: bool) -> None:
         """The result of an attempt."""
@@ -173,10 +175,10 @@
             self._consecutive_failures[worker_id] = failures
             return
         self._consecutive_failures[worker_id] = 0
-        factor = MIN_AVOIDANCE_FACTOR + AVOIDANCE_JITTER * self._random()
-        self._avoided_until[worker_id] = now + AVOIDANCE_TIME * factor
+        factor = MIN_AVOIDANCE_FACTOR + AVOIDANCE_JITTER_FACTOR * self._random()
+        self._avoided_until[worker_id] = now + AVOIDANCE_TIME_S * factor
 
-    def forget_unlisted(self, known: set[str]) -> None:
+    def retain_workers(self, known: set[str]) -> None:
         """Workers that are no longer listed and in no table are forgotten."""
         kept = known | {worker_id for table in self.tables.values() for worker_id in table.weights}
         self.excluded &= kept
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -13,7 +13,7 @@
 from .connection_drainer import NO_ORDER
 from .errors import FrameError
 from .frame_scanner import INTERNAL_ERROR, PROTOCOL_ERROR, encode_close_frame
-from .resource_limits import STALL_TIMEOUT
+from .resource_limits import STALL_TIMEOUT_S
 from .tunnel_close import TunnelClose
 from .tunnel_ends import ClientEnd, TunnelEnd, WorkerEnd
 from .tunnel_frames import TunnelFrames
@@ -21,12 +21,12 @@
 from .tunnel_states import TRANSITIONS, TunnelEvent, TunnelState
 from .upgrade_policy import UpgradePolicy
 
-CLOSE_TIMEOUT = 2.0  # s that a client may take to answer a close, and a worker to end, before both are cut
-FAULT_LINGER = 0.2  # s more that a client has to read why it was closed
+CLOSE_TIMEOUT_S = 2.0  # s that a client may take to answer a close, and a worker to end, before both are cut
+FAULT_LINGER_S = 0.2  # s more that a client has to read why it was closed
 LEFT_UNREAD = "left bytes unread"  # the reason of an end that is not waited for: nobody reads
 
 
-class TunnelOwner(Protocol):
+class TunnelObserver(Protocol):
     """Who keeps count of a tunnel's worker and of its end."""
 
     def tunnel_migrated(self, tunnel: Tunnel, source: str, order: int) -> None:
@@ -70,7 +70,7 @@
         policy: UpgradePolicy,
         is_websocket: bool,
         handshake_head: bytes,
-        owner: TunnelOwner,
+        owner: TunnelObserver,
         client: str,
     ) -> None:
         self.client_end = client_end
@@ -117,7 +117,7 @@
         return self.migration.is_possible
 
     @property
-    def is_held(self) -> bool:
+    def is_open(self) -> bool:
         """It counts as the worker's and is not under way from there."""
         return self.state is TunnelState.OPEN
 
@@ -132,7 +132,7 @@
             return True
         if self.frames is not None and not self.frames.is_idle:
             return True
-        return self.policy.request_prefix is None and now - self.active_at < self.policy.quiet_time
+        return self.policy.request_prefix is None and now - self.active_at < self.policy.quiet_time_s
 
     # relay
 
@@ -180,7 +180,7 @@
         """An end leaves bytes unread: the other one is not read until it has caught up, or is given up."""
         self._other(end).pause_reading()
         if end not in self._stall_timers:
-            self._stall_timers[end] = self._loop.call_later(STALL_TIMEOUT, self.end, LEFT_UNREAD)
+            self._stall_timers[end] = self._loop.call_later(STALL_TIMEOUT_S, self.end, LEFT_UNREAD)
 
     def writing_resumed(self, end: TunnelEnd) -> None:
         """An end has caught up."""
@@ -271,7 +271,7 @@
     def _end_for_fault(self, end: TunnelEnd, error: FrameError) -> None:
         if end is self.client_end:
             self.send_close(PROTOCOL_ERROR, str(error))
-            self.end(f"client: {error}", FAULT_LINGER)
+            self.end(f"client: {error}", FAULT_LINGER_S)
         else:
             self.end(f"worker: {error}")
 
@@ -294,4 +294,4 @@
             end.transport.abort()
             return
         end.transport.close()  # what is written still goes out
-        self._loop.call_later(CLOSE_TIMEOUT + linger_s, end.transport.abort)
+        self._loop.call_later(CLOSE_TIMEOUT_S + linger_s, end.transport.abort)
--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -11,9 +11,9 @@
 from .connection_registry import ConnectionRegistry
 from .fleet import Fleet
 from .frame_scanner import GOING_AWAY, INTERNAL_ERROR, SERVICE_RESTART
-from .resource_limits import MIN_ATTEMPT_TIMEOUT, retry_after
+from .resource_limits import MIN_ATTEMPT_TIMEOUT_S, retry_after
 from .responses import OUTCOME_UNKNOWN
-from .tunnel import CLOSE_TIMEOUT, Tunnel
+from .tunnel import CLOSE_TIMEOUT_S, Tunnel
 from .upgrade_handshake import handshake
 from .worker_slots import WorkerSlots
 
@@ -72,11 +72,11 @@
     def tick_drains(self) -> None:
         """Carries out what is due of every drain."""
         now = self._fleet.now()
-        held_workers = self.registry.workers()
-        self._start_and_cancel_drains(now, held_workers)
+        workers_with_connections = self.registry.workers()
+        self._start_and_cancel_drains(now, workers_with_connections)
         split = {
             worker_id: self.registry.idle_and_held(worker_id, now)
-            for worker_id in held_workers & self._drainer.workers()
+            for worker_id in workers_with_connections & self._drainer.workers()
         }
         idle_counts = {worker_id: len(idle) for worker_id, (idle, _) in split.items()}
         held_counts = {worker_id: self.registry.count(worker_id) for worker_id in split}
@@ -87,10 +87,10 @@
                 break
         self._log_state_changes()
         router = self._fleet.router
-        self._drainer.forget_finished(held_workers, router.excluded | router.leaving)
+        self._drainer.forget_finished(workers_with_connections, router.excluded | router.leaving)
 
-    def _start_and_cancel_drains(self, now: float, held_workers: set[str]) -> None:
-        for worker_id in held_workers:
+    def _start_and_cancel_drains(self, now: float, workers_with_connections: set[str]) -> None:
+        for worker_id in workers_with_connections:
             if self._fleet.router.is_excluded(worker_id):
                 self._drainer.start(now, worker_id)
         for worker_id in self._drainer.workers():
@@ -110,7 +110,7 @@
 
     def _close_time(self, worker_id: str, now: float) -> float:
         """How long a close may take: all must be off when the grace ends."""
-        return min(CLOSE_TIMEOUT, self._drainer.time_left(now, worker_id))
+        return min(CLOSE_TIMEOUT_S, self._drainer.time_left(now, worker_id))
 
     def _start_move(self, move: StartMove, tunnel: Tunnel, now: float) -> bool:
         """One connection leaves its worker.  False: no worker of the table has a slot for it yet."""
@@ -147,8 +147,8 @@
         tunnel.close(move.order, SERVICE_RESTART, message, "drained", timeout_s)
 
     def _migrate(self, move: StartMove, tunnel: Tunnel, target: str, now: float) -> None:
-        left = min(self._fleet.limits.first_byte_timeout, self._drainer.time_left(now, move.worker_id))
-        deadline = now + max(MIN_ATTEMPT_TIMEOUT, left)
+        left = min(self._fleet.limits.first_byte_timeout_s, self._drainer.time_left(now, move.worker_id))
+        deadline = now + max(MIN_ATTEMPT_TIMEOUT_S, left)
         tunnel.migrate(move.order, lambda head: handshake(self._fleet, target, head, deadline))
 
     def _cut(self, worker_id: str, now: float) -> None:
@@ -188,7 +188,7 @@
         is_unknown = tunnel.pending_requests > 0
         code = INTERNAL_ERROR if is_unknown else GOING_AWAY
         message = OUTCOME_UNKNOWN if is_unknown else f"forwarder stops: come back in {delay_s} s"
-        tunnel.close(NO_ORDER, code, message, "forwarder stops", CLOSE_TIMEOUT)
+        tunnel.close(NO_ORDER, code, message, "forwarder stops", CLOSE_TIMEOUT_S)
 
     def abort(self) -> None:
         """Ends whatever is left."""
--- a/cottonladder/forwarder/tunnel_migration.py
+++ b/cottonladder/forwarder/tunnel_migration.py
@@ -18,11 +18,11 @@
 if TYPE_CHECKING:
     from .tunnel import Tunnel
 
-HANDOVER_TIMEOUT = 1.0  # s that the old worker has for its last frames once the new one has agreed to go on
+HANDOVER_TIMEOUT_S = 1.0  # s that the old worker has for its last frames once the new one has agreed to go on
 MAX_KEPT_HEAD_BYTES = 8192  # bytes of a handshake that are kept for a worker to resume with
 
 # Reasons for a tunnel to stay where it is, as the log tells them.
-NOT_TAKEN_OVER = "not taken over"
+RESUMPTION_REJECTED = "not taken over"
 NEW_WORKER_ENDED = "the new worker ended the connection"
 BUSY_AGAIN = "busy again"
 
@@ -87,13 +87,13 @@
         if error is not None:
             return str(error)
         if new_end is None or new_end.reply is None or new_end.reply.status != SWITCHING_PROTOCOLS:
-            return NOT_TAKEN_OVER
+            return RESUMPTION_REJECTED
         if new_end.is_lost or new_end.has_eof:
             return NEW_WORKER_ENDED
         policy = self._tunnel.policy
         if not new_end.reply.header(policy.ticket_header):
-            return NOT_TAKEN_OVER
-        if self._tunnel.is_busy(self._tunnel.active_at + policy.quiet_time):
+            return RESUMPTION_REJECTED
+        if self._tunnel.is_busy(self._tunnel.active_at + policy.quiet_time_s):
             return BUSY_AGAIN
         return ""
 
@@ -106,7 +106,7 @@
         self._ticket = new_end.reply.header(tunnel.policy.ticket_header)
         tunnel.enter(TunnelEvent.NEW_WORKER_AGREED)
         tunnel.worker_end.write(encode_close_frame(SERVICE_RESTART, "moved", True))
-        tunnel.start_timer(HANDOVER_TIMEOUT, self.complete)
+        tunnel.start_timer(HANDOVER_TIMEOUT_S, self.complete)
 
     def abandon(self, reason: str) -> None:
         """The tunnel stays where it is."""
--- a/cottonladder/forwarder/upgrade_handshake.py
+++ b/cottonladder/forwarder/upgrade_handshake.py
@@ -4,10 +4,10 @@
 
 from aiohttp import web
 
-from .errors import HandshakeError, RequestRejected
+from .errors import HandshakeError, RequestRejectedError
 from .fleet import Fleet
 from .request_context import RequestContext
-from .resource_limits import MIN_ATTEMPT_TIMEOUT
+from .resource_limits import MIN_ATTEMPT_TIMEOUT_S
 from .responses import UPGRADE_NOT_GET, UPGRADE_WITH_BODY, UPGRADE_WITHOUT_KEY
 from .tunnel_ends import WorkerEnd, connect
 from .upgrade_policy import UpgradePolicy
@@ -20,14 +20,14 @@
 
 
 def check_upgrade(request: web.BaseRequest) -> None:
-    """Raises RequestRejected for an upgrade that no worker is asked about."""
+    """Raises RequestRejectedError for an upgrade that no worker is asked about."""
     has_chunks = "chunked" in request.headers.get("Transfer-Encoding", "").lower()
     if (request.content_length or 0) > 0 or has_chunks:
-        raise RequestRejected(UPGRADE_WITH_BODY)
+        raise RequestRejectedError(UPGRADE_WITH_BODY)
     if request.method != "GET" or request.version < (1, 1):
-        raise RequestRejected(UPGRADE_NOT_GET)
+        raise RequestRejectedError(UPGRADE_NOT_GET)
     if is_websocket(request) and not request.headers.get("Sec-WebSocket-Key"):
-        raise RequestRejected(UPGRADE_WITHOUT_KEY)
+        raise RequestRejectedError(UPGRADE_WITHOUT_KEY)
 
 
 def handshake_head(context: RequestContext, policy: UpgradePolicy) -> bytes:
@@ -60,10 +60,10 @@
     if address is None:
         raise HandshakeError("no address", False)
     host, _, port = address.rpartition(":")
-    worker_end = await connect(worker_id, host, int(port), fleet.limits.connect_timeout)
+    worker_end = await connect(worker_id, host, int(port), fleet.limits.connect_timeout_s)
     try:
-        left = min(deadline - fleet.now(), fleet.limits.first_byte_timeout)
-        await worker_end.handshake(head, max(MIN_ATTEMPT_TIMEOUT, left))
+        left = min(deadline - fleet.now(), fleet.limits.first_byte_timeout_s)
+        await worker_end.handshake(head, max(MIN_ATTEMPT_TIMEOUT_S, left))
     except BaseException:
         worker_end.abort()  # its client has gone, or it did not answer
         raise
--- a/cottonladder/forwarder/upgrade_requests.py
+++ b/cottonladder/forwarder/upgrade_requests.py
@@ -8,13 +8,13 @@
 from aiohttp import web
 
 from .client_listener import ClientListener, UpgradedResponse, switching_protocols_head
-from .errors import HandshakeError, RequestRejected
+from .errors import HandshakeError, RequestRejectedError
 from .fleet import Fleet
 from .request_context import RequestContext
 from .responses import (
-    DEFAULT_RETRY_DELAY,
+    DEFAULT_RETRY_DELAY_S,
     NO_SLOT,
-    NO_SLOT_RETRY_DELAY,
+    NO_SLOT_RETRY_DELAY_S,
     NO_WORKER_ANSWERED,
     FinalAnswer,
     ResponseBuilder,
@@ -51,12 +51,12 @@
         """Offers the handshake to one worker after the other, as far as retries are allowed."""
         try:
             check_upgrade(context.request)
-        except RequestRejected as rejected:
+        except RequestRejectedError as rejected:
             return self._responses.build(rejected.answer)
         request_class = context.request_class
         policy = self._policies[request_class.name]
         head = handshake_head(context, policy)
-        timeout_s = request_class.timeout or self._fleet.limits.first_byte_timeout
+        timeout_s = request_class.timeout or self._fleet.limits.first_byte_timeout_s
         deadline = self._fleet.now() + timeout_s
         failed = FailedAttempts()
         for _ in range(MAX_HANDSHAKE_ATTEMPTS):
@@ -89,11 +89,11 @@
         return self._fleet.now() < deadline
 
     def _no_slot(self, context: RequestContext, wait: float) -> web.Response:
-        delay_s = max(wait, DEFAULT_RETRY_DELAY) if wait < math.inf else NO_SLOT_RETRY_DELAY
+        delay_s = max(wait, DEFAULT_RETRY_DELAY_S) if wait < math.inf else NO_SLOT_RETRY_DELAY_S
         return self._give_up(context, NO_SLOT, delay_s)
 
     def _give_up(
-        self, context: RequestContext, answer: FinalAnswer, delay_s: float = DEFAULT_RETRY_DELAY
+        self, context: RequestContext, answer: FinalAnswer, delay_s: float = DEFAULT_RETRY_DELAY_S
     ) -> web.Response:
         self._fleet.recorder.record_failure(context.request_class.name)
         return self._responses.build(answer, delay_s)
--- a/cottonladder/forwarder/worker_connections.py
+++ b/cottonladder/forwarder/worker_connections.py
@@ -13,7 +13,7 @@
 from .errors import WorkerError
 from .resource_limits import RELAY_BUFFER_BYTES, ResourceLimits
 
-KEEPALIVE_TIMEOUT = 15.0  # s that a connection to a worker is kept without a request
+KEEPALIVE_TIMEOUT_S = 15.0  # s that a connection to a worker is kept without a request
 
 # Headers that belong to one connection and not to the request (RFC 9110, 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
@@ -47,11 +47,11 @@
 
     def __init__(self, limits: ResourceLimits) -> None:
         self._limits = limits
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=limits.connect_timeout, sock_read=None)
+        timeout = aiohttp.ClientTimeout(total=None, sock_connect=limits.connect_timeout_s, sock_read=None)
         self._session = aiohttp.ClientSession(
             timeout=timeout,
             connector=aiohttp.TCPConnector(
-                limit=0, limit_per_host=limits.pool_size, keepalive_timeout=KEEPALIVE_TIMEOUT
+                limit=0, limit_per_host=limits.pool_size, keepalive_timeout=KEEPALIVE_TIMEOUT_S
             ),
             auto_decompress=False,
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
@@ -68,7 +68,7 @@
         """The answer's head; its body is read by the caller, who releases it.  Raises WorkerError."""
         url = URL(f"http://{address}{request.target}", encoded=True)
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=self._limits.connect_timeout, sock_read=timeout_s
+            total=None, sock_connect=self._limits.connect_timeout_s, sock_read=timeout_s
         )
         try:
             return await asyncio.wait_for(
--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -15,10 +15,10 @@
 from .resource_limits import AdmissionPacer
 from .router import Router
 
-MIN_LIST_RETRY_DELAY = 0.3  # s until a failed call to discovery is made again, at the least
-MAX_LIST_RETRY_DELAY = 1.0  # s until then, at the most; dealt by chance between both
-MAX_LIST_BACKOFF = 8.0  # times that, doubled with each call that fails: a fleet's calls keep discovery down
-REMOVED_WORKER_TTL = 600.0  # s after which a worker that is gone and in no table is known no more
+MIN_LIST_RETRY_DELAY_S = 0.3  # s until a failed call to discovery is made again, at the least
+MAX_LIST_RETRY_DELAY_S = 1.0  # s until then, at the most; dealt by chance between both
+MAX_BACKOFF_FACTOR = 8.0  # times that, doubled with each call that fails: a fleet's calls keep discovery down
+REMOVED_WORKER_TTL_S = 600.0  # s after which a worker that is gone and in no table is known no more
 
 
 class Zones:
@@ -45,13 +45,13 @@
         router: Router,
         pacer: AdmissionPacer,
         rng: random.Random,
-        on_labels: Callable[[dict[str, Any]], None],
-        held_workers: Callable[[], set[str]],
+        record_labels: Callable[[dict[str, Any]], None],
+        workers_with_connections: Callable[[], set[str]],
     ) -> None:
         self._router = router
         self._pacer = pacer
         self._rng = rng
-        self._held_workers = held_workers
+        self._held_workers = workers_with_connections
         self._zones = Zones(zones)
         self._home_zone = self._zones.zone_index(zone, "forwarder")
         self._registry = WorkerRegistry()
@@ -62,7 +62,7 @@
         self._retry_timer: asyncio.TimerHandle | None = None
         self._now = asyncio.get_running_loop().time
         self._discovery = DiscoveryClient(
-            discovery, self._zones, self._registry.register, self._on_input, 0, on_labels
+            discovery, self._zones, self._registry.register, self._on_input, 0, record_labels
         )
         self.restore_snapshot: Callable[[], None] | None = None  # called once, with the first list
 
@@ -110,9 +110,9 @@
 
     def _retry_later(self) -> None:
         self.stop_timers()  # a call and the watch may fail together
-        delay = self._rng.uniform(MIN_LIST_RETRY_DELAY, MAX_LIST_RETRY_DELAY) * self._backoff
+        delay = self._rng.uniform(MIN_LIST_RETRY_DELAY_S, MAX_LIST_RETRY_DELAY_S) * self._backoff
         self._retry_timer = asyncio.get_running_loop().call_later(delay, self._watch)
-        self._backoff = min(MAX_LIST_BACKOFF, 2.0 * self._backoff)
+        self._backoff = min(MAX_BACKOFF_FACTOR, 2.0 * self._backoff)
 
     def _update(self, item: EndpointList) -> None:
         now = self._now()
@@ -156,11 +156,11 @@
             in_use |= set(table.weights)
         for worker_index, removed_at in list(self._removed_at.items()):
             worker_id = self._worker_id(worker_index)
-            if now - removed_at > REMOVED_WORKER_TTL and worker_id not in in_use:
+            if now - removed_at > REMOVED_WORKER_TTL_S and worker_id not in in_use:
                 self._forget(worker_index, worker_id)
         known = {name.decode() for name in self._registry.ids.values()}
-        self._router.forget_unlisted(known)
-        self._pacer.forget_unlisted(known)
+        self._router.retain_workers(known)
+        self._pacer.retain_workers(known)
 
     def _forget(self, worker_index: int, worker_id: str) -> None:
         del self._removed_at[worker_index]
--- a/tests/forwarder/test_connection_drainer.py
+++ b/tests/forwarder/test_connection_drainer.py
@@ -14,8 +14,8 @@
     ) -> list[float]:
         """Everything that is begun ends at once; gives when each connection of s-1 began to move."""
         began: list[float] = []
-        for n in range(round(start / dr.TICK_INTERVAL), round(until / dr.TICK_INTERVAL)):
-            now = n * dr.TICK_INTERVAL
+        for n in range(round(start / dr.TICK_INTERVAL_S), round(until / dr.TICK_INTERVAL_S)):
+            now = n * dr.TICK_INTERVAL_S
             for act in drains.due_actions(now, held, held):
                 if isinstance(act, dr.CutConnections):
                     held.pop(act.worker_id, None)
@@ -31,8 +31,8 @@
         drains.start(0.0, "s-1")
         began = self.play(drains, held, 10.0)
         self.assertEqual(len(began), 100)
-        self.assertGreater(min(began), 10.0 * dr.ORDER_WAIT_PART - dr.TICK_INTERVAL)
-        self.assertLess(max(began), 10.0 * (1 - dr.CUT_PART))
+        self.assertGreater(min(began), 10.0 * dr.ORDER_WAIT_FRACTION - dr.TICK_INTERVAL_S)
+        self.assertLess(max(began), 10.0 * (1 - dr.CUT_PHASE_FRACTION))
         self.assertLessEqual(max(Counter(began).values()), 3)
 
     def test_ordered_slices_are_spread_and_answered(self) -> None:
@@ -41,7 +41,7 @@
         drains.add_order(0.0, "s-1", 7, {"s-2": 3, "s-3": 1}, 6, 0.5, 10.0)
         acts = []
         for n in range(8):
-            for act in drains.due_actions(n * dr.TICK_INTERVAL, held, held):
+            for act in drains.due_actions(n * dr.TICK_INTERVAL_S, held, held):
                 assert isinstance(act, dr.StartMove)
                 acts.append((act.target, act.close))
                 drains.connection_settled("s-1", 7, len(acts) != 2)
@@ -56,12 +56,12 @@
         seen: list[tuple[float, dr.StartMove | dr.CutConnections]] = []
         for n in range(100):
             seen += [
-                (n * dr.TICK_INTERVAL, act)
-                for act in drains.due_actions(n * dr.TICK_INTERVAL, {}, {"s-1": 2})
+                (n * dr.TICK_INTERVAL_S, act)
+                for act in drains.due_actions(n * dr.TICK_INTERVAL_S, {}, {"s-1": 2})
             ]
         self.assertEqual(drains.results[0], dr.DrainOrderResult(7, 0, 0))
         self.assertTrue(all(isinstance(act, dr.CutConnections) for _, act in seen))
-        self.assertGreaterEqual(seen[0][0], 10.0 * (1 - dr.CUT_PART) - 1e-6)
+        self.assertGreaterEqual(seen[0][0], 10.0 * (1 - dr.CUT_PHASE_FRACTION) - 1e-6)
 
     def test_the_end_of_the_grace_only_comes_nearer(self) -> None:
         drains = dr.ConnectionDrainer(10.0)
--- a/tests/forwarder/test_connection_registry.py
+++ b/tests/forwarder/test_connection_registry.py
@@ -9,7 +9,7 @@
 
 class Fake:
     def __init__(self, resumable: bool = False) -> None:
-        self.is_held, self.is_resumable, self.at_work = True, resumable, False
+        self.is_open, self.is_resumable, self.at_work = True, resumable, False
 
     def is_busy(self, now: float) -> bool:
         return self.at_work
--- a/tests/forwarder/test_race_conditions.py
+++ b/tests/forwarder/test_race_conditions.py
@@ -143,7 +143,7 @@
         silent, other = await asyncio.open_connection("127.0.0.1", port)
         while len(here._awaiting_head) < 2:
             await asyncio.sleep(0)
-        with mock.patch.object(front, "HEADER_TIMEOUT", -1.0):
+        with mock.patch.object(front, "HEADER_TIMEOUT_S", -1.0):
             writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")  # is there, and the loop has not read it yet
             here._close_overdue()
             self.assertIn(b"200 OK", await asyncio.wait_for(reader.readline(), 15.0))
--- a/tests/forwarder/test_resource_limits.py
+++ b/tests/forwarder/test_resource_limits.py
@@ -29,7 +29,7 @@
         arrivals.use_reservation("s-2")
         self.assertEqual(arrivals.reserved_worker(1.0), "s-2")
         self.assertIsNone(
-            arrivals.reserved_worker(AdmissionPacer.RESERVATION_TTL + 1.0)
+            arrivals.reserved_worker(AdmissionPacer.RESERVATION_TTL_S + 1.0)
         )  # nobody came: free again
 
     def test_retry_after_is_whole_seconds_with_jitter(self) -> None:
--- a/tests/forwarder/test_router.py
+++ b/tests/forwarder/test_router.py
@@ -7,7 +7,7 @@
 from collections import Counter
 
 from cottonladder.forwarder import router as ro
-from cottonladder.forwarder.errors import OrderRejected
+from cottonladder.forwarder.errors import OrderRejectedError
 from cottonladder.forwarder.request_classes import IDEMPOTENT, MatchRule, RequestClass, classify
 from cottonladder.forwarder.retries import should_retry
 
@@ -75,7 +75,7 @@
             ro.ConfigPart(weights=(("s-9", 1.0),)),
             ro.ConfigPart(exclude=("s-9",)),
         ):
-            with self.assertRaises(OrderRejected):
+            with self.assertRaises(OrderRejectedError):
                 r.check([ro.ConfigPart(weights=(("s-1", 1.0),)), part], lambda be: be == "s-1")
 
     def test_selection_goes_by_weight_and_avoids_failed_workers(self) -> None:
