--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -74,11 +74,12 @@
 
 def _summary(config: StartupConfig) -> str:
     parameters = config.settings.parameters
+    known = config.starting_list
     host, port = config.manager.listen
     return (
         f"{config.manager.name}: listens on {host}:{port}, "
         f"{parameters.proxy_count} proxies in {parameters.zone_count} zones, "
-        f"{len(config.starting_list.endpoints.endpoints)} workers known (version {config.starting_list.version}), "
+        f"{len(known.endpoints.endpoints)} workers known (version {known.version}), "
         f"{parameters.manager_count} managers"
     )
 
