--- a/cottonladder/cli/forwarder.py
+++ b/cottonladder/cli/forwarder.py
@@ -22,7 +22,7 @@
     from ..forwarder.service import serve  # by optional dependencies, without which --help still works
 
     configure_logging()
-    signals.config_is_read_now()
+    signals.discard_pending_reloads()
     operator_config = load_operator_config(operator_path)
     if operator_config is None or operator_config.forwarder is None:
         message = f"{operator_path}: $.forwarder: expected, as this is a forwarder's start"
--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -29,7 +29,7 @@
 def serve(config_path: str, operator_path: str) -> None:
     """Serve proxies until SIGTERM; SIGHUP reloads the configuration."""
     configure_logging()
-    signals.config_is_read_now()
+    signals.discard_pending_reloads()
     manager_config = load_manager_config(config_path)
     operator_config = load_operator_config(operator_path)
     asyncio.run(serve_then_block_signals(serve_manager(manager_config, config_path, operator_config)))
--- a/cottonladder/control/admin_socket.py
+++ b/cottonladder/control/admin_socket.py
@@ -1,5 +1,7 @@
-"""Local control: a Unix socket on which one line asks and one line of JSON answers.  Off unless the file
-names it."""
+"""The local administration socket: a Unix socket that answers one line of text with one line of JSON.
+
+It is off unless the operators' file names its path.
+"""
 
 from __future__ import annotations
 
@@ -12,53 +14,64 @@
 
 import structlog
 
-from ..config.errors import InputError
+from ..config.errors import ConfigError
 
-MAX_LINE_BYTES = 256  # bytes of a question
-REQUEST_TIMEOUT = 2.0  # s for a question to come, and for its answer to be read
-MAX_CONNECTIONS = 8  # connections
+SETTING = "control"  # of the operators' file, which names the path
+MAX_REQUEST_BYTES = 256
+REQUEST_TIMEOUT_S = 2.0  # for a request to come, and for its answer to be read
+MAX_CONNECTIONS = 8
+SOCKET_MODE = 0o600  # for the process's own user alone
 
 
 class AdminSocket:
-    """Owns the socket's file."""
+    """Owns the socket and its file; `answers` gives for each request a function that returns JSON data."""
 
     def __init__(self, path: str, answers: Mapping[str, Callable[[], object]]) -> None:
-        self._path, self._answers, self._open_connections = path, answers, 0
+        self._path = path
+        self._answers = answers
+        self._connection_count = 0
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     async def listen(self, stack: AsyncExitStack) -> None:
-        """A socket that an earlier process left is taken over; anything else at its place is not touched."""
+        """Opens the socket; `stack` closes it and removes its file.
+
+        A socket that an earlier process left at the path is replaced; any other file there is an error.
+        """
         with suppress(FileNotFoundError):
             if not stat.S_ISSOCK(os.stat(self._path).st_mode):
-                raise InputError(f"control: {self._path} is there and is no socket")
+                raise ConfigError(SETTING, f"{self._path} is there and is no socket")
             os.unlink(self._path)
         try:
-            server = await asyncio.start_unix_server(self._serve, self._path, limit=MAX_LINE_BYTES)
+            server = await asyncio.start_unix_server(self._serve, self._path, limit=MAX_REQUEST_BYTES)
         except OSError as exc:
-            raise InputError(f"control: {self._path}: {exc.strerror or exc}") from None
-        os.chmod(self._path, 0o600)
-        stack.callback(self._remove)
+            raise ConfigError(SETTING, f"{self._path}: {exc.strerror or exc}") from None
+        os.chmod(self._path, SOCKET_MODE)
+        stack.callback(self._remove_file)
         stack.callback(server.close)
         self.log.info("admin_socket_opened", path=self._path)
 
-    def _remove(self) -> None:
+    def _remove_file(self) -> None:
         with suppress(OSError):
             os.unlink(self._path)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self._open_connections >= MAX_CONNECTIONS:
+        if self._connection_count >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
-        self._open_connections += 1
+        self._connection_count += 1
         try:
-            async with asyncio.timeout(REQUEST_TIMEOUT):
-                asked = (await reader.readline()).decode(errors="replace").strip()
-                answer = self._answers.get(asked)
-                said = answer() if answer else {"error": f"one of {', '.join(self._answers)} expected"}
-                writer.write(json.dumps(said).encode() + b"\n")
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
+                request = (await reader.readline()).decode(errors="replace").strip()
+                writer.write(json.dumps(self._answer(request)).encode() + b"\n")
                 await writer.drain()
         except (OSError, TimeoutError, ValueError):
-            pass  # whoever asked has gone, or never did
+            pass  # the client has gone, or sent no request in time or a longer one than is allowed
         finally:
-            self._open_connections -= 1
+            self._connection_count -= 1
             writer.close()
+
+    def _answer(self, request: str) -> object:
+        answer = self._answers.get(request)
+        if answer is None:
+            return {"error": f"one of {', '.join(self._answers)} expected"}
+        return answer()
--- /dev/null
+++ b/cottonladder/control/advice_connections.py
@@ -0,0 +1,62 @@
+"""Creates the servers and clients of weight advice from the operators' configuration."""
+
+from __future__ import annotations
+
+import ssl
+from collections.abc import Callable
+from pathlib import Path
+
+from ..config.errors import ConfigError
+from ..config.operator_config import (
+    AdviceServerConfig,
+    AdvisorFollowConfig,
+    SecretConfig,
+    TlsConfig,
+    host_port,
+)
+from ..weight_advice.client import AdviceListener, AdvisorClient, DfpAdvisorClient, SaspAdvisorClient
+from ..weight_advice.server import AdvertisedWeights, AdviceServer, DfpServer, SaspServer, tls_context
+
+MAX_SECRET_BYTES = 1024  # of a secret's file
+
+
+def create_advice_server(
+    config: AdviceServerConfig, advertised: AdvertisedWeights, place: str
+) -> AdviceServer:
+    """A server that load balancers connect to; `place` is where the operators' file configures it."""
+    if config.protocol == "sasp":
+        return SaspServer(advertised, config.clients, _tls_context(config.tls, place, is_server=True))
+    return DfpServer(advertised, config.clients, _read_secret(config.secret, place))
+
+
+def create_advisor_client(
+    config: AdvisorFollowConfig, listener: AdviceListener, uniform: Callable[[], float], place: str
+) -> AdvisorClient:
+    """A client of one outside advisor; `uniform` returns a random number in 0 to 1, for its backoff."""
+    address = host_port(config.at)
+    if config.protocol == "sasp":
+        tls = _tls_context(config.tls, place, is_server=False)
+        return SaspAdvisorClient(address, listener, tls, uniform, config.uid, config.group)
+    return DfpAdvisorClient(address, listener, uniform, _read_secret(config.secret, place))
+
+
+def _tls_context(config: TlsConfig | None, place: str, is_server: bool) -> ssl.SSLContext | None:
+    if config is None:
+        return None
+    try:
+        return tls_context(config.certificate, config.key, config.authorities, is_server)
+    except (OSError, ValueError) as exc:
+        raise ConfigError(f"{place}.tls", str(exc)) from None
+
+
+def _read_secret(config: SecretConfig | None, place: str) -> tuple[int, bytes] | None:
+    """The key's number and the secret's bytes."""
+    if config is None:
+        return None
+    try:
+        secret = Path(config.file).read_bytes()[:MAX_SECRET_BYTES].strip()
+    except OSError as exc:
+        raise ConfigError(f"{place}.secret", f"{config.file}: {exc.strerror}") from None
+    if not secret:
+        raise ConfigError(f"{place}.secret", f"{config.file}: empty")
+    return config.key, secret
--- a/cottonladder/control/connection_limits.py
+++ b/cottonladder/control/connection_limits.py
@@ -7,40 +7,43 @@
 from ..config.manager_config import ManagerConfig
 from ..protocol.stream_listener import ACCEPT_QUEUE_LENGTH, ConnectionLimits
 
-RESERVED_DESCRIPTORS = 20  # for log, loop, listener, discovery, datagrams and the like, with some to spare
-CLOSE_LAG_TURNS = 4  # of the loop from an accept to the closing of whoever is one too many
-MIN_ACCEPT_BATCH = 2
-MAX_ACCEPT_BATCH = 64
-SOCKETS_PER_ACCEPT = 64  # one accept in flight for each so many descriptors
-MIN_HEALTH_CHECKS = 4
-MAX_HEALTH_CHECKS = 64
-SOCKETS_PER_HEALTH_CHECK = 16  # one health check in flight for each so many descriptors
-MEMORY_PARTS = 4  # what proxies leave unread may hold one of these parts of the memory
+RESERVED_DESCRIPTORS = 20  # for the log, the listener, discovery, gossip and the like, with some to spare
+CLOSE_DELAY_ITERATIONS = 4  # of the event loop, from an accept to the close of a connection over the limit
+MIN_ACCEPT_BATCH = 2  # connections accepted in one iteration of the event loop
+MAX_ACCEPT_BATCH = 64  # connections accepted in one iteration of the event loop
+DESCRIPTORS_PER_ACCEPT = 64  # one more connection in the batch for each so many descriptors
+MIN_HEALTH_CHECKS = 4  # in flight
+MAX_HEALTH_CHECKS = 64  # in flight
+DESCRIPTORS_PER_HEALTH_CHECK = 16  # one more in flight for each so many descriptors
+UNREAD_MEMORY_DIVISOR = 4  # messages that proxies have not read may take this part of the memory
+BYTES_PER_MIB = 1 << 20
+CONNECTIONS_PER_ZONE = 2  # that stay possible however few descriptors there are
 
 
 def connection_limits(config: ManagerConfig) -> ConnectionLimits:
     """The limits that follow from the file's sockets and memory, and from what the system allows.
 
-    Accepts and health checks in flight get a part of the descriptors, connections what is left.  At least two
-    connections a zone stay possible, however few descriptors there are.
+    Accepts and health checks in flight get a part of the descriptors, connections what is left.
     """
     parameters = config.settings.parameters
-    sockets = _available_sockets(config.sockets)
-    accept_batch = min(MAX_ACCEPT_BATCH, max(MIN_ACCEPT_BATCH, sockets // SOCKETS_PER_ACCEPT))
-    health_checks = min(MAX_HEALTH_CHECKS, max(MIN_HEALTH_CHECKS, sockets // SOCKETS_PER_HEALTH_CHECK))
-    remaining = sockets - RESERVED_DESCRIPTORS - CLOSE_LAG_TURNS * accept_batch - health_checks
-    memory_bytes = config.memory_mb << 20
+    descriptors = _available_descriptors(config.sockets)
+    accept_batch = min(MAX_ACCEPT_BATCH, max(MIN_ACCEPT_BATCH, descriptors // DESCRIPTORS_PER_ACCEPT))
+    health_checks = min(
+        MAX_HEALTH_CHECKS, max(MIN_HEALTH_CHECKS, descriptors // DESCRIPTORS_PER_HEALTH_CHECK)
+    )
+    remaining = descriptors - RESERVED_DESCRIPTORS - CLOSE_DELAY_ITERATIONS * accept_batch - health_checks
+    memory_bytes = config.memory_mb * BYTES_PER_MIB
     return ConnectionLimits(
-        max_connections=max(2 * parameters.zone_count, remaining),
+        max_connections=max(CONNECTIONS_PER_ZONE * parameters.zone_count, remaining),
         accept_batch=accept_batch,
         max_health_checks=health_checks,
-        max_unread_bytes=memory_bytes // (MEMORY_PARTS * max(1, parameters.proxy_count)),
-        # Each proxy may have connected anew before the end of its last connection is seen.
+        max_unread_bytes=memory_bytes // (UNREAD_MEMORY_DIVISOR * max(1, parameters.proxy_count)),
+        # A proxy may have connected again before the end of its last connection is noticed.
         accept_queue_length=max(ACCEPT_QUEUE_LENGTH, 2 * parameters.proxy_count),
     )
 
 
-def _available_sockets(configured: int) -> int:
+def _available_descriptors(configured: int) -> int:
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft_limit == resource.RLIM_INFINITY:
         return configured
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -1,6 +1,7 @@
-"""Control-loop extension for held connections: forwarders' reports to the planner, its orders to forwarders.
+"""Control-loop extension that migrates held connections away from workers that drain.
 
-Decides nothing itself; see `planning.connection_migration`.
+It passes forwarders' reports to the planner, `planning.connection_migration`, and the planner's orders to
+forwarders; the planner decides.
 """
 
 from __future__ import annotations
@@ -28,10 +29,14 @@
 from ..protocol import upgrade_extension as wire
 from ..protocol.messages import ExtensionMessage, MessageReader
 from ..state.worker_registry import WorkerRegistry
+from .input_queue import LoopInput
 
 
 class ConnectionMigrator:
-    """Owns the planner, which knows a forwarder from its announcement to the end of its stream."""
+    """Owns the planner, which knows a forwarder from its announcement to the end of its stream.
+
+    `is_vetoed` may be set to a function that puts a migration off.
+    """
 
     def __init__(
         self,
@@ -43,14 +48,14 @@
         parameters = settings.parameters
         self._planner = MigrationPlanner(
             MigrationParameters(
-                parameters.zone_count,
-                config.grace,
-                config.most,
-                config.arrivals,
-                config.load,
-                parameters.channel_lines_per_s,
-                parameters.message_header_lines,
-            )  # fmt: skip
+                zone_count=parameters.zone_count,
+                grace_s=config.grace,
+                max_connections=config.most,
+                arrivals_per_s=config.arrivals,
+                load_per_connection=config.load,
+                channel_lines_per_s=parameters.channel_lines_per_s,
+                message_header_lines=parameters.message_header_lines,
+            )
         )
         self._arrivals_per_s = config.arrivals
         self._workers = workers
@@ -58,17 +63,17 @@
         self._announced: set[int] = set()
         self._loads: dict[int, float] = {}  # by worker, as last given to the policy
         self._extra_lines = 0
-        self.is_vetoed: Callable[[MigrateConnections], bool] = lambda move: False
+        self.is_vetoed: Callable[[MigrateConnections], bool] = _never_vetoed
         self._next_plan_at = 0.0
-        self._draining_connections: dict[int, int] = {}  # by leaving worker, as last logged
+        self._draining_connections: dict[int, int] = {}  # by draining worker: held when its drain began
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         messages.extension_readers.update(dict.fromkeys(wire.TO_MANAGER, wire.read_for_manager))
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Nothing to open."""
+        """Does nothing: there is nothing to open."""
 
-    def observe(self, now: float, item: Input | ExtensionMessage) -> None:
-        """Follows which proxies are connected, and takes the extension's messages."""
+    def observe(self, _now: float, item: LoopInput) -> None:
+        """Follows which proxies are connected, and handles the messages of the upgrade extension."""
         if isinstance(item, ProxyConnected):
             self._remove_proxy(item.proxy)
             self._proxy_zones[item.proxy] = item.zone
@@ -84,10 +89,7 @@
 
     def _handle_message(self, proxy: int, body: object) -> None:
         if isinstance(body, wire.ForwarderAnnounced):
-            if body.version >= wire.VERSION:  # a later one speaks ours too
-                self._planner.add_forwarder(proxy, self._proxy_zones[proxy])
-                self._announced.add(proxy)
-                self._next_plan_at = 0.0  # it is answered at once
+            self._handle_announcement(proxy, body)
         elif proxy not in self._announced:
             return
         elif isinstance(body, wire.HeldConnections):
@@ -95,6 +97,13 @@
         elif isinstance(body, wire.MigrationDone):
             self._planner.complete_migration(proxy, body.number)
 
+    def _handle_announcement(self, proxy: int, announcement: wire.ForwarderAnnounced) -> None:
+        if announcement.version < wire.VERSION:
+            return  # a later version has this one's messages too, an earlier one has not
+        self._planner.add_forwarder(proxy, self._proxy_zones[proxy])
+        self._announced.add(proxy)
+        self._next_plan_at = 0.0  # the forwarder is answered in this step
+
     def _counts_by_index(self, body: wire.HeldConnections) -> dict[int, HeldConnectionCounts]:
         """The reported counts of the workers that are known here."""
         counts: dict[int, HeldConnectionCounts] = {}
@@ -105,7 +114,7 @@
         return counts
 
     def collect_inputs(self, now: float) -> list[Input]:
-        """The channel lines that the last messages took, and each interval the loads that changed."""
+        """Returns the channel lines that the last messages took, and once an interval the changed loads."""
         inputs: list[Input] = []
         if self._extra_lines:
             inputs.append(ExtraLinesWritten(self._extra_lines))
@@ -116,15 +125,14 @@
 
     def _changed_loads(self) -> list[HeldLoad]:
         loads = self._planner.load_by_worker()
-        changed = {worker: 0.0 for worker in self._loads if worker not in loads}
-        for worker, load in loads.items():
-            if self._loads.get(worker) != load:
-                changed[worker] = load
+        previous = self._loads
         self._loads = loads
-        return [HeldLoad(worker, load) for worker, load in changed.items()]
+        ended = [HeldLoad(worker, 0.0) for worker in previous if worker not in loads]
+        changed = [HeldLoad(worker, load) for worker, load in loads.items() if previous.get(worker) != load]
+        return [*ended, *changed]
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
-        """Each interval, the plan's orders as messages to forwarders."""
+        """Once an interval, plans and yields the orders as messages to forwarders."""
         if now < self._next_plan_at:
             return
         self._next_plan_at = now + PLAN_INTERVAL
@@ -132,16 +140,21 @@
         orders = [order for order in self._planner.plan(now, views) if not self._drop_vetoed(order)]
         self._extra_lines += self._planner.channel_lines(orders)
         self._log_drains(views)
-        ids = self._workers.ids
         for order in orders:
-            if isinstance(order, AdmitForwarder):
-                yield order.forwarder, wire.encode_acceptance(order.arrival_fraction, self._arrivals_per_s)
-            elif order.source not in ids:
-                continue
-            elif isinstance(order, StopMigration):
-                yield order.forwarder, wire.encode_migration_stop(ids[order.source])
-            elif isinstance(order, MigrateConnections):
-                yield order.forwarder, self._encode_migration(order)
+            message = self._encode(order)
+            if message is not None:
+                yield order.forwarder, message
+
+    def _encode(self, order: MigrationOrder) -> bytes | None:
+        """The order's message, or None where its source was removed meanwhile."""
+        if isinstance(order, AdmitForwarder):
+            return wire.encode_acceptance(order.arrival_fraction, self._arrivals_per_s)
+        source_id = self._workers.ids.get(order.source)
+        if source_id is None:
+            return None
+        if isinstance(order, StopMigration):
+            return wire.encode_migration_stop(source_id)
+        return self._encode_migration(order)
 
     def _encode_migration(self, order: MigrateConnections) -> bytes:
         ids = self._workers.ids
@@ -151,26 +164,34 @@
         )
 
     def _drop_vetoed(self, order: MigrationOrder) -> bool:
-        """A move that a plug-in puts off counts as not ordered: the next plan has it again."""
+        """Whether a plug-in puts a migration off; it then counts as done, and the next plan has it again."""
         if not isinstance(order, MigrateConnections) or not self.is_vetoed(order):
             return False
         self._planner.complete_migration(order.forwarder, order.number)
         return True
 
     def _log_drains(self, views: dict[int, WorkerCapacityView]) -> None:
-        """One line where the drain of held connections begins, is taken back, or has ended."""
+        """Logs where the drain of held connections begins, is cancelled, or has ended."""
         totals = self._planner.connections_by_worker()
-        leaving = {worker for worker, view in views.items() if view.draining_since >= 0}
-        for worker in totals.keys() & leaving - self._draining_connections.keys():
+        draining = {worker for worker, view in views.items() if view.draining_since >= 0}
+        for worker in totals.keys() & draining - self._draining_connections.keys():
             open_count = totals[worker].open
             self._draining_connections[worker] = open_count
             self.log.info(
-                "held_connections_draining", worker_id=self._workers.ids[worker].decode(), open=open_count
+                "held_connections_draining", worker_id=self._worker_id(worker), open_count=open_count
             )
         for worker in list(self._draining_connections):
-            if worker in leaving and worker in totals:
+            if worker in draining and worker in totals:
                 continue
-            count_at_start = self._draining_connections.pop(worker)
-            name = self._workers.ids.get(worker, b"?").decode()
+            open_count_at_start = self._draining_connections.pop(worker)
             event = "held_connections_drain_cancelled" if worker in totals else "held_connections_drained"
-            self.log.info(event, worker_id=name, open_at_start=count_at_start)
+            self.log.info(event, worker_id=self._worker_id(worker), open_count_at_start=open_count_at_start)
+
+    def _worker_id(self, worker_index: int) -> str:
+        """The listed id; a question mark for a worker that was removed meanwhile."""
+        return self._workers.ids.get(worker_index, b"?").decode()
+
+
+def _never_vetoed(_migration: MigrateConnections) -> bool:
+    """Stands in where no plug-in may put migrations off."""
+    return False
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -113,7 +113,7 @@
         self._dispatcher.track_proxies(inputs)
         orders = self._controller.decide(now, inputs)
         for order in orders:
-            self._carry_out(order)
+            self._apply_order(order)
         if any(isinstance(order, Checkpoint) for order in orders):
             self._controller.channel_budget.record_written(self._dispatcher.pending_line_counts())
         self._send_messages(now)
@@ -130,7 +130,7 @@
             inputs += extension.collect_inputs(now)
         return inputs
 
-    def _carry_out(self, order: Order) -> None:
+    def _apply_order(self, order: Order) -> None:
         handler = self._effect_handlers.get(type(order))
         if handler is None:
             self._dispatch(order)
--- a/cottonladder/control/extensions.py
+++ b/cottonladder/control/extensions.py
@@ -1,6 +1,7 @@
 """The extensions that the operators' file switches on.
 
-Each module is imported only where its part of the file is present, as managers have little memory.
+Each module is imported only where its part of the file is present, so that a manager without extensions
+starts quickly and takes little memory.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 @dataclass(slots=True)
 class BackgroundWork:
-    """The scheduler of background tasks and the snapshots; each None where the file has no need of it."""
+    """The background scheduler and the snapshots; each None where the file does not switch it on."""
 
     scheduler: BackgroundScheduler | None = None
     snapshots: SnapshotManager | None = None
@@ -35,23 +36,23 @@
 
 @dataclass(slots=True)
 class Extensions:
-    """The planners beside the policy; each None where the file does not switch it on."""
+    """The control loop's extensions but snapshots; each None where the file does not switch it on."""
 
     connection_migrator: ConnectionMigrator | None = None
     weight_advisor: WeightAdvisor | None = None
     plugins: PluginExtension | None = None
 
     def in_order(self) -> list[ControlLoopExtension]:
-        """Those that are on, in the order in which a step calls them."""
-        every: tuple[ControlLoopExtension | None, ...] = (
+        """The extensions that are on, in the order in which a step calls them."""
+        candidates: tuple[ControlLoopExtension | None, ...] = (
             self.connection_migrator,
             self.weight_advisor,
             self.plugins,
         )
-        return [extension for extension in every if extension is not None]
+        return [extension for extension in candidates if extension is not None]
 
     def state_change_observer(self) -> Callable[[StateChange], None] | None:
-        """What is called with each state change of the policy, if anything."""
+        """The function to call with each state change of the policy; None where nothing observes them."""
         if self.plugins is None:
             return None
         return self.plugins.queue_state_change
@@ -60,7 +61,7 @@
 async def start_background_work(
     config: ManagerConfig, operator: OperatorConfig | None, stack: AsyncExitStack
 ) -> BackgroundWork:
-    """Starts the scheduler where something needs it; reads the last snapshot; opens the admin socket."""
+    """Starts the scheduler, snapshots and the admin socket where the file switches them on."""
     if operator is None or not (operator.memory or operator.control):
         return BackgroundWork()
     import random
@@ -88,7 +89,7 @@
 def create_extensions(
     config: ManagerConfig, operator: OperatorConfig | None, messages: MessageReader
 ) -> Extensions:
-    """The extensions that `operator` names, not yet started."""
+    """Creates the extensions that the operators' file switches on, without starting them."""
     extensions = Extensions()
     if operator is None:
         return extensions
@@ -112,9 +113,9 @@
 
 
 def connect_snapshots(snapshots: SnapshotManager, extensions: Extensions, discovery: DiscoveryClient) -> None:
-    """Snapshots keep the list's version and the advisors' credits, and give the advisor its earlier ones."""
+    """Has snapshots keep the endpoint list's version and the advisors' credits, and restores the latter."""
     snapshots.current_list_version = lambda: discovery.version
     if extensions.weight_advisor is not None:
-        advice = extensions.weight_advisor.advice
-        advice.restore_credits(snapshots.restored_credits)
-        snapshots.current_credits = advice.credits
+        weighting = extensions.weight_advisor.weighting
+        weighting.restore_credits(snapshots.restored_credits)
+        snapshots.current_credits = weighting.credits
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -1,4 +1,7 @@
-"""Start and stop of one manager: what `serve` opens is closed in the opposite order."""
+"""Starts and stops one manager process.
+
+What `serve` opens, it closes in the opposite order.
+"""
 
 from __future__ import annotations
 
@@ -38,6 +41,10 @@
     from ..config.operator_config import OperatorConfig
 
 
+HEALTH_CHECK_PATH = "/healthz"  # on workers
+LOAD_CHECK_PATH = "/load"  # on workers that report their load with the answer
+
+
 async def serve(config: ManagerConfig, config_path: str, operator: OperatorConfig | None = None) -> None:
     """Runs one manager until SIGTERM or SIGINT; a fault of the policy is raised from here."""
     log: structlog.stdlib.BoundLogger = structlog.get_logger()
@@ -55,7 +62,7 @@
             await extension.start(stack)
         control_loop = _create_control_loop(config, input_queue, sessions, effects, extensions, background)
         stack.callback(control_loop.close)
-        control_loop.step([known.endpoints])  # from here on it can decide, so from here on it answers
+        control_loop.step([known.endpoints])  # before it listens, so that it can decide once it answers
         listener = StreamListener(messages, sessions, limits)
         stack.push_async_callback(listener.close)
         port = await listener.listen(*config.listen)
@@ -71,7 +78,7 @@
 
 
 def _stop_event() -> asyncio.Event:
-    """An event that SIGTERM and SIGINT set."""
+    """Returns an event that SIGTERM and SIGINT set."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -93,12 +100,13 @@
     input_queue: InputQueue,
     stack: AsyncExitStack,
 ) -> Effects:
-    """Discovery client, health checks and gossip; their results come back through the queue."""
-    settings, workers = config.settings, config.workers
+    """Opens discovery client, health checks and gossip; their results come back through the queue."""
+    settings = config.settings
+    workers = config.workers
     discovery = DiscoveryClient(config.discovery, settings, workers.register, input_queue.put, list_version)
     stack.push_async_callback(discovery.close)
-    path = "/load" if settings.load_reports else "/healthz"
-    health_checker = HealthChecker(path, limits.max_health_checks, workers.address_of, input_queue.put)
+    check_path = LOAD_CHECK_PATH if settings.load_reports else HEALTH_CHECK_PATH
+    health_checker = HealthChecker(check_path, limits.max_health_checks, workers.address_of, input_queue.put)
     stack.push_async_callback(health_checker.close)
     gossip = GossipSocket(settings.manager_index, config.peers, config.peers_all, input_queue.put)
     stack.callback(gossip.close)
@@ -115,7 +123,7 @@
     extensions: Extensions,
     background: BackgroundWork,
 ) -> ControlLoop:
-    """The control loop with its extensions; snapshots come first, as they restore the earlier state."""
+    """Creates the control loop; snapshots are its first extension, as they restore the earlier state."""
     settings = config.settings
     loop_extensions = extensions.in_order()
     if background.snapshots is not None:
@@ -140,15 +148,15 @@
 
 
 def _reload_on_signal(reloader: ConfigReloader) -> None:
-    """Reloads at each SIGHUP, and now if one came while the manager was starting."""
-    asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reloader)
+    """Has each SIGHUP reload the file; reloads it now if one came while the manager was starting."""
+    asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reloader.reload)
     if signals.reload_was_requested():
-        reloader()
+        reloader.reload()
 
 
 @asynccontextmanager
 async def _owned_task(coroutine: Coroutine[Any, Any, None]) -> AsyncIterator[asyncio.Task[None]]:
-    """A task that is cancelled, and has ended, before anything that it uses is closed."""
+    """Runs a task that is cancelled and awaited at the end, before what it uses is closed."""
     task = asyncio.create_task(coroutine)
     try:
         yield task
@@ -158,10 +166,10 @@
 
 
 async def _wait_for_first(running: asyncio.Task[None], stop: asyncio.Event) -> None:
-    """Until the control loop has ended or the stop was asked for."""
-    async with _owned_task(_wait(stop)) as stopping:
+    """Returns once the control loop has ended or the stop event is set."""
+    async with _owned_task(_wait_until_set(stop)) as stopping:
         await asyncio.wait((running, stopping), return_when=asyncio.FIRST_COMPLETED)
 
 
-async def _wait(event: asyncio.Event) -> None:
+async def _wait_until_set(event: asyncio.Event) -> None:
     await event.wait()
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -8,8 +8,6 @@
 from collections.abc import Iterator
 from contextlib import AsyncExitStack
 
-import structlog
-
 from ..config.operator_config import ManagerPluginsConfig
 from ..model.inputs import AdvisedFactor, EndpointList, Input
 from ..model.state_change_text import state_change_text
@@ -18,20 +16,26 @@
 from ..planning.controller_views import capacity_views
 from ..planning.migration_orders import MigrateConnections
 from ..planning.plugin_bounds import bounded_factor, may_veto
-from ..plugins.abi import EVENT, MOVE, WORKER, encode_record
+from ..plugins.abi import EVENT, MOVE, WORKER
 from ..plugins.chain import PluginChain, PluginSpec
 from ..policy.controller import RoutingController
 from ..policy.tuning import SOLVE_INTERVAL
-from ..protocol.messages import ExtensionMessage
 from ..state.worker_registry import WorkerRegistry
+from .input_queue import LoopInput
+from .plugin_records import UNKNOWN_WORKER_ID, event_record, migration_record, worker_record
 
-WORKERS_PER_STEP = 40  # a few ms, as the policy looks each quarter of a second
-MAX_EVENTS = 32  # in one step; the rest are dropped and counted
-FACTOR_SOURCE = 1  # of its factors; weight advice is source 0
+WORKERS_PER_STEP = 40  # takes a few ms of a tick of 250
+MAX_EVENTS_PER_STEP = 32  # further ones are dropped and counted
+FACTOR_SOURCE = 1  # tells these factors from those of weight advice, which are source 0
+NEUTRAL_FACTOR = 1.0  # of a worker that no plug-in changes
 
 
 class PluginExtension:
-    """Owns the plug-in chain, which is asked about each worker once an interval, some at each step."""
+    """Owns the plug-in chain.
+
+    The chain is asked about each worker once an interval, some workers at each step, so that no step takes
+    long however large the fleet is.
+    """
 
     def __init__(self, config: ManagerPluginsConfig, workers: WorkerRegistry) -> None:
         self._config = config
@@ -40,96 +44,95 @@
             PluginSpec(plugin.name, plugin.path, False, frozenset(plugin.grants), plugin.seed)
             for plugin in config.chain
         )
-        self._pending_workers: list[int] = []
+        self._pending_workers: list[int] = []  # that this interval's round has yet to ask about
         self._next_round_at = 0.0
-        self._capacity: dict[int, WorkerCapacityView] = {}
-        self._factors: dict[int, float] = {}
-        self._events: list[tuple[str, str]] = []
+        self._capacities: dict[int, WorkerCapacityView] = {}  # by worker
+        self._factors: dict[int, float] = {}  # by worker, as last given to the policy
+        self._event_records: list[bytes] = []  # for the next step
         self.dropped_events = 0
-        self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Nothing to open."""
-
-    def observe(self, now: float, item: Input | ExtensionMessage) -> None:
-        if isinstance(item, EndpointList) and item.endpoints and self.chain.has_hook(EVENT):
-            for entry in item.endpoints:
-                name = self._workers.ids.get(entry.worker_index, b"?").decode()
-                self.queue_event("listed", f"{name} {entry.state.name.lower()}")
+        """Does nothing: the plug-ins are loaded when the object is made."""
 
-    def queue_event(self, what: str, words: str) -> None:
-        """Adds an event for the next step."""
-        if not self.chain.has_hook(EVENT):
+    def observe(self, _now: float, item: LoopInput) -> None:
+        """Queues an event for each endpoint that a list names."""
+        if not isinstance(item, EndpointList) or not self.chain.has_hook(EVENT):
             return
-        if len(self._events) >= MAX_EVENTS:
-            self.dropped_events += 1
-            return
-        self._events.append((what, words))
+        for endpoint in item.endpoints:
+            worker_id = self._workers.ids.get(endpoint.worker_index, UNKNOWN_WORKER_ID).decode()
+            self._queue_event("listed", f"{worker_id} {endpoint.state.name.lower()}")
 
     def queue_state_change(self, change: StateChange) -> None:
-        """Adds a state change of the policy, in the text form that plug-ins know."""
-        self.queue_event("mode", state_change_text(change))
+        """Queues a state change of the policy for the next step, in the text form of the interface."""
+        if self.chain.has_hook(EVENT):
+            self._queue_event("mode", state_change_text(change))
 
-    def collect_inputs(self, now: float) -> list[Input]:
-        events, self._events = self._events, []
-        for what, words in events:
-            self.chain.call_hook(EVENT, encode_record([("hook", EVENT), ("event", what), ("words", words)]))
+    def collect_inputs(self, _now: float) -> list[Input]:
+        """Tells plug-ins of the queued events, then asks for the factors of some workers."""
+        self._send_events()
         if not self.chain.has_hook(WORKER):
             return []
-        inputs: list[Input] = []
-        for worker in self._pending_workers[:WORKERS_PER_STEP]:
-            view = self._capacity.get(worker)
-            if view is None or worker not in self._workers.ids or view.capacity <= 0:
-                continue
-            factor = self._ask_factor(worker, view)
-            if factor != self._factors.get(worker, 1.0):
-                self._factors[worker] = factor
-                inputs.append(AdvisedFactor(worker, factor, FACTOR_SOURCE))
+        asked = self._pending_workers[:WORKERS_PER_STEP]
         del self._pending_workers[:WORKERS_PER_STEP]
-        return inputs
-
-    def _ask_factor(self, worker: int, view: WorkerCapacityView) -> float:
-        answer = self.chain.call_hook(WORKER, self._worker_record(worker, view))
-        factor = bounded_factor(answer.factor)
-        if answer.factor is not None and factor != answer.factor:
-            self.chain.record_clipped()
-        return factor
-
-    def _worker_record(self, worker: int, view: WorkerCapacityView) -> bytes:
-        name = self._workers.ids[worker].decode()
-        pairs = [
-            ("hook", WORKER),
-            ("id", name),
-            ("zone", str(view.zone)),
-            ("cold", str(int(view.warming_up))),
-        ]
-        pairs += [("estimate", f"{view.capacity:.4f}"), ("time_ms", f"{view.latency_s * 1000.0:.1f}")]
-        pairs += [("label", label) for label in self._config.labels.get(name, ())]
-        return encode_record(pairs)
+        return list(self._changed_factors(asked))
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
-        """No messages; each interval, the round over the workers begins anew."""
+        """Sends proxies nothing; starts a round over the workers once an interval."""
         if now >= self._next_round_at:
             self._next_round_at = now + SOLVE_INTERVAL
-            self._capacity = capacity_views(controller)
-            self._factors = {
-                worker: factor for worker, factor in self._factors.items() if worker in self._capacity
-            }
-            self._pending_workers = list(self._capacity)
+            self._start_round(controller)
         self.chain.log_status()
         yield from ()
 
-    def is_vetoed(self, move: MigrateConnections) -> bool:
-        """Whether a plug-in puts a migration off; not near the end of the grace, as drains must end."""
+    def is_vetoed(self, migration: MigrateConnections) -> bool:
+        """Whether a plug-in puts a migration off.
+
+        Near the end of the grace period a veto does not count, as the drain must end in time.
+        """
         if not self.chain.has_hook(MOVE):
             return False
-        ids = self._workers.ids
-        pairs = [("hook", MOVE), ("from", ids.get(move.source, b"?").decode()), ("count", str(move.count))]
-        pairs += [("to", f"{ids[to].decode()}:{count}") for to, count in move.destinations if to in ids]
-        answer = self.chain.call_hook(MOVE, encode_record([*pairs, ("left_s", f"{move.grace_left_s:.1f}")]))
+        answer = self.chain.call_hook(MOVE, migration_record(migration, self._workers.ids))
         if answer.deny is None:
             return False
-        if not may_veto(move.grace_left_s, self._config.grace):
+        if not may_veto(migration.grace_left_s, self._config.grace):
             self.chain.record_clipped()
             return False
         return True
+
+    def _queue_event(self, event: str, text: str) -> None:
+        if len(self._event_records) >= MAX_EVENTS_PER_STEP:
+            self.dropped_events += 1
+            return
+        self._event_records.append(event_record(event, text))
+
+    def _send_events(self) -> None:
+        records = self._event_records
+        self._event_records = []
+        for record in records:
+            self.chain.call_hook(EVENT, record)
+
+    def _start_round(self, controller: RoutingController) -> None:
+        self._capacities = capacity_views(controller)
+        self._pending_workers = list(self._capacities)
+        removed = self._factors.keys() - self._capacities.keys()
+        for worker_index in removed:
+            del self._factors[worker_index]
+
+    def _changed_factors(self, worker_indices: list[int]) -> Iterator[AdvisedFactor]:
+        for worker_index in worker_indices:
+            view = self._capacities.get(worker_index)
+            if view is None or view.capacity <= 0 or not self._workers.is_known(worker_index):
+                continue
+            factor = self._ask_factor(worker_index, view)
+            if factor != self._factors.get(worker_index, NEUTRAL_FACTOR):
+                self._factors[worker_index] = factor
+                yield AdvisedFactor(worker_index, factor, FACTOR_SOURCE)
+
+    def _ask_factor(self, worker_index: int, view: WorkerCapacityView) -> float:
+        worker_id = self._workers.ids[worker_index].decode()
+        labels = self._config.labels.get(worker_id, ())
+        answer = self.chain.call_hook(WORKER, worker_record(worker_id, view, labels))
+        factor = bounded_factor(answer.factor)
+        if answer.factor is not None and factor != answer.factor:
+            self.chain.record_clipped()
+        return factor
--- /dev/null
+++ b/cottonladder/control/plugin_records.py
@@ -0,0 +1,42 @@
+"""The records that a manager's plug-ins are called with; their field names are the plug-in interface's."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+
+from ..model.views import WorkerCapacityView
+from ..planning.migration_orders import MigrateConnections
+from ..plugins.abi import EVENT, MOVE, WORKER, encode_record
+
+UNKNOWN_WORKER_ID = b"?"  # of a worker that was removed meanwhile
+MS_PER_S = 1000.0
+
+
+def worker_record(worker_id: str, view: WorkerCapacityView, labels: Iterable[str]) -> bytes:
+    """A worker as last solved, with the labels that operators gave it."""
+    pairs = [
+        ("hook", WORKER),
+        ("id", worker_id),
+        ("zone", str(view.zone)),
+        ("cold", str(int(view.warming_up))),
+        ("estimate", f"{view.capacity:.4f}"),
+        ("time_ms", f"{view.latency_s * MS_PER_S:.1f}"),
+    ]
+    pairs += [("label", label) for label in labels]
+    return encode_record(pairs)
+
+
+def migration_record(migration: MigrateConnections, worker_ids: Mapping[int, bytes]) -> bytes:
+    """A migration of held connections; destinations that were removed meanwhile are left out."""
+    source = worker_ids.get(migration.source, UNKNOWN_WORKER_ID).decode()
+    pairs = [("hook", MOVE), ("from", source), ("count", str(migration.count))]
+    for worker_index, count in migration.destinations:
+        if worker_index in worker_ids:
+            pairs.append(("to", f"{worker_ids[worker_index].decode()}:{count}"))
+    pairs.append(("left_s", f"{migration.grace_left_s:.1f}"))
+    return encode_record(pairs)
+
+
+def event_record(event: str, text: str) -> bytes:
+    """An event of the manager, by its name in the plug-in interface."""
+    return encode_record([("hook", EVENT), ("event", event), ("words", text)])
--- a/cottonladder/control/reload.py
+++ b/cottonladder/control/reload.py
@@ -12,20 +12,25 @@
 from ..protocol.stream_listener import StreamListener
 from .connection_limits import connection_limits
 
-FIXED_FIELDS = ("name", "listen", "peer_listen", "peers", "peers_all", "settings")  # until the program ends
+# Fields of the file that keep their value until the next start, under their names in the file.
+FIXED_FIELDS = ("name", "listen", "peer_listen", "peers", "peers_all", "settings")
 
 
 def unchangeable_fields(running: ManagerConfig, new: ManagerConfig) -> list[str]:
-    """Fields that the new file changes and a reload can't.  The seed is for starts alone, so not compared."""
+    """Names of the fields that the new file changes and a reload can't.
+
+    The seed is not compared, as it counts at a start alone.
+    """
     parameters = replace(new.settings.parameters, seed=running.settings.parameters.seed)
     new = replace(new, settings=replace(new.settings, parameters=parameters))
     return [name for name in FIXED_FIELDS if getattr(running, name) != getattr(new, name)]
 
 
 class ConfigReloader:
-    """Applies what can change while the manager runs: discovery's address, sockets and memory.
+    """Reads the manager's file again and applies what can change while the manager runs.
 
-    A file with any fault is rejected whole, as nobody can tell what its missing part was meant to change.
+    That is discovery's address and the limits on sockets and memory.  A file with any fault is rejected as a
+    whole, as nobody can tell what its faulty part was meant to change.
     """
 
     def __init__(
@@ -35,15 +40,16 @@
         self._running = running
         self._discovery = discovery
         self._listener = listener
-        self._closed = False
+        self._is_closed = False
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def close(self) -> None:
-        """Further signals change nothing: their handler stays until the loop is closed."""
-        self._closed = True
+        """Makes later calls do nothing, as the signal's handler stays until the event loop is closed."""
+        self._is_closed = True
 
-    def __call__(self) -> None:
-        if self._closed:
+    def reload(self) -> None:
+        """Applies the file as it is now, or logs why it is rejected."""
+        if self._is_closed:
             return
         try:
             new = read_manager_config(self._path)
--- a/cottonladder/control/snapshot_folder.py
+++ b/cottonladder/control/snapshot_folder.py
@@ -18,8 +18,8 @@
 class SnapshotFolder:
     """Reads the newest snapshot at the start and writes later ones.
 
-    A folder that can't be read means a start without a snapshot.  A fault in writing is raised, and the
-    background scheduler tries again later.
+    A folder that can't be read means a start without a snapshot.  A fault in writing is raised for the
+    background scheduler, which retries with backoff.
     """
 
     def __init__(self, folder: str) -> None:
--- a/cottonladder/control/state_change_log.py
+++ b/cottonladder/control/state_change_log.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import Any
 
 import structlog
 
@@ -17,9 +16,11 @@
 )
 from ..state.worker_registry import WorkerRegistry
 
+LogFields = dict[str, object]
+
 
 class StateChangeLog:
-    """Writes one event a change; `zone_names` are in the order of the zones' indices."""
+    """Writes one log line for each change; `zone_names` are in the order of the zones' indices."""
 
     def __init__(self, workers: WorkerRegistry, zone_names: Sequence[str]) -> None:
         self._workers = workers
@@ -27,7 +28,7 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def worker_state_changed(self, change: WorkerStateChanged) -> None:
-        """Names the worker as discovery lists it, and gives the figures that the policy decided by."""
+        """Logs a worker's new state, with the worker's listed names and the figures behind the decision."""
         self.log.info(
             "worker_state_changed",
             worker_id=self._workers.ids.get(change.worker_index, b"").decode(),
@@ -40,7 +41,7 @@
         )
 
     def admission_changed(self, change: AdmissionChanged) -> None:
-        """Load shedding began or ended."""
+        """Logs that load shedding began or ended."""
         self.log.info(
             "admission_changed",
             from_ratio=round(change.from_ratio, 2),
@@ -49,10 +50,11 @@
         )
 
 
-def _evidence_fields(evidence: Evidence | None) -> dict[str, Any]:
+def _evidence_fields(evidence: Evidence | None) -> LogFields:
+    """The figures behind a change, under names that tell their units."""
     match evidence:
         case EndpointEvidence(endpoint_state, uptime_s, is_start_known):
-            fields: dict[str, Any] = {"endpoint_state": endpoint_state.name.lower()}
+            fields: LogFields = {"endpoint_state": endpoint_state.name.lower()}
             if is_start_known:
                 fields["uptime_s"] = round(uptime_s, 1)
             return fields
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -1,7 +1,8 @@
-"""Weight advice beside the ladder: servers that tell outside balancers, followers that hear outside advisors.
+"""Control-loop extension for weight advice, between the manager and load balancers or outside advisors.
 
-Runs in the owner's task; what words are worth is decided in `decisions.advice`, what is told in
-`decisions.offers`."""
+How much an advisor's weights count is decided in `planning.advice_weighting`; which weights are sent to load
+balancers, in `planning.advertised_weights`.
+"""
 
 from __future__ import annotations
 
@@ -9,175 +10,177 @@
 import time
 from collections.abc import Iterable, Iterator
 from contextlib import AsyncExitStack
-from pathlib import Path
+from dataclasses import dataclass
 
 import structlog
 
-from ..config.errors import InputError
-from ..config.operator_config import (
-    AdviceConfig,
-    AdviceServerConfig,
-    AdvisorFollowConfig,
-    SecretConfig,
-    TlsConfig,
-    host_port,
-)
+from ..config.operator_config import AdviceConfig, host_port
 from ..model.inputs import AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
 from ..planning.advice_weighting import UPDATE_INTERVAL, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views
 from ..policy.controller import RoutingController
-from ..protocol.messages import ExtensionMessage
 from ..state.worker_registry import WorkerRegistry
-from ..weight_advice.client import (
-    AdviceListener,
-    AdvisorClient,
-    DfpAdvisorClient,
-    ReportedWeight,
-    SaspAdvisorClient,
-    worker_locations,
-)
-from ..weight_advice.server import AdvertisedWeights, AdviceServer, DfpServer, SaspServer, tls_context
-
-MAX_SECRET_BYTES = 1024  # bytes of a secret's file
-LOG_INTERVAL = 30.0  # s between two lines on how advisors stand
-
-
-def _tls(part: TlsConfig | None, server: bool, where: str) -> object:
-    if part is None:
-        return None
-    try:
-        return tls_context(part.certificate, part.key, part.authorities, server)
-    except (OSError, ValueError) as exc:
-        raise InputError(f"{where}.tls: {exc}") from None
-
-
-def _secret(part: SecretConfig | None, where: str) -> tuple[int, bytes] | None:
-    if part is None:
-        return None
-    try:
-        secret = Path(part.file).read_bytes()[:MAX_SECRET_BYTES].strip()
-    except OSError as exc:
-        raise InputError(f"{where}.secret: {part.file}: {exc.strerror}") from None
-    if not secret:
-        raise InputError(f"{where}.secret: {part.file}: empty")
-    return part.key, secret
+from ..weight_advice.client import AdviceListener, AdvisorClient, ReportedWeight, worker_locations
+from ..weight_advice.server import AdvertisedWeights, AdviceServer
+from .advice_connections import create_advice_server, create_advisor_client
+from .input_queue import LoopInput
+
+STATUS_LOG_INTERVAL_S = 30.0
+MAX_LOGGED_AGE_S = 1e6  # stands for an advisor that has sent no weight
+DEFAULT_TRUST = 1.0
+NEUTRAL_FACTOR = 1.0  # of a worker that no advice changes
+
+
+@dataclass(frozen=True, slots=True)
+class _WeightReport:
+    """Weights received from one advisor; `is_complete`: they replace all that it sent before."""
+
+    advisor: str
+    weights: list[ReportedWeight]
+    is_complete: bool
 
 
 class WeightAdvisor(AdviceListener):
-    """Owns the board, the listeners and the followers."""
+    """Owns the advice servers and the clients of outside advisors.
+
+    What advisors send is kept until the next step of the control loop, in whose task all of this runs.
+    """
 
     def __init__(self, config: AdviceConfig, workers: WorkerRegistry) -> None:
-        self._config, self._workers = config, workers
-        self._advertised, self._advice = AdvertisedWeights(), AdviceWeighting()
+        self._config = config
+        self._workers = workers
+        self._advertised = AdvertisedWeights()
+        self._weighting = AdviceWeighting()
         self._servers: list[AdviceServer] = []
-        self._followers: list[AdvisorClient] = []
+        self._clients: list[AdvisorClient] = []  # two of them may follow the same advisor
         self._trust_by_advisor: dict[str, float] = {}
-        self._reports: list[tuple[str, list[ReportedWeight], bool]] = []  # heard since the last step
-        self._connected_advisors: list[str] = []
-        self._next_update_at = self._logged_at = 0.0
-        self._list_changed = False  # the list has changed since the board was brought up to date
-        self._factors: dict[int, float] = {}
-        self._capacity: dict[int, WorkerCapacityView] = {}
+        self._reports: list[_WeightReport] = []  # received since the last step
+        self._connected_advisors: list[str] = []  # since the last step
+        self._next_update_at = 0.0
+        self._status_logged_at = 0.0
+        self._has_list_changed = False  # since the advertised weights were updated
+        self._factors: dict[int, float] = {}  # by worker, as last given to the policy
+        self._capacities: dict[int, WorkerCapacityView] = {}  # by worker
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     @property
-    def advice(self) -> AdviceWeighting:
-        return self._advice
+    def weighting(self) -> AdviceWeighting:
+        """The credits of the advisors, which snapshots keep."""
+        return self._weighting
 
     async def start(self, stack: AsyncExitStack) -> None:
-        for n, serving in enumerate(self._config.serve):
-            server = self._create_server(serving, f"$.advice.serve[{n}]")
-            host, port = host_port(serving.listen)
-            bound = await server.listen((host, port), stack)
+        """Starts the servers and the clients; `stack` closes them."""
+        for number, server_config in enumerate(self._config.serve):
+            server = create_advice_server(server_config, self._advertised, f"$.advice.serve[{number}]")
+            host, port = host_port(server_config.listen)
+            bound_port = await server.listen((host, port), stack)
             self._servers.append(server)
-            self.log.info("advice_server_started", protocol=serving.protocol, host=host, port=bound)
-        chance = random.Random(time.time_ns())
-        for n, following in enumerate(self._config.follow):
-            follower = self._create_follower(following, f"$.advice.follow[{n}]", chance)
-            self._trust_by_advisor[follower.name] = following.trust
-            self._followers.append(follower)
-            stack.push_async_callback(follower.close)
-            follower.start()
-
-    def _create_server(self, part: AdviceServerConfig, where: str) -> AdviceServer:
-        if part.protocol == "sasp":
-            return SaspServer(self._advertised, part.clients, _tls(part.tls, True, where))  # type: ignore[arg-type]
-        return DfpServer(self._advertised, part.clients, _secret(part.secret, where))
-
-    def _create_follower(self, part: AdvisorFollowConfig, where: str, chance: random.Random) -> AdvisorClient:
-        at = host_port(part.at)
-        if part.protocol == "sasp":
-            tls = _tls(part.tls, False, where)
-            return SaspAdvisorClient(at, self, tls, chance.random, part.uid, part.group)  # type: ignore[arg-type]
-        return DfpAdvisorClient(at, self, chance.random, _secret(part.secret, where))
-
-    # the followers' listener: kept until the owner's next step
+            self.log.info(
+                "advice_server_started", protocol=server_config.protocol, host=host, port=bound_port
+            )
+        uniform = random.Random(time.time_ns()).random
+        for number, follow_config in enumerate(self._config.follow):
+            client = create_advisor_client(follow_config, self, uniform, f"$.advice.follow[{number}]")
+            self._trust_by_advisor[client.name] = follow_config.trust
+            self._clients.append(client)
+            stack.push_async_callback(client.close)
+            client.start()
 
     def advisor_connected(self, advisor: str) -> None:
+        """Called by a client once its connection to the advisor is up."""
         self._connected_advisors.append(advisor)
 
     def weights_received(self, advisor: str, weights: Iterable[ReportedWeight], is_complete: bool) -> None:
-        self._reports.append((advisor, list(weights), is_complete))
-
-    # beside the ladder
+        """Called by a client with the weights that its advisor has sent."""
+        self._reports.append(_WeightReport(advisor, list(weights), is_complete))
 
-    def observe(self, now: float, item: Input | ExtensionMessage) -> None:
-        """Nothing of what comes to the manager's address is advice; but who leaves is told at once."""
-        self._list_changed |= isinstance(item, EndpointList)
+    def observe(self, _now: float, item: LoopInput) -> None:
+        """Notes a changed endpoint list, as a worker that drains is advertised at once."""
+        if isinstance(item, EndpointList):
+            self._has_list_changed = True
 
     def collect_inputs(self, now: float) -> list[Input]:
-        for advisor in self._connected_advisors:
-            self._advice.advisor_connected(advisor, now, self._trust_by_advisor.get(advisor, 1.0))
-        self._connected_advisors.clear()
-        for advisor, said, whole in self._reports:
-            words: dict[int, AdvisoryWeight] = {}
-            for s in said:
-                if s.worker_index is not None:  # one worker under two identifications: the lower word
-                    word = AdvisoryWeight(float(s.weight), s.is_usable)
-                    was = words.get(s.worker_index)
-                    words[s.worker_index] = (
-                        word if was is None or word.weight < was.weight or not word.is_usable else was
-                    )
-            self._advice.receive(advisor, now, words, whole)
-        self._reports.clear()
+        """Once an interval, the factors on workers' capacities that have changed."""
+        self._apply_connections(now)
+        self._apply_reports(now)
         if now < self._next_update_at:
             return []
-        factors = self._advice.update_factors(now, self._capacity) if self._followers else {}
-        changed = dict.fromkeys(self._factors.keys() - factors.keys(), 1.0)
-        changed |= {be: factor for be, factor in factors.items() if self._factors.get(be) != factor}
-        self._factors = factors
-        return [AdvisedFactor(be, factor) for be, factor in changed.items()]
+        return list(self._changed_factors(now))
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
-        """Writes no proxy; the board and the followers' lists are brought up to date once an interval."""
-        due = now >= self._next_update_at
-        if due or self._list_changed:
-            self._list_changed = False
-            self._capacity = capacity_views(controller)
-            places = worker_locations(self._workers.ids, self._workers.address_of)
-            self._advertised.update(self._capacity, places)
-            for server in self._servers:
-                server.weights_changed()
-            for follower in self._followers:
-                follower.update(places)
-        if due:
+        """Sends proxies nothing; updates what servers advertise and what clients register."""
+        is_due = now >= self._next_update_at
+        if is_due or self._has_list_changed:
+            self._has_list_changed = False
+            self._update_advertised(controller)
+        if is_due:
             self._next_update_at = now + UPDATE_INTERVAL
-            for follower in self._followers:
-                follower.poll()
-            if now - self._logged_at >= LOG_INTERVAL:
-                self._logged_at = now
-                self._log_state(now)
+            for client in self._clients:
+                client.poll()
+            self._log_status_if_due(now)
         yield from ()
 
-    def _log_state(self, now: float) -> None:
-        for name, stands in self._advice.status(now).items():
-            follower = next((f for f in self._followers if f.name == name), None)
-            unmatched = follower.unmatched if follower else 0
+    def _apply_connections(self, now: float) -> None:
+        for advisor in self._connected_advisors:
+            trust = self._trust_by_advisor.get(advisor, DEFAULT_TRUST)
+            self._weighting.advisor_connected(advisor, now, trust)
+        self._connected_advisors.clear()
+
+    def _apply_reports(self, now: float) -> None:
+        for report in self._reports:
+            weights = _lowest_by_worker(report.weights)
+            self._weighting.receive(report.advisor, now, weights, report.is_complete)
+        self._reports.clear()
+
+    def _changed_factors(self, now: float) -> Iterator[AdvisedFactor]:
+        factors: dict[int, float] = {}
+        if self._clients:
+            factors = self._weighting.update_factors(now, self._capacities)
+        previous = self._factors
+        self._factors = factors
+        for worker_index in previous.keys() - factors.keys():
+            yield AdvisedFactor(worker_index, NEUTRAL_FACTOR)
+        for worker_index, factor in factors.items():
+            if previous.get(worker_index) != factor:
+                yield AdvisedFactor(worker_index, factor)
+
+    def _update_advertised(self, controller: RoutingController) -> None:
+        self._capacities = capacity_views(controller)
+        locations = worker_locations(self._workers.ids, self._workers.address_of)
+        self._advertised.update(self._capacities, locations)
+        for server in self._servers:
+            server.weights_changed()
+        for client in self._clients:
+            client.update(locations)
+
+    def _log_status_if_due(self, now: float) -> None:
+        if now - self._status_logged_at < STATUS_LOG_INTERVAL_S:
+            return
+        self._status_logged_at = now
+        for advisor, status in self._weighting.status(now).items():
+            client = next((client for client in self._clients if client.name == advisor), None)
             self.log.info(
-                "advisor_status", advisor=name, credit=round(stands.credit, 3), weights=stands.weight_count,
-                unmatched=unmatched, age_s=round(min(stands.age_s, 1e6), 1),
-            )  # fmt: skip
+                "advisor_status",
+                advisor=advisor,
+                credit=round(status.credit, 3),
+                weight_count=status.weight_count,
+                unmatched_count=client.unmatched if client is not None else 0,
+                age_s=round(min(status.age_s, MAX_LOGGED_AGE_S), 1),
+            )
         for server in self._servers:
             for row in server.status():
                 self.log.info("balancer_status", **row)
+
+
+def _lowest_by_worker(reported: Iterable[ReportedWeight]) -> dict[int, AdvisoryWeight]:
+    """One weight for each worker: the lowest, where an advisor knows a worker under two identifications."""
+    weights: dict[int, AdvisoryWeight] = {}
+    for report in reported:
+        if report.worker_index is None:
+            continue
+        weight = AdvisoryWeight(float(report.weight), report.is_usable)
+        other = weights.get(report.worker_index)
+        if other is None or weight.weight < other.weight or not weight.is_usable:
+            weights[report.worker_index] = weight
+    return weights
--- a/tests/control/test_signal_races.py
+++ b/tests/control/test_signal_races.py
@@ -143,9 +143,9 @@
         program.config["discovery"] = await self.start_http_server(ScriptedDiscovery().handle)
         (program.folder / "config.json").write_text(json.dumps(program.config))
         follower, where = mock.Mock(), mock.Mock()
-        reload = ConfigReloader(str(program.folder / "config.json"), placement, follower, where)
-        reload.close()
-        reload()
+        reloader = ConfigReloader(str(program.folder / "config.json"), placement, follower, where)
+        reloader.close()
+        reloader.reload()
         follower.change_address.assert_not_called()
 
 
--- a/tests/weight_advice/test_server_and_client.py
+++ b/tests/weight_advice/test_server_and_client.py
@@ -329,8 +329,8 @@
         proxy, table = await self.join(manager), dict[str, float]()
         await self.rows(proxy, table, lambda: self.ratio(table) > 1.5)
         self.assertIsNotNone(agent.keep_alive)
-        line = await manager.logged("advisor_status", "unmatched=1", wait=40.0)
-        self.assertIn("weights=4", line)
+        line = await manager.logged("advisor_status", "unmatched_count=1", wait=40.0)
+        self.assertIn("weight_count=4", line)
 
 
 class CommandLine(Rig):
