--- a/cottonladder/state/__init__.py
+++ b/cottonladder/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a manager keeps between inputs: known workers, proxy sessions, what each proxy was sent."""
+"""State that a manager keeps between inputs: known workers, proxy sessions, what each proxy was sent."""
--- a/cottonladder/state/config_encoder.py
+++ b/cottonladder/state/config_encoder.py
@@ -8,15 +8,15 @@
 from .line_operations import LineKind, LineOperation
 from .worker_registry import WorkerRegistry
 
-MAX_PART_SIZE = 900_000  # bytes of lines in a part: a part is 1 MiB at most, with its other fields
-MAX_PARTS = 64  # parts of one message, by the protocol; more operations go as a further message
-LINE_OVERHEAD = 32  # bytes that a line takes at most beside its worker's id
+MAX_PART_LINES_BYTES = 900_000  # of lines in a part; the protocol's 1 MiB includes its other fields
+MAX_PARTS = 64  # of one message, by the protocol; more operations go as a further message
+LINE_OVERHEAD_BYTES = 32  # that a line takes at most beside its worker's id
 
 WORKER_LINES = frozenset((LineKind.SET_WEIGHT, LineKind.EXCLUDE_WORKER, LineKind.READMIT_WORKER))
 
 
 class ConfigEncoder:
-    """Knows the names behind the indices that operations are written with."""
+    """Encodes operations with the names of request classes and the ids of workers."""
 
     def __init__(self, class_names: list[str], workers: WorkerRegistry) -> None:
         self._class_names = class_names
@@ -24,7 +24,7 @@
         self._workers = workers
 
     def encode(self, operations: Iterable[LineOperation]) -> bytes:
-        """All operations in order, in as few parts and messages as the protocol allows."""
+        """Encodes all operations in order, in as few parts and messages as the protocol allows."""
         packer = _PartPacker(self._names_of)
         for operation in operations:
             worker_id = b""
@@ -36,7 +36,7 @@
         return b"".join(encode_parts(message) for message in messages)
 
     def _names_of(self, class_mask: int) -> bytes:
-        """The names of these classes as the wire has them: empty for all."""
+        """The names of these classes in the protocol's form, which is empty where it means all of them."""
         if class_mask == self._all_classes:
             return b""
         names = [name for index, name in enumerate(self._class_names) if class_mask >> index & 1]
@@ -44,22 +44,22 @@
 
 
 class _PartPacker:
-    """Puts operations into parts; one that the last part has no place for begins another."""
+    """Puts operations into parts, and starts another part where the last one can't take an operation."""
 
     def __init__(self, names_of: Callable[[int], bytes]) -> None:
         self.parts = [ConfigPart()]
         self._names_of = names_of
         self._class_mask = 0  # classes that the last part's table fields stand for; 0 while it has none
-        self._size = 0  # bytes of the last part's lines, at most
+        self._size_bytes = 0  # bytes of the last part's lines, at most
 
     def add(self, operation: LineOperation, worker_id: bytes) -> None:
-        """Writes an operation to the last part, or to another one where that has no place for it."""
-        line_size = len(worker_id) + LINE_OVERHEAD
-        self._size += line_size
+        """Adds an operation to the last part, or to a new one where the last can't take it."""
+        line_size_bytes = len(worker_id) + LINE_OVERHEAD_BYTES
+        self._size_bytes += line_size_bytes
         if self._needs_new_part(operation, worker_id):
             self.parts.append(ConfigPart())
             self._class_mask = 0
-            self._size = line_size
+            self._size_bytes = line_size_bytes
         part = self.parts[-1]
         if operation.class_mask:
             self._class_mask = operation.class_mask
@@ -68,7 +68,7 @@
 
     def _needs_new_part(self, operation: LineOperation, worker_id: bytes) -> bool:
         for_other_classes = bool(operation.class_mask) and self._class_mask not in (0, operation.class_mask)
-        if for_other_classes or self._size > MAX_PART_SIZE:
+        if for_other_classes or self._size_bytes > MAX_PART_LINES_BYTES:
             return True
         return CONFLICTS[operation.kind](self.parts[-1], worker_id)
 
@@ -89,7 +89,7 @@
         part.readmitted.append(worker_id)
 
 
-def _table_is_written(part: ConfigPart, worker_id: bytes) -> bool:
+def _table_is_written(part: ConfigPart, _worker_id: bytes) -> bool:
     return part.replaces_table or bool(part.weights) or part.admission is not None
 
 
@@ -97,7 +97,7 @@
     return worker_id in part.weights or part.admission is not None
 
 
-def _admission_is_written(part: ConfigPart, worker_id: bytes) -> bool:
+def _admission_is_written(part: ConfigPart, _worker_id: bytes) -> bool:
     return part.admission is not None
 
 
@@ -105,11 +105,11 @@
     return worker_id in part.excluded or worker_id in part.readmitted
 
 
-def _checkpoint_is_written(part: ConfigPart, worker_id: bytes) -> bool:
+def _checkpoint_is_written(part: ConfigPart, _worker_id: bytes) -> bool:
     return part.checkpoint is not None
 
 
-# Whether a part already says what rules out a further line of this kind, for this worker.
+# Whether a part already has a line that rules out a further one of this kind, for this worker.
 CONFLICTS: dict[LineKind, Callable[[ConfigPart, bytes], bool]] = {
     LineKind.SET_WEIGHT: _weight_is_written,
     LineKind.REPLACE_TABLE: _table_is_written,
--- a/cottonladder/state/line_operations.py
+++ b/cottonladder/state/line_operations.py
@@ -32,8 +32,8 @@
     checkpoint: int = 0
 
 
-class AdmissionLevel(NamedTuple):
-    """Admission in force for one request class, with the retry policy that goes with it."""
+class AdmissionSetting(NamedTuple):
+    """The admission ratio or rate of one request class, and the retry policy that goes with it."""
 
     admission: float
     retry_policy: int
@@ -49,10 +49,10 @@
     return LineOperation(LineKind.REPLACE_TABLE, class_mask)
 
 
-def set_admission(class_mask: int, level: AdmissionLevel) -> LineOperation:
-    """The admission level of these classes."""
+def set_admission(class_mask: int, setting: AdmissionSetting) -> LineOperation:
+    """The admission and the retry policy of these classes."""
     return LineOperation(
-        LineKind.SET_ADMISSION, class_mask, value=level.admission, retry_policy=level.retry_policy
+        LineKind.SET_ADMISSION, class_mask, value=setting.admission, retry_policy=setting.retry_policy
     )
 
 
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -1,10 +1,11 @@
 """Turns the controller's orders into one message for each proxy.
 
 `apply` carries out one order and adds the lines that it costs at each proxy to that proxy's pending
-operations; `take_messages` encodes all that is pending, one message a proxy.  Lines address the request
-classes that read a table at that proxy, and equal messages are encoded once.  A proxy keeps its exclusions
-when it reconnects, so `ProxyView` keeps them here too: a line for a worker that the proxy may still exclude,
-and that this manager does not, comes with a line that readmits it.
+operations; `take_messages` encodes all that is pending, one message a proxy.  A line stands for the request
+classes that read the table at that proxy, and equal messages are encoded once.
+
+A proxy keeps its exclusions when it reconnects, so `ProxyView` keeps them here too.  Where a proxy may
+exclude a worker that this manager does not, the worker's next line comes with another one that readmits it.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 )
 from .config_encoder import ConfigEncoder
 from .line_operations import (
-    AdmissionLevel,
+    AdmissionSetting,
     LineOperation,
     checkpoint,
     replace_table,
@@ -36,6 +37,7 @@
     set_weight,
 )
 from .order_errors import InvalidAdmissionError, InvalidWeightError, UnknownWorkerError
+from .proxy_bindings import ProxyBindings
 from .proxy_view import ProxyView
 from .worker_registry import WorkerRegistry
 
@@ -45,11 +47,14 @@
     """What proxies bound to a table are to hold."""
 
     weights: dict[int, float] = field(default_factory=dict)  # by worker
-    admission: dict[int, AdmissionLevel] = field(default_factory=dict)  # by request class
+    admission: dict[int, AdmissionSetting] = field(default_factory=dict)  # by request class
 
 
 class OrderDispatcher:
-    """Applies orders and collects, for each connected proxy, the lines that they cost."""
+    """Applies orders and collects, for each connected proxy, the lines that they cost.
+
+    Methods that return lines also record in the proxy's view what these lines change.
+    """
 
     def __init__(self, class_names: list[str], manager_count: int, workers: WorkerRegistry) -> None:
         self._class_names = class_names
@@ -59,17 +64,18 @@
         self._workers = workers
         self._encoder = ConfigEncoder(class_names, workers)
         self._tables: dict[int, TableContent] = {}
-        self._global_admission: dict[int, AdmissionLevel] = {}  # for all proxies, by request class
+        self._global_admission: dict[int, AdmissionSetting] = {}  # for all proxies, by request class
         self._excluded: dict[int, None] = {}  # workers, in the order of their exclusion
-        self._bindings: dict[int, list[int | None]] = {}  # connected proxies: table of each request class
-        self._views: dict[int, ProxyView] = {}
-        self._proxies_by_table: dict[int, dict[int, None]] = {}  # who reads it, for any request class
+        self._bindings = ProxyBindings(len(class_names))
+        self._views: dict[int, ProxyView] = {}  # by proxy, connected or not
         self._pending: dict[int, list[LineOperation]] = {}  # by proxy
         self._removed_workers: list[int] = []  # their ids are needed until pending lines are encoded
 
     def track_proxies(self, inputs: list[Input]) -> None:
-        """Proxies that a batch connects or disconnects; called before the controller decides on the batch, so
-        that its orders find them."""
+        """Follows which proxies a batch of inputs connects or disconnects.
+
+        Called before the controller decides on the batch, as its orders may already name these proxies.
+        """
         for item in inputs:
             if isinstance(item, ProxyConnected):
                 self.connect_proxy(item.proxy, item.is_fresh)
@@ -77,9 +83,12 @@
                 self.disconnect_proxy(item.proxy)
 
     def connect_proxy(self, proxy: int, is_fresh: bool) -> None:
-        """A proxy with a new connection; it reads tables of another manager's until it is bound."""
+        """Adds a proxy with a new connection; until it is bound it reads another manager's tables.
+
+        `is_fresh`: the proxy has just started, so it excludes no worker yet.
+        """
         self.disconnect_proxy(proxy)
-        self._bindings[proxy] = [None] * self._class_count
+        self._bindings.connect(proxy)
         known = self._views.get(proxy)
         if known is None:
             self._views[proxy] = ProxyView(is_authoritative=is_fresh)
@@ -89,10 +98,8 @@
 
     def disconnect_proxy(self, proxy: int) -> None:
         """Drops what is pending for a proxy; what it was sent to exclude is remembered."""
-        self._bindings.pop(proxy, None)
+        self._bindings.disconnect(proxy)
         self._pending.pop(proxy, None)
-        for proxies in self._proxies_by_table.values():
-            proxies.pop(proxy, None)
 
     def apply(self, order: Order) -> None:
         """Applies one order; raises `OrderRejectedError` where it is one that must never be sent."""
@@ -114,8 +121,9 @@
             raise UnknownWorkerError(order)
 
     def take_messages(self) -> Iterator[tuple[int, bytes]]:
-        """Each proxy with pending operations and its encoded message; nothing is pending afterwards."""
-        all_pending, self._pending = self._pending, {}
+        """Yields each proxy with pending operations and its encoded message; none are pending afterwards."""
+        all_pending = self._pending
+        self._pending = {}
         encoded: dict[tuple[LineOperation, ...], bytes] = {}
         for proxy, pending in all_pending.items():
             self._add_global_admission(proxy, pending)
@@ -128,7 +136,7 @@
         self._removed_workers = []
 
     def _add_global_admission(self, proxy: int, pending: list[LineOperation]) -> None:
-        """Admission set for all proxies goes with every message."""
+        """Adds the admission that is set for all proxies, which every message repeats."""
         for class_index in self._global_admission:
             lines = self._admission_lines(proxy, [class_index])
             pending += [line for line in lines if line not in pending]
@@ -148,34 +156,33 @@
         if operations:  # admission for classes that the proxy reads elsewhere causes no message
             self._pending.setdefault(proxy, []).extend(operations)
 
-    def _classes_reading(self, proxy: int, table: int) -> int:
-        """Mask of the request classes that read this table at this proxy."""
-        bound = self._bindings[proxy]
-        return sum(1 << class_index for class_index, read in enumerate(bound) if read == table)
-
     def _classes_in(self, class_mask: int) -> list[int]:
         return [index for index in range(self._class_count) if class_mask >> index & 1]
 
-    def _admission_in_force(self, proxy: int, class_index: int) -> AdmissionLevel | None:
-        """The lower of the table's level and that for all proxies, with the table's own retry policy."""
-        table = self._bindings[proxy][class_index]
-        own = self._tables[table].admission.get(class_index) if table is not None else None
+    def _admission_in_force(self, proxy: int, class_index: int) -> AdmissionSetting | None:
+        """The lower of the table's admission and that for all proxies, with the table's retry policy."""
+        table = self._bindings.tables_of(proxy)[class_index]
         everywhere = self._global_admission.get(class_index)
-        if own is not None and everywhere is not None:
-            return AdmissionLevel(min(own.admission, everywhere.admission), own.retry_policy)
-        return own if own is not None else everywhere
+        if table is None:
+            return everywhere
+        own = self._tables[table].admission.get(class_index)
+        if own is None:
+            return everywhere
+        if everywhere is None:
+            return own
+        return AdmissionSetting(min(own.admission, everywhere.admission), own.retry_policy)
 
     def _admission_lines(self, proxy: int, class_indices: Iterable[int]) -> list[LineOperation]:
-        """Levels in force for these request classes; classes with equal levels share a line."""
-        masks: dict[AdmissionLevel, int] = {}
+        """Lines for the admission in force for these request classes; equal ones share a line."""
+        masks: dict[AdmissionSetting, int] = {}
         for class_index in class_indices:
-            level = self._admission_in_force(proxy, class_index)
-            if level is not None:
-                masks[level] = masks.get(level, 0) | 1 << class_index
-        return [set_admission(mask, level) for level, mask in masks.items()]
+            setting = self._admission_in_force(proxy, class_index)
+            if setting is not None:
+                masks[setting] = masks.get(setting, 0) | 1 << class_index
+        return [set_admission(mask, setting) for setting, mask in masks.items()]
 
     def _exclusion_lines(self, proxy: int, worker_index: int) -> list[LineOperation]:
-        """The line, if one is needed, that excludes or readmits a worker as this manager has it."""
+        """The line, if one is needed, that has the proxy exclude a worker where this manager does."""
         view = self._views[proxy]
         excluded = worker_index in self._excluded
         if view.is_excluded(worker_index, self._workers) == excluded:
@@ -190,8 +197,8 @@
         else:
             table.weights.pop(order.worker_index, None)
         lines_by_mask: dict[int, LineOperation] = {}  # shared, as most proxies bind all classes to one table
-        for proxy in self._proxies_by_table.get(order.table, ()):
-            class_mask = self._classes_reading(proxy, order.table)
+        for proxy in self._bindings.readers(order.table):
+            class_mask = self._bindings.classes_reading(proxy, order.table)
             if class_mask not in lines_by_mask:
                 lines_by_mask[class_mask] = set_weight(class_mask, order.worker_index, order.weight)
             lines = self._exclusion_lines(proxy, order.worker_index) if order.weight > 0 else []
@@ -200,8 +207,8 @@
 
     def _clear_table(self, order: ClearTable) -> None:
         self._tables[order.table] = TableContent()
-        for proxy in self._proxies_by_table.get(order.table, ()):
-            self._add_pending(proxy, [replace_table(self._classes_reading(proxy, order.table))])
+        for proxy in self._bindings.readers(order.table):
+            self._add_pending(proxy, [replace_table(self._bindings.classes_reading(proxy, order.table))])
 
     def _bind_proxy(self, order: BindProxy) -> None:
         if order.proxy not in self._bindings:
@@ -209,7 +216,7 @@
         table = self._tables.setdefault(order.table, TableContent())
         class_mask = order.class_mask & self._all_classes or self._all_classes
         class_indices = self._classes_in(class_mask)
-        self._record_binding(order.proxy, order.table, class_indices)
+        self._bindings.bind(order.proxy, order.table, class_indices)
         lines = [replace_table(class_mask)]
         lines += [set_weight(class_mask, index, weight) for index, weight in table.weights.items()]
         for class_index in class_indices:
@@ -217,17 +224,8 @@
         lines += self._exclusions_of_table(order.proxy, table)
         self._add_pending(order.proxy, lines)
 
-    def _record_binding(self, proxy: int, table: int, class_indices: list[int]) -> None:
-        bound = self._bindings[proxy]
-        for class_index in class_indices:
-            bound[class_index] = table
-        for other_table, proxies in self._proxies_by_table.items():
-            if other_table not in bound:
-                proxies.pop(proxy, None)
-        self._proxies_by_table.setdefault(table, {})[proxy] = None
-
     def _exclusions_of_table(self, proxy: int, table: TableContent) -> list[LineOperation]:
-        """Exclusions of a table's workers are repeated with each bind, as the cost of a bind counts them."""
+        """Lines for the exclusions of a table's workers, all of which are counted in the cost of a bind."""
         view = self._views[proxy]
         excluded = self._excluded.keys() & table.weights.keys()
         view.exclusions.update(dict.fromkeys(excluded))
@@ -239,13 +237,14 @@
         return lines
 
     def _exclude_worker(self, order: ExcludeWorker) -> None:
-        """A line at each proxy that holds a table with the worker, or tables of another manager."""
+        """Adds a line at each proxy that reads a table with the worker, or another manager's table."""
         if order.excluded:
             self._excluded[order.worker_index] = None
         else:
             self._excluded.pop(order.worker_index, None)
-        for proxy, bound in self._bindings.items():
-            if any(self._may_hold(table, order.worker_index) for table in bound):
+        for proxy in self._bindings:
+            tables = self._bindings.tables_of(proxy)
+            if any(self._may_hold(table, order.worker_index) for table in tables):
                 self._views[proxy].exclusions[order.worker_index] = order.excluded
                 self._add_pending(proxy, [set_excluded(order.worker_index, order.excluded)])
 
@@ -254,21 +253,24 @@
 
     def _set_admission(self, order: SetAdmission) -> None:
         class_indices = self._classes_in(order.class_mask or self._all_classes)
-        level = AdmissionLevel(order.admission, int(order.retry_policy))
+        setting = AdmissionSetting(order.admission, int(order.retry_policy))
         if order.table == ALL_TABLES:
-            self._global_admission.update(dict.fromkeys(class_indices, level))
+            self._global_admission.update(dict.fromkeys(class_indices, setting))
             for proxy in self._bindings:
                 self._add_pending(proxy, self._admission_lines(proxy, class_indices))
             return
         table = self._tables.setdefault(order.table, TableContent())
-        table.admission.update(dict.fromkeys(class_indices, level))
-        for proxy in self._proxies_by_table.get(order.table, ()):
-            bound = self._bindings[proxy]
-            read_here = [index for index in class_indices if bound[index] == order.table]
+        table.admission.update(dict.fromkeys(class_indices, setting))
+        for proxy in self._bindings.readers(order.table):
+            tables = self._bindings.tables_of(proxy)
+            read_here = [index for index in class_indices if tables[index] == order.table]
             self._add_pending(proxy, self._admission_lines(proxy, read_here))
 
     def _remove_worker(self, order: RemoveWorker) -> None:
-        """A proxy may exclude it for good; should it be listed again, its first line readmits it."""
+        """Frees what is kept of a worker.
+
+        A proxy may exclude it for good; should the worker be listed again, its first line readmits it.
+        """
         self._excluded.pop(order.worker_index, None)
         for table in self._tables.values():
             table.weights.pop(order.worker_index, None)
--- a/cottonladder/state/order_errors.py
+++ b/cottonladder/state/order_errors.py
@@ -61,7 +61,7 @@
 class UnknownWorkerError(OrderRejectedError):
     """An order for a worker that was never listed, or that was removed.
 
-    No id is known for it, so the index is all that can be told.
+    No id is known for it, so the index is all that identifies it.
     """
 
     def __init__(self, order: SetWeight | ExcludeWorker | RemoveWorker) -> None:
--- /dev/null
+++ b/cottonladder/state/proxy_bindings.py
@@ -0,0 +1,55 @@
+"""Which routing table each connected proxy reads for each request class."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator
+
+
+class ProxyBindings:
+    """The connected proxies, each with one table a request class; None where another manager's is read."""
+
+    def __init__(self, class_count: int) -> None:
+        self._class_count = class_count
+        self._tables: dict[int, list[int | None]] = {}  # by proxy, a table a request class
+        self._readers: dict[int, dict[int, None]] = {}  # by table, the proxies that read it for any class
+
+    def __contains__(self, proxy: int) -> bool:
+        """Whether the proxy is connected."""
+        return proxy in self._tables
+
+    def __iter__(self) -> Iterator[int]:
+        """The connected proxies, in the order in which they connected."""
+        return iter(self._tables)
+
+    def connect(self, proxy: int) -> None:
+        """Adds a proxy that reads none of this manager's tables yet."""
+        self._tables[proxy] = [None] * self._class_count
+
+    def disconnect(self, proxy: int) -> None:
+        """Removes a proxy, if it is connected."""
+        self._tables.pop(proxy, None)
+        for readers in self._readers.values():
+            readers.pop(proxy, None)
+
+    def bind(self, proxy: int, table: int, class_indices: Iterable[int]) -> None:
+        """Has a connected proxy read this table for these request classes."""
+        tables = self._tables[proxy]
+        for class_index in class_indices:
+            tables[class_index] = table
+        for other_table, readers in self._readers.items():
+            if other_table not in tables:
+                readers.pop(proxy, None)
+        self._readers.setdefault(table, {})[proxy] = None
+
+    def readers(self, table: int) -> Iterable[int]:
+        """The proxies that read this table for at least one request class."""
+        return self._readers.get(table, ())
+
+    def tables_of(self, proxy: int) -> list[int | None]:
+        """A connected proxy's table for each request class."""
+        return self._tables[proxy]
+
+    def classes_reading(self, proxy: int, table: int) -> int:
+        """Mask of the request classes that read this table at this proxy."""
+        tables = self._tables[proxy]
+        return sum(1 << class_index for class_index, read in enumerate(tables) if read == table)
--- a/cottonladder/state/proxy_sessions.py
+++ b/cottonladder/state/proxy_sessions.py
@@ -1,4 +1,4 @@
-"""The current connection of each proxy: the newest of a proxy's connections holds."""
+"""Which connection of each proxy is in force: the one that was accepted last."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class ProxySessions:
-    """Receives the stream listener's events and passes inputs on.
+    """Turns connections' events into inputs for the control loop, and writes to proxies.
 
-    Of a proxy that reconnects, the inputs have the old connection's end before the new one's start.
+    Where a proxy connects again, its old connection's end comes before the new one's start in the inputs.
     """
 
     def __init__(self, input_received: Callable[[Input | ExtensionMessage], None]) -> None:
@@ -20,10 +20,10 @@
         self._connections: dict[int, ProtocolConnection] = {}  # by proxy
 
     def proxy_connected(self, connection: ProtocolConnection, event: ProxyConnected) -> None:
-        """A connection has said which proxy it belongs to."""
+        """Called once a connection has identified its proxy."""
         current = self._connections.get(event.proxy)
         if current is not None and current.accept_number > connection.accept_number:
-            # Accepted before the current one and read after it, as when the loop lags: its proxy has left it.
+            # The connection was accepted before the current one and read after it, so its proxy has left it.
             connection.listener.mark_superseded(connection)
             return
         if current is not None:
@@ -33,13 +33,13 @@
         self.input_received(event)
 
     def connection_ended(self, connection: ProtocolConnection) -> None:
-        """A proxy's connection is closed; the proxy is disconnected unless another connection holds."""
+        """Called once a connection is closed; ignored where the proxy has a newer one."""
         if self._connections.get(connection.proxy) is connection:
             del self._connections[connection.proxy]
             self.input_received(ProxyDisconnected(connection.proxy))
 
     def send(self, proxy: int, data: bytes) -> None:
-        """Writes to the proxy's current connection; dropped where it has none."""
+        """Writes to the proxy's current connection; does nothing where it has none."""
         connection = self._connections.get(proxy)
         if connection is not None:
             connection.send(data)
