--- a/cottonladder/protocol/__init__.py
+++ b/cottonladder/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The protocols that a manager speaks: RESP2, discovery, health checks and gossip datagrams."""
+"""The protocols that a manager speaks: RESP2 streams, discovery, health checks and gossip datagrams."""
--- a/cottonladder/protocol/config_messages.py
+++ b/cottonladder/protocol/config_messages.py
@@ -1,4 +1,8 @@
-"""CONFIG, the message that carries a manager's orders to a proxy."""
+"""Encoding of CONFIG, the message that carries a manager's orders to a proxy.
+
+This module maps the terms of the code to the field names on the wire: weights to `rows`, the admission ratio
+or rate to `gate`, the retry policy to `again`, exclusions to `drop` and `undrop`, a checkpoint to `stamp`.
+"""
 
 from __future__ import annotations
 
@@ -9,18 +13,18 @@
 
 @dataclass(slots=True)
 class ConfigPart:
-    """One part of a message to a proxy; workers stand by their ids."""
+    """One part of a CONFIG message: orders for the same request classes, with workers named by id."""
 
-    classes: bytes = b""  # names of request classes, joined as on the wire; empty for all
+    classes: bytes = b""  # names of request classes, joined with "+"; empty for all classes
     replaces_table: bool = False
     weights: dict[bytes, float] = field(default_factory=dict)
-    admission: tuple[float, int] | None = None  # admission, and retry policy
+    admission: tuple[float, int] | None = None  # ratio or rate, and number of the retry policy
     excluded: list[bytes] = field(default_factory=list)
     readmitted: list[bytes] = field(default_factory=list)
     checkpoint: int | None = None
 
     def to_arguments(self, has_successor: bool) -> list[bytes]:
-        """The words of the part; `has_successor`: another part of the same message follows."""
+        """The arguments of the part; `has_successor` marks that another part of the message follows."""
         arguments = [b"CONFIG"]
         if self.classes:
             arguments += [b"for", self.classes]
@@ -44,7 +48,7 @@
 
 
 def encode_parts(parts: list[ConfigPart]) -> bytes:
-    """One message of these parts."""
+    """Encodes the parts, which the proxy applies together."""
     last = parts[-1]
     return b"".join(resp.encode(part.to_arguments(has_successor=part is not last)) for part in parts)
 
--- a/cottonladder/protocol/endpoint_list.py
+++ b/cottonladder/protocol/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint list, read from its JSON."""
+"""Reads discovery's endpoint list, complete or a delta, from its decoded JSON."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 from ..model.inputs import Endpoint, EndpointList, EndpointState, ListUpdateKind
 from .errors import EndpointListError
 
-MAX_WORKER_ID_LENGTH = 255  # characters: far above any seen, and a line stays short
-SEPARATORS = frozenset(", :")  # of ids in orders
+MAX_WORKER_ID_LENGTH = 255  # characters
+SEPARATORS = frozenset(", :")  # between ids and values in an order
 STATES = {
     "Ready": EndpointState.READY,
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.GONE,
 }
-RegisterWorker = Callable[[str, str, float], int]  # id, address, started at -> index
+# Called with a worker's id, its address and the time of its start in s; returns its index.
+RegisterWorker = Callable[[str, str, float], int]
 
 
 class ZoneIndex(Protocol):
-    """Knows the deployment's zones."""
+    """Finds the index of a zone by its name."""
 
     def zone_index(self, name: str, where: str) -> int:
         """The index of a zone; raises `InputError` with `where` for an unknown one."""
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ListedWorker:
-    """One entry of the list, checked, before its worker is registered."""
+    """One entry of the list, checked, whose worker is not yet registered."""
 
     worker_id: str
     address: str
@@ -42,9 +43,12 @@
 def read_endpoint_list(
     body: Any, zones: ZoneIndex, register: RegisterWorker, where: str
 ) -> tuple[int, EndpointList]:
-    """The version and the list; workers are registered only once all of it has been read."""
+    """The list and its version, with workers as the indices that `register` gives them.
+
+    No worker is registered unless every entry is valid.  Raises `InputError`; `where` begins its text.
+    """
     version = field(body, "version", int, where)
-    is_full = field(body, "full", bool, where)
+    kind = ListUpdateKind.FULL if field(body, "full", bool, where) else ListUpdateKind.DELTA
     workers = [_read_entry(entry, zones, where) for entry in field(body, "servers", list, where)]
     endpoints = tuple(
         Endpoint(
@@ -56,7 +60,7 @@
         )
         for worker in workers
     )
-    return version, EndpointList(ListUpdateKind.FULL if is_full else ListUpdateKind.DELTA, endpoints)
+    return version, EndpointList(kind, endpoints)
 
 
 def _read_entry(entry: Any, zones: ZoneIndex, where: str) -> _ListedWorker:
@@ -64,7 +68,7 @@
     state = field(entry, "state", str, where)
     if state not in STATES:
         raise EndpointListError(where, "field state has an unknown value")
-    if not _fits_an_order(worker_id):
+    if not _is_valid_worker_id(worker_id):
         raise EndpointListError(where, "field id can't stand in an order")
     weight = float(field(entry, "weight", NUMBER, where))
     started_at = seconds(entry, "started_ms", where)
@@ -75,7 +79,7 @@
     return _ListedWorker(worker_id, f"{host}:{port}", zone, STATES[state], weight, started_at)
 
 
-def _fits_an_order(worker_id: str) -> bool:
+def _is_valid_worker_id(worker_id: str) -> bool:
     if not 0 < len(worker_id) <= MAX_WORKER_ID_LENGTH:
         return False
     return worker_id.isascii() and worker_id.isprintable() and not SEPARATORS & set(worker_id)
--- a/cottonladder/protocol/errors.py
+++ b/cottonladder/protocol/errors.py
@@ -1,6 +1,6 @@
-"""Errors of messages, answers and datagrams that the protocols do not allow.
+"""Errors raised for messages and answers of peers that violate a protocol.
 
-Each is an `InputError`, so that a caller can treat a fault of the other party alike wherever it was found.
+All are `InputError`s, so a caller handles invalid input alike, whether a file or a peer supplied it.
 """
 
 from __future__ import annotations
@@ -9,18 +9,18 @@
 
 
 class ProtocolError(InputError):
-    """What another party said does not follow the protocol."""
+    """A peer violated a protocol; the base class of this package's errors."""
 
 
 class FramingError(ProtocolError):
-    """Bytes that can't be cut into messages: nothing after them can be read."""
+    """Bytes that are not valid RESP2; the message boundaries after them are unknown."""
 
     def __init__(self, fault: str) -> None:
         super().__init__(f"message: {fault}")
 
 
 class MessageError(ProtocolError):
-    """A whole message of this type that can't be accepted."""
+    """A complete message that is not valid; `message_type` is its first argument."""
 
     def __init__(self, message_type: str, fault: str) -> None:
         super().__init__(f"{message_type}: {fault}")
@@ -29,7 +29,7 @@
 
 
 class FieldError(MessageError):
-    """A field of a message that is missing or has a value that it can't have."""
+    """A field of a message is missing or has a value that is not allowed."""
 
     def __init__(self, message_type: str, field: str, fault: str) -> None:
         super().__init__(message_type, f"field {field} {fault}")
@@ -37,7 +37,7 @@
 
 
 class NumberError(ProtocolError):
-    """A word that should be a finite number of 0 or more; `where` names its place."""
+    """A value that should be a finite number of 0 or more; `where` names its place."""
 
     def __init__(self, where: str, fault: str) -> None:
         super().__init__(f"{where} is not {fault}")
@@ -45,7 +45,7 @@
 
 
 class EndpointListError(ProtocolError):
-    """An endpoint list that can't be accepted; `where` names the list or the answer."""
+    """An endpoint list, or an answer of discovery, that is not valid; `where` names which."""
 
     def __init__(self, where: str, fault: str) -> None:
         super().__init__(f"{where}: {fault}")
--- a/cottonladder/protocol/fault_log.py
+++ b/cottonladder/protocol/fault_log.py
@@ -1,4 +1,4 @@
-"""Log lines about faults of other parties, limited in rate: nobody can fill the log by repeating a fault."""
+"""Rate-limited log lines about faults of other parties, so that no peer can fill the log."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 import structlog
 
-SUMMARY_INTERVAL = 10.0  # s between two lines of one reason
-MAX_REASONS = 32  # told apart within an interval
+SUMMARY_INTERVAL_S = 10.0  # between two lines with the same reason
+MAX_REASONS = 32  # logged separately within an interval; further ones are counted together
 OTHER_REASONS = "others"
 
 
 class RateLimitedFaultLog:
-    """Logs the first fault of each reason at once, and the number of its repetitions each interval.
+    """Logs the first fault of each reason at once, and the number of its repetitions once an interval.
 
-    `event` is the name of the log line.  The owner calls `summarize` now and then.
+    `event` is the event name of the log lines.  The owner calls `summarize` periodically.
     """
 
     def __init__(self, event: str) -> None:
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self._event = event
-        self._repetitions: dict[str, int] = {}  # by reason, beyond the one that was logged
+        self._repetitions: dict[str, int] = {}  # by reason, not counting the first, which was logged
         self._interval_started_at = 0.0
 
     def report(self, reason: str, **fields: Any) -> None:
-        """A fault with fields that describe its party."""
+        """Logs or counts a fault; `fields` describe the party that caused it."""
         if reason not in self._repetitions and len(self._repetitions) >= MAX_REASONS:
             reason = OTHER_REASONS
         if reason in self._repetitions:
@@ -34,8 +34,8 @@
         self.log.info(self._event, reason=reason, **fields)
 
     def summarize(self, now: float) -> None:
-        """Logs what was held back, where an interval has passed since it was last done."""
-        if now - self._interval_started_at < SUMMARY_INTERVAL:
+        """Logs the counted repetitions if an interval has passed since the last summary; `now` in s."""
+        if now - self._interval_started_at < SUMMARY_INTERVAL_S:
             return
         for reason, count in self._repetitions.items():
             if count:
--- a/cottonladder/protocol/gossip.py
+++ b/cottonladder/protocol/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip datagrams between the managers of a deployment."""
+"""The UDP socket for gossip between the managers of a deployment."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from ..model.inputs import GossipReceived, Input
 
 MAX_DATAGRAM_SIZE = 256  # bytes: the protocol's limit
-EVERYONE = -1  # recipient that stands for all peers
+ALL_PEERS = -1  # as the recipient of a datagram
 
 
 class GossipSocket(asyncio.DatagramProtocol):
-    """Owns the datagram socket; a sender is known by its address among the peers, all others are dropped.
+    """Sends datagrams to peers and passes on those received from them; other senders are ignored.
 
-    `own_index` is this manager's place in `peers`; `broadcast_address` reaches all of them.
+    A peer is identified by its address.  `own_index` is this manager's index in `peers`; datagrams to
+    `broadcast_address` reach all of them.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Called by asyncio for each datagram; one of another sender or form is dropped."""
+        """Called by asyncio for each datagram; drops one from an unknown sender, too long, or not text."""
         sender = self._index_by_address.get((str(addr[0]), int(addr[1])))
         if sender is None or sender == self._own_index or len(data) > MAX_DATAGRAM_SIZE:
             return
@@ -56,7 +57,7 @@
         self._input_received(GossipReceived(sender, text))
 
     def send_datagram(self, recipient: int, text: str) -> None:
-        """To the peer with this index, or to all with -1; dropped where there is no such peer."""
+        """Sends to the peer with this index, or to `ALL_PEERS`; does nothing if there is no such peer."""
         data = text.encode()
         address = self._address_of(recipient)
         if address is None or self._transport is None:
@@ -67,7 +68,7 @@
         self._transport.sendto(data, address)
 
     def _address_of(self, recipient: int) -> HostPort | None:
-        if recipient <= EVERYONE:
+        if recipient <= ALL_PEERS:
             return self._broadcast_address
         if recipient < len(self._peers):
             return self._peers[recipient]
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of workers over HTTP, each timed from when it is sent."""
+"""Health checks of workers over HTTP; a check's duration is measured from the sending of its request."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from ..model.inputs import HealthCheckResult, Input
 from .message_fields import parse_number
 
-# s for connection and answer together: the next check of a worker comes a second later at the earliest.
-CHECK_TIMEOUT = 0.5
-MAX_BODY_SIZE = 4096  # bytes of a load report, which is a line of a few numbers
+HTTP_OK = 200
+CHECK_TIMEOUT_S = 0.5  # for connection and answer together; checks of one worker are at least 1 s apart
+MAX_BODY_SIZE = 4096  # bytes of a load report, which is one line of a few numbers
 REPORT_PREFIX = "TEXT"
-MAX_NAME_LENGTH = 32  # characters of a report's field in an error
+MAX_NAME_LENGTH = 32  # characters of a report's field name that an error shows
 
 
 def read_load_report(text: str) -> dict[str, float]:
-    """`TEXT inflight=7, queue=2` as numbers by name."""
+    """Parses a worker's load report, such as `TEXT inflight=7, queue=2`, into numbers by name."""
     report: dict[str, float] = {}
     for pair in text.removeprefix(REPORT_PREFIX).split(","):
         name, sign, value = pair.strip().partition("=")
@@ -31,10 +31,10 @@
 
 
 class HealthChecker:
-    """Owns its tasks and session; past `max_open` checks at once, further ones wait for their turn.
+    """Runs health checks, at most `max_open` at once and one for each worker; further ones wait.
 
-    A worker has one check under way at most: where many hang, checks would pile up behind them, and two that
-    were sent to a worker before it restarted would both be lost and get it ejected.
+    With several checks of one worker under way, hanging ones would accumulate, and all of those sent before a
+    restart of the worker would fail and count towards its ejection.
     """
 
     def __init__(
@@ -50,12 +50,12 @@
         self._tasks: dict[int, asyncio.Task[None]] = {}  # by worker
         self._slots = asyncio.Semaphore(max_open)
         self._session = aiohttp.ClientSession(
-            timeout=aiohttp.ClientTimeout(total=CHECK_TIMEOUT),
+            timeout=aiohttp.ClientTimeout(total=CHECK_TIMEOUT_S),
             connector=aiohttp.TCPConnector(force_close=True, limit=max_open),
         )
 
     def start_check(self, worker_index: int) -> None:
-        """Checks a worker, unless a check of it is under way."""
+        """Starts a check of the worker, unless one is under way; its result is an input."""
         if worker_index in self._tasks:
             return
         task = asyncio.create_task(self._check(worker_index, self._address_of(worker_index)))
@@ -70,14 +70,14 @@
             try:
                 async with self._session.get(f"http://{address}{self._path}") as reply:
                     body = await reply.content.read(MAX_BODY_SIZE)
-                    succeeded = reply.status == 200
+                    succeeded = reply.status == HTTP_OK
                     if succeeded:
                         report = read_load_report(body.decode())
             except (aiohttp.ClientError, TimeoutError, OSError, UnicodeDecodeError, InputError):
-                # No answer in time is a failed check; a report that can't be read is ignored.
+                # Without an answer in time the check has failed; an unreadable report is ignored.
                 pass
             if self._address_of(worker_index) != address:
-                return  # the worker has moved meanwhile: this is not its answer
+                return  # the worker has another address by now, so the answer came from another process
             duration_s = time.monotonic() - sent_at
             self._input_received(HealthCheckResult(worker_index, succeeded, duration_s, report))
 
--- a/cottonladder/protocol/message_fields.py
+++ b/cottonladder/protocol/message_fields.py
@@ -1,4 +1,4 @@
-"""Names and values of one message, checked as they are read."""
+"""Checked reading of the named fields of a message."""
 
 from __future__ import annotations
 
@@ -6,13 +6,16 @@
 
 from .errors import FieldError, MessageError, NumberError
 
-MAX_SHOWN_LENGTH = 32  # characters of another party's argument in an error or log line
-MAX_COUNT_DIGITS = 18
+MAX_SHOWN_LENGTH = 32  # characters of a peer's argument that an error or log line shows
+MAX_COUNT_DIGITS = 18  # every such number fits 64 bits
 MS_PER_S = 1000.0
 
 
 class MessageFields:
-    """The fields of a message: its arguments are in turn name and value, each name once."""
+    """The fields of a message, whose arguments are alternating names and values; each name occurs once.
+
+    Each method raises `FieldError` or `NumberError` for a field that is missing or has a wrong value.
+    """
 
     def __init__(self, message_type: str, arguments: list[bytes]) -> None:
         self.message_type = message_type
@@ -25,46 +28,46 @@
             raise FieldError(message_type, printable(repeated), "comes twice")
 
     def raw(self, name: str) -> bytes:
-        """A field that must be there, as it came."""
+        """A required field, as its bytes."""
         value = self.values.get(name.encode())
         if value is None:
             raise FieldError(self.message_type, name, "is missing")
         return value
 
     def text(self, name: str) -> str:
-        """A field as UTF-8 text."""
+        """A required field, as UTF-8 text."""
         try:
             return self.raw(name).decode()
         except UnicodeDecodeError:
             raise FieldError(self.message_type, name, "is not text") from None
 
     def count(self, name: str) -> int:
-        """A field as a whole number of 0 or more."""
+        """A required field, as an integer of 0 or more."""
         value = self.raw(name)
         if not value.isdigit() or len(value) > MAX_COUNT_DIGITS:
             raise FieldError(self.message_type, name, "is not a whole number of 0 or more")
         return int(value)
 
     def number(self, name: str) -> float:
-        """A field as a finite number of 0 or more."""
+        """A required field, as a finite number of 0 or more."""
         return parse_number(self.raw(name), self._place_of(name))
 
     def flag(self, name: str) -> bool:
-        """A field that is 1 or 0."""
+        """A required field that is 1 or 0, as a bool."""
         value = self.raw(name)
         if value not in (b"0", b"1"):
             raise FieldError(self.message_type, name, "is not 1 or 0")
         return value == b"1"
 
     def interval_s(self, total: int) -> float:
-        """Seconds that a total was counted over; they can't be 0 where something was counted."""
+        """The interval in seconds over which `total` was counted; 0 is valid only for a total of 0."""
         interval_s = self.number("interval") / MS_PER_S
         if interval_s <= 0 < total:
             raise FieldError(self.message_type, "interval", f"is none, with a total of {total}")
         return interval_s
 
     def metrics(self, name: str) -> dict[str, float]:
-        """A field of `name:value` pairs; empty where it is missing."""
+        """An optional field of comma-separated `name:value` pairs; empty if it is missing."""
         metrics: dict[str, float] = {}
         for pair in self.values.get(name.encode(), b"").split(b","):
             if pair:
@@ -77,12 +80,12 @@
 
 
 def printable(argument: bytes) -> str:
-    """The start of what another party sent, fit for a log line."""
+    """The beginning of an argument that a peer sent, safe to log."""
     return argument[:MAX_SHOWN_LENGTH].decode("ascii", errors="replace")
 
 
 def parse_number(raw: bytes, where: str) -> float:
-    """A finite number of 0 or more; `where` names its place in an error."""
+    """Parses a finite number of 0 or more; `where` names its place in the text of a NumberError."""
     try:
         value = float(raw)
     except ValueError:
--- a/cottonladder/protocol/messages.py
+++ b/cottonladder/protocol/messages.py
@@ -1,4 +1,4 @@
-"""Messages of proxies and collectors, read into inputs of the controller."""
+"""Reads messages of proxies and collectors into typed inputs of the routing controller."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Asks for a PONG, at any time."""
+    """PING: the peer expects a PONG; allowed at any time."""
 
 
 @dataclass(frozen=True, slots=True)
 class CollectorConnected:
-    """A collector names its zone."""
+    """SOURCE: the connection belongs to a collector of load reports in `zone`, an index."""
 
     zone: int
 
 
 @dataclass(frozen=True, slots=True)
 class UnlistedWorkerReport:
-    """A report on a worker that the endpoint list has not named; it counts for nothing."""
+    """A load report on a worker that is not in the endpoint list; it is ignored."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExtensionMessage:
-    """A message of an extension that is switched on, as its own reader made it."""
+    """A message of a protocol extension; `body` is what the extension's own reader returned."""
 
     body: object
-    proxy: int = -1  # whose connection it came on
+    proxy: int = -1  # index of the proxy that sent it; -1 until its connection has filled it in
 
 
 IncomingMessage = (
@@ -53,15 +53,19 @@
 
 
 class MessageReader:
-    """Reads messages for one deployment; `find_worker` gives the index of a listed worker, or None."""
+    """Reads the messages of one deployment.
 
-    def __init__(self, site: DeploymentSettings, find_worker: Callable[[bytes], int | None]) -> None:
-        self.site = site
+    `find_worker` returns the index of a listed worker by its id, or None.  An extension adds its message
+    types to `extension_readers`.
+    """
+
+    def __init__(self, settings: DeploymentSettings, find_worker: Callable[[bytes], int | None]) -> None:
+        self.settings = settings
         self.find_worker = find_worker
         self.extension_readers: dict[bytes, Callable[[list[bytes]], object]] = {}  # by message type
 
     def read(self, arguments: list[bytes]) -> IncomingMessage:
-        """The message of these words; raises `InputError` where it can't be accepted."""
+        """Reads one message, given as its arguments; raises `InputError` if it is not valid."""
         if not arguments:
             raise MessageError("message", "an array without words")
         reader = MESSAGE_READERS.get(arguments[0])
@@ -73,15 +77,15 @@
         raise MessageError(printable(arguments[0]), "unknown kind of message")
 
     def _zone(self, fields: MessageFields) -> int:
-        return self.site.zone_index(fields.text("locality"), f"{fields.message_type}: field locality")
+        return self.settings.zone_index(fields.text("locality"), f"{fields.message_type}: field locality")
 
     def _proxy(self, fields: MessageFields) -> int:
         proxy = fields.count("node")
-        if proxy >= self.site.parameters.proxy_count:
+        if proxy >= self.settings.parameters.proxy_count:
             raise FieldError(fields.message_type, "node", "is beyond the settings")
         return proxy
 
-    def _read_ping(self, fields: MessageFields) -> IncomingMessage:
+    def _read_ping(self, _fields: MessageFields) -> IncomingMessage:
         return Ping()
 
     def _read_source(self, fields: MessageFields) -> IncomingMessage:
@@ -112,9 +116,9 @@
         return Acknowledged(self._proxy(fields), fields.count("nonce"), fields.number("latency") / MS_PER_S)
 
     def _read_rate(self, fields: MessageFields) -> IncomingMessage:
-        class_index = self.site.class_index(fields.text("route"), f"{fields.message_type}: field route")
+        class_index = self.settings.class_index(fields.text("route"), f"{fields.message_type}: field route")
         requests = fields.count("total")
-        errors = fields.count("errors")  # some of these requests may have come before the interval
+        errors = fields.count("errors")  # may exceed the total, with earlier requests
         return ArrivalReport(self._proxy(fields), class_index, requests, errors, fields.interval_s(requests))
 
 
--- a/cottonladder/protocol/protocol_connection.py
+++ b/cottonladder/protocol/protocol_connection.py
@@ -1,4 +1,4 @@
-"""One accepted connection: which messages it may carry, by its state, and what each of them does."""
+"""One accepted connection of a proxy or collector, and the messages that each of its states allows."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 )
 from .resp import MAX_MESSAGE_SIZE, RespReader
 
-MAX_FIRST_MESSAGE_SIZE = 4096  # bytes of a message of an unidentified connection: the first ones are short
+MAX_FIRST_MESSAGE_SIZE = 4096  # bytes of one message while the connection is unidentified
 ENDED_BY_PEER = "ended by the other side"
 
 
 class ConnectionState(Enum):
-    """Whose connection it is; the values stand in log lines and error texts."""
+    """Whose connection it is; log lines and error texts show the values."""
 
     UNIDENTIFIED = "new"
     COLLECTOR = "collector"
     PROXY = "stream"
-    SUPERSEDED = "old"  # another connection of its proxy took its place
+    SUPERSEDED = "old"  # a newer connection of its proxy has taken its place
 
 
 class StreamEvents(Protocol):
@@ -88,7 +88,7 @@
         self.peer = ""
         self.close_reason = ""
         self.last_received_at = 0.0
-        self.accept_number = 0  # in the order of accepts
+        self.accept_number = 0  # counts the listener's accepted connections
         self._reader = RespReader(MAX_FIRST_MESSAGE_SIZE)
         self._transport: asyncio.Transport | None = None
 
@@ -102,10 +102,9 @@
     def data_received(self, data: bytes) -> None:
         """Called by asyncio for bytes that arrived.
 
-        Bytes that can't be framed end a connection, as does any fault before it has identified itself.  Once
-        it has, a whole message that makes no sense is rejected and the connection lives, since a proxy whose
-        connection is ended here keeps its time limits.  The drawback is that a party that spoils all it says
-        stays connected, and only the summed log lines tell of it.
+        A framing error ends the connection, as does any fault before the peer has identified itself.  After
+        that an invalid message is logged and ignored: the time limits of a proxy run on while it
+        reconnects.  A peer that sends nothing valid therefore stays connected; only the log shows it.
         """
         self.last_received_at = time.monotonic()
         try:
@@ -132,7 +131,7 @@
         handler(self, message)
 
     def log_fields(self) -> dict[str, object]:
-        """What log lines say of this connection."""
+        """The fields that describe this connection in log lines."""
         return {"peer": self.peer, "state": self.state.value, "proxy": self.proxy}
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -140,7 +139,7 @@
         self.listener.connection_closed(self, self.close_reason or str(exc or ENDED_BY_PEER))
 
     def send(self, data: bytes) -> None:
-        """Writes a message; ends a connection whose peer does not read."""
+        """Writes an encoded message; ends the connection if its peer has left too much unread."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -152,8 +151,10 @@
             transport.write(data)
 
     def abort(self, reason: str) -> None:
-        """Ends the connection at once; the last resort, as time limits run on for a proxy whose connection
-        is ended here."""
+        """Ends the connection at once and drops what is buffered; `reason` is logged.
+
+        This is the last resort: the time limits of a proxy run on while it reconnects.
+        """
         transport = self._transport
         if transport is not None and not transport.is_closing():
             self.close_reason = reason
@@ -162,7 +163,7 @@
     def _is_closed(self) -> bool:
         return self._transport is None or self._transport.is_closing()
 
-    def _answer_ping(self, message: IncomingMessage) -> None:
+    def _answer_ping(self, _message: IncomingMessage) -> None:
         self.send(PONG)
 
     def _identify_collector(self, message: IncomingMessage) -> None:
@@ -183,7 +184,7 @@
         self.listener.events.input_received(cast(Input, message))
 
     def _pass_on_own(self, message: IncomingMessage) -> None:
-        """A message of a proxy about itself."""
+        """Passes on what a proxy reports about itself; raises ProtocolError if it names another proxy."""
         if cast(Acknowledged | ArrivalReport, message).proxy != self.proxy:
             raise ProtocolError("ACK or RATE: field node is another's than the stream's")
         self._pass_on(message)
@@ -193,11 +194,11 @@
         self.listener.events.input_received(ExtensionMessage(body, self.proxy))
 
     def _ignore(self, message: IncomingMessage) -> None:
-        """A message that was under way when the connection was superseded, or one that counts for nothing."""
+        """Drops a report on an unlisted worker, or what was under way when the connection was superseded."""
 
 
 MessageHandler = Callable[[ProtocolConnection, IncomingMessage], None]
-# What a message does on a connection in a state; one that is missing here is not allowed there.
+# The handler of each message type that a connection accepts in a state; any other is an error.
 MESSAGE_HANDLERS: dict[tuple[ConnectionState, type], MessageHandler] = {
     (ConnectionState.UNIDENTIFIED, Ping): ProtocolConnection._answer_ping,
     (ConnectionState.UNIDENTIFIED, CollectorConnected): ProtocolConnection._identify_collector,
--- a/cottonladder/protocol/resp.py
+++ b/cottonladder/protocol/resp.py
@@ -1,4 +1,4 @@
-"""RESP2 framing: arrays of bulk strings, read from bytes that arrive in any pieces, and written."""
+"""RESP2 framing: incremental decoding and encoding of messages, each an array of bulk strings."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from .errors import FramingError
 
-MAX_MESSAGE_SIZE = 1 << 20  # bytes: the protocol's own limit for one message
-MAX_ARGUMENTS = 64  # the longest message that the protocol has for the manager has 15; room for later fields
-MAX_HEADER_LENGTH = 9  # sign and digits of a count or a length that can pass the limits above
+MAX_MESSAGE_SIZE = 1 << 20  # bytes of one message: the protocol's limit
+MAX_ARGUMENTS = 64  # of one message; the protocol's longest message to a manager has 15
+MAX_HEADER_LENGTH = 9  # bytes: the sign, and the digits of the largest count or length allowed above
 LINE_END = b"\r\n"
 
 
 class RespReader:
-    """Keeps only the unfinished rest of one connection's bytes.
+    """Decodes the bytes of one connection, in chunks of any size; buffers only the incomplete message.
 
-    A header over a limit is refused before memory is taken for what it announces.  Each fault raised is a
-    `FramingError`: after it no message can be told from the next.
+    A count or length over its limit is rejected before any memory is reserved for it.  After a `FramingError`
+    the message boundaries are lost, so the connection has to be closed.
     """
 
     def __init__(self, max_message_size: int) -> None:
@@ -24,13 +24,13 @@
         self._buffer = bytearray()
         self._arguments: list[bytes] = []  # of the unfinished message
         self._missing_arguments = 0
-        self._size = 0  # bytes of the unfinished message's words
+        self._size = 0  # bytes of the unfinished message's arguments
 
     def feed(self, data: bytes) -> Iterator[list[bytes]]:
-        """The words of each message that these bytes complete."""
+        """The arguments of each message that `data` completes."""
         buffer = self._buffer
         buffer += data
-        position = 0  # all before it has been read
+        position = 0  # of the first byte that is not decoded yet
         try:
             while True:
                 header_end = self._find_header_end(position)
@@ -42,7 +42,7 @@
                     self._begin_message(header)
                     position = content_start
                     if not self._missing_arguments:
-                        yield self._arguments  # an empty array: framed as it should be, but it says nothing
+                        yield self._arguments  # empty, which the message reader rejects
                     continue
                 length = _read_header(header, b"$", self.max_message_size - self._size)
                 content_end = content_start + length
@@ -60,7 +60,7 @@
             del buffer[:position]
 
     def _find_header_end(self, position: int) -> int:
-        """Where the header that begins here ends; -1 while it is incomplete."""
+        """Position of the end of the header that begins at `position`; -1 while it is incomplete."""
         longest = MAX_HEADER_LENGTH + len(LINE_END)
         header_end = self._buffer.find(LINE_END, position, position + longest)
         if header_end < 0 and len(self._buffer) - position >= longest:
@@ -74,7 +74,7 @@
 
 
 def _read_header(header: bytearray, sign: bytes, limit: int) -> int:
-    """The count behind `*` or the length behind `$`."""
+    """The count after `*` or the length after `$`."""
     digits = bytes(header[1:])
     if header[:1] != sign or not digits.isdigit():
         raise FramingError(f"{sign.decode()} and a count expected")
@@ -84,6 +84,6 @@
 
 
 def encode(arguments: Iterable[bytes]) -> bytes:
-    """One message of these words."""
+    """Encodes one message of these arguments."""
     bulk_strings = [b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments]
     return b"*%d\r\n" % len(bulk_strings) + b"".join(bulk_strings)
--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -1,4 +1,4 @@
-"""The manager's listening address: connections of proxies and collectors, and those not yet identified."""
+"""Listens for connections of proxies and collectors, and bounds how many stay open and for how long."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 from .messages import MessageReader
 from .protocol_connection import ConnectionState, ProtocolConnection, StreamEvents
 
-# Connections at least that the kernel holds until they are accepted: all parties may dial at once.
-ACCEPT_QUEUE_LENGTH = 1024
-IDENTIFY_TIMEOUT = 1.0  # s to identify oneself, of the 3 that the protocol allows
-SWEEP_INTERVAL = 0.25  # s
-MAX_COLLECTORS_PER_ZONE = 4  # a zone has one; a new one may come before the last is seen to end
-SUPERSEDED_TIMEOUT = 5.0  # s for the end of a superseded connection; one whose network failed never ends
+ACCEPT_QUEUE_LENGTH = 1024  # least number of connections that the kernel queues: all peers may dial at once
+IDENTIFY_TIMEOUT_S = 1.0  # from the accept to the identifying message; the protocol allows a peer 3 s
+SWEEP_INTERVAL_S = 0.25
+MAX_COLLECTORS_PER_ZONE = 4  # connections: a zone's one collector may reconnect before its old one ends
+SUPERSEDED_TIMEOUT_S = 5.0  # a superseded connection whose network failed would stay open without it
 STOP_REASON = "the manager stops"
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """What the limits of machine and process leave for each use; computed in `control/manager`."""
+    """Bounds of a manager's connections, computed from its configuration and the limits of the process."""
 
-    max_connections: int  # accepted and open at once
-    accept_batch: int  # connections accepted at once
-    max_health_checks: int  # open at once
-    max_unread_bytes: int  # that one proxy may leave unread here
-    accept_queue_length: int = ACCEPT_QUEUE_LENGTH  # connections that the kernel holds until accepted
+    max_connections: int  # accepted and open at the same time
+    accept_batch: int  # connections accepted in one turn of the loop
+    max_health_checks: int  # under way at the same time
+    max_unread_bytes: int  # buffered for one proxy that does not read
+    accept_queue_length: int = ACCEPT_QUEUE_LENGTH  # connections that the kernel queues
 
 
 class StreamListener:
-    """Accepts connections and bounds what may stay open.
+    """Accepts connections and keeps their number within the limits.
 
-    A sweep closes connections that have not identified themselves within `IDENTIFY_TIMEOUT`.  Where
-    descriptors run out, unidentified connections make room, the oldest first, then superseded ones;
-    identified ones never do.  The drawback is for a proxy that identifies itself late: it has to dial again.
+    A periodic sweep closes connections that have not identified themselves within `IDENTIFY_TIMEOUT_S`.  Over
+    the limit on open connections, the oldest unidentified connection is closed, else the oldest superseded
+    one, but never the connection in use of an identified peer.  A proxy that identifies itself late may have
+    to reconnect.
     """
 
     def __init__(self, reader: MessageReader, events: StreamEvents, limits: ConnectionLimits) -> None:
@@ -48,10 +48,10 @@
         self._closed_unidentified = RateLimitedFaultLog("connection_closed")
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self._open: dict[ProtocolConnection, None] = {}
-        self._unidentified: dict[ProtocolConnection, float] = {}  # opened at, the oldest first
-        self._superseded: dict[ProtocolConnection, float] = {}  # since when
+        self._unidentified: dict[ProtocolConnection, float] = {}  # opened at (s), oldest first
+        self._superseded: dict[ProtocolConnection, float] = {}  # superseded at (s)
         self._collectors: dict[int, list[ProtocolConnection]] = {}  # by zone
-        self._overdue: list[ProtocolConnection] = []  # had not identified themselves by the last sweep
+        self._overdue: list[ProtocolConnection] = []  # were unidentified too long at the last sweep
         self._accepted_count = 0
         self._is_closed = False
         self._server: asyncio.Server | None = None
@@ -63,10 +63,10 @@
         return self.limits.max_unread_bytes
 
     async def listen(self, host: str, port: int) -> int:
-        """Starts to accept connections; gives the port.
+        """Starts to accept connections; returns the port.
 
-        asyncio accepts as many at once as its backlog says, so it is given a small one; the kernel's queue is
-        set afterwards.
+        asyncio uses its `backlog` both as the length of the kernel's queue and as the number of connections
+        accepted in one turn of the loop.  It is given the latter, and the queue is lengthened afterwards.
         """
         listening_socket = socket.create_server((host, port))
         self._server = await asyncio.get_running_loop().create_server(
@@ -79,23 +79,23 @@
     def _sweep(self) -> None:
         """Ends connections that were overdue at the last sweep already.
 
-        Between two sweeps the loop has read what had arrived, so a SUBSCRIBE that a lagging loop left unread
-        does not count as missing.
+        Between two sweeps the loop reads what has arrived, so a connection whose identifying message was
+        received but not yet read, because the loop lagged, is not ended.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
         for connection in self._overdue:
             if connection.state is ConnectionState.UNIDENTIFIED:
                 connection.abort("has not joined in time")
-        self._overdue = _older_than(IDENTIFY_TIMEOUT, self._unidentified, now)
-        for connection in _older_than(SUPERSEDED_TIMEOUT, self._superseded, now):
+        self._overdue = _older_than(IDENTIFY_TIMEOUT_S, self._unidentified, now)
+        for connection in _older_than(SUPERSEDED_TIMEOUT_S, self._superseded, now):
             connection.abort("another stream of this proxy came")
         self.rejected_messages.summarize(now)
         self._closed_unidentified.summarize(now)
-        self._sweep_timer = loop.call_later(SWEEP_INTERVAL, self._sweep)
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def connection_opened(self, connection: ProtocolConnection) -> None:
-        """A connection is accepted; over the limit, another one makes room."""
+        """Records an accepted connection; over the limit, one connection is ended."""
         self._accepted_count += 1
         connection.accept_number = self._accepted_count
         if self._is_closed:  # accepted before the listener was closed, opened after it
@@ -105,11 +105,11 @@
         self._unidentified[connection] = asyncio.get_running_loop().time()
         if len(self._open) > self.limits.max_connections:
             expendable = self._expendable_connection(connection)
-            self._forget(expendable)  # at once, as asyncio reports its end a turn of the loop later
+            self._forget(expendable)  # now, as asyncio reports its end only in the next turn of the loop
             expendable.abort("too many connections")
 
     def _expendable_connection(self, newest: ProtocolConnection) -> ProtocolConnection:
-        """The oldest unidentified one, else the oldest superseded one, else the newest of all."""
+        """The oldest unidentified connection, else the oldest superseded one, else the newest of all."""
         if len(self._unidentified) > 1:
             return next(iter(self._unidentified))
         return next(iter(self._superseded), newest)
@@ -120,7 +120,7 @@
         self._superseded.pop(connection, None)
 
     def connection_identified(self, connection: ProtocolConnection, client: str) -> None:
-        """A connection has said whose it is; of too many collectors the least active one is ended."""
+        """Records whose connection it is; of too many collectors in a zone the least active one is ended."""
         self._unidentified.pop(connection, None)
         if connection.state is ConnectionState.COLLECTOR:
             collectors = self._collectors.setdefault(connection.zone, [])
@@ -132,12 +132,12 @@
         self.log.info("connection_opened", peer=connection.peer, client=client)
 
     def mark_superseded(self, connection: ProtocolConnection) -> None:
-        """Another connection of the same proxy holds; this one is ended after a while."""
+        """Marks a connection whose proxy has a newer one; it is ended after `SUPERSEDED_TIMEOUT_S`."""
         connection.state = ConnectionState.SUPERSEDED
         self._superseded[connection] = asyncio.get_running_loop().time()
 
     def connection_closed(self, connection: ProtocolConnection, reason: str) -> None:
-        """A connection has ended, by either side."""
+        """Forgets a connection that either side has ended, and logs why."""
         self._forget(connection)
         collectors = self._collectors.get(connection.zone, [])
         if connection in collectors:
@@ -145,14 +145,14 @@
         if connection.state is ConnectionState.PROXY:
             self.events.connection_ended(connection)
         if self._is_closed:
-            return  # one line was logged for all
+            return  # `close` has logged one line for all connections
         if connection.state is ConnectionState.UNIDENTIFIED:
             self._closed_unidentified.report(reason, **connection.log_fields())
         else:
             self.log.info("connection_closed", **connection.log_fields(), reason=reason)
 
     async def close(self) -> None:
-        """Stops to accept, and ends all connections."""
+        """Stops accepting, and ends all connections."""
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         if self._server is not None:
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -1,15 +1,16 @@
-"""The protocol extension for connections held open; imported only where it is switched on.
+"""The protocol extension for upgraded connections, which forwarders hold open; imported only if switched on.
 
-A forwarder announces itself after its SUBSCRIBE, a manager that has the extension accepts, and only then does
-either send more.  A manager without it rejects the announcement; a proxy that never announces itself is never
-sent anything of it, so the platform's protocol stays as it is.  Times on the wire are in milliseconds.
+A forwarder announces the extension after its SUBSCRIBE; a manager that has it accepts, and only then does
+either side send its other messages.  A manager without the extension rejects the announcement, and a proxy
+without it never receives any of these messages.  Times on the wire are in milliseconds.
 
-    UPGRADES node 17 version 1                                     forwarder: I carry such connections
-    UPGRADES version 1 part 0.25 arrivals 50.0                     manager: tell me; your part of new ones
-    HELD node 17 whole 1 holds s-1:120:3:100,s-2:4:0:0             forwarder: open, busy, resumable
+    UPGRADES node 17 version 1                            forwarder: announces the extension
+    UPGRADES version 1 part 0.25 arrivals 50.0            manager: accepts; the forwarder's share of arrivals
+    HELD node 17 whole 1 holds s-1:120:3:100,s-2:4:0:0    forwarder: open, busy and resumable, by worker
     MOVE move 7 from s-1 to s-2:10,s-3:5 count 15 within 500.0 left 24000.0
-    MOVE from s-1 stop 1                                           manager: it stays after all
-    MOVED node 17 move 7 done 14 failed 1                          forwarder: carried out, as far as it went
+                                                          manager: migrate connections away from a worker
+    MOVE from s-1 stop 1                                  manager: stop the migration
+    MOVED node 17 move 7 done 14 failed 1                 forwarder: the result of a migration
 """
 
 from __future__ import annotations
@@ -23,11 +24,13 @@
 from .errors import FieldError, MessageError, ProtocolError
 from .message_fields import MS_PER_S, MessageFields
 
-VERSION = 1
-MAX_HELD_WORKERS = 4096  # in one message
-MAX_CONNECTIONS = 10_000_000  # of one forwarder at one worker: a higher number can't be right
-MAX_COUNT_DIGITS = 8
+VERSION = 1  # of the extension
+MAX_REPORTED_WORKERS = 4096  # in one HELD message
+MAX_CONNECTIONS = 10_000_000  # of one forwarder to one worker; a higher count is implausible
+MAX_COUNT_DIGITS = 8  # of a count up to `MAX_CONNECTIONS`
 MAX_DESTINATIONS = 4096  # of one migration
+COUNTS_PER_REPORTED_WORKER = 3  # open, busy, resumable
+COUNTS_PER_DESTINATION = 1
 UPGRADES = b"UPGRADES"
 HELD = b"HELD"
 MOVE = b"MOVE"
@@ -36,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwarderAnnounced:
-    """A forwarder holds upgraded connections and has the extension."""
+    """UPGRADES of a forwarder: it has the extension."""
 
     node: int
     version: int
@@ -44,15 +47,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnouncementAccepted:
-    """The manager has the extension too."""
+    """UPGRADES of a manager: it has the extension too."""
 
     version: int
-    arrival_share: float  # the forwarder's part of new connections, 0 to 1
-    worker_arrival_rate: float  # new connections a second that an average worker takes
+    arrival_share: float  # of all new connections, the part that this forwarder takes, 0 to 1
+    worker_arrival_rate: float  # new connections per second that an average worker accepts
 
 
 class ConnectionCounts(NamedTuple):
-    """Connections of one forwarder at one worker."""
+    """How many connections a forwarder has to one worker; `open` includes the busy and resumable ones."""
 
     open: int
     busy: int
@@ -61,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldConnections:
-    """What a forwarder holds, by worker's id; `is_complete`: at no other worker does it hold any."""
+    """HELD: the connections of a forwarder by worker id; with `is_complete`, it has none to other workers."""
 
     node: int
     is_complete: bool
@@ -70,26 +73,29 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrationOrdered:
-    """Connections are to leave a worker; `destinations` names places for some of them, by worker's id."""
+    """MOVE: `count` connections are to leave the worker `source`.
+
+    `destinations` has, by worker id, how many of them go where; the forwarder selects workers for the rest.
+    """
 
     number: int
     source: str
     destinations: dict[str, int]
     count: int
-    duration_s: float  # to spread the migration over
-    time_left_s: float  # until connections that stay are cut
+    duration_s: float  # over which the migration is spread
+    time_left_s: float  # until the remaining connections are closed
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationStopped:
-    """The worker keeps its connections after all."""
+    """MOVE with `stop`: the worker keeps its remaining connections."""
 
     source: str
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationDone:
-    """How far a migration went."""
+    """MOVED: how many connections of a migration were migrated, and how many could not be."""
 
     node: int
     number: int
@@ -104,7 +110,7 @@
 def _read_counts(
     fields: MessageFields, name: str, counts_per_worker: int, max_workers: int
 ) -> dict[bytes, tuple[int, ...]]:
-    """`id:n:n,id:n:n`, each id once; a missing field has none."""
+    """Reads `id:count:count,id:count:count`, each id once; an empty result if the field is missing."""
     counts_by_worker: dict[bytes, tuple[int, ...]] = {}
     entries = [entry for entry in fields.values.get(name.encode(), b"").split(b",") if entry]
     if len(entries) > max_workers:
@@ -133,7 +139,9 @@
 
 def _read_held_connections(fields: MessageFields) -> HeldConnections:
     counts_by_worker: dict[bytes, ConnectionCounts] = {}
-    for worker_id, figures in _read_counts(fields, "holds", 3, MAX_HELD_WORKERS).items():
+    for worker_id, figures in _read_counts(
+        fields, "holds", COUNTS_PER_REPORTED_WORKER, MAX_REPORTED_WORKERS
+    ).items():
         counts = ConnectionCounts(*figures)
         if max(counts.busy, counts.resumable) > counts.open:
             raise FieldError(fields.message_type, "holds", "has more busy or resumable than open")
@@ -162,7 +170,7 @@
             raise FieldError(fields.message_type, "stop", "is not 1")
         return MigrationStopped(source)
     destinations: dict[str, int] = {}
-    for worker_id, (count,) in _read_counts(fields, "to", 1, MAX_DESTINATIONS).items():
+    for worker_id, (count,) in _read_counts(fields, "to", COUNTS_PER_DESTINATION, MAX_DESTINATIONS).items():
         destinations[worker_id.decode()] = count
     count = fields.count("count")
     if not 0 < count <= MAX_CONNECTIONS or sum(destinations.values()) > count:
@@ -189,12 +197,12 @@
 
 
 def read_for_manager(arguments: list[bytes]) -> FromForwarder:
-    """A message of the extension, its type one of `TO_MANAGER`."""
+    """Reads a message whose type is one of `TO_MANAGER`; raises ProtocolError if it is not valid."""
     return TO_MANAGER[arguments[0]](MessageFields(arguments[0].decode(), arguments[1:]))
 
 
 def read_for_forwarder(arguments: list[bytes]) -> FromManager:
-    """A message of the extension, its type one of `TO_FORWARDER`."""
+    """Reads a message whose type is one of `TO_FORWARDER`; raises ProtocolError if it is not valid."""
     message_type = arguments[0].decode()
     try:
         return TO_FORWARDER[arguments[0]](MessageFields(message_type, arguments[1:]))
@@ -203,12 +211,12 @@
 
 
 def encode_announcement(node: int) -> bytes:
-    """UPGRADES of a forwarder."""
+    """Encodes the UPGRADES of a forwarder."""
     return resp.encode([UPGRADES, b"node", b"%d" % node, b"version", b"%d" % VERSION])
 
 
 def encode_acceptance(arrival_share: float, worker_arrival_rate: float) -> bytes:
-    """UPGRADES of a manager."""
+    """Encodes the UPGRADES of a manager."""
     arguments = [UPGRADES, b"version", b"%d" % VERSION]
     arguments += [b"part", _number(arrival_share), b"arrivals", _number(worker_arrival_rate)]
     return resp.encode(arguments)
@@ -217,7 +225,7 @@
 def encode_held_connections(
     node: int, is_complete: bool, counts_by_worker: Mapping[str, ConnectionCounts]
 ) -> bytes:
-    """HELD of a forwarder."""
+    """Encodes HELD."""
     entries = [
         b"%b:%d:%d:%d" % (worker_id.encode(), *counts) for worker_id, counts in counts_by_worker.items()
     ]
@@ -233,7 +241,7 @@
     duration_s: float,
     time_left_s: float,
 ) -> bytes:
-    """MOVE of a manager."""
+    """Encodes MOVE, the order of a migration."""
     arguments = [MOVE, b"move", b"%d" % number, b"from", source]
     if destinations:
         arguments += [b"to", b",".join(b"%b:%d" % place for place in destinations.items())]
@@ -243,19 +251,19 @@
 
 
 def encode_migration_stop(source: bytes) -> bytes:
-    """MOVE of a manager that ends a migration."""
+    """Encodes MOVE with `stop`, the end of a migration."""
     return resp.encode([MOVE, b"from", source, b"stop", b"1"])
 
 
 def encode_migration_result(node: int, number: int, done: int, failed: int) -> bytes:
-    """MOVED of a forwarder."""
+    """Encodes MOVED, the result of a migration."""
     arguments = [MOVED, b"node", b"%d" % node, b"move", b"%d" % number]
     arguments += [b"done", b"%d" % done, b"failed", b"%d" % failed]
     return resp.encode(arguments)
 
 
 def _number(value: float) -> bytes:
-    """Refuses what the other side would have to refuse."""
+    """Encodes a finite number of 0 or more; raises ProtocolError for any other, which no peer accepts."""
     if not math.isfinite(value) or value < 0:
         raise ProtocolError(f"figure {value} can't stand in a message")
     return b"%r" % float(value)
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -431,7 +431,7 @@
         transport.is_closing.return_value = False
         late.connection_made(transport)
         for sweeps, ended in ((1, False), (2, True)):
-            with mock.patch.object(address, "IDENTIFY_TIMEOUT", -1.0):
+            with mock.patch.object(address, "IDENTIFY_TIMEOUT_S", -1.0):
                 where._sweep()
             self.assertEqual(transport.abort.called, ended, sweeps)
         await where.close()
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -21,7 +21,7 @@
     EndpointState,
     ListUpdateKind,
 )
-from cottonladder.protocol import discovery
+from cottonladder.protocol import discovery, discovery_http
 from cottonladder.state.worker_registry import WorkerRegistry
 from tests.support.http_server import Handler, start_http_server
 from tests.support.manager_program import SETTINGS
@@ -176,7 +176,7 @@
                 await asyncio.sleep(0.01)
 
         self.service.script = [trickling]
-        with mock.patch.object(discovery, "FETCH_TIMEOUT", 0.1):
+        with mock.patch.object(discovery_http, "LINE_TIMEOUT_S", 0.1):
             self.client.set_watching(True)
             await self.expect_updates((ListUpdateKind.FAILED, None))
 
@@ -196,7 +196,7 @@
             return reply
 
         self.service.script = [in_pieces]
-        with mock.patch.object(discovery, "FETCH_TIMEOUT", 0.1):
+        with mock.patch.object(discovery_http, "LINE_TIMEOUT_S", 0.1):
             self.client.set_watching(True)
             await self.expect_updates(*[(ListUpdateKind.DELTA, EndpointState.READY)] * 30)
 
@@ -241,7 +241,7 @@
             self.addCleanup(waiting.close)
             waiting.setblocking(False)
             waiting.connect_ex(full.getsockname())
-        with mock.patch.object(discovery, "SILENCE_TIMEOUT", 0.2):
+        with mock.patch.object(discovery, "SILENCE_TIMEOUT_S", 0.2):
             client = discovery.DiscoveryClient(
                 full.getsockname(), SITE, self.workers.register, self.updates.put_nowait, 41  # type: ignore
             )  # fmt: skip
@@ -265,8 +265,8 @@
         }  # fmt: skip
         for fault, lines in faults.items():
             with (
-                self.subTest(fault), mock.patch.object(discovery, "MAX_LIST_SIZE", 900),
-                mock.patch.object(discovery, "SILENCE_TIMEOUT", 0.2),
+                self.subTest(fault), mock.patch.object(discovery_http, "MAX_LIST_SIZE", 900),
+                mock.patch.object(discovery, "SILENCE_TIMEOUT_S", 0.2),
             ):  # fmt: skip
                 (service, at), (new, elsewhere) = await self.discovery(), await self.discovery()
                 updates: asyncio.Queue[EndpointList] = asyncio.Queue()
