--- a/cottonladder/cli/configuration.py
+++ b/cottonladder/cli/configuration.py
@@ -24,9 +24,8 @@
     """Reads the operators' file; None where no path is given, as everything in it is then off."""
     if not path:
         return None
-    from ..config.operator_config import (
-        read_operator_config,  # its parsers take memory of a manager without it
-    )
+    # Imported here, as the parsers would take memory in a manager without the file.
+    from ..config.operator_file import read_operator_config
 
     try:
         return read_operator_config(path)
--- a/cottonladder/cli/plugin_trial.py
+++ b/cottonladder/cli/plugin_trial.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ..config.operator_config import read_operator_config
+from ..config.operator_file import read_operator_config
 from ..plugins.chain import request_record
 from ..plugins.host import Plugin, PluginError, PluginFault
 from .errors import CommandError
--- a/cottonladder/config/__init__.py
+++ b/cottonladder/config/__init__.py
@@ -1,1 +1,1 @@
-"""The files that a process is started with: read, checked and typed."""
+"""Reads, checks and types the files that a process is started with; imports no subsystem."""
--- a/cottonladder/config/deployment.py
+++ b/cottonladder/config/deployment.py
@@ -1,4 +1,7 @@
-"""Deployment settings: the settings object that simulator and manager hand over, read and typed."""
+"""The deployment's settings: a JSON object from the manager's file or the simulator, read and typed.
+
+This module maps the names of the settings to the terms of the code.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +10,14 @@
 
 from ..model.parameters import DeploymentParameters, RequestClass
 from .errors import UnknownNameError
-from .fields import field, names, number
+from .fields import bounded_seconds, field, integer, names, number
 
-MIN_DIVISOR = 1e-3  # of settings that are divided by
+MIN_DIVISOR = 1e-3  # least value of a setting that others are divided by, in the setting's unit
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """The policy's parameters, and the indices that stand for the names of zones and request classes."""
+    """The policy's parameters, with the index of each zone and request class by name."""
 
     parameters: DeploymentParameters
     zones: dict[str, int]
@@ -23,20 +26,23 @@
     load_reports: bool
 
     def zone_index(self, name: str, where: str) -> int:
-        """The index of the zone called `name`; UnknownNameError if the settings list none."""
+        """The index of the zone called `name`; raises UnknownNameError if there is none."""
         if name not in self.zones:
             raise UnknownNameError(where, "zone")
         return self.zones[name]
 
     def class_index(self, name: str, where: str) -> int:
-        """The index of the request class called `name`; UnknownNameError if the settings list none."""
+        """The index of the request class called `name`; raises UnknownNameError if there is none."""
         if name not in self.classes:
             raise UnknownNameError(where, "class")
         return self.classes[name]
 
 
 def read_settings(info: dict[str, Any], seed: int, where: str) -> DeploymentSettings:
-    """The settings object `info`, checked; `where` it stands begins the text of every error."""
+    """Reads the settings object `info`; raises ConfigError, with a text that begins with `where`.
+
+    `seed` starts the random choices of the policy.
+    """
     zones = names(info, "Zones", where)
     profiles = field(info, "Profiles", list, where)
     class_names = [field(profile, "Name", str, where) for profile in profiles]
@@ -46,14 +52,14 @@
         parameters=_deployment_parameters(info, profiles, len(zones), seed, where),
         zones={name: index for index, name in enumerate(zones)},
         classes={name: index for index, name in enumerate(classes)},
-        manager_index=int(number(info, "Me", where, 0, 0, int)),
+        manager_index=integer(info, "Me", where, default=0),
         load_reports=field(stats, "Via", str, where, "none") != "none",
     )
 
 
 def _request_class(profile: Any, where: str) -> RequestClass:
     return RequestClass(
-        latency_objective_s=number(profile, "TargetMs", where, MIN_DIVISOR) / 1000.0,
+        latency_objective_s=bounded_seconds(profile, "TargetMs", where, MIN_DIVISOR),
         priority_weight=number(profile, "Gain", where),
     )
 
@@ -68,12 +74,12 @@
     request_classes = tuple(_request_class(profile, where) for profile in profiles)
     return DeploymentParameters(
         seed=seed,
-        manager_count=int(number(info, "NInstances", where, 1, types=int)),
+        manager_count=integer(info, "NInstances", where, 1),
         zone_count=zone_count,
         request_classes=request_classes,
-        proxy_count=int(number(family, "Proxies", where, 1, types=int)),
+        proxy_count=integer(family, "Proxies", where, 1),
         watches_endpoints=field(info, "Discovery", str, where) == "subscribe",
-        poll_within_s=number(rules, "AskWithinMs", where, default=0.0) / 1000.0,
+        poll_within_s=bounded_seconds(rules, "AskWithinMs", where, default=0.0),
         health_checks=field(limits, "Probing", bool, where, False),
         gossip=field(limits, "Peers", bool, where, False),
         admission_mode=field(family, "ThrottleBy", str, where, "none"),
@@ -83,12 +89,12 @@
         message_header_lines=int(number(family, "Head", where)),
         max_queued_lines=number(family, "PendingMax", where),
         max_messages=int(number(family, "ReloadsMax", where, default=0)),
-        message_window_s=number(family, "ReloadSpanMs", where, default=0.0) / 1000.0,
-        drain_grace_s=number(rules, "DrainGraceMs", where, default=0.0) / 1000.0,
+        message_window_s=bounded_seconds(family, "ReloadSpanMs", where, default=0.0),
+        drain_grace_s=bounded_seconds(rules, "DrainGraceMs", where, default=0.0),
         warm_up_start_ratio=number(rules, "ColdFrom", where),
         collapse_multiple=number(rules, "FallMultiple", where),
         proxies_eject_outliers=number(family, "Strikes", where, default=0) > 0,
-        warm_up_s=number(rules, "WarmAfterMs", where) / 1000.0,
+        warm_up_s=bounded_seconds(rules, "WarmAfterMs", where),
         cross_zone_cost=number(prices, "CrossZone", where, default=0.0),
         health_check_cost=number(prices, "Probe", where, default=0.0),
     )
--- a/cottonladder/config/errors.py
+++ b/cottonladder/config/errors.py
@@ -1,18 +1,18 @@
-"""Errors of what is read from outside: files, settings, messages and answers.
+"""Errors raised for invalid input: files, settings, and, by subclasses in other packages, messages of peers.
 
-The text of each is one plain line that says where the fault is and what was expected.  Only the command line
-prints it and exits with status 2.
+The text of each is one line that says where the fault is and what was expected.  Only the command line turns
+it into an exit status.
 """
 
 from __future__ import annotations
 
 
 class InputError(ValueError):
-    """Input that the protocol's or the files' pages do not allow."""
+    """Input from outside the program is not valid; the base class of every such error."""
 
 
 class ConfigError(InputError):
-    """A fault in a file or setting: `where` is a path, a place in a file, or both."""
+    """A fault in a file or setting; `where` is a path, a place in a file, or both."""
 
     def __init__(self, where: str, fault: str) -> None:
         super().__init__(f"{where}: {fault}")
@@ -21,11 +21,11 @@
 
 
 class ConfigFileError(ConfigError):
-    """A file that can't be read at all: absent, not text, too large, or not in its format."""
+    """A file can't be read at all: it is absent, too large, not text, or not in its format."""
 
 
 class OperatorFileError(ConfigError):
-    """A fault at one place of the operators' file; `place` is a path such as `$.forwarder.zone`."""
+    """A fault in the operators' file `path`, at a `place` such as `$.forwarder.zone`."""
 
     def __init__(self, path: str, place: str, fault: str) -> None:
         super().__init__(f"{path}: {place}", fault)
@@ -34,22 +34,22 @@
 
 
 class NotAnObjectError(ConfigError):
-    """A value that should be a JSON object."""
+    """A value is not a JSON object, where one is expected."""
 
     def __init__(self, where: str) -> None:
         super().__init__(where, "not an object")
 
 
 class UnknownNameError(ConfigError):
-    """A name that the settings don't list; `kind` says of what, such as a zone."""
+    """A name is not in the settings; `named` says what it should name, such as a zone."""
 
-    def __init__(self, where: str, kind: str) -> None:
-        super().__init__(where, f"unknown {kind}")
-        self.kind = kind
+    def __init__(self, where: str, named: str) -> None:
+        super().__init__(where, f"unknown {named}")
+        self.named = named
 
 
 class FieldError(ConfigError):
-    """A fault of one named field of an object."""
+    """A fault in one named field of an object."""
 
     def __init__(self, where: str, field: str, fault: str) -> None:
         super().__init__(where, f"field {field} {fault}")
@@ -57,14 +57,14 @@
 
 
 class MissingFieldError(FieldError):
-    """A field that must be there and isn't."""
+    """A required field is missing."""
 
     def __init__(self, where: str, field: str) -> None:
         super().__init__(where, field, "is missing")
 
 
 class FieldTypeError(FieldError):
-    """A field with a value of another JSON type than expected."""
+    """A field's value has another JSON type than expected; `actual` names its type."""
 
     def __init__(self, where: str, field: str, value: object) -> None:
         self.actual = type(value).__name__
@@ -72,7 +72,7 @@
 
 
 class FieldTooLargeError(FieldError):
-    """A figure over the largest one that is of use."""
+    """A number is larger than `maximum`."""
 
     def __init__(self, where: str, field: str, maximum: float) -> None:
         super().__init__(where, field, f"is too large, over {maximum:g}")
@@ -80,7 +80,7 @@
 
 
 class FieldValueError(FieldError):
-    """A field of the right type whose value is not what `expected` says."""
+    """A field's value has the right type but is not what `expected` says."""
 
     def __init__(self, where: str, field: str, expected: str) -> None:
         super().__init__(where, field, f"is not {expected}")
@@ -88,7 +88,7 @@
 
 
 class UnknownValueError(FieldError):
-    """A field whose value is none of those that the protocol lists."""
+    """A field's value is none of those that the protocol lists."""
 
     def __init__(self, where: str, field: str) -> None:
         super().__init__(where, field, "has an unknown value")
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ManagerConfig:
-    """A manager's addresses, limits and deployment settings."""
+    """A manager's addresses, limits and deployment settings, under the names of the file's fields."""
 
     name: str
     listen: HostPort
     discovery: HostPort
-    sockets: int
+    sockets: int  # file descriptors that the manager may use
     memory_mb: int
     peer_listen: HostPort | None  # None here and below where the settings switch gossip off
     peers: list[HostPort]
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -1,74 +1,85 @@
-"""The operators' own file (JSON5), for manager and forwarder: read and checked by a schema.
+"""The types of the operators' file, with the valid range of each field.
 
-The types carry each field's range.  The module is imported only where a file is given, so that a manager
-without one loads neither JSON5 nor the schema library.
+The names of the fields are those of the file; the subsystem that a part configures maps them to its own
+terms.  Docstrings and descriptions are part of the JSON schema that `schema` prints for operators.  The
+module is imported only if a file is given, so that a manager without one does not load the schema library.
 """
 
 from __future__ import annotations
 
 import json
-import re
-from collections.abc import Sequence
-from typing import Annotated, Any, Literal
+from typing import Annotated, Literal
 
-import json5
 import msgspec
 from msgspec import Meta, Struct
 
 from . import defaults
-from .errors import ConfigFileError, OperatorFileError
 from .fields import HostPort, address
 
-MAX_FILE_BYTES = 1 << 20  # bytes of the file
-Seconds = Annotated[float, Meta(gt=0, le=86_400, description="seconds")]
+HOUR_S = 3_600
+DAY_S = 86_400
+MAX_COUNT = 10_000_000  # of connections or proxies: beyond any deployment
+MAX_LENGTH_BYTES = 1 << 31
+MAX_KEY_NUMBER = 1 << 32  # of DFP's security TLV, which has four bytes for it
+
+Seconds = Annotated[float, Meta(gt=0, le=DAY_S, description="seconds")]
 Rate = Annotated[float, Meta(gt=0, le=defaults.MAX_REQUESTS_PER_S)]
-Count = Annotated[int, Meta(gt=0, le=10_000_000)]
-Bytes = Annotated[int, Meta(gt=0, le=1 << 31)]
+Count = Annotated[int, Meta(gt=0, le=MAX_COUNT)]
+Bytes = Annotated[int, Meta(gt=0, le=MAX_LENGTH_BYTES)]
 Name = Annotated[str, Meta(min_length=1, max_length=255, pattern=r"^[\x21-\x2b\x2d-\x39\x3b-\x7e]+$")]
 HostAndPort = Annotated[str, Meta(pattern=r"^[^\s]+:[0-9]{1,5}$", description="host:port")]
 Header = Annotated[str, Meta(pattern=r"^[A-Za-z0-9!#$%&'*+.^_`|~-]+$", max_length=128)]
 
 
 class UpgradesConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """Connections held open: the same for managers and forwarders."""
+    """Upgraded connections; managers and forwarders of a deployment need the same values."""
 
-    grace: Annotated[Seconds, Meta(description="s within which a leaving worker's connections are off")]
-    most: Annotated[Count, Meta(description="connections that one worker may hold")] = (
+    grace: Annotated[Seconds, Meta(description="s within which a draining worker's connections end")]
+    most: Annotated[Count, Meta(description="maximum of connections to one worker")] = (
         defaults.CONNECTIONS_PER_WORKER
     )
-    arrivals: Annotated[Rate, Meta(description="new ones a second, average worker")] = defaults.ARRIVALS_PER_S
-    load: Annotated[Rate, Meta(description="reqs a second that one stands for")] = (
+    arrivals: Annotated[Rate, Meta(description="new ones per second, average worker")] = (
+        defaults.ARRIVALS_PER_S
+    )
+    load: Annotated[Rate, Meta(description="requests per second that one counts for")] = (
         defaults.REQUESTS_PER_S_PER_CONNECTION
     )
 
 
 class Match(Struct, forbid_unknown_fields=True, frozen=True):
+    """Selects requests by method, path and headers; what is left out selects every request."""
+
     methods: Annotated[list[Name], Meta(max_length=32)] = []
     path: Annotated[str, Meta(max_length=1024, pattern=r"^(/.*)?$")] = ""
     headers: dict[Header, str] = {}
 
 
 class Busy(Struct, forbid_unknown_fields=True, frozen=True):
-    """How an upgraded connection tells that a req is under way.  With `opens`: from a client's message that
-    begins so to a worker's that begins with `ends`; without: until `quiet` s have brought no data."""
+    """When an upgraded connection is busy with a request.
+
+    With `opens`: from a client's message that begins with it to a worker's message that begins with `ends`.
+    Without: until no data has passed for `quiet` seconds.
+    """
 
     opens: Annotated[str, Meta(max_length=64)] | None = None
     ends: Annotated[str, Meta(max_length=64)] = ""
-    quiet: Annotated[float, Meta(ge=0, le=3600)] = 1.0
+    quiet: Annotated[float, Meta(ge=0, le=HOUR_S)] = 1.0
 
 
 class RequestClassConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A request kind.  Without `match` it takes what no other kind does."""
+    """A request class; one without `match` takes the requests that no other class matches."""
 
     name: Name
     replays: Literal["replayable", "uniqued", "non-replayable"] = "non-replayable"
     match: Annotated[list[Match], Meta(max_length=64)] = []
-    timeout: Annotated[float, Meta(ge=0, le=86_400, description="client timeout, s; 0: none")] = 0.0
+    timeout: Annotated[float, Meta(ge=0, le=DAY_S, description="deadline of a request, s; 0: none")] = 0.0
     busy: Busy = Busy()
     ticket: Annotated[str, Meta(pattern=r"^([A-Za-z0-9-]+)?$", max_length=64)] = ""
 
 
 class LimitsConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    """A forwarder's limits on connections (all, per worker, per client), sizes, waits in s, and the pool."""
+
     connections: Count = defaults.FORWARDER_CONNECTIONS
     worker: Count = defaults.FORWARDER_CONNECTIONS_PER_WORKER
     client: Count = defaults.FORWARDER_CONNECTIONS_PER_CLIENT
@@ -81,7 +92,7 @@
 
 
 class PluginConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A WebAssembly module, binary or text.  `fail`: what happens to a req that it can't judge."""
+    """A plug-in, a WebAssembly module; `fail` says whether a request passes if the plug-in fails."""
 
     name: Name
     path: Annotated[str, Meta(min_length=1, max_length=1024)]
@@ -91,8 +102,11 @@
 
 
 class PluginsConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """`labels` by worker; `missing`: what becomes of a req whose label no usable worker carries; `headers`:
-    those that a plug-in may set or drop."""
+    """A forwarder's plug-ins, in the order in which they are called.
+
+    `labels`: by worker id.  `missing`: whether a request for a label that no available worker has falls back
+    to the others or is rejected.  `headers`: those that plug-ins may set or remove.
+    """
 
     chain: Annotated[list[PluginConfig], Meta(min_length=1, max_length=16)]
     labels: dict[str, Annotated[list[Name], Meta(max_length=64)]] = {}
@@ -101,7 +115,7 @@
 
 
 class ManagerPluginsConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A manager's plug-ins: `labels` by worker; `grace` as of upgraded connections, for vetoes."""
+    """A manager's plug-ins, with `labels` by worker id; `grace` (s) bounds their vetoes of migrations."""
 
     chain: Annotated[list[PluginConfig], Meta(min_length=1, max_length=16)]
     labels: dict[str, Annotated[list[Name], Meta(max_length=64)]] = {}
@@ -109,9 +123,9 @@
 
 
 class ForwarderConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """One forwarder: a proxy of the platform's protocol."""
+    """One forwarder, a proxy of the platform's protocol."""
 
-    node: Annotated[int, Meta(ge=0, le=10_000_000, description="its number at the managers")]
+    node: Annotated[int, Meta(ge=0, le=MAX_COUNT, description="its proxy number, unique in the deployment")]
     zone: Name
     zones: Annotated[list[Name], Meta(min_length=1, max_length=256)]
     listen: HostAndPort
@@ -120,7 +134,8 @@
     kinds: Annotated[list[RequestClassConfig], Meta(min_length=1, max_length=64)]
     levels: Literal["ratio", "rate", "none"] = "ratio"
     rate: Annotated[
-        float, Meta(ge=0, le=defaults.MAX_REQUESTS_PER_S, description="rough reqs/s, told when joining")
+        float,
+        Meta(ge=0, le=defaults.MAX_REQUESTS_PER_S, description="expected requests/s, reported on connecting"),
     ] = 0.0
     collector: bool = False
     status: Annotated[str, Meta(pattern=r"^([^\s]+:[0-9]{1,5})?$", description="host:port; empty: off")] = ""
@@ -130,7 +145,7 @@
 
 
 class TlsConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """Files of PEM.  With `authorities` the other side must show a certificate that they signed."""
+    """PEM files; with `authorities`, the peer must present a certificate that they have signed."""
 
     certificate: str = ""
     key: str = ""
@@ -138,14 +153,14 @@
 
 
 class SecretConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A secret of DFP's security TLV, by its key's number; the file holds the secret's bytes."""
+    """A shared secret for DFP's security TLV: the number of its key, and the file that contains it."""
 
-    key: Annotated[int, Meta(ge=0, lt=1 << 32)]
+    key: Annotated[int, Meta(ge=0, lt=MAX_KEY_NUMBER)]
     file: str
 
 
 class AdviceServerConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """Balancers ask us: a SASP workload manager, a DFP agent."""
+    """Serves weight advice to load balancers, as a SASP workload manager or a DFP agent."""
 
     protocol: Literal["sasp", "dfp"]
     listen: HostAndPort
@@ -155,7 +170,7 @@
 
 
 class AdvisorFollowConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """We ask an advisor: as a SASP balancer, as a DFP manager.  `trust`: how much its word may count."""
+    """Follows an advisor's weights, as a SASP load balancer or a DFP manager; `trust` scales their effect."""
 
     protocol: Literal["sasp", "dfp"]
     at: HostAndPort
@@ -167,19 +182,21 @@
 
 
 class AdviceConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    """Weight advice: the servers that this process offers, and the advisors that it follows."""
+
     serve: Annotated[list[AdviceServerConfig], Meta(max_length=16)] = []
     follow: Annotated[list[AdvisorFollowConfig], Meta(max_length=16)] = []
 
 
 class SnapshotConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A folder that persists, of this process alone; what was learned is written each `every` s."""
+    """Snapshots, written every `every` seconds to a persistent folder that no other process uses."""
 
     folder: Annotated[str, Meta(min_length=1, max_length=1024)]
-    every: Annotated[float, Meta(ge=0.1, le=3600)] = 2.0
+    every: Annotated[float, Meta(ge=0.1, le=HOUR_S)] = 2.0
 
 
 class OperatorConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole file; what is left out is off."""
+    """The complete file; a part that is left out is switched off."""
 
     upgrades: UpgradesConfig | None = None
     advice: AdviceConfig | None = None
@@ -189,96 +206,11 @@
     forwarder: ForwarderConfig | None = None
 
 
-def read_operator_config(path: str) -> OperatorConfig:
-    """The file at `path`; a ConfigError of one line names file, place and what was expected."""
-    body = _read_json5(path)
-    try:
-        config = msgspec.convert(body, OperatorConfig)
-    except msgspec.ValidationError as exc:
-        fault, _, place = str(exc).partition(" - at `")
-        raise OperatorFileError(path, place.rstrip("`") or "$", fault) from None
-    if config.advice is not None:
-        _check_advice(path, config.advice)
-    if config.forwarder is not None:
-        _check_forwarder(path, config.forwarder)
-    return config
-
-
-def _read_json5(path: str) -> Any:
-    try:
-        with open(path, encoding="utf-8") as file:
-            text = file.read(MAX_FILE_BYTES + 1)
-    except OSError as exc:
-        raise ConfigFileError(path, str(exc.strerror)) from None
-    except UnicodeDecodeError as exc:
-        raise ConfigFileError(path, f"not UTF-8 (byte {exc.start})") from None
-    if len(text) > MAX_FILE_BYTES:
-        raise ConfigFileError(path, f"over {MAX_FILE_BYTES} bytes")
-    try:
-        return json5.loads(text, allow_duplicate_keys=False)
-    except (ValueError, RecursionError) as exc:
-        one_line = " ".join(str(exc).split())
-        fault = re.sub(r"^<string>:", "line ", one_line) or "too deep"
-        raise ConfigFileError(path, f"not JSON5: {fault}") from None
-
-
-def _check_forwarder(path: str, config: ForwarderConfig) -> None:
-    """What a schema can't tell: names that are listed and differ, and addresses."""
-    if config.zone not in config.zones:
-        raise OperatorFileError(path, "$.forwarder.zone", f"one of zones expected, got {config.zone!r}")
-    if _has_duplicates(config.zones):
-        raise OperatorFileError(path, "$.forwarder.zones", "a zone comes twice")
-    if _has_duplicates([request_class.name for request_class in config.kinds]):
-        raise OperatorFileError(path, "$.forwarder.kinds", "a name comes twice")
-    if _has_duplicates(config.managers):
-        raise OperatorFileError(path, "$.forwarder.managers", "a manager comes twice")
-    for index, request_class in enumerate(config.kinds):
-        if "+" in request_class.name:
-            place = f"$.forwarder.kinds[{index}].name"
-            raise OperatorFileError(path, place, "no '+' expected, as it joins kinds on the wire")
-    where = f"{path}: $.forwarder"
-    address({"listen": config.listen}, "listen", where)
-    address({"discovery": config.discovery}, "discovery", where)
-    for index, manager in enumerate(config.managers):
-        name = f"managers[{index}]"
-        address({name: manager}, name, where)
-
-
-def _has_duplicates(names: Sequence[str]) -> bool:
-    return len(set(names)) < len(names)
-
-
-def _check_advice(path: str, config: AdviceConfig) -> None:
-    """What a schema can't tell: each address once, TLS with SASP alone, secrets with DFP alone."""
-    _check_advice_peers(path, "$.advice.serve", config.serve, [row.listen for row in config.serve])
-    _check_advice_peers(path, "$.advice.follow", config.follow, [row.at for row in config.follow])
-
-
-def _check_advice_peers(
-    path: str,
-    list_place: str,
-    rows: Sequence[AdviceServerConfig | AdvisorFollowConfig],
-    addresses: Sequence[str],
-) -> None:
-    seen: set[str] = set()
-    for index, (row, row_address) in enumerate(zip(rows, addresses, strict=True)):
-        place = f"{list_place}[{index}]"
-        address({"at": row_address}, "at", f"{path}: {place}")
-        is_any_port = row_address.endswith(":0")
-        if row_address in seen and not is_any_port:
-            raise OperatorFileError(path, place, f"{row_address} comes twice")
-        seen.add(row_address)
-        if row.tls is not None and row.protocol != "sasp":
-            raise OperatorFileError(path, f"{place}.tls", "for sasp alone, as DFP has none")
-        if row.secret is not None and row.protocol != "dfp":
-            raise OperatorFileError(path, f"{place}.secret", "for dfp alone")
-
-
 def host_port(text: str) -> HostPort:
-    """An address of the operators' file, which was checked when the file was read."""
+    """Parses an address of the operators' file, which was checked when the file was read."""
     return address({"at": text}, "at", "operators' file")
 
 
 def schema() -> str:
-    """A JSON schema of the file, for editors."""
+    """The JSON schema of the file, for editors."""
     return json.dumps(msgspec.json.schema(OperatorConfig), indent=2)
--- /dev/null
+++ b/cottonladder/config/operator_file.py
@@ -0,0 +1,113 @@
+"""Reads the operators' file, which is JSON5, and checks what its types can't express.
+
+The module is imported only if a file is given, so that a manager without one loads neither the JSON5 parser
+nor the schema library.
+"""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Sequence
+from typing import Any
+
+import json5
+import msgspec
+
+from .errors import ConfigFileError, OperatorFileError
+from .fields import address
+from .operator_config import (
+    AdviceConfig,
+    AdviceServerConfig,
+    AdvisorFollowConfig,
+    ForwarderConfig,
+    OperatorConfig,
+)
+
+MAX_FILE_BYTES = 1 << 20
+VALIDATION_PLACE_MARK = " - at `"  # in msgspec's error texts, before the place of the fault
+ROOT_PLACE = "$"  # the place of a fault of the file as a whole
+
+
+def read_operator_config(path: str) -> OperatorConfig:
+    """Reads the file at `path`; raises a ConfigError that names file, place and what was expected."""
+    body = _read_json5(path)
+    try:
+        config = msgspec.convert(body, OperatorConfig)
+    except msgspec.ValidationError as exc:
+        fault, _, place = str(exc).partition(VALIDATION_PLACE_MARK)
+        raise OperatorFileError(path, place.rstrip("`") or ROOT_PLACE, fault) from None
+    if config.advice is not None:
+        _check_advice(path, config.advice)
+    if config.forwarder is not None:
+        _check_forwarder(path, config.forwarder)
+    return config
+
+
+def _read_json5(path: str) -> Any:
+    try:
+        with open(path, encoding="utf-8") as file:
+            text = file.read(MAX_FILE_BYTES + 1)
+    except OSError as exc:
+        raise ConfigFileError(path, str(exc.strerror)) from None
+    except UnicodeDecodeError as exc:
+        raise ConfigFileError(path, f"not UTF-8 (byte {exc.start})") from None
+    if len(text) > MAX_FILE_BYTES:
+        raise ConfigFileError(path, f"over {MAX_FILE_BYTES} bytes")
+    try:
+        return json5.loads(text, allow_duplicate_keys=False)
+    except (ValueError, RecursionError) as exc:
+        one_line = " ".join(str(exc).split())
+        fault = re.sub(r"^<string>:", "line ", one_line) or "too deep"
+        raise ConfigFileError(path, f"not JSON5: {fault}") from None
+
+
+def _check_forwarder(path: str, config: ForwarderConfig) -> None:
+    """Checks what the types can't express: names that must be listed or differ, and addresses."""
+    if config.zone not in config.zones:
+        raise OperatorFileError(path, "$.forwarder.zone", f"one of zones expected, got {config.zone!r}")
+    if _has_duplicates(config.zones):
+        raise OperatorFileError(path, "$.forwarder.zones", "a zone comes twice")
+    if _has_duplicates([request_class.name for request_class in config.kinds]):
+        raise OperatorFileError(path, "$.forwarder.kinds", "a name comes twice")
+    if _has_duplicates(config.managers):
+        raise OperatorFileError(path, "$.forwarder.managers", "a manager comes twice")
+    for index, request_class in enumerate(config.kinds):
+        if "+" in request_class.name:
+            place = f"$.forwarder.kinds[{index}].name"
+            raise OperatorFileError(path, place, "no '+' expected, as it joins kinds on the wire")
+    where = f"{path}: $.forwarder"
+    address({"listen": config.listen}, "listen", where)
+    address({"discovery": config.discovery}, "discovery", where)
+    for index, manager in enumerate(config.managers):
+        name = f"managers[{index}]"
+        address({name: manager}, name, where)
+
+
+def _has_duplicates(names: Sequence[str]) -> bool:
+    return len(set(names)) < len(names)
+
+
+def _check_advice(path: str, config: AdviceConfig) -> None:
+    """Checks what the types can't express: each address once, TLS only with SASP, secrets only with DFP."""
+    _check_advice_peers(path, "$.advice.serve", config.serve, [row.listen for row in config.serve])
+    _check_advice_peers(path, "$.advice.follow", config.follow, [row.at for row in config.follow])
+
+
+def _check_advice_peers(
+    path: str,
+    list_place: str,
+    rows: Sequence[AdviceServerConfig | AdvisorFollowConfig],
+    addresses: Sequence[str],
+) -> None:
+    seen: set[str] = set()
+    for index, (row, row_address) in enumerate(zip(rows, addresses, strict=True)):
+        place = f"{list_place}[{index}]"
+        address({"at": row_address}, "at", f"{path}: {place}")
+        is_any_port = row_address.endswith(":0")
+        if row_address in seen and not is_any_port:
+            raise OperatorFileError(path, place, f"{row_address} comes twice")
+        seen.add(row_address)
+        if row.tls is not None and row.protocol != "sasp":
+            raise OperatorFileError(path, f"{place}.tls", "for sasp alone, as DFP has none")
+        if row.secret is not None and row.protocol != "dfp":
+            raise OperatorFileError(path, f"{place}.secret", "for dfp alone")
--- a/cottonladder/forwarder/service.py
+++ b/cottonladder/forwarder/service.py
@@ -10,7 +10,8 @@
 import structlog
 
 from ..config.errors import InputError
-from ..config.operator_config import OperatorConfig, host_port, read_operator_config
+from ..config.operator_config import OperatorConfig, host_port
+from ..config.operator_file import read_operator_config
 from ..control import signals
 from .forwarder import Forwarder
 from .status import serve_status
--- a/cottonladder/protocol/discovery_http.py
+++ b/cottonladder/protocol/discovery_http.py
@@ -11,9 +11,7 @@
 
 HTTP_OK = 200
 MAX_LIST_SIZE = 8 << 20  # bytes of one line or list: some 50,000 workers
-LINE_TIMEOUT_S = (
-    5.0  # from the first byte of a line to its end, as long as a fetch of the whole list may take
-)
+LINE_TIMEOUT_S = 5.0  # from a line's first byte to its end, as long as a fetch of the complete list
 LINE_END = b"\n"
 
 
--- a/cottonladder/protocol/message_fields.py
+++ b/cottonladder/protocol/message_fields.py
@@ -4,11 +4,11 @@
 
 import math
 
+from ..config.fields import MS_PER_S
 from .errors import FieldError, MessageError, NumberError
 
 MAX_SHOWN_LENGTH = 32  # characters of a peer's argument that an error or log line shows
 MAX_COUNT_DIGITS = 18  # every such number fits 64 bits
-MS_PER_S = 1000.0
 
 
 class MessageFields:
--- a/cottonladder/protocol/messages.py
+++ b/cottonladder/protocol/messages.py
@@ -6,10 +6,11 @@
 from dataclasses import dataclass
 
 from ..config.deployment import DeploymentSettings
+from ..config.fields import MS_PER_S
 from ..model.inputs import Acknowledged, ArrivalReport, LoadReport, ProxyConnected
 from . import resp
 from .errors import FieldError, MessageError
-from .message_fields import MS_PER_S, MessageFields, printable
+from .message_fields import MessageFields, printable
 
 PING = resp.encode([b"PING"])
 PONG = resp.encode([b"PONG"])
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -20,9 +20,10 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from ..config.fields import MS_PER_S
 from . import resp
 from .errors import FieldError, MessageError, ProtocolError
-from .message_fields import MS_PER_S, MessageFields
+from .message_fields import MessageFields
 
 VERSION = 1  # of the extension
 MAX_REPORTED_WORKERS = 4096  # in one HELD message
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from cottonladder.cli.main import main
-from cottonladder.config.operator_config import read_operator_config
+from cottonladder.config.operator_file import read_operator_config
 
 FILES = Path(__file__).parent / "recorded" / "files"
 
