--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -1,4 +1,4 @@
-"""`advice`: what an advisor says of its members, and whether it speaks its protocol at all."""
+"""`advice`: shows the weights that an advisor gives its members, and tests whether it answers at all."""
 
 from __future__ import annotations
 
@@ -11,30 +11,29 @@
 import click
 
 from ..config.errors import InputError
-from ..config.fields import address
+from ..config.fields import MS_PER_S, address
 from ..weight_advice.query import MemberWeight, query_dfp, query_sasp
 from .errors import CommandError
 from .options import AS_JSON
 from .output import print_table
 
 QUERY_TIMEOUT_S = 5.0  # for the whole exchange
-MILLISECONDS_PER_S = 1000.0
 COLUMNS = ("label", "member", "weight", "flags")
 HOST_PORT = click.argument("host_port", metavar="HOST:PORT")
 PROTOCOL = click.option("--protocol", type=click.Choice(["sasp", "dfp"]), default="sasp", show_default=True)
 MEMBERS = click.option(
-    "--member", "members", multiple=True, metavar="[LABEL@]HOST:PORT", help="For SASP: whom to ask about."
+    "--member", "members", multiple=True, metavar="[LABEL@]HOST:PORT", help="For SASP: a member to ask about."
 )
 Query = Callable[[str, int], Awaitable[list[MemberWeight]]]
 
 
-class NoAnswer(Exception):
-    """An advisor gave nothing that can be read; the reason is one line."""
+class NoAnswerError(Exception):
+    """An advisor gave no valid answer; the text is one line with the reason."""
 
 
 @click.group()
 def advice() -> None:
-    """Ask an advisor for its weights, or whether it answers at all."""
+    """Query an advisor for its weights, or test whether it answers at all."""
 
 
 @advice.command()
@@ -43,16 +42,16 @@
 @MEMBERS
 @AS_JSON
 def show(host_port: str, protocol: str, members: tuple[str, ...], as_json: bool) -> None:
-    """Show an advisor's weights; status 1 if it gives nothing that can be read."""
+    """Show an advisor's weights; status 1 if it gives no valid answer."""
 
-    async def query(host: str, port: int) -> list[MemberWeight]:
+    async def query_weights(host: str, port: int) -> list[MemberWeight]:
         if protocol == "dfp":
             return await query_dfp(host, port)
         return await query_sasp(host, port, members)
 
     try:
-        weights = _run(host_port, query)
-    except NoAnswer as exc:
+        weights = _run(host_port, query_weights)
+    except NoAnswerError as exc:
         raise CommandError(f"{host_port}: {exc}") from exc
     if as_json:
         click.echo(json.dumps([asdict(weight) for weight in weights]))
@@ -65,43 +64,49 @@
 @PROTOCOL
 @AS_JSON
 def probe(host_port: str, protocol: str, as_json: bool) -> None:
-    """Ask whether an advisor speaks the protocol, and how long its answer takes."""
+    """Test whether an advisor speaks the protocol, and how long its answer takes."""
 
-    async def query(host: str, port: int) -> list[MemberWeight]:
+    async def query_once(host: str, port: int) -> list[MemberWeight]:
         if protocol == "dfp":
             return await query_dfp(host, port, first_answer=True)
         return await query_sasp(host, port, [])
 
     started_at = time.monotonic()
-    reason = ""
+    failure_reason = ""
     try:
-        _run(host_port, query)
-    except NoAnswer as exc:
-        reason = str(exc)
-    duration_ms = round((time.monotonic() - started_at) * MILLISECONDS_PER_S, 1)
+        _run(host_port, query_once)
+    except NoAnswerError as exc:
+        failure_reason = str(exc)
+    duration_ms = round((time.monotonic() - started_at) * MS_PER_S, 1)
     if as_json:
-        speaks = not reason
-        answer = {"at": host_port, "protocol": protocol, "speaks": speaks, "ms": duration_ms, "why": reason}
+        speaks = not failure_reason
+        answer = {
+            "at": host_port,
+            "protocol": protocol,
+            "speaks": speaks,
+            "ms": duration_ms,
+            "why": failure_reason,
+        }
         click.echo(json.dumps(answer))
-    elif reason:
-        raise CommandError(f"{host_port}: {reason}")
+    elif failure_reason:
+        raise CommandError(f"{host_port}: {failure_reason}")
     else:
         click.echo(f"{host_port}: speaks {protocol}, {duration_ms} ms")
-    if reason:
+    if failure_reason:
         click.get_current_context().exit(CommandError.exit_code)
 
 
 def _run(host_port: str, query: Query) -> list[MemberWeight]:
-    """Runs a query within the timeout; raises NoAnswer with the reason if it gives nothing."""
+    """Runs a query within the timeout; raises NoAnswerError if it brings no valid answer."""
 
-    async def bounded() -> list[MemberWeight]:
+    async def query_in_time() -> list[MemberWeight]:
         host, port = address({"where": host_port}, "where", "advice")
         async with asyncio.timeout(QUERY_TIMEOUT_S):
             return await query(host, port)
 
     try:
-        return asyncio.run(bounded())
+        return asyncio.run(query_in_time())
     except TimeoutError as exc:
-        raise NoAnswer(f"no answer within {QUERY_TIMEOUT_S:g} s") from exc
+        raise NoAnswerError(f"no answer within {QUERY_TIMEOUT_S:g} s") from exc
     except (OSError, InputError) as exc:
-        raise NoAnswer(str(exc) or type(exc).__name__) from exc
+        raise NoAnswerError(str(exc) or type(exc).__name__) from exc
--- a/cottonladder/cli/configuration.py
+++ b/cottonladder/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Reading configuration files for a command: a file that can't be used is one line and status 2."""
+"""Reads configuration files for a command; a file that is not valid ends it with one line and status 2."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def load_startup_config(path: str) -> StartupConfig:
-    """Reads the manager's file and registers the workers that it lists."""
+    """Reads the manager's file; raises BadInputError if it is not valid."""
     try:
         return read_startup_config(path)
     except InputError as exc:
@@ -21,7 +21,7 @@
 
 
 def load_operator_config(path: str) -> OperatorConfig | None:
-    """Reads the operators' file; None where no path is given, as everything in it is then off."""
+    """Reads the operators' file; None without a path, which switches everything in it off."""
     if not path:
         return None
     # Imported here, as the parsers would take memory in a manager without the file.
--- a/cottonladder/cli/demo.py
+++ b/cottonladder/cli/demo.py
@@ -1,4 +1,4 @@
-"""`demo`: a small fleet on loopback, to look at."""
+"""`demo`: runs a small deployment on loopback and shows what its processes do."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @click.command()
 @click.option(
     "--desks", "client_count", default=120, type=click.IntRange(1, 2000),
-    help="Clients that hold a connection open.",
+    help="Clients with an open upgraded connection.",
 )  # fmt: skip
 @click.option("--plain", is_flag=True, help="Print a line each half second in place of a table.")
 def demo(client_count: int, plain: bool) -> None:
--- a/cottonladder/cli/errors.py
+++ b/cottonladder/cli/errors.py
@@ -1,4 +1,4 @@
-"""How a command fails: one line on standard error and a status."""
+"""Errors that end a command with one line on standard error and a status."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 
 
 class CommandError(click.ClickException):
-    """A fault told in one line, without the `Error:` that click puts before its own."""
+    """The command ran and found a fault."""
 
-    exit_code = 1  # the command ran, and what it looked at is not well
+    exit_code = 1
 
     def show(self, file: IO[Any] | None = None) -> None:
+        """Called by click: prints the message alone, without the `Error:` that click puts before it."""
         click.echo(self.message, file=file, err=file is None)
 
 
 class BadInputError(CommandError):
-    """A file or an argument that can't be used."""
+    """A file or an argument is not valid."""
 
     exit_code = click.UsageError.exit_code
--- a/cottonladder/cli/forwarder.py
+++ b/cottonladder/cli/forwarder.py
@@ -1,4 +1,4 @@
-"""`forward`: the reference proxy."""
+"""`forward`: runs the reference proxy."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 )
 def forward(operator_path: str) -> None:
     """Forward requests and upgraded connections to workers as managers order, until SIGTERM."""
-    from ..forwarder.service import serve  # by optional dependencies, without which --help still works
+    # Imported here, as --help works without the optional dependencies of the forwarder.
+    from ..forwarder.service import serve
 
     configure_logging()
     signals.config_is_read_now()
--- a/cottonladder/cli/lazy_group.py
+++ b/cottonladder/cli/lazy_group.py
@@ -1,6 +1,6 @@
 """A command group that imports a command's module only when the command is used.
 
-A manager lives in little memory, so what other commands need is not imported beside it.
+A manager has little memory, so `serve` must not import what only other commands need.
 """
 
 from __future__ import annotations
@@ -13,16 +13,18 @@
 
 
 class LazyGroup(click.Group):
-    """A group of commands, some of them named by module and attribute: `{"tasks": "tasks:tasks"}`."""
+    """A group whose `lazy_commands` map a command's name to its module and attribute, `module:attribute`."""
 
     def __init__(self, *arguments: Any, lazy_commands: Mapping[str, str], **options: Any) -> None:
         super().__init__(*arguments, **options)
         self._lazy_commands = lazy_commands
 
     def list_commands(self, context: click.Context) -> list[str]:
+        """Called by click: the names of all commands, sorted."""
         return sorted([*super().list_commands(context), *self._lazy_commands])
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        """Called by click: the command of this name, whose module is imported now, or None."""
         if name not in self._lazy_commands:
             return super().get_command(context, name)
         module, _, attribute = self._lazy_commands[name].partition(":")
--- a/cottonladder/cli/main.py
+++ b/cottonladder/cli/main.py
@@ -1,7 +1,6 @@
-"""The command line's entry point: all commands by name.
+"""The entry point of the command line, with all commands by name.
 
-The commands of a manager are imported here; every other one when it is used, as managers live in little
-memory.
+The commands of a manager are imported here, every other one when it is used: a manager has little memory.
 """
 
 from __future__ import annotations
--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -20,7 +20,7 @@
 from .options import CONFIG, OPERATOR_CONFIG
 from .serving import configure_logging, serve_then_block_signals
 
-PING_TIMEOUT_S = 2.0  # for each step: a manager that serves answers within one turn of its loop
+PING_TIMEOUT_S = 2.0  # to connect, and to wait for each part of the answer
 READ_SIZE_BYTES = 64
 
 
@@ -86,7 +86,7 @@
 @click.command()
 @click.argument("host_port", metavar="HOST:PORT")
 def ping(host_port: str) -> None:
-    """Ask a manager whether it serves; status 1 if it gives no answer."""
+    """Test whether a manager answers; status 1 if it does not."""
     try:
         manager_address = address({"where": host_port}, "where", "ping")
     except InputError as exc:
--- a/cottonladder/cli/memory.py
+++ b/cottonladder/cli/memory.py
@@ -1,4 +1,4 @@
-"""`memory`: the snapshots that a process keeps in its folder."""
+"""`memory`: inspects and edits the snapshots that a process keeps in its folder."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Iterator
 from contextlib import contextmanager
-from dataclasses import dataclass
+from dataclasses import asdict, dataclass, fields
 from typing import Any
 
 import click
@@ -14,57 +14,70 @@
 from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 from .errors import CommandError
 from .options import AS_JSON
-from .output import print_rows, print_table
+from .output import print_table
 
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False))
-COLUMNS = ("generation", "age_s", "bytes", "sections", "fault")
 
 
 @dataclass(frozen=True, slots=True)
 class StoredGeneration:
-    """One generation in a folder: its content, or the fault for which it can't be read."""
+    """One generation in a folder: its content, or the fault that makes it unreadable."""
 
     number: int
     content: Generation | None
     fault: str = ""
 
 
+@dataclass(frozen=True, slots=True)
+class GenerationRow:
+    """What `show` prints of a generation; the field names are the columns and the keys of the JSON."""
+
+    generation: int
+    age_s: float | None  # None for one that can't be read
+    bytes: int
+    sections: list[str]
+    fault: str
+
+    def cells(self) -> list[object]:
+        """The row of the table."""
+        return [self.generation, self.age_s, self.bytes, ",".join(self.sections), self.fault]
+
+
+COLUMNS = tuple(column.name for column in fields(GenerationRow))
+
+
 @click.group()
 def memory() -> None:
-    """Look at the snapshots that a process keeps across restarts."""
+    """Inspect the snapshots that a process keeps across restarts."""
 
 
 @memory.command()
 @FOLDER
 @AS_JSON
 def show(folder: str, as_json: bool) -> None:
-    """List the generations: which are whole, how old and how large they are."""
+    """List the generations: which are valid, how old and how large they are."""
     with store_errors():
         store = SnapshotStore(folder)
         rows = [_row(store, generation) for generation in _read_all(store)]
     if as_json:
-        print_rows(COLUMNS, rows, as_json)
+        click.echo(json.dumps([asdict(row) for row in rows]))
         return
-    for row in rows:
-        row["sections"] = ",".join(row["sections"])
-    print_table([COLUMNS, *([row[name] for name in COLUMNS] for row in rows)])
+    print_table([COLUMNS, *(row.cells() for row in rows)])
 
 
-def _row(store: SnapshotStore, generation: StoredGeneration) -> dict[str, Any]:
+def _row(store: SnapshotStore, generation: StoredGeneration) -> GenerationRow:
+    size_bytes = store.path_of(generation.number).stat().st_size
     content = generation.content
-    return {
-        "generation": generation.number,
-        "age_s": round(time.time() - content.written_at, 1) if content else None,
-        "bytes": store.path_of(generation.number).stat().st_size,
-        "sections": sorted(content.sections) if content else [],
-        "fault": generation.fault,
-    }
+    if content is None:
+        return GenerationRow(generation.number, None, size_bytes, [], generation.fault)
+    age_s = round(time.time() - content.written_at, 1)
+    return GenerationRow(generation.number, age_s, size_bytes, sorted(content.sections), generation.fault)
 
 
 @memory.command()
 @FOLDER
 def verify(folder: str) -> None:
-    """Read every generation; status 1 if one is not whole."""
+    """Read every generation; status 1 if one is not valid."""
     with store_errors():
         generations = _read_all(SnapshotStore(folder))
     faults = [generation.fault for generation in generations if generation.fault]
@@ -77,7 +90,7 @@
 
 @memory.command()
 @FOLDER
-@click.option("--generation", "number", type=int, help="Its number; the newest whole one, if left out.")
+@click.option("--generation", "number", type=int, help="Its number; the newest valid one, if left out.")
 def export(folder: str, number: int | None) -> None:
     """Print a generation's sections as JSON."""
     with store_errors():
@@ -94,7 +107,7 @@
 @memory.command()
 @FOLDER
 def compact(folder: str) -> None:
-    """Remove all but the newest whole generation.  Not while a process owns the folder."""
+    """Remove all but the newest valid generation.  Not while a process owns the folder."""
     with store_errors(), _locked_store(folder) as store:
         generation = _newest(store)
         removed = store.remove_old_generations(1)
@@ -111,13 +124,16 @@
         remaining = without_worker(generation.sections, worker_id)
         if remaining == generation.sections:
             raise SnapshotError(f"{folder}: nothing about {worker_id}")
-        store.write(remaining, generation.written_at)  # as old as it was: forgetting makes nothing fresh
+        # The time of writing stays, as the remaining entries are no more recent than before.
+        store.write(remaining, generation.written_at)
         click.echo(f"{folder}: written without {worker_id}")
 
 
 def without_worker(value: Any, worker_id: str) -> Any:
-    """A section without a worker's entries: rows that begin with its id, fields named by it, and words that
-    are it."""
+    """A copy of a section without what concerns a worker.
+
+    Left out are rows that begin with its id, fields named by the id, and list items that equal it.
+    """
     if isinstance(value, dict):
         return {key: without_worker(item, worker_id) for key, item in value.items() if key != worker_id}
     if isinstance(value, list):
@@ -133,7 +149,7 @@
 
 @contextmanager
 def store_errors() -> Iterator[None]:
-    """Turns a store's faults into one line and status 1."""
+    """Turns errors of the store into one line and status 1."""
     try:
         yield
     except (SnapshotError, OSError) as exc:
@@ -142,7 +158,7 @@
 
 @contextmanager
 def _locked_store(folder: str) -> Iterator[SnapshotStore]:
-    """A store whose folder no other process may own meanwhile."""
+    """A store that owns its folder until the end of the block."""
     store = SnapshotStore(folder)
     store.open()
     try:
@@ -162,7 +178,7 @@
 
 
 def _newest_readable(store: SnapshotStore) -> Generation:
-    """The newest generation that can be read; nothing in the folder is changed."""
+    """The newest valid generation; the folder is not changed."""
     for generation in _read_all(store):
         if generation.content is not None:
             return generation.content
@@ -170,7 +186,7 @@
 
 
 def _newest(store: SnapshotStore) -> Generation:
-    """The newest whole generation; those that are not whole are set aside."""
+    """The newest valid generation; newer ones that are not valid are quarantined."""
     generation = store.read_newest()
     if generation is None:
         raise SnapshotError(f"{store.folder}: no generation that holds")
--- a/cottonladder/cli/output.py
+++ b/cottonladder/cli/output.py
@@ -1,4 +1,4 @@
-"""How commands print rows: aligned columns for people, JSON for scripts."""
+"""Printing of rows: aligned columns for people, JSON for scripts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def print_table(rows: Sequence[Sequence[object]]) -> None:
-    """Prints columns as wide as their widest cell; the first row is the header."""
+    """Prints rows in columns, each as wide as its widest cell; the first row is the header."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [max(len(row[column]) for row in cells) for column in range(len(cells[0]))]
     for row in cells:
@@ -19,7 +19,7 @@
 
 
 def print_rows(header: Sequence[str], rows: Sequence[Mapping[str, Any]], as_json: bool) -> None:
-    """Prints rows of named cells, as JSON or as a table with these columns."""
+    """Prints rows of named cells, as JSON or as a table with the columns of `header`."""
     if as_json:
         click.echo(json.dumps(rows))
         return
--- a/cottonladder/cli/plugin.py
+++ b/cottonladder/cli/plugin.py
@@ -1,13 +1,13 @@
-"""`plugin`: plug-ins by hand, without a forwarder.
+"""`plugin`: loads and calls plug-ins without a forwarder.
 
-What runs a plug-in is imported by each command, as WebAssembly is an optional dependency and `--help` works
-without it.
+Each command imports what runs a plug-in, as `--help` works without WebAssembly, an optional dependency.
 """
 
 from __future__ import annotations
 
 import json
-from typing import Any
+from dataclasses import asdict
+from typing import TYPE_CHECKING, Any
 
 import click
 
@@ -16,8 +16,12 @@
 from .options import AS_JSON
 from .output import print_rows, print_table
 
+if TYPE_CHECKING:
+    from .plugin_trial import ReplayedRequest
+
 MODULE = click.argument("module", type=click.Path(exists=True, dir_okay=False))
 GRANTS = click.option("--grant", "grants", multiple=True, type=click.Choice(["random"]))
+REPLAY_COLUMNS = ("req", "would change")
 LIST_COLUMNS = ("name", "path", "hooks", "fail")
 
 
@@ -46,15 +50,20 @@
     """Replay recorded requests, a line of JSON each, and print what the plug-in would have changed."""
     from .plugin_trial import load_plugin, replay
 
-    rows = replay(load_plugin(module, grants), requests_path)
+    replayed = replay(load_plugin(module, grants), requests_path)
     if as_json:
-        click.echo(json.dumps(rows))
+        click.echo(json.dumps([_json_row(request) for request in replayed]))
         return
-    print_table([("req", "would change"), *((row["req"], _changes(row)) for row in rows)])
+    print_table([REPLAY_COLUMNS, *((request.request, _changes(request)) for request in replayed)])
+
+
+def _json_row(replayed: ReplayedRequest) -> dict[str, Any]:
+    return {"req": replayed.request, "fault": replayed.fault, **replayed.answer}
 
 
-def _changes(row: dict[str, Any]) -> str:
-    changes = [f"{name}={value}" for name, value in row.items() if name != "req" and value]
+def _changes(replayed: ReplayedRequest) -> str:
+    outcome = {"fault": replayed.fault, **replayed.answer}
+    changes = [f"{name}={value}" for name, value in outcome.items() if value]
     return ", ".join(changes) or "nothing"
 
 
@@ -67,7 +76,7 @@
     """Measure how long a call takes."""
     from .plugin_trial import load_plugin, measure_calls
 
-    figures = measure_calls(load_plugin(module, grants), call_count)
+    figures = asdict(measure_calls(load_plugin(module, grants), call_count))
     if as_json:
         click.echo(json.dumps(figures))
         return
@@ -82,7 +91,7 @@
     from .plugin_trial import configured_plugins
 
     try:
-        rows = configured_plugins(operator_path)
+        plugins = configured_plugins(operator_path)
     except InputError as exc:
         raise BadInputError(str(exc)) from exc
-    print_rows(LIST_COLUMNS, rows, as_json)
+    print_rows(LIST_COLUMNS, [asdict(plugin) for plugin in plugins], as_json)
--- a/cottonladder/cli/serving.py
+++ b/cottonladder/cli/serving.py
@@ -1,4 +1,4 @@
-"""What the commands that serve until a signal have in common: their log and their end."""
+"""Logging and shutdown of the commands that run until a signal."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def configure_logging() -> None:
-    """Sends log events to standard output, one logfmt line each."""
+    """Makes structlog print events to standard output, one logfmt line each."""
     structlog.configure(
         processors=[
             structlog.processors.TimeStamper(fmt="iso"),
@@ -25,7 +25,10 @@
 
 
 async def serve_then_block_signals(serving: Awaitable[None]) -> None:
-    """Blocks signals while the loop still holds them: closing it gives them back to the system, and a second
-    SIGTERM would then change the status of a program that has already ended well."""
+    """Awaits `serving`, then blocks signals before the loop is closed.
+
+    A closed loop no longer handles signals, so a second SIGTERM would end the program by the system's default
+    action, with another status than that of an orderly shutdown.
+    """
     await serving
     signals.block()
--- a/cottonladder/cli/tasks.py
+++ b/cottonladder/cli/tasks.py
@@ -1,4 +1,4 @@
-"""`tasks`: the background tasks of a running process, asked over its local socket."""
+"""`tasks`: shows the background tasks of a running process, by a query over its admin socket."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def _query(path: str, question: str) -> Any:
-    """Sends one line to a Unix socket and reads the line of JSON that answers it."""
+    """Sends one line to a Unix socket and returns the JSON of the line that answers it."""
     with socket.socket(socket.AF_UNIX) as connection:
         connection.settimeout(ANSWER_TIMEOUT_S)
         connection.connect(path)
