--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -11,7 +11,7 @@
 from ..config.operator_config import OperatorConfig, SnapshotConfig
 from ..control.admin_socket import AdminSocket
 from ..control.background_scheduler import BackgroundScheduler
-from ..control.snapshot_manager import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
+from ..control.snapshot_folder import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
 from ..planning.priority_scheduling import TaskPlan
 from ..planning.snapshot_staleness import snapshot_age
 from ..snapshots.sections import ForwarderSnapshot, decode_section, encode_section
@@ -19,7 +19,7 @@
 from .restored_state import restore, snapshot_of
 
 SNAPSHOT_PRIORITY = 3
-MAX_LOGGED_AGE = 1e9  # s
+MAX_LOGGED_AGE_S = 1e9  # s
 SECTION = "forwarder"  # of a snapshot file
 
 
@@ -79,7 +79,7 @@
             forwarder.workers.is_known,
         )
         forwarder.stream.is_cold = not forwarder.router.has_ordered_table
-        shown_age_s = round(min(age_s, MAX_LOGGED_AGE), 1)
+        shown_age_s = round(min(age_s, MAX_LOGGED_AGE_S), 1)
         forwarder.log.info("snapshot_restored", restored=restored, age_s=shown_age_s)
 
     forwarder.workers.restore_snapshot = restore_snapshot
--- a/cottonladder/policy/worker_discovery.py
+++ b/cottonladder/policy/worker_discovery.py
@@ -90,7 +90,8 @@
             event = WorkerEvent.DISCOVERED
         else:
             event = WorkerEvent.LISTED_AT_START
-        evidence = EndpointEvidence(endpoint.state, self._state.now - endpoint.started_at)
+        uptime_s = self._state.now - endpoint.started_at
+        evidence = EndpointEvidence(endpoint.state, uptime_s, is_start_known=endpoint.started_at > 0)
         apply_event(self._state, endpoint.worker_index, event, evidence)
 
     def _update_record(self, endpoint: inputs.Endpoint) -> bool:
--- a/cottonladder/protocol/protocol_connection.py
+++ b/cottonladder/protocol/protocol_connection.py
@@ -1,4 +1,4 @@
-"""One accepted connection: which messages it may carry, by its state, and what each of them does."""
+"""One accepted connection of a proxy or collector, and the messages that each of its states allows."""
 
 from __future__ import annotations
 
@@ -6,42 +6,81 @@
 import time
 from collections.abc import Callable
 from enum import Enum
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
 from ..config.errors import InputError
 from ..model.inputs import Acknowledged, ArrivalReport, Input, LoadReport, ProxyConnected
 from .errors import MessageError, ProtocolError
+from .fault_log import RateLimitedFaultLog
 from .message_fields import printable
 from .messages import (
     PONG,
     CollectorConnected,
     ExtensionMessage,
     IncomingMessage,
+    MessageReader,
     Ping,
     UnlistedWorkerReport,
 )
 from .resp import MAX_MESSAGE_SIZE, RespReader
 
-if TYPE_CHECKING:
-    from .stream_listener import StreamListener
-
-MAX_FIRST_MESSAGE_SIZE = 4096  # bytes of a message of an unidentified connection: the first ones are short
+MAX_FIRST_MESSAGE_SIZE = 4096  # bytes of one message while the connection is unidentified
 ENDED_BY_PEER = "ended by the other side"
 
 
 class ConnectionState(Enum):
-    """Whose connection it is; the values stand in log lines and error texts."""
+    """Whose connection it is; log lines and error texts show the values."""
 
     UNIDENTIFIED = "new"
     COLLECTOR = "collector"
     PROXY = "stream"
-    SUPERSEDED = "old"  # another connection of its proxy took its place
+    SUPERSEDED = "old"  # a newer connection of its proxy has taken its place
+
+
+class StreamEvents(Protocol):
+    """Receives what identified connections deliver; the calls must not block."""
+
+    def proxy_connected(self, connection: ProtocolConnection, event: ProxyConnected) -> None:
+        """A connection has said which proxy it belongs to."""
+
+    def connection_ended(self, connection: ProtocolConnection) -> None:
+        """A proxy's connection is closed."""
+
+    def input_received(self, item: Input | ExtensionMessage) -> None:
+        """A report, an acknowledgement or a message of an extension has arrived."""
+
+
+class ConnectionOwner(Protocol):
+    """What a connection needs of the listener that accepted it."""
+
+    reader: MessageReader
+    events: StreamEvents
+    rejected_messages: RateLimitedFaultLog
+
+    @property
+    def max_unread_bytes(self) -> int:
+        """Bytes that one peer may leave unread before its connection is ended."""
+
+    def connection_opened(self, connection: ProtocolConnection) -> None:
+        """The connection is accepted and not yet identified."""
+
+    def connection_identified(self, connection: ProtocolConnection, client: str) -> None:
+        """The connection has said whose it is; `client` names it in the log."""
+
+    def mark_superseded(self, connection: ProtocolConnection) -> None:
+        """A newer connection of the same proxy has taken this one's place."""
+
+    def connection_closed(self, connection: ProtocolConnection, reason: str) -> None:
+        """The connection has ended, by either side."""
 
 
 class ProtocolConnection(asyncio.Protocol):
-    """One accepted connection."""
+    """Frames the bytes of one accepted connection and handles each message by the connection's state.
+
+    `proxy` and `zone` are indices, -1 until the connection has identified itself.
+    """
 
-    def __init__(self, listener: StreamListener) -> None:
+    def __init__(self, listener: ConnectionOwner) -> None:
         self.listener = listener
         self.state = ConnectionState.UNIDENTIFIED
         self.proxy = -1
@@ -49,7 +88,7 @@
         self.peer = ""
         self.close_reason = ""
         self.last_received_at = 0.0
-        self.accept_number = 0  # in the order of accepts
+        self.accept_number = 0  # counts the listener's accepted connections
         self._reader = RespReader(MAX_FIRST_MESSAGE_SIZE)
         self._transport: asyncio.Transport | None = None
 
@@ -63,10 +102,9 @@
     def data_received(self, data: bytes) -> None:
         """Called by asyncio for bytes that arrived.
 
-        Bytes that can't be framed end a connection, as does any fault before it has identified itself.  Once
-        it has, a whole message that makes no sense is rejected and the connection lives, since a proxy whose
-        connection is ended here keeps its time limits.  The drawback is that a party that spoils all it says
-        stays connected, and only the summed log lines tell of it.
+        A framing error ends the connection, as does any fault before the peer has identified itself.  After
+        that an invalid message is logged and ignored: the time limits of a proxy run on while it
+        reconnects.  A peer that sends nothing valid therefore stays connected; only the log shows it.
         """
         self.last_received_at = time.monotonic()
         try:
@@ -93,7 +131,7 @@
         handler(self, message)
 
     def log_fields(self) -> dict[str, object]:
-        """What log lines say of this connection."""
+        """The fields that describe this connection in log lines."""
         return {"peer": self.peer, "state": self.state.value, "proxy": self.proxy}
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -101,20 +139,22 @@
         self.listener.connection_closed(self, self.close_reason or str(exc or ENDED_BY_PEER))
 
     def send(self, data: bytes) -> None:
-        """Writes a message; ends a connection whose peer does not read."""
+        """Writes an encoded message; ends the connection if its peer has left too much unread."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
         unread_bytes = transport.get_write_buffer_size()
-        limit = self.listener.limits.max_unread_bytes
+        limit = self.listener.max_unread_bytes
         if unread_bytes and unread_bytes + len(data) > limit:  # a single message may be larger
             self.abort(f"left {unread_bytes} bytes unread")
         else:
             transport.write(data)
 
     def abort(self, reason: str) -> None:
-        """Ends the connection at once; the last resort, as time limits run on for a proxy whose connection
-        is ended here."""
+        """Ends the connection at once and drops what is buffered; `reason` is logged.
+
+        This is the last resort: the time limits of a proxy run on while it reconnects.
+        """
         transport = self._transport
         if transport is not None and not transport.is_closing():
             self.close_reason = reason
@@ -123,7 +163,7 @@
     def _is_closed(self) -> bool:
         return self._transport is None or self._transport.is_closing()
 
-    def _answer_ping(self, message: IncomingMessage) -> None:
+    def _answer_ping(self, _message: IncomingMessage) -> None:
         self.send(PONG)
 
     def _identify_collector(self, message: IncomingMessage) -> None:
@@ -144,7 +184,7 @@
         self.listener.events.input_received(cast(Input, message))
 
     def _pass_on_own(self, message: IncomingMessage) -> None:
-        """A message of a proxy about itself."""
+        """Passes on what a proxy reports about itself; raises ProtocolError if it names another proxy."""
         if cast(Acknowledged | ArrivalReport, message).proxy != self.proxy:
             raise ProtocolError("ACK or RATE: field node is another's than the stream's")
         self._pass_on(message)
@@ -154,11 +194,11 @@
         self.listener.events.input_received(ExtensionMessage(body, self.proxy))
 
     def _ignore(self, message: IncomingMessage) -> None:
-        """A message that was under way when the connection was superseded, or one that counts for nothing."""
+        """Drops a report on an unlisted worker, or what was under way when the connection was superseded."""
 
 
 MessageHandler = Callable[[ProtocolConnection, IncomingMessage], None]
-# What a message does on a connection in a state; one that is missing here is not allowed there.
+# The handler of each message type that a connection accepts in a state; any other is an error.
 MESSAGE_HANDLERS: dict[tuple[ConnectionState, type], MessageHandler] = {
     (ConnectionState.UNIDENTIFIED, Ping): ProtocolConnection._answer_ping,
     (ConnectionState.UNIDENTIFIED, CollectorConnected): ProtocolConnection._identify_collector,
