--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -42,14 +42,14 @@
         self.state = ControllerState(parameters)
         self.channel_budget = ChannelBudget(parameters)
         self.gossip = GossipExchange(self.state)
-        self.overload = OverloadSignal(self.state)
-        self.shedding = LoadShedding(self.state, self.overload)
-        self.capacity = CapacityEstimator(self.state, self.overload, self.shedding)
+        self._overload = OverloadSignal(self.state)
+        self._shedding = LoadShedding(self.state, self._overload)
+        self.capacity = CapacityEstimator(self.state, self._overload, self._shedding)
         self.capacities: dict[int, float] = {}  # by worker, as last solved
         self._deltas = TableDeltas(self.state, self.channel_budget)
         self._binding = ProxyBinding(self.state, self.channel_budget, self._deltas)
         self._flow = FlowPlanner(
-            self.state, self.capacity, self.overload, self.shedding, TablePartition(self.state)
+            self.state, self.capacity, self._overload, self._shedding, TablePartition(self.state)
         )
         self._discovery = WorkerDiscovery(self.state)
         self._health_checks = HealthCheckSchedule(self.state)
@@ -108,7 +108,7 @@
         joining_rate = state.proxies.update_joining_rate()
         if state.parameters.health_checks and self.has_endpoint_list:
             self._health_checks.order_due_checks(joining_rate)
-        self.overload.update()
+        self._overload.update()
         checked = list(state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE).values())
         unreachable = self._reachability.unreachable_zones(checked)
         OutlierDetector(state, checked, unreachable).update_worker_states()
@@ -142,7 +142,7 @@
         if is_new_interval:
             forget_departed(self.state)
             self.capacity.measure()
-            self.shedding.update_admission_ratio()
+            self._shedding.update_admission_ratio()
             self._flow.links.start_interval()
             self._next_measure_at = now + SOLVE_INTERVAL_S
         self._next_solve_at = now + SOLVE_INTERVAL_S
@@ -157,7 +157,7 @@
         """Sends exclusions, binds, removals, then other deltas, as far as the channel budget allows."""
         state = self.state
         self.channel_budget.advance(state.now, MAX_CHANNEL_SLOWDOWN)
-        self._deltas.class_admissions = self.shedding.class_admissions()
+        self._deltas.class_admissions = self._shedding.class_admissions()
         send_exclusions(state, self.channel_budget)
         hold_until = state.now - DRAIN_HOLD_RATIO * state.parameters.drain_grace_s
         if not state.parameters.slice_count:
--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -43,7 +43,7 @@
         usual_rate = state.proxies.highest_joining_rate
         if not report_plausibility.is_believed(report.attempts, report.interval_s, usual_rate):
             return
-        worker.add_load_report(report, report_plausibility.MAX_REPORT_RATIO)
+        worker.add_load_report(report, report_plausibility.MAX_UTILIZATION)
         is_believed = report_plausibility.is_latency_believed(report.duration_s, state.tightest_objective_s)
         if report.attempts > report.failed and is_believed:
             worker.latency.add(report.duration_s, report.attempts - report.failed)
--- a/cottonladder/policy/report_plausibility.py
+++ b/cottonladder/policy/report_plausibility.py
@@ -8,6 +8,7 @@
 
 MAX_REPORT_RATIO = 8.0  # of a reported figure to the usual one
 MAX_REPORT_INTERVAL_S = 120.0
+MAX_UTILIZATION = MAX_REPORT_RATIO  # of a worker, where 1 is full load
 MAX_REQUEST_RATE = 1e5  # requests/s of one proxy or worker
 
 
