--- a/cottonladder/model/weight_ring.py
+++ b/cottonladder/model/weight_ring.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+MIN_WEIGHT_SUM = 1e-9  # stands for the 0 of an empty ring in divisors
+
 
 def arcs(loads: list[float], overlap: float) -> list[tuple[float, float]]:
     """Returns start and end of consecutive arcs on a ring of length 1.
@@ -23,7 +25,7 @@
     The weights follow each other in the order of `ring`, each as long as its part of their sum.  Parts up to
     `min_part` of a weight are left out.
     """
-    unit = max(1e-9, sum(ring.values()))
+    unit = max(MIN_WEIGHT_SUM, sum(ring.values()))
     parts: dict[int, float] = {}
     begin = 0.0
     for index, weight in ring.items():
--- a/cottonladder/policy/latency_factor.py
+++ b/cottonladder/policy/latency_factor.py
@@ -23,6 +23,7 @@
 MIN_LATENCY_FACTOR = 0.03
 FACTOR_FALL = 0.8  # step of a factor towards a lower target, in each interval
 FACTOR_RISE = 0.5  # step towards a higher target
+MIN_SLOWDOWN = 1e-9  # stands for 0 in divisors
 ZONE_FACTOR_STEP = 0.25  # step of a zone's mean factor, in each interval
 
 
@@ -65,11 +66,11 @@
         failed_ratios = {
             index: worker.failed_ratio() for index, worker in in_service.items() if worker.attempts >= 1.0
         }
-        usual_slowdown = max(median_or_zero(slowdowns.values()), 1e-9)
+        usual_slowdown = max(median_or_zero(slowdowns.values()), MIN_SLOWDOWN)
         usual_success = max(MIN_USUAL_SUCCESS, 1.0 - median_or_zero(failed_ratios.values()))
         overload = max(1.0, self._overload.value)  # under overload the latencies of well workers differ too
         for index, worker in in_service.items():
-            slowdown = max(slowdowns.get(index, 0.0) / usual_slowdown, queue_ratios[index], 1e-9)
+            slowdown = max(slowdowns.get(index, 0.0) / usual_slowdown, queue_ratios[index], MIN_SLOWDOWN)
             success = (1.0 - failed_ratios.get(index, 0.0)) / usual_success
             target = min(1.0, overload * MAX_SLOWDOWN / slowdown)
             target *= min(1.0, success) ** (SUCCESS_EXPONENT / overload)
--- a/cottonladder/policy/warm_up.py
+++ b/cottonladder/policy/warm_up.py
@@ -27,10 +27,11 @@
 FAILED_WEIGHT = 12.0  # failed part of all attempts times this is trouble; at 1 the share is 0
 MIN_SURE_SHARE = 0.75  # of a worker's capacity: under it the worker gets nothing where proxies eject outliers
 FIRST_TICKS = 16  # ticks after the start of the manager, while little is known of the fleet
-MIN_EJECTING_RATE = 0.4  # requests/s of a proxy at a worker: under it the proxy's ejections come too late
+MIN_EJECTING_RATE = 0.4  # requests/s of a proxy at a worker: under it the proxy ejects too slowly to harm
 SHORT_TABLE_RATIO = 0.5  # lines of a median table that one proxy may find all ejected
 MAX_WARM_UP_WEIGHT = 1.2  # times its part that a warming-up or ejected worker may be sent
 NO_REQUEST_RATE = 1e-9  # requests/s instead of 0
+MIN_WEIGHT_SUM = 1e-9  # stands for the 0 of an empty table in divisors
 READER_RATE = 1e-6  # requests/s that each reader of a table counts for at least
 
 
@@ -119,6 +120,6 @@
 
 def _add_rates(rates: dict[int, float], weights: dict[int, float], reader_rate: float) -> None:
     """Adds the requests/s that a table brings each of the workers in `rates`."""
-    unit = reader_rate / max(1e-9, sum(weights.values()))
+    unit = reader_rate / max(MIN_WEIGHT_SUM, sum(weights.values()))
     for index in weights.keys() & rates.keys():
         rates[index] += weights[index] * unit
--- a/tests/policy/test_recorded_orders.py
+++ b/tests/policy/test_recorded_orders.py
@@ -11,7 +11,7 @@
 import json
 import unittest
 from pathlib import Path
-from typing import Any
+from typing import TypedDict
 
 import structlog
 
@@ -26,9 +26,16 @@
 }
 
 
-def play_simulated_days() -> dict[str, Any]:
-    """Returns digest and number of actions by day."""
-    played: dict[str, Any] = {}
+class RecordedDay(TypedDict):
+    """The digest of a day's replies, and the number of actions of each type."""
+
+    digest: str
+    actions: dict[str, int]
+
+
+def play_simulated_days() -> dict[str, RecordedDay]:
+    """Returns what each simulated day gives, by name."""
+    played: dict[str, RecordedDay] = {}
     for name in DAYS:
         day = SimulatedDay(name, SimulatorHost().handle_batch)
         digest = day.play()
