--- /dev/null
+++ b/cottonladder/forwarder/admission_pacer.py
@@ -0,0 +1,68 @@
+"""Limits the rate of new upgraded connections to each worker and reserves slots for reconnecting clients.
+
+Pure: the caller passes the time.  The pace protects the remaining workers when one with many connections
+fails and all its clients reconnect at once.
+"""
+
+from __future__ import annotations
+
+from .token_bucket import TokenBucket
+
+
+class AdmissionPacer:
+    """A token bucket and reserved slots for each worker.
+
+    `arrival_rate` is the number of new connections a second that an average worker accepts from all
+    forwarders, and `share` the part of them that this forwarder may bring.  Reserved slots are exempt, as the
+    manager that ordered them has counted them.
+    """
+
+    RESERVATION_TTL_S = 15.0  # time that a reserved slot is kept for the client that reconnects
+
+    def __init__(self, arrival_rate: float, share: float) -> None:
+        self.arrival_rate = arrival_rate
+        self.share = share
+        self._buckets: dict[str, TokenBucket] = {}
+        self._reserved_until: dict[str, list[float]] = {}  # by worker, the expiry of each reserved slot
+
+    def reserve(self, now: float, worker_id: str, count: int) -> None:
+        """Reserves slots at a worker for clients that reconnect."""
+        self._reserved_until.setdefault(worker_id, []).extend([now + self.RESERVATION_TTL_S] * count)
+
+    def cancel_reservations(self, worker_id: str) -> None:
+        """Gives up the slots reserved at a worker that accepts no more connections."""
+        self._reserved_until.pop(worker_id, None)
+
+    def reserved_worker(self, now: float) -> str | None:
+        """The worker with the most reserved slots; the reservation stays until it is used."""
+        for worker_id in list(self._reserved_until):
+            self._reserved_until[worker_id] = [
+                until for until in self._reserved_until[worker_id] if until > now
+            ]
+            if not self._reserved_until[worker_id]:
+                del self._reserved_until[worker_id]
+        return max(
+            self._reserved_until, key=lambda worker_id: len(self._reserved_until[worker_id]), default=None
+        )
+
+    def use_reservation(self, worker_id: str) -> None:
+        """Gives up one reserved slot, as a connection uses it."""
+        if slots := self._reserved_until.get(worker_id):
+            slots.pop(0)
+
+    def worker_rate(self, weight: float, mean_weight: float) -> float:
+        """How many new connections a second this forwarder may bring to a worker of this weight."""
+        relative_weight = weight / mean_weight if mean_weight > 0 else 1.0
+        return self.arrival_rate * self.share * min(1.0, relative_weight)
+
+    def acquire(self, now: float, worker_id: str, rate: float) -> float:
+        """Counts a new connection and returns 0, or returns the time in seconds until one is allowed."""
+        bucket = self._buckets.setdefault(worker_id, TokenBucket.full(now, rate))
+        if bucket.take(now, rate):
+            return 0.0
+        return bucket.time_to_token_s(rate)
+
+    def retain_workers(self, listed: set[str]) -> None:
+        """Forgets the pace of workers that are not listed any more."""
+        for worker_id in set(self._buckets) - listed:
+            del self._buckets[worker_id]
--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -1,4 +1,4 @@
-"""The background scheduler, snapshots and the admin socket of a forwarder, where the file asks for them."""
+"""Starts a forwarder's background tasks, snapshots and admin socket if the operators' file has them."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 from ..snapshots.sections import ForwarderSnapshot, decode_section, encode_section
 from .forwarder import Forwarder
 from .restored_state import restore, snapshot_of
+from .status import forwarder_status
 
-SNAPSHOT_PRIORITY = 3
-MAX_LOGGED_AGE_S = 1e9  # s
-SECTION = "forwarder"  # of a snapshot file
+SNAPSHOT_PRIORITY = 3  # among background tasks, of which the lowest number runs first
+MAX_LOGGED_AGE_S = 1e9  # as the age of a snapshot may be infinite
+SNAPSHOT_SECTION = "forwarder"  # the name of the forwarder's section in a snapshot file
 
 
 async def start_background(forwarder: Forwarder, operator: OperatorConfig, stack: AsyncExitStack) -> None:
-    """Starts what the file asks for; `stack` gives it back."""
+    """Starts the background work; `stack` stops it."""
     tasks = BackgroundScheduler(random.random)
     if operator.memory is not None:
         _add_snapshots(forwarder, operator.memory, tasks, stack)
@@ -32,7 +33,7 @@
     else:
         stack.push_async_callback(tasks.close)
     if operator.control:
-        answers = {"tasks": tasks.status_rows, "state": forwarder.status}
+        answers = {"tasks": tasks.status_rows, "state": lambda: forwarder_status(forwarder)}
         await AdminSocket(operator.control, answers).listen(stack)
     tasks.start()
 
@@ -45,22 +46,23 @@
     _restore_with_first_list(forwarder, folder)
 
     def write_snapshot() -> Iterator[Awaitable[object] | None]:
+        """One run of the task; the scheduler may run other tasks at each `yield`."""
         now = forwarder.loop.time()
         snapshot = snapshot_of(forwarder.router, forwarder.handler.tunnels.registry.counts(now), now)
         yield None
-        section = encode_section(SECTION, snapshot)
-        yield asyncio.to_thread(folder.write, {SECTION: section})
+        section = encode_section(SNAPSHOT_SECTION, snapshot)
+        yield asyncio.to_thread(folder.write, {SNAPSHOT_SECTION: section})
 
     plan = TaskPlan(SNAPSHOT_TASK, config.every, priority=SNAPSHOT_PRIORITY, cpu_fraction=SNAPSHOT_CPU_SHARE)
     tasks.add(plan, write_snapshot)
 
 
 def _restore_with_first_list(forwarder: Forwarder, folder: SnapshotFolder) -> None:
-    """Reads the newest snapshot; what of it still holds is used once the list of workers has come."""
+    """Reads the newest snapshot and arranges for its use with the first endpoint list."""
     found = folder.read()
     if not found:
         return
-    snapshot, reason = decode_section(SECTION, found.sections, ForwarderSnapshot)
+    snapshot, reason = decode_section(SNAPSHOT_SECTION, found.sections, ForwarderSnapshot)
     if reason:
         forwarder.log.warning("snapshot_rejected", reason=reason)
     if snapshot is None:
@@ -69,6 +71,7 @@
     written_at = found.written_at
 
     def restore_snapshot() -> None:
+        """Restores the snapshot, now that the workers are known."""
         age_s = snapshot_age(written_at, time.time())
         restored = restore(
             earlier,
--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -1,38 +1,41 @@
-"""The clients' side: aiohttp's server, one handler for every request, and the way out into a tunnel."""
+"""Accepts the clients' connections with aiohttp's server, and detaches those that become tunnels."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
+from dataclasses import dataclass
 from typing import Any, cast
 
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
 from ..protocol.fault_log import RateLimitedFaultLog
-from .resource_limits import HEADER_TIMEOUT_S, ConnectionSlots, ResourceLimits
+from .connection_slots import ConnectionSlots
+from .errors import ClientGoneError
+from .resource_limits import HEADER_TIMEOUT_S, ResourceLimits
 from .tunnel_ends import ClientEnd, HandshakeReply
 
-SWEEP_INTERVAL_S = 0.5  # s between looks at who has not sent a head yet
-STOP_TIMEOUT_S = 5.0  # s that plain requests under way have at the stop
-SHUTDOWN_MARGIN_S = 1.0  # s more that aiohttp has to end them
-LINGERING_TIME_S = 0.5  # s that the rest of a body that nobody wants is read
-MAX_PENDING_CONNECTIONS = 1024  # connections that the system keeps until they are accepted
+SWEEP_INTERVAL_S = 0.5  # between two searches for connections without a request head
+STOP_TIMEOUT_S = 5.0  # for plain requests in flight at the stop
+SHUTDOWN_MARGIN_S = 1.0  # more for aiohttp to end them
+LINGERING_TIME_S = 0.5  # for reading the rest of a body that is not needed
+MAX_PENDING_CONNECTIONS = 1024  # that the operating system keeps until they are accepted
 CONNECTION_LIMIT_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
 
 
 class LimitedRequestHandler(RequestHandler):
-    """aiohttp's handler of one connection, counted from accept to end, and closed if no head comes."""
+    """aiohttp's protocol for one connection, which also occupies one of the listener's slots."""
 
-    __slots__ = ("listener", "client", "accepted_at", "has_slot")
+    __slots__ = ("accepted_at", "client_address", "has_slot", "listener")
 
     def __init__(self, listener: ClientListener, manager: web.Server, **kwargs: Any) -> None:
         super().__init__(manager, **kwargs)
         self.listener = listener
-        self.client = ""
+        self.client_address = ""
         self.accepted_at = 0.0
         self.has_slot = False
 
@@ -40,7 +43,7 @@
         """Called by asyncio."""
         super().connection_made(transport)
         peer = transport.get_extra_info("peername")
-        self.client = str(peer[0]) if peer else "?"
+        self.client_address = str(peer[0]) if peer else "?"
         self.accepted_at = asyncio.get_running_loop().time()
         self.listener.connection_opened(self)
 
@@ -50,8 +53,21 @@
         super().connection_lost(exc)
 
 
+@dataclass(frozen=True, slots=True)
+class DetachedClient:
+    """A client's connection that aiohttp no longer serves.
+
+    `buffered` holds the bytes received after the request head.  The owner of the tunnel releases the slot of
+    `address` when the tunnel ends.
+    """
+
+    end: ClientEnd
+    buffered: bytes
+    address: str
+
+
 class ClientListener:
-    """Owns the listener and counts its connections; a tunnel takes its connection's place over."""
+    """Owns the listening socket and the slots of the connections that it has accepted."""
 
     def __init__(
         self, limits: ResourceLimits, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -61,13 +77,13 @@
         self.slots = ConnectionSlots(limits.connections, limits.connections_per_client)
         self.faults = RateLimitedFaultLog("client_fault")
         self._awaiting_head: dict[LimitedRequestHandler, None] = {}
-        self._overdue: list[LimitedRequestHandler] = []  # had sent no head by the last sweep
+        self._overdue: list[LimitedRequestHandler] = []  # without a request head at the last sweep
         self._server = web.Server(self._answer, handler_cancellation=True)
         self._listener: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """Accepts connections; the port."""
+        """Begins to accept connections; returns the port."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             self._connection_handler, host, port, backlog=MAX_PENDING_CONNECTIONS
@@ -76,7 +92,6 @@
         return int(self._listener.sockets[0].getsockname()[1])
 
     def _connection_handler(self) -> LimitedRequestHandler:
-        """For each connection that is accepted."""
         return LimitedRequestHandler(
             self,
             self._server,
@@ -90,31 +105,35 @@
         )
 
     def connection_opened(self, handler: LimitedRequestHandler) -> None:
-        """Takes a slot, or tells the client to come again."""
-        if self.slots.acquire(handler.client):
+        """Takes a slot for a connection, or answers 503 and closes it."""
+        if self.slots.acquire(handler.client_address):
             handler.has_slot = True
             self._awaiting_head[handler] = None
             return
-        self.faults.report("too many connections", client=handler.client)
+        self.faults.report("too many connections", client=handler.client_address)
         if handler.transport is not None:
             handler.transport.write(CONNECTION_LIMIT_RESPONSE)
         handler.force_close()
 
     def connection_closed(self, handler: LimitedRequestHandler) -> None:
-        """Gives its slot back."""
+        """Releases the slot of a connection."""
         self._awaiting_head.pop(handler, None)
         if handler.has_slot:
             handler.has_slot = False
-            self.slots.release(handler.client)
+            self.slots.release(handler.client_address)
 
     def _close_overdue(self) -> None:
-        """Ends connections that have not sent a head in time."""
+        """Closes the connections that have sent no request head in time.
+
+        A connection is closed one sweep after it was found overdue: the loop may have been late itself, and
+        reads in between whatever had arrived by then.
+        """
         loop = asyncio.get_running_loop()
         now = loop.time()
-        for handler in self._overdue:  # late at the last sweep already: what had come by then has been read
+        for handler in self._overdue:
             if handler in self._awaiting_head:
                 del self._awaiting_head[handler]
-                self.faults.report("no request in time", client=handler.client)
+                self.faults.report("no request in time", client=handler.client_address)
                 handler.force_close()
         self._overdue = [
             handler for handler in self._awaiting_head if now - handler.accepted_at >= HEADER_TIMEOUT_S
@@ -126,30 +145,30 @@
         self._awaiting_head.pop(cast(LimitedRequestHandler, request.protocol), None)
         return await self._handle(request)
 
-    def detach(self, request: web.BaseRequest) -> tuple[ClientEnd, bytes, str]:
-        """The client's connection leaves aiohttp: its transport speaks to an end of a tunnel from now on.
+    def detach(self, request: web.BaseRequest) -> DetachedClient:
+        """Takes a client's connection away from aiohttp, to become an end of a tunnel.
 
-        Gives that end, what had come already, and the client whose slot the tunnel gives back."""
+        Raises ClientGoneError if the client has closed the connection.
+        """
         handler = cast(LimitedRequestHandler, request.protocol)
         transport = request.transport
         if transport is None or transport.is_closing():
-            raise ConnectionResetError("the client has gone")
+            raise ClientGoneError
         collector = _ByteCollector()
-        handler.set_parser(cast(Any, collector))  # gives what came behind the head
+        handler.set_parser(cast(Any, collector))  # passes on the bytes received after the head
         end = ClientEnd()
         handler.has_slot = False
         transport.set_protocol(end)
         end.connection_made(transport)
-        handler.transport = None  # no longer aiohttp's to close
-        handler.connection_lost(None)  # it gives back what it keeps of the connection
-        return end, bytes(collector.data), handler.client
+        handler.transport = None  # so that aiohttp does not close it
+        handler.connection_lost(None)  # lets aiohttp release whatever it keeps for the connection
+        return DetachedClient(end, bytes(collector.data), handler.client_address)
 
     async def close(self) -> None:
-        """Ends what is left, with a bounded wait for plain requests under way."""
+        """Closes every connection, after a bounded wait for the plain requests in flight."""
         if self._timer is not None:
             self._timer.cancel()
-        if self._listener is not None:
-            self._listener.close()
+        self.stop_listening()
         with suppress(TimeoutError):
             await asyncio.wait_for(self._server.shutdown(STOP_TIMEOUT_S), STOP_TIMEOUT_S + SHUTDOWN_MARGIN_S)
 
@@ -160,7 +179,7 @@
 
 
 class _ByteCollector:
-    """A parser for aiohttp that keeps the bytes."""
+    """A parser for aiohttp that only collects the bytes."""
 
     def __init__(self) -> None:
         self.data = bytearray()
@@ -175,15 +194,15 @@
 
 
 def switching_protocols_head(reply: HandshakeReply) -> bytes:
-    """A worker's 101 as it came."""
+    """The head of a worker's status 101, for the client."""
     lines = [b"HTTP/1.1 101 " + (reply.reason or b"Switching Protocols")]
     lines += [name + b": " + value for name, value in reply.headers]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 class UpgradedResponse(web.StreamResponse):
-    """Nothing more to answer: the connection is a tunnel's by now, or has ended."""
+    """Tells aiohttp that there is no response to send: the connection belongs to a tunnel or has ended."""
 
-    async def prepare(self, request: web.BaseRequest) -> None:
+    async def prepare(self, request: web.BaseRequest) -> None:  # noqa: ARG002 - aiohttp's signature
         """Called by aiohttp."""
         raise ConnectionResetError("handed over")
--- a/cottonladder/forwarder/config_parts.py
+++ b/cottonladder/forwarder/config_parts.py
@@ -1,18 +1,18 @@
-"""Reads the parts of a CONFIG, the message by which managers order tables, exclusions and admission."""
+"""Reads the parts of a CONFIG, the message with which managers order tables, exclusions and admission."""
 
 from __future__ import annotations
 
 from ..config.errors import InputError
 from ..protocol.message_fields import MessageFields, parse_number
 from .retries import RetryPolicy
-from .router import ConfigPart
+from .routing_orders import AdmissionOrder, ConfigPart
 
-MAX_WEIGHTS = 65_536  # weights of one part: far over any fleet, and bounded by the message's megabyte
+MAX_WEIGHTS = 65_536  # of one part: more than any fleet has workers
 
 
-def read_part(words: list[bytes]) -> tuple[ConfigPart, bool]:
-    """One CONFIG, and whether a further part of the same message comes next.  Raises InputError."""
-    fields = MessageFields("CONFIG", words)
+def read_part(arguments: list[bytes]) -> tuple[ConfigPart, bool]:
+    """Reads one part; also returns whether another part of the message follows.  Raises InputError."""
+    fields = MessageFields("CONFIG", arguments)
     weights = _weights(fields)
     admission = _admission(fields)
     part = ConfigPart(
@@ -28,7 +28,7 @@
 
 
 def _names(fields: MessageFields, field: bytes, separator: str) -> tuple[str, ...]:
-    """A field's names; none where the field is left out."""
+    """The names in a field; none if the field is missing."""
     try:
         text = fields.values.get(field, b"").decode()
     except UnicodeDecodeError:
@@ -48,8 +48,7 @@
     return tuple(weights)
 
 
-def _admission(fields: MessageFields) -> tuple[float, int] | None:
-    """The admission and the retry policy, which come together."""
+def _admission(fields: MessageFields) -> AdmissionOrder | None:
     if (b"gate" in fields.values) != (b"again" in fields.values):
         raise InputError("CONFIG: fields gate and again come together")
     if b"gate" not in fields.values:
@@ -57,4 +56,4 @@
     retry_policy = fields.count("again")
     if retry_policy > max(RetryPolicy):
         raise InputError("CONFIG: field again is not 0 to 3")
-    return fields.number("gate"), retry_policy
+    return AdmissionOrder(fields.number("gate"), RetryPolicy(retry_policy))
--- a/cottonladder/forwarder/connection_drainer.py
+++ b/cottonladder/forwarder/connection_drainer.py
@@ -1,30 +1,26 @@
-"""When a forwarder moves the connections that it holds at a worker that leaves.
+"""Decides when a forwarder migrates or closes its connections at a worker that is leaving.
 
-Pure: no clock, no I/O.  A manager that speaks of migrations paces the drain over all its forwarders; one that
-says nothing in time, or whose stream is lost, is not waited for: the forwarder then spreads its own
-connections over what is left of the grace, since each side must keep the drain alone.
+Pure: no clock, no I/O.  A manager that speaks the extension paces the drain across all its forwarders.  If no
+order arrives in time, or the manager's stream is lost, the forwarder does not wait: it spreads its own
+connections over the rest of the grace period, as every connection has to leave by its end.
 """
 
 from __future__ import annotations
 
 import math
-from collections import deque
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum
 
-TICK_INTERVAL_S = 0.1  # s between looks
-ORDER_WAIT_FRACTION = 0.2  # part of the grace that a manager has for its first order, or the next one
-FINAL_PHASE_FRACTION = 0.1  # part of the grace at its end: whatever is idle goes, whoever paces
-CUT_PHASE_FRACTION = 0.05  # part of the grace at its end in which what was closed may still end by itself
-# s that an order waits for busy connections to fall idle before it is answered: less than the slices after
-# which the manager counts an order as lost
-ORDER_TIMEOUT_S = 1.8
-NO_ORDER = -1  # a move that no manager has ordered
+from .drain_orders import NO_ORDER, TICK_INTERVAL_S, DrainOrder, DrainOrderResult, MigrationOrder
+
+ORDER_WAIT_FRACTION = 0.2  # of the grace period, for a manager to send its first or its next order
+FINAL_PHASE_FRACTION = 0.1  # of the grace period, at its end: every idle connection leaves, ordered or not
+CUT_PHASE_FRACTION = 0.05  # of the grace period, at its end: every connection is closed
 
 
 class DrainState(Enum):
-    """Who paces a drain; the values are those of the status."""
+    """Who paces a drain; the values are those of the status that operators read."""
 
     NOT_DRAINING = "calm"
     AWAITING_ORDERS = "waits"
@@ -34,7 +30,7 @@
 
 
 class DrainEvent(Enum):
-    """What changes a drain's state."""
+    """An event that changes the state of a drain."""
 
     EXCLUDED = "excluded"
     ORDERED = "ordered"
@@ -43,7 +39,7 @@
     READMITTED = "readmitted"
 
 
-# (state, event) -> next state; what is not here changes nothing
+# The next state by state and event; any other event leaves the state as it is.
 TRANSITIONS: dict[tuple[DrainState, DrainEvent], DrainState] = {
     (DrainState.NOT_DRAINING, DrainEvent.EXCLUDED): DrainState.AWAITING_ORDERS,
     (DrainState.NOT_DRAINING, DrainEvent.ORDERED): DrainState.ORDERED,
@@ -61,34 +57,6 @@
 }
 
 
-@dataclass(slots=True)
-class DrainOrder:
-    """A manager's order as it is carried out; `targets`: a worker for each connection, None: close it."""
-
-    number: int
-    targets: deque[str | None]
-    count: int
-    received_at: float
-    within: float  # s over which the connections are to be spread
-    started: int = 0
-    settled: int = 0
-    failed: int = 0
-
-    def due(self, now: float) -> int:
-        """How many of its connections should have begun by now: evenly over its span."""
-        elapsed_part = 1.0
-        if self.within > 0:
-            elapsed_part = min(1.0, (now - self.received_at + TICK_INTERVAL_S) / self.within)
-        return max(0, math.ceil(self.count * elapsed_part) - self.started)
-
-    def is_done(self, now: float) -> bool:
-        """Every connection has settled, or the busy ones have been waited for long enough."""
-        if self.settled >= self.count:
-            return True
-        has_waited = now - self.received_at > max(ORDER_TIMEOUT_S, self.within)
-        return has_waited and self.settled >= self.started
-
-
 @dataclass(slots=True)
 class Drain:
     """The drain of one worker."""
@@ -101,8 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartMove:
-    """Begin to move one idle connection of a worker: to a named worker, to whichever the table selects
-    (`target` None and not `close`), or close it."""
+    """One idle connection of a worker is to leave.
+
+    `target` is the worker to migrate to.  Without a target the connection is closed if `close` is set, and
+    otherwise migrates to whichever worker the routing table selects.
+    """
 
     worker_id: str
     target: str | None
@@ -112,23 +83,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CutConnections:
-    """The grace is over: whatever is still open at the worker ends now."""
+    """The grace period is over: every connection at the worker is to be closed."""
 
     worker_id: str
 
 
-@dataclass(frozen=True, slots=True)
-class DrainOrderResult:
-    """An order is carried out as far as it goes."""
-
-    number: int
-    succeeded: int
-    failed: int
-
-
 @dataclass(frozen=True, slots=True)
 class DrainStateChange:
-    """A change that the log tells of."""
+    """A change of a drain's state, for the log."""
 
     worker_id: str
     old_state: DrainState
@@ -137,13 +99,16 @@
 
 
 class ConnectionDrainer:
-    """The drains of one forwarder, by worker."""
+    """The drains of one forwarder by worker.
+
+    The owner takes and clears `results`, which go to the manager, and `state_changes`, which go to the log.
+    """
 
-    def __init__(self, grace: float) -> None:
-        self.grace = grace
+    def __init__(self, grace_s: float) -> None:
+        self.grace_s = grace_s
         self._drains: dict[str, Drain] = {}
-        self.results: list[DrainOrderResult] = []  # to be told to the manager
-        self.state_changes: list[DrainStateChange] = []  # to be logged
+        self.results: list[DrainOrderResult] = []
+        self.state_changes: list[DrainStateChange] = []
 
     def _step(self, worker_id: str, event: DrainEvent) -> Drain:
         drain = self._drains.setdefault(worker_id, Drain())
@@ -153,77 +118,69 @@
             drain.state = state
         return drain
 
-    # what others ask
+    # State as others read it.
 
     def workers(self) -> set[str]:
-        """The workers that are drained."""
+        """The workers that are draining."""
         return set(self._drains)
 
     def has_orders(self, worker_id: str) -> bool:
-        """A manager's order may come before its exclusion: it stands until it is carried out."""
+        """Whether a manager's order is under way; it may arrive before the exclusion of its worker."""
         return bool(worker_id in self._drains and self._drains[worker_id].orders)
 
     def state(self, worker_id: str) -> DrainState:
         """The state of a worker's drain."""
         return self._drains[worker_id].state if worker_id in self._drains else DrainState.NOT_DRAINING
 
-    def time_left(self, now: float, worker_id: str) -> float:
-        """Seconds of grace that remain."""
+    def time_left_s(self, now: float, worker_id: str) -> float:
+        """The rest of the grace period in seconds; infinite for a worker that does not drain."""
         if worker_id not in self._drains:
             return math.inf
         return max(0.0, self._drains[worker_id].ends_at - now)
 
-    # what happens
+    # Events.
 
     def start(self, now: float, worker_id: str) -> None:
-        """It drains or is gone: by a manager's exclusion or by the list, whichever comes first."""
+        """Begins the grace period of a worker that is excluded or that the endpoint list has as leaving."""
         if self.state(worker_id) is DrainState.NOT_DRAINING:
             drain = self._step(worker_id, DrainEvent.EXCLUDED)
-            drain.ends_at = now + self.grace
+            drain.ends_at = now + self.grace_s
             drain.last_order_at = now
 
     def cancel(self, worker_id: str) -> None:
-        """It stays after all.  What has begun goes on; what has not is off."""
+        """Ends the drain of a worker that stays; migrations that have started go on."""
         if worker_id in self._drains:
             drain = self._step(worker_id, DrainEvent.READMITTED)
             self._cancel_orders(drain)
             del self._drains[worker_id]
 
     def _cancel_orders(self, drain: Drain) -> None:
-        for order in drain.orders:
-            self._report(order)
+        self.results += [order.result for order in drain.orders]
         drain.orders.clear()
 
-    def _report(self, order: DrainOrder) -> None:
-        succeeded = order.settled - order.failed
-        self.results.append(DrainOrderResult(order.number, succeeded, order.failed))
-
-    def add_order(
-        self,
-        now: float,
-        worker_id: str,
-        number: int,
-        targets: Mapping[str, int],
-        count: int,
-        within: float,
-        left: float,
-    ) -> None:
-        """A manager's slice.  The end of the grace only ever comes nearer: a manager that knows less can't
-        put off what an earlier one began."""
+    def add_order(self, now: float, worker_id: str, order: MigrationOrder) -> None:
+        """Accepts a manager's order.
+
+        An order can bring the end of the grace period forward but not put it off, as a manager that joined
+        later may not know when the drain began.
+        """
         drain = self._step(worker_id, DrainEvent.ORDERED)
-        drain.ends_at = min(drain.ends_at, now + left)
+        drain.ends_at = min(drain.ends_at, now + order.time_left_s)
         drain.last_order_at = now
-        drain.orders.append(DrainOrder(number, _in_turn(targets, count), count, now, within))
+        drain.orders.append(DrainOrder.from_manager(order, now))
 
     def orders_stopped(self, now: float, worker_id: str) -> None:
-        """The manager takes its orders back.  An exclusion that stands is not touched by it, but most likely
-        on its way back too: waited for as for a first order."""
+        """Cancels a worker's orders at the manager's request.
+
+        The worker's exclusion stays in force until the manager lifts it, which it probably does next: the
+        drain waits for that as it waits for a first order.
+        """
         if worker_id in self._drains:
             self._cancel_orders(self._drains[worker_id])
             self._drains[worker_id].last_order_at = now
 
     def stream_lost(self) -> None:
-        """Orders of a stream that ended are off, as whoever comes next knows nothing of them."""
+        """Drops the orders and results of a stream that has ended: the next manager does not know them."""
         for worker_id, drain in self._drains.items():
             drain.orders.clear()
             if drain.state is DrainState.ORDERED:
@@ -231,7 +188,7 @@
         self.results.clear()
 
     def connection_settled(self, worker_id: str, number: int, succeeded: bool) -> None:
-        """A connection that an order began has moved or ended, or stayed where it was."""
+        """Counts a connection of an order that has left the worker, or has failed to."""
         drain = self._drains.get(worker_id)
         for order in drain.orders if drain else ():
             if order.number == number:
@@ -239,53 +196,52 @@
                 order.failed += not succeeded
 
     def forget_finished(self, workers_with_connections: set[str], excluded: set[str]) -> None:
-        """Workers without connections that are not excluded are drained no more."""
+        """Ends the drains of workers that have no connection and are not excluded."""
         for worker_id in set(self._drains) - workers_with_connections - excluded:
             del self._drains[worker_id]
 
-    # what is due
+    # Actions that are due.
 
     def due_actions(
-        self, now: float, idle: Mapping[str, int], held_connections: Mapping[str, int]
+        self, now: float, idle: Mapping[str, int], connections: Mapping[str, int]
     ) -> list[StartMove | CutConnections]:
-        """What to begin now.
+        """The actions to carry out now.
 
-        `idle`: connections by worker that may be moved at once; `held_connections`: all there that are not
-        under way already.
+        `idle` has the number of connections by worker that may leave at once, and `connections` the number of
+        all at that worker.
         """
         actions: list[StartMove | CutConnections] = []
         for worker_id, drain in self._drains.items():
-            held = held_connections.get(worker_id, 0)
-            if drain.orders or held:  # else nothing to do: no change of state to tell of
-                actions += self._due_of(now, worker_id, drain, idle.get(worker_id, 0), held)
+            count = connections.get(worker_id, 0)
+            if drain.orders or count:  # a drain with nothing left to do changes no state
+                actions += self._due_at_worker(now, worker_id, drain, idle.get(worker_id, 0), count)
         return actions
 
-    def _due_of(
-        self, now: float, worker_id: str, drain: Drain, idle: int, held: int
+    def _due_at_worker(
+        self, now: float, worker_id: str, drain: Drain, idle: int, count: int
     ) -> list[StartMove | CutConnections]:
-        """What is due at one worker."""
         self._advance(now, worker_id, drain)
-        if now >= drain.ends_at - CUT_PHASE_FRACTION * self.grace:
+        if now >= drain.ends_at - CUT_PHASE_FRACTION * self.grace_s:
             self._cancel_orders(drain)
-            return [CutConnections(worker_id)] if held else []
+            return [CutConnections(worker_id)] if count else []
         actions: list[StartMove | CutConnections] = []
         for order in list(drain.orders):
             moves = self._due_of_order(now, worker_id, order, idle)
             idle -= len(moves)
             actions += moves
             if order.is_done(now):
-                self._report(order)
+                self.results.append(order.result)
                 drain.orders.remove(order)
-        actions += self._due_unordered(now, worker_id, drain, idle, held)
+        actions += self._due_without_order(now, worker_id, drain, idle, count)
         return actions
 
     def _advance(self, now: float, worker_id: str, drain: Drain) -> None:
-        """Changes of state that come with time alone."""
-        if now >= drain.ends_at - FINAL_PHASE_FRACTION * self.grace:
+        """Changes the state as far as the passing of time alone does."""
+        if now >= drain.ends_at - FINAL_PHASE_FRACTION * self.grace_s:
             self._step(worker_id, DrainEvent.ENDING)
             return
-        awaits = drain.state in (DrainState.AWAITING_ORDERS, DrainState.ORDERED) and not drain.orders
-        if awaits and now - drain.last_order_at > ORDER_WAIT_FRACTION * self.grace:
+        awaits_order = drain.state in (DrainState.AWAITING_ORDERS, DrainState.ORDERED) and not drain.orders
+        if awaits_order and now - drain.last_order_at > ORDER_WAIT_FRACTION * self.grace_s:
             self._step(worker_id, DrainEvent.UNHEARD)
 
     @staticmethod
@@ -297,29 +253,17 @@
         order.started += len(moves)
         return moves
 
-    def _due_unordered(
-        self, now: float, worker_id: str, drain: Drain, idle: int, held: int
+    def _due_without_order(
+        self, now: float, worker_id: str, drain: Drain, idle: int, count: int
     ) -> list[StartMove]:
-        """What goes without an order: all that is idle at the end, an even part of all before."""
+        """The moves that no manager has ordered: all idle connections at the end, an even part before it."""
         if not idle:
             return []
         if drain.state is DrainState.FINAL:
             due = idle
         elif drain.state is DrainState.SELF_PACED:
-            time_left = drain.ends_at - FINAL_PHASE_FRACTION * self.grace - now
-            due = math.ceil(held * TICK_INTERVAL_S / max(TICK_INTERVAL_S, time_left))
+            time_left_s = drain.ends_at - FINAL_PHASE_FRACTION * self.grace_s - now
+            due = math.ceil(count * TICK_INTERVAL_S / max(TICK_INTERVAL_S, time_left_s))
         else:
             return []
         return [StartMove(worker_id, None, False, NO_ORDER)] * min(idle, due)
-
-
-def _in_turn(targets: Mapping[str, int], count: int) -> deque[str | None]:
-    """A target for each connection, dealt in turn, so that no worker gets its part at one go; None: close."""
-    dealt: deque[str | None] = deque()
-    owed = dict(targets)
-    while any(owed.values()):
-        for worker_id in [worker_id for worker_id, left in owed.items() if left]:
-            dealt.append(worker_id)
-            owed[worker_id] -= 1
-    dealt.extend([None] * (count - len(dealt)))
-    return dealt
--- a/cottonladder/forwarder/connection_registry.py
+++ b/cottonladder/forwarder/connection_registry.py
@@ -1,7 +1,8 @@
-"""The upgraded connections of this forwarder by worker, and what managers are told of them.
+"""The upgraded connections of a forwarder by worker, and the reports of their numbers to managers.
 
-No I/O.  Figures are absolute by worker, so one that is told twice or overtaken harms nothing; the whole goes
-out after each joining, then what changed.
+No I/O.  Each figure is the present number at a worker, not a difference, so a report that arrives twice does
+no harm.  A forwarder sends a full report when a manager has accepted the extension, and then what has
+changed.
 """
 
 from __future__ import annotations
@@ -10,33 +11,33 @@
 from dataclasses import dataclass
 from typing import Generic, Protocol, TypeVar
 
-MAX_WORKERS_PER_MESSAGE = 2000  # some 60 KB, far under the protocol's megabyte
+MAX_WORKERS_PER_MESSAGE = 2000  # some 60 KB, well below the protocol's limit of 1 MB
 
 
-class HeldConnection(Protocol):
-    """A connection, as far as it is counted here."""
+class RegisteredConnection(Protocol):
+    """The parts of a connection that the registry reads."""
 
     @property
     def is_open(self) -> bool:
-        """It is not on its way from its worker."""
+        """Whether the connection is neither migrating nor closing."""
         ...
 
     @property
     def is_resumable(self) -> bool:
-        """Another worker can take it over."""
+        """Whether another worker can resume the connection."""
         ...
 
     def is_busy(self, now: float) -> bool:
-        """Something is under way on it that must not be cut."""
+        """Whether an end of the connection now would interrupt a request or a message."""
         ...
 
 
-T = TypeVar("T", bound=HeldConnection)
+T = TypeVar("T", bound=RegisteredConnection)
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerConnectionCounts:
-    """What a manager is told of one worker: all, busy and resumable connections."""
+    """The connections at one worker: all of them, the busy ones and the resumable ones."""
 
     open: int
     busy: int
@@ -46,53 +47,66 @@
 NO_CONNECTIONS = WorkerConnectionCounts(open=0, busy=0, resumable=0)
 
 
+@dataclass(frozen=True, slots=True)
+class ConnectionCountReport:
+    """One message's part of a report, by worker.
+
+    `starts_full_report`: the manager forgets whatever this forwarder has reported before.
+    """
+
+    starts_full_report: bool
+    counts: dict[str, WorkerConnectionCounts]
+
+
 class ConnectionRegistry(Generic[T]):
-    """Owns the count; each connection is added once and removed once."""
+    """The connections by worker; whoever adds a connection removes it exactly once."""
 
     def __init__(self) -> None:
         self._by_worker: dict[str, dict[T, None]] = {}
         self._reported: dict[str, WorkerConnectionCounts] = {}
 
     def add(self, worker_id: str, connection: T) -> None:
-        """A worker has a new connection."""
+        """Adds a connection at a worker."""
         self._by_worker.setdefault(worker_id, {})[connection] = None
 
     def remove(self, worker_id: str, connection: T) -> None:
-        """A connection has left its worker."""
+        """Removes a connection from its worker."""
         connections = self._by_worker[worker_id]
         del connections[connection]
         if not connections:
             del self._by_worker[worker_id]
 
     def move(self, source: str, worker_id: str, connection: T) -> None:
-        """A connection has gone from `source` to another worker."""
+        """Moves a connection from the worker `source` to another worker."""
         self.remove(source, connection)
         self.add(worker_id, connection)
 
     def count(self, worker_id: str) -> int:
-        """How many connections a worker has."""
+        """The number of connections at a worker."""
         return len(self._by_worker.get(worker_id, ()))
 
     def total(self) -> int:
-        """How many connections there are."""
+        """The number of connections at all workers."""
         return sum(len(connections) for connections in self._by_worker.values())
 
     def workers(self) -> set[str]:
-        """Workers with a connection."""
+        """The workers that have a connection."""
         return set(self._by_worker)
 
     def connections_of(self, worker_id: str) -> list[T]:
-        """A worker's connections, the ones added first in front."""
+        """The connections at a worker, oldest first."""
         return list(self._by_worker.get(worker_id, ()))
 
-    def idle_and_held(self, worker_id: str, now: float) -> tuple[list[T], int]:
-        """Those that may be moved now, the ones added first in front, and how many are held in all."""
-        held = [connection for connection in self.connections_of(worker_id) if connection.is_open]
-        idle = [connection for connection in held if not connection.is_busy(now)]
-        return idle, len(held)
+    def idle_connections(self, worker_id: str, now: float) -> list[T]:
+        """The connections at a worker that may be migrated or closed now, oldest first."""
+        return [
+            connection
+            for connection in self.connections_of(worker_id)
+            if connection.is_open and not connection.is_busy(now)
+        ]
 
     def counts(self, now: float) -> dict[str, WorkerConnectionCounts]:
-        """All figures by worker."""
+        """The present counts by worker."""
         return {
             worker_id: WorkerConnectionCounts(
                 open=len(connections),
@@ -103,26 +117,27 @@
         }
 
     def reset_reported(self) -> None:
-        """A new stream: its manager has been told nothing."""
+        """Forgets what has been reported, as another manager receives the reports from now on."""
         self._reported.clear()
 
-    def changes(self, now: float, is_full: bool) -> Iterator[tuple[bool, dict[str, WorkerConnectionCounts]]]:
-        """What is to be told, in pieces, as (is it the first of a full report, counts by worker).
+    def reports(self, now: float, is_full: bool) -> Iterator[ConnectionCountReport]:
+        """A full report, or what has changed since the last report, in parts of bounded size.
 
-        A worker that lost its last connection is told of with zeros.
+        A worker that has lost its last connection is reported with zeros.
         """
         counts = self.counts(now)
         changed = counts if is_full else self._changed(counts)
         self._reported = counts
         workers = list(changed)
         if is_full and not workers:
-            yield True, {}
+            yield ConnectionCountReport(True, {})
         for start in range(0, len(workers), MAX_WORKERS_PER_MESSAGE):
-            piece = workers[start : start + MAX_WORKERS_PER_MESSAGE]
-            yield is_full and start == 0, {worker_id: changed[worker_id] for worker_id in piece}
+            part = workers[start : start + MAX_WORKERS_PER_MESSAGE]
+            part_counts = {worker_id: changed[worker_id] for worker_id in part}
+            yield ConnectionCountReport(is_full and start == 0, part_counts)
 
     def _changed(self, counts: dict[str, WorkerConnectionCounts]) -> dict[str, WorkerConnectionCounts]:
-        """Counts that differ from what was reported last."""
+        """The counts that differ from those reported last."""
         emptied = {worker_id: NO_CONNECTIONS for worker_id in self._reported if worker_id not in counts}
         return {
             worker_id: count
--- a/cottonladder/forwarder/errors.py
+++ b/cottonladder/forwarder/errors.py
@@ -1,42 +1,70 @@
-"""The errors of the forwarder: one base class, subclasses that carry what was found."""
+"""The errors of the forwarder: one base class, and subclasses that carry what was found."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from .final_answers import FinalAnswer
 
-if TYPE_CHECKING:
-    from .responses import FinalAnswer
+MAX_NAME_IN_ERROR_CHARACTERS = 32  # of a name that a manager has sent
 
 
 class ForwarderError(Exception):
-    """Base class of every error that the forwarder raises itself."""
+    """Base class of every error that the forwarder itself raises."""
 
 
 class OrderRejectedError(ForwarderError, ValueError):
-    """An order that can't be carried out; the stream that brought it is reset."""
+    """An order that can't be carried out; the stream that brought it is closed."""
+
+
+class UnknownClassError(OrderRejectedError):
+    """An order for a request class that the operators' file does not name."""
+
+    def __init__(self, class_name: str) -> None:
+        super().__init__(f"CONFIG: unknown class {class_name[:MAX_NAME_IN_ERROR_CHARACTERS]!r}")
+        self.class_name = class_name
+
+
+class UnlistedWorkerError(OrderRejectedError):
+    """An order for a worker that discovery has never listed."""
+
+    def __init__(self, message_type: str, worker_id: str) -> None:
+        shown = worker_id[:MAX_NAME_IN_ERROR_CHARACTERS]
+        super().__init__(f"{message_type}: worker {shown!r} was never listed")
+        self.message_type = message_type
+        self.worker_id = worker_id
 
 
 class FrameError(ForwarderError, ValueError):
-    """Bytes that are no WebSocket frames, or frames that this side may not send."""
+    """Bytes that are not WebSocket frames, or frames that the peer may not send."""
 
 
 class BodyTooLargeError(ForwarderError):
-    """A request's body is over the limit."""
+    """A request body over the limit."""
+
+    def __init__(self, max_bytes: int) -> None:
+        super().__init__(f"body over {max_bytes} bytes")
+        self.max_bytes = max_bytes
 
 
 class RequestRejectedError(ForwarderError):
-    """A request that is answered without being sent to a worker; `answer` is what the client gets."""
+    """A request that is answered with `answer` and not sent to any worker."""
 
     def __init__(self, answer: FinalAnswer) -> None:
         super().__init__(answer.text)
         self.answer = answer
 
 
+class ClientGoneError(ForwarderError, ConnectionResetError):
+    """The client has closed its connection before it became an end of a tunnel."""
+
+    def __init__(self) -> None:
+        super().__init__("the client has gone")
+
+
 class AttemptError(ForwarderError):
-    """An attempt that brought no answer.
+    """An attempt without an answer from the worker.
 
-    `may_have_run`: there is no proof that the worker never ran the request.
-    `timed_out`: the worker had the request and did not answer in time.
+    `may_have_run`: it is not proved that the worker did not process the request.
+    `timed_out`: the worker received the request and did not answer in time.
     """
 
     def __init__(self, reason: str, may_have_run: bool, timed_out: bool = False) -> None:
@@ -51,4 +79,4 @@
 
 
 class HandshakeError(AttemptError):
-    """A worker that did not answer an upgrade's handshake."""
+    """An upgrade handshake that a worker did not answer."""
--- /dev/null
+++ b/cottonladder/forwarder/final_answers.py
@@ -0,0 +1,52 @@
+"""The answers that the forwarder gives by itself: every status and text in one place.
+
+Clients see the texts, so they stay as they are.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+OUTCOME_UNKNOWN = "outcome unknown"  # also the message of a close frame
+MAX_PLUGIN_REASON_CHARACTERS = 200  # of the reason that a plug-in gives for a rejection
+
+
+@dataclass(frozen=True, slots=True)
+class FinalAnswer:
+    """The outcome of a request.
+
+    `may_come_again` adds a Retry-After header; `is_outcome_unknown` adds the header by which a client learns
+    that the request may have run.
+    """
+
+    status: int
+    text: str
+    may_come_again: bool = False
+    is_outcome_unknown: bool = False
+
+
+NO_REQUEST_CLASS = FinalAnswer(404, "no request kind")
+STOPPING = FinalAnswer(503, "this forwarder stops", may_come_again=True)
+OVERLOADED = FinalAnswer(503, "denied: overload", may_come_again=True)
+BODY_TOO_LARGE = FinalAnswer(413, "body over its size")
+NO_MATCHING_WORKER = FinalAnswer(503, "no worker with what is needed", may_come_again=True)
+NO_WORKER = FinalAnswer(503, "no worker to pick", may_come_again=True)
+NO_WORKER_ANSWERED = FinalAnswer(503, "no worker answered", may_come_again=True)
+NO_SLOT = FinalAnswer(503, "no place at a worker", may_come_again=True)
+MAY_HAVE_RUN = FinalAnswer(502, OUTCOME_UNKNOWN, may_come_again=True, is_outcome_unknown=True)
+MAY_HAVE_RUN_TIMED_OUT = FinalAnswer(504, OUTCOME_UNKNOWN, may_come_again=True, is_outcome_unknown=True)
+UPGRADE_WITH_BODY = FinalAnswer(400, "an upgrade with a body")
+UPGRADE_NOT_GET = FinalAnswer(400, "a bad upgrade: GET of HTTP/1.1 expected")
+UPGRADE_WITHOUT_KEY = FinalAnswer(400, "a bad upgrade: no Sec-WebSocket-Key")
+
+
+def rejected_by_plugin(reason: str) -> FinalAnswer:
+    """The answer to a request that a plug-in has rejected."""
+    return FinalAnswer(403, f"denied: {reason[:MAX_PLUGIN_REASON_CHARACTERS]}")
+
+
+def failure_answer(may_have_run: bool, timed_out: bool = False) -> FinalAnswer:
+    """The answer to a request that no worker answered; it tells whether the request may have run."""
+    if not may_have_run:
+        return NO_WORKER_ANSWERED
+    return MAY_HAVE_RUN_TIMED_OUT if timed_out else MAY_HAVE_RUN
--- a/cottonladder/forwarder/fleet.py
+++ b/cottonladder/forwarder/fleet.py
@@ -1,4 +1,4 @@
-"""What the handlers of requests share: the fleet as this forwarder knows it, and the record of attempts."""
+"""What the handlers of plain requests, upgrades and plug-ins share: the fleet as the forwarder knows it."""
 
 from __future__ import annotations
 
@@ -6,13 +6,18 @@
 import random
 from collections.abc import Callable
 
+from .admission_pacer import AdmissionPacer
 from .load_recorder import LoadRecorder
-from .resource_limits import AdmissionPacer, ResourceLimits
+from .resource_limits import ResourceLimits
+from .retries import RetryPolicy
 from .router import Router
 
 
 class Fleet:
-    """The workers, as far as requests need to know of them."""
+    """The routing state, the limits, the workers' addresses, and the record of attempts.
+
+    `address_of` gives a worker's host:port, or None for an unknown worker; `now` is the loop's clock.
+    """
 
     def __init__(
         self,
@@ -29,14 +34,14 @@
         self.address_of = address_of
         self.recorder = recorder
         self.rng = rng
-        self.now = asyncio.get_running_loop().time
+        self.now: Callable[[], float] = asyncio.get_running_loop().time
 
     def record_attempt(self, worker_id: str, succeeded: bool, started_at: float) -> None:
-        """Tells the load report and the router how an attempt went."""
+        """Counts the result of an attempt in the load report and in the router."""
         now = self.now()
         self.recorder.record_attempt(worker_id, succeeded, now - started_at)
         self.router.record_result(now, worker_id, succeeded)
 
-    def retry_policy(self, request_class: str) -> int:
-        """What managers have ordered for retries of a class."""
+    def retry_policy(self, request_class: str) -> RetryPolicy:
+        """The retry policy that managers have ordered for a class."""
         return self.router.tables[request_class].retry_policy
--- a/cottonladder/forwarder/frame_scanner.py
+++ b/cottonladder/forwarder/frame_scanner.py
@@ -1,8 +1,8 @@
-"""Follows the frames of a WebSocket (RFC 6455, section 5) in bytes that pass unchanged.
+"""Follows the frames of a WebSocket connection (RFC 6455, section 5) without changing them.
 
-No I/O.  The forwarder relays bytes, not messages: it looks at frame heads only, to know where one frame ends
-and the next begins, whether something is under way, and how the connection closes.  Payloads are never
-decoded or copied but for the first bytes of a message, by which operators may tell a request from its answer.
+No I/O.  The forwarder relays bytes and not messages.  It reads only the heads of frames, to know where a
+frame ends, whether a message is incomplete, and when the connection closes.  It copies no payload but the
+first bytes of each message, by which operators distinguish requests and answers.
 """
 
 from __future__ import annotations
@@ -13,43 +13,40 @@
 
 from .errors import FrameError
 
-# Opcodes (5.2).
-CONTINUATION = 0
-TEXT = 1
-BINARY = 2
-CLOSE = 8  # the first opcode of a control frame
-PING = 9
-PONG = 10
+CONTINUATION = 0  # opcode, section 5.2
+TEXT = 1  # opcode, section 5.2
+BINARY = 2  # opcode, section 5.2
+CLOSE = 8  # opcode, section 5.2: the first one of a control frame
+PING = 9  # opcode, section 5.2
+PONG = 10  # opcode, section 5.2
 OPCODES = frozenset({CONTINUATION, TEXT, BINARY, CLOSE, PING, PONG})
 
-# Close codes (7.4, and IANA's registry).
-GOING_AWAY = 1001
-PROTOCOL_ERROR = 1002
-INTERNAL_ERROR = 1011
-SERVICE_RESTART = 1012
+GOING_AWAY = 1001  # close code, section 7.4.1
+PROTOCOL_ERROR = 1002  # close code, section 7.4.1
+INTERNAL_ERROR = 1011  # close code, section 7.4.1
+SERVICE_RESTART = 1012  # close code, in IANA's registry
 
-# Bits and values of a frame's head (5.2).
-FINAL_BIT = 0x80
-OPCODE_BITS = 0x0F
-MASK_BIT = 0x80
-LENGTH_BITS = 0x7F
-LENGTH_IN_2_BYTES = 126
-LENGTH_IN_8_BYTES = 127
-MAX_LENGTH_IN_2_BYTES = 65_535
-SHORTEST_HEAD = 2  # bytes
-MASK_BYTES = 4
+FINAL_BIT = 0x80  # in the first byte of a head, section 5.2
+OPCODE_BITS = 0x0F  # in the first byte of a head
+MASK_BIT = 0x80  # in the second byte of a head
+LENGTH_BITS = 0x7F  # in the second byte of a head
+LENGTH_IN_2_BYTES = 126  # the value of these bits when the next 2 bytes hold the length
+LENGTH_IN_8_BYTES = 127  # the value of these bits when the next 8 bytes hold the length
+MAX_LENGTH_IN_2_BYTES = 65_535  # of a payload whose length takes 2 bytes
+MIN_HEAD_BYTES = 2  # of a head without extended length and mask
+MASK_BYTES = 4  # of the mask in the head of a client's frame
 
-MAX_CONTROL_PAYLOAD = 125  # bytes of a control frame's payload (5.5)
-PEEK_BYTES = 64  # first bytes of a message that are kept to be compared
+MAX_CONTROL_PAYLOAD_BYTES = 125  # of a control frame, section 5.5
+MAX_PEEKED_BYTES = 64  # at the beginning of a message, which are kept for comparison
 
 
 @dataclass(frozen=True, slots=True)
 class ScanResult:
-    """What came of one piece of data.
+    """The result of scanning one piece of data.
 
-    `forwarded`: bytes that pass on.  `closing`: the bytes from a close frame's first on.  `message_starts`:
-    first bytes of each data message that began here and is known well enough to compare.  `messages_ended`:
-    how many data messages ended here.
+    `forwarded` holds the bytes to relay, and `closing` those from the first byte of a close frame.
+    `message_starts` holds the first bytes of each data message that has begun, once enough of them have
+    arrived.  `messages_ended` is the number of data messages that have ended.
     """
 
     forwarded: bytes
@@ -60,48 +57,52 @@
 
 @dataclass(frozen=True, slots=True)
 class FrameHead:
-    """The head of one frame; `size`: its bytes, `length`: those of the payload behind it."""
+    """The head of one frame."""
 
     opcode: int
     is_final: bool
     mask: bytes
-    size: int
-    length: int
+    head_bytes: int
+    payload_bytes: int
 
     @property
     def is_control(self) -> bool:
-        """A close, a ping or a pong: it may come amid a message."""
+        """Whether this is a close, ping or pong frame, which may come between the frames of a message."""
         return self.opcode >= CLOSE
 
 
 class FrameScanner:
-    """One direction.  Bytes of a head that is not whole are kept back, 14 at the most, so that what passed on
-    always ends in a frame whose kind is known."""
+    """Scans one direction of a connection.
+
+    An incomplete head, which has 13 bytes at most, is not relayed until it is complete.  The bytes relayed so
+    far therefore always end in a frame whose opcode is known.  `masked` tells whether the peer has to mask
+    its frames, as clients do and workers do not (section 5.1).
+    """
 
     def __init__(self, masked: bool) -> None:
-        self.masked = masked  # clients mask, workers never (5.1)
+        self.masked = masked
         self.is_closed = False  # a close frame has begun
-        self.in_message = False  # a data message has begun and not ended
+        self.in_message = False  # a data message has begun and has not ended
         self._incomplete_head = b""
-        self._payload_left = 0  # bytes of the frame under way
+        self._payload_left = 0  # bytes of the present frame that have not arrived
         self._is_final = True
         self._is_control = False
         self._mask = b""
         self._peek: bytearray | None = None
-        self._peeked_bytes = 0  # of the first frame's payload
+        self._peeked_bytes = 0  # of the payload of the message's first frame
 
     @property
     def is_between_frames(self) -> bool:
-        """Between frames: another frame may be put in here."""
+        """Whether no frame is incomplete, so that another frame may be inserted."""
         return not self._payload_left and not self._incomplete_head
 
     @property
     def is_idle(self) -> bool:
-        """Between messages: a connection may end here, or go on elsewhere."""
+        """Whether no message is incomplete, so that the connection may end or migrate."""
         return self.is_between_frames and not self.in_message
 
     def feed(self, data: bytes) -> ScanResult:
-        """Follows the next bytes.  Raises FrameError."""
+        """Scans the next bytes.  Raises FrameError."""
         if self.is_closed:
             return ScanResult(b"", data, (), 0)
         if self._incomplete_head:
@@ -120,43 +121,43 @@
                     self._begin_close(head)
                     return ScanResult(data[:offset], data[offset:], tuple(message_starts), messages_ended)
                 self._begin_frame(head)
-                offset += head.size
-            size = min(self._payload_left, len(data) - offset)
-            self._peek_payload(data, offset, size, message_starts)
-            self._payload_left -= size
-            offset += size
+                offset += head.head_bytes
+            size_bytes = min(self._payload_left, len(data) - offset)
+            self._peek_payload(data, offset, size_bytes, message_starts)
+            self._payload_left -= size_bytes
+            offset += size_bytes
             if not self._payload_left and not self._is_control and self._is_final:
                 self.in_message = False
                 messages_ended += 1
         return ScanResult(data, b"", tuple(message_starts), messages_ended)
 
     def _read_head(self, data: bytes, offset: int) -> FrameHead | None:
-        """Reads a frame's head; None while it is not whole.  What is wrong with it is found at once."""
-        available = len(data) - offset
-        if available < SHORTEST_HEAD:
+        """The head of the next frame, None if it is incomplete.  Raises FrameError as early as possible."""
+        available_bytes = len(data) - offset
+        if available_bytes < MIN_HEAD_BYTES:
             return None
         first = data[offset]
         second = data[offset + 1]
         opcode = first & OPCODE_BITS
         is_final = bool(first & FINAL_BIT)
         is_masked = bool(second & MASK_BIT)
-        length = second & LENGTH_BITS
-        self._check_head(opcode, is_final, is_masked, length)
-        length_bytes = _extended_length_bytes(length)
-        size = SHORTEST_HEAD + length_bytes + (MASK_BYTES if is_masked else 0)
-        if available < size:
+        payload_bytes = second & LENGTH_BITS
+        self._check_head(opcode, is_final, is_masked, payload_bytes)
+        length_bytes = _extended_length_bytes(payload_bytes)
+        head_bytes = MIN_HEAD_BYTES + length_bytes + (MASK_BYTES if is_masked else 0)
+        if available_bytes < head_bytes:
             return None
         if length_bytes:
-            length = _extended_length(data, offset + SHORTEST_HEAD, length_bytes)
-        mask = data[offset + size - MASK_BYTES : offset + size] if is_masked else b""
-        return FrameHead(opcode, is_final, mask, size, length)
+            payload_bytes = _extended_length(data, offset + MIN_HEAD_BYTES, length_bytes)
+        mask = data[offset + head_bytes - MASK_BYTES : offset + head_bytes] if is_masked else b""
+        return FrameHead(opcode, is_final, mask, head_bytes, payload_bytes)
 
-    def _check_head(self, opcode: int, is_final: bool, is_masked: bool, length: int) -> None:
+    def _check_head(self, opcode: int, is_final: bool, is_masked: bool, payload_bytes: int) -> None:
         if is_masked != self.masked:
             raise FrameError("a frame without a mask" if self.masked else "a masked frame of a worker")
         if opcode not in OPCODES:
             raise FrameError(f"a frame of kind {opcode}")
-        if opcode >= CLOSE and (not is_final or length > MAX_CONTROL_PAYLOAD):
+        if opcode >= CLOSE and (not is_final or payload_bytes > MAX_CONTROL_PAYLOAD_BYTES):
             raise FrameError("a control frame in pieces or over its size")
         if opcode in (TEXT, BINARY) and self.in_message:
             raise FrameError("a message within a message")
@@ -164,7 +165,7 @@
             raise FrameError("a continuation of nothing")
 
     def _begin_frame(self, head: FrameHead) -> None:
-        self._payload_left = head.length
+        self._payload_left = head.payload_bytes
         self._is_control = head.is_control
         self._is_final = head.is_final
         self._mask = head.mask
@@ -174,28 +175,28 @@
             self._peeked_bytes = 0
 
     def _begin_close(self, head: FrameHead) -> None:
-        """Nothing behind a close frame is followed."""
+        """Stops scanning, as a peer sends nothing after a close frame."""
         self._begin_frame(head)
         self.is_closed = True
         self._payload_left = 0
 
-    def _peek_payload(self, data: bytes, offset: int, size: int, message_starts: list[bytes]) -> None:
-        """Keeps a data message's first bytes, from its first frame alone."""
+    def _peek_payload(self, data: bytes, offset: int, size_bytes: int, message_starts: list[bytes]) -> None:
+        """Collects the first bytes of a data message from its first frame."""
         if self._peek is None or self._is_control:
             return
-        wanted = min(PEEK_BYTES - len(self._peek), size)
-        piece = data[offset : offset + wanted]
+        wanted_bytes = min(MAX_PEEKED_BYTES - len(self._peek), size_bytes)
+        piece = data[offset : offset + wanted_bytes]
         if self._mask:
-            piece = _masked(piece, self._mask, self._peeked_bytes)
+            piece = _apply_mask(piece, self._mask, self._peeked_bytes)
         self._peek += piece
-        self._peeked_bytes += wanted
-        if len(self._peek) >= PEEK_BYTES or size == self._payload_left:
+        self._peeked_bytes += wanted_bytes
+        if len(self._peek) >= MAX_PEEKED_BYTES or size_bytes == self._payload_left:
             message_starts.append(bytes(self._peek))
             self._peek = None
 
 
 def _extended_length_bytes(length: int) -> int:
-    """How many bytes behind the first two tell the length of the payload."""
+    """How many bytes after the first two hold the length of the payload."""
     if length == LENGTH_IN_8_BYTES:
         return 8
     if length == LENGTH_IN_2_BYTES:
@@ -210,13 +211,13 @@
     return length
 
 
-def _masked(piece: bytes, mask: bytes, start: int) -> bytes:
-    """Masks or unmasks bytes; `start`: where in the payload they begin."""
+def _apply_mask(piece: bytes, mask: bytes, start: int) -> bytes:
+    """Masks or unmasks bytes that begin at the offset `start` of the payload."""
     return bytes(byte ^ mask[(start + index) & 3] for index, byte in enumerate(piece))
 
 
 def encode_frame(opcode: int, payload: bytes, masked: bool) -> bytes:
-    """One whole frame; a client's is masked by fresh chance, as the standard asks (5.3)."""
+    """One complete frame; a client's frame has a random mask (section 5.3)."""
     size = len(payload)
     head = bytes([FINAL_BIT | opcode])
     flag = MASK_BIT if masked else 0
@@ -229,10 +230,10 @@
     if not masked:
         return head + payload
     mask = os.urandom(MASK_BYTES)
-    return head + mask + _masked(payload, mask, 0)
+    return head + mask + _apply_mask(payload, mask, 0)
 
 
 def encode_close_frame(code: int, reason: str, masked: bool) -> bytes:
-    """A close frame; a reason that is too long is cut."""
-    payload = struct.pack("!H", code) + reason.encode()[: MAX_CONTROL_PAYLOAD - 2]
+    """A close frame; a reason that is too long is truncated."""
+    payload = struct.pack("!H", code) + reason.encode()[: MAX_CONTROL_PAYLOAD_BYTES - 2]
     return encode_frame(CLOSE, payload, masked)
--- a/cottonladder/forwarder/load_recorder.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -1,4 +1,4 @@
-"""Attempts at workers and arrivals by class, summed between two reports to managers."""
+"""Counts the attempts at each worker and the arrivals of each class between two reports to managers."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from ..protocol import resp
 
-REPORT_INTERVAL_S = 1.0  # s between reports: managers solve each 2 s
-MIN_INTERVAL_MS = 1.0  # ms that a report covers at the least
+REPORT_INTERVAL_S = 1.0  # between two reports, shorter than the managers' interval between solutions
+MIN_INTERVAL_MS = 1.0  # that a report states as its own length
 
 
 @dataclass(slots=True)
 class WorkerCounts:
-    """Attempts at one worker; `duration_s`: total of those that succeeded."""
+    """The attempts at one worker; `duration_s` is the total duration of those that succeeded."""
 
     attempts: int = 0
     failures: int = 0
@@ -20,13 +20,13 @@
 
     @property
     def mean_duration_ms(self) -> float:
-        """Of the attempts that succeeded."""
+        """The mean duration of the attempts that succeeded."""
         return self.duration_s * 1000.0 / max(1, self.attempts - self.failures)
 
 
 @dataclass(slots=True)
 class ClassCounts:
-    """Requests of one class; `failures`: admitted, and could not be served."""
+    """The requests of one class; `failures` counts those that were admitted but not served."""
 
     arrivals: int = 0
     failures: int = 0
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReports:
-    """Encoded messages: `loads` (LOAD) for the zone's collector, `rates` (RATE) for the manager."""
+    """Encoded messages: `loads` (LOAD) go to the zone's collector, `rates` (RATE) to the manager."""
 
     loads: list[bytes]
     rates: list[bytes]
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class LoadRecorder:
-    """Counts since the last report, which was at `started_at`."""
+    """The counts since the last report, which was made at `started_at`."""
 
     zone: str
     node: int
@@ -51,7 +51,7 @@
     _by_class: dict[str, ClassCounts] = field(default_factory=dict)
 
     def record_attempt(self, worker_id: str, succeeded: bool, duration_s: float) -> None:
-        """An attempt has ended."""
+        """Counts an attempt that has ended."""
         counts = self._by_worker.setdefault(worker_id, WorkerCounts())
         counts.attempts += 1
         if succeeded:
@@ -60,30 +60,30 @@
             counts.failures += 1
 
     def record_arrival(self, request_class: str) -> None:
-        """A request has come."""
+        """Counts a request that has arrived."""
         self._by_class.setdefault(request_class, ClassCounts()).arrivals += 1
 
     def record_failure(self, request_class: str) -> None:
-        """A request was admitted and could not be served."""
+        """Counts a request that was admitted but not served."""
         self._by_class.setdefault(request_class, ClassCounts()).failures += 1
 
     def report(self, now: float) -> LoadReports:
-        """Messages on what was counted; the counts start anew."""
+        """Returns the messages for what was counted, and resets the counts."""
         interval_ms = max(MIN_INTERVAL_MS, (now - self.started_at) * 1000.0)
-        loads = [self._load(worker, counts, interval_ms) for worker, counts in self._by_worker.items()]
-        rates = [self._rate(name, counts, interval_ms) for name, counts in self._by_class.items()]
+        loads = [self._encode_load(worker, counts, interval_ms) for worker, counts in self._by_worker.items()]
+        rates = [self._encode_rate(name, counts, interval_ms) for name, counts in self._by_class.items()]
         self._by_worker = {}
         self._by_class = {}
         self.started_at = now
         return LoadReports(loads, rates)
 
-    def _load(self, worker_id: str, counts: WorkerCounts, interval_ms: float) -> bytes:
+    def _encode_load(self, worker_id: str, counts: WorkerCounts, interval_ms: float) -> bytes:
         text = f"LOAD locality {self.zone} endpoint {worker_id}"
         text += f" total {counts.attempts} errors {counts.failures}"
         text += f" rtt {counts.mean_duration_ms:.3f} interval {interval_ms:.1f}"
         return resp.encode(text.encode().split())
 
-    def _rate(self, request_class: str, counts: ClassCounts, interval_ms: float) -> bytes:
+    def _encode_rate(self, request_class: str, counts: ClassCounts, interval_ms: float) -> bytes:
         text = f"RATE node {self.node} route {request_class}"
         text += f" total {counts.arrivals} errors {counts.failures} interval {interval_ms:.1f}"
         return resp.encode(text.encode().split())
--- a/cottonladder/forwarder/load_reporter.py
+++ b/cottonladder/forwarder/load_reporter.py
@@ -1,19 +1,19 @@
-"""Hands on what this forwarder met at workers, as its zone's collector does; nothing is read from it."""
+"""Sends the load reports of a forwarder to its manager over a collector's connection."""
 
 from __future__ import annotations
 
 import asyncio
+from contextlib import suppress
 
 from ..config.fields import HostPort
 from ..protocol import resp
 from .manager_stream import CONNECT_TIMEOUT_S, MAX_UNREAD_BYTES
 
-MAX_DISCARDED_BYTES = 4096  # read at a time, of what nobody looks at
+MAX_DISCARDED_BYTES = 4096  # in one read; a manager has nothing to say to a collector
 
 
 class LoadReporter:
-    """Owns the collector's connection.  Only the manager that the forwarder is joined to is told: figures are
-    what a manager's own proxies met."""
+    """Owns the collector's connection to the manager that the forwarder is connected to."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
@@ -29,28 +29,30 @@
         writer.write(resp.encode([b"SOURCE", b"locality", self._zone.encode()]))
         self._writer = writer
         try:
-            while await reader.read(MAX_DISCARDED_BYTES):
-                pass
-        except OSError:
-            pass
+            with suppress(OSError):
+                while await reader.read(MAX_DISCARDED_BYTES):
+                    pass
         finally:
             self._writer = None
             writer.transport.abort()
 
     def send(self, manager: HostPort | None, data: bytes) -> None:
-        """Connects where the manager is a new one or the connection ended; meanwhile figures are left out."""
+        """Sends reports; drops them while no connection is open or the manager reads too slowly.
+
+        Connects if the manager has changed or the connection has ended.
+        """
         if self._task is not None and (self._task.done() or manager != self._manager):
             self._task.cancel()
             self._task = None
         if self._task is None and manager is not None:
             self._manager = manager
-            self._task = asyncio.create_task(self._run(manager))
+            self._task = asyncio.create_task(self._run(manager), name="load reporter")
         writer = self._writer
         if writer is not None and writer.transport.get_write_buffer_size() + len(data) <= MAX_UNREAD_BYTES:
             writer.write(data)
 
     async def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
--- a/cottonladder/forwarder/operator_settings.py
+++ b/cottonladder/forwarder/operator_settings.py
@@ -1,14 +1,15 @@
-"""What the forwarder takes from the operators' file, as its own types."""
+"""Maps the forwarder's part of the operators' file to the forwarder's own types."""
 
 from __future__ import annotations
 
 from ..config.operator_config import ForwarderConfig, LimitsConfig, RequestClassConfig
-from .request_classes import MatchRule, RequestClass
+from .request_classes import Idempotency, MatchRule, RequestClass
 from .resource_limits import ResourceLimits
+from .upgrade_policy import UpgradePolicy
 
 
 def request_classes(config: ForwarderConfig) -> list[RequestClass]:
-    """The request classes, in the order of the file."""
+    """The request classes in the order of the file."""
     return [_request_class(request_class) for request_class in config.kinds]
 
 
@@ -17,11 +18,26 @@
         MatchRule(frozenset(match.methods), match.path, tuple(match.headers.items()))
         for match in config.match
     )
-    return RequestClass(config.name, rules, config.replays, config.timeout)
+    return RequestClass(config.name, rules, Idempotency(config.replays), config.timeout)
+
+
+def upgrade_policies(config: ForwarderConfig) -> dict[str, UpgradePolicy]:
+    """The policies for upgraded connections by request class."""
+    return {request_class.name: _upgrade_policy(request_class) for request_class in config.kinds}
+
+
+def _upgrade_policy(config: RequestClassConfig) -> UpgradePolicy:
+    busy = config.busy
+    return UpgradePolicy(
+        request_prefix=None if busy.opens is None else busy.opens.encode(),
+        response_prefix=busy.ends.encode(),
+        quiet_time_s=busy.quiet,
+        ticket_header=config.ticket,
+    )
 
 
 def resource_limits(config: LimitsConfig) -> ResourceLimits:
-    """The limits in force."""
+    """The resource limits in force."""
     return ResourceLimits(
         connections=config.connections,
         connections_per_worker=config.worker,
--- /dev/null
+++ b/cottonladder/forwarder/order_handling.py
@@ -0,0 +1,126 @@
+"""Reads the messages of one manager's stream and hands the orders in them to their handler."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable, Sequence
+from typing import Protocol
+
+from ..config.errors import InputError
+from ..protocol import resp
+from ..protocol import upgrade_extension as upgrades
+from .config_parts import read_part
+from .errors import OrderRejectedError
+from .routing_orders import ConfigPart
+
+MAX_PARTS = 64  # of one message, by the protocol
+LIST_TIMEOUT_S = 2.0  # that an order for an unknown worker waits for the endpoint list
+LIST_CHECK_INTERVAL_S = 0.1  # between two checks whether the list has arrived
+MAX_NAME_IN_ERROR_BYTES = 32  # of the name of an unknown message
+IGNORED_MESSAGES = (b"PONG", b"NACK")
+
+
+class OrderHandler(Protocol):
+    """Carries out the orders of managers."""
+
+    def check(self, parts: Sequence[ConfigPart]) -> None:
+        """Raises OrderRejectedError if a part can't be carried out; changes nothing."""
+
+    def apply(self, parts: Sequence[ConfigPart]) -> list[int]:
+        """Carries out the parts of one message; returns the checkpoints to acknowledge."""
+        ...
+
+    def apply_extension(self, message: upgrades.FromManager) -> None:
+        """Carries out a message of the extension."""
+
+    def refresh_list(self) -> None:
+        """Fetches the endpoint list."""
+
+    def extension_accepted(self) -> None:
+        """Begins to report connections, as the manager has accepted the extension."""
+
+    def stream_lost(self) -> None:
+        """Cancels the orders under way, as the stream that brought them has ended."""
+
+
+class ManagerMessageReader:
+    """Handles the messages of one stream in their order.
+
+    `has_orders` and `has_table` tell whether the stream has brought orders, and a complete routing table.
+    Whatever can't be used raises InputError or OrderRejectedError, upon which the protocol asks the forwarder
+    to end the stream.
+    """
+
+    def __init__(
+        self, node: int, orders: OrderHandler, uses_extension: bool, write: Callable[[bytes], None]
+    ) -> None:
+        self.has_orders = False
+        self.has_table = False
+        self.speaks_extension = False  # the manager has accepted the extension
+        self._node = node
+        self._orders = orders
+        self._uses_extension = uses_extension
+        self._write = write
+        self._parts: list[ConfigPart] = []
+
+    async def handle(self, fields: list[bytes]) -> None:
+        """Handles one message, given as its name and fields."""
+        name = fields[0] if fields else b""
+        if name == b"CONFIG":
+            await self._handle_config(fields[1:])
+        elif name in IGNORED_MESSAGES:
+            return
+        elif self._uses_extension and name in upgrades.TO_FORWARDER:
+            self._handle_extension(fields)
+        else:
+            shown = name[:MAX_NAME_IN_ERROR_BYTES].decode("ascii", "replace") or "message"
+            raise InputError(f"{shown}: unknown kind of order")
+
+    async def _handle_config(self, fields: list[bytes]) -> None:
+        """Collects the parts of a message and carries them out together."""
+        received_at = time.monotonic()
+        part, has_more = read_part(fields)
+        self._parts.append(part)
+        if len(self._parts) > MAX_PARTS:
+            raise InputError(f"CONFIG: over {MAX_PARTS} parts")
+        if has_more:
+            return
+        parts = self._parts
+        self._parts = []
+        await self._wait_for_list(parts)
+        self._apply(parts, received_at)
+
+    async def _wait_for_list(self, parts: list[ConfigPart]) -> None:
+        """Waits for the endpoint list if an order names a worker that discovery has listed only now."""
+        if self._is_applicable(parts):
+            return
+        self._orders.refresh_list()
+        for _ in range(int(LIST_TIMEOUT_S / LIST_CHECK_INTERVAL_S)):
+            await asyncio.sleep(LIST_CHECK_INTERVAL_S)
+            if self._is_applicable(parts):
+                break
+        self._orders.check(parts)
+
+    def _is_applicable(self, parts: list[ConfigPart]) -> bool:
+        try:
+            self._orders.check(parts)
+        except OrderRejectedError:
+            return False
+        return True
+
+    def _apply(self, parts: list[ConfigPart], received_at: float) -> None:
+        for checkpoint in self._orders.apply(parts):
+            duration_ms = (time.monotonic() - received_at) * 1000.0
+            text = f"ACK node {self._node} nonce {checkpoint} latency {duration_ms:.3f}"
+            self._write(resp.encode(text.encode().split()))
+        self.has_orders = True
+        if any(part.replace for part in parts):
+            self.has_table = True
+
+    def _handle_extension(self, fields: list[bytes]) -> None:
+        message = upgrades.read_for_forwarder(fields)
+        if isinstance(message, upgrades.AnnouncementAccepted) and not self.speaks_extension:
+            self.speaks_extension = True
+            self._orders.extension_accepted()
+        self._orders.apply_extension(message)
--- a/cottonladder/forwarder/plain_requests.py
+++ b/cottonladder/forwarder/plain_requests.py
@@ -1,33 +1,42 @@
-"""Carries one plain request: worker, attempt, retry, and the answer's way back."""
+"""Forwards one plain request: selects a worker, makes an attempt, retries, and relays the answer."""
 
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass
 
 import aiohttp
 from aiohttp import web
 
 from .errors import BodyTooLargeError, WorkerError
-from .fleet import Fleet
-from .plugin_verdicts import PluginVerdicts
-from .request_body import RequestBody, read_body
-from .request_context import RequestContext
-from .resource_limits import MIN_ATTEMPT_TIMEOUT_S
-from .response_relay import ResponseRelay
-from .responses import (
+from .final_answers import (
     BODY_TOO_LARGE,
     NO_WORKER,
     NO_WORKER_ANSWERED,
     FinalAnswer,
-    ResponseBuilder,
     failure_answer,
 )
+from .fleet import Fleet
+from .plugin_verdicts import PluginVerdicts
+from .request_body import RequestBody, read_body
+from .request_context import RequestContext
+from .resource_limits import MIN_ATTEMPT_TIMEOUT_S
+from .response_relay import ResponseRelay
+from .responses import ResponseBuilder
 from .retries import FailedAttempts, should_retry
 from .worker_connections import WorkerConnections, WorkerRequest, forwarded_headers
 
 
+@dataclass(frozen=True, slots=True)
+class SelectedWorker:
+    """The worker of one attempt; `address` is its host:port."""
+
+    worker_id: str
+    address: str
+
+
 class PlainRequestForwarder:
-    """Sends requests to workers, one after the other where retries are allowed."""
+    """Sends requests to workers, one worker after the other as far as retries are allowed."""
 
     def __init__(
         self,
@@ -44,7 +53,7 @@
         self._responses = responses
 
     async def forward(self, context: RequestContext) -> web.StreamResponse:
-        """Attempts, until a worker has answered or nothing more may be attempted."""
+        """Makes attempts until a worker has answered or no retry is allowed."""
         max_bytes = self._fleet.limits.body_bytes
         length = context.request.content_length
         if length is not None and length > max_bytes:
@@ -62,37 +71,35 @@
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     async def _attempt_workers(self, context: RequestContext, body: RequestBody) -> web.StreamResponse:
-        deadline = self._fleet.now() + (context.request_class.timeout or math.inf)
+        deadline = self._fleet.now() + (context.request_class.timeout_s or math.inf)
         failed = FailedAttempts()
         while True:
-            selected = self._select_worker(context, failed)
-            if selected is None:
+            worker = self._select_worker(context, failed)
+            if worker is None:
                 return self._give_up(context, NO_WORKER_ANSWERED if failed.count else NO_WORKER)
-            worker_id, address = selected
             started_at = self._fleet.now()
             context.progress.may_have_run = True
             try:
-                answer = await self._send(context, body, address, deadline)
+                answer = await self._send(context, body, worker.address, deadline)
             except WorkerError as error:
                 if body.is_too_large:
                     return self._responses.build(BODY_TOO_LARGE)
-                failed.add(worker_id, error)
+                failed.add(worker.worker_id, error)
                 context.progress.may_have_run = failed.may_have_run
-                self._fleet.record_attempt(worker_id, False, started_at)
+                self._fleet.record_attempt(worker.worker_id, False, started_at)
                 if not self._may_retry(context, body, failed, deadline):
                     return self._give_up(context, failure_answer(failed.may_have_run, error.timed_out))
                 continue
-            return await self._relay.relay(context, answer, worker_id, started_at)
+            return await self._relay.relay(context, answer, worker.worker_id, started_at)
 
-    def _select_worker(self, context: RequestContext, failed: FailedAttempts) -> tuple[str, str] | None:
-        """A worker's id and address."""
+    def _select_worker(self, context: RequestContext, failed: FailedAttempts) -> SelectedWorker | None:
         worker_id = self._fleet.router.select_worker(
             self._fleet.now(), context.request_class.name, failed.workers, context.preferred
         )
         address = self._fleet.address_of(worker_id) if worker_id else None
         if worker_id is None or address is None:
             return None
-        return worker_id, address
+        return SelectedWorker(worker_id, address)
 
     async def _send(
         self, context: RequestContext, body: RequestBody, address: str, deadline: float
@@ -100,8 +107,8 @@
         headers = forwarded_headers(context.headers)
         headers.popall("Expect", None)
         headers.add("X-Forwarded-For", context.request.remote or "?")
-        left = max(MIN_ATTEMPT_TIMEOUT_S, deadline - self._fleet.now())
-        timeout_s = min(self._fleet.limits.first_byte_timeout_s, left)
+        time_left_s = max(MIN_ATTEMPT_TIMEOUT_S, deadline - self._fleet.now())
+        timeout_s = min(self._fleet.limits.first_byte_timeout_s, time_left_s)
         request = WorkerRequest(context.request.method, context.request.raw_path, headers, body.data())
         return await self._connections.send(address, request, timeout_s)
 
--- a/cottonladder/forwarder/plugin_loading.py
+++ b/cottonladder/forwarder/plugin_loading.py
@@ -1,4 +1,4 @@
-"""Loads the plug-ins of the operators' file, at the start and on reload, and keeps the workers' labels."""
+"""Loads the plug-ins of the operators' file at the start and on reload, and keeps the workers' labels."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def plugin_specs(config: PluginsConfig) -> list[PluginSpec]:
-    """The plug-ins that the file names.  Their runtime is imported only where there are some."""
+    """The plug-ins that the file names; their runtime is imported only if there are any."""
     from ..plugins.chain import PluginSpec
 
     return [
@@ -27,7 +27,7 @@
 
 
 class PluginLoader:
-    """Gives plug-ins and labels to `verdicts`; `config` is the file's part at the start."""
+    """Sets the plug-ins and labels that `verdicts` uses; `config` is the part of the file at the start."""
 
     def __init__(self, config: PluginsConfig | None, verdicts: PluginVerdicts) -> None:
         self._config = config
@@ -35,7 +35,7 @@
         self._log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def load(self) -> None:
-        """At the start; raises for a plug-in that can't be loaded."""
+        """Loads the plug-ins at the start; raises PluginError for one that can't be loaded."""
         if self._config is None:
             return
         from ..plugins.chain import PluginChain
@@ -44,7 +44,7 @@
         self._apply(self._config)
 
     def reload(self, config: PluginsConfig | None) -> None:
-        """On SIGHUP: the old ones serve until the new ones are proved."""
+        """Loads the plug-ins again; the old ones stay in use unless every new one loads."""
         chain = self._verdicts.chain
         if config is None or chain is None:
             self._log.error("plugins_rejected", reason="they can be changed, but not switched on or off")
@@ -58,7 +58,7 @@
         self._verdicts.allowed_headers = frozenset(name.lower() for name in config.headers)
 
     def record_labels(self, endpoint: dict[str, Any]) -> None:
-        """Labels as the list has them, beside those of the operators' file."""
+        """Adds the labels of an endpoint, as discovery lists it, to those of the operators' file."""
         labels = endpoint.get("labels")
         if self._config is None or not isinstance(labels, list):
             return
--- a/cottonladder/forwarder/plugin_verdicts.py
+++ b/cottonladder/forwarder/plugin_verdicts.py
@@ -1,4 +1,4 @@
-"""What plug-ins make of a request, as far as they may: its class, its workers, its headers, or a refusal."""
+"""Applies the plug-ins' verdicts to a request: its class, workers and headers, or its rejection."""
 
 from __future__ import annotations
 
@@ -10,32 +10,42 @@
 
 from ..planning.plugin_bounds import RoutePreference, narrow_candidates
 from .errors import RequestRejectedError
+from .final_answers import NO_MATCHING_WORKER, rejected_by_plugin
 from .fleet import Fleet
 from .request_classes import RequestClass
 from .request_context import RequestContext
-from .responses import NO_MATCHING_WORKER, rejected_by_plugin
 from .retries import FailedAttempts
 
 if TYPE_CHECKING:
     from ..plugins.chain import PluginChain, Verdict
 
 
+ROUTE_HOOK = "route"
+UPGRADE_HOOK = "upgrade"
+RETRY_HOOK = "further"  # the hook's name in the plug-in interface
+
+
 class PluginVerdicts:
-    """Asks the plug-ins and holds their answers within what operators allow."""
+    """Calls the plug-ins and applies their verdicts within the bounds that operators have set.
+
+    `chain` is None unless the operators' file names plug-ins.  `labels` holds the labels by worker.
+    `falls_back` tells whether a request goes to any worker of the table if none has the labels it needs.
+    `allowed_headers` are the headers, in lower case, that plug-ins may change.
+    """
 
     def __init__(self, classes: list[RequestClass], fleet: Fleet) -> None:
         self._classes = {request_class.name: request_class for request_class in classes}
         self._fleet = fleet
-        self.chain: PluginChain | None = None  # where the operators' file names plug-ins
-        self.labels: Mapping[str, frozenset[str]] = {}  # by worker
-        self.falls_back = True  # to the whole table, where no worker has what is needed
-        self.allowed_headers: frozenset[str] = frozenset()  # that plug-ins may change, in small letters
+        self.chain: PluginChain | None = None
+        self.labels: Mapping[str, frozenset[str]] = {}
+        self.falls_back = True
+        self.allowed_headers: frozenset[str] = frozenset()
 
     def apply(self, context: RequestContext) -> RequestContext:
-        """The request as the plug-ins leave it.  Raises RequestRejectedError."""
+        """The request with the changes of the plug-ins.  Raises RequestRejectedError."""
         if self.chain is None:
             return context
-        hook = "upgrade" if "Upgrade" in context.request.headers else "route"
+        hook = UPGRADE_HOOK if "Upgrade" in context.request.headers else ROUTE_HOOK
         if not self.chain.has_hook(hook):
             return context
         verdict = self.chain.call_hook(hook, self._record(self.chain, hook, context))
@@ -48,21 +58,21 @@
         return self._with_headers(self.chain, context, verdict)
 
     def forbids_retry(self, context: RequestContext, failed: FailedAttempts) -> bool:
-        """A plug-in may forbid a retry, never ask for one."""
-        if self.chain is None or not self.chain.has_hook("further"):
+        """Whether a plug-in forbids a retry; none can ask for one."""
+        if self.chain is None or not self.chain.has_hook(RETRY_HOOK):
             return False
-        more = (("tries", str(failed.count)), ("ran", str(int(failed.may_have_run))))
-        return self.chain.call_hook("further", self._record(self.chain, "further", context, more)).forbid
+        fields = (("tries", str(failed.count)), ("ran", str(int(failed.may_have_run))))
+        return self.chain.call_hook(RETRY_HOOK, self._record(self.chain, RETRY_HOOK, context, fields)).forbid
 
     def _record(
-        self, chain: PluginChain, hook: str, context: RequestContext, more: Iterable[tuple[str, str]] = ()
+        self, chain: PluginChain, hook: str, context: RequestContext, fields: Iterable[tuple[str, str]] = ()
     ) -> bytes:
         request = context.request
         name = context.request_class.name
-        return chain.request_record(hook, request.method, request.raw_path, name, request.headers, more)
+        return chain.request_record(hook, request.method, request.raw_path, name, request.headers, fields)
 
     def _with_class(self, chain: PluginChain, context: RequestContext, verdict: Verdict) -> RequestContext:
-        """Another class gives another table and deadline, never another right to be repeated."""
+        """Changes the class, and with it table and deadline, but never makes a request repeatable."""
         if verdict.kind is None:
             return context
         other = self._classes.get(verdict.kind)
@@ -86,7 +96,7 @@
         return replace(context, preferred=choice.weights)
 
     def _with_headers(self, chain: PluginChain, context: RequestContext, verdict: Verdict) -> RequestContext:
-        """Only headers that operators named are changed."""
+        """Changes those headers that the operators allow."""
         if not (verdict.set_headers or verdict.drop_headers):
             return context
         headers = CIMultiDict(context.request.headers)
--- a/cottonladder/forwarder/request_body.py
+++ b/cottonladder/forwarder/request_body.py
@@ -1,4 +1,4 @@
-"""A request's body on its way to a worker: kept whole where it is small, else passed on as it comes."""
+"""The body of a request: a small one is buffered for a retry, a larger one is streamed to the worker."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 async def body_pieces(request: web.BaseRequest, max_bytes: int) -> AsyncIterator[bytes]:
-    """The body in pieces, as the client sends it; reading on is what lets the client send more."""
+    """Yields the body in pieces as the client sends it.  Raises BodyTooLargeError."""
     read_bytes = 0
     while True:
         piece = await asyncio.wait_for(request.content.readany(), STALL_TIMEOUT_S)
@@ -20,41 +20,41 @@
             return
         read_bytes += len(piece)
         if read_bytes > max_bytes:
-            raise BodyTooLargeError
+            raise BodyTooLargeError(max_bytes)
         yield piece
 
 
 class RequestBody:
-    """A body that can be sent to workers."""
+    """The body of a request without one, and the base of the other kinds of body."""
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether another attempt would send the same bytes."""
+        """Whether another attempt can send the same bytes."""
         return True
 
     @property
     def is_too_large(self) -> bool:
-        """It was found to be over the limit while it was being sent."""
+        """Whether the body has proved to be over the limit while it was sent."""
         return False
 
     def data(self) -> bytes | AsyncIterator[bytes] | None:
-        """What is sent with one attempt; None: the request has no body."""
+        """The bytes to send with one attempt; None if the request has no body."""
         return None
 
 
 class BufferedBody(RequestBody):
-    """A small body, kept whole so that it can be sent again."""
+    """A small body in memory, which can be sent again."""
 
     def __init__(self, content: bytes) -> None:
         self._content = content
 
     def data(self) -> bytes:
-        """The whole body."""
+        """The complete body."""
         return self._content
 
 
 class StreamedBody(RequestBody):
-    """A body that is passed on as it comes and can be sent once."""
+    """A body that is sent as it arrives from the client, and can be sent only once."""
 
     def __init__(self, source: AsyncIterator[bytes]) -> None:
         self._source = source
@@ -63,16 +63,16 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """What has been read of it is gone."""
+        """Whether nothing has been read from the client yet."""
         return not self._is_started
 
     @property
     def is_too_large(self) -> bool:
-        """More has come than the limit allows."""
+        """Whether the client has sent more than the limit allows."""
         return self._is_too_large
 
     async def data(self) -> AsyncIterator[bytes]:
-        """The pieces, as the client sends them."""
+        """Yields the pieces as the client sends them."""
         try:
             async for piece in self._source:
                 self._is_started = True
@@ -83,7 +83,7 @@
 
 
 async def read_body(request: web.BaseRequest, max_bytes: int) -> RequestBody:
-    """The body of a request.  Raises BodyTooLargeError."""
+    """Reads a small body, or prepares a larger one to be streamed.  Raises BodyTooLargeError."""
     if not request.body_exists:
         return RequestBody()
     length = request.content_length
--- a/cottonladder/forwarder/request_classes.py
+++ b/cottonladder/forwarder/request_classes.py
@@ -7,23 +7,27 @@
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
+from enum import Enum
 
-# The operators' values of a class's `replays`.
-IDEMPOTENT = "replayable"  # repeating it does no harm
-IDEMPOTENCY_KEY = "uniqued"  # it carries a key by which workers recognise a repetition
-NOT_IDEMPOTENT = "non-replayable"  # it may run once only
+
+class Idempotency(Enum):
+    """Whether a request may run twice; the values are those of `replays` in the operators' file."""
+
+    IDEMPOTENT = "replayable"  # a repetition has no further effect
+    BY_KEY = "uniqued"  # the request carries a key by which workers recognise a repetition
+    NOT_IDEMPOTENT = "non-replayable"  # the request may run only once
 
 
 @dataclass(frozen=True, slots=True)
 class MatchRule:
-    """What a request must look like to be of a class; an empty field matches anything."""
+    """What a request of a class looks like; an empty field matches anything."""
 
     methods: frozenset[str] = frozenset()
     path: str = ""
     headers: tuple[tuple[str, str], ...] = ()
 
     def matches(self, method: str, path: str, headers: Mapping[str, str]) -> bool:
-        """Whether a request fits; `path` matches itself and everything below it."""
+        """Whether a request matches; the rule's path matches itself and every path below it."""
         if self.methods and method not in self.methods:
             return False
         prefix = self.path.rstrip("/")
@@ -34,23 +38,23 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: `timeout` is its client's deadline in s, 0 where none is stated."""
+    """A class of requests; `timeout_s` is its clients' deadline, 0 if none is stated."""
 
     name: str
     rules: tuple[MatchRule, ...] = ()
-    idempotency: str = NOT_IDEMPOTENT
-    timeout: float = 0.0
+    idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
+    timeout_s: float = 0.0
 
     @property
     def is_repeatable(self) -> bool:
-        """A request that may have run already may be sent again."""
-        return self.idempotency != NOT_IDEMPOTENT
+        """Whether a request that may have run already may be sent again."""
+        return self.idempotency is not Idempotency.NOT_IDEMPOTENT
 
 
 def classify(
     classes: Iterable[RequestClass], method: str, path: str, headers: Mapping[str, str]
 ) -> RequestClass | None:
-    """The first class with a rule that matches; the first class without rules takes what is left."""
+    """The first class with a matching rule, else the first class without rules."""
     default = None
     for request_class in classes:
         if any(rule.matches(method, path, headers) for rule in request_class.rules):
--- a/cottonladder/forwarder/request_context.py
+++ b/cottonladder/forwarder/request_context.py
@@ -1,4 +1,4 @@
-"""One request on its way through the forwarder."""
+"""One request while the forwarder handles it."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 @dataclass(slots=True)
 class RequestProgress:
-    """How far a request has come, for whoever has to give it up.
+    """How far a request has come, which decides how it is answered if it has to be given up.
 
-    `may_have_run`: a worker may have seen it.  `is_answering`: a part of the answer is out.
+    `may_have_run`: a worker may have received the request.  `is_answering`: the client may have received a
+    part of the answer.
     """
 
     may_have_run: bool = False
@@ -23,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestContext:
-    """A request with its class and what plug-ins made of it.
+    """A request with its class and the changes that plug-ins have made.
 
-    `headers`: those that go on to the worker.  `preferred`: workers with weights that were chosen for this
-    request; None: those of its class's table.
+    `headers` are those for the worker.  `preferred` holds the weights of workers chosen for this request; if
+    it is None, the table of the request's class applies.
     """
 
     request: web.BaseRequest
@@ -37,6 +38,6 @@
 
     @property
     def is_upgrade(self) -> bool:
-        """The client asks for another protocol on its connection."""
+        """Whether the client asks for another protocol on its connection."""
         connection = self.request.headers.get("Connection", "")
         return "Upgrade" in self.request.headers and "upgrade" in connection.lower()
--- a/cottonladder/forwarder/request_handler.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -1,7 +1,4 @@
-"""The life of a request: received, classified, admitted, given to plug-ins, then forwarded as what it is.
-
-All of it runs on the loop; what is decided is asked of `router`, `connection_drainer` and `resource_limits`.
-"""
+"""Handles each client request: classifies it, admits or rejects it, asks the plug-ins, and forwards it."""
 
 from __future__ import annotations
 
@@ -14,29 +11,24 @@
 from .client_listener import ClientListener
 from .connection_drainer import ConnectionDrainer
 from .errors import RequestRejectedError
+from .final_answers import NO_REQUEST_CLASS, OVERLOADED, STOPPING, failure_answer
 from .fleet import Fleet
 from .plain_requests import PlainRequestForwarder
 from .plugin_verdicts import PluginVerdicts
 from .request_classes import RequestClass, classify
 from .request_context import RequestContext, RequestProgress
 from .response_relay import ResponseRelay
-from .responses import (
-    NO_REQUEST_CLASS,
-    OVERLOADED,
-    STOPPING,
-    ResponseBuilder,
-    failure_answer,
-)
+from .responses import ResponseBuilder
 from .tunnel_manager import TunnelManager
 from .upgrade_policy import UpgradePolicy
 from .upgrade_requests import UpgradeForwarder
 from .worker_connections import WorkerConnections
 
-FINAL_ANSWER_TIMEOUT_S = 1.0  # s that the last answers have at the stop
+FINAL_ANSWER_TIMEOUT_S = 1.0  # for the last answers at the stop
 
 
 class RequestHandler:
-    """Handles every request of this forwarder's clients, and owns what that takes."""
+    """Owns the listener, the connections to workers, and the tunnels."""
 
     def __init__(
         self,
@@ -51,19 +43,19 @@
         self.connections = WorkerConnections(fleet.limits)
         self.verdicts = PluginVerdicts(classes, fleet)
         self.tunnels = TunnelManager(fleet, drainer, self.listener)
-        self.in_flight: dict[asyncio.Task[Any], None] = {}  # requests and handshakes without their answer yet
-        self._abandoned = False
+        self.in_flight: dict[asyncio.Task[Any], None] = {}  # requests and handshakes not answered yet
+        self._is_closing = False
         self._responses = ResponseBuilder(fleet.rng)
         relay = ResponseRelay(fleet, self.listener.faults)
         self._plain = PlainRequestForwarder(fleet, self.connections, self.verdicts, relay, self._responses)
         self._upgrades = UpgradeForwarder(policies, fleet, self.listener, self.tunnels, self._responses)
 
     def stop_accepting(self) -> None:
-        """From here on every new request is told to come again later."""
+        """Rejects every further request with a Retry-After header."""
         self._responses.stopping = True
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Whatever is left of them at the stop's end is answered then, not cut off without a word."""
+        """Handles one request; if it is still in flight at the close, it is answered all the same."""
         task = asyncio.current_task()
         assert task is not None
         self.in_flight[task] = None
@@ -71,8 +63,8 @@
         try:
             return await self._process(request, progress)
         except asyncio.CancelledError:
-            if not self._abandoned or progress.is_answering:
-                raise  # its client has gone, or has a part of the answer
+            if not self._is_closing or progress.is_answering:
+                raise  # the client has gone, or has received a part of the answer
             task.uncancel()
             answer = failure_answer(may_have_run=True) if progress.may_have_run else STOPPING
             return self._responses.build(answer)
@@ -80,7 +72,7 @@
             del self.in_flight[task]
 
     async def _process(self, request: web.BaseRequest, progress: RequestProgress) -> web.StreamResponse:
-        """Classify, admit, ask the plug-ins, forward."""
+        """Classifies, admits and forwards a request that has just arrived."""
         request_class = classify(self._classes, request.method, request.rel_url.raw_path, request.headers)
         if request_class is None:
             return self._responses.build(NO_REQUEST_CLASS)
@@ -100,13 +92,16 @@
         return await self._plain.forward(context)
 
     async def close(self) -> None:
-        """Nothing may join the registry once it has been gone through, so handshakes end first."""
+        """Answers the requests in flight and closes every connection.
+
+        Handshakes end before the tunnels do, as each could still open another tunnel.
+        """
         self.stop_accepting()
-        self._abandoned = True
+        self._is_closing = True
         for task in self.in_flight:
             task.cancel()
         if self.in_flight:
             await asyncio.wait(self.in_flight, timeout=FINAL_ANSWER_TIMEOUT_S)
-        self.tunnels.abort()
+        await self.tunnels.close()
         await self.listener.close()
         await self.connections.close()
--- a/cottonladder/forwarder/response_relay.py
+++ b/cottonladder/forwarder/response_relay.py
@@ -1,4 +1,4 @@
-"""Passes a worker's answer back to the client as it comes."""
+"""Relays a worker's answer to the client as it arrives."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 from .worker_connections import forwarded_headers
 
 STATUSES_WITHOUT_BODY = (204, 304)
+FIRST_SERVER_ERROR_STATUS = 500  # statuses from here on count as a failure of the worker
 
 
 class ResponseRelay:
-    """Relays answers.  A client that reads slowly slows its worker, and is given up in time."""
+    """Relays answers; a client that stops reading is disconnected after `STALL_TIMEOUT_S`."""
 
     def __init__(self, fleet: Fleet, faults: RateLimitedFaultLog) -> None:
         self._fleet = fleet
@@ -26,7 +27,7 @@
     async def relay(
         self, context: RequestContext, answer: aiohttp.ClientResponse, worker_id: str, started_at: float
     ) -> web.StreamResponse:
-        """Relays one answer to its end and records the attempt that brought it."""
+        """Relays one answer to its end and records the result of its attempt."""
         succeeded = False
         reply = self._reply(context.request, answer)
         context.progress.is_answering = True
@@ -34,10 +35,10 @@
             await asyncio.wait_for(reply.prepare(context.request), STALL_TIMEOUT_S)
             async for piece in answer.content.iter_any():
                 await asyncio.wait_for(reply.write(piece), STALL_TIMEOUT_S)
-            succeeded = answer.status < 500
+            succeeded = answer.status < FIRST_SERVER_ERROR_STATUS
             await asyncio.wait_for(reply.write_eof(), STALL_TIMEOUT_S)
         except (aiohttp.ClientError, TimeoutError) as exc:
-            # Half an answer is out: its connection ends, so that nobody takes the half for the whole.
+            # The client has a part of the answer: closing its connection tells it that the rest is missing.
             self._faults.report(f"answer cut off: {type(exc).__name__}")
             if context.request.transport is not None:
                 context.request.transport.abort()
@@ -51,7 +52,7 @@
 
     @staticmethod
     def _reply(request: web.BaseRequest, answer: aiohttp.ClientResponse) -> web.StreamResponse:
-        """The head that goes back to the client."""
+        """The head of the response to the client."""
         headers = forwarded_headers(answer.headers)
         reply = web.StreamResponse(status=answer.status, reason=answer.reason, headers=headers)
         has_body = answer.status not in STATUSES_WITHOUT_BODY
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -1,4 +1,7 @@
-"""What a forwarder keeps across restarts, and what of it still holds; no I/O, no clock."""
+"""Takes a snapshot of a forwarder's state and restores what of it is still valid.
+
+Pure: the caller passes the time and the age of the snapshot.
+"""
 
 from __future__ import annotations
 
@@ -6,57 +9,59 @@
 
 from ..planning import snapshot_staleness as ageing
 from ..snapshots.sections import ForwarderSnapshot, TableSnapshot
+from .admission_pacer import AdmissionPacer
 from .connection_registry import WorkerConnectionCounts
-from .resource_limits import AdmissionPacer
 from .router import Router
 
 MAX_RESERVED_SLOTS = 10_000  # at one worker, whatever a snapshot says
 
 
 def snapshot_of(
-    router: Router, held_connections: Mapping[str, WorkerConnectionCounts], now: float
+    router: Router, connections: Mapping[str, WorkerConnectionCounts], now: float
 ) -> ForwarderSnapshot:
-    """`now` on the router's own clock: workers that are avoided are kept with the s that are left."""
+    """The state to keep; `now` is on the router's clock, and the snapshot holds times relative to it."""
     tables: dict[str, TableSnapshot] = {}
     if router.has_ordered_table:
         for name, table in router.tables.items():
             tables[name] = TableSnapshot(dict(table.weights), table.admission, int(table.retry_policy))
     avoided = {worker_id: until - now for worker_id, until in router.avoided_until().items() if until > now}
-    open_connections = {worker_id: counts.open for worker_id, counts in held_connections.items()}
+    open_connections = {worker_id: counts.open for worker_id, counts in connections.items()}
     return ForwarderSnapshot(tables, sorted(router.excluded), avoided, open_connections)
 
 
 def restore(
     snapshot: ForwarderSnapshot,
-    age: float,
+    age_s: float,
     now: float,
     router: Router,
     pacer: AdmissionPacer,
-    known: Callable[[str], bool],
+    is_known: Callable[[str], bool],
 ) -> str:
-    """Gives the router what was known before the restart; tells what was used.
+    """Restores the state from before a restart; returns a text for the log on what was restored.
 
-    Exclusions stand whatever their age: whoever ordered them readmits.  Tables hold for a stated span, and
-    only with workers that are still listed.  Workers that failed are avoided no longer than was meant.
-    Clients that come back find slots where they were.
+    Exclusions are restored at any age, as only the manager that ordered them lifts them.  Routing tables are
+    valid for a limited time, and only with workers that are still listed.  Workers that had failed are
+    avoided for the rest of their time.  Clients that reconnect find slots at the workers where they were.
     """
     restored: list[str] = []
-    router.excluded |= {worker_id for worker_id in snapshot.excluded if known(worker_id)}
-    if age <= ageing.MAX_TABLE_AGE and not router.has_ordered_table:  # what was ordered meanwhile is newer
-        restored += _restore_tables(snapshot, router, known)
-    if age <= ageing.MAX_SUSPICION_AGE:
-        restored += _restore_avoided(snapshot, age, now, router, known)
-        _reserve_slots(snapshot, now, router, pacer, known)
+    router.excluded |= {worker_id for worker_id in snapshot.excluded if is_known(worker_id)}
+    if age_s <= ageing.MAX_TABLE_AGE and not router.has_ordered_table:  # what was ordered meanwhile is newer
+        restored += _restore_tables(snapshot, router, is_known)
+    if age_s <= ageing.MAX_SUSPICION_AGE:
+        restored += _restore_avoided(snapshot, age_s, now, router, is_known)
+        _reserve_slots(snapshot, now, router, pacer, is_known)
     return ", ".join(restored) or "nothing"
 
 
-def _restore_tables(snapshot: ForwarderSnapshot, router: Router, known: Callable[[str], bool]) -> list[str]:
+def _restore_tables(
+    snapshot: ForwarderSnapshot, router: Router, is_known: Callable[[str], bool]
+) -> list[str]:
     restored: list[str] = []
     for name, table in snapshot.tables.items():
         weights = {
             worker_id: weight
             for worker_id, weight in table.weights.items()
-            if weight > 0 and known(worker_id)
+            if weight > 0 and is_known(worker_id)
         }
         is_usable = any(worker_id not in router.excluded for worker_id in weights)
         if name in router.tables and is_usable:
@@ -66,14 +71,17 @@
 
 
 def _restore_avoided(
-    snapshot: ForwarderSnapshot, age: float, now: float, router: Router, known: Callable[[str], bool]
+    snapshot: ForwarderSnapshot, age_s: float, now: float, router: Router, is_known: Callable[[str], bool]
 ) -> list[str]:
-    """Not where it would be most of the fleet: then it was this forwarder that was cut off."""
+    """Avoids workers that had failed, unless they are most of the fleet.
+
+    In that case the forwarder itself was probably cut off from the workers.
+    """
     listed = {worker_id for table in router.tables.values() for worker_id in table.weights}
     avoided = {
-        worker_id: left - age
-        for worker_id, left in snapshot.avoid_for_s.items()
-        if left > age and known(worker_id)
+        worker_id: left_s - age_s
+        for worker_id, left_s in snapshot.avoid_for_s.items()
+        if left_s > age_s and is_known(worker_id)
     }
     if len(avoided) > len(listed) * ageing.MAX_EJECTED_RATIO:
         return []
@@ -86,8 +94,8 @@
     now: float,
     router: Router,
     pacer: AdmissionPacer,
-    known: Callable[[str], bool],
+    is_known: Callable[[str], bool],
 ) -> None:
     for worker_id, count in snapshot.held_connections.items():
-        if known(worker_id) and not router.is_excluded(worker_id):
+        if is_known(worker_id) and not router.is_excluded(worker_id):
             pacer.reserve(now, worker_id, min(count, MAX_RESERVED_SLOTS))
--- a/cottonladder/forwarder/retries.py
+++ b/cottonladder/forwarder/retries.py
@@ -1,4 +1,4 @@
-"""Whether a request that failed at one worker may be sent to another: one table, and what has been attempted.
+"""Decides whether a request that failed at one worker may be sent to another.
 
 Pure: no clock, no I/O.
 """
@@ -13,7 +13,7 @@
 
 
 class RetryPolicy(IntEnum):
-    """What managers order for a class, as field `again` of a CONFIG carries it."""
+    """The retries that managers order for a class; the values are those of field `again` of a CONFIG."""
 
     NEVER = 0
     ONCE_IF_NOT_RUN = 1
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryRule:
-    """`only_if_not_run`: a retry needs proof that no attempt so far has run."""
+    """How many retries are allowed; `only_if_not_run` asks for proof that no attempt so far has run."""
 
     max_retries: int
     only_if_not_run: bool
 
 
-# (policy, may the request be repeated although it may have run) -> what a retry may do
+# The rule by policy and by whether the request is repeatable.
 RETRY_RULES: dict[tuple[RetryPolicy, bool], RetryRule] = {
     (RetryPolicy.NEVER, True): RetryRule(max_retries=0, only_if_not_run=True),
     (RetryPolicy.NEVER, False): RetryRule(max_retries=0, only_if_not_run=True),
@@ -42,13 +42,13 @@
 }
 
 
-def should_retry(request_class: RequestClass, policy: int, attempts: int, may_have_run: bool) -> bool:
-    """Whether a request that failed `attempts` times may be sent to another worker.
+def should_retry(request_class: RequestClass, policy: RetryPolicy, attempts: int, may_have_run: bool) -> bool:
+    """Whether a request that has failed `attempts` times may be sent to another worker.
 
-    `may_have_run`: there is no proof that none of the attempts ran.  Then only what is safe to repeat is sent
-    again, whatever managers have ordered.
+    `may_have_run` tells that it is not proved that every attempt failed before the worker processed the
+    request.  Such a request is sent again only if its class is repeatable, whatever managers have ordered.
     """
-    rule = RETRY_RULES[RetryPolicy(policy), request_class.is_repeatable]
+    rule = RETRY_RULES[policy, request_class.is_repeatable]
     if may_have_run and rule.only_if_not_run:
         return False
     return attempts <= rule.max_retries
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class FailedAttempts:
-    """The workers that one request has been sent to in vain."""
+    """The workers that have failed one request; `may_have_run` once any of them may have processed it."""
 
     workers: list[str] = field(default_factory=list)
     may_have_run: bool = False
@@ -67,6 +67,6 @@
         return len(self.workers)
 
     def add(self, worker_id: str, error: AttemptError) -> None:
-        """Adds one; a request that may have run once may have run, whatever comes after."""
+        """Adds a failed attempt."""
         self.workers.append(worker_id)
         self.may_have_run = self.may_have_run or error.may_have_run
--- a/cottonladder/forwarder/router.py
+++ b/cottonladder/forwarder/router.py
@@ -1,99 +1,74 @@
-"""Where a request goes and whether it is admitted, as managers have ordered.
+"""Selects the worker of a request and decides whether the request is admitted, as managers have ordered.
 
-Pure: no clock, no I/O; chance comes from the bound method it is given.  The router carries out what managers
-order (the protocol's "Orders on a stream") and decides nothing that the orders decide; where they are silent
-the smallest choice stands here with its reason.
+Pure: no clock, no I/O; random numbers come from the function passed to the router.  The router carries out
+the orders (the protocol's "Orders on a stream").  Of its own it only avoids workers that have failed
+repeatedly, and spreads requests evenly until a table is ordered.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
+from enum import Enum
 
-from .errors import OrderRejectedError
+from .errors import UnknownClassError, UnlistedWorkerError
 from .request_classes import RequestClass
 from .retries import RetryPolicy
+from .routing_orders import ConfigPart
+from .token_bucket import TokenBucket
 
-MAX_CONSECUTIVE_FAILURES = 3  # attempts failed in a row, after which a worker is avoided
-AVOIDANCE_TIME_S = 4.0  # s that a worker is avoided on the average
-MIN_AVOIDANCE_FACTOR = 0.75  # of AVOIDANCE_TIME_S, so that a fleet does not come back at one time
-AVOIDANCE_JITTER_FACTOR = 0.5  # of AVOIDANCE_TIME_S, dealt by chance over the least
-MAX_RESTORED_AVOIDANCE_S = 2.0 * AVOIDANCE_TIME_S  # s that a snapshot may keep a worker avoided
-DEFAULT_TABLE_SIZE = 5  # listed workers of the own zone that stand in until a table is ordered
-MAX_NAME_IN_ERROR = 32  # characters of a name that was not known
+MAX_CONSECUTIVE_FAILURES = 3  # attempts at a worker, after which the worker is avoided
+AVOIDANCE_TIME_S = 4.0  # that a worker is avoided on average
+MIN_AVOIDANCE_FACTOR = 0.75  # of AVOIDANCE_TIME_S; jitter keeps forwarders from returning all at once
+AVOIDANCE_JITTER_FACTOR = 0.5  # of AVOIDANCE_TIME_S, the largest random addition to the minimum
+MAX_RESTORED_AVOIDANCE_S = 2.0 * AVOIDANCE_TIME_S  # that a snapshot may keep a worker avoided
+DEFAULT_TABLE_WORKERS = 5  # workers of the own zone that are used until a table is ordered
 
-ADMIT_ALL = "none"  # mode of admission: nothing is shed
-ADMIT_RATIO = "ratio"  # mode of admission: a share of what comes; else requests a second
+
+class AdmissionMode(Enum):
+    """What the figure of an admission order means; the values are those of the operators' file."""
+
+    NONE = "none"  # admission orders have no effect
+    RATIO = "ratio"  # the part of the requests that is admitted
+    RATE = "rate"  # the number of requests a second that is admitted
 
 
 @dataclass(slots=True)
 class ClassTable:
-    """What managers have ordered for one class; `admission` None: all requests are admitted."""
+    """The orders for one request class; without an `admission`, all requests are admitted."""
 
     weights: dict[str, float] = field(default_factory=dict)
     admission: float | None = None
-    retry_policy: int = RetryPolicy.ONCE_IF_NOT_RUN
+    retry_policy: RetryPolicy = RetryPolicy.ONCE_IF_NOT_RUN
 
     def clear(self) -> None:
-        """Back to what holds before any order."""
+        """Returns to the state before any order."""
         self.weights = {}
         self.admission = None
         self.retry_policy = RetryPolicy.ONCE_IF_NOT_RUN
 
     def set_weight(self, worker_id: str, weight: float) -> None:
-        """A weight of 0 takes the worker out."""
+        """Sets the weight of a worker; 0 removes the worker."""
         if weight > 0:
             self.weights[worker_id] = weight
         else:
             self.weights.pop(worker_id, None)
 
 
-@dataclass(frozen=True, slots=True)
-class ConfigPart:
-    """One part of a CONFIG, as read; `classes` empty: all.  `admission`: value and retry policy."""
-
-    classes: tuple[str, ...] = ()
-    replace: bool = False
-    weights: tuple[tuple[str, float], ...] = ()
-    admission: tuple[float, int] | None = None
-    exclude: tuple[str, ...] = ()
-    readmit: tuple[str, ...] = ()
-    checkpoint: int | None = None
-
-    def worker_ids(self) -> list[str]:
-        """All workers that it names."""
-        weighted = [worker_id for worker_id, _ in self.weights]
-        return [*weighted, *self.exclude, *self.readmit]
-
-
-@dataclass(slots=True)
-class TokenBucket:
-    """Requests of a class that may come now, where admission is a rate."""
-
-    tokens: float
-    updated_at: float
-
-    def take(self, now: float, rate: float) -> bool:
-        """Refills at `rate` a second, up to one second's worth and never less than 1; takes one."""
-        refilled = self.tokens + (now - self.updated_at) * rate
-        self.tokens = min(max(1.0, rate), refilled)
-        self.updated_at = now
-        if self.tokens < 1.0:
-            return False
-        self.tokens -= 1.0
-        return True
-
-
 class Router:
-    """Tables by class, which workers are excluded, and which have failed here of late."""
+    """The routing tables by class, the excluded workers, and the workers that are avoided after failures.
+
+    `excluded` holds the workers that managers have excluded, which outlives their streams; `leaving` holds
+    those that the endpoint list has as draining or gone.
+    """
 
     def __init__(
-        self, classes: Iterable[RequestClass], admission_mode: str, random: Callable[[], float]
+        self, classes: Iterable[RequestClass], admission_mode: AdmissionMode, random: Callable[[], float]
     ) -> None:
         self.classes = {request_class.name: request_class for request_class in classes}
         self.tables = {name: ClassTable() for name in self.classes}
-        self.excluded: set[str] = set()  # as managers ordered; kept across streams
-        self.leaving: set[str] = set()  # as the list has it: it drains or is gone
+        self.excluded: set[str] = set()
+        self.leaving: set[str] = set()
         self.has_ordered_table = False
         self._admission_mode = admission_mode
         self._random = random
@@ -101,22 +76,20 @@
         self._avoided_until: dict[str, float] = {}
         self._buckets: dict[str, TokenBucket] = {}
 
-    # orders
+    # Orders.
 
-    def check(self, parts: Iterable[ConfigPart], known: Callable[[str], bool]) -> None:
-        """Raises OrderRejectedError for what can't be carried out, before any of it is."""
+    def check(self, parts: Iterable[ConfigPart], is_known: Callable[[str], bool]) -> None:
+        """Raises OrderRejectedError if a part can't be carried out; changes nothing."""
         for part in parts:
             for name in part.classes:
                 if name not in self.classes:
-                    raise OrderRejectedError(f"CONFIG: unknown class {name[:MAX_NAME_IN_ERROR]!r}")
+                    raise UnknownClassError(name)
             for worker_id in part.worker_ids():
-                if not known(worker_id):
-                    raise OrderRejectedError(
-                        f"CONFIG: worker {worker_id[:MAX_NAME_IN_ERROR]!r} was never listed"
-                    )
+                if not is_known(worker_id):
+                    raise UnlistedWorkerError("CONFIG", worker_id)
 
     def apply(self, parts: Iterable[ConfigPart]) -> list[int]:
-        """Carries out one message, all its parts together; gives the checkpoints to acknowledge."""
+        """Carries out all parts of one message; returns the checkpoints to acknowledge."""
         checkpoints: list[int] = []
         for part in parts:
             for name in part.classes or self.classes:
@@ -134,38 +107,39 @@
         for worker_id, weight in part.weights:
             table.set_weight(worker_id, weight)
         if part.admission is not None:
-            table.admission, table.retry_policy = part.admission
+            table.admission = part.admission.admission
+            table.retry_policy = part.admission.retry_policy
 
     def use_default_table(self, listed: Iterable[str]) -> None:
-        """Until a table is ordered: a few listed workers of the own zone, evenly."""
+        """Spreads requests evenly over a few listed workers until a table is ordered."""
         if self.has_ordered_table:
             return
-        workers = list(listed)[:DEFAULT_TABLE_SIZE]
+        workers = list(listed)[:DEFAULT_TABLE_WORKERS]
         for table in self.tables.values():
             table.weights = dict.fromkeys(workers, 1.0)
 
     def restore(
         self, request_class: str, weights: dict[str, float], admission: float | None, retry_policy: int
     ) -> None:
-        """A table that this forwarder was ordered before it was restarted."""
+        """Restores a table from a snapshot; an unknown retry policy gives way to the default."""
         is_known = retry_policy in tuple(RetryPolicy)
-        policy = retry_policy if is_known else RetryPolicy.ONCE_IF_NOT_RUN
+        policy = RetryPolicy(retry_policy) if is_known else RetryPolicy.ONCE_IF_NOT_RUN
         self.tables[request_class] = ClassTable(dict(weights), admission, policy)
         self.has_ordered_table = True
 
-    # workers that fail
+    # Workers that have failed.
 
     def avoided_until(self) -> dict[str, float]:
-        """Which workers are avoided, until when."""
+        """The workers that are avoided, and until when."""
         return dict(self._avoided_until)
 
     def avoid(self, now: float, seconds_left: Mapping[str, float]) -> None:
-        """Workers that a snapshot has as avoided."""
-        for worker_id, left in seconds_left.items():
-            self._avoided_until[worker_id] = now + min(left, MAX_RESTORED_AVOIDANCE_S)
+        """Avoids workers that a snapshot has as avoided."""
+        for worker_id, left_s in seconds_left.items():
+            self._avoided_until[worker_id] = now + min(left_s, MAX_RESTORED_AVOIDANCE_S)
 
     def record_result(self, now: float, worker_id: str, succeeded: bool) -> None:
-        """The result of an attempt."""
+        """Counts the result of an attempt; after several failures in a row the worker is avoided."""
         if succeeded:
             self._consecutive_failures.pop(worker_id, None)
             self._avoided_until.pop(worker_id, None)
@@ -178,20 +152,20 @@
         factor = MIN_AVOIDANCE_FACTOR + AVOIDANCE_JITTER_FACTOR * self._random()
         self._avoided_until[worker_id] = now + AVOIDANCE_TIME_S * factor
 
-    def retain_workers(self, known: set[str]) -> None:
-        """Workers that are no longer listed and in no table are forgotten."""
-        kept = known | {worker_id for table in self.tables.values() for worker_id in table.weights}
-        self.excluded &= kept
-        self.leaving &= kept
-        for worker_id in set(self._consecutive_failures) - kept:
+    def retain_workers(self, listed: set[str]) -> None:
+        """Forgets the workers that are neither listed nor in a table."""
+        retained = listed | {worker_id for table in self.tables.values() for worker_id in table.weights}
+        self.excluded &= retained
+        self.leaving &= retained
+        for worker_id in set(self._consecutive_failures) - retained:
             del self._consecutive_failures[worker_id]
-        for worker_id in set(self._avoided_until) - kept:
+        for worker_id in set(self._avoided_until) - retained:
             del self._avoided_until[worker_id]
 
-    # requests
+    # Requests.
 
     def is_excluded(self, worker_id: str) -> bool:
-        """By a manager's order or because the list has it as leaving."""
+        """Whether no request may go to a worker, by a manager's order or by the endpoint list."""
         return worker_id in self.excluded or worker_id in self.leaving
 
     def candidates(self, request_class: str) -> dict[str, float]:
@@ -206,10 +180,10 @@
         attempted: Iterable[str] = (),
         preferred: Mapping[str, float] | None = None,
     ) -> str | None:
-        """By weight, of those that have not failed of late; if all have, of all: nobody is left without.
+        """Selects a worker by weight, among those that are not avoided if there are any.
 
-        `attempted`: workers that have failed this request.  `preferred`: workers with weights that were
-        chosen for this request, of which those count that are still candidates.
+        `attempted` are workers that have failed this request, which are left out.  `preferred` are the
+        weights chosen for this request; those of workers that are no candidates are ignored.
         """
         candidates = self.candidates(request_class)
         if preferred is not None:
@@ -229,11 +203,11 @@
         return next(reversed(list(weights)), None)
 
     def admits(self, now: float, request_class: str) -> bool:
-        """By the admission in force: a share of what comes, or so many requests a second."""
+        """Whether a request is admitted, by the admission ratio or rate in force."""
         admission = self.tables[request_class].admission
-        if admission is None or self._admission_mode == ADMIT_ALL:
+        if admission is None or self._admission_mode is AdmissionMode.NONE:
             return True
-        if self._admission_mode == ADMIT_RATIO:
+        if self._admission_mode is AdmissionMode.RATIO:
             return self._random() < admission
-        bucket = self._buckets.setdefault(request_class, TokenBucket(max(1.0, admission), now))
+        bucket = self._buckets.setdefault(request_class, TokenBucket.full(now, admission))
         return bucket.take(now, admission)
--- a/cottonladder/forwarder/service.py
+++ b/cottonladder/forwarder/service.py
@@ -1,4 +1,4 @@
-"""The forwarder as a program: signals, start, reload and stop."""
+"""The forwarder as a program: its start, reload and stop, and the signals that cause them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def serve(operator: OperatorConfig, path: str) -> None:
-    """Until SIGTERM or SIGINT, then the connections' drain; a second signal ends that."""
+    """Serves until SIGTERM or SIGINT, then drains the connections; a second signal ends the drain."""
     stop = asyncio.Event()
     stop_now = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -53,13 +53,13 @@
     status_port = 0
     if config.status:
         status_port = await serve_status(forwarder, host_port(config.status), stack)
-    gc.freeze()  # what a start made stays: collections pass over it
+    gc.freeze()  # the objects of the start live on, and garbage collections need not visit them
     host = host_port(config.listen)[0]
     log.info("forwarding", node=config.node, host=host, port=port, status=status_port)
 
 
 def _reload(forwarder: Forwarder, path: str) -> None:
-    """The file anew, of which plug-ins, labels and what they may change are taken."""
+    """Reads the operators' file again and applies its plug-ins part; the other parts need a restart."""
     try:
         operator = read_operator_config(path)
     except InputError as error:
@@ -69,10 +69,11 @@
 
 
 async def _drain(forwarder: Forwarder, stop_now: asyncio.Event) -> None:
-    """The forwarder's own drain, unless a second signal ends it."""
+    """Drains the forwarder's connections until that is done or a second signal arrives."""
     forwarder.log.info("draining", held_connections=forwarder.handler.tunnels.registry.total())
-    draining = asyncio.create_task(forwarder.drain())
-    stopping = asyncio.create_task(stop_now.wait())
+    draining = asyncio.create_task(forwarder.drain(), name="drain")
+    stopping = asyncio.create_task(stop_now.wait(), name="wait for a second signal")
     await asyncio.wait((draining, stopping), return_when=asyncio.FIRST_COMPLETED)
     draining.cancel()
     stopping.cancel()
+    await asyncio.gather(draining, stopping, return_exceptions=True)
--- a/cottonladder/forwarder/status.py
+++ b/cottonladder/forwarder/status.py
@@ -1,29 +1,26 @@
-"""The forwarder's state as operators read it: the status address and the demo."""
+"""The state of a forwarder as operators read it, over HTTP and through the admin socket."""
 
 from __future__ import annotations
 
 import json
 from contextlib import AsyncExitStack
-from typing import TYPE_CHECKING
 
 from aiohttp import web
 
 from ..config.fields import HostPort
+from .forwarder import Forwarder
 
-if TYPE_CHECKING:
-    from .forwarder import Forwarder
-
-WEIGHT_DIGITS = 4  # behind the point, as weights are shown
+WEIGHT_DIGITS = 4  # digits after the decimal point of a weight
 
 
 def forwarder_status(forwarder: Forwarder) -> dict[str, object]:
-    """What a person would ask of it.  The keys are operators' words and stay."""
+    """The state under the keys that the operators' pages fix."""
     router = forwarder.router
     drainer = forwarder.drainer
     tunnels = forwarder.handler.tunnels
     chain = forwarder.handler.verdicts.chain
     manager = forwarder.stream.manager
-    held = tunnels.registry.counts(forwarder.loop.time())
+    connections = tunnels.registry.counts(forwarder.loop.time())
     return {
         "node": forwarder.config.node,
         "zone": forwarder.config.zone,
@@ -31,11 +28,11 @@
         "tables": {name: _rounded(table.weights) for name, table in router.tables.items()},
         "levels": {name: table.admission for name, table in router.tables.items()},
         "shut": sorted(router.excluded | router.leaving),
-        "held": {worker_id: [row.open, row.busy, row.resumable] for worker_id, row in held.items()},
+        "held": {worker: [row.open, row.busy, row.resumable] for worker, row in connections.items()},
         "drains": {worker_id: drainer.state(worker_id).value for worker_id in drainer.workers()},
         "connections": forwarder.handler.listener.slots.total,
         "plugins": chain.status() if chain else [],
-        **tunnels.counts,
+        **tunnels.counters.as_status(),
     }
 
 
@@ -44,12 +41,13 @@
 
 
 async def serve_status(forwarder: Forwarder, address: HostPort, stack: AsyncExitStack) -> int:
-    """GET on a loopback address of its own gives the state as JSON; the port."""
+    """Serves the state as JSON to any GET on `address`; returns the port."""
 
-    async def answer(request: web.BaseRequest) -> web.StreamResponse:
-        return web.Response(text=json.dumps(forwarder.status()), content_type="application/json")
+    async def respond(_request: web.BaseRequest) -> web.StreamResponse:
+        """Answers with the present state."""
+        return web.Response(text=json.dumps(forwarder_status(forwarder)), content_type="application/json")
 
-    runner = web.ServerRunner(web.Server(answer))
+    runner = web.ServerRunner(web.Server(respond))
     await runner.setup()
     stack.push_async_callback(runner.cleanup)
     site = web.TCPSite(runner, *address)
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -1,16 +1,17 @@
-"""One upgraded connection: a client's end and a worker's, bytes both ways, migrated or closed in order.
+"""One upgraded connection: relays bytes between a client and a worker, and is migrated or closed in order.
 
-The `Tunnel` is the one owner of both transports and the one place where they are given back.  Migration and
-close are steps of their own (`tunnel_migration`, `tunnel_close`) that act on it.
+The `Tunnel` owns both transports and is the only place that closes them.  Migration and close are steps of
+their own (`tunnel_migration`, `tunnel_close`) that act on the tunnel.
 """
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Protocol
 
-from .connection_drainer import NO_ORDER
+from .drain_orders import NO_ORDER
 from .errors import FrameError
 from .frame_scanner import INTERNAL_ERROR, PROTOCOL_ERROR, encode_close_frame
 from .resource_limits import STALL_TIMEOUT_S
@@ -21,69 +22,79 @@
 from .tunnel_states import TRANSITIONS, TunnelEvent, TunnelState
 from .upgrade_policy import UpgradePolicy
 
-CLOSE_TIMEOUT_S = 2.0  # s that a client may take to answer a close, and a worker to end, before both are cut
-FAULT_LINGER_S = 0.2  # s more that a client has to read why it was closed
-LEFT_UNREAD = "left bytes unread"  # the reason of an end that is not waited for: nobody reads
+CLOSE_TIMEOUT_S = 2.0  # for the client to answer a close and the worker to end, before both are cut
+FAULT_LINGER_S = 0.2  # more for a client to read the reason of a close that its own fault caused
+STALLED = "left bytes unread"  # the reason of an end after which nothing more can be delivered
 
 
 class TunnelObserver(Protocol):
-    """Who keeps count of a tunnel's worker and of its end."""
+    """Is notified when a tunnel leaves its worker, fails to leave it, or ends."""
 
     def tunnel_migrated(self, tunnel: Tunnel, source: str, order: int) -> None:
-        """It has left `source` for its present worker."""
+        """The tunnel has left the worker `source` for its present worker."""
 
     def tunnel_stayed(self, tunnel: Tunnel, order: int, reason: str) -> None:
-        """It could not migrate."""
+        """The tunnel could not migrate and stays at its worker."""
 
     def tunnel_ended(self, tunnel: Tunnel, reason: str) -> None:
-        """Both its transports are given back."""
+        """The tunnel has closed both its transports."""
+
+
+@dataclass(frozen=True, slots=True)
+class TunnelOptions:
+    """What a tunnel needs to know of the upgrade that began it.
+
+    `handshake_head` is the request as it was sent to the worker; `client_address` is the address whose
+    connection slot the tunnel occupies.
+    """
+
+    request_class: str
+    policy: UpgradePolicy
+    is_websocket: bool
+    handshake_head: bytes
+    client_address: str
 
 
 class Tunnel:
-    """Owns both ends from the worker's 101 on.  `order`: the manager's order that is being carried out."""
+    """An upgraded connection from the worker's status 101 to the end of both transports.
+
+    `order` is the number of the manager's order that is being carried out on the tunnel, or `NO_ORDER`.
+    """
 
     __slots__ = (
+        "_close",
+        "_eof_count",
+        "_loop",
+        "_observer",
+        "_stall_timers",
+        "_timer",
+        "active_at",
+        "client_address",
         "client_end",
-        "worker_end",
-        "worker_id",
-        "request_class",
-        "policy",
-        "owner",
-        "client",
-        "state",
         "frames",
         "migration",
         "order",
-        "active_at",
-        "_close",
-        "_loop",
-        "_timer",
-        "_stall_timers",
-        "_eof_count",
+        "policy",
+        "request_class",
+        "state",
+        "worker_end",
+        "worker_id",
     )
 
     def __init__(
-        self,
-        client_end: ClientEnd,
-        worker_end: WorkerEnd,
-        request_class: str,
-        policy: UpgradePolicy,
-        is_websocket: bool,
-        handshake_head: bytes,
-        owner: TunnelObserver,
-        client: str,
+        self, client_end: ClientEnd, worker_end: WorkerEnd, options: TunnelOptions, observer: TunnelObserver
     ) -> None:
         self.client_end = client_end
         self.worker_end = worker_end
         self.worker_id = worker_end.worker_id
-        self.request_class = request_class
-        self.policy = policy
-        self.owner = owner
-        self.client = client
+        self.request_class = options.request_class
+        self.policy = options.policy
+        self.client_address = options.client_address
         self.state = TunnelState.OPEN
-        self.frames = TunnelFrames(policy) if is_websocket else None
-        self.migration = TunnelMigration(self, handshake_head, worker_end)
+        self.frames = TunnelFrames(options.policy) if options.is_websocket else None
+        self.migration = TunnelMigration(self, options.handshake_head, worker_end)
         self.order = NO_ORDER
+        self._observer = observer
         self._close = TunnelClose(self)
         self._loop = asyncio.get_running_loop()
         self.active_at = self._loop.time()
@@ -92,52 +103,52 @@
         self._eof_count = 0
 
     def start(self) -> None:
-        """From here on bytes pass; what the worker sent with its answer goes first."""
+        """Begins to relay, first the bytes that the worker sent together with its answer."""
         self.client_end.tunnel = self
         self.worker_end.tunnel = self
         buffered = self.worker_end.take_buffered()
         self.worker_end.resume_reading()
         if buffered:
             self.data_received(self.worker_end, buffered)
-        if self.worker_end.is_lost:  # as it was agreeing: nobody will tell of it again
+        if self.worker_end.is_lost:  # it was lost during the handshake: asyncio reports that only once
             self.connection_lost(self.worker_end, None)
         elif self.worker_end.has_eof:
             self.eof_received(self.worker_end)
 
-    # what others ask
+    # State as others read it.
 
     @property
     def is_closing(self) -> bool:
-        """Its close has begun, or it is closed."""
+        """Whether the tunnel is closing or closed."""
         return self.state in (TunnelState.CLOSING, TunnelState.CLOSED)
 
     @property
     def is_resumable(self) -> bool:
-        """Another worker can take it over."""
+        """Whether another worker can resume the connection."""
         return self.migration.is_possible
 
     @property
     def is_open(self) -> bool:
-        """It counts as the worker's and is not under way from there."""
+        """Whether the tunnel is neither migrating nor closing."""
         return self.state is TunnelState.OPEN
 
     @property
     def pending_requests(self) -> int:
-        """Requests that the worker has not answered, where they can be told apart."""
+        """How many requests the worker has not answered; 0 where requests can't be recognised."""
         return self.frames.pending_requests if self.frames is not None else 0
 
     def is_busy(self, now: float) -> bool:
-        """Something is under way that must not be cut: a request without its answer, half a message."""
+        """Whether an end of the connection now would interrupt a request or a message."""
         if self.pending_requests > 0:
             return True
         if self.frames is not None and not self.frames.is_idle:
             return True
         return self.policy.request_prefix is None and now - self.active_at < self.policy.quiet_time_s
 
-    # relay
+    # Relay of bytes.
 
     def data_received(self, end: TunnelEnd, data: bytes) -> None:
-        """Bytes of one end go to the other."""
+        """Relays bytes of one end to the other."""
         self.active_at = self._loop.time()
         try:
             if end is self.client_end:
@@ -145,7 +156,7 @@
             elif end is self.worker_end:
                 self._relay_from_worker(data)
             elif isinstance(end, WorkerEnd):
-                end.buffer(data)  # the new worker speaks before the old one has ended
+                end.buffer(data)  # the new worker sends before the old one has ended
         except FrameError as error:
             self._end_for_fault(end, error)
 
@@ -177,25 +188,25 @@
         return self.worker_end if end is self.client_end else self.client_end
 
     def writing_paused(self, end: TunnelEnd) -> None:
-        """An end leaves bytes unread: the other one is not read until it has caught up, or is given up."""
+        """Stops reading from the other end until this one has read what waits for it, or has timed out."""
         self._other(end).pause_reading()
         if end not in self._stall_timers:
-            self._stall_timers[end] = self._loop.call_later(STALL_TIMEOUT_S, self.end, LEFT_UNREAD)
+            self._stall_timers[end] = self._loop.call_later(STALL_TIMEOUT_S, self.end, STALLED)
 
     def writing_resumed(self, end: TunnelEnd) -> None:
-        """An end has caught up."""
+        """Reads from the other end again."""
         if (timer := self._stall_timers.pop(end, None)) is not None:
             timer.cancel()
         other = self._other(end)
         is_migrating = self.state in (TunnelState.CONNECTING, TunnelState.HANDING_OVER)
         if is_migrating and other is self.client_end:
-            return  # the client is read again once it has its worker
+            return  # the migration resumes reading from the client when it has finished
         other.resume_reading()
 
-    # the ends' ends
+    # Ends of the two connections.
 
     def eof_received(self, end: TunnelEnd) -> None:
-        """One side has sent all: that is passed on, the other direction goes on."""
+        """Relays an end of file; the other direction stays open."""
         self._eof_count += 1
         if end is self.worker_end and self.state is TunnelState.HANDING_OVER:
             self.migration.complete()
@@ -212,7 +223,7 @@
             other.write_eof()
 
     def connection_lost(self, end: TunnelEnd, exc: Exception | None) -> None:
-        """One side's connection has ended."""
+        """Ends the tunnel, or a migration, as the connection of one end is closed."""
         if end is self.worker_end and self.state is TunnelState.HANDING_OVER:
             self.migration.complete()
         elif self.migration.is_new_end(end):
@@ -225,47 +236,56 @@
             self._end_for_loss(f"worker: {exc or 'closed'}")
 
     def _end_for_loss(self, reason: str) -> None:
-        """The reason of a close that has begun goes before that of the loss."""
+        """Ends the tunnel; the reason of a close under way takes precedence over that of the loss."""
         self.end(self._close.reason or reason)
 
-    # states and timers, which migration and close use too
+    # State changes and timers, which migration and close use too.
 
     def enter(self, event: TunnelEvent) -> None:
-        """Goes to the state that follows; an event that may not come now is a fault of this program."""
+        """Moves to the state that follows `event`; raises KeyError where the event may not occur."""
         self.state = TRANSITIONS[self.state, event]
 
     def start_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
-        """The one timer of the step under way."""
+        """Starts the timer of the step under way; there is one at a time."""
         self._timer = self._loop.call_later(delay_s, callback)
 
     def cancel_timers(self) -> None:
-        """A step has ended."""
+        """Cancels the timer of the step under way and the timers of stalled ends."""
         for timer in (self._timer, *self._stall_timers.values()):
             if timer is not None:
                 timer.cancel()
         self._timer = None
         self._stall_timers = {}
 
-    # migration, close and end
+    # Migration, close and end.
 
     def migrate(self, order: int, connect: Connect) -> None:
-        """Below the client, which is not read meanwhile."""
+        """Begins to migrate to the worker that `connect` reaches."""
         self.migration.start(order, connect)
 
+    def notify_migrated(self, source: str, order: int) -> None:
+        """Reports to the observer that the tunnel has left the worker `source`."""
+        self._observer.tunnel_migrated(self, source, order)
+
+    def notify_migration_abandoned(self, order: int, reason: str) -> None:
+        """Reports to the observer that the tunnel stays at its worker."""
+        self._observer.tunnel_stayed(self, order, reason)
+
     def close(self, order: int, code: int, message: str, reason: str, timeout_s: float) -> None:
-        """In order, within `timeout_s`."""
+        """Closes the tunnel in order within `timeout_s`; see `TunnelClose.start` for the other arguments."""
         if self.is_closing:
             return
         self.order = order
+        self.migration.drop_new_end()
         self._close.start(code, message, reason, timeout_s)
 
     def send_close(self, code: int, message: str) -> None:
-        """A close frame to the client, where one can be put in."""
+        """Sends a close frame to the client, unless that would interrupt another frame."""
         if self.frames is not None and self.frames.may_close_to_client:
             self.client_end.write(encode_close_frame(code, message, False))
 
     def abort(self) -> None:
-        """At the program's end."""
+        """Ends the tunnel because the program ends."""
         self.end("forwarder ended")
 
     def _end_for_fault(self, end: TunnelEnd, error: FrameError) -> None:
@@ -276,7 +296,7 @@
             self.end(f"worker: {error}")
 
     def end(self, reason: str, linger_s: float = 0.0) -> None:
-        """The one place where both transports are given back."""
+        """Closes both transports; nothing else does."""
         if self.state is TunnelState.CLOSED:
             return
         self.cancel_timers()
@@ -284,14 +304,14 @@
         self.migration.drop_new_end()
         for end in (self.client_end, self.worker_end):
             end.tunnel = None
-            self._give_back(end, reason, linger_s)
-        self.owner.tunnel_ended(self, reason)
+            self._close_transport(end, reason, linger_s)
+        self._observer.tunnel_ended(self, reason)
 
-    def _give_back(self, end: TunnelEnd, reason: str, linger_s: float) -> None:
+    def _close_transport(self, end: TunnelEnd, reason: str, linger_s: float) -> None:
         if end.transport is None:
             return
-        if reason == LEFT_UNREAD:
+        if reason == STALLED:
             end.transport.abort()
             return
-        end.transport.close()  # what is written still goes out
+        end.transport.close()  # asyncio still sends what has been written
         self._loop.call_later(CLOSE_TIMEOUT_S + linger_s, end.transport.abort)
--- a/cottonladder/forwarder/tunnel_close.py
+++ b/cottonladder/forwarder/tunnel_close.py
@@ -1,31 +1,57 @@
-"""The close of one tunnel, in order: close frames to both sides where frames are spoken, a bounded wait."""
+"""Closes one tunnel in order: sends close frames on WebSocket connections, then waits a bounded time."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from typing import Protocol
 
 from .frame_scanner import SERVICE_RESTART, encode_close_frame
+from .tunnel_ends import ClientEnd, WorkerEnd
+from .tunnel_frames import TunnelFrames
 from .tunnel_states import TunnelEvent
 
-if TYPE_CHECKING:
-    from .tunnel import Tunnel
+
+class ClosableTunnel(Protocol):
+    """The parts of a tunnel that a close needs."""
+
+    client_end: ClientEnd
+    worker_end: WorkerEnd
+    frames: TunnelFrames | None
+
+    def enter(self, event: TunnelEvent) -> None:
+        """Moves the tunnel to the state that follows `event`."""
+
+    def start_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Starts the timer of the step under way."""
+
+    def cancel_timers(self) -> None:
+        """Cancels every timer of the tunnel."""
+
+    def send_close(self, code: int, message: str) -> None:
+        """Sends a close frame to the client where the protocol allows one."""
+
+    def end(self, reason: str) -> None:
+        """Closes both transports."""
 
 
 class TunnelClose:
-    """The close under way; `reason` is empty before it has begun."""
+    """The close of one tunnel; `reason` is empty until the close has begun."""
 
-    __slots__ = ("_tunnel", "_code", "_message", "reason")
+    __slots__ = ("_code", "_message", "_tunnel", "reason")
 
-    def __init__(self, tunnel: Tunnel) -> None:
+    def __init__(self, tunnel: ClosableTunnel) -> None:
         self._tunnel = tunnel
         self._code = 0
         self._message = ""
         self.reason = ""
 
     def start(self, code: int, message: str, reason: str, timeout_s: float) -> None:
-        """Tells both sides.  `message` goes to the client with `code`; `reason` goes into the log."""
+        """Begins the close.
+
+        The client receives `code` and `message`; `reason` goes to the log.  The tunnel ends after
+        `timeout_s` even if a peer has not answered the close.
+        """
         tunnel = self._tunnel
-        tunnel.migration.drop_new_end()
         tunnel.cancel_timers()
         tunnel.enter(TunnelEvent.CLOSE_STARTED)
         self._code = code
@@ -40,7 +66,7 @@
         self._send_close_frames()
 
     def _send_close_frames(self) -> None:
-        """Once no frame is half sent to the client."""
+        """Sends the close frames, unless a frame to the client is still incomplete."""
         tunnel = self._tunnel
         frames = tunnel.frames
         if frames is None or not frames.from_worker.is_between_frames or tunnel.client_end.transport is None:
@@ -52,7 +78,7 @@
             tunnel.worker_end.write(encode_close_frame(self._code, "", True))
 
     def data_from_client(self, data: bytes) -> None:
-        """The tunnel ends once the client has answered the close."""
+        """Ends the tunnel once the client has answered the close."""
         frames = self._tunnel.frames
         if frames is None or not self._code:
             return
@@ -61,7 +87,7 @@
             self._tunnel.end(self.reason)
 
     def data_from_worker(self, data: bytes) -> None:
-        """Only the rest of a frame that had begun passes on; then the close frames go out."""
+        """Relays the rest of an incomplete frame, then sends the close frames; drops any later data."""
         frames = self._tunnel.frames
         if frames is None or not self._code or frames.from_worker.is_between_frames:
             return
--- a/cottonladder/forwarder/tunnel_ends.py
+++ b/cottonladder/forwarder/tunnel_ends.py
@@ -1,4 +1,4 @@
-"""The two ends of an upgraded connection: asyncio protocols that know nothing but their tunnel."""
+"""The two ends of an upgraded connection: asyncio protocols that pass each event to their tunnel."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 from .errors import HandshakeError
 from .resource_limits import MAX_HEADER_BYTES, RELAY_BUFFER_BYTES
 
-SWITCHING_PROTOCOLS = 101  # status of a worker that agrees to an upgrade
-FIRST_FINAL_STATUS = 200  # what is below it, but for 101, is informational
+SWITCHING_PROTOCOLS = 101  # the HTTP status of a worker that accepts an upgrade
+FIRST_FINAL_STATUS = 200  # the lowest HTTP status, besides 101, that is not informational
 
 
 class TunnelEvents(Protocol):
-    """What an end tells its tunnel."""
+    """Receives the events of both ends."""
 
     def data_received(self, end: TunnelEnd, data: bytes) -> None:
-        """Bytes have come."""
+        """The peer has sent data."""
 
     def eof_received(self, end: TunnelEnd) -> None:
-        """This side has sent all that it will send."""
+        """The peer has sent an end of file."""
 
     def writing_paused(self, end: TunnelEnd) -> None:
-        """This side leaves bytes unread."""
+        """The peer leaves more bytes unread than the buffer should hold."""
 
     def writing_resumed(self, end: TunnelEnd) -> None:
-        """This side has caught up."""
+        """The peer has read enough for more bytes to be written."""
 
     def connection_lost(self, end: TunnelEnd, exc: Exception | None) -> None:
-        """This side's connection has ended."""
+        """The connection is closed."""
 
 
 class TunnelEnd(asyncio.Protocol):
-    """One end.  What happens before it has its tunnel is kept until it has."""
+    """One end of a tunnel; until it has its tunnel it remembers an end of file and the connection's loss."""
 
-    __slots__ = ("tunnel", "transport", "has_eof", "is_lost")
+    __slots__ = ("has_eof", "is_lost", "transport", "tunnel")
 
     def __init__(self) -> None:
         self.has_eof = False
@@ -56,7 +56,7 @@
             self.tunnel.data_received(self, data)
 
     def eof_received(self) -> bool:
-        """Called by asyncio; True: the other direction may go on."""
+        """Called by asyncio; returns True to keep the other direction open."""
         if self.tunnel is not None:
             self.tunnel.eof_received(self)
         else:
@@ -81,44 +81,44 @@
             self.is_lost = True
 
     def open_transport(self) -> asyncio.Transport | None:
-        """The transport, while it is neither closed nor closing."""
+        """The transport, or None if it is closed or closing."""
         if self.transport is None or self.transport.is_closing():
             return None
         return self.transport
 
     def write(self, data: bytes) -> None:
-        """Writes while the transport is open."""
+        """Writes data if the transport is open."""
         transport = self.open_transport()
         if data and transport is not None:
             transport.write(data)
 
     def pause_reading(self) -> None:
-        """Leaves what the peer sends in its socket."""
+        """Stops reading from the peer."""
         if (transport := self.open_transport()) is not None:
             transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Reads again."""
+        """Reads from the peer again."""
         if (transport := self.open_transport()) is not None:
             transport.resume_reading()
 
 
 class ClientEnd(TunnelEnd):
-    """The client's end."""
+    """The end at the client."""
 
     __slots__ = ()
 
 
 @dataclass(slots=True)
 class HandshakeReply:
-    """A worker's answer to a handshake: its head as it came, and its status and headers."""
+    """A worker's answer to a handshake: its status, reason phrase and headers."""
 
     status: int
     reason: bytes
     headers: list[tuple[bytes, bytes]]
 
     def header(self, name: str) -> str:
-        """A header's value; empty where there is none."""
+        """The value of a header; empty if there is no such header."""
         wanted = name.lower().encode()
         for header, value in self.headers:
             if header.lower() == wanted:
@@ -127,45 +127,45 @@
 
 
 class WorkerEnd(TunnelEnd):
-    """The worker's end; until the answer's head is whole it reads the handshake."""
+    """The end at the worker; it parses the answer to the handshake before it relays data."""
 
     __slots__ = (
-        "worker_id",
-        "reply",
-        "buffered",
-        "_parser",
-        "_status",
+        "_head_bytes",
         "_headers",
+        "_parser",
+        "_reason",
         "_reply_future",
-        "_head_bytes",
+        "buffered",
+        "reply",
+        "worker_id",
     )
 
     def __init__(self, worker_id: str) -> None:
         super().__init__()
         self.worker_id = worker_id
         self.reply: HandshakeReply | None = None
-        self.buffered = b""  # came before there was a tunnel to take it
+        self.buffered = b""  # data received before a tunnel could relay it
         self._parser: Any = httptools.HttpResponseParser(self)
-        self._status = b""
+        self._reason = b""
         self._headers: list[tuple[bytes, bytes]] = []
         self._head_bytes = 0
         self._reply_future: asyncio.Future[HandshakeReply] = asyncio.get_running_loop().create_future()
 
     def on_status(self, status: bytes) -> None:
         """Called by the parser."""
-        self._status = status
+        self._reason = status
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Called by the parser."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Called by the parser; heads of informational answers are passed over."""
+        """Called by the parser; ignores the heads of informational answers."""
         status = int(self._parser.get_status_code())
         if status < FIRST_FINAL_STATUS and status != SWITCHING_PROTOCOLS:
             self._headers = []
             return
-        self.reply = HandshakeReply(status, self._status, self._headers)
+        self.reply = HandshakeReply(status, self._reason, self._headers)
         if not self._reply_future.done():
             self._reply_future.set_result(self.reply)
 
@@ -188,22 +188,22 @@
             self.buffer(data[exc.args[0] :])
         except httptools.HttpParserError as exc:
             if not self._has_reply():
-                self._fail(HandshakeError(f"answer can't be read: {exc}", True))
+                self._fail(HandshakeError(f"answer can't be read: {exc}", may_have_run=True))
         if self._has_reply():
             self._parser = None
 
     def _has_reply(self) -> bool:
-        """Whether the parser has found the answer's head."""
+        """Whether the head of the answer is complete; a method, as the parser's callbacks set `reply`."""
         return self.reply is not None
 
     def buffer(self, data: bytes) -> None:
-        """Keeps what can't be passed on yet, a bounded amount of it."""
+        """Keeps data that can't be relayed yet, and pauses reading when it fills the buffer."""
         self.buffered += data
         if len(self.buffered) >= RELAY_BUFFER_BYTES:
             self.pause_reading()
 
     def take_buffered(self) -> bytes:
-        """Gives what was kept, once."""
+        """Returns the data kept so far and forgets it."""
         buffered = self.buffered
         self.buffered = b""
         return buffered
@@ -216,31 +216,31 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Called by asyncio."""
         if self.reply is None:
-            self._fail(HandshakeError(f"ended before its answer: {exc or 'closed'}", True))
+            self._fail(HandshakeError(f"ended before its answer: {exc or 'closed'}", may_have_run=True))
         super().connection_lost(exc)
 
     async def handshake(self, head: bytes, timeout_s: float) -> HandshakeReply:
-        """Sends the handshake and waits for the answer's head.  Raises HandshakeError."""
+        """Sends a handshake and waits for the head of the answer.  Raises HandshakeError."""
         assert self.transport is not None
         self.transport.write(head)
         try:
             return await asyncio.wait_for(self._reply_future, timeout_s)
         except TimeoutError:
             self.abort()
-            raise HandshakeError(f"no answer within {timeout_s:g} s", True) from None
+            raise HandshakeError(f"no answer within {timeout_s:g} s", may_have_run=True) from None
 
     def abort(self) -> None:
-        """Ends the connection at once."""
+        """Closes the connection at once and drops what has not been sent."""
         if self.transport is not None:
             self.transport.abort()
 
 
 async def connect(worker_id: str, host: str, port: int, timeout_s: float) -> WorkerEnd:
-    """A connection to a worker; a HandshakeError with the proof that nothing ran if there is none."""
+    """Connects to a worker.  Raises HandshakeError, which then proves that the worker received nothing."""
     loop = asyncio.get_running_loop()
     try:
         connecting = loop.create_connection(lambda: WorkerEnd(worker_id), host, port)
         _, end = await asyncio.wait_for(connecting, timeout_s)
     except (OSError, TimeoutError) as exc:
-        raise HandshakeError(f"no connection: {exc or 'timed out'}", False) from None
+        raise HandshakeError(f"no connection: {exc or 'timed out'}", may_have_run=False) from None
     return end
--- a/cottonladder/forwarder/tunnel_frames.py
+++ b/cottonladder/forwarder/tunnel_frames.py
@@ -1,4 +1,4 @@
-"""Follows the WebSocket frames of a tunnel, both ways, and counts the requests that wait for an answer."""
+"""Follows the WebSocket frames of a tunnel in both directions and counts the requests without an answer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class TunnelFrames:
-    """The frames of one connection.  Feeding raises FrameError."""
+    """The frames of one connection.  The methods that take data raise FrameError."""
 
     __slots__ = ("_policy", "from_client", "from_worker", "pending_requests")
 
@@ -19,16 +19,16 @@
 
     @property
     def is_idle(self) -> bool:
-        """Neither side is amid a message."""
+        """Whether no message is incomplete in either direction."""
         return self.from_client.is_idle and self.from_worker.is_idle
 
     @property
     def may_close_to_client(self) -> bool:
-        """A close frame can be put in towards the client."""
+        """Whether a close frame may be sent to the client now."""
         return self.from_worker.is_between_frames and not self.from_worker.is_closed
 
     def feed_from_client(self, data: bytes) -> bytes:
-        """What passes on to the worker."""
+        """The bytes to send to the worker."""
         result = self.from_client.feed(data)
         prefix = self._policy.request_prefix
         if prefix is not None:
@@ -36,7 +36,7 @@
         return result.forwarded + result.closing
 
     def feed_from_worker(self, data: bytes) -> ScanResult:
-        """What passes on to the client, a close frame set apart."""
+        """The bytes to send to the client, with those of a close frame apart."""
         result = self.from_worker.feed(data)
         if self._policy.request_prefix is not None and self.pending_requests:
             prefix = self._policy.response_prefix
@@ -45,5 +45,5 @@
         return result
 
     def restart_from_worker(self) -> None:
-        """Another worker's frames come from here on, or none."""
+        """Forgets the old worker's frames: those that follow come from another worker, or none follow."""
         self.from_worker = FrameScanner(masked=False)
--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -1,96 +1,114 @@
-"""Owns the tunnels: counts them by worker, carries out drains, and closes them in order."""
+"""Owns every tunnel of one forwarder: counts them by worker, carries out drains, and closes them in order."""
 
 from __future__ import annotations
 
+import asyncio
 import math
+from dataclasses import asdict, dataclass
 
 import structlog
 
 from .client_listener import ClientListener
-from .connection_drainer import NO_ORDER, ConnectionDrainer, CutConnections, StartMove
+from .connection_drainer import ConnectionDrainer, CutConnections, StartMove
 from .connection_registry import ConnectionRegistry
+from .drain_orders import NO_ORDER
+from .final_answers import OUTCOME_UNKNOWN
 from .fleet import Fleet
 from .frame_scanner import GOING_AWAY, INTERNAL_ERROR, SERVICE_RESTART
-from .resource_limits import MIN_ATTEMPT_TIMEOUT_S, retry_after
-from .responses import OUTCOME_UNKNOWN
+from .resource_limits import MIN_ATTEMPT_TIMEOUT_S
+from .retry_after import retry_after
 from .tunnel import CLOSE_TIMEOUT_S, Tunnel
+from .tunnel_ends import WorkerEnd
 from .upgrade_handshake import handshake
 from .worker_slots import WorkerSlots
 
-MAX_END_REASONS = 32  # reasons for an end that are told apart between two log lines
-MAX_LOGGED_REASON = 64  # characters of a worker's or an error's text in a reason
+MAX_END_REASONS = 32  # reasons that are counted separately between two log lines
+MAX_LOGGED_REASON_CHARACTERS = 64  # of the text of a worker or of an error
 OTHER_REASONS = "others"
 
 
+@dataclass(slots=True)
+class TunnelCounters:
+    """How tunnels left their workers; the names are keys of the status that operators read."""
+
+    moved: int = 0
+    closed: int = 0
+    cut: int = 0
+    busy_cut: int = 0
+
+    def as_status(self) -> dict[str, int]:
+        """The counters by name."""
+        return asdict(self)
+
+
 class TunnelManager:
-    """The owner of all tunnels of one forwarder."""
+    """Observes and closes the tunnels, and owns the handshakes with workers that they migrate to."""
 
     def __init__(self, fleet: Fleet, drainer: ConnectionDrainer, listener: ClientListener) -> None:
         self._fleet = fleet
         self._drainer = drainer
         self._listener = listener
+        self._handshakes: set[asyncio.Task[WorkerEnd]] = set()
         self.registry: ConnectionRegistry[Tunnel] = ConnectionRegistry()
         self.slots = WorkerSlots(fleet, self.registry)
-        self.end_reasons: dict[str, int] = {}  # tunnels by the reason of their end, since the last log line
-        self.counts = {"moved": 0, "closed": 0, "cut": 0, "busy_cut": 0}
+        self.end_reasons: dict[str, int] = {}  # number of tunnels by reason, since the last log line
+        self.counters = TunnelCounters()
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
-    # what tunnels report
+    # Notifications from tunnels.
 
     def tunnel_migrated(self, tunnel: Tunnel, source: str, order: int) -> None:
-        """A tunnel has left `source` for its present worker."""
+        """Counts a tunnel at its present worker instead of `source`."""
         self.registry.move(source, tunnel.worker_id, tunnel)
-        self.counts["moved"] += 1
+        self.counters.moved += 1
         self._drainer.connection_settled(source, order, True)
 
     def tunnel_stayed(self, tunnel: Tunnel, order: int, reason: str) -> None:
-        """A migration did not come about."""
+        """Counts a migration that failed."""
         self._drainer.connection_settled(tunnel.worker_id, order, False)
-        self._note_end(f"stayed: {reason[:MAX_LOGGED_REASON]}")
+        self._count_reason(f"stayed: {reason[:MAX_LOGGED_REASON_CHARACTERS]}")
 
     def tunnel_ended(self, tunnel: Tunnel, reason: str) -> None:
-        """A tunnel has given its ends back."""
+        """Removes a tunnel whose transports are closed, and releases the slot of its client."""
         self.registry.remove(tunnel.worker_id, tunnel)
-        self._listener.slots.release(tunnel.client)
+        self._listener.slots.release(tunnel.client_address)
         self._drainer.connection_settled(tunnel.worker_id, tunnel.order, True)
-        self._note_end(reason)
+        self._count_reason(reason)
 
-    def _note_end(self, reason: str) -> None:
-        is_told_apart = reason in self.end_reasons or len(self.end_reasons) < MAX_END_REASONS
-        key = reason if is_told_apart else OTHER_REASONS
+    def _count_reason(self, reason: str) -> None:
+        is_separate = reason in self.end_reasons or len(self.end_reasons) < MAX_END_REASONS
+        key = reason if is_separate else OTHER_REASONS
         self.end_reasons[key] = self.end_reasons.get(key, 0) + 1
 
     def log_ended_connections(self) -> None:
-        """One line for all connections that ended since the last one."""
+        """Logs one line for all connections that have ended since the last one."""
         if self.end_reasons:
             count = sum(self.end_reasons.values())
             self.log.info("connections_ended", count=count, reasons=str(self.end_reasons))
             self.end_reasons = {}
 
-    # drains
+    # Drains.
 
     def tick_drains(self) -> None:
-        """Carries out what is due of every drain."""
+        """Carries out what is due of each drain."""
         now = self._fleet.now()
-        workers_with_connections = self.registry.workers()
-        self._start_and_cancel_drains(now, workers_with_connections)
-        split = {
-            worker_id: self.registry.idle_and_held(worker_id, now)
-            for worker_id in workers_with_connections & self._drainer.workers()
-        }
-        idle_counts = {worker_id: len(idle) for worker_id, (idle, _) in split.items()}
-        held_counts = {worker_id: self.registry.count(worker_id) for worker_id in split}
-        for action in self._drainer.due_actions(now, idle_counts, held_counts):
+        workers = self.registry.workers()
+        self._start_and_cancel_drains(now, workers)
+        draining = workers & self._drainer.workers()
+        idle = {worker_id: self.registry.idle_connections(worker_id, now) for worker_id in draining}
+        idle_counts = {worker_id: len(tunnels) for worker_id, tunnels in idle.items()}
+        counts = {worker_id: self.registry.count(worker_id) for worker_id in draining}
+        for action in self._drainer.due_actions(now, idle_counts, counts):
             if isinstance(action, CutConnections):
                 self._cut(action.worker_id, now)
-            elif not self._start_move(action, split[action.worker_id][0].pop(0), now):
+            elif not self._start_move(action, idle[action.worker_id].pop(0), now):
                 break
         self._log_state_changes()
         router = self._fleet.router
-        self._drainer.forget_finished(workers_with_connections, router.excluded | router.leaving)
+        self._drainer.forget_finished(workers, router.excluded | router.leaving)
 
-    def _start_and_cancel_drains(self, now: float, workers_with_connections: set[str]) -> None:
-        for worker_id in workers_with_connections:
+    def _start_and_cancel_drains(self, now: float, workers: set[str]) -> None:
+        for worker_id in workers:
             if self._fleet.router.is_excluded(worker_id):
                 self._drainer.start(now, worker_id)
         for worker_id in self._drainer.workers():
@@ -108,22 +126,22 @@
             )
         self._drainer.state_changes.clear()
 
-    def _close_time(self, worker_id: str, now: float) -> float:
-        """How long a close may take: all must be off when the grace ends."""
-        return min(CLOSE_TIMEOUT_S, self._drainer.time_left(now, worker_id))
+    def _close_timeout_s(self, worker_id: str, now: float) -> float:
+        """How long a close may take, as every connection must have ended when the grace period ends."""
+        return min(CLOSE_TIMEOUT_S, self._drainer.time_left_s(now, worker_id))
 
     def _start_move(self, move: StartMove, tunnel: Tunnel, now: float) -> bool:
-        """One connection leaves its worker.  False: no worker of the table has a slot for it yet."""
+        """Migrates or closes one connection; False if no worker of the table has a slot for it yet."""
         target = move.target
         if target is not None and not self._is_available(target):
-            # The destination died: the manager plans anew.
+            # The destination has failed or left since the order was given: the manager plans again.
             self._drainer.connection_settled(move.worker_id, move.order, False)
             return True
         if move.close or not tunnel.is_resumable:
             self._close_for_drain(move, tunnel, now)
             return True
         if target is None:
-            target, _ = self.slots.select(tunnel.request_class, [move.worker_id])
+            target = self.slots.select(tunnel.request_class, [move.worker_id]).worker_id
         if target is None:
             return False
         self._migrate(move, tunnel, target, now)
@@ -135,36 +153,48 @@
         return self._fleet.address_of(worker_id) is not None
 
     def _close_for_drain(self, move: StartMove, tunnel: Tunnel, now: float) -> None:
-        """Its client comes back by itself."""
+        """Closes a connection and asks its client to reconnect."""
         if move.target is None:
             delay_s = retry_after(0.0, self._fleet.rng.random())
         else:
-            self._fleet.pacer.reserve(now, move.target, 1)  # whoever comes back finds the slot that was meant
+            self._fleet.pacer.reserve(now, move.target, 1)  # for the client, which reconnects at once
             delay_s = retry_after(0.0, 0.0)
-        self.counts["closed"] += 1
+        self.counters.closed += 1
         message = f"moved: come back in {delay_s} s"
-        timeout_s = self._close_time(move.worker_id, now)
+        timeout_s = self._close_timeout_s(move.worker_id, now)
         tunnel.close(move.order, SERVICE_RESTART, message, "drained", timeout_s)
 
     def _migrate(self, move: StartMove, tunnel: Tunnel, target: str, now: float) -> None:
-        left = min(self._fleet.limits.first_byte_timeout_s, self._drainer.time_left(now, move.worker_id))
-        deadline = now + max(MIN_ATTEMPT_TIMEOUT_S, left)
-        tunnel.migrate(move.order, lambda head: handshake(self._fleet, target, head, deadline))
+        time_left_s = self._drainer.time_left_s(now, move.worker_id)
+        timeout_s = max(MIN_ATTEMPT_TIMEOUT_S, min(self._fleet.limits.first_byte_timeout_s, time_left_s))
+        tunnel.migrate(move.order, lambda head: self._start_handshake(target, head, now + timeout_s))
+
+    def _start_handshake(self, target: str, head: bytes, deadline: float) -> asyncio.Task[WorkerEnd]:
+        task = asyncio.create_task(
+            handshake(self._fleet, target, head, deadline), name=f"migrate to {target}"
+        )
+        self._handshakes.add(task)
+        task.add_done_callback(self._handshakes.discard)
+        return task
 
     def _cut(self, worker_id: str, now: float) -> None:
-        """The grace is over.  Who waits for an answer is told that nobody knows; nothing sends it again."""
+        """Closes whatever is still open at a worker whose grace period has ended.
+
+        A client with an unanswered request is notified that the outcome is unknown; the request is not sent
+        to another worker.
+        """
         for tunnel in self.registry.connections_of(worker_id):
             if tunnel.is_closing:
                 continue
             is_unknown = tunnel.pending_requests > 0
-            self.counts["cut"] += 1
-            self.counts["busy_cut"] += is_unknown
+            self.counters.cut += 1
+            self.counters.busy_cut += is_unknown
             code = INTERNAL_ERROR if is_unknown else SERVICE_RESTART
             message = OUTCOME_UNKNOWN if is_unknown else "moved: come back in 1 s"
-            timeout_s = self._close_time(worker_id, now)
+            timeout_s = self._close_timeout_s(worker_id, now)
             tunnel.close(NO_ORDER, code, message, "cut at the end of the grace", timeout_s)
 
-    # the stop
+    # Shutdown of the forwarder.
 
     def _all(self) -> list[Tunnel]:
         return [
@@ -173,12 +203,12 @@
             for tunnel in self.registry.connections_of(worker_id)
         ]
 
-    def close_part(self, part: float) -> int:
-        """At the stop: closes a part of the connections, idle ones first; tells how many are left."""
+    def close_fraction(self, fraction: float) -> int:
+        """Closes a fraction of the open connections, idle ones first; returns how many stay open."""
         now = self._fleet.now()
         still_open = [tunnel for tunnel in self._all() if not tunnel.is_closing]
         still_open.sort(key=lambda tunnel: tunnel.is_busy(now))
-        count = math.ceil(part * len(still_open))
+        count = math.ceil(fraction * len(still_open))
         for tunnel in still_open[:count]:
             self._close_for_stop(tunnel)
         return len(still_open) - count
@@ -190,7 +220,11 @@
         message = OUTCOME_UNKNOWN if is_unknown else f"forwarder stops: come back in {delay_s} s"
         tunnel.close(NO_ORDER, code, message, "forwarder stops", CLOSE_TIMEOUT_S)
 
-    def abort(self) -> None:
-        """Ends whatever is left."""
+    async def close(self) -> None:
+        """Ends every tunnel and cancels the handshakes of migrations under way."""
         for tunnel in self._all():
             tunnel.abort()
+        handshakes = list(self._handshakes)
+        for task in handshakes:
+            task.cancel()
+        await asyncio.gather(*handshakes, return_exceptions=True)
--- a/cottonladder/forwarder/tunnel_migration.py
+++ b/cottonladder/forwarder/tunnel_migration.py
@@ -1,40 +1,82 @@
-"""Migration of one tunnel to another worker, below its client.
+"""Migrates one tunnel to another worker without its client noticing.
 
-The client is not read meanwhile.  The new worker must agree to take over first; then the old one is told to
-close, and what it still says goes to the client before the new one's first byte.
+The forwarder does not read from the client during a migration.  The new worker first has to accept the
+connection.  The forwarder then asks the old worker to close, and relays what the old worker still sends
+before the first byte of the new worker.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Coroutine
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from typing import Protocol
 
-from .connection_drainer import NO_ORDER
+from .drain_orders import NO_ORDER
 from .frame_scanner import INTERNAL_ERROR, SERVICE_RESTART, encode_close_frame
-from .tunnel_ends import SWITCHING_PROTOCOLS, TunnelEnd, WorkerEnd
+from .tunnel_ends import SWITCHING_PROTOCOLS, ClientEnd, TunnelEnd, TunnelEvents, WorkerEnd
+from .tunnel_frames import TunnelFrames
 from .tunnel_states import TunnelEvent, TunnelState
+from .upgrade_policy import UpgradePolicy
 
-if TYPE_CHECKING:
-    from .tunnel import Tunnel
+HANDOVER_TIMEOUT_S = 1.0  # for the old worker's last frames once the new worker has accepted
+MAX_KEPT_HEAD_BYTES = 8192  # of a handshake that is kept in order to repeat it at another worker
 
-HANDOVER_TIMEOUT_S = 1.0  # s that the old worker has for its last frames once the new one has agreed to go on
-MAX_KEPT_HEAD_BYTES = 8192  # bytes of a handshake that are kept for a worker to resume with
-
-# Reasons for a tunnel to stay where it is, as the log tells them.
+# Reasons for a tunnel to stay at its worker, as they appear in the log.
 RESUMPTION_REJECTED = "not taken over"
 NEW_WORKER_ENDED = "the new worker ended the connection"
 BUSY_AGAIN = "busy again"
 
-Connect = Callable[[bytes], Coroutine[Any, Any, WorkerEnd]]  # sends a handshake's head to the new worker
+# Starts the handshake with the new worker; the argument is the head of the request.
+Connect = Callable[[bytes], asyncio.Task[WorkerEnd]]
+
+
+class MigratingTunnel(TunnelEvents, Protocol):
+    """The parts of a tunnel that a migration needs."""
+
+    client_end: ClientEnd
+    worker_end: WorkerEnd
+    worker_id: str
+    frames: TunnelFrames | None
+    policy: UpgradePolicy
+    state: TunnelState
+    order: int
+    active_at: float
+
+    def is_busy(self, now: float) -> bool:
+        """Whether a request or a message is incomplete."""
+        ...
+
+    def enter(self, event: TunnelEvent) -> None:
+        """Moves the tunnel to the state that follows `event`."""
+
+    def start_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Starts the timer of the step under way."""
+
+    def cancel_timers(self) -> None:
+        """Cancels every timer of the tunnel."""
+
+    def send_close(self, code: int, message: str) -> None:
+        """Sends a close frame to the client where the protocol allows one."""
+
+    def start(self) -> None:
+        """Begins to relay between the client and the present worker."""
+
+    def end(self, reason: str) -> None:
+        """Closes both transports."""
+
+    def notify_migrated(self, source: str, order: int) -> None:
+        """Reports that the tunnel has left the worker `source`."""
+
+    def notify_migration_abandoned(self, order: int, reason: str) -> None:
+        """Reports that the tunnel stays at its worker."""
 
 
 class TunnelMigration:
-    """What one tunnel needs to migrate, and the migration under way."""
+    """What one tunnel needs in order to migrate, and the migration under way."""
 
-    __slots__ = ("_tunnel", "_handshake_head", "_ticket", "_new_end")
+    __slots__ = ("_handshake_head", "_new_end", "_ticket", "_tunnel")
 
-    def __init__(self, tunnel: Tunnel, handshake_head: bytes, worker_end: WorkerEnd) -> None:
+    def __init__(self, tunnel: MigratingTunnel, handshake_head: bytes, worker_end: WorkerEnd) -> None:
         header = tunnel.policy.ticket_header
         is_kept = bool(header) and len(handshake_head) <= MAX_KEPT_HEAD_BYTES
         self._tunnel = tunnel
@@ -44,15 +86,15 @@
 
     @property
     def is_possible(self) -> bool:
-        """The worker has given a ticket by which another one can resume the connection."""
+        """Whether the worker has given a ticket with which another worker can resume the connection."""
         return bool(self._ticket and self._handshake_head)
 
     def is_new_end(self, end: TunnelEnd) -> bool:
-        """Whether an end is the new worker's, before the tunnel has switched to it."""
+        """Whether `end` belongs to the new worker and the tunnel has not switched to it yet."""
         return end is self._new_end
 
     def start(self, order: int, connect: Connect) -> None:
-        """Asks the new worker; only an open tunnel starts to migrate."""
+        """Begins the handshake with the new worker; does nothing unless the tunnel is open."""
         tunnel = self._tunnel
         if tunnel.state is not TunnelState.OPEN:
             return
@@ -61,8 +103,7 @@
         tunnel.client_end.pause_reading()
         ticket_line = f"{tunnel.policy.ticket_header}: {self._ticket}\r\n\r\n"
         head = self._handshake_head[:-2] + ticket_line.encode("latin-1")
-        task = asyncio.ensure_future(connect(head))
-        task.add_done_callback(self._on_connected)
+        connect(head).add_done_callback(self._on_connected)
 
     def _on_connected(self, task: asyncio.Future[WorkerEnd]) -> None:
         error = None if task.cancelled() else task.exception()
@@ -83,7 +124,7 @@
             end.abort()
 
     def _reason_to_stay(self, new_end: WorkerEnd | None, error: BaseException | None) -> str:
-        """Why the new worker's answer does not let the tunnel move; empty: it may."""
+        """Why the tunnel can't migrate to the new worker; empty if it can."""
         if error is not None:
             return str(error)
         if new_end is None or new_end.reply is None or new_end.reply.status != SWITCHING_PROTOCOLS:
@@ -98,7 +139,7 @@
         return ""
 
     def _hand_over(self, new_end: WorkerEnd) -> None:
-        """The new worker has agreed: the old one says its last."""
+        """Asks the old worker to close, as the new one has accepted the connection."""
         tunnel = self._tunnel
         assert new_end.reply is not None
         self._new_end = new_end
@@ -109,17 +150,17 @@
         tunnel.start_timer(HANDOVER_TIMEOUT_S, self.complete)
 
     def abandon(self, reason: str) -> None:
-        """The tunnel stays where it is."""
+        """Leaves the tunnel at its present worker."""
         tunnel = self._tunnel
         order = tunnel.order
         tunnel.enter(TunnelEvent.MIGRATION_ABANDONED)
         tunnel.order = NO_ORDER
         self._new_end = None
         tunnel.client_end.resume_reading()
-        tunnel.owner.tunnel_stayed(tunnel, order, reason)
+        tunnel.notify_migration_abandoned(order, reason)
 
     def complete(self) -> None:
-        """The old worker has said its last: the new one goes on where it ended."""
+        """Switches to the new worker, as the old one has sent its last frame or has run out of time."""
         tunnel = self._tunnel
         new_end = self._new_end
         if tunnel.state is not TunnelState.HANDING_OVER or new_end is None:
@@ -128,7 +169,7 @@
         is_amid_message = tunnel.frames is not None and not tunnel.frames.from_worker.is_idle
         tunnel.worker_end.tunnel = None
         tunnel.worker_end.abort()
-        if is_amid_message:  # the client's bytes can't be mended
+        if is_amid_message:  # the client has a part of a message that nobody can complete
             tunnel.send_close(INTERNAL_ERROR, "worker lost")
             tunnel.end("the old worker ended amid a message")
             return
@@ -145,12 +186,12 @@
             tunnel.frames.restart_from_worker()
         tunnel.enter(TunnelEvent.MIGRATION_COMPLETED)
         tunnel.order = NO_ORDER
-        tunnel.owner.tunnel_migrated(tunnel, source, order)
+        tunnel.notify_migrated(source, order)
         tunnel.start()
         tunnel.client_end.resume_reading()
 
     def drop_new_end(self) -> None:
-        """The tunnel closes or ends: the new worker is not needed."""
+        """Closes the connection to the new worker, as the tunnel itself closes or ends."""
         if self._new_end is not None:
             self._new_end.tunnel = None
             self._new_end.abort()
--- a/cottonladder/forwarder/tunnel_states.py
+++ b/cottonladder/forwarder/tunnel_states.py
@@ -1,4 +1,4 @@
-"""The life of one upgraded connection: its states, and one table of how they follow each other."""
+"""The states of one upgraded connection, and the table of transitions between them."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class TunnelState(Enum):
-    """Where a tunnel stands."""
+    """The state of a tunnel."""
 
-    OPEN = "open"  # bytes pass both ways
-    CONNECTING = "connecting"  # another worker is asked to take over; the client is not read meanwhile
-    HANDING_OVER = "handing over"  # it agreed; the old worker says its last
-    CLOSING = "closing"  # both sides have been told, and have a bounded time to end
-    CLOSED = "closed"  # both transports are given back
+    OPEN = "open"  # bytes are relayed in both directions
+    CONNECTING = "connecting"  # a handshake with another worker is under way; the client is not read
+    HANDING_OVER = "handing over"  # the new worker has accepted; the old one sends its last frames
+    CLOSING = "closing"  # both peers have been sent a close and have a bounded time to end
+    CLOSED = "closed"  # both transports are closed
 
 
 class TunnelEvent(Enum):
-    """What moves a tunnel from one state to the next."""
+    """An event that changes a tunnel's state."""
 
     MIGRATION_STARTED = "migration started"
     NEW_WORKER_AGREED = "new worker agreed"
--- a/cottonladder/forwarder/upgrade_handshake.py
+++ b/cottonladder/forwarder/upgrade_handshake.py
@@ -1,26 +1,26 @@
-"""The handshake of an upgrade: is it well-formed, what goes on to the worker, and the worker's answer."""
+"""The handshake of an upgrade: checks the client's request, passes it to a worker, and reads the answer."""
 
 from __future__ import annotations
 
 from aiohttp import web
 
 from .errors import HandshakeError, RequestRejectedError
+from .final_answers import UPGRADE_NOT_GET, UPGRADE_WITH_BODY, UPGRADE_WITHOUT_KEY
 from .fleet import Fleet
 from .request_context import RequestContext
 from .resource_limits import MIN_ATTEMPT_TIMEOUT_S
-from .responses import UPGRADE_NOT_GET, UPGRADE_WITH_BODY, UPGRADE_WITHOUT_KEY
 from .tunnel_ends import WorkerEnd, connect
 from .upgrade_policy import UpgradePolicy
 from .worker_connections import HOP_BY_HOP_HEADERS
 
 
 def is_websocket(request: web.BaseRequest) -> bool:
-    """Whether the upgrade is to frames that the forwarder can follow."""
+    """Whether the client asks for WebSocket, whose frames the forwarder can follow."""
     return request.headers["Upgrade"].strip().lower() == "websocket"
 
 
 def check_upgrade(request: web.BaseRequest) -> None:
-    """Raises RequestRejectedError for an upgrade that no worker is asked about."""
+    """Raises RequestRejectedError for an upgrade that the forwarder does not offer to any worker."""
     has_chunks = "chunked" in request.headers.get("Transfer-Encoding", "").lower()
     if (request.content_length or 0) > 0 or has_chunks:
         raise RequestRejectedError(UPGRADE_WITH_BODY)
@@ -31,40 +31,39 @@
 
 
 def handshake_head(context: RequestContext, policy: UpgradePolicy) -> bytes:
-    """The client's own head, but for what belongs to its connection alone."""
+    """The client's request head, without the headers that concern only its connection."""
     request = context.request
     lines = [f"GET {request.raw_path} HTTP/1.1"]
     for name, value in context.headers.items():
-        if not _goes_on(name.lower(), policy):
+        if not _is_forwarded(name.lower(), policy):
             continue
-        if name.lower() == "connection":
-            value = "Upgrade"
-        lines.append(f"{name}: {value}")
+        forwarded_value = "Upgrade" if name.lower() == "connection" else value
+        lines.append(f"{name}: {forwarded_value}")
     lines.append(f"X-Forwarded-For: {request.remote or '?'}")
     return ("\r\n".join(lines) + "\r\n\r\n").encode("utf-8", "surrogateescape")
 
 
-def _goes_on(name: str, policy: UpgradePolicy) -> bool:
-    """Whether a header, in small letters, is passed on to the worker."""
+def _is_forwarded(name: str, policy: UpgradePolicy) -> bool:
+    """Whether a header, given in lower case, is passed on to the worker."""
     if name in HOP_BY_HOP_HEADERS and name not in ("upgrade", "connection"):
         return False
     if name == policy.ticket_header.lower():
-        return False  # a ticket is between forwarder and worker: a client can't take another's over
-    # Compressed messages could not be told apart.
+        return False  # only a forwarder may present a ticket, or a client could resume another's connection
+    # Requests and answers can't be recognised in compressed messages.
     return not (name == "sec-websocket-extensions" and policy.request_prefix is not None)
 
 
 async def handshake(fleet: Fleet, worker_id: str, head: bytes, deadline: float) -> WorkerEnd:
-    """A worker's end with its answer's head read, whatever it says.  Raises HandshakeError."""
+    """Connects to a worker and reads the head of its answer, whatever its status.  Raises HandshakeError."""
     address = fleet.address_of(worker_id)
     if address is None:
-        raise HandshakeError("no address", False)
+        raise HandshakeError("no address", may_have_run=False)
     host, _, port = address.rpartition(":")
     worker_end = await connect(worker_id, host, int(port), fleet.limits.connect_timeout_s)
     try:
-        left = min(deadline - fleet.now(), fleet.limits.first_byte_timeout_s)
-        await worker_end.handshake(head, max(MIN_ATTEMPT_TIMEOUT_S, left))
-    except BaseException:
-        worker_end.abort()  # its client has gone, or it did not answer
+        time_left_s = min(deadline - fleet.now(), fleet.limits.first_byte_timeout_s)
+        await worker_end.handshake(head, max(MIN_ATTEMPT_TIMEOUT_S, time_left_s))
+    except BaseException:  # includes the cancellation of the request
+        worker_end.abort()
         raise
     return worker_end
--- a/cottonladder/forwarder/upgrade_policy.py
+++ b/cottonladder/forwarder/upgrade_policy.py
@@ -1,4 +1,4 @@
-"""How the upgraded connections of a class are told to be busy, and how they are taken over."""
+"""How the forwarder recognises busy connections of a class, and how another worker resumes them."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UpgradePolicy:
-    """What operators have said of one class's upgraded connections.
+    """The operators' settings for the upgraded connections of one class.
 
-    `request_prefix`, `response_prefix`: first bytes of a client's message that asks and of a worker's that
-    answers.  Without a request prefix they are not told apart, and a connection is busy until no data has
-    come for `quiet_time_s` s.  `ticket_header`: by it a worker lets another one take the connection over;
-    empty: none can.
+    A client's message that begins with `request_prefix` is a request, and a worker's message that begins with
+    `response_prefix` answers it.  Without a request prefix, a connection is busy until it has carried no data
+    for `quiet_time_s`.  A worker sends a ticket in `ticket_header`, with which another worker can resume the
+    connection; if the name is empty, no connection of the class can be resumed.
     """
 
     request_prefix: bytes | None = None
