--- a/cottonladder/forwarder/upgrade_requests.py
+++ b/cottonladder/forwarder/upgrade_requests.py
@@ -1,37 +1,40 @@
-"""Carries one upgrade: workers are offered the handshake until one agrees; a tunnel then joins both ends."""
+"""Handles one upgrade request: offers the handshake to workers until one accepts it, then opens a tunnel."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Mapping
+from dataclasses import dataclass
 
 from aiohttp import web
 
 from .client_listener import ClientListener, UpgradedResponse, switching_protocols_head
-from .errors import HandshakeError, RequestRejectedError
+from .errors import ClientGoneError, HandshakeError, RequestRejectedError
+from .final_answers import NO_SLOT, NO_WORKER_ANSWERED, FinalAnswer, failure_answer
 from .fleet import Fleet
 from .request_context import RequestContext
-from .responses import (
-    DEFAULT_RETRY_DELAY_S,
-    NO_SLOT,
-    NO_SLOT_RETRY_DELAY_S,
-    NO_WORKER_ANSWERED,
-    FinalAnswer,
-    ResponseBuilder,
-    failure_answer,
-)
+from .responses import DEFAULT_RETRY_DELAY_S, NO_SLOT_RETRY_DELAY_S, ResponseBuilder
 from .retries import FailedAttempts, should_retry
-from .tunnel import Tunnel
+from .tunnel import Tunnel, TunnelOptions
 from .tunnel_ends import SWITCHING_PROTOCOLS, WorkerEnd
 from .tunnel_manager import TunnelManager
 from .upgrade_handshake import check_upgrade, handshake, handshake_head, is_websocket
 from .upgrade_policy import UpgradePolicy
 
-MAX_HANDSHAKE_ATTEMPTS = 3  # workers that a handshake is offered to before the client is told to come back
+MAX_HANDSHAKE_ATTEMPTS = 3  # workers that are offered a handshake, before the client is asked to retry
+
+
+@dataclass(frozen=True, slots=True)
+class Handshake:
+    """A handshake as it is offered to workers; `deadline` is on the loop's clock."""
+
+    head: bytes
+    policy: UpgradePolicy
+    deadline: float
 
 
 class UpgradeForwarder:
-    """Finds a worker for an upgrade and joins both ends."""
+    """Finds a worker for an upgrade and opens the tunnel between client and worker."""
 
     def __init__(
         self,
@@ -48,35 +51,32 @@
         self._responses = responses
 
     async def forward(self, context: RequestContext) -> web.StreamResponse:
-        """Offers the handshake to one worker after the other, as far as retries are allowed."""
+        """Offers the handshake to workers, one after the other, as far as retries are allowed."""
         try:
             check_upgrade(context.request)
         except RequestRejectedError as rejected:
             return self._responses.build(rejected.answer)
         request_class = context.request_class
         policy = self._policies[request_class.name]
-        head = handshake_head(context, policy)
-        timeout_s = request_class.timeout or self._fleet.limits.first_byte_timeout_s
-        deadline = self._fleet.now() + timeout_s
+        timeout_s = request_class.timeout_s or self._fleet.limits.first_byte_timeout_s
+        offer = Handshake(handshake_head(context, policy), policy, self._fleet.now() + timeout_s)
         failed = FailedAttempts()
         for _ in range(MAX_HANDSHAKE_ATTEMPTS):
-            worker_id, wait = self._tunnels.slots.select(
-                request_class.name, failed.workers, context.preferred
-            )
-            if worker_id is None:
-                return self._no_slot(context, wait)
+            selection = self._tunnels.slots.select(request_class.name, failed.workers, context.preferred)
+            if selection.worker_id is None:
+                return self._no_slot(context, selection.retry_delay_s)
             started_at = self._fleet.now()
             context.progress.may_have_run = True
             try:
-                worker_end = await handshake(self._fleet, worker_id, head, deadline)
+                worker_end = await handshake(self._fleet, selection.worker_id, offer.head, offer.deadline)
             except HandshakeError as error:
-                failed.add(worker_id, error)
+                failed.add(selection.worker_id, error)
                 context.progress.may_have_run = error.may_have_run
-                self._fleet.record_attempt(worker_id, False, started_at)
-                if self._may_retry(context, failed, error, deadline):
+                self._fleet.record_attempt(selection.worker_id, False, started_at)
+                if self._may_retry(context, failed, error, offer.deadline):
                     continue
                 return self._give_up(context, failure_answer(error.may_have_run))
-            return self._answered(context, worker_end, policy, head, started_at)
+            return self._answered(context, worker_end, offer, started_at)
         return self._give_up(context, NO_WORKER_ANSWERED)
 
     def _may_retry(
@@ -88,8 +88,8 @@
             return False
         return self._fleet.now() < deadline
 
-    def _no_slot(self, context: RequestContext, wait: float) -> web.Response:
-        delay_s = max(wait, DEFAULT_RETRY_DELAY_S) if wait < math.inf else NO_SLOT_RETRY_DELAY_S
+    def _no_slot(self, context: RequestContext, wait_s: float) -> web.Response:
+        delay_s = max(wait_s, DEFAULT_RETRY_DELAY_S) if wait_s < math.inf else NO_SLOT_RETRY_DELAY_S
         return self._give_up(context, NO_SLOT, delay_s)
 
     def _give_up(
@@ -99,46 +99,39 @@
         return self._responses.build(answer, delay_s)
 
     def _answered(
-        self,
-        context: RequestContext,
-        worker_end: WorkerEnd,
-        policy: UpgradePolicy,
-        head: bytes,
-        started_at: float,
+        self, context: RequestContext, worker_end: WorkerEnd, offer: Handshake, started_at: float
     ) -> web.StreamResponse:
-        """A worker has answered the handshake; only 101 agrees to it."""
+        """Opens a tunnel if the worker has answered 101, and otherwise passes the worker's status on."""
         reply = worker_end.reply
         assert reply is not None
         self._fleet.record_attempt(worker_end.worker_id, reply.status < 500, started_at)
         if reply.status != SWITCHING_PROTOCOLS:
             worker_end.abort()
             return self._responses.upgrade_refused(reply.status, reply.header("Retry-After"))
-        return self._join(context, worker_end, policy, head)
+        return self._open_tunnel(context, worker_end, offer)
 
-    def _join(
-        self, context: RequestContext, worker_end: WorkerEnd, policy: UpgradePolicy, head: bytes
+    def _open_tunnel(
+        self, context: RequestContext, worker_end: WorkerEnd, offer: Handshake
     ) -> web.StreamResponse:
-        """The client's connection leaves the listener and becomes an end of a tunnel."""
+        """Detaches the client's connection from the listener and joins it to the worker's."""
         assert worker_end.reply is not None
         try:
-            client_end, buffered, client = self._listener.detach(context.request)
-        except ConnectionResetError:
+            client = self._listener.detach(context.request)
+        except ClientGoneError:
             worker_end.abort()
             return UpgradedResponse()
-        tunnel = Tunnel(
-            client_end,
-            worker_end,
-            context.request_class.name,
-            policy,
-            is_websocket(context.request),
-            head,
-            self._tunnels,
-            client,
+        options = TunnelOptions(
+            request_class=context.request_class.name,
+            policy=offer.policy,
+            is_websocket=is_websocket(context.request),
+            handshake_head=offer.head,
+            client_address=client.address,
         )
+        tunnel = Tunnel(client.end, worker_end, options, self._tunnels)
         self._tunnels.registry.add(worker_end.worker_id, tunnel)
-        assert client_end.transport is not None
-        client_end.transport.write(switching_protocols_head(worker_end.reply))
+        assert client.end.transport is not None
+        client.end.transport.write(switching_protocols_head(worker_end.reply))
         tunnel.start()
-        if buffered:
-            tunnel.data_received(client_end, buffered)
+        if client.buffered:
+            tunnel.data_received(client.end, client.buffered)
         return UpgradedResponse()
--- a/cottonladder/forwarder/worker_connections.py
+++ b/cottonladder/forwarder/worker_connections.py
@@ -1,4 +1,4 @@
-"""Requests to workers by aiohttp's client: one session, pools by worker, and proof that nothing ran."""
+"""Sends plain requests to workers through aiohttp's client, which keeps a connection pool for each worker."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from .errors import WorkerError
 from .resource_limits import RELAY_BUFFER_BYTES, ResourceLimits
 
-KEEPALIVE_TIMEOUT_S = 15.0  # s that a connection to a worker is kept without a request
+KEEPALIVE_TIMEOUT_S = 15.0  # that a pooled connection is kept without a request
 
-# Headers that belong to one connection and not to the request (RFC 9110, 7.6.1).
+# Headers that concern a connection and not the request (RFC 9110, section 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te",
      "trailer", "transfer-encoding", "upgrade"}
@@ -23,7 +23,7 @@
 
 
 def forwarded_headers(headers: Mapping[str, str] | CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    """The headers that go on: all but those of the connection, and those that `Connection` names."""
+    """The headers to forward: those of the connection, and those that `Connection` names, are left out."""
     connection_headers = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
     forwarded: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
@@ -34,16 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRequest:
-    """What is sent to whichever worker is selected."""
+    """A request as it is sent to a worker; `target` is the client's own path and query, unchanged."""
 
     method: str
-    target: str  # as the client wrote it
+    target: str
     headers: CIMultiDict[str]
     body: bytes | AsyncIterator[bytes] | None
 
 
 class WorkerConnections:
-    """Owns the session, with a pool of connections for each worker."""
+    """Owns the client session and its connection pools."""
 
     def __init__(self, limits: ResourceLimits) -> None:
         self._limits = limits
@@ -60,12 +60,15 @@
             max_line_size=limits.header_bytes,
             max_field_size=limits.header_bytes,
         )
-        # aiohttp sends idempotent methods again by itself when a kept-alive connection was closed.  Here only
-        # the managers' orders and the request's class say whether it may be sent twice; a test counts it.
+        # By itself aiohttp repeats an idempotent method when the worker has closed the pooled connection.
+        # Only the managers' orders and the request's class may decide on a retry; a test counts attempts.
         self._session._retry_connection = False
 
     async def send(self, address: str, request: WorkerRequest, timeout_s: float) -> aiohttp.ClientResponse:
-        """The answer's head; its body is read by the caller, who releases it.  Raises WorkerError."""
+        """Sends a request and returns the answer once its head has arrived.  Raises WorkerError.
+
+        The caller reads the body of the answer and releases or closes the answer.
+        """
         url = URL(f"http://{address}{request.target}", encoded=True)
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=self._limits.connect_timeout_s, sock_read=timeout_s
@@ -82,9 +85,7 @@
                 ),
                 timeout_s,
             )
-        except aiohttp.ConnectionTimeoutError as exc:
-            raise WorkerError(f"no connection: {exc}", may_have_run=False) from None
-        except aiohttp.ClientConnectorError as exc:
+        except (aiohttp.ConnectionTimeoutError, aiohttp.ClientConnectorError) as exc:
             raise WorkerError(f"no connection: {exc}", may_have_run=False) from None
         except (TimeoutError, aiohttp.ServerTimeoutError):
             raise WorkerError(
@@ -94,5 +95,5 @@
             raise WorkerError(f"{type(exc).__name__}: {exc}", may_have_run=True) from None
 
     async def close(self) -> None:
-        """Ends the connections."""
+        """Closes the session and its connections."""
         await self._session.close()
--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -1,4 +1,4 @@
-"""The list of workers as discovery has it: addresses, which are leaving, and which are gone."""
+"""Follows discovery's endpoint list and keeps the workers' addresses and states."""
 
 from __future__ import annotations
 
@@ -7,35 +7,40 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ..config.errors import InputError
+from ..config.errors import UnknownNameError
 from ..config.fields import HostPort
 from ..model.inputs import EndpointList, EndpointState, Input, ListUpdateKind
 from ..protocol.discovery import DiscoveryClient
 from ..state.worker_registry import WorkerRegistry
-from .resource_limits import AdmissionPacer
+from .admission_pacer import AdmissionPacer
 from .router import Router
 
-MIN_LIST_RETRY_DELAY_S = 0.3  # s until a failed call to discovery is made again, at the least
-MAX_LIST_RETRY_DELAY_S = 1.0  # s until then, at the most; dealt by chance between both
-MAX_BACKOFF_FACTOR = 8.0  # times that, doubled with each call that fails: a fleet's calls keep discovery down
-REMOVED_WORKER_TTL_S = 600.0  # s after which a worker that is gone and in no table is known no more
+MIN_LIST_RETRY_DELAY_S = 0.3  # before a failed call is repeated, at the lower end of the jitter
+MAX_LIST_RETRY_DELAY_S = 1.0  # before a failed call is repeated, at the upper end of the jitter
+# The backoff multiplies the delay by up to this factor, as the calls of a whole fleet could overload a
+# discovery service that is recovering.
+MAX_BACKOFF_FACTOR = 8.0
+REMOVED_WORKER_TTL_S = 600.0  # after which a worker that is gone and not in use is forgotten
 
 
 class Zones:
-    """The site's zones, for the reading of the list."""
+    """The site's zones by name."""
 
     def __init__(self, names: Sequence[str]) -> None:
         self._index = {name: index for index, name in enumerate(names)}
 
     def zone_index(self, name: str, where: str) -> int:
-        """The index of a zone.  Raises InputError for one that is not the site's."""
+        """The index of a zone.  Raises UnknownNameError, which names `where`, for an unknown zone."""
         if name not in self._index:
-            raise InputError(f"{where}: unknown zone")
+            raise UnknownNameError(where, "zone")
         return self._index[name]
 
 
 class WorkerList:
-    """Follows the list, also while no manager is joined, and tells the router of it."""
+    """Passes the endpoint list on to the router, whether or not a manager is connected.
+
+    `restore_snapshot` is called once, with the first list that has a ready worker.
+    """
 
     def __init__(
         self,
@@ -51,48 +56,48 @@
         self._router = router
         self._pacer = pacer
         self._rng = rng
-        self._held_workers = workers_with_connections
+        self._workers_with_connections = workers_with_connections
         self._zones = Zones(zones)
         self._home_zone = self._zones.zone_index(zone, "forwarder")
         self._registry = WorkerRegistry()
         self._states: dict[int, EndpointState] = {}
         self._zone_of: dict[int, int] = {}
         self._removed_at: dict[int, float] = {}
-        self._backoff = 1.0
+        self._backoff_factor = 1.0
         self._retry_timer: asyncio.TimerHandle | None = None
         self._now = asyncio.get_running_loop().time
         self._discovery = DiscoveryClient(
             discovery, self._zones, self._registry.register, self._on_input, 0, record_labels
         )
-        self.restore_snapshot: Callable[[], None] | None = None  # called once, with the first list
+        self.restore_snapshot: Callable[[], None] | None = None
 
     def start(self) -> None:
-        """Asks for the list and watches it."""
+        """Fetches the list and watches its changes."""
         self._discovery.fetch()
         self._watch()
 
     def stop_timers(self) -> None:
-        """No call is made again."""
+        """Cancels the repetition of a failed call."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
 
     async def close(self) -> None:
-        """Ends the connections to discovery."""
+        """Closes the connections to discovery."""
         await self._discovery.close()
 
     def refresh(self) -> None:
-        """Asks for the list at once."""
+        """Fetches the list at once."""
         self._discovery.fetch()
 
     def _watch(self) -> None:
         self._discovery.set_watching(True)
 
     def is_known(self, worker_id: str) -> bool:
-        """The list has named the worker."""
+        """Whether the list has named a worker."""
         return self._registry.find_index(worker_id.encode()) is not None
 
     def address_of(self, worker_id: str) -> str | None:
-        """A worker's host:port; None for one that is not known."""
+        """The host:port of a worker; None for an unknown worker."""
         index = self._registry.find_index(worker_id.encode())
         return None if index is None else self._registry.address_of(index)
 
@@ -105,14 +110,14 @@
         if item.kind == ListUpdateKind.FAILED:
             self._retry_later()
         else:
-            self._backoff = 1.0
+            self._backoff_factor = 1.0
             self._update(item)
 
     def _retry_later(self) -> None:
         self.stop_timers()  # a call and the watch may fail together
-        delay = self._rng.uniform(MIN_LIST_RETRY_DELAY_S, MAX_LIST_RETRY_DELAY_S) * self._backoff
-        self._retry_timer = asyncio.get_running_loop().call_later(delay, self._watch)
-        self._backoff = min(MAX_BACKOFF_FACTOR, 2.0 * self._backoff)
+        delay_s = self._rng.uniform(MIN_LIST_RETRY_DELAY_S, MAX_LIST_RETRY_DELAY_S) * self._backoff_factor
+        self._retry_timer = asyncio.get_running_loop().call_later(delay_s, self._watch)
+        self._backoff_factor = min(MAX_BACKOFF_FACTOR, 2.0 * self._backoff_factor)
 
     def _update(self, item: EndpointList) -> None:
         now = self._now()
@@ -132,7 +137,7 @@
         self._forget_removed(now)
 
     def _restore(self) -> None:
-        """With the first list: what of a snapshot still holds can be told only now."""
+        """Restores the snapshot, of which only the workers on the list still count."""
         if self.restore_snapshot is not None:
             restore_snapshot = self.restore_snapshot
             self.restore_snapshot = None
@@ -150,8 +155,8 @@
             self._removed_at.setdefault(worker_index, now)
 
     def _forget_removed(self, now: float) -> None:
-        """Workers gone for long, that no table names and that hold no connection, are forgotten."""
-        in_use = self._held_workers()
+        """Forgets workers that were removed long ago, have no connection and are in no table."""
+        in_use = self._workers_with_connections()
         for table in self._router.tables.values():
             in_use |= set(table.weights)
         for worker_index, removed_at in list(self._removed_at.items()):
--- a/cottonladder/forwarder/worker_slots.py
+++ b/cottonladder/forwarder/worker_slots.py
@@ -1,17 +1,26 @@
-"""Which worker may take one more upgraded connection now."""
+"""Selects the worker for an upgraded connection, within the limits and the admission pace of each worker."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Collection, Mapping
+from dataclasses import dataclass
 
 from .connection_registry import ConnectionRegistry
 from .fleet import Fleet
 from .tunnel import Tunnel
 
 
+@dataclass(frozen=True, slots=True)
+class SlotSelection:
+    """The worker selected, or None and the time in seconds until one may accept a connection."""
+
+    worker_id: str | None
+    retry_delay_s: float = 0.0
+
+
 class WorkerSlots:
-    """Selects workers for upgraded connections, within limits and the pace of arrivals."""
+    """Selects workers that may accept one more upgraded connection."""
 
     def __init__(self, fleet: Fleet, registry: ConnectionRegistry[Tunnel]) -> None:
         self._fleet = fleet
@@ -19,18 +28,18 @@
 
     def select(
         self, request_class: str, attempted: Collection[str], preferred: Mapping[str, float] | None = None
-    ) -> tuple[str | None, float]:
-        """A worker and 0, or None and s until one may take a connection.
+    ) -> SlotSelection:
+        """Selects a worker with a reserved slot if there is one, else a worker by weight.
 
-        First one that an order reserved a slot at, else by weight, where the arrivals' pace and the limit
-        allow."""
+        `attempted` are workers to leave out; `preferred` are weights that replace those of the table.
+        """
         now = self._fleet.now()
         candidates = self._fleet.router.candidates(request_class)
         if preferred is not None:
             candidates = {worker: weight for worker, weight in preferred.items() if worker in candidates}
         reserved = self._take_reservation(now, candidates, attempted)
         if reserved is not None:
-            return reserved, 0.0
+            return SlotSelection(reserved)
         return self._select_by_weight(now, request_class, candidates, attempted, preferred)
 
     def _is_full(self, worker_id: str) -> bool:
@@ -58,18 +67,18 @@
         candidates: Mapping[str, float],
         attempted: Collection[str],
         preferred: Mapping[str, float] | None,
-    ) -> tuple[str | None, float]:
+    ) -> SlotSelection:
         pacer = self._fleet.pacer
         mean_weight = sum(candidates.values()) / len(candidates) if candidates else 0.0
         excluded = [*attempted, *(worker_id for worker_id in candidates if self._is_full(worker_id))]
-        shortest_wait = math.inf
+        shortest_wait_s = math.inf
         while True:
             worker_id = self._fleet.router.select_worker(now, request_class, excluded, preferred)
             if worker_id is None or worker_id in excluded:
-                return None, shortest_wait
+                return SlotSelection(None, shortest_wait_s)
             rate = pacer.worker_rate(candidates[worker_id], mean_weight)
-            wait = pacer.acquire(now, worker_id, rate)
-            if wait <= 0:
-                return worker_id, 0.0
-            shortest_wait = min(shortest_wait, wait)
+            wait_s = pacer.acquire(now, worker_id, rate)
+            if wait_s <= 0:
+                return SlotSelection(worker_id)
+            shortest_wait_s = min(shortest_wait_s, wait_s)
             excluded.append(worker_id)
--- a/tests/forwarder/test_connection_registry.py
+++ b/tests/forwarder/test_connection_registry.py
@@ -1,40 +1,61 @@
-"""Counts of held connections, and what managers are told of them."""
+"""Counts of upgraded connections, and the reports of them to managers."""
 
 from __future__ import annotations
 
 import unittest
 
-from cottonladder.forwarder.connection_registry import ConnectionRegistry, WorkerConnectionCounts
+from cottonladder.forwarder.connection_registry import (
+    ConnectionCountReport,
+    ConnectionRegistry,
+    WorkerConnectionCounts,
+)
 
 
-class Fake:
+class StandInConnection:
+    """A connection whose state the test sets."""
+
     def __init__(self, resumable: bool = False) -> None:
-        self.is_open, self.is_resumable, self.at_work = True, resumable, False
+        self.is_open = True
+        self.is_resumable = resumable
+        self.busy = False
 
-    def is_busy(self, now: float) -> bool:
-        return self.at_work
+    def is_busy(self, now: float) -> bool:  # noqa: ARG002 - the registry's protocol
+        return self.busy
 
 
-class ConnectionCounts(unittest.TestCase):
+class ConnectionRegistryReports(unittest.TestCase):
     def test_a_full_report_comes_first_then_changes(self) -> None:
-        book: ConnectionRegistry[Fake] = ConnectionRegistry()
-        one, two = Fake(), Fake(True)
-        book.add("s-1", one)
-        book.add("s-1", two)
-        self.assertEqual(list(book.changes(0.0, True)), [(True, {"s-1": WorkerConnectionCounts(2, 0, 1)})])
-        self.assertEqual(list(book.changes(0.0, False)), [])
-        one.at_work = True
-        book.move("s-1", "s-2", two)
-        self.assertEqual(
-            list(book.changes(0.0, False)),
-            [(False, {"s-1": WorkerConnectionCounts(1, 1, 0), "s-2": WorkerConnectionCounts(1, 0, 1)})],
-        )
-        self.assertEqual(book.idle_and_held("s-1", 0.0), ([], 1))
-        book.remove("s-1", one)
-        self.assertEqual(list(book.changes(0.0, False)), [(False, {"s-1": WorkerConnectionCounts(0, 0, 0)})])
-        book.remove("s-2", two)
-        book.reset_reported()
-        self.assertEqual(list(book.changes(0.0, True)), [(True, {})])
+        registry: ConnectionRegistry[StandInConnection] = ConnectionRegistry()
+        plain = StandInConnection()
+        resumable = StandInConnection(resumable=True)
+        registry.add("s-1", plain)
+        registry.add("s-1", resumable)
+        full_report = ConnectionCountReport(True, {"s-1": WorkerConnectionCounts(2, 0, 1)})
+        self.assertEqual(list(registry.reports(0.0, True)), [full_report])
+        self.assertEqual(list(registry.reports(0.0, False)), [])
+        plain.busy = True
+        registry.move("s-1", "s-2", resumable)
+        changes = {"s-1": WorkerConnectionCounts(1, 1, 0), "s-2": WorkerConnectionCounts(1, 0, 1)}
+        self.assertEqual(list(registry.reports(0.0, False)), [ConnectionCountReport(False, changes)])
+        self.assertEqual(registry.idle_connections("s-1", 0.0), [])
+        self.assertEqual(registry.count("s-1"), 1)
+        registry.remove("s-1", plain)
+        emptied = {"s-1": WorkerConnectionCounts(0, 0, 0)}
+        self.assertEqual(list(registry.reports(0.0, False)), [ConnectionCountReport(False, emptied)])
+        registry.remove("s-2", resumable)
+        registry.reset_reported()
+        self.assertEqual(list(registry.reports(0.0, True)), [ConnectionCountReport(True, {})])
+
+    def test_only_open_connections_that_are_not_busy_are_idle(self) -> None:
+        registry: ConnectionRegistry[StandInConnection] = ConnectionRegistry()
+        idle = StandInConnection()
+        busy = StandInConnection()
+        migrating = StandInConnection()
+        for connection in (idle, busy, migrating):
+            registry.add("s-1", connection)
+        busy.busy = True
+        migrating.is_open = False
+        self.assertEqual(registry.idle_connections("s-1", 0.0), [idle])
 
 
 if __name__ == "__main__":
--- a/tests/forwarder/test_resource_limits.py
+++ b/tests/forwarder/test_resource_limits.py
@@ -1,39 +1,68 @@
-"""Slots, the pace of arrivals and Retry-After."""
+"""Limits on resources, slots for connections, the pace of new connections, and Retry-After."""
 
 from __future__ import annotations
 
 import unittest
 
-from cottonladder.forwarder.resource_limits import AdmissionPacer, ConnectionSlots, retry_after
+from cottonladder.forwarder.admission_pacer import AdmissionPacer
+from cottonladder.forwarder.connection_slots import ConnectionSlots
+from cottonladder.forwarder.resource_limits import ResourceLimits
+from cottonladder.forwarder.retry_after import retry_after
 
 
-class ResourceLimitsKept(unittest.TestCase):
+class DefaultLimits(unittest.TestCase):
+    def test_each_limit_has_its_default(self) -> None:
+        stated = ResourceLimits(
+            connections=20_000,
+            connections_per_worker=8_000,
+            connections_per_client=2_000,
+            header_bytes=16_384,
+            body_bytes=8_388_608,
+            connect_timeout_s=1.0,
+            first_byte_timeout_s=30.0,
+            idle_timeout_s=75.0,
+            pool_size=64,
+        )
+        self.assertEqual(ResourceLimits(), stated)
+
+
+class Slots(unittest.TestCase):
     def test_slots_are_released_once(self) -> None:
-        places = ConnectionSlots(3, 2)
-        self.assertEqual([places.acquire(who) for who in "aaabb"], [True, True, False, True, False])
-        places.release("a")
-        self.assertTrue(places.acquire("b"))
-        for who in "abb":
-            places.release(who)
-        self.assertEqual((places.total, places.by_client), (0, {}))
-
-    def test_a_rush_is_paced_and_reserved_slots_are_kept(self) -> None:
-        arrivals = AdmissionPacer(20.0, 0.5)
-        pace = arrivals.worker_rate(1.0, 1.0)
-        let = sum(arrivals.acquire(n / 100, "s-1", pace) == 0.0 for n in range(1000))
-        self.assertEqual(let, 109)  # 10 a second for 10 s, and a second's at once
-        self.assertAlmostEqual(arrivals.acquire(9.99, "s-1", pace), 0.1, delta=0.1)
-        self.assertEqual(arrivals.worker_rate(0.5, 1.0), 5.0)
-        arrivals.reserve(0.0, "s-2", 2)
-        self.assertEqual(arrivals.reserved_worker(1.0), "s-2")
-        arrivals.use_reservation("s-2")
-        self.assertEqual(arrivals.reserved_worker(1.0), "s-2")
-        self.assertIsNone(
-            arrivals.reserved_worker(AdmissionPacer.RESERVATION_TTL_S + 1.0)
-        )  # nobody came: free again
-
-    def test_retry_after_is_whole_seconds_with_jitter(self) -> None:
-        self.assertEqual([retry_after(0.0, 0.0), retry_after(4.0, 0.5), retry_after(1e9, 1.0)], [1, 6, 30])
+        slots = ConnectionSlots(max_total=3, max_per_client=2)
+        acquired = [slots.acquire(client) for client in "aaabb"]
+        self.assertEqual(acquired, [True, True, False, True, False])
+        slots.release("a")
+        self.assertTrue(slots.acquire("b"))
+        for client in "abb":
+            slots.release(client)
+        self.assertEqual(slots.total, 0)
+        self.assertEqual(slots.by_client, {})
+
+
+class AdmissionPace(unittest.TestCase):
+    def setUp(self) -> None:
+        self.pacer = AdmissionPacer(arrival_rate=20.0, share=0.5)
+
+    def test_a_rush_is_paced(self) -> None:
+        rate = self.pacer.worker_rate(1.0, 1.0)
+        admitted = sum(self.pacer.acquire(tick / 100, "s-1", rate) == 0.0 for tick in range(1000))
+        self.assertEqual(admitted, 109)  # 10 a second for 10 s, and 10 at once
+        self.assertAlmostEqual(self.pacer.acquire(9.99, "s-1", rate), 0.1, delta=0.1)
+        self.assertEqual(self.pacer.worker_rate(0.5, 1.0), 5.0)
+
+    def test_reserved_slots_are_kept_until_they_are_used_or_expire(self) -> None:
+        self.pacer.reserve(0.0, "s-2", 2)
+        self.assertEqual(self.pacer.reserved_worker(1.0), "s-2")
+        self.pacer.use_reservation("s-2")
+        self.assertEqual(self.pacer.reserved_worker(1.0), "s-2")
+        self.assertIsNone(self.pacer.reserved_worker(AdmissionPacer.RESERVATION_TTL_S + 1.0))
+
+
+class RetryAfterHeader(unittest.TestCase):
+    def test_retry_after_is_in_full_seconds_with_jitter(self) -> None:
+        self.assertEqual(retry_after(0.0, 0.0), 1)
+        self.assertEqual(retry_after(4.0, 0.5), 6)
+        self.assertEqual(retry_after(1e9, 1.0), 30)
 
 
 if __name__ == "__main__":
--- a/tests/forwarder/test_router.py
+++ b/tests/forwarder/test_router.py
@@ -5,104 +5,145 @@
 import random
 import unittest
 from collections import Counter
+from dataclasses import dataclass, field
 
-from cottonladder.forwarder import router as ro
 from cottonladder.forwarder.errors import OrderRejectedError
-from cottonladder.forwarder.request_classes import IDEMPOTENT, MatchRule, RequestClass, classify
-from cottonladder.forwarder.retries import should_retry
+from cottonladder.forwarder.request_classes import Idempotency, MatchRule, RequestClass, classify
+from cottonladder.forwarder.retries import RetryPolicy, should_retry
+from cottonladder.forwarder.router import MAX_CONSECUTIVE_FAILURES, AdmissionMode, Router
+from cottonladder.forwarder.routing_orders import AdmissionOrder, ConfigPart
 
-FETCH = RequestClass("fetch", (), IDEMPOTENT)
+FETCH = RequestClass("fetch", (), Idempotency.IDEMPOTENT)
 RELEASE = RequestClass("release", (MatchRule(frozenset({"POST"}), "/release"),))
+MARKED = RequestClass("marked", (MatchRule(headers=(("X-Kind", "m"),)),))
+MAX_RETRIES = {
+    RetryPolicy.NEVER: 0,
+    RetryPolicy.ONCE_IF_NOT_RUN: 1,
+    RetryPolicy.ONCE: 1,
+    RetryPolicy.TWICE: 2,
+}
 
 
-def routes(levels: str = "ratio") -> ro.Router:
-    return ro.Router([RELEASE, FETCH], levels, random.Random(3).random)
+def new_router(admission_mode: AdmissionMode = AdmissionMode.RATIO) -> Router:
+    return Router([RELEASE, FETCH], admission_mode, random.Random(3).random)
 
 
-class Routing(unittest.TestCase):
+@dataclass(frozen=True, slots=True)
+class ClassifiedRequest:
+    method: str
+    path: str
+    class_name: str
+    headers: dict[str, str] = field(default_factory=dict)
+
+
+class RequestClassification(unittest.TestCase):
     def test_requests_are_classified_by_method_path_and_header(self) -> None:
-        marked = RequestClass("marked", (MatchRule(headers=(("X-Kind", "m"),)),))
-        for method, path, headers, kind in (
-            ("POST", "/release", {}, "release"),
-            ("POST", "/release/7", {}, "release"),
-            ("POST", "/released", {}, "fetch"),
-            ("GET", "/release", {}, "fetch"),
-            ("GET", "/", {"X-Kind": "m"}, "marked"),
+        for request in (
+            ClassifiedRequest("POST", "/release", "release"),
+            ClassifiedRequest("POST", "/release/7", "release"),
+            ClassifiedRequest("POST", "/released", "fetch"),
+            ClassifiedRequest("GET", "/release", "fetch"),
+            ClassifiedRequest("GET", "/", "marked", {"X-Kind": "m"}),
         ):
-            found = classify([RELEASE, marked, FETCH], method, path, headers)
-            self.assertEqual(found and found.name, kind, (method, path))
+            found = classify([RELEASE, MARKED, FETCH], request.method, request.path, request.headers)
+            self.assertEqual(found and found.name, request.class_name, request)
         self.assertIsNone(classify([RELEASE], "GET", "/", {}))
 
+
+class Retries(unittest.TestCase):
     def test_retries_follow_policy_idempotency_and_proof(self) -> None:
-        """(way, tries, ran) that may go on; what isn't replayable never without proof."""
-        for kind in (FETCH, RELEASE):
-            for way in range(4):
-                for tries in range(1, 5):
-                    proved = should_retry(kind, way, tries, may_have_run=False)
-                    self.assertEqual(proved, tries <= (0, 1, 1, 2)[way])
-                    unproved = should_retry(kind, way, tries, may_have_run=True)
-                    self.assertEqual(unproved, kind is FETCH and way >= 2 and tries <= way - 1)
+        """A request that is not idempotent is never retried without proof that it has not run."""
+        for request_class in (FETCH, RELEASE):
+            for policy in RetryPolicy:
+                for attempts in range(1, 5):
+                    proved = should_retry(request_class, policy, attempts, may_have_run=False)
+                    self.assertEqual(proved, attempts <= MAX_RETRIES[policy])
+                    unproved = should_retry(request_class, policy, attempts, may_have_run=True)
+                    is_allowed = request_class is FETCH and policy >= 2 and attempts <= policy - 1
+                    self.assertEqual(unproved, is_allowed)
+
+
+class RoutingOrders(unittest.TestCase):
+    def setUp(self) -> None:
+        self.router = new_router()
 
     def test_orders_are_carried_out(self) -> None:
-        r = routes()
-        r.use_default_table(["s-1", "s-2"])
-        self.assertEqual(r.candidates("fetch"), {"s-1": 1.0, "s-2": 1.0})
-        r.apply([ro.ConfigPart(weights=(("s-3", 0.5),))])  # changes the table that it brought with it
-        self.assertEqual(set(r.candidates("fetch")), {"s-1", "s-2", "s-3"})
-        marks = r.apply(
+        router = self.router
+        router.use_default_table(["s-1", "s-2"])
+        self.assertEqual(router.candidates("fetch"), {"s-1": 1.0, "s-2": 1.0})
+        router.apply([ConfigPart(weights=(("s-3", 0.5),))])  # changes the default table
+        self.assertEqual(set(router.candidates("fetch")), {"s-1", "s-2", "s-3"})
+        weights = (("s-1", 2.0), ("s-4", 1.0))
+        admission = AdmissionOrder(0.4, RetryPolicy.NEVER)
+        checkpoints = router.apply(
             [
-                ro.ConfigPart(("release",), True, (("s-1", 2.0), ("s-4", 1.0)), (0.4, 0)),
-                ro.ConfigPart(exclude=("s-4",), checkpoint=905),
+                ConfigPart(("release",), True, weights, admission),
+                ConfigPart(exclude=("s-4",), checkpoint=905),
             ]
         )
-        self.assertEqual(marks, [905])
-        self.assertEqual(r.candidates("release"), {"s-1": 2.0})
-        self.assertEqual(set(r.candidates("fetch")), {"s-1", "s-2", "s-3"})
-        self.assertEqual((r.tables["release"].admission, r.tables["release"].retry_policy), (0.4, 0))
-        r.apply(
-            [ro.ConfigPart(replace=True, weights=(("s-4", 1.0),))]
-        )  # levels are forgotten; who is shut out is not
-        self.assertEqual((r.tables["release"].admission, r.candidates("release")), (None, {}))
-        r.apply([ro.ConfigPart(readmit=("s-4",), weights=(("s-4", 0.0), ("s-9", 1.0)))])
-        self.assertEqual(r.candidates("fetch"), {"s-9": 1.0})
-        r.use_default_table(["s-1"])  # a list that comes later changes nothing that was ordered
-        self.assertEqual(r.candidates("fetch"), {"s-9": 1.0})
-
-    def test_orders_that_can_not_be_used_are_rejected_before_any_of_them_counts(self) -> None:
-        r = routes()
+        self.assertEqual(checkpoints, [905])
+        self.assertEqual(router.candidates("release"), {"s-1": 2.0})
+        self.assertEqual(set(router.candidates("fetch")), {"s-1", "s-2", "s-3"})
+        self.assertEqual(router.tables["release"].admission, 0.4)
+        self.assertEqual(router.tables["release"].retry_policy, RetryPolicy.NEVER)
+        router.apply([ConfigPart(replace=True, weights=(("s-4", 1.0),))])
+        self.assertIsNone(router.tables["release"].admission)
+        self.assertEqual(router.candidates("release"), {})  # the exclusion stays in force
+        router.apply([ConfigPart(readmit=("s-4",), weights=(("s-4", 0.0), ("s-9", 1.0)))])
+        self.assertEqual(router.candidates("fetch"), {"s-9": 1.0})
+        router.use_default_table(["s-1"])  # a later list does not replace an ordered table
+        self.assertEqual(router.candidates("fetch"), {"s-9": 1.0})
+
+    def test_unusable_orders_are_rejected_before_any_of_them_counts(self) -> None:
         for part in (
-            ro.ConfigPart(classes=("what",)),
-            ro.ConfigPart(weights=(("s-9", 1.0),)),
-            ro.ConfigPart(exclude=("s-9",)),
+            ConfigPart(classes=("what",)),
+            ConfigPart(weights=(("s-9", 1.0),)),
+            ConfigPart(exclude=("s-9",)),
         ):
             with self.assertRaises(OrderRejectedError):
-                r.check([ro.ConfigPart(weights=(("s-1", 1.0),)), part], lambda be: be == "s-1")
+                self.router.check(
+                    [ConfigPart(weights=(("s-1", 1.0),)), part], lambda worker_id: worker_id == "s-1"
+                )
+
+
+class WorkerSelection(unittest.TestCase):
+    def setUp(self) -> None:
+        self.router = new_router()
+        self.router.apply([ConfigPart(replace=True, weights=(("s-1", 3.0), ("s-2", 1.0)))])
+
+    def fail_repeatedly(self, worker_id: str) -> None:
+        for _ in range(MAX_CONSECUTIVE_FAILURES):
+            self.router.record_result(0.0, worker_id, False)
+
+    def selected(self, now: float) -> set[str | None]:
+        return {self.router.select_worker(now, "fetch") for _ in range(50)}
 
     def test_selection_goes_by_weight_and_avoids_failed_workers(self) -> None:
-        r = routes()
-        r.apply([ro.ConfigPart(replace=True, weights=(("s-1", 3.0), ("s-2", 1.0)))])
-        picks = Counter(r.select_worker(0.0, "fetch") for _ in range(4000))
-        self.assertAlmostEqual(picks["s-1"] / 4000, 0.75, delta=0.03)
-        self.assertEqual(r.select_worker(0.0, "fetch", ["s-1"]), "s-2")
-        self.assertIsNone(r.select_worker(0.0, "fetch", ["s-1", "s-2"]))
-        for _ in range(ro.MAX_CONSECUTIVE_FAILURES):
-            r.record_result(0.0, "s-1", False)
-        self.assertEqual({r.select_worker(1.0, "fetch") for _ in range(50)}, {"s-2"})
-        for _ in range(ro.MAX_CONSECUTIVE_FAILURES):
-            r.record_result(0.0, "s-2", False)
-        self.assertIn(r.select_worker(1.0, "fetch"), ("s-1", "s-2"))  # nobody is left without
-        self.assertEqual({r.select_worker(99.0, "fetch") for _ in range(50)}, {"s-1", "s-2"})
-        r.leaving.add("s-1")
-        self.assertEqual({r.select_worker(99.0, "fetch") for _ in range(50)}, {"s-2"})
-
-    def test_admission_is_a_share_or_a_rate(self) -> None:
-        r = routes()
-        r.apply([ro.ConfigPart(admission=(0.3, 1))])
-        let = sum(r.admits(0.0, "fetch") for _ in range(4000))
-        self.assertAlmostEqual(let / 4000, 0.3, delta=0.03)
-        r = routes("rate")
-        r.apply([ro.ConfigPart(admission=(5.0, 1))])
-        self.assertEqual(sum(r.admits(n / 100, "fetch") for n in range(1000)), 54)  # 5 a second, 5 at once
+        selections = Counter(self.router.select_worker(0.0, "fetch") for _ in range(4000))
+        self.assertAlmostEqual(selections["s-1"] / 4000, 0.75, delta=0.03)
+        self.assertEqual(self.router.select_worker(0.0, "fetch", ["s-1"]), "s-2")
+        self.assertIsNone(self.router.select_worker(0.0, "fetch", ["s-1", "s-2"]))
+        self.fail_repeatedly("s-1")
+        self.assertEqual(self.selected(now=1.0), {"s-2"})
+        self.fail_repeatedly("s-2")
+        self.assertIn(self.router.select_worker(1.0, "fetch"), ("s-1", "s-2"))  # if all are avoided, none is
+        self.assertEqual(self.selected(now=99.0), {"s-1", "s-2"})
+        self.router.leaving.add("s-1")
+        self.assertEqual(self.selected(now=99.0), {"s-2"})
+
+
+class Admission(unittest.TestCase):
+    def test_a_ratio_admits_that_part_of_the_requests(self) -> None:
+        router = new_router()
+        router.apply([ConfigPart(admission=AdmissionOrder(0.3, RetryPolicy.ONCE_IF_NOT_RUN))])
+        admitted = sum(router.admits(0.0, "fetch") for _ in range(4000))
+        self.assertAlmostEqual(admitted / 4000, 0.3, delta=0.03)
+
+    def test_a_rate_admits_so_many_requests_a_second(self) -> None:
+        router = new_router(AdmissionMode.RATE)
+        router.apply([ConfigPart(admission=AdmissionOrder(5.0, RetryPolicy.ONCE_IF_NOT_RUN))])
+        admitted = sum(router.admits(tick / 100, "fetch") for tick in range(1000))
+        self.assertEqual(admitted, 54)  # 5 a second, and 5 at once
 
 
 if __name__ == "__main__":
--- a/tests/planning/test_snapshot_staleness.py
+++ b/tests/planning/test_snapshot_staleness.py
@@ -7,8 +7,9 @@
 
 from cottonladder.forwarder import restored_state as fr
 from cottonladder.forwarder import router as ro
-from cottonladder.forwarder.request_classes import IDEMPOTENT, RequestClass
-from cottonladder.forwarder.resource_limits import AdmissionPacer
+from cottonladder.forwarder.admission_pacer import AdmissionPacer
+from cottonladder.forwarder.request_classes import Idempotency, RequestClass
+from cottonladder.forwarder.routing_orders import ConfigPart
 from cottonladder.model.inputs import (
     Endpoint,
     EndpointList,
@@ -101,16 +102,16 @@
         self.assertEqual(len(life.proxy_rates), me.PROXY_COUNT)
 
     def test_the_forwarder_s(self) -> None:
-        kinds = [RequestClass("fetch", (), IDEMPOTENT)]
-        before = ro.Router(kinds, "ratio", lambda: 0.5)
+        kinds = [RequestClass("fetch", (), Idempotency.IDEMPOTENT)]
+        before = ro.Router(kinds, ro.AdmissionMode.RATIO, lambda: 0.5)
         before.apply(
-            [ro.ConfigPart(replace=True, weights=tuple((f"s-{n}", 1.0) for n in range(6)), exclude=("s-5",))]
+            [ConfigPart(replace=True, weights=tuple((f"s-{n}", 1.0) for n in range(6)), exclude=("s-5",))]
         )
         for _ in range(ro.MAX_CONSECUTIVE_FAILURES):
             before.record_result(100.0, "s-0", False)
         life = fr.snapshot_of(before, {}, 100.0)
         for age, avoided, table in ((1.0, True, True), (60.0, False, True), (7200.0, False, False)):
-            after, arrivals = ro.Router(kinds, "ratio", lambda: 0.5), AdmissionPacer(10.0, 1.0)
+            after, arrivals = ro.Router(kinds, ro.AdmissionMode.RATIO, lambda: 0.5), AdmissionPacer(10.0, 1.0)
             fr.restore(life, age, 500.0, after, arrivals, lambda be: be != "s-4")
             self.assertEqual(after.excluded, {"s-5"})
             self.assertEqual("s-0" in after.avoided_until(), avoided)
