--- a/cottonladder/cli/memory.py
+++ b/cottonladder/cli/memory.py
@@ -11,7 +11,8 @@
 
 import click
 
-from ..snapshots.store import Generation, SnapshotError, SnapshotStore
+from ..snapshots.errors import SnapshotError
+from ..snapshots.store import Generation, SnapshotStore
 from .errors import CommandError
 from .options import AS_JSON
 from .output import print_table
@@ -123,7 +124,7 @@
         generation = _newest(store)
         remaining = without_worker(generation.sections, worker_id)
         if remaining == generation.sections:
-            raise SnapshotError(f"{folder}: nothing about {worker_id}")
+            raise CommandError(f"{folder}: nothing about {worker_id}")
         # The time of writing stays, as the remaining entries are no more recent than before.
         store.write(remaining, generation.written_at)
         click.echo(f"{folder}: written without {worker_id}")
@@ -182,12 +183,12 @@
     for generation in _read_all(store):
         if generation.content is not None:
             return generation.content
-    raise SnapshotError(f"{store.folder}: no generation that holds")
+    raise CommandError(f"{store.folder}: no generation that holds")
 
 
 def _newest(store: SnapshotStore) -> Generation:
     """The newest valid generation; newer ones that are not valid are quarantined."""
     generation = store.read_newest()
     if generation is None:
-        raise SnapshotError(f"{store.folder}: no generation that holds")
+        raise CommandError(f"{store.folder}: no generation that holds")
     return generation
--- a/cottonladder/snapshots/__init__.py
+++ b/cottonladder/snapshots/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state across restarts; imported only where the configuration names a folder."""
+"""Durable state across restarts; imported only if the operators' file names a folder for it."""
--- a/cottonladder/snapshots/errors.py
+++ b/cottonladder/snapshots/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the snapshot folder and its files."""
+"""Errors of the snapshot folder and its files; the text of each is one line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SnapshotError(Exception):
-    """The folder or a file can't be used; its text is one plain line."""
+    """The folder or a file can't be used; the base class of this package's errors."""
 
 
 class SnapshotFolderError(SnapshotError):
@@ -28,11 +28,11 @@
 
 
 class SnapshotFormatError(SnapshotError):
-    """Bytes that are no snapshot file of this format or an earlier one."""
+    """Bytes are not a snapshot file of the present format or an earlier one."""
 
 
 class SnapshotTooLargeError(SnapshotError):
-    """The sections are over the size that a file may have."""
+    """The sections are larger than a file may be."""
 
     def __init__(self, size_bytes: int, max_size_bytes: int) -> None:
         super().__init__(f"{size_bytes} bytes to keep, {max_size_bytes} at most")
--- a/cottonladder/snapshots/file_format.py
+++ b/cottonladder/snapshots/file_format.py
@@ -1,7 +1,7 @@
-"""A snapshot file as bytes: a header and a body of named sections.
+"""Encodes and decodes the bytes of a snapshot file: a header and a body of named sections.
 
-The header holds magic, format version, flags, time of writing, lengths, and a BLAKE2b digest over all else;
-the body is the sections as MessagePack, compressed by zlib.  No I/O.
+The header has a magic number, format version, flags, the time of writing, the lengths of the body, and a
+BLAKE2b digest of everything else.  The body is the sections as MessagePack, compressed by zlib.  No I/O.
 """
 
 from __future__ import annotations
@@ -17,52 +17,53 @@
 from .errors import SnapshotFormatError, SnapshotTooLargeError
 
 MAGIC = b"CTNLMEM\0"
-# Version 1 had no version of each section; see MIGRATIONS.
-FORMAT_VERSION = 2
-# Magic, format version, flags, ms of writing, raw and compressed length, digest.
+FORMAT_VERSION = 2  # version 1 had no version of each section; see MIGRATIONS
+# Magic, format version, flags, time of writing in ms, uncompressed and compressed size in bytes, digest.
 HEADER = struct.Struct("!8sHHQII16s")
-# Bytes of the digest.
-DIGEST_SIZE = 16
-# Bytes of the sections before compression: some hundred thousand workers and proxies.
-MAX_UNCOMPRESSED_SIZE = 64 << 20
-# Of zlib: the file is small, and the control loop's machine has one core.
-COMPRESSION_LEVEL = 1
+NO_FLAGS = 0
+DIGEST_SIZE = 16  # bytes
+MAX_UNCOMPRESSED_SIZE = 64 << 20  # bytes of all sections: some hundred thousand workers and proxies
+COMPRESSION_LEVEL = 1  # of zlib, the fastest: the file is small, and the machine may have one core
+MS_PER_S = 1000.0
 
 Sections = dict[str, Any]
 
 
 class DecodedFile(NamedTuple):
-    """When a file was written, in Unix seconds, and its sections in today's format."""
+    """The time of writing, in Unix seconds, and the sections, migrated to the present format."""
 
     written_at: float
     sections: Sections
 
 
 def _migrate_from_1(sections: Sections) -> Sections:
-    """Format 1 kept each section bare; since 2 it stands beside its own version."""
+    """Adds the version of each section, which format 1 did not have."""
     return {name: {"v": 1, "data": data} for name, data in sections.items()}
 
 
-# From a format version to the next.
+# From each earlier format version to the next one.
 MIGRATIONS: dict[int, Callable[[Sections], Sections]] = {1: _migrate_from_1}
 
 
 def encode_file(
     sections: Mapping[str, Any], written_at: float, format_version: int = FORMAT_VERSION
 ) -> bytes:
-    """The bytes of a file; raises SnapshotTooLargeError where the sections are over their bound."""
+    """The bytes of a file; raises SnapshotTooLargeError for sections over `MAX_UNCOMPRESSED_SIZE`.
+
+    `written_at` is in Unix seconds.
+    """
     raw = msgspec.msgpack.encode(dict(sections))
     if len(raw) > MAX_UNCOMPRESSED_SIZE:
         raise SnapshotTooLargeError(len(raw), MAX_UNCOMPRESSED_SIZE)
     compressed = zlib.compress(raw, COMPRESSION_LEVEL)
-    written_ms = int(written_at * 1000)
+    written_ms = int(written_at * MS_PER_S)
     empty_digest = b"\0" * DIGEST_SIZE
-    header = HEADER.pack(MAGIC, format_version, 0, written_ms, len(raw), len(compressed), empty_digest)
+    header = HEADER.pack(MAGIC, format_version, NO_FLAGS, written_ms, len(raw), len(compressed), empty_digest)
     return header[:-DIGEST_SIZE] + _digest(header + compressed) + compressed
 
 
 def decode_file(data: bytes) -> DecodedFile:
-    """Reads a file; raises SnapshotFormatError for anything that is not a whole one."""
+    """Decodes a file; raises SnapshotFormatError unless it is complete, unchanged and of a known format."""
     if len(data) < HEADER.size:
         raise SnapshotFormatError(f"cut short: {len(data)} bytes")
     magic, version, _, written_ms, raw_size, compressed_size, digest = HEADER.unpack_from(data)
@@ -76,7 +77,7 @@
     while version < FORMAT_VERSION:
         sections = MIGRATIONS[version](sections)
         version += 1
-    return DecodedFile(written_ms / 1000.0, sections)
+    return DecodedFile(written_ms / MS_PER_S, sections)
 
 
 def _digest(data: bytes) -> bytes:
@@ -93,7 +94,7 @@
 
 
 def _decode_body(compressed: bytes, raw_size: int) -> Sections:
-    """The sections; no more than `raw_size` bytes are inflated, whatever the body says."""
+    """Decompresses and decodes the sections; no more than `raw_size` bytes and one are decompressed."""
     try:
         raw = zlib.decompressobj().decompress(compressed, raw_size + 1)
         sections = msgspec.msgpack.decode(raw, type=dict[str, Any])
--- a/cottonladder/snapshots/sections.py
+++ b/cottonladder/snapshots/sections.py
@@ -1,7 +1,8 @@
-"""What a snapshot file holds: each section with its own version, checked when it is read.
+"""The sections of a snapshot file, each with its own version and checked when it is read.
 
-A section that can't be used is left out, one line each; the others count.  Workers stand by their ids, as
-indices are another incarnation's.
+A section that is not valid is left out and the others are used.  Workers are named by id, as their indices
+are different after a restart.  The stored names of fields are fixed; this module maps them to the terms of
+the code.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 T = TypeVar("T")
 
-# Stored names of the fields whose name in the code is another one; files on disk keep these.
+# Stored names of the fields that have another name in the code.
 MANAGER_NAMES = {
     "last_checkpoint": "mark",
     "proxy_rates": "rates",
@@ -28,18 +29,18 @@
 
 
 class WorkerSnapshot(Struct, array_like=True):
-    """A manager's knowledge of one worker; times in seconds, `latency_factor` 0 to 1."""
+    """What a manager has learned about one worker, stored by position; `started_at` is in Unix s."""
 
     id: str
     started_at: float
     base_latency_s: float
-    latency_factor: float
+    latency_factor: float  # 0 to 1
     was_ejected: bool
     was_draining: bool
 
 
 class EndpointSnapshot(Struct, array_like=True):
-    """One worker of the list; `state` as a number of `model.inputs.EndpointState`."""
+    """One endpoint of the list, stored by position; `state` is a value of `model.inputs.EndpointState`."""
 
     id: str
     address: str
@@ -50,22 +51,18 @@
 
 
 class ManagerSnapshot(Struct, rename=MANAGER_NAMES):
-    """What a manager keeps.
+    """The state of a manager that survives a restart."""
 
-    `last_checkpoint`: the last checkpoint's number; `proxy_rates`: requests a second by proxy; `list_version`
-    and `endpoints`: the list of workers; `advisor_credits`: by advisor.
-    """
-
-    last_checkpoint: int
+    last_checkpoint: int  # number of the last checkpoint
     workers: list[WorkerSnapshot]
-    proxy_rates: dict[int, float]
+    proxy_rates: dict[int, float]  # requests per second by proxy
     list_version: int
     endpoints: list[EndpointSnapshot]
-    advisor_credits: dict[str, float] = {}
+    advisor_credits: dict[str, float] = {}  # by name of the advisor
 
 
 class TableSnapshot(Struct, rename=TABLE_NAMES):
-    """One request class's routing table: weights by worker id, the admission ratio, the retry policy."""
+    """The routing table of one request class, with weights by worker id."""
 
     weights: dict[str, float]
     admission_ratio: float | None
@@ -73,20 +70,17 @@
 
 
 class ForwarderSnapshot(Struct, rename=FORWARDER_NAMES):
-    """What a forwarder keeps, all by worker id but the tables, which are by request class.
-
-    `avoid_for_s`: seconds left for which a worker is not selected; `held_connections`: their number.
-    """
+    """The state of a forwarder that survives a restart."""
 
-    tables: dict[str, TableSnapshot]
-    excluded: list[str]
-    avoid_for_s: dict[str, float]
-    held_connections: dict[str, int]
+    tables: dict[str, TableSnapshot]  # by name of the request class
+    excluded: list[str]  # ids of workers
+    avoid_for_s: dict[str, float]  # by worker id: time left during which the worker is not selected
+    held_connections: dict[str, int]  # by worker id: number of upgraded connections
 
 
 @dataclass(frozen=True, slots=True)
 class SectionType:
-    """A section's version today, its type, and migrations of its data from a version to the next."""
+    """The present version and type of a section, and the migrations from each earlier version."""
 
     version: int
     type: type[Struct]
@@ -100,19 +94,19 @@
 
 
 class DecodedSection(NamedTuple, Generic[T]):
-    """A section, or none and why it can't be used: one plain line, empty where it is not there."""
+    """A section, or None with the reason in one line; the reason is empty if there is no such section."""
 
     section: T | None
     reason: str
 
 
 def encode_section(name: str, snapshot: Struct) -> dict[str, Any]:
-    """The section beside its version; the store's encoder writes the snapshot as its fields."""
+    """The section with its version, ready for `SnapshotStore.write`."""
     return {"v": SECTION_TYPES[name].version, "data": snapshot}
 
 
 def decode_section(name: str, sections: Mapping[str, Any], expected: type[T]) -> DecodedSection[T]:
-    """The section of this name as an `expected`, migrated where an earlier version wrote it."""
+    """Decodes the section `name`, of type `expected`; migrates it if an earlier version wrote it."""
     section = sections.get(name)
     if section is None:
         return DecodedSection(None, "")
