--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -22,7 +22,9 @@
 
 from benchmarks.harness import MILLISECONDS_PER_S, argument_parser, percentile, print_figures
 from cottonladder.control.background_scheduler import BackgroundScheduler
-from cottonladder.control.snapshot_manager import SnapshotFolder, SnapshotManager
+from cottonladder.control.snapshot_folder import SnapshotFolder
+from cottonladder.control.snapshot_manager import SnapshotManager
+from cottonladder.control.starting_list import StartingList
 from cottonladder.model.inputs import (
     Endpoint,
     EndpointList,
@@ -169,10 +171,9 @@
 
     def __init__(self, worker_count: int) -> None:
         self.workers = WorkerRegistry()
-        self.list_version = 1
         self.settings = SettingsStub()
         endpoints = tuple(self._endpoint(number) for number in range(worker_count))
-        self.known_endpoints = EndpointList(ListUpdateKind.CACHED, endpoints)
+        self.starting_list = StartingList(1, EndpointList(ListUpdateKind.CACHED, endpoints))
 
     def _endpoint(self, number: int) -> Endpoint:
         worker_index = self.workers.register(f"s-{number}", f"127.0.0.9:{number + 1}", 0.0)
@@ -185,7 +186,7 @@
     joins = [
         ProxyConnected(number, number % month_end.ZONE_COUNT, 2.0, True) for number in range(proxy_count)
     ]
-    controller.decide(month_end.START_TIME_S, [config.known_endpoints, *joins])
+    controller.decide(month_end.START_TIME_S, [config.starting_list.endpoints, *joins])
     return controller
 
 
@@ -215,7 +216,7 @@
 
         def timed_snapshot() -> Iterator[Any]:
             started_at = time.perf_counter()
-            yield from manager._snapshot()
+            yield from manager._write_snapshot()
             durations_s.append(time.perf_counter() - started_at)
 
         plan = TaskPlan("snapshot", SNAPSHOT_INTERVAL_S, cpu_fraction=SNAPSHOT_CPU_FRACTION, jitter_ratio=0.0)
--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -30,7 +30,7 @@
 def serve(config_path: str, operator_path: str) -> None:
     """Serve proxies until SIGTERM; SIGHUP reloads the configuration."""
     configure_logging()
-    signals.config_is_read_now()
+    signals.discard_pending_reloads()
     startup_config = load_startup_config(config_path)
     operator_config = load_operator_config(operator_path)
     asyncio.run(serve_then_block_signals(serve_manager(startup_config, config_path, operator_config)))
@@ -74,11 +74,12 @@
 
 def _summary(config: StartupConfig) -> str:
     parameters = config.settings.parameters
+    known = config.starting_list
     host, port = config.manager.listen
     return (
         f"{config.manager.name}: listens on {host}:{port}, "
         f"{parameters.proxy_count} proxies in {parameters.zone_count} zones, "
-        f"{len(config.known_endpoints.endpoints)} workers known (version {config.list_version}), "
+        f"{len(known.endpoints.endpoints)} workers known (version {known.version}), "
         f"{parameters.manager_count} managers"
     )
 
--- a/cottonladder/control/startup_config.py
+++ b/cottonladder/control/startup_config.py
@@ -9,6 +9,7 @@
 from ..model.inputs import EndpointList, ListUpdateKind
 from ..protocol.endpoint_list import read_endpoint_list
 from ..state.worker_registry import WorkerRegistry
+from .starting_list import StartingList
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,8 +18,7 @@
 
     manager: ManagerConfig
     workers: WorkerRegistry
-    list_version: int
-    known_endpoints: EndpointList
+    starting_list: StartingList
 
     @property
     def settings(self) -> DeploymentSettings:
@@ -37,4 +37,4 @@
         )
         manager = file.read_manager_config(settings)
     cached = EndpointList(ListUpdateKind.CACHED, known.endpoints)
-    return StartupConfig(manager, workers, list_version, cached)
+    return StartupConfig(manager, workers, StartingList(list_version, cached))
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -197,7 +197,9 @@
                         self.assertRegex(str(exc), "field|not JSON|object|zone|address|unknown")
                         continue
                     ladder = RoutingController(placement.settings.parameters)
-                    ladder.decide(1000.0, [placement.known_endpoints, ProxyConnected(0, 0, 10.0, True)])
+                    ladder.decide(
+                        1000.0, [placement.starting_list.endpoints, ProxyConnected(0, 0, 10.0, True)]
+                    )
                     heard: list[Input] = [LoadReport(0, 0, 20, 1, 1.0, 0.1, {})]
                     heard.append(ArrivalReport(0, 0, 20, 0, 1.0))
                     for n in range(40):
