--- a/tests/protocol/test_health_checks.py
+++ b/tests/protocol/test_health_checks.py
@@ -1,7 +1,7 @@
-"""Health checks that cross a move or each other, on real sockets.
+"""Health checks that overlap a change of address or another check, on real sockets.
 
-The stand-in or the turn of the loop forces the order of two events, and each test fails without its fix;
-`docs/race-conditions.md` has the whole table.
+The simulated worker forces the order of two events, and each test fails without the check that it is for;
+`docs/race-conditions.md` lists all of them.
 """
 
 from __future__ import annotations
@@ -13,62 +13,69 @@
 
 from aiohttp import web
 
-from cottonladder.model.inputs import (
-    HealthCheckResult,
-    Input,
-)
+from cottonladder.model.inputs import HealthCheckResult, Input
 from cottonladder.protocol.health_checks import HealthChecker
 from tests.support.http_server import Handler
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.timeouts import in_time
 
+WORKER_INDEX = 5
+MAX_OPEN_CHECKS = 4
+
 
 class HealthCheckerTests(ManagerTestCase):
-    async def health_checker(self, address_of: Callable[[int], str]) -> HealthChecker:
+    """One checker against workers that answer when the test lets them."""
+
+    async def asyncSetUp(self) -> None:
+        await super().asyncSetUp()
         self.results: asyncio.Queue[Input] = asyncio.Queue()
-        checker = HealthChecker("/load", 4, address_of, self.results.put_nowait)
+        self.calls: asyncio.Queue[str] = asyncio.Queue()
+
+    def open_checker(self, address_of: Callable[[int], str]) -> HealthChecker:
+        checker = HealthChecker("/load", MAX_OPEN_CHECKS, address_of, self.results.put_nowait)
         self.addAsyncCleanup(checker.close)
         return checker
 
-    def worker(self, until: Awaitable[object]) -> tuple[Handler, asyncio.Queue[str]]:
-        calls: asyncio.Queue[str] = asyncio.Queue()
+    def respond_after(self, event: Awaitable[object]) -> Handler:
+        """Notes each call, and sends a load report after the event."""
 
-        async def answer(request: web.BaseRequest) -> web.StreamResponse:
-            calls.put_nowait(request.path)
-            await until
+        async def handle(request: web.BaseRequest) -> web.StreamResponse:
+            self.calls.put_nowait(request.path)
+            await event
             return web.Response(text="TEXT inflight=7")
 
-        return answer, calls
+        return handle
 
     async def test_an_answer_from_a_former_address_is_ignored(self) -> None:
-        moved: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        handler, calls = self.worker(moved)
-        old, new = await self.start_http_server(handler), await self.start_http_server(handler)
-        addresses = {5: old}
-        checker = await self.health_checker(addresses.__getitem__)
-        checker.start_check(5)
-        await in_time(calls.get())
-        addresses[5] = new
-        moved.set_result(None)
-        await in_time(checker._tasks[5])
+        address_changed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        handler = self.respond_after(address_changed)
+        addresses = {WORKER_INDEX: await self.start_http_server(handler)}
+        new_address = await self.start_http_server(handler)
+        checker = self.open_checker(addresses.__getitem__)
+        checker.start_check(WORKER_INDEX)
+        await in_time(self.calls.get())
+        addresses[WORKER_INDEX] = new_address
+        address_changed.set_result(None)
+        await in_time(checker._tasks[WORKER_INDEX])
         self.assertTrue(self.results.empty())
-        await asyncio.sleep(0)  # the turn in which the task's end is heard of
-        checker.start_check(5)
-        self.assertTrue(cast(HealthCheckResult, await in_time(self.results.get())).succeeded)
+        await asyncio.sleep(0)  # lets the checker remove the finished task
+        checker.start_check(WORKER_INDEX)
+        result = cast(HealthCheckResult, await in_time(self.results.get()))
+        self.assertTrue(result.succeeded)
 
     async def test_a_worker_has_one_check_at_a_time(self) -> None:
-        """Of two to a worker that starts anew both came back lost, and it was shut out as it came up."""
-        until: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        handler, calls = self.worker(until)
-        address_of = await self.start_http_server(handler)
-        checker = await self.health_checker(lambda worker: address_of)
+        """Several checks under way at a worker's restart would all fail and eject the new worker."""
+        answer_due: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        addresses = {WORKER_INDEX: await self.start_http_server(self.respond_after(answer_due))}
+        checker = self.open_checker(addresses.__getitem__)
         for _ in range(3):
-            checker.start_check(5)
-        await in_time(calls.get())
-        until.set_result(None)
+            checker.start_check(WORKER_INDEX)
+        await in_time(self.calls.get())
+        answer_due.set_result(None)
         await in_time(self.results.get())
         await checker.close()
-        self.assertTrue(self.results.empty() and calls.empty())
+        self.assertTrue(self.results.empty())
+        self.assertTrue(self.calls.empty())
 
 
 if __name__ == "__main__":
--- a/tests/protocol/test_stream_listener.py
+++ b/tests/protocol/test_stream_listener.py
@@ -1,7 +1,7 @@
-"""Connections that cross each other, a close or a flood, on real sockets.
+"""Connections that coincide with each other, with a shutdown or with a flood, on real sockets.
 
-The stand-in or the turn of the loop forces the order of two events, and each test fails without its fix;
-`docs/race-conditions.md` has the whole table.
+The order in which the loop sees two events is forced, and each test fails without the check that it is for;
+`docs/race-conditions.md` lists all of them.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import unittest
 from contextlib import suppress
 from pathlib import Path
-from typing import Any, cast
+from typing import cast
 from unittest import mock
 
 from cottonladder.config.deployment import read_settings
@@ -23,109 +23,131 @@
     ProxyDisconnected,
 )
 from cottonladder.protocol import stream_listener
-from cottonladder.protocol.messages import MessageReader
-from cottonladder.protocol.protocol_connection import ProtocolConnection
+from cottonladder.protocol.messages import ExtensionMessage, MessageReader
+from cottonladder.protocol.protocol_connection import ConnectionOwner, ProtocolConnection
 from cottonladder.protocol.resp import encode
 from cottonladder.state.proxy_sessions import ProxySessions
+from cottonladder.state.worker_registry import WorkerRegistry
 from tests.support.manager_program import SETTINGS, ManagerProgram
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.scripted_discovery import endpoint_entry, endpoint_list
 from tests.support.timeouts import in_time
 
-SITE = read_settings(SETTINGS, 1, "settings")
+DEPLOYMENT = read_settings(SETTINGS, 1, "settings")
+PROXY = 3  # index
+CHECKPOINT_MESSAGE = encode([b"CONFIG", b"stamp", b"9"])
+CHECKPOINT_TEXT = "CONFIG stamp 9"
+STRANGER_COUNT = 2000  # connections that never identify themselves
+MAX_SOCKETS = 512  # of the program under the flood
+TEST_DESCRIPTORS = 8192  # of the test itself, for both ends of the flood
+MAX_PEAK_MEMORY_KB = 96 << 10
 
 
 class ReconnectingProxyTests(ManagerTestCase):
-    """One manager's address in this process: the turns of the loop are the test's own."""
+    """A listener in the test's own loop, which decides what it reads first."""
 
-    async def listening(self, max_connections: int = 64) -> None:
-        self.inputs: asyncio.Queue[Input | Any] = asyncio.Queue()
+    async def asyncSetUp(self) -> None:
+        await super().asyncSetUp()
+        self.inputs: asyncio.Queue[Input | ExtensionMessage] = asyncio.Queue()
         self.sessions = ProxySessions(self.inputs.put_nowait)
-        limits = stream_listener.ConnectionLimits(max_connections, 8, 4, 1 << 20)
-        self.listener = stream_listener.StreamListener(
-            MessageReader(SITE, lambda key: None), self.sessions, limits
+        limits = stream_listener.ConnectionLimits(
+            max_connections=64, accept_batch=8, max_health_checks=4, max_unread_bytes=1 << 20
         )
+        reader = MessageReader(DEPLOYMENT, WorkerRegistry().find_index)
+        self.listener = stream_listener.StreamListener(reader, self.sessions, limits)
         self.program = ManagerProgram("")
         self.program.port = await self.listener.listen("127.0.0.1", 0)
         self.addAsyncCleanup(self.listener.close)
 
     async def test_the_connection_accepted_last_holds_though_it_is_read_first(self) -> None:
-        """A proxy's stream breaks and it dials again, while the loop is late and reads the second one first.
-        The first one took its place then, ended, and the proxy stayed without orders."""
-        await self.listening()
+        """A proxy reconnects, and a lagging loop reads the second connection first.
+
+        If the first connection took its place, the proxy would get no orders once that one has ended.
+        """
         first = await self.connect(self.program)
         second = await self.connect(self.program, "PING")
-        self.assertEqual(await second.receive(), "PONG")  # both are accepted, in this order
-        second.join(3)
+        self.assertEqual(await second.receive(), "PONG")  # both are accepted now, in this order
+        second.join(PROXY)
         self.assertEqual(type(await in_time(self.inputs.get())), ProxyConnected)
-        first.join(3)
+        first.join(PROXY)
         first.send("PING")
         self.assertEqual(await first.receive(), "PONG")
         first.close()
         collector = await self.connect(self.program, "SOURCE locality a")
         collector.send("RATE node 3 route lookup total 7 errors 0 interval 1000.0")
-        self.assertEqual(type(await in_time(self.inputs.get())), ArrivalReport)  # nobody has left or joined
-        self.sessions.send(3, encode([b"CONFIG", b"stamp", b"9"]))
-        self.assertEqual(await second.receive(), "CONFIG stamp 9")
+        self.assertEqual(type(await in_time(self.inputs.get())), ArrivalReport)  # and no disconnect
+        self.sessions.send(PROXY, CHECKPOINT_MESSAGE)
+        self.assertEqual(await second.receive(), CHECKPOINT_TEXT)
 
     async def test_the_newest_of_three_connections_in_one_turn_holds(self) -> None:
-        await self.listening()
         streams = [await self.connect(self.program) for _ in range(3)]
         for stream in streams:
             stream.send("PING")
             self.assertEqual(await stream.receive(), "PONG")
-        for stream in streams:  # in one turn of the loop: all is there before it reads
-            cast(socket.socket, stream.writer.get_extra_info("socket")).setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
-            )
-            stream.join(3)
+        for stream in streams:  # without an await between them, so that one turn of the loop reads all
+            client_socket = cast(socket.socket, stream.writer.get_extra_info("socket"))
+            client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            stream.join(PROXY)
             stream.send("ACK node 3 nonce 1 latency 1")
-        came = [type(await in_time(self.inputs.get())) for _ in range(8)]
-        self.assertEqual(came.count(ProxyConnected) - came.count(ProxyDisconnected), 1)
-        self.sessions.send(3, encode([b"CONFIG", b"stamp", b"9"]))
-        self.assertEqual(await streams[2].receive(), "CONFIG stamp 9")
+        input_types = [type(await in_time(self.inputs.get())) for _ in range(8)]
+        self.assertEqual(input_types.count(ProxyConnected) - input_types.count(ProxyDisconnected), 1)
+        self.sessions.send(PROXY, CHECKPOINT_MESSAGE)
+        self.assertEqual(await streams[2].receive(), CHECKPOINT_TEXT)
 
     async def test_a_connection_accepted_during_close_is_ended(self) -> None:
-        """It was opened behind the close, answered pings and took joins until the process ended."""
-        await self.listening()
+        """Otherwise it would stay open, and be answered, until the process ends."""
         closing: list[asyncio.Task[None]] = []
 
-        class Accepted(ProtocolConnection):
-            def __init__(self, listener: stream_listener.StreamListener) -> None:
+        class ClosingConnection(ProtocolConnection):
+            """Closes the listener between its accept and its opening."""
+
+            def __init__(self, listener: ConnectionOwner) -> None:
                 super().__init__(listener)
-                closing.append(asyncio.create_task(listener.close()))  # before it is opened, in this turn
+                closing.append(asyncio.create_task(cast(stream_listener.StreamListener, listener).close()))
 
-        with mock.patch.object(stream_listener, "ProtocolConnection", Accepted):
+        with mock.patch.object(stream_listener, "ProtocolConnection", ClosingConnection):
             client = await self.connect(self.program, "PING")
             await client.wait_closed()
-        self.assertEqual((len(closing), client.received), (1, []))
+        self.assertEqual(len(closing), 1)
+        self.assertEqual(client.received, [])
         with self.assertRaises(EOFError):
             await client.receive()
 
 
 class ConnectionFloodTests(ManagerTestCase):
-    async def gone(self, stranger: socket.socket) -> None:
+    """A manager's program to which far more connections are opened than it has descriptors."""
+
+    async def wait_closed(self, stranger: socket.socket) -> None:
+        """Reads until the program has ended the connection."""
         loop = asyncio.get_running_loop()
         with suppress(OSError):
             while await in_time(loop.sock_recv(stranger, 4096)):
                 pass
 
-    async def test_two_thousand_dials_do_not_delay_proxies_or_a_drain(self) -> None:
-        """Half say nothing, half what can't be read.  Who joins is bound, the drain told, in their time."""
-        max_connections = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-        resource.setrlimit(resource.RLIMIT_NOFILE, (min(8192, max_connections), max_connections))
-        program = await self.serving(limits={"memory_mb": 192, "sockets": 512})
-        resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (512, 512))
-        first = await self.join(program, 0)
-        first.acknowledge(await first.receive_until("stamp"))
-        flood = [socket.socket() for _ in range(2000)]
-        for stranger in flood:  # the kernel takes them all: the program accepts them when it can
+    def open_strangers(self, port: int) -> list[socket.socket]:
+        """Opens connections without waiting: the kernel queues them until the program accepts them.
+
+        One half sends nothing, the other half no valid message.
+        """
+        strangers = [socket.socket() for _ in range(STRANGER_COUNT)]
+        for stranger in strangers:
             self.addCleanup(stranger.close)
             stranger.setblocking(False)
-            stranger.connect_ex(("127.0.0.1", program.port))
-        for stranger in flood[::2]:
+            stranger.connect_ex(("127.0.0.1", port))
+        for stranger in strangers[::2]:
             with suppress(OSError):
                 stranger.send(b"GET / HTTP/1.1\r\n\r\n")
+        return strangers
+
+    async def test_two_thousand_dials_do_not_delay_proxies_or_a_drain(self) -> None:
+        """Proxies that connect during the flood get their tables, and all proxies the drain, in time."""
+        hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+        resource.setrlimit(resource.RLIMIT_NOFILE, (min(TEST_DESCRIPTORS, hard_limit), hard_limit))
+        program = await self.serving(limits={"memory_mb": 192, "sockets": MAX_SOCKETS})
+        resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (MAX_SOCKETS, MAX_SOCKETS))
+        first = await self.join(program, 0)
+        first.acknowledge(await first.receive_until("stamp"))
+        strangers = self.open_strangers(program.port)
         proxies = [await self.join(program, node) for node in range(1, 8)]
         await self.discovery.send_updates(
             endpoint_list(42, endpoint_entry("s-1", "Terminating"), endpoint_entry("s-3"))
@@ -135,14 +157,14 @@
         await first.receive_until("s-1:0.0")
         first.send("PING")
         await first.receive_until("PONG")
-        for stranger in flood:
-            await self.gone(stranger)
+        for stranger in strangers:
+            await self.wait_closed(stranger)
         status = Path(f"/proc/{program.process.pid}/status").read_text()
-        peak = int(status.split("VmHWM:")[1].split()[0])
-        self.assertLess(peak, 96 << 10)  # kB
+        peak_memory_kb = int(status.split("VmHWM:")[1].split()[0])
+        self.assertLess(peak_memory_kb, MAX_PEAK_MEMORY_KB)
         self.assertEqual(await program.stop(), 0)
         errors = await cast(asyncio.StreamReader, program.process.stderr).read()
-        self.assertEqual(errors, b"")  # no accept found the descriptors used up
+        self.assertEqual(errors, b"")  # no accept failed for lack of a descriptor
 
 
 if __name__ == "__main__":
