--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -1,142 +1,186 @@
-"""Managers and forwarders restarted with their snapshots, by their own programs."""
+"""Managers and forwarders, each as a process of its own, that restart with their snapshots."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import os
 import tempfile
 import time
 import unittest
+from collections.abc import Callable
 from contextlib import AsyncExitStack
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 from click.testing import CliRunner
 
 from cottonladder.cli import main as cli
-from cottonladder.snapshots import file_format, store
+from cottonladder.snapshots import file_format
+from cottonladder.snapshots.errors import SnapshotError
+from cottonladder.snapshots.store import SnapshotStore
 from cottonladder.testbed.discovery import SimulatedDiscovery
 from cottonladder.testbed.fleet import ForwarderProcess, ManagerProcess
+from tests.support.stream_client import StreamClient
 
 SECTIONS: dict[str, Any] = {"manager": {"v": 1, "data": {"mark": 7}}}
+WORKER_COUNT = 4
+SNAPSHOT_INTERVAL_S = 0.2
+SNAPSHOT_TIMEOUT_S = 20.0
+# Between two looks at the folder of another process, which logs no event for a snapshot.
+FOLDER_POLL_INTERVAL_S = 0.05
 
 
-class RestartTest(unittest.IsolatedAsyncioTestCase):
+@dataclass(frozen=True, slots=True)
+class UnusableFile:
+    """Something in the folder that is no valid snapshot, and what the log says of it."""
+
+    create: Callable[[Path], object]
+    logged: str
+
+
+UNUSABLE_FILES = (
+    UnusableFile(lambda folder: folder.mkdir(), "snapshot_missing"),
+    UnusableFile(lambda folder: (folder / "state-3.clm").write_bytes(b"what"), "state-3.clm: cut short"),
+    UnusableFile(lambda folder: (folder / "state-9.clm").mkdir(), "state-9.clm"),
+    UnusableFile(
+        lambda folder: (folder / "state-12.clm").write_bytes(
+            file_format.encode_file(SECTIONS, written_at=1.0, format_version=9)
+        ),
+        "newer format",
+    ),
+)
+
+
+class RestartTestCase(unittest.IsolatedAsyncioTestCase):
+    """A simulated discovery with four workers, and folders for the snapshots of each process."""
+
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = Path(folder.name)
-        self.stack = AsyncExitStack()
-        self.addAsyncCleanup(self.stack.aclose)
+        self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
+        self.manager_folder = self.folder / "m"
+        self.forwarder_folder = self.folder / "f"
+        self.admin_socket = self.folder / "c"
+        self.processes = AsyncExitStack()
+        self.addAsyncCleanup(self.processes.aclose)
         self.discovery = SimulatedDiscovery()
-        self.at = await self.discovery.start()
-        self.stack.push_async_callback(self.discovery.close)
-        for n in range(4):
-            await self.discovery.put(f"s-{n}", f"127.0.0.9:{8000 + n}", "a")
-
-    async def manager(self, **more: Any) -> ManagerProcess:
-        memory = {"folder": str(self.folder / "m"), "every": 0.2}
-        known = more.pop("known", self.discovery.listing())
-        manager = ManagerProcess(self.at, known, None, memory=memory, control=str(self.folder / "c"), **more)
+        self.discovery_address = await self.discovery.start()
+        self.processes.push_async_callback(self.discovery.close)
+        for number in range(WORKER_COUNT):
+            await self.discovery.put(f"s-{number}", f"127.0.0.9:{8000 + number}", "a")
+
+    async def start_manager(self, known: dict[str, Any] | None = None) -> ManagerProcess:
+        """A manager that serves; `known` is the list of its file, by default discovery's."""
+        manager = ManagerProcess(
+            self.discovery_address,
+            self.discovery.listing() if known is None else known,
+            None,
+            memory={"folder": str(self.manager_folder), "every": SNAPSHOT_INTERVAL_S},
+            control=str(self.admin_socket),
+        )
         await manager.serving()
         return manager
 
-    async def wrote(self, number: int) -> None:
-        end = time.monotonic() + 20.0
-        while True:
-            try:
-                if max(store.SnapshotStore(str(self.folder / "m")).numbers(), default=0) >= number:
-                    return
-            except store.SnapshotError:
-                pass  # no such folder, yet
-            self.assertLess(time.monotonic(), end)
-            await asyncio.sleep(0.05)
+    async def start_forwarder(self, manager_address: str) -> ForwarderProcess:
+        memory = {"folder": str(self.forwarder_folder), "every": SNAPSHOT_INTERVAL_S}
+        forwarder = ForwarderProcess(1, self.discovery_address, [manager_address], None, memory=memory)
+        await forwarder.serving()
+        return forwarder
+
+    async def read_table(self, manager: ManagerProcess) -> str:
+        """The first routing table that the manager sends to a proxy."""
+        proxy = StreamClient(*await asyncio.open_connection("127.0.0.1", manager.port))
+        self.addCleanup(proxy.close)
+        proxy.join(1)
+        return await proxy.receive_until("replace")
+
+    def newest_generation(self) -> int:
+        """The number of the manager's newest snapshot, 0 where there is none."""
+        try:
+            return max(SnapshotStore(str(self.manager_folder)).numbers(), default=0)
+        except SnapshotError:
+            return 0  # the folder does not exist yet
+
+    async def wait_for_generation(self, number: int) -> None:
+        await self.wait_until(lambda: self.newest_generation() >= number)
+
+    async def wait_until(self, is_reached: Callable[[], bool]) -> None:
+        deadline = time.monotonic() + SNAPSHOT_TIMEOUT_S
+        while not is_reached():
+            self.assertLess(time.monotonic(), deadline)
+            await asyncio.sleep(FOLDER_POLL_INTERVAL_S)
 
+
+class ManagerRestartTests(RestartTestCase):
     async def test_a_drain_is_kept_while_discovery_is_down(self) -> None:
-        known = self.discovery.listing()
-        manager = await self.manager()
+        list_before_drain = self.discovery.listing()
+        manager = await self.start_manager()
         await self.discovery.set_state("s-1", "Terminating")
         await manager.logged(
             "event=worker_state_changed", "worker_id=s-1", "from_state=healthy", "to_state=removed"
         )
-        await self.wrote(5)
-        asked = CliRunner().invoke(cli.main, ["tasks", str(self.folder / "c"), "--json"])
-        self.assertEqual([row["task"] for row in json.loads(asked.output)], ["snapshot"])
+        # One snapshot may have begun before the drain; the one after it has not.
+        await self.wait_for_generation(self.newest_generation() + 2)
+        tasks = CliRunner().invoke(cli.main, ["tasks", str(self.admin_socket), "--json"])
+        self.assertEqual([row["task"] for row in json.loads(tasks.output)], ["snapshot"])
         await manager.stop()
         await self.discovery.set_down(True)
-        again = await self.manager(known=known)  # the configuration's list is an old one
-        self.stack.push_async_callback(again.stop)
-        line = await again.logged("snapshot_restored")
+        restarted = await self.start_manager(known=list_before_drain)
+        self.processes.push_async_callback(restarted.stop)
+        line = await restarted.logged("snapshot_restored")
         self.assertIn("draining_count=1", line)
-        proxy_table = await self.table(again)
-        self.assertNotIn("s-1", proxy_table)
-        self.assertIn("s-0", proxy_table)
-
-    async def table(self, manager: ManagerProcess) -> str:
-        from tests.support.stream_client import StreamClient
-
-        proxy = StreamClient(*await asyncio.open_connection("127.0.0.1", manager.port))
-        self.addCleanup(proxy.close)
-        proxy.join(1)
-        return await proxy.receive_until("replace")
+        table = await self.read_table(restarted)
+        self.assertNotIn("s-1", table)
+        self.assertIn("s-0", table)
 
     async def test_files_that_can_not_be_used_never_stop_a_start(self) -> None:
-        folder = self.folder / "m"
-        for prepare, why in (
-            (lambda: folder.mkdir(), "snapshot_missing"),
-            (lambda: (folder / "state-3.clm").write_bytes(b"what"), "state-3.clm: cut short"),
-            (lambda: (folder / "state-9.clm").mkdir(), "state-9.clm"),
-            (
-                lambda: (folder / "state-12.clm").write_bytes(file_format.encode_file(SECTIONS, 1.0, 9)),
-                "newer format",
-            ),
-        ):
-            prepare()
-            manager = await self.manager()
-            await manager.logged("event=snapshot_", why)
-            self.assertIn("s-0", await self.table(manager))
+        for unusable in UNUSABLE_FILES:
+            unusable.create(self.manager_folder)
+            manager = await self.start_manager()
+            await manager.logged("event=snapshot_", unusable.logged)
+            self.assertIn("s-0", await self.read_table(manager))
             self.assertEqual(await manager.stop(), 0)
-        owner = store.SnapshotStore(str(folder))
+
+    async def test_a_folder_that_another_process_owns_never_stops_a_start(self) -> None:
+        owner = SnapshotStore(str(self.manager_folder))
         owner.open()
         self.addCleanup(owner.close)
-        manager = await self.manager()
+        manager = await self.start_manager()
         await manager.logged("snapshot_unreadable", "another process owns it")
         await manager.logged("task_failed", "another process owns it")
-        self.assertIn("s-0", await self.table(manager))
+        self.assertIn("s-0", await self.read_table(manager))
+        newest = self.newest_generation()
         owner.close()
-        await self.wrote(14)  # tried again
+        await self.wait_for_generation(newest + 1)  # the write is retried
         await manager.stop()
 
-    async def test_a_folder_that_vanishes_and_comes_back(self) -> None:
-        manager = await self.manager()
-        self.stack.push_async_callback(manager.stop)
-        await self.wrote(2)
-        os.rename(self.folder / "m", self.folder / "gone")
-        await self.wrote(1)  # made anew
-        self.assertIn("s-0", await self.table(manager))
+    async def test_a_folder_that_is_removed_is_created_again(self) -> None:
+        manager = await self.start_manager()
+        self.processes.push_async_callback(manager.stop)
+        await self.wait_for_generation(2)
+        self.manager_folder.rename(self.folder / "gone")
+        await self.wait_for_generation(1)
+        self.assertIn("s-0", await self.read_table(manager))
+
 
+class ForwarderRestartTests(RestartTestCase):
     async def test_a_forwarder_keeps_its_tables_while_no_manager_is(self) -> None:
-        part = {"memory": {"folder": str(self.folder / "f"), "every": 0.2}}
-        manager = await self.manager()
-        self.stack.push_async_callback(manager.stop)
-        one = ForwarderProcess(1, self.at, [f"127.0.0.1:{manager.port}"], None, **part)
-        await one.serving()
-        await one.logged("stream_opened")
-        kept = str(self.folder / "f")
-        end = time.monotonic() + 20.0
-        while True:
-            said = CliRunner().invoke(cli.main, ["memory", "export", kept])
-            if said.exit_code == 0 and json.loads(said.output)["sections"]["forwarder"]["data"]["tables"]:
-                break
-            self.assertLess(time.monotonic(), end)
-            await asyncio.sleep(0.1)
-        await one.stop()
-        two = ForwarderProcess(1, self.at, ["127.0.0.1:9"], None, **part)
-        await two.serving()
-        self.stack.push_async_callback(two.stop)
-        self.assertIn("table fetch", await two.logged("snapshot_restored"))
+        manager = await self.start_manager()
+        self.processes.push_async_callback(manager.stop)
+        forwarder = await self.start_forwarder(f"127.0.0.1:{manager.port}")
+        await forwarder.logged("stream_opened")
+        await self.wait_until(self.has_stored_table)
+        await forwarder.stop()
+        restarted = await self.start_forwarder("127.0.0.1:9")
+        self.processes.push_async_callback(restarted.stop)
+        self.assertIn("table fetch", await restarted.logged("snapshot_restored"))
+
+    def has_stored_table(self) -> bool:
+        """Whether the forwarder's newest snapshot has a routing table."""
+        exported = CliRunner().invoke(cli.main, ["memory", "export", str(self.forwarder_folder)])
+        if exported.exit_code != 0:
+            return False
+        return bool(json.loads(exported.output)["sections"]["forwarder"]["data"]["tables"])
 
 
 if __name__ == "__main__":
