--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -347,7 +347,7 @@
     durations_ms = []
     for number in range(PLAN_COUNT):
         started_at = time.perf_counter()
-        orders = planner.plan(number * migration.PLAN_INTERVAL, views)
+        orders = planner.plan(number * migration_orders.PLAN_INTERVAL_S, views)
         durations_ms.append((time.perf_counter() - started_at) * MILLISECONDS_PER_S)
         for order in orders:
             if isinstance(order, migration_orders.MigrateConnections):
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -14,9 +14,10 @@
 from ..config.operator_config import UpgradesConfig
 from ..model.inputs import ExtraLinesWritten, HeldLoad, Input, ProxyConnected, ProxyDisconnected
 from ..model.views import WorkerCapacityView
-from ..planning.connection_migration import PLAN_INTERVAL, MigrationPlanner
+from ..planning.connection_migration import MigrationPlanner
 from ..planning.controller_views import capacity_views
 from ..planning.migration_orders import (
+    PLAN_INTERVAL_S,
     AdmitForwarder,
     HeldConnectionCounts,
     MigrateConnections,
@@ -127,7 +128,7 @@
         """Each interval, the plan's orders as messages to forwarders."""
         if now < self._next_plan_at:
             return
-        self._next_plan_at = now + PLAN_INTERVAL
+        self._next_plan_at = now + PLAN_INTERVAL_S
         views = capacity_views(controller)
         orders = [order for order in self._planner.plan(now, views) if not self._drop_vetoed(order)]
         self._extra_lines += self._planner.channel_lines(orders)
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -24,7 +24,7 @@
 )
 from ..model.inputs import AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
-from ..planning.advice_weighting import UPDATE_INTERVAL, AdviceWeighting, AdvisoryWeight
+from ..planning.advice_weighting import UPDATE_INTERVAL_S, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views
 from ..policy.controller import RoutingController
 from ..protocol.messages import ExtensionMessage
@@ -127,7 +127,7 @@
 
     def collect_inputs(self, now: float) -> list[Input]:
         for advisor in self._connected_advisors:
-            self._advice.advisor_connected(advisor, now, self._trust_by_advisor.get(advisor, 1.0))
+            self._advice.advisor_connected(advisor, self._trust_by_advisor.get(advisor, 1.0))
         self._connected_advisors.clear()
         for advisor, said, whole in self._reports:
             words: dict[int, AdvisoryWeight] = {}
@@ -161,7 +161,7 @@
             for follower in self._followers:
                 follower.update(places)
         if due:
-            self._next_update_at = now + UPDATE_INTERVAL
+            self._next_update_at = now + UPDATE_INTERVAL_S
             for follower in self._followers:
                 follower.poll()
             if now - self._logged_at >= LOG_INTERVAL:
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -42,9 +42,9 @@
     """
     restored: list[str] = []
     router.excluded |= {worker_id for worker_id in snapshot.excluded if known(worker_id)}
-    if age <= ageing.MAX_TABLE_AGE and not router.has_ordered_table:  # what was ordered meanwhile is newer
+    if age <= ageing.MAX_TABLE_AGE_S and not router.has_ordered_table:  # what was ordered meanwhile is newer
         restored += _restore_tables(snapshot, router, known)
-    if age <= ageing.MAX_SUSPICION_AGE:
+    if age <= ageing.MAX_SUSPICION_AGE_S:
         restored += _restore_avoided(snapshot, age, now, router, known)
         _reserve_slots(snapshot, now, router, pacer, known)
     return ", ".join(restored) or "nothing"
--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -1,9 +1,10 @@
-"""What outside load balancers are told of each worker: weights as the routing policy would order them.
+"""The weights that outside load balancers are sent for each worker, as the routing policy would order them.
 
-Pure: no clock, no I/O.  Balancers share load by the weights of their own group, a part of the fleet that
-nobody here chose, and how much each of them carries is unknown.  So a warming worker's share of a group is at
-most its part of the whole fleet's estimates (within its slow start already): if every balancer keeps to its
-shares, all of them together, and the proxies, bring it no more than that part of all requests.
+Pure: no clock, no I/O.  A load balancer divides its requests by the weights of its own group, which is an
+arbitrary part of the fleet, and the rate of its requests is unknown.  A warming-up worker's share of a group
+is therefore limited to its part of the whole fleet's capacity, which is already reduced during slow start.
+If every load balancer keeps to the weights, all of them together send the worker no more than that part of
+all requests.
 """
 
 from __future__ import annotations
@@ -15,20 +16,19 @@
 from ..model.views import WorkerCapacityView
 from ..policy.tables import MAX_WARM_UP_SHARE
 
-# Weight of the heaviest member: shares of a hundredth of a percent can be told apart.
+# Weight of the heaviest member; a unit of weight is a hundredth of a percent of it.
 MAX_WEIGHT = 10_000
-# Relative change past which a weight is pushed again: balancers chase what they are told.
-MIN_WEIGHT_CHANGE = 0.05
-# Share of a group that one warming worker gets at the most.
-MAX_WARMING_SHARE = 0.5
+# Relative change from which a weight is sent again; load balancers shift load at each new weight.
+MIN_WEIGHT_CHANGE_RATIO = 0.05
+# Largest share of a group for one warming-up worker.
+MAX_WARMING_UP_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class AdvertisedWeight:
-    """One worker's weight, 0 to `MAX_WEIGHT`.
+    """One worker's weight, 0 (no new requests) to `MAX_WEIGHT`.
 
-    `weight` 0: no new requests; `is_reachable`: it answers, as far as is known; `is_leaving`: it drains or is
-    gone.
+    `is_reachable` tells whether it answers as far as is known, `is_leaving` whether it drains or is gone.
     """
 
     weight: int
@@ -39,9 +39,9 @@
 def advertise_weights(
     views: Mapping[int, WorkerCapacityView], members: Iterable[int], quiesced: frozenset[int] = frozenset()
 ) -> dict[int, AdvertisedWeight]:
-    """Weights of one group's members, all by worker index.
+    """Gives the weights of a group's members by worker index.
 
-    A member that is unknown, drains, is gone or was quiesced by the balancer gets 0.
+    A member that is unknown, drains, is gone or was quiesced by the load balancer gets 0.
     """
     members = list(members)
     known = [worker for worker in members if worker in views and worker not in quiesced]
@@ -52,10 +52,9 @@
     advertised: dict[int, AdvertisedWeight] = {}
     for worker in members:
         exact = MAX_WEIGHT * shares[worker] / heaviest if worker in shares else 0.0
-        if worker in warm:
-            weight = math.ceil(exact)
-        else:  # rounding lifts no warming worker
-            weight = max(int(worker in shares), int(exact))
+        # A warming-up worker's weight is rounded down, because it must not exceed its share.
+        rounded_down = max(int(worker in shares), int(exact))
+        weight = math.ceil(exact) if worker in warm else rounded_down
         is_leaving = worker not in views or views[worker].draining_since >= 0
         advertised[worker] = AdvertisedWeight(weight, worker in live or worker in quiesced, is_leaving)
     return advertised
@@ -64,10 +63,10 @@
 def _shares(
     views: Mapping[int, WorkerCapacityView], live: Mapping[int, float], warm: Mapping[int, float]
 ) -> dict[int, float]:
-    """Relative shares by live worker: its estimate, and for a warming one no more than its limits allow.
+    """Relative shares of the live workers: their capacity, limited for those that are warming up.
 
-    Several warming workers in a group: each share is worked out beside the warm ones alone, so together they
-    get less than their parts, never more.
+    The share of each warming-up worker is computed beside the warm ones alone.  If there are several, they
+    therefore get less than their limits together, never more.
     """
     shares = dict(live)
     if not warm:
@@ -77,17 +76,17 @@
     for worker, capacity in live.items():
         if worker not in warm:
             group_share = capacity / (warm_capacity + capacity)
-            share = min(group_share, MAX_WARM_UP_SHARE * capacity / fleet_capacity, MAX_WARMING_SHARE)
+            share = min(group_share, MAX_WARM_UP_SHARE * capacity / fleet_capacity, MAX_WARMING_UP_SHARE)
             shares[worker] = warm_capacity * share / (1.0 - share)
     return shares
 
 
 def has_changed(previous: AdvertisedWeight | None, current: AdvertisedWeight) -> bool:
-    """Whether a balancer must be told: who leaves or comes at once, weights past a relative change."""
+    """Whether a weight has to be sent again: its worker comes or leaves, or it changed far enough."""
     if previous is None:
         return True
     if (previous.is_reachable, previous.is_leaving) != (current.is_reachable, current.is_leaving):
         return True
     if (previous.weight == 0) != (current.weight == 0):
         return True
-    return abs(current.weight - previous.weight) > MIN_WEIGHT_CHANGE * max(previous.weight, 1)
+    return abs(current.weight - previous.weight) > MIN_WEIGHT_CHANGE_RATIO * max(previous.weight, 1)
--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -1,15 +1,14 @@
-"""What outside advice is worth: from advisors' weights to a bounded, ageing factor on each capacity estimate.
-
-Pure: no clock, no I/O, no randomness.  An advisor's weights are read as shares among the workers that it
-names and that may be used; the factor is that share over the one that the estimates give by themselves, so
-advice that agrees changes nothing, whatever its scale.  Invariants:
-
-- a factor stays within `1 / MAX_FACTOR` and `MAX_FACTOR`, moves by a step an interval at most, and fades to 1
-  as its weights age: an advisor that falls silent leaves no gap and no jump;
-- an advisor has credit.  It falls where the workers that the advice lifts are the slow ones (or the failing),
-  and where its weights flap; it rises slowly where they are the fast ones.  Advice counts by its credit;
-- a warming worker is never lifted; no worker gets 0; a drain is not an advisor's to undo (the routing
-  controller deals with drains before any factor).
+"""Turns advisors' weights into a bounded, ageing factor on each worker's capacity estimate.
+
+Pure: no clock, no I/O, no randomness.  An advisor's weights are read as shares among the usable workers that
+it names.  The factor is that share over the share by the capacity estimates alone, so that advice which
+agrees with the estimates changes nothing, whatever its scale.  Invariants:
+
+- a factor stays between `1 / MAX_FACTOR` and `MAX_FACTOR`, changes by one step an interval at most, and fades
+to 1 as its weights age, so that nothing jumps when an advisor falls silent; - each advisor has a credit, by
+which its advice counts.  The credit falls if the workers that the advice favours are the slow ones or if its
+weights flap, and rises slowly if they are the fast ones; - a warming-up worker is never favoured, no worker
+gets 0, and no advice undoes a drain (the routing controller handles drains before any factor).
 """
 
 from __future__ import annotations
@@ -21,43 +20,45 @@
 from ..model.views import WorkerCapacityView
 from ..policy.tuning import SOLVE_INTERVAL
 
-# The most that all advice together may lift or lower an estimate by: speeds differ by as much.
+# Largest factor that all advice together may raise or lower a capacity estimate by.
 MAX_FACTOR = 2.0
-# Change of the factor's logarithm an interval: 5 intervals from one bound to none.
+# Largest change of a factor's natural logarithm in one interval.
 MAX_LOG_STEP = 0.15
-# s of a weight's age until it begins to fade.
-FRESH_AGE = 6.0
-# s of a weight's age from which it counts no more.
-MAX_AGE = 16.0
-# Credit of a new advisor, of 1.
+# Age of a weight at which it starts to fade.
+FRESH_AGE_S = 6.0
+# Age of a weight at which it no longer counts.
+MAX_WEIGHT_AGE_S = 16.0
+# Credit of a new advisor; the largest credit is 1.
 INITIAL_CREDIT = 0.5
-# Credit never falls below it: from nothing it could never rise again.
+# Smallest credit: from 0 a credit could not rise again.
 MIN_CREDIT = 0.01
-# Part of the missing credit that an interval gives for weights that measured times bear out.
-CREDIT_GAIN = 0.03
-# Part of the credit that an interval takes for weights that measured times contradict.
-CREDIT_LOSS = 0.5
-# Weighted logarithms of time over the fleet's: less says nothing.
+# Part of the missing credit that is regained in an interval if latencies confirm the weights.
+CREDIT_GAIN_RATIO = 0.03
+# Largest part of the credit that is lost in an interval if latencies contradict the weights.
+CREDIT_LOSS_RATIO = 0.5
+# Correlation of weights and latencies up to which it says nothing about an advisor.
 CORRELATION_TOLERANCE = 0.08
-# Mean change of an advisor's logarithms in an interval, past which its weights flap.
-FLAP_THRESHOLD = 0.35
-# Part of the credit that an interval takes for flapping.
-FLAP_CREDIT_LOSS = 0.35
-# Mean logarithm between weights, below which they rank nobody.
-MIN_SPREAD = 0.02
-# Workers with a measured time and a weight, below which nothing is judged.
+# Multiple of the tolerance from which a contradiction costs the full loss.
+FULL_LOSS_MULTIPLIER = 4.0
+# Mean change of the logarithms of an advisor's weights in an interval from which they flap.
+FLAP_THRESHOLD_LOG = 0.35
+# Part of the credit that is lost in an interval if the weights flap.
+FLAP_LOSS_RATIO = 0.35
+# Mean distance of the logarithms of weights from their mean below which they rank no worker over another.
+MIN_DISPERSION_LOG = 0.02
+# Workers with a latency and a weight that a comparison needs.
 MIN_COMPARED_WORKERS = 4
 # Weights kept of one advisor.
 MAX_WEIGHTS_PER_ADVISOR = 20_000
-# Logarithm of a factor below which it counts as neutral.
+# Natural logarithm of a factor below which the factor counts as 1.
 NEUTRAL_LOG = 1e-4
-# s between two calls of `update_factors`: the routing policy's own interval.
-UPDATE_INTERVAL = SOLVE_INTERVAL
+# Time between two calls of `update_factors`, that of the routing policy.
+UPDATE_INTERVAL_S = SOLVE_INTERVAL
 
 
 @dataclass(frozen=True, slots=True)
 class AdvisoryWeight:
-    """One advisor's weight of one worker; 0, or not `is_usable`: send nothing there."""
+    """One advisor's weight of one worker; the worker gets no requests if it is 0 or not `is_usable`."""
 
     weight: float
     is_usable: bool = True
@@ -65,18 +66,21 @@
 
 @dataclass(slots=True)
 class _Advisor:
-    """What one advisor said, by worker index, and what that is worth."""
+    """The weights of one advisor, by worker index, and its credit.
+
+    `trust` is set by the operators, from 0 to 1.  `previous_logs` are the logarithms one interval ago.
+    """
 
-    trust: float  # as operators set it, 0 to 1
+    trust: float
     weights: dict[int, AdvisoryWeight] = field(default_factory=dict)
     received_at: dict[int, float] = field(default_factory=dict)
     credit: float = INITIAL_CREDIT
-    previous_logs: dict[int, float] = field(default_factory=dict)  # logarithms an interval ago
+    previous_logs: dict[int, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class AdvisorStatus:
-    """How an advisor stands, for operators; `age_s` of its newest weight, infinite without one."""
+    """An advisor's state for operators; `age_s` is that of its newest weight, infinite without one."""
 
     weight_count: int
     credit: float
@@ -85,30 +89,30 @@
 
 @dataclass(frozen=True, slots=True)
 class _Vote:
-    """One advisor's view of one worker: the logarithm of a factor, and how much it counts."""
+    """The logarithm of the factor that one advisor asks for at one worker, and how much it counts."""
 
     credit: float
     log_ratio: float
 
 
 class AdviceWeighting:
-    """Factors for the workers of one manager.
+    """The factors for the workers of one manager.
 
-    `receive` takes weights as they come; `update_factors` is asked once an interval.
+    `receive` takes weights when they arrive, and `update_factors` is called once an interval.
     """
 
     def __init__(self) -> None:
         self._advisors: dict[str, _Advisor] = {}
-        self._factors: dict[int, float] = {}  # logarithms in force, by worker index
+        self._factors: dict[int, float] = {}  # logarithms, by worker index
 
-    def advisor_connected(self, advisor: str, now: float, trust: float = 1.0) -> None:
-        """A connection to it is up: its trust is set, its credit stays, as dialling anew wins none back."""
+    def advisor_connected(self, advisor: str, trust: float = 1.0) -> None:
+        """Sets the trust of an advisor that connected; its credit stays as it was before."""
         self._advisors.setdefault(advisor, _Advisor(trust)).trust = trust
 
     def receive(
         self, advisor: str, now: float, weights: Mapping[int, AdvisoryWeight], is_complete: bool
     ) -> None:
-        """Takes weights by worker index; `is_complete`: those of before no longer hold."""
+        """Takes weights by worker index; `is_complete` means that earlier ones no longer hold."""
         state = self._advisors.setdefault(advisor, _Advisor(1.0))
         if is_complete:
             state.weights.clear()
@@ -119,24 +123,24 @@
                 state.received_at[worker] = now
 
     def credits(self) -> dict[str, float]:
-        """Credit by advisor, as a snapshot keeps it."""
+        """Credit by advisor, for a snapshot."""
         return {name: state.credit for name, state in self._advisors.items()}
 
     def restore_credits(self, credits: Mapping[str, float]) -> None:
-        """Takes over what an earlier incarnation thought of its advisors."""
+        """Takes over the credits of an earlier incarnation of the manager."""
         for name, credit in credits.items():
             state = self._advisors.setdefault(name, _Advisor(1.0))
             state.credit = min(1.0, max(MIN_CREDIT, credit))
 
-    def forget_unlisted(self, views: Mapping[int, WorkerCapacityView]) -> None:
-        """Drops the weights of workers that `views` lacks."""
+    def drop_missing_workers(self, views: Mapping[int, WorkerCapacityView]) -> None:
+        """Drops the weights of workers that are not in `views`."""
         for state in self._advisors.values():
             for worker in [worker for worker in state.weights if worker not in views]:
                 del state.weights[worker]
                 del state.received_at[worker]
 
     def status(self, now: float) -> dict[str, AdvisorStatus]:
-        """How each advisor stands, by its name."""
+        """The state of each advisor, by its name."""
         return {
             name: AdvisorStatus(
                 len(state.weights), state.credit, now - max(state.received_at.values(), default=-math.inf)
@@ -145,8 +149,8 @@
         }
 
     def update_factors(self, now: float, views: Mapping[int, WorkerCapacityView]) -> dict[int, float]:
-        """The factor in force for each worker that isn't neutral; moves by one step a call."""
-        self.forget_unlisted(views)
+        """Moves each factor by one step and gives those that are not 1, by worker index."""
+        self.drop_missing_workers(views)
         votes = self._collect_votes(now, views)
         logs: dict[int, float] = {}
         for worker in self._factors.keys() | votes.keys():
@@ -163,7 +167,7 @@
         return {worker: math.exp(log) for worker, log in logs.items()}
 
     def _collect_votes(self, now: float, views: Mapping[int, WorkerCapacityView]) -> dict[int, list[_Vote]]:
-        """Every advisor's votes by worker; brings the advisors' credit up to date."""
+        """Updates the advisors' credit and gives their votes by worker."""
         plain_capacities = {
             worker: view.capacity / math.exp(self._factors.get(worker, 0.0))
             for worker, view in views.items()
@@ -175,16 +179,13 @@
             _update_credit(state, ratios, views)
             for worker, ratio in ratios.items():
                 age = now - state.received_at[worker]
-                fade = min(1.0, max(0.0, (MAX_AGE - age) / (MAX_AGE - FRESH_AGE)))
+                fade = min(1.0, max(0.0, (MAX_WEIGHT_AGE_S - age) / (MAX_WEIGHT_AGE_S - FRESH_AGE_S)))
                 votes.setdefault(worker, []).append(_Vote(state.credit * state.trust * fade, ratio))
         return votes
 
 
 def _combine(votes: list[_Vote]) -> float:
-    """The logarithm that the votes ask for together.
-
-    Where advisors differ each counts by its credit against all of theirs, and the sum by the best one's.
-    """
+    """The logarithm that the votes ask for: their mean weighted by credit, times the best credit."""
     credit_sum = sum(vote.credit for vote in votes)
     if credit_sum <= 0:
         return 0.0
@@ -193,20 +194,20 @@
 
 
 def _log_ratios(state: _Advisor, now: float, plain_capacities: Mapping[int, float]) -> dict[int, float]:
-    """An advisor's weight of each usable worker as the logarithm of its share over the estimates' own share.
+    """The logarithm of each worker's share by weight over that by capacity, within a factor's bounds.
 
-    Empty where all weights are 0, or all alike: then they say nothing of one worker against another.
+    The result is empty if all weights are 0 or alike, because they rank no worker over another then.
     """
     current = {
         worker: weight
         for worker, weight in state.weights.items()
-        if worker in plain_capacities and now - state.received_at[worker] < MAX_AGE
+        if worker in plain_capacities and now - state.received_at[worker] < MAX_WEIGHT_AGE_S
     }
     live = {
         worker: weight.weight for worker, weight in current.items() if weight.is_usable and weight.weight > 0
     }
     mean_log = sum(map(math.log, live.values())) / max(1, len(live))
-    if sum(abs(math.log(weight) - mean_log) for weight in live.values()) <= MIN_SPREAD * len(live):
+    if sum(abs(math.log(weight) - mean_log) for weight in live.values()) <= MIN_DISPERSION_LOG * len(live):
         return {}
     weight_sum = sum(live.values())
     capacity_sum = sum(plain_capacities[worker] for worker in live)
@@ -221,10 +222,10 @@
 def _update_credit(
     state: _Advisor, ratios: Mapping[int, float], views: Mapping[int, WorkerCapacityView]
 ) -> None:
-    """Raises or lowers an advisor's credit: do the workers that it ranks high answer faster than the others?
+    """Raises an advisor's credit if the workers that it ranks high have low latencies, and lowers it if not.
 
-    Its own weights are judged, not what they change: beside estimates that fell for a queue an honest weight
-    looks like a lift of the slow.
+    The weights themselves are compared, not the factors: when queueing has lowered a worker's estimate, an
+    honest weight would look as if it favoured a slow worker.
     """
     logs = {
         worker: math.log(state.weights[worker].weight)
@@ -241,34 +242,35 @@
         if worker in state.previous_logs
     ]
     state.previous_logs = centred
-    if changes and sum(changes) / len(changes) > FLAP_THRESHOLD:
-        state.credit -= FLAP_CREDIT_LOSS * state.credit
+    if changes and sum(changes) / len(changes) > FLAP_THRESHOLD_LOG:
+        state.credit -= FLAP_LOSS_RATIO * state.credit
     else:
         correlation = _latency_correlation(centred, views)
         if correlation is None:
             return
         if correlation > CORRELATION_TOLERANCE:
-            severity = min(1.0, correlation / (4.0 * CORRELATION_TOLERANCE))
-            state.credit -= CREDIT_LOSS * state.credit * severity
+            severity = min(1.0, correlation / (FULL_LOSS_MULTIPLIER * CORRELATION_TOLERANCE))
+            state.credit -= CREDIT_LOSS_RATIO * state.credit * severity
         elif correlation < -CORRELATION_TOLERANCE:
-            state.credit += CREDIT_GAIN * (1.0 - state.credit)
+            state.credit += CREDIT_GAIN_RATIO * (1.0 - state.credit)
     state.credit = max(MIN_CREDIT, state.credit)
 
 
 def _latency_correlation(
     centred: Mapping[int, float], views: Mapping[int, WorkerCapacityView]
 ) -> float | None:
-    """How far an advisor's centred logarithms go with the logarithms of measured times.
+    """How far the centred logarithms of weights correlate with the logarithms of latencies.
 
-    Above 0: it ranks the slow high.  None where too few workers were measured, or the weights rank nobody.
+    A value above 0 means that slow workers are ranked high.  It is None if too few latencies are known or the
+    weights rank no worker over another.
     """
     times = {
         worker: views[worker].latency_s
         for worker in centred
         if views[worker].latency_s > 0 and not views[worker].warming_up
     }
-    spread = sum(abs(centred[worker]) for worker in times)
-    if len(times) < MIN_COMPARED_WORKERS or spread < MIN_SPREAD * len(times):
+    dispersion = sum(abs(centred[worker]) for worker in times)
+    if len(times) < MIN_COMPARED_WORKERS or dispersion < MIN_DISPERSION_LOG * len(times):
         return None
     mean_log = sum(math.log(time) for time in times.values()) / len(times)
-    return sum(centred[worker] * (math.log(time) - mean_log) for worker, time in times.items()) / spread
+    return sum(centred[worker] * (math.log(time) - mean_log) for worker, time in times.items()) / dispersion
--- a/cottonladder/planning/fencing.py
+++ b/cottonladder/planning/fencing.py
@@ -1,15 +1,15 @@
-"""Leases of managers on forwarders: whose orders a forwarder carries out, fenced by epochs.
-
-Pure: no clock, no I/O; the same functions run in the program and under the model checker
-(`membership/checker.py`).  Nothing here needs agreement among managers, or clocks that agree: a manager
-requests a lease on a forwarder with an epoch, the forwarder is the judge, and what must only grow carries
-versions.
-
-- A forwarder takes orders of the highest epoch that it has granted, and rejects a lower one with that epoch.
-- Exclusions carry the version of the list that they stand on; a worker is readmitted only on a newer one.
-- A retry of a request is fenced by its idempotency key: whoever orders it, it is sent at most once more.
-- A manager that was rejected, or whose own clock jumped, orders nothing until it has a lease anew, and a
-  grant hands it what the forwarder knows: versions of exclusions that it may never have heard of.
+"""Leases of managers on forwarders, fenced by epochs: whose orders a forwarder carries out.
+
+Pure: no clock, no I/O; the model checker (`membership/checker.py`) explores the functions that the program
+runs.  The protocol needs neither agreement among managers nor synchronized clocks: a manager requests a lease
+on a forwarder with an epoch, the forwarder decides, and state that must not go back carries a version.
+
+- A forwarder carries out the orders of the highest epoch that it granted, and answers a lower one with that
+epoch. - An exclusion carries the version of the endpoint list that it is based on; only a newer version
+readmits the worker. - A retry of a request is fenced by its idempotency key: it is sent at most once,
+whichever managers order it. - A manager whose request was rejected, or that was paused, sends no orders until
+it is granted a lease again.  The grant carries the forwarder's exclusions with their versions, which the
+manager may not know.
 """
 
 from __future__ import annotations
@@ -17,18 +17,21 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-Epoch = tuple[int, int]  # a count, and the manager's number, which decides between equal counts
+# A count, and the manager's number, which decides between equal counts.
+Epoch = tuple[int, int]
 NO_EPOCH: Epoch = (0, -1)
-NO_VERSION = -1  # below every version of the list
-# s that a manager's looks may lie apart before it must request a lease anew: they are 0.25 s apart.
-MAX_PAUSE = 2.0
-# Retried keys that a forwarder remembers; older ones are past any client's deadline.
-MAX_REMEMBERED_KEYS = 4096
+# Lower than every version of the endpoint list.
+NO_VERSION = -1
+# Pause between two steps of a manager from which it must request a lease again; usually they are 0.25 s
+# apart.
+MAX_PAUSE_S = 2.0
+# Idempotency keys that a forwarder keeps; the deadline of older requests has passed.
+MAX_RETRIED_KEYS = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class Guards:
-    """The guards of the protocol, each of which a mutant of the model checker leaves out."""
+    """The guards of the protocol; the model checker is tested with each of them left out."""
 
     epochs: bool = True
     versions: bool = True
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGranted:
-    """The lease is this epoch's now; `excluded`: (worker index, version) of workers that get no requests."""
+    """The lease belongs to this epoch; `excluded` has pairs of worker index and list version."""
 
     epoch: Epoch
     excluded: tuple[tuple[int, int], ...]
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRejected:
-    """A higher epoch holds the lease."""
+    """A higher epoch holds the lease, or the order was not of the epoch that does."""
 
     epoch: Epoch
     holder_epoch: Epoch
@@ -64,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExcludeWorker:
-    """Order: no requests to this worker, which the list has leaving at this version."""
+    """An order to send no requests to a worker, which drains or is gone in this version of the list."""
 
     epoch: Epoch
     worker_index: int
@@ -73,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadmitWorker:
-    """Order: requests to this worker again, which the list has ready at this version."""
+    """An order to send requests to a worker again, which is ready in this version of the list."""
 
     epoch: Epoch
     worker_index: int
@@ -82,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryRequest:
-    """Order: send the request of this idempotency key once more."""
+    """An order to retry the request with this idempotency key."""
 
     epoch: Epoch
     key: int
@@ -95,17 +98,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwarderLease:
-    """A forwarder's side: which epoch holds it, and what it was ordered, by version of the list."""
+    """A forwarder's state: the epoch that holds its lease, and its orders' list versions by worker."""
 
     epoch: Epoch = NO_EPOCH
-    excluded: Mapping[int, int] = field(default_factory=dict)  # version by worker index
-    readmitted: Mapping[int, int] = field(default_factory=dict)  # version by worker index
+    excluded: Mapping[int, int] = field(default_factory=dict)
+    readmitted: Mapping[int, int] = field(default_factory=dict)
     retried_keys: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTransition:
-    """What one message did at a forwarder: its next state, its reply, whether the order was carried out."""
+    """A forwarder's state after a message, its reply, and whether the message was carried out."""
 
     lease: ForwarderLease
     reply: ToManager | None
@@ -115,7 +118,7 @@
 def apply_message(
     lease: ForwarderLease, message: ToForwarder, guards: Guards = ALL_GUARDS
 ) -> LeaseTransition:
-    """One message at a forwarder."""
+    """Applies a message to a forwarder's state."""
     if isinstance(message, LeaseRequest):
         return _grant_or_reject(lease, message, guards)
     if message.epoch != lease.epoch and guards.epochs:
@@ -135,13 +138,13 @@
     granted = LeaseGranted(request.epoch, tuple(sorted(lease.excluded.items())))
     if request.epoch > lease.epoch or not guards.epochs:
         return LeaseTransition(replace(lease, epoch=request.epoch), granted, True)
-    if request.epoch == lease.epoch:  # the same request again, duplicated on its way
+    if request.epoch == lease.epoch:  # a duplicate of the request that was granted
         return LeaseTransition(lease, granted, False)
     return LeaseTransition(lease, LeaseRejected(request.epoch, lease.epoch), False)
 
 
 def _exclude(lease: ForwarderLease, order: ExcludeWorker, guards: Guards) -> ForwarderLease | None:
-    """The lease with the worker excluded; none where the order is older than what readmitted it."""
+    """The state with the worker excluded, or None if a version at least as new readmitted it."""
     worker = order.worker_index
     if guards.versions and lease.readmitted.get(worker, NO_VERSION) >= order.list_version:
         return None
@@ -150,7 +153,7 @@
 
 
 def _readmit(lease: ForwarderLease, order: ReadmitWorker, guards: Guards) -> ForwarderLease | None:
-    """The lease with the worker readmitted; none where it isn't excluded, or was on no older version."""
+    """The state with the worker readmitted, or None if it is not excluded by an older version."""
     worker = order.worker_index
     if worker not in lease.excluded:
         return None
@@ -161,26 +164,30 @@
 
 
 def _record_retry(lease: ForwarderLease, order: RetryRequest, guards: Guards) -> ForwarderLease | None:
-    """The lease with the key remembered; none where the request was already retried."""
+    """The state with the key recorded, or None if the request was retried before."""
     if guards.keys and order.key in lease.retried_keys:
         return None
-    return replace(lease, retried_keys=(*lease.retried_keys, order.key)[-MAX_REMEMBERED_KEYS:])
+    return replace(lease, retried_keys=(*lease.retried_keys, order.key)[-MAX_RETRIED_KEYS:])
 
 
 @dataclass(frozen=True, slots=True)
 class ManagerLease:
-    """A manager's side towards one forwarder: its epoch, whether it may order, and its list, by version."""
+    """A manager's state towards one forwarder.
+
+    `highest_count_seen` is that of any epoch received.  The versions are of the endpoint list, by worker
+    index, for workers that drain or are gone and for workers that are ready again.
+    """
 
     manager: int
     epoch: Epoch = NO_EPOCH
     is_granted: bool = False
-    highest_count_seen: int = 0  # of any epoch heard of
-    leaving_versions: Mapping[int, int] = field(default_factory=dict)  # workers that drain or are gone
-    ready_versions: Mapping[int, int] = field(default_factory=dict)  # workers that came back
+    highest_count_seen: int = 0
+    leaving_versions: Mapping[int, int] = field(default_factory=dict)
+    ready_versions: Mapping[int, int] = field(default_factory=dict)
 
 
 def request_lease(lease: ManagerLease) -> tuple[ManagerLease, LeaseRequest]:
-    """A new request, over every epoch that this manager has heard of."""
+    """Creates a request with an epoch above every one that this manager has received."""
     count = lease.highest_count_seen + 1
     epoch = (count, lease.manager)
     requested = replace(lease, epoch=epoch, is_granted=False, highest_count_seen=count)
@@ -188,7 +195,7 @@
 
 
 def receive_reply(lease: ManagerLease, reply: ToManager, guards: Guards = ALL_GUARDS) -> ManagerLease:
-    """A grant of its own latest request lets it order; a rejection ends that until it has asked again."""
+    """Applies a reply: a grant of the latest request allows orders, and a rejection forbids them."""
     if isinstance(reply, LeaseRejected):
         holder_count, _ = reply.holder_epoch
         return replace(
@@ -197,7 +204,7 @@
             is_granted=lease.is_granted and reply.epoch != lease.epoch,
         )
     if reply.epoch != lease.epoch:
-        return lease  # of an earlier request
+        return lease  # a grant of an earlier request
     leaving = dict(lease.leaving_versions)
     if guards.hand_over:
         for worker, version in reply.excluded:
@@ -209,7 +216,7 @@
 def apply_list_update(
     lease: ManagerLease, worker_index: int, list_version: int, is_leaving: bool
 ) -> ManagerLease:
-    """The list tells of a worker; an update older than what is known changes nothing."""
+    """Applies an update of the endpoint list; one that is not newer than what is known changes nothing."""
     known_version = max(
         lease.leaving_versions.get(worker_index, NO_VERSION),
         lease.ready_versions.get(worker_index, NO_VERSION),
@@ -230,14 +237,14 @@
 
 
 def resume_after_pause(lease: ManagerLease, pause_s: float) -> ManagerLease:
-    """A manager whose own looks lay too far apart orders nothing until it has a lease anew."""
-    if pause_s > MAX_PAUSE:
+    """Gives up the lease after a pause in which another manager may have taken it."""
+    if pause_s > MAX_PAUSE_S:
         return replace(lease, is_granted=False)
     return lease
 
 
 def orders_to_send(lease: ManagerLease) -> tuple[ToForwarder, ...]:
-    """What a manager with a lease tells the forwarder of its workers; nothing without one."""
+    """The orders of a manager that holds the lease, for all of its workers; none without the lease."""
     if not lease.is_granted:
         return ()
     exclusions = [
--- a/cottonladder/planning/migration_orders.py
+++ b/cottonladder/planning/migration_orders.py
@@ -1,17 +1,21 @@
-"""What the migration of held connections is planned from, and the orders that it gives."""
+"""Parameters and orders of the migration of held connections."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+# Time between two plans, and the span of one slice.
+PLAN_INTERVAL_S = 0.5
+
 
 @dataclass(frozen=True, slots=True)
 class MigrationParameters:
-    """What the operators and the deployment state of connections.
+    """Limits from the operators' file and the deployment settings.
 
-    `max_connections`: connections that one worker may hold; `arrivals_per_s`: new ones a second that a worker
-    of average estimate takes up well; `load_per_connection`: requests a second that one held connection
-    stands for; `message_header_lines`: lines of the channel that any message takes beside its rows.
+    `max_connections` is the number that one worker may hold; `arrivals_per_s` the new connections a second
+    that a worker of average capacity accepts; `load_per_connection` the requests a second that one held
+    connection stands for; `message_header_lines` the lines of the channel that any message takes beside its
+    rows.
     """
 
     zone_count: int
@@ -25,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldConnectionCounts:
-    """A forwarder's connections at one worker: all, those amid something, those that can resume elsewhere."""
+    """Connections at one worker: all that are open, those with data in transit, those that can resume."""
 
     open: int
     busy: int = 0
@@ -34,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrateConnections:
-    """`count` connections leave `source` within `within_s` seconds.
+    """An order to a forwarder to move `count` connections away from `source` within `within_s` seconds.
 
-    As many as `destinations` says, as (worker index, count) pairs, go there; the rest are closed and their
-    clients told to return.  `grace_left_s`: seconds of the grace period that remain.
+    `destinations` are pairs of worker index and count; connections beyond them are closed, and their clients
+    asked to reconnect.  `grace_left_s` is what remains of the worker's grace period.
     """
 
     forwarder: int
@@ -51,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopMigration:
-    """The worker stays after all: what was ordered of it and has not begun is cancelled."""
+    """An order to cancel migrations away from a worker that have not started, because it no longer drains."""
 
     forwarder: int
     source: int
@@ -59,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmitForwarder:
-    """This forwarder's part of the new connections that each worker takes up."""
+    """A forwarder's fraction of the new connections that each worker accepts."""
 
     forwarder: int
     arrival_fraction: float
--- a/cottonladder/planning/plugin_bounds.py
+++ b/cottonladder/planning/plugin_bounds.py
@@ -1,8 +1,8 @@
-"""What a plug-in's answer may change, and when a plug-in is left alone.
+"""Bounds on what a plug-in's answer may change, and the circuit breaker of plug-ins that fail.
 
-Pure: no clock, no I/O.  Answers can't break a rule: they choose among workers that the orders allow, they can
-forbid a retry and never ask for one, and where they would leave nobody to select, operators have said whether
-the request falls back to the whole table or is rejected at once.
+Pure: no clock, no I/O.  An answer selects among the workers that the manager's orders allow, and it can
+forbid a retry but never demand one.  If it leaves no worker to select, the operators' file says whether the
+request falls back to the whole routing table or is rejected.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-# Times its weight that a preferred worker gets: most requests, and the rest keep the preference honest.
+# Multiple of its weight that a preferred worker gets; the others still get some requests.
 PREFERENCE_MULTIPLIER = 4.0
-# That a plug-in may lift or lower a worker's estimate by.
+# Largest factor by which a plug-in may raise or lower a worker's capacity estimate.
 MAX_CAPACITY_FACTOR = 2.0
-# Part of the grace period that must be left for a veto: the other half is enough to drain in.
+# Part of the grace period that must remain for a veto, so that the drain still ends in time.
 VETO_GRACE_FRACTION = 0.5
-# Faults within `FAULT_WINDOW` that open a circuit breaker.
+# Faults within `FAULT_WINDOW_S` that open a circuit breaker.
 MAX_FAULTS = 5
-# s that a fault counts for.
-FAULT_WINDOW = 10.0
-# s that a circuit breaker stays open at first; doubled each time a trial fails.
-MIN_OPEN_DURATION = 2.0
-# s that it stays open at the most.
-MAX_OPEN_DURATION = 120.0
-# Part of a second that all plug-ins together may take in a second.
+# Time for which a fault counts.
+FAULT_WINDOW_S = 10.0
+# Time that a circuit breaker first stays open; it doubles each time the call that half-opens it fails.
+MIN_OPEN_DURATION_S = 2.0
+# Longest time that a circuit breaker stays open.
+MAX_OPEN_DURATION_S = 120.0
+# CPU time that all plug-ins together may take in a second.
 MAX_CPU_FRACTION = 0.1
-# Part of the table's heaviest weight, under which a worker is taken for one that must not get more.
+# Part of the table's heaviest weight below which a worker may be warming up, and gets no larger share.
 LIGHT_WEIGHT_RATIO = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class RoutePreference:
-    """A plug-in's answer, as far as routing is concerned: labels, named as in the interface."""
+    """Labels that a worker must have and that it should have, named as in the plug-in interface."""
 
     need: tuple[str, ...] = ()
     prefer: tuple[str, ...] = ()
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingChoice:
-    """The weights by worker id to select by.
+    """The weights, by worker id, that a request's worker is selected by.
 
-    `was_limited`: the preference asked for more than may be; `admitted_fraction`: the part of the requests
-    that may go there, the others are rejected.
+    `was_limited` tells whether the preference could not be followed in full.  Requests beyond
+    `admitted_fraction` are rejected.
     """
 
     weights: dict[str, float]
@@ -58,12 +58,12 @@
     preference: RoutePreference,
     fall_back: bool,
 ) -> RoutingChoice:
-    """Applies a preference to `weights`, by worker id: what the orders let a proxy select from.
+    """Applies a preference to the weights, by worker id, that the manager's orders let a proxy select from.
 
-    Nobody that drains is among them.  A forwarder isn't told which worker warms up; such a worker's weight is
-    small beside the others'.  So a light weight keeps the share that it has of the whole table, whatever else
-    is left out: what that leaves goes to the heavy among the chosen, and if there are none, to the whole
-    table or to nobody.
+    A forwarder doesn't know which workers are warming up, but their weights are small beside the others.  A
+    light weight therefore keeps its share of the whole table, whichever workers are left out.  The remaining
+    share goes to the heavy ones among the chosen workers, or, if there are none, to the whole table or to no
+    worker.
     """
     chosen = _with_needed_labels(weights, labels, preference)
     weight_sum = sum(weights.values())
@@ -88,7 +88,7 @@
 def _with_needed_labels(
     weights: Mapping[str, float], labels: Mapping[str, Collection[str]], preference: RoutePreference
 ) -> dict[str, float]:
-    """The weights of workers that carry every needed label."""
+    """The weights of the workers that have every needed label."""
     return {
         worker: weight
         for worker, weight in weights.items()
@@ -97,7 +97,7 @@
 
 
 def _scaled_to(total: float, weights: Mapping[str, float]) -> dict[str, float]:
-    """The weights in their proportions, so that they add up to `total`."""
+    """The weights in proportion, scaled to add up to `total`."""
     scale = total / sum(weights.values()) if weights else 0.0
     return {worker: weight * scale for worker, weight in weights.items()}
 
@@ -105,24 +105,26 @@
 def _favour_preferred(
     shares: dict[str, float], labels: Mapping[str, Collection[str]], preference: RoutePreference
 ) -> None:
-    """Multiplies, in place, the shares of workers that carry a preferred label."""
+    """Multiplies the shares of workers that have a preferred label, in place."""
     for worker in shares:
         if any(label in labels.get(worker, ()) for label in preference.prefer):
             shares[worker] *= PREFERENCE_MULTIPLIER
 
 
 def bounded_factor(value: float | None) -> float:
-    """A worker's capacity factor as it may be: none is 1; nothing takes a worker out or lifts it too far."""
-    return 1.0 if value is None else min(MAX_CAPACITY_FACTOR, max(1.0 / MAX_CAPACITY_FACTOR, value))
+    """A worker's capacity factor within its bounds; no answer counts as 1."""
+    if value is None:
+        return 1.0
+    return min(MAX_CAPACITY_FACTOR, max(1.0 / MAX_CAPACITY_FACTOR, value))
 
 
 def may_veto(grace_left_s: float, grace_s: float) -> bool:
-    """Whether a migration may still be put off; near the end of the grace period drains come first."""
+    """Whether a migration may still be postponed, rather than endanger the end of the drain."""
     return grace_left_s > VETO_GRACE_FRACTION * grace_s
 
 
 class BreakerState(StrEnum):
-    """States of a circuit breaker; the values are what operators are shown."""
+    """States of a circuit breaker; the values appear in status output and logs."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -131,40 +133,40 @@
 
 @dataclass(slots=True)
 class CircuitBreaker:
-    """Leaves a plug-in alone that keeps failing.  Times are in seconds of the caller's clock."""
+    """Stops the calls of a plug-in that keeps failing; times are in seconds of the caller's clock."""
 
     state: BreakerState = BreakerState.CLOSED
     fault_times: list[float] = field(default_factory=list)
     open_until: float = 0.0
-    open_duration: float = MIN_OPEN_DURATION
+    open_duration_s: float = MIN_OPEN_DURATION_S
     open_count: int = 0
 
     def allows(self, now: float) -> bool:
-        """Whether the plug-in may be called now; when open ends, one call tries whether it is sound again."""
+        """Whether the plug-in may be called now; once the open time has passed, one call is allowed."""
         if self.state == BreakerState.OPEN and now >= self.open_until:
             self.state = BreakerState.HALF_OPEN
             return True
         return self.state == BreakerState.CLOSED
 
     def record_success(self, now: float) -> None:
-        """A call gave an answer."""
+        """Records a call that succeeded; closes a half-open breaker."""
         if self.state == BreakerState.HALF_OPEN:
             self.state = BreakerState.CLOSED
             self.fault_times = []
-        elif not self.fault_times and now > self.open_until + MAX_OPEN_DURATION:
-            self.open_duration = MIN_OPEN_DURATION
+        elif not self.fault_times and now > self.open_until + MAX_OPEN_DURATION_S:
+            self.open_duration_s = MIN_OPEN_DURATION_S
 
     def record_fault(self, now: float) -> bool:
-        """A call failed; true where this fault opens the breaker."""
-        self.fault_times = [fault_at for fault_at in self.fault_times if now - fault_at < FAULT_WINDOW]
+        """Records a call that failed; tells whether that opened the breaker."""
+        self.fault_times = [fault_at for fault_at in self.fault_times if now - fault_at < FAULT_WINDOW_S]
         self.fault_times.append(now)
-        was_trial = self.state == BreakerState.HALF_OPEN
-        if not was_trial and len(self.fault_times) < MAX_FAULTS:
+        was_half_open = self.state == BreakerState.HALF_OPEN
+        if not was_half_open and len(self.fault_times) < MAX_FAULTS:
             return False
-        if was_trial:
-            self.open_duration = min(MAX_OPEN_DURATION, 2.0 * self.open_duration)
+        if was_half_open:
+            self.open_duration_s = min(MAX_OPEN_DURATION_S, 2.0 * self.open_duration_s)
         self.state = BreakerState.OPEN
-        self.open_until = now + self.open_duration
+        self.open_until = now + self.open_duration_s
         self.fault_times = []
         self.open_count += 1
         return True
@@ -172,18 +174,18 @@
 
 @dataclass(slots=True)
 class CpuBudget:
-    """Time that all plug-ins together may take: a token bucket of one second's part."""
+    """A token bucket of the CPU time that all plug-ins together may take."""
 
     remaining_s: float = MAX_CPU_FRACTION
     refilled_at: float = 0.0
 
     def allows(self, now: float) -> bool:
-        """Refills the bucket; whether anything is left."""
+        """Refills the bucket; tells whether any time is left."""
         refill = (now - self.refilled_at) * MAX_CPU_FRACTION
         self.remaining_s = min(MAX_CPU_FRACTION, self.remaining_s + refill)
         self.refilled_at = now
         return self.remaining_s > 0
 
     def consume(self, seconds: float) -> None:
-        """Takes what a call took."""
+        """Takes the duration of a call off the budget."""
         self.remaining_s -= seconds
--- a/cottonladder/planning/priority_scheduling.py
+++ b/cottonladder/planning/priority_scheduling.py
@@ -1,8 +1,9 @@
-"""Which background task runs next.
+"""Chooses which background task runs next.
 
-Pure: no clock, no I/O.  Tasks have a period, a priority and a budget of CPU time a second; whoever is due,
-has budget and the best priority runs one slice.  While the control loop is late nothing runs, except a task
-that has waited so long that it would starve; a task that overran its slice pays with the budget to come.
+Pure: no clock, no I/O.  A task has a period, a priority and a budget of CPU time a second.  Of the tasks that
+are due and have budget, the one with the best priority runs one slice.  While the control loop is late only a
+task that would otherwise starve runs.  A slice that takes longer than planned is paid for with the task's
+later budget.
 """
 
 from __future__ import annotations
@@ -11,30 +12,31 @@
 from collections.abc import Container
 from dataclasses import dataclass
 
-# Periods after which a task runs one slice whatever else is due, a late control loop too.
+# Periods after which an overdue task is starved, and runs a slice even if the control loop is late.
 STARVATION_PERIODS = 5.0
-# s before which no task counts as starved, for tasks with short periods.
-MIN_STARVATION_WAIT = 2.0
-# s of budget that an overrun may cost: longer, and one slow disk would silence a task.
-MAX_DEBT = 5.0
-# s that a slice should take at the most; past it, it counts as an overrun.
-MAX_SLICE_DURATION = 0.005
-# Periods that a task which fails waits at the most.
+# Shortest time after which a task is starved, for tasks with short periods.
+MIN_STARVATION_WAIT_S = 2.0
+# Largest debt after overruns, as seconds of the task's budget; a larger one would stop a task for too long.
+MAX_DEBT_S = 5.0
+# Duration of a slice from which it counts as an overrun.
+MAX_SLICE_DURATION_S = 0.005
+# Longest backoff of a failing task.
 MAX_BACKOFF_PERIODS = 64.0
-# Failures in a row past which the exponent of the backoff stays the same.
+# Largest exponent of the backoff, so that a long row of failures does not overflow a float.
 MAX_BACKOFF_EXPONENT = 30
-# s between two slices at the least, so that the event loop turns meanwhile.
-MIN_WAIT = 0.001
-# s until the next look where there is no task.
-IDLE_WAIT = 1.0
+# Shortest pause between two slices, in which the event loop handles its other work.
+MIN_WAIT_S = 0.001
+# Pause if there is no task.
+IDLE_WAIT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class TaskPlan:
-    """One task as it is to run.
+    """When and how much a task runs.
 
-    `priority`: 0 first; `cpu_fraction`: seconds of work a second that it may take; `deadline_s`: seconds from
-    due to done, past which a miss is counted; `jitter_ratio`: part of the period that chance may add.
+    `priority` 0 is served first.  `cpu_fraction` is the CPU time that the task may take in a second.  A run
+    that ends later than `deadline_s` after it was due counts as a missed deadline.  `jitter_ratio` is the
+    largest random part of a period that is added to it.
     """
 
     name: str
@@ -47,14 +49,17 @@
 
 @dataclass(slots=True)
 class ScheduledSlice:
-    """One task's next slice, and counts of those before."""
+    """A task's next slice, its budget, and counts of its earlier slices and runs.
+
+    A run may take several slices; `is_running` tells whether one has started and not ended.
+    """
 
     plan: TaskPlan
     due_at: float
     budget_s: float
-    refilled_at: float  # when the budget was last counted
-    is_running: bool = False  # a run has begun and is not through
-    started_at: float = 0.0  # of the run
+    refilled_at: float
+    is_running: bool = False
+    started_at: float = 0.0
     runs: int = 0
     slices: int = 0
     overruns: int = 0
@@ -66,21 +71,22 @@
 
 
 class PriorityScheduler:
-    """Chooses the next task and counts what each has taken; `now` in seconds of the caller's clock."""
+    """Chooses the next task and accounts for CPU time; `now` is in seconds of the caller's clock."""
 
     def __init__(self) -> None:
         self.tasks: dict[str, ScheduledSlice] = {}
 
-    def add(self, now: float, plan: TaskPlan, chance: float) -> None:
-        """Adds a task; `chance` in 0 to 1 spreads first runs over a period, so that few are due at once."""
+    def add(self, now: float, plan: TaskPlan, phase: float) -> None:
+        """Adds a task that is first due after `phase`, from 0 to 1, of a period."""
         self.tasks[plan.name] = ScheduledSlice(
-            plan, due_at=now + plan.period_s * chance, budget_s=plan.cpu_fraction, refilled_at=now
+            plan, due_at=now + plan.period_s * phase, budget_s=plan.cpu_fraction, refilled_at=now
         )
 
     def next_task(self, now: float, is_late: bool, waiting: Container[str] = ()) -> str | None:
-        """The task whose slice runs now: starved ones first, then by priority, then by who waits longest.
+        """The task whose slice runs now: a starved one if any, then by priority, then by waiting time.
 
-        `is_late`: the control loop is behind; `waiting`: tasks amid something that the loop does for them.
+        `is_late` tells whether the control loop is late.  The tasks in `waiting` can't run, because the event
+        loop still does something for them.
         """
         due = [task for task in self.tasks.values() if task.due_at <= now and task.plan.name not in waiting]
         eligible = [task for task in due if _is_starved(task, now)]
@@ -91,12 +97,12 @@
         return min(eligible, key=lambda task: (task.plan.priority, task.due_at, task.plan.name)).plan.name
 
     def time_until_next(self, now: float, waiting: Container[str] = ()) -> float:
-        """Seconds until a task may be next, `MIN_WAIT` at the least."""
+        """Seconds until a task may run, at least `MIN_WAIT_S`."""
         waits = [_wait(task, now) for task in self.tasks.values() if task.plan.name not in waiting]
-        return max(MIN_WAIT, min(waits, default=IDLE_WAIT))
+        return max(MIN_WAIT_S, min(waits, default=IDLE_WAIT_S))
 
     def slice_started(self, name: str, now: float) -> bool:
-        """A slice begins; true where it is a run's first."""
+        """Records the start of a slice; tells whether it is the first of a run."""
         task = self.tasks[name]
         if task.is_running:
             return False
@@ -105,29 +111,32 @@
         return True
 
     def slice_finished(
-        self, name: str, now: float, duration_s: float, done: bool, failed: bool, chance: float
+        self, name: str, now: float, duration_s: float, done: bool, failed: bool, jitter: float
     ) -> bool:
-        """A slice has ended, its run too where it is done or failed; true where the slice overran."""
+        """Records the end of a slice, and of its run if done or failed; tells whether it was an overrun.
+
+        `jitter`, from 0 to 1, is the random part of the next period.
+        """
         task = self.tasks[name]
         _refill(task, now)
-        task.budget_s = max(-MAX_DEBT * task.plan.cpu_fraction, task.budget_s - duration_s)
+        task.budget_s = max(-MAX_DEBT_S * task.plan.cpu_fraction, task.budget_s - duration_s)
         task.slices += 1
         task.cpu_s += duration_s
         task.longest_slice_s = max(task.longest_slice_s, duration_s)
-        overran = duration_s > MAX_SLICE_DURATION
+        overran = duration_s > MAX_SLICE_DURATION_S
         task.overruns += overran
         if done or failed:
-            _finish_run(task, now, failed, chance)
+            _finish_run(task, now, failed, jitter)
         return overran
 
     def make_due(self, name: str, now: float) -> None:
-        """Lets a task run before its time."""
+        """Makes a task due now."""
         task = self.tasks[name]
         task.due_at = min(task.due_at, now)
 
 
 def _refill(task: ScheduledSlice, now: float) -> float:
-    """Brings a task's budget up to date; what it has, in seconds."""
+    """Adds the budget of the time since the last refill; returns the budget in seconds."""
     refill = (now - task.refilled_at) * task.plan.cpu_fraction
     task.budget_s = min(task.plan.cpu_fraction, task.budget_s + refill)
     task.refilled_at = now
@@ -135,7 +144,7 @@
 
 
 def _is_starved(task: ScheduledSlice, now: float) -> bool:
-    return now - task.due_at > max(MIN_STARVATION_WAIT, STARVATION_PERIODS * task.plan.period_s)
+    return now - task.due_at > max(MIN_STARVATION_WAIT_S, STARVATION_PERIODS * task.plan.period_s)
 
 
 def _wait(task: ScheduledSlice, now: float) -> float:
@@ -147,8 +156,8 @@
     return max(until_due, until_budget)
 
 
-def _finish_run(task: ScheduledSlice, now: float, failed: bool, chance: float) -> None:
-    """Counts a run that is through, and says when the next one is due."""
+def _finish_run(task: ScheduledSlice, now: float, failed: bool, jitter: float) -> None:
+    """Counts a run that ended, and sets when the next one is due."""
     task.is_running = False
     task.runs += 1
     task.missed_deadlines += now - task.due_at > task.plan.deadline_s
@@ -159,4 +168,4 @@
         backoff = min(MAX_BACKOFF_PERIODS, 2.0 ** min(task.consecutive_failures, MAX_BACKOFF_EXPONENT))
     else:
         task.consecutive_failures = 0
-    task.due_at = now + task.plan.period_s * backoff * (1.0 + task.plan.jitter_ratio * chance)
+    task.due_at = now + task.plan.period_s * backoff * (1.0 + task.plan.jitter_ratio * jitter)
--- a/cottonladder/planning/snapshot_staleness.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -1,9 +1,9 @@
-"""What an earlier incarnation's figures are worth when they are restored from a snapshot.
+"""Discounts by their age the figures of an earlier incarnation that are restored from a snapshot.
 
-Pure: no clock, no I/O.  Each figure ages by its kind, and what is not known to be fresh is taken as old: a
-clock that went back tells no age.  Suspicions never outlive `MAX_SUSPICION_AGE`; drains stand until discovery
-says otherwise; a worker that has started since is another one, which the routing controller sees by its
-start.
+Pure: no clock, no I/O.  Each kind of figure has its own limit of age or half-life.  If the clock went back,
+the age is unknown and counts as infinite.  An ejection is restored up to `MAX_SUSPICION_AGE_S`.  A drain
+stands until discovery reports the worker as ready.  A worker that was started since is a new one, which the
+routing controller recognizes by its start time.
 """
 
 from __future__ import annotations
@@ -15,73 +15,75 @@
 from ..model.inputs import RestoredState, WorkerHistory
 from ..policy.worker_lifecycle import MAX_EJECTED_RATIO as MAX_EJECTED_RATIO
 
-# s that a suspicion may be old: an ejected worker is tried again after 5 s anyway.
-MAX_SUSPICION_AGE = 20.0
-# s in which a latency factor loses half of what it is away from 1.
-LATENCY_FACTOR_HALF_LIFE = 30.0
-# s that a base latency holds: machines are moved about by the week.
-MAX_BASE_LATENCY_AGE = 7 * 86_400.0
-# s that a proxy's usual rate holds: an hour's change is what a day is made of.
-MAX_PROXY_RATE_AGE = 3_600.0
-# s in which an advisor's credit loses half of what it is away from a new advisor's.
-CREDIT_HALF_LIFE = 86_400.0
-# s that a forwarder's tables hold: workers that left meanwhile are told by the list.
-MAX_TABLE_AGE = 3_600.0
-# s that a file may be ahead of the clock: two readings of one clock, not a step.
-MAX_CLOCK_LEAD = 5.0
+# Age up to which an ejection is restored; the policy ends most ejections sooner.
+MAX_SUSPICION_AGE_S = 20.0
+# Time in which a latency factor's distance from 1 halves.
+LATENCY_FACTOR_DECAY_S = 30.0
+# Age up to which a base latency is restored: a week, in which machines may be replaced.
+MAX_BASE_LATENCY_AGE_S = 7 * 86_400.0
+# Age up to which a proxy's request rate is restored; rates follow the time of day.
+MAX_PROXY_RATE_AGE_S = 3_600.0
+# Time in which the distance of an advisor's credit from that of a new advisor halves.
+CREDIT_DECAY_S = 86_400.0
+# Age up to which a forwarder restores its routing tables; the endpoint list removes workers that left since.
+MAX_TABLE_AGE_S = 3_600.0
+# How far a snapshot's time may lie ahead of the clock; a larger lead means that the clock was set back.
+MAX_CLOCK_LEAD_S = 5.0
 
 
 def snapshot_age(written_at: float, now: float) -> float:
-    """Seconds since `written_at`; infinite where the clock went back past what two readings may differ by."""
-    age = now - written_at
-    return math.inf if age < -MAX_CLOCK_LEAD else max(0.0, age)
+    """Seconds since `written_at`; infinite if the clock was set back since."""
+    age_s = now - written_at
+    return math.inf if age_s < -MAX_CLOCK_LEAD_S else max(0.0, age_s)
 
 
-def discounted_latency_factor(value: float, age: float) -> float:
-    """The factor, at most 1, after `age` seconds: it fades to 1."""
-    return 1.0 + (min(1.0, max(0.0, value)) - 1.0) * float(2.0 ** (-age / LATENCY_FACTOR_HALF_LIFE))
+def discounted_latency_factor(value: float, age_s: float) -> float:
+    """The factor, at most 1, at this age: it fades to 1."""
+    return 1.0 + (min(1.0, max(0.0, value)) - 1.0) * float(2.0 ** (-age_s / LATENCY_FACTOR_DECAY_S))
 
 
-def discounted_credit(value: float, start: float, age: float) -> float:
-    """The credit after `age` seconds: it fades to `start`, what a new advisor has."""
-    return start + (value - start) * float(2.0 ** (-age / CREDIT_HALF_LIFE))
+def discounted_credit(value: float, initial: float, age_s: float) -> float:
+    """The credit at this age: it fades to `initial`, that of a new advisor."""
+    return initial + (value - initial) * float(2.0 ** (-age_s / CREDIT_DECAY_S))
 
 
 def valid_suspicions(histories: Iterable[WorkerHistory], age_s: float) -> set[int]:
-    """Indices of the workers that may still be suspected.
+    """Indices of the workers whose ejection is restored.
 
-    None past `MAX_SUSPICION_AGE`, and none where more are than may be ejected at a time: the file of a
-    manager that was cut off may suspect them all.
+    There are none past `MAX_SUSPICION_AGE_S`, and none if more were ejected than the policy allows at a time:
+    a manager that lost its network may have ejected all workers.
     """
     histories = list(histories)
-    suspected = [past.worker_index for past in histories if past.was_ejected and not past.was_draining]
-    staying = sum(not past.was_draining for past in histories)
-    if age_s > MAX_SUSPICION_AGE or len(suspected) > MAX_EJECTED_RATIO * staying:
+    suspected = [
+        history.worker_index for history in histories if history.was_ejected and not history.was_draining
+    ]
+    staying = sum(not history.was_draining for history in histories)
+    if age_s > MAX_SUSPICION_AGE_S or len(suspected) > MAX_EJECTED_RATIO * staying:
         return set()
     return set(suspected)
 
 
 def discount(restored: RestoredState, age_s: float) -> RestoredState:
-    """The earlier incarnation's knowledge as it may be given to the routing controller now."""
+    """Discounts an earlier incarnation's state by its age, for the routing controller."""
     suspected = valid_suspicions(restored.workers, age_s)
     histories = tuple(
         replace(
-            past,
-            base_latency_s=_valid_base_latency(past.base_latency_s, age_s),
-            latency_factor=discounted_latency_factor(past.latency_factor, age_s),
-            was_ejected=past.worker_index in suspected,
+            history,
+            base_latency_s=_valid_base_latency(history.base_latency_s, age_s),
+            latency_factor=discounted_latency_factor(history.latency_factor, age_s),
+            was_ejected=history.worker_index in suspected,
         )
-        for past in restored.workers
+        for history in restored.workers
     )
     rates = tuple(
         (proxy, rate)
         for proxy, rate in restored.proxy_rates
-        if age_s <= MAX_PROXY_RATE_AGE and math.isfinite(rate) and rate >= 0
+        if age_s <= MAX_PROXY_RATE_AGE_S and math.isfinite(rate) and rate >= 0
     )
     return RestoredState(restored.last_checkpoint, histories, rates)
 
 
 def _valid_base_latency(base_latency_s: float, age_s: float) -> float:
-    """The base latency, or 0 (unknown) where it is too old or none."""
-    is_valid = age_s <= MAX_BASE_LATENCY_AGE and math.isfinite(base_latency_s) and base_latency_s > 0
+    """The base latency, or 0 (unknown) if it is too old or not a valid duration."""
+    is_valid = age_s <= MAX_BASE_LATENCY_AGE_S and math.isfinite(base_latency_s) and base_latency_s > 0
     return base_latency_s if is_valid else 0.0
--- a/cottonladder/testbed/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -13,6 +13,7 @@
 
 WeightFunction = Callable[[sasp.MemberData], int]  # a member's weight as this advisor has it
 ANSWER_TIMEOUT_S = 15.0
+EVENT_TIMEOUT_S = 20.0
 READ_SIZE_BYTES = 65_536
 LOOPBACK = "127.0.0.1"
 GARBAGE_SEED = 3
@@ -45,6 +46,7 @@
         self.received_kinds: list[int] = []  # of messages
         self.connection_count = 0
         self.random = random.Random(seed)  # reorders the members of each message
+        self._changed = asyncio.Condition()  # notified after each connection and message
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
@@ -65,14 +67,25 @@
         for writer in self._writers:
             self._send(writer, sasp.Message(sasp.MessageType.SEND_WEIGHTS, 0, groups=(self._weights(),)))
 
+    async def wait_until(self, predicate: Callable[[], bool], timeout_s: float = EVENT_TIMEOUT_S) -> None:
+        """Waits until the predicate holds; it is evaluated after each connection and message."""
+        async with asyncio.timeout(timeout_s), self._changed:
+            await self._changed.wait_for(predicate)
+
+    async def _notify(self) -> None:
+        async with self._changed:
+            self._changed.notify_all()
+
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connection_count += 1
         self._writers.add(writer)
+        await self._notify()
         decoder = sasp.MessageReader()
         try:
             while data := await reader.read(READ_SIZE_BYTES):
                 for message in decoder.feed(data):
                     self._answer(writer, message)
+                await self._notify()
         except (ConnectionError, AdviceError):
             pass
         finally:
--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -10,6 +10,7 @@
 import socket
 import sys
 import tempfile
+from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
 from typing import Any
@@ -83,20 +84,24 @@
         async with self._line_added:
             self._line_added.notify_all()
 
-    def find_line(self, *words: str) -> str | None:
-        """The first line so far with all these words."""
-        return next((line for line in self.lines if all(word in line for word in words)), None)
-
     async def logged(self, *words: str, wait: float = START_TIMEOUT_S) -> str:
         """Waits for the first line with all these words."""
-        try:
+        return await self.logged_line(lambda line: all(word in line for word in words), words, wait)
+
+    async def logged_line(
+        self, is_match: Callable[[str], bool], description: object, wait: float = START_TIMEOUT_S
+    ) -> str:
+        """Waits for the first line that matches."""
+
+        def find() -> str | None:
+            return next((line for line in self.lines if is_match(line)), None)
+
+        with suppress(TimeoutError):
             async with asyncio.timeout(wait), self._line_added:
-                await self._line_added.wait_for(lambda: self.find_line(*words) is not None or self.ended)
-        except TimeoutError:
-            pass
-        line = self.find_line(*words)
+                await self._line_added.wait_for(lambda: find() is not None or self.ended)
+        line = find()
         if line is None:
-            raise AssertionError(f"no line with {words} in:\n{''.join(self.lines[-40:])}")
+            raise AssertionError(f"no line with {description} in:\n{''.join(self.lines[-40:])}")
         return line
 
     @property
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -31,7 +31,7 @@
 from ..model.orders import BindProxy, Checkpoint, ClearTable, ExcludeWorker, Order, SetWeight, StartTimer
 from ..model.parameters import DeploymentParameters, RequestClass
 from ..model.views import WorkerCapacityView
-from ..planning.advice_weighting import UPDATE_INTERVAL, AdviceWeighting, AdvisoryWeight
+from ..planning.advice_weighting import UPDATE_INTERVAL_S, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views, collect_state
 from ..policy.controller import RoutingController
 from .month_end_records import CORES, AttemptSums, FinishedRequest, RequestCounts, SimulatedWorker
@@ -189,7 +189,7 @@
             events(now - START_TIME_S, self)
             inputs = self._take_scheduled(now)
             if now >= advise_at:
-                advise_at = now + UPDATE_INTERVAL
+                advise_at = now + UPDATE_INTERVAL_S
                 inputs += self._ask_advisors(now)
             self._apply_orders(now, self.controller.decide(now, inputs))
             self._capacity_views = capacity_views(self.controller)
--- a/cottonladder/weight_advice/sasp/decoding.py
+++ b/cottonladder/weight_advice/sasp/decoding.py
@@ -51,6 +51,11 @@
 # Bytes of unexpected input that an error quotes.
 _QUOTED_BYTES = 4
 
+# Component types as plain integers, because the lookup of an Enum member is slow for ten thousand entries.
+_MEMBER_TYPE = int(ComponentType.MEMBER_DATA)
+_WEIGHT_TYPE = int(ComponentType.WEIGHT_ENTRY)
+_STATE_TYPE = int(ComponentType.MEMBER_STATE_INSTANCE)
+
 
 class MessageReader:
     """Splits the bytes of a connection into messages; rejects a bad header before it buffers the message."""
@@ -183,7 +188,7 @@
     component_type, length, protocol, port, address, label_size = MEMBER_STRUCT.unpack_from(
         cursor.data, start
     )
-    if component_type != ComponentType.MEMBER_DATA or length != MEMBER_STRUCT.size + label_size:
+    if component_type != _MEMBER_TYPE or length != MEMBER_STRUCT.size + label_size:
         fault = f" of {length} bytes where a member is expected"
         raise ComponentError(f"component {component_type:#06x}", fault)
     return MemberData(protocol, port, decode_address(address), cursor.read_bytes(label_size))
@@ -191,22 +196,22 @@
 
 def _read_weight(cursor: Cursor) -> WeightEntry:
     start = cursor.position
-    length = _expect(cursor, ComponentType.WEIGHT_ENTRY)
+    length = _expect(cursor, _WEIGHT_TYPE)
     member = _read_member(cursor)
     weight_start = cursor.advance(WEIGHT_STRUCT.size)
     opaque_state, flags, weight = WEIGHT_STRUCT.unpack_from(cursor.data, weight_start)
     fixed_size = COMPONENT_STRUCT.size + WEIGHT_STRUCT.size
-    _check_length(cursor, ComponentType.WEIGHT_ENTRY, start, length, fixed_size)
+    _check_length(cursor, _WEIGHT_TYPE, start, length, fixed_size)
     return WeightEntry(member, opaque_state, flags, weight)
 
 
 def _read_state(cursor: Cursor) -> MemberStateInstance:
     start = cursor.position
-    length = _expect(cursor, ComponentType.MEMBER_STATE_INSTANCE)
+    length = _expect(cursor, _STATE_TYPE)
     member = _read_member(cursor)
     opaque_state, flags = STATE_STRUCT.unpack_from(cursor.data, cursor.advance(STATE_STRUCT.size))
     fixed_size = COMPONENT_STRUCT.size + STATE_STRUCT.size
-    _check_length(cursor, ComponentType.MEMBER_STATE_INSTANCE, start, length, fixed_size)
+    _check_length(cursor, _STATE_TYPE, start, length, fixed_size)
     return MemberStateInstance(member, opaque_state, flags)
 
 
@@ -217,7 +222,7 @@
 }
 
 
-def _expect(cursor: Cursor, expected_type: ComponentType) -> int:
+def _expect(cursor: Cursor, expected_type: int) -> int:
     """Reads the header of a component of this type and returns its length."""
     component_type, length = cursor.read_header()
     if component_type != expected_type:
--- a/cottonladder/weight_advice/sasp/encoding.py
+++ b/cottonladder/weight_advice/sasp/encoding.py
@@ -25,6 +25,13 @@
     WeightEntry,
 )
 
+# Constants of an entry, computed once because a message may have ten thousand entries.
+_MEMBER_TYPE = int(ComponentType.MEMBER_DATA)
+_WEIGHT_HEAD = COMPONENT_STRUCT.pack(ComponentType.WEIGHT_ENTRY, COMPONENT_STRUCT.size + WEIGHT_STRUCT.size)
+_STATE_HEAD = COMPONENT_STRUCT.pack(
+    ComponentType.MEMBER_STATE_INSTANCE, COMPONENT_STRUCT.size + STATE_STRUCT.size
+)
+
 
 def encode_message(message: Message) -> bytes:
     """Encodes a message with its header; raises AdviceError if a label is too long.
@@ -73,13 +80,11 @@
 
 def _encode_entry(entry: Entry) -> bytes:
     if isinstance(entry, WeightEntry):
-        head = COMPONENT_STRUCT.pack(ComponentType.WEIGHT_ENTRY, COMPONENT_STRUCT.size + WEIGHT_STRUCT.size)
         tail = WEIGHT_STRUCT.pack(entry.opaque_state, entry.flags, entry.weight)
-        return head + _encode_member(entry.member) + tail
+        return _WEIGHT_HEAD + _encode_member(entry.member) + tail
     if isinstance(entry, MemberStateInstance):
-        length = COMPONENT_STRUCT.size + STATE_STRUCT.size
-        head = COMPONENT_STRUCT.pack(ComponentType.MEMBER_STATE_INSTANCE, length)
-        return head + _encode_member(entry.member) + STATE_STRUCT.pack(entry.opaque_state, entry.flags)
+        tail = STATE_STRUCT.pack(entry.opaque_state, entry.flags)
+        return _STATE_HEAD + _encode_member(entry.member) + tail
     return _encode_member(entry)
 
 
@@ -87,7 +92,5 @@
     label_size = len(member.label)
     length = MEMBER_STRUCT.size + label_size
     address = encode_address(member.address)
-    fixed = MEMBER_STRUCT.pack(
-        ComponentType.MEMBER_DATA, length, member.protocol, member.port, address, label_size
-    )
+    fixed = MEMBER_STRUCT.pack(_MEMBER_TYPE, length, member.protocol, member.port, address, label_size)
     return fixed + member.label
--- a/tests/planning/test_advertised_weights.py
+++ b/tests/planning/test_advertised_weights.py
@@ -1,49 +1,76 @@
-"""Advertised weights: what warming workers get over all balancers, and what is a change."""
+"""Advertised weights: the share of warming-up workers over all load balancers, and which changes count."""
 
 from __future__ import annotations
 
 import random
 import unittest
+from dataclasses import dataclass
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cottonladder.planning.advertised_weights import advertise_weights, has_changed
+from cottonladder.planning.advertised_weights import AdvertisedWeight, advertise_weights, has_changed
 from cottonladder.policy.tables import MAX_WARM_UP_SHARE
-from tests.support.capacity_views import stands
+from tests.support.capacity_views import NOT_DRAINING, capacity_view
+
+
+@dataclass(frozen=True)
+class DrawnWorker:
+    """A worker as drawn by chance."""
+
+    capacity: float
+    warming_up: bool
+    is_draining: bool
+
+
+DRAWN_WORKERS = st.builds(
+    DrawnWorker, capacity=st.floats(0.01, 10.0), warming_up=st.booleans(), is_draining=st.booleans()
+)
 
 
 class AdvertisedWeightsTest(unittest.TestCase):
     @settings(max_examples=150, derandomize=True, deadline=None)
     @given(
-        st.lists(st.tuples(st.floats(0.01, 10.0), st.booleans(), st.booleans()), min_size=1, max_size=12),
+        st.lists(DRAWN_WORKERS, min_size=1, max_size=12),
         st.integers(1, 4),
         st.randoms(use_true_random=False),
     )
-    def test_cold_workers_over_all_balancers(
-        self, rows: list[tuple[float, bool, bool]], balancers: int, chance: random.Random
+    def test_a_warming_up_worker_gets_at_most_its_part_of_the_fleet_from_any_groups(
+        self, workers: list[DrawnWorker], balancer_count: int, rng: random.Random
     ) -> None:
-        """However the fleet is dealt into groups, all that balancers bring a cold worker by their shares
-        stays within its part of the whole, if any group has a warm one; who leaves gets nothing."""
-        standing = {be: stands(e, cold, 5.0 if leaves else -1.0) for be, (e, cold, leaves) in enumerate(rows)}
-        whole = sum(s.capacity for s in standing.values())
-        for _ in range(balancers):
-            group = [be for be in standing if chance.random() < 0.6] or [0]
-            told = advertise_weights(standing, group)
-            total = sum(offer.weight for offer in told.values())
-            warm = any(standing[be].capacity > 0 and not standing[be].warming_up for be in group)
-            live = any(standing[be].capacity > 0 for be in group)
-            self.assertEqual(total > 0, live)  # nobody that has a usable member is left without
-            for be, offer in told.items():
-                if standing[be].draining_since >= 0:
-                    self.assertEqual((offer.weight, offer.is_leaving), (0, True))
-                elif standing[be].warming_up and warm:
-                    part = MAX_WARM_UP_SHARE * standing[be].capacity / whole
-                    self.assertLessEqual(offer.weight / total, part + 1.0 / total)
-
-    def test_small_moves_are_not_told(self) -> None:
-        told = advertise_weights({1: stands(1.0), 2: stands(0.5)}, [1, 2])
-        again = advertise_weights({1: stands(1.0), 2: stands(0.52)}, [1, 2])
-        self.assertFalse(has_changed(told[2], again[2]))
-        self.assertTrue(has_changed(told[2], advertise_weights({1: stands(1.0), 2: stands(0.6)}, [1, 2])[2]))
-        self.assertTrue(has_changed(None, told[2]))
+        """Each load balancer has a group of its own; a draining worker gets nothing from any of them."""
+        views = {
+            index: capacity_view(
+                worker.capacity, worker.warming_up, 5.0 if worker.is_draining else NOT_DRAINING
+            )
+            for index, worker in enumerate(workers)
+        }
+        fleet_capacity = sum(view.capacity for view in views.values())
+        for _ in range(balancer_count):
+            group = [index for index in views if rng.random() < 0.6] or [0]
+            advertised = advertise_weights(views, group)
+            total = sum(weight.weight for weight in advertised.values())
+            live = [index for index in group if views[index].capacity > 0]
+            has_warm = any(not views[index].warming_up for index in live)
+            self.assertEqual(total > 0, bool(live))  # a group with a usable member has a weight
+            for index, weight in advertised.items():
+                view = views[index]
+                if view.draining_since >= 0:
+                    self.assertEqual((weight.weight, weight.is_leaving), (0, True))
+                elif view.warming_up and has_warm:
+                    max_share = MAX_WARM_UP_SHARE * view.capacity / fleet_capacity
+                    self.assertLessEqual(weight.weight / total, max_share + 1.0 / total)
+
+    def test_small_changes_do_not_count(self) -> None:
+        def weight_of_second(capacity: float) -> AdvertisedWeight:
+            views = {1: capacity_view(1.0), 2: capacity_view(capacity)}
+            return advertise_weights(views, [1, 2])[2]
+
+        previous = weight_of_second(0.5)
+        self.assertFalse(has_changed(previous, weight_of_second(0.52)))
+        self.assertTrue(has_changed(previous, weight_of_second(0.6)))
+        self.assertTrue(has_changed(None, previous))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/planning/test_advice_weighting.py
+++ b/tests/planning/test_advice_weighting.py
@@ -8,16 +8,16 @@
 
 from cottonladder.planning import advice_weighting as ad
 from cottonladder.testbed import month_end as me
-from tests.support.capacity_views import stands
+from tests.support.capacity_views import capacity_view
 
 
 class AdviceWeightingTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.standing = {be: stands(1.0, time=0.1 * (1 + be % 3)) for be in range(6)}
+        self.standing = {be: capacity_view(1.0, latency_s=0.1 * (1 + be % 3)) for be in range(6)}
         self.advice, self.now = ad.AdviceWeighting(), 0.0
 
     def step(self, words: dict[int, float] | None, advisor: str = "a") -> dict[int, float]:
-        self.now += ad.UPDATE_INTERVAL
+        self.now += ad.UPDATE_INTERVAL_S
         if words is not None:
             self.advice.receive(
                 advisor, self.now, {be: ad.AdvisoryWeight(w) for be, w in words.items()}, True
@@ -25,8 +25,8 @@
         factors = self.advice.update_factors(self.now, self.standing)
         for be, factor in factors.items():
             plain = 1.0
-            self.standing[be] = stands(
-                plain * factor, self.standing[be].warming_up, time=self.standing[be].latency_s
+            self.standing[be] = capacity_view(
+                plain * factor, self.standing[be].warming_up, latency_s=self.standing[be].latency_s
             )
         return factors
 
@@ -58,7 +58,7 @@
             was = factors
         self.assertLessEqual(
             self.now - begun,
-            ad.MAX_AGE + ad.UPDATE_INTERVAL * (1 + math.log(ad.MAX_FACTOR) / ad.MAX_LOG_STEP),
+            ad.MAX_WEIGHT_AGE_S + ad.UPDATE_INTERVAL_S * (1 + math.log(ad.MAX_FACTOR) / ad.MAX_LOG_STEP),
         )
 
     def test_lies_and_flapping_lose_credit_and_it_comes_back_slowly(self) -> None:
@@ -78,16 +78,18 @@
         for _ in range(8):
             self.step({be: 1.0 * (1 + be % 3) for be in self.standing})
         lost = self.advice.status(self.now)["a"].credit
-        self.advice.advisor_connected("a", self.now)
+        self.advice.advisor_connected("a")
         self.assertEqual(self.advice.status(self.now)["a"].credit, lost)
 
     def test_words_without_ranks_change_nothing(self) -> None:
-        self.standing[0] = stands(3.0)  # estimates that differ are not drawn together by words that don't
+        self.standing[0] = capacity_view(
+            3.0
+        )  # estimates that differ are not drawn together by words that don't
         for words in (dict.fromkeys(self.standing, 0.0), dict.fromkeys(self.standing, 65535.0), {}):
             self.assertEqual(self.step(words), {})
 
     def test_a_cold_worker_is_never_lifted_and_nobody_gets_nothing(self) -> None:
-        self.standing[5] = stands(0.2, cold=True)
+        self.standing[5] = capacity_view(0.2, warming_up=True)
         for _ in range(20):
             factors = self.step({**dict.fromkeys(self.standing, 1.0), 5: 65535.0, 0: 0.0})
             self.assertLessEqual(factors.get(5, 1.0), 1.0)
--- a/tests/planning/test_connection_migration.py
+++ b/tests/planning/test_connection_migration.py
@@ -10,7 +10,9 @@
 
 from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning import connection_migration as mv
+from cottonladder.planning.migration_capacity import CAPACITY_SLACK_RATIO
 from cottonladder.planning.migration_orders import (
+    PLAN_INTERVAL_S,
     AdmitForwarder,
     HeldConnectionCounts,
     MigrateConnections,
@@ -18,6 +20,8 @@
     MigrationParameters,
     StopMigration,
 )
+from cottonladder.planning.migration_placement import apportion
+from cottonladder.planning.migration_slices import GRACE_MARGIN_RATIO
 
 TERMS = MigrationParameters(2, 20.0, 8000, 100.0, 0.05, 3000.0, 10)
 
@@ -68,7 +72,7 @@
                     self.took[be] += n
                 self.closed += order.count - sum(n for _, n in order.destinations)
                 self.moves.complete_migration(order.forwarder, order.number)
-        self.now += mv.PLAN_INTERVAL
+        self.now += PLAN_INTERVAL_S
         return orders
 
     def room(self, be: int) -> float:
@@ -77,7 +81,7 @@
         level = sum(self.total(b) for b in self.standing) / sum(s.capacity for s in live.values())
         s = self.standing[be]
         return min(
-            self.terms.max_connections, (1 + mv.CAPACITY_SLACK) * level * s.capacity + (not s.warming_up)
+            self.terms.max_connections, (1 + CAPACITY_SLACK_RATIO) * level * s.capacity + (not s.warming_up)
         )
 
 
@@ -93,13 +97,13 @@
             for be in (1, 2, 3, 4):
                 self.assertLessEqual(fleet.total(be), fleet.room(be))
                 pace[be] = max(pace[be], fleet.took[be])
-            self.assertLess(fleet.now, TERMS.grace_s * (1 - mv.GRACE_MARGIN) + 1.0)
+            self.assertLess(fleet.now, TERMS.grace_s * (1 - GRACE_MARGIN_RATIO) + 1.0)
         self.assertEqual(fleet.closed, 0)
         self.assertGreater(fleet.now, TERMS.grace_s / 2)  # the rush is spread
         for be, most in ((1, 1.0), (4, 0.1)):
             self.assertLessEqual(pace[be], max(1, TERMS.arrivals_per_s * most))  # a bucket of one second
         self.assertLessEqual(
-            fleet.most_lines, TERMS.channel_lines_per_s * mv.PLAN_INTERVAL * mv.CHANNEL_FRACTION + 20
+            fleet.most_lines, TERMS.channel_lines_per_s * PLAN_INTERVAL_S * mv.CHANNEL_FRACTION + 20
         )
 
     def test_own_zone_first_and_others_where_it_is_full(self) -> None:
@@ -179,7 +183,7 @@
         while fleet.total(0):
             fleet.step()
             self.assertLessEqual(
-                fleet.most_lines, TERMS.channel_lines_per_s * mv.PLAN_INTERVAL * mv.CHANNEL_FRACTION + 20
+                fleet.most_lines, TERMS.channel_lines_per_s * PLAN_INTERVAL_S * mv.CHANNEL_FRACTION + 20
             )
             self.assertLess(fleet.now, TERMS.grace_s)
 
@@ -227,7 +231,7 @@
     def test_apportion_adds_up_and_strays_by_less_than_one(
         self, weights: dict[int, float], total: int
     ) -> None:
-        parts = mv.apportion(total, weights)
+        parts = apportion(total, weights)
         whole = sum(weights.values())
         self.assertEqual(sum(parts.values()), total if whole > 0 else 0)
         for key, n in parts.items():
@@ -263,7 +267,7 @@
         self.assertEqual(sum(fleet.total(be) for be in leaves), 0)
         self.assertEqual(sum(fleet.total(be) for be in standing) + fleet.closed, before)
         self.assertLessEqual(
-            fleet.most_lines, TERMS.channel_lines_per_s * mv.PLAN_INTERVAL * mv.CHANNEL_FRACTION + 20
+            fleet.most_lines, TERMS.channel_lines_per_s * PLAN_INTERVAL_S * mv.CHANNEL_FRACTION + 20
         )
 
 
--- /dev/null
+++ b/tests/weight_advice/manager_case.py
@@ -0,0 +1,96 @@
+"""A test case with a manager that serves or follows weight advice, and what connects to it, on loopback."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+import unittest
+from collections.abc import Callable
+from ipaddress import IPv4Address
+from typing import Any
+
+from cottonladder.testbed.advisors import SaspBalancer
+from cottonladder.testbed.discovery import SimulatedDiscovery
+from cottonladder.testbed.fleet import ManagerProcess
+from cottonladder.weight_advice import sasp
+from tests.support.stream_client import StreamClient
+
+EVENT_TIMEOUT_S = 20.0
+TABLE_TIMEOUT_S = 60.0
+WORKER_ADDRESS = IPv4Address("127.0.0.9")
+WORKER_COUNT = 4
+OperatorPart = dict[str, Any]
+
+
+def member(label: str, port: int = 80) -> sasp.MemberData:
+    """A member at the workers' address."""
+    return sasp.MemberData(6, port, WORKER_ADDRESS, label.encode())
+
+
+class ManagerTestCase(unittest.IsolatedAsyncioTestCase):
+    """Simulated discovery with four workers, and managers that are stopped after the test."""
+
+    async def asyncSetUp(self) -> None:
+        asyncio.get_running_loop().set_debug(False)
+        self.discovery = SimulatedDiscovery()
+        self.discovery_address = await self.discovery.start()
+        self.addAsyncCleanup(self.discovery.close)
+        for n in range(1, WORKER_COUNT + 1):
+            await self.discovery.put(f"s-{n}", f"{WORKER_ADDRESS}:{8000 + n}", "a")
+
+    async def start_manager(
+        self, *serve: OperatorPart, follow: list[OperatorPart] | None = None, **settings: Any
+    ) -> ManagerProcess:
+        """Starts a manager with these parts of the operators' file and these settings."""
+        servers = [{"listen": "127.0.0.1:0", **part} for part in serve]
+        advice = {"serve": servers, "follow": follow or []}
+        manager = ManagerProcess(self.discovery_address, self.discovery.listing(), None, advice, **settings)
+        await manager.serving()
+        self.addAsyncCleanup(manager.stop)
+        return manager
+
+    async def advice_port(self, manager: ManagerProcess, protocol: str) -> int:
+        """The port on which a manager serves advice over a protocol."""
+        return int((await manager.logged("advice_server_started", protocol)).split("port=")[1])
+
+    async def connect_balancer(self, port: int, uid: bytes = b"lb-1", **options: object) -> SaspBalancer:
+        """A load balancer that is disconnected after the test."""
+        balancer = SaspBalancer(uid)
+        await balancer.connect(port, **options)
+        self.addAsyncCleanup(balancer.close)
+        return balancer
+
+    async def connect_proxy(self, manager: ManagerProcess) -> StreamClient:
+        """A proxy that has subscribed to the manager's orders."""
+        proxy = StreamClient(*await asyncio.open_connection("127.0.0.1", manager.port))
+        self.addCleanup(proxy.close)
+        proxy.join(1)
+        return proxy
+
+    async def apply_orders(
+        self, proxy: StreamClient, table: dict[str, float], until: Callable[[], bool]
+    ) -> None:
+        """Applies orders to a routing table until a condition holds; the table must never become empty."""
+        end = time.monotonic() + TABLE_TIMEOUT_S
+        while not until():
+            message = await proxy.receive()
+            self.assertLess(time.monotonic(), end, table)
+            fields = dict(zip(message.split()[1::2], message.split()[2::2], strict=True))
+            apply_config(table, fields)
+            self.assertTrue(table)
+            if "stamp" in fields:
+                proxy.acknowledge(message)
+
+
+def apply_config(table: dict[str, float], fields: dict[str, str]) -> None:
+    """Applies one CONFIG message to a routing table."""
+    if "replace" in fields:
+        table.clear()
+    if "rows" in fields:
+        for row in fields["rows"].split(","):
+            worker_id, _, weight = row.rpartition(":")
+            table[worker_id] = float(weight)
+            if not table[worker_id]:
+                del table[worker_id]
+    for worker_id in fields.get("drop", "").split(","):
+        table.pop(worker_id, None)
--- /dev/null
+++ b/tests/weight_advice/test_advisor_clients.py
@@ -0,0 +1,126 @@
+"""A manager that follows advisors: advice that moves weights, ages, is invalid, or contradicts discovery."""
+
+from __future__ import annotations
+
+import time
+import unittest
+from dataclasses import dataclass
+
+from cottonladder.planning.advice_weighting import MAX_WEIGHT_AGE_S
+from cottonladder.testbed.advisors import AdvisorMode, DfpAdvisor, SaspAdvisor, WeightFunction
+from cottonladder.weight_advice import dfp, sasp
+from tests.weight_advice.manager_case import (
+    EVENT_TIMEOUT_S,
+    TABLE_TIMEOUT_S,
+    WORKER_ADDRESS,
+    ManagerTestCase,
+    OperatorPart,
+)
+
+WORKER_IDS = {"s-1", "s-2", "s-3", "s-4"}
+# Time for a faded factor to reach the proxies, beyond the age at which advice no longer counts.
+FADE_MARGIN_S = 12.0
+
+
+@dataclass
+class Advisor:
+    """A running advisor, and the part of the operators' file that follows it."""
+
+    service: SaspAdvisor
+    follow: OperatorPart
+
+
+def first_to_last_ratio(table: dict[str, float]) -> float:
+    """The weight of the first worker over that of the last; 0 without either."""
+    if not table.get("s-4"):
+        return 0.0
+    return table.get("s-1", 0.0) / table["s-4"]
+
+
+class SaspClientTest(ManagerTestCase):
+    async def start_advisor(self, weight_of: WeightFunction) -> Advisor:
+        service = SaspAdvisor(weight_of)
+        address = await service.start()
+        self.addAsyncCleanup(service.close)
+        return Advisor(service, {"protocol": "sasp", "at": address})
+
+    async def test_advice_moves_weights_and_fades_when_the_advisor_stalls(self) -> None:
+        def weight_of(member: sasp.MemberData) -> int:
+            return 100 if member.label in (b"s-1", b"s-2") else 10
+
+        advisor = await self.start_advisor(weight_of)
+        manager = await self.start_manager(follow=[advisor.follow])
+        proxy = await self.connect_proxy(manager)
+        table: dict[str, float] = {}
+        await self.apply_orders(proxy, table, lambda: first_to_last_ratio(table) > 1.5)
+        self.assertEqual(set(table), WORKER_IDS)
+        advisor.service.mode = AdvisorMode.STALL
+        stalled_at = time.monotonic()
+        await self.apply_orders(proxy, table, lambda: first_to_last_ratio(table) < 1.15)
+        self.assertLess(time.monotonic() - stalled_at, MAX_WEIGHT_AGE_S + FADE_MARGIN_S)
+        self.assertEqual(set(table), WORKER_IDS)
+
+    async def test_advice_does_not_undo_a_drain_and_members_follow_the_endpoint_list(self) -> None:
+        def weight_of(member: sasp.MemberData) -> int:
+            return 65535 if member.label == b"s-1" else 1
+
+        advisor = await self.start_advisor(weight_of)
+        manager = await self.start_manager(follow=[advisor.follow])
+        proxy = await self.connect_proxy(manager)
+        table: dict[str, float] = {}
+        await self.apply_orders(proxy, table, lambda: first_to_last_ratio(table) > 1.3)
+        await self.discovery.set_state("s-1", "Terminating")
+        await self.apply_orders(proxy, table, lambda: "s-1" not in table)
+        await self.discovery.put("s-1", f"{WORKER_ADDRESS}:8001", "a", "Gone")
+        await self.discovery.put("s-5", f"{WORKER_ADDRESS}:8005", "a")
+        await advisor.service.wait_until(
+            lambda: b"s-5" in {member.label for member in advisor.service.members}
+        )
+        self.assertNotIn("s-1", table)
+
+    async def test_invalid_or_truncated_advice_ends_its_connection_only(self) -> None:
+        advisor = await self.start_advisor(lambda _: 10)
+        manager = await self.start_manager(follow=[advisor.follow])
+        await manager.logged("advisor_connected")
+        advisor.service.mode = AdvisorMode.GARBLE
+        await manager.logged("advisor_disconnected", "no header")
+        advisor.service.mode = AdvisorMode.CUT
+
+        def is_end_of_cut(line: str) -> bool:
+            """The connection may end by a close or by a reset."""
+            return "advisor_disconnected" in line and "no header" not in line
+
+        await manager.logged_line(is_end_of_cut, "another reason", wait=TABLE_TIMEOUT_S)
+        advisor.service.mode = AdvisorMode.HONEST
+        connection_count = advisor.service.connection_count
+        await advisor.service.wait_until(lambda: advisor.service.connection_count != connection_count)
+        proxy = await self.connect_proxy(manager)
+        await proxy.receive_until("replace")
+
+
+class DfpClientTest(ManagerTestCase):
+    async def test_hosts_are_matched_by_address_and_the_lowest_weight_counts(self) -> None:
+        """One worker has weights of two BindIDs, and one host is no worker."""
+        hosts = {
+            8001: (dfp.HostPreference(WORKER_ADDRESS, 0, 100), dfp.HostPreference(WORKER_ADDRESS, 3, 90)),
+            8002: (dfp.HostPreference(WORKER_ADDRESS, 0, 100),),
+            8003: (
+                dfp.HostPreference(WORKER_ADDRESS, 0, 10),
+                dfp.HostPreference(WORKER_ADDRESS + 68, 0, 50),  # 127.0.0.77, where no worker is
+            ),
+            8004: (dfp.HostPreference(WORKER_ADDRESS, 0, 100), dfp.HostPreference(WORKER_ADDRESS, 1, 10)),
+        }
+        agent = DfpAdvisor(lambda: hosts)
+        follow = {"protocol": "dfp", "at": await agent.start()}
+        self.addAsyncCleanup(agent.close)
+        manager = await self.start_manager(follow=[follow])
+        proxy = await self.connect_proxy(manager)
+        table: dict[str, float] = {}
+        await self.apply_orders(proxy, table, lambda: first_to_last_ratio(table) > 1.5)
+        self.assertIsNotNone(agent.keep_alive)
+        line = await manager.logged("advisor_status", "unmatched=1", wait=2 * EVENT_TIMEOUT_S)
+        self.assertIn("weights=4", line)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/weight_advice/test_codecs.py
+++ b/tests/weight_advice/test_codecs.py
@@ -1,9 +1,10 @@
-"""SASP's and DFP's codecs: messages cut, bent and drawn by chance."""
+"""The codecs of SASP and DFP: valid, truncated, corrupted and random messages."""
 
 from __future__ import annotations
 
 import struct
 import unittest
+from contextlib import suppress
 from ipaddress import IPv4Address, IPv6Address
 from typing import Any
 
@@ -12,52 +13,55 @@
 
 from cottonladder.weight_advice import dfp, sasp
 from cottonladder.weight_advice.errors import AdviceError
+from cottonladder.weight_advice.sasp import MessageType, ResponseCode
 
-A, B, C = (sasp.MemberData(6, 80, IPv4Address(f"10.0.0.{n}"), b"s-%d" % n) for n in (1, 2, 3))
-SIX = sasp.MemberData(17, 65535, IPv6Address("2001:db8::7"))
+MEMBER_A, MEMBER_B = (sasp.MemberData(6, 80, IPv4Address(f"10.0.0.{n}"), b"s-%d" % n) for n in (1, 2))
+IPV6_MEMBER = sasp.MemberData(17, 65535, IPv6Address("2001:db8::7"))
 GROUP = sasp.GroupData(b"lb-1", b"workers")
-MESSAGES = [
+SECRET = b"month's end"
+SASP_MESSAGES = [
     sasp.Message(
-        sasp.MessageType.REGISTRATION_REQUEST, 1, flags=1, groups=(sasp.GroupOfEntries(GROUP, (A, B, SIX)),)
-    ),
-    sasp.Message(
-        sasp.MessageType.REGISTRATION_REPLY, 1, response_code=sasp.ResponseCode.MEMBER_ALREADY_REGISTERED
+        MessageType.REGISTRATION_REQUEST,
+        1,
+        flags=1,
+        groups=(sasp.GroupOfEntries(GROUP, (MEMBER_A, MEMBER_B, IPV6_MEMBER)),),
     ),
+    sasp.Message(MessageType.REGISTRATION_REPLY, 1, response_code=ResponseCode.MEMBER_ALREADY_REGISTERED),
     sasp.Message(
-        sasp.MessageType.DEREGISTRATION_REQUEST,
+        MessageType.DEREGISTRATION_REQUEST,
         2,
         flags=1,
         reason=1,
-        groups=(sasp.GroupOfEntries(GROUP, (A,)),),
+        groups=(sasp.GroupOfEntries(GROUP, (MEMBER_A,)),),
     ),
-    sasp.Message(sasp.MessageType.DEREGISTRATION_REPLY, 2),
-    sasp.Message(sasp.MessageType.GET_WEIGHTS_REQUEST, 3, groups=(GROUP, sasp.GroupData(b"lb-1", b"other"))),
+    sasp.Message(MessageType.DEREGISTRATION_REPLY, 2),
+    sasp.Message(MessageType.GET_WEIGHTS_REQUEST, 3, groups=(GROUP, sasp.GroupData(b"lb-1", b"other"))),
     sasp.Message(
-        sasp.MessageType.GET_WEIGHTS_REPLY,
+        MessageType.GET_WEIGHTS_REPLY,
         3,
         interval_s=9,
-        groups=(sasp.GroupOfEntries(GROUP, (sasp.WeightEntry(A, 0, 3, 65535),)),),
+        groups=(sasp.GroupOfEntries(GROUP, (sasp.WeightEntry(MEMBER_A, 0, 3, 65535),)),),
     ),
-    sasp.Message(sasp.MessageType.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, ()),)),
-    sasp.Message(sasp.MessageType.SET_LB_STATE_REQUEST, 4, lb_uid=b"lb-1", lb_health=127, flags=7),
-    sasp.Message(sasp.MessageType.SET_LB_STATE_REPLY, 4),
+    sasp.Message(MessageType.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, ()),)),
+    sasp.Message(MessageType.SET_LB_STATE_REQUEST, 4, lb_uid=b"lb-1", lb_health=127, flags=7),
+    sasp.Message(MessageType.SET_LB_STATE_REPLY, 4),
     sasp.Message(
-        sasp.MessageType.SET_MEMBER_STATE_REQUEST,
+        MessageType.SET_MEMBER_STATE_REQUEST,
         5,
         flags=1,
-        groups=(sasp.GroupOfEntries(GROUP, (sasp.MemberStateInstance(A, 2, 1),)),),
+        groups=(sasp.GroupOfEntries(GROUP, (sasp.MemberStateInstance(MEMBER_A, 2, 1),)),),
     ),
     sasp.Message(
-        sasp.MessageType.SET_MEMBER_STATE_REPLY,
+        MessageType.SET_MEMBER_STATE_REPLY,
         2**32 - 1,
-        response_code=sasp.ResponseCode.MEMBER_NOT_REGISTERED,
+        response_code=ResponseCode.MEMBER_NOT_REGISTERED,
     ),
 ]
 HOSTS = (
     dfp.HostPreference(IPv4Address("10.0.0.1"), 0, 65535),
     dfp.HostPreference(IPv4Address("10.0.0.2"), 7, 0),
 )
-REPORTS = [
+DFP_MESSAGES = [
     dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, (dfp.Load(80, 6, HOSTS), dfp.Load(0, 17, ()))),
     dfp.Message(dfp.MessageType.SERVER_STATE, (dfp.Load(80, 6, HOSTS[:1], 1),)),
     dfp.Message(dfp.MessageType.DFP_PARAMETERS, keep_alive_s=30),
@@ -70,118 +74,126 @@
 ]
 
 
-WIRES: list[tuple[Any, list[Any]]] = [(sasp, MESSAGES), (dfp, REPORTS)]
+Codec = Any  # the module of a protocol: `encode_message`, `decode_message` and `MessageReader`
+CODECS: list[tuple[Codec, list[Any]]] = [(sasp, SASP_MESSAGES), (dfp, DFP_MESSAGES)]
 
 
-class CodecTest(unittest.TestCase):
-    def test_each_message_is_read_as_it_was_written_in_any_pieces(self) -> None:
-        for wire, messages in WIRES:
-            data = b"".join(wire.encode_message(m) for m in messages)
+class RoundTripTest(unittest.TestCase):
+    def test_encoded_messages_are_decoded_from_fragments_of_any_size(self) -> None:
+        for codec, messages in CODECS:
+            data = b"".join(codec.encode_message(message) for message in messages)
             for size in (1, 7, len(data)):
-                come, out = wire.MessageReader(), list[object]()
-                for at in range(0, len(data), size):
-                    out += come.feed(data[at : at + size])
-                self.assertEqual(out, messages)
-
-    def test_lengths_that_take_in_what_is_nested_are_read_too(self) -> None:
-        data = bytearray(sasp.encode_message(MESSAGES[0]))
+                reader = codec.MessageReader()
+                decoded: list[object] = []
+                for start in range(0, len(data), size):
+                    decoded += reader.feed(data[start : start + size])
+                self.assertEqual(decoded, messages)
+
+    def test_sasp_lengths_that_cover_nested_components_are_decoded_too(self) -> None:
+        data = bytearray(sasp.encode_message(SASP_MESSAGES[0]))
         struct.pack_into("!H", data, 15, len(data) - 13)
-        self.assertEqual(sasp.decode_message(bytes(data)), MESSAGES[0])
+        self.assertEqual(sasp.decode_message(bytes(data)), SASP_MESSAGES[0])
         struct.pack_into("!H", data, 15, len(data) - 14)
         with self.assertRaisesRegex(AdviceError, "a length of"):
             sasp.decode_message(bytes(data))
 
-    def test_cut_at_every_byte_it_waits_or_refuses_and_never_gives_half(self) -> None:
-        for wire, messages in WIRES:
-            for m in messages:
-                data = wire.encode_message(m)
-                for n in range(len(data)):
-                    self.assertEqual(wire.MessageReader().feed(data[:n]), [])
+    def test_ten_thousand_members_fit_one_message(self) -> None:
+        entries = tuple(
+            sasp.WeightEntry(sasp.MemberData(6, n, MEMBER_A.address, b"s-%d" % n), 0, 1, n)
+            for n in range(10_000)
+        )
+        group = sasp.GroupOfEntries(GROUP, entries)
+        message = sasp.Message(MessageType.SEND_WEIGHTS, 0, groups=(group,))
+        self.assertEqual(sasp.MessageReader().feed(sasp.encode_message(message)), [message])
+        hosts = tuple(dfp.HostPreference(IPv4Address(n), 0, n) for n in range(10_000))
+        report = dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, (dfp.Load(80, 6, hosts),))
+        decoded = dfp.decode_message(dfp.encode_message(report))
+        self.assertEqual([host for load in decoded.loads for host in load.hosts], list(hosts))
+
+    def test_unknown_dfp_tlvs_are_skipped_and_counted(self) -> None:
+        data = dfp.encode_message(DFP_MESSAGES[2]) + struct.pack("!HH4s", 0x7777, 8, b"what")
+        data = data[:4] + struct.pack("!I", len(data)) + data[8:]
+        decoded = dfp.decode_message(data)
+        self.assertEqual((decoded, decoded.unknown_tlv_count), (DFP_MESSAGES[2], 1))
+
+
+class InvalidMessageTest(unittest.TestCase):
+    def assert_rejected(self, codec: Codec, data: bytes, error: str) -> None:
+        with self.subTest(error), self.assertRaisesRegex(AdviceError, error):
+            codec.MessageReader().feed(data)
+
+    def test_truncated_messages_are_awaited_or_rejected_and_never_half_decoded(self) -> None:
+        for codec, messages in CODECS:
+            for message in messages:
+                data = codec.encode_message(message)
+                for size in range(len(data)):
+                    self.assertEqual(codec.MessageReader().feed(data[:size]), [])
                     with self.assertRaises(AdviceError):
-                        wire.decode_message(data[:n])
-
-    def test_what_can_not_be(self) -> None:
-        good = sasp.encode_message(MESSAGES[0])
-
-        def bent(at: int, *values: int) -> bytes:
-            return good[:at] + bytes(values) + good[at + len(values) :]
-
-        for data, why in (
-            (bent(0, 0x20, 0x11), "no header"),
-            (bent(4, 2), "unknown version 2"),
-            (bent(5, 0xFF), "bytes, 4194304 at most"),
-            (bent(5, 0, 0, 0, 3), "a message of 3 bytes"),
-            (bent(13, 0x10, 0x11), "unknown message 0x1011"),
-            (bent(18, 0, 9), "cut short|component"),
-            (bent(18, 0xFF, 0xFF), "over 1024 groups"),
-            (bent(24, 0xFF, 0xFF), "over 20000 members"),
-            (bent(20, 0x40, 0x11), "component 0x4011 where 0x4010"),
+                        codec.decode_message(data[:size])
+
+    def test_sasp_errors_name_the_fault(self) -> None:
+        valid = sasp.encode_message(SASP_MESSAGES[0])
+
+        def corrupted(position: int, *values: int) -> bytes:
+            return valid[:position] + bytes(values) + valid[position + len(values) :]
+
+        for data, error in (
+            (corrupted(0, 0x20, 0x11), "no header"),
+            (corrupted(4, 2), "unknown version 2"),
+            (corrupted(5, 0xFF), "bytes, 4194304 at most"),
+            (corrupted(5, 0, 0, 0, 3), "a message of 3 bytes"),
+            (corrupted(13, 0x10, 0x11), "unknown message 0x1011"),
+            (corrupted(18, 0, 9), "cut short|component"),
+            (corrupted(18, 0xFF, 0xFF), "over 1024 groups"),
+            (corrupted(24, 0xFF, 0xFF), "over 20000 members"),
+            (corrupted(20, 0x40, 0x11), "component 0x4011 where 0x4010"),
             (b"GET / HTTP/1.1\r\n", "no header"),
         ):
-            with self.subTest(why), self.assertRaisesRegex(AdviceError, why):
-                sasp.MessageReader().feed(data)
-        report = dfp.encode_message(REPORTS[0])
-        for data, why in (
-            (b"\2" + report[1:], "unknown version 2"),
-            (report[:2] + b"\xff\xff" + report[4:], "unknown message"),
-            (report[:4] + b"\xff\xff\xff\xff" + report[8:], "at most"),
-            (report[:10] + b"\0\3" + report[12:], "TLV 0x0002 of 3 bytes"),
-            (report[:16] + b"\x50\0" + report[18:], "over 20000 hosts"),
-            (report[:16] + b"\0\1" + report[18:], "bytes too many"),
+            self.assert_rejected(sasp, data, error)
+
+    def test_dfp_errors_name_the_fault(self) -> None:
+        valid = dfp.encode_message(DFP_MESSAGES[0])
+        for data, error in (
+            (b"\2" + valid[1:], "unknown version 2"),
+            (valid[:2] + b"\xff\xff" + valid[4:], "unknown message"),
+            (valid[:4] + b"\xff\xff\xff\xff" + valid[8:], "at most"),
+            (valid[:10] + b"\0\3" + valid[12:], "TLV 0x0002 of 3 bytes"),
+            (valid[:16] + b"\x50\0" + valid[18:], "over 20000 hosts"),
+            (valid[:16] + b"\0\1" + valid[18:], "bytes too many"),
         ):
-            with self.subTest(why), self.assertRaisesRegex(AdviceError, why):
-                dfp.MessageReader().feed(data)
+            self.assert_rejected(dfp, data, error)
 
-    def test_unknown_tlvs_are_skipped(self) -> None:
-        data = dfp.encode_message(REPORTS[2]) + struct.pack("!HH4s", 0x7777, 8, b"what")
-        data = data[:4] + struct.pack("!I", len(data)) + data[8:]
-        read = dfp.decode_message(data)
-        self.assertEqual((read, read.unknown_tlv_count), (REPORTS[2], 1))
-
-    def test_the_security_tlv_holds_or_the_message_is_refused(self) -> None:
-        secret = (7, b"month's end")
-        data = dfp.encode_message(REPORTS[0], secret)
-        self.assertEqual(dfp.decode_message(data, {7: b"month's end"}).loads, REPORTS[0].loads)
-        for secrets, bad in (
+    def test_dfp_messages_without_a_valid_digest_are_rejected(self) -> None:
+        data = dfp.encode_message(DFP_MESSAGES[0], (7, SECRET))
+        self.assertEqual(dfp.decode_message(data, {7: SECRET}).loads, DFP_MESSAGES[0].loads)
+        for secrets, invalid in (
             ({7: b"other"}, data),
-            ({8: b"month's end"}, data),
-            ({7: b"month's end"}, data[:-1] + bytes([data[-1] ^ 1])),
-            ({7: b"month's end"}, dfp.encode_message(REPORTS[0])),
+            ({8: SECRET}, data),
+            ({7: SECRET}, data[:-1] + bytes([data[-1] ^ 1])),
+            ({7: SECRET}, dfp.encode_message(DFP_MESSAGES[0])),
         ):
             with self.assertRaisesRegex(AdviceError, "security"):
-                dfp.decode_message(bad, secrets)
-
-    def test_ten_thousand_members_in_one_message(self) -> None:
-        rows = tuple(
-            sasp.WeightEntry(sasp.MemberData(6, n, A.address, b"s-%d" % n), 0, 1, n) for n in range(10_000)
-        )
-        whole = sasp.Message(sasp.MessageType.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, rows),))
-        self.assertEqual(sasp.MessageReader().feed(sasp.encode_message(whole)), [whole])
-        hosts = tuple(dfp.HostPreference(IPv4Address(n), 0, n) for n in range(10_000))
-        read = dfp.decode_message(
-            dfp.encode_message(dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, (dfp.Load(80, 6, hosts),)))
-        )
-        self.assertEqual([h for load in read.loads for h in load.hosts], list(hosts))
+                dfp.decode_message(invalid, secrets)
 
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(st.data())
-    def test_bent_messages_raise_one_kind_of_error_only(self, data: st.DataObject) -> None:
-        wire, messages = WIRES[data.draw(st.integers(0, 1))]
-        good = bytearray(wire.encode_message(messages[data.draw(st.integers(0, len(messages) - 1))]))
+    def test_corrupted_messages_raise_no_other_error(self, data: st.DataObject) -> None:
+        codec, messages = CODECS[data.draw(st.integers(0, 1))]
+        encoded = bytearray(codec.encode_message(messages[data.draw(st.integers(0, len(messages) - 1))]))
         for _ in range(data.draw(st.integers(1, 4))):
-            at = data.draw(st.integers(0, len(good) - 1))
-            good[at] = data.draw(st.integers(0, 255))
-        try:
-            for m in wire.MessageReader().feed(bytes(good)):
-                wire.encode_message(m)
-        except AdviceError:
-            pass
+            position = data.draw(st.integers(0, len(encoded) - 1))
+            encoded[position] = data.draw(st.integers(0, 255))
+        with suppress(AdviceError):
+            for message in codec.MessageReader().feed(bytes(encoded)):
+                codec.encode_message(message)
 
     @settings(max_examples=100, derandomize=True, deadline=None)
     @given(st.binary(max_size=200))
-    def test_any_bytes(self, data: bytes) -> None:
-        for reader in (sasp.MessageReader(), dfp.MessageReader()):
-            try:
-                reader.feed(data)
-            except AdviceError:
-                pass
+    def test_random_bytes_raise_no_other_error(self, data: bytes) -> None:
+        for codec, _ in CODECS:
+            with suppress(AdviceError):
+                codec.MessageReader().feed(data)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/weight_advice/test_registry.py
+++ b/tests/weight_advice/test_registry.py
@@ -3,182 +3,198 @@
 from __future__ import annotations
 
 import unittest
+from dataclasses import dataclass
 from ipaddress import IPv4Address, IPv6Address
-from typing import Any
 
 from cottonladder.planning.advertised_weights import MAX_WEIGHT
 from cottonladder.weight_advice import limits, sasp
 from cottonladder.weight_advice.registry import LoadBalancerRegistry
+from cottonladder.weight_advice.sasp import MessageType, ResponseCode
 from cottonladder.weight_advice.worker_locations import MemberIndex, WorkerLocation
-from tests.support.capacity_views import stands
+from tests.support.capacity_views import capacity_view
 
-A, B, C = (sasp.MemberData(6, 80, IPv4Address(f"10.0.0.{n}"), b"s-%d" % n) for n in (1, 2, 3))
-SIX = sasp.MemberData(17, 65535, IPv6Address("2001:db8::7"))
-GROUP = sasp.GroupData(b"lb-1", b"workers")
+MEMBER_A, MEMBER_B, UNLISTED_MEMBER = (
+    sasp.MemberData(6, 80, IPv4Address(f"10.0.0.{n}"), b"s-%d" % n) for n in (1, 2, 3)
+)
+IPV6_MEMBER = sasp.MemberData(17, 65535, IPv6Address("2001:db8::7"))
+# Worker 1 like `MEMBER_A`, matched by its address because the label is unknown.
+MEMBER_BY_ADDRESS = sasp.MemberData(6, 80, IPv4Address("10.0.0.1"), b"nobody's")
+LB_UID = b"lb-1"
+GROUP_NAME = b"workers"
+MESSAGE_ID = 9
 
 
-class RegistryTest(unittest.TestCase):
+@dataclass(frozen=True)
+class Case:
+    """A request, and the response code that it gets."""
+
+    message_type: MessageType
+    response_code: ResponseCode
+    entries: tuple[sasp.Entry, ...] = ()
+    lb_uid: bytes = LB_UID
+    group_name: bytes = GROUP_NAME
+    flags: int = sasp.LOAD_BALANCER_FLAG
+    connection_number: int = 0
+
+
+class RegistryTestCase(unittest.TestCase):
+    """A registry with two workers and two connected load balancers."""
+
     def setUp(self) -> None:
         self.registry = LoadBalancerRegistry()
-        places = [
+        self.views = {1: capacity_view(1.0), 2: capacity_view(0.5)}
+        locations = [
             WorkerLocation(1, b"s-1", IPv4Address("10.0.0.1"), 80),
             WorkerLocation(2, b"s-2", IPv4Address("10.0.0.2"), 80),
         ]
-        self.standing = {1: stands(1.0), 2: stands(0.5)}
-        self.registry.update(self.standing, MemberIndex(places))
-        for number in (0, 1):
-            self.registry.connection_opened(number)
-
-    def ask(self, kind: int, *entries: Any, by: int = 0, **more: Any) -> sasp.Message:
-        uid = more.pop("uid", b"lb-1")
-        assert isinstance(uid, bytes)
-        name = more.pop("name", b"workers")
-        assert isinstance(name, bytes)
-        group = sasp.GroupData(uid, name)
+        self.registry.update(self.views, MemberIndex(locations))
+        for connection_number in (0, 1):
+            self.registry.connection_opened(connection_number)
+
+    def ask(
+        self,
+        message_type: MessageType,
+        *entries: sasp.Entry,
+        lb_uid: bytes = LB_UID,
+        group_name: bytes = GROUP_NAME,
+        flags: int = sasp.LOAD_BALANCER_FLAG,
+        connection_number: int = 0,
+    ) -> sasp.Message:
+        """Sends a request about one group, and checks that the reply belongs to it."""
+        group = sasp.GroupData(lb_uid, group_name)
         groups: tuple[sasp.GroupData | sasp.GroupOfEntries, ...] = (sasp.GroupOfEntries(group, entries),)
-        groups = (group,) if kind == sasp.MessageType.GET_WEIGHTS_REQUEST else groups
-        flags = more.pop("flags", sasp.LOAD_BALANCER_FLAG)
-        reply = self.registry.handle_request(by, sasp.Message(kind, 9, flags=flags, groups=groups, **more))
+        if message_type == MessageType.GET_WEIGHTS_REQUEST:
+            groups = (group,)
+        request = sasp.Message(message_type, MESSAGE_ID, flags=flags, groups=groups)
+        reply = self.registry.handle_request(connection_number, request)
         assert reply is not None
-        self.assertEqual((reply.message_type, reply.message_id), (sasp.REPLY_TYPES[kind], 9))
+        self.assertEqual((reply.message_type, reply.message_id), (sasp.REPLY_TYPES[message_type], MESSAGE_ID))
         return reply
 
-    def test_codes_by_request(self) -> None:
-        other = sasp.MemberData(6, 80, IPv4Address("10.0.0.1"), b"nobody's")  # one worker, another label
-        for kind, entries, more, code in (
-            (sasp.MessageType.GET_WEIGHTS_REQUEST, (), {}, sasp.ResponseCode.GROUP_NOT_REGISTERED),
-            (
-                sasp.MessageType.REGISTRATION_REQUEST,
-                (A, A),
-                {},
-                sasp.ResponseCode.DUPLICATE_MEMBER_IN_REQUEST,
-            ),
-            (
-                sasp.MessageType.REGISTRATION_REQUEST,
-                (A,),
-                {"name": b""},
-                sasp.ResponseCode.MISSING_GROUP_NAME,
-            ),
-            (sasp.MessageType.REGISTRATION_REQUEST, (A,), {"uid": b""}, sasp.ResponseCode.INVALID_LB_UID),
-            (
-                sasp.MessageType.REGISTRATION_REQUEST,
-                (A,),
-                {"uid": b"u" * 65},
-                sasp.ResponseCode.INVALID_LB_UID,
-            ),
-            (sasp.MessageType.REGISTRATION_REQUEST, (A, C, other), {}, sasp.ResponseCode.SUCCESSFUL),
-            (
-                sasp.MessageType.REGISTRATION_REQUEST,
-                (B, A),
-                {},
-                sasp.ResponseCode.MEMBER_ALREADY_REGISTERED,
-            ),  # nothing of it counts
-            (sasp.MessageType.DEREGISTRATION_REQUEST, (B,), {}, sasp.ResponseCode.MEMBER_NOT_REGISTERED),
-            (sasp.MessageType.REGISTRATION_REQUEST, (B,), {}, sasp.ResponseCode.SUCCESSFUL),
-            (
-                sasp.MessageType.REGISTRATION_REQUEST,
-                (A,),
-                {"uid": b"lb-2"},
-                sasp.ResponseCode.SENDER_NOT_ACCEPTED,
-            ),
-            (
-                sasp.MessageType.DEREGISTRATION_REQUEST,
-                (A,),
-                {"name": b"what"},
-                sasp.ResponseCode.GROUP_NOT_REGISTERED,
-            ),
-            (
-                sasp.MessageType.SET_MEMBER_STATE_REQUEST,
-                (sasp.MemberStateInstance(SIX, 0, 1),),
-                {},
-                sasp.ResponseCode.MEMBER_NOT_REGISTERED,
-            ),
-            (
-                sasp.MessageType.SET_MEMBER_STATE_REQUEST,
-                (sasp.MemberStateInstance(B, 0, 1),),
-                {},
-                sasp.ResponseCode.SUCCESSFUL,
-            ),
-            (
-                sasp.MessageType.REGISTRATION_REQUEST,
-                (SIX,),
-                {"flags": 0, "uid": b"lb-9"},
-                sasp.ResponseCode.LB_NOT_CONNECTED,
-            ),
-            (
-                sasp.MessageType.REGISTRATION_REQUEST,
-                (SIX,),
-                {"flags": 0, "by": 1},
-                sasp.ResponseCode.SENDER_NOT_ACCEPTED,
-            ),  # it trusts nobody
-        ):
-            with self.subTest((kind, more, code)):
-                self.assertEqual(self.ask(kind, *entries, **more).response_code, code)
-        reply = self.ask(sasp.MessageType.GET_WEIGHTS_REQUEST)
+    def set_lb_state(self, flags: int, connection_number: int = 0) -> int:
+        """States a load balancer's flags and returns the response code."""
+        request = sasp.Message(MessageType.SET_LB_STATE_REQUEST, 1, lb_uid=LB_UID, flags=flags)
+        reply = self.registry.handle_request(connection_number, request)
+        assert reply is not None
+        return reply.response_code
+
+    def assert_codes(self, cases: list[Case]) -> None:
+        for case in cases:
+            with self.subTest(case):
+                reply = self.ask(
+                    case.message_type,
+                    *case.entries,
+                    lb_uid=case.lb_uid,
+                    group_name=case.group_name,
+                    flags=case.flags,
+                    connection_number=case.connection_number,
+                )
+                self.assertEqual(reply.response_code, case.response_code)
+
+
+class ResponseCodeTest(RegistryTestCase):
+    def test_each_request_gets_its_response_code(self) -> None:
+        register = MessageType.REGISTRATION_REQUEST
+        deregister = MessageType.DEREGISTRATION_REQUEST
+        set_state = MessageType.SET_MEMBER_STATE_REQUEST
+        quiesced_ipv6 = sasp.MemberStateInstance(IPV6_MEMBER, 0, sasp.MEMBER_QUIESCE_FLAG)
+        quiesced_b = sasp.MemberStateInstance(MEMBER_B, 0, sasp.MEMBER_QUIESCE_FLAG)
+        codes = ResponseCode
+        self.assert_codes(
+            [
+                Case(MessageType.GET_WEIGHTS_REQUEST, codes.GROUP_NOT_REGISTERED),
+                Case(register, codes.DUPLICATE_MEMBER_IN_REQUEST, (MEMBER_A, MEMBER_A)),
+                Case(register, codes.MISSING_GROUP_NAME, (MEMBER_A,), group_name=b""),
+                Case(register, codes.INVALID_LB_UID, (MEMBER_A,), lb_uid=b""),
+                Case(register, codes.INVALID_LB_UID, (MEMBER_A,), lb_uid=b"u" * 65),
+                Case(register, codes.SUCCESSFUL, (MEMBER_A, UNLISTED_MEMBER, MEMBER_BY_ADDRESS)),
+                # The whole request is rejected, so that B can be registered later.
+                Case(register, codes.MEMBER_ALREADY_REGISTERED, (MEMBER_B, MEMBER_A)),
+                Case(deregister, codes.MEMBER_NOT_REGISTERED, (MEMBER_B,)),
+                Case(register, codes.SUCCESSFUL, (MEMBER_B,)),
+                Case(register, codes.SENDER_NOT_ACCEPTED, (MEMBER_A,), lb_uid=b"lb-2"),
+                Case(deregister, codes.GROUP_NOT_REGISTERED, (MEMBER_A,), group_name=b"what"),
+                Case(set_state, codes.MEMBER_NOT_REGISTERED, (quiesced_ipv6,)),
+                Case(set_state, codes.SUCCESSFUL, (quiesced_b,)),
+                Case(register, codes.LB_NOT_CONNECTED, (IPV6_MEMBER,), lb_uid=b"lb-9", flags=0),
+                # The load balancer does not trust members.
+                Case(register, codes.SENDER_NOT_ACCEPTED, (IPV6_MEMBER,), flags=0, connection_number=1),
+            ]
+        )
+        reply = self.ask(MessageType.GET_WEIGHTS_REQUEST)
         (group,) = reply.groups
         assert isinstance(group, sasp.GroupOfEntries)
-        rows = {w.member: (w.weight, w.flags) for w in group.entries if isinstance(w, sasp.WeightEntry)}
-        sure = sasp.CONFIDENT_FLAG
-        self.assertEqual(rows[A], (MAX_WEIGHT, sasp.CONTACT_SUCCESS_FLAG | sure))
-        self.assertEqual(rows[other], rows[A])
-        self.assertEqual(rows[B], (0, sasp.CONTACT_SUCCESS_FLAG | sasp.QUIESCE_FLAG | sure))
-        self.assertEqual(rows[C], (0, 0))  # nobody's
+        weights = {
+            entry.member: (entry.weight, entry.flags)
+            for entry in group.entries
+            if isinstance(entry, sasp.WeightEntry)
+        }
+        known = sasp.CONFIDENT_FLAG | sasp.CONTACT_SUCCESS_FLAG
+        self.assertEqual(weights[MEMBER_A], (MAX_WEIGHT, known))
+        self.assertEqual(weights[MEMBER_BY_ADDRESS], weights[MEMBER_A])
+        self.assertEqual(weights[MEMBER_B], (0, known | sasp.QUIESCE_FLAG))
+        self.assertEqual(weights[UNLISTED_MEMBER], (0, 0))
         self.assertEqual(reply.interval_s, limits.POLL_INTERVAL_S)
 
-    def test_members_register_themselves_where_their_balancer_trusts_them(self) -> None:
-        m = sasp.Message(sasp.MessageType.SET_LB_STATE_REQUEST, 1, lb_uid=b"lb-1", flags=sasp.TRUST_FLAG)
-        self.assertEqual(
-            getattr(self.registry.handle_request(0, m), "response_code", -1), sasp.ResponseCode.SUCCESSFUL
-        )
-        self.assertEqual(
-            self.ask(sasp.MessageType.REGISTRATION_REQUEST, A, by=1, flags=0).response_code,
-            sasp.ResponseCode.SUCCESSFUL,
-        )
-        self.assertEqual(
-            self.ask(sasp.MessageType.GET_WEIGHTS_REQUEST).response_code, sasp.ResponseCode.SUCCESSFUL
-        )
-        m = sasp.Message(sasp.MessageType.SET_LB_STATE_REQUEST, 1, lb_uid=b"lb-1", flags=0)
-        self.assertEqual(
-            getattr(self.registry.handle_request(1, m), "response_code", -1),
-            sasp.ResponseCode.SENDER_NOT_ACCEPTED,
-        )  # another's name
-
-    def test_pushes_tell_what_moved_and_registrations_go_with_their_balancer(self) -> None:
-        m = sasp.Message(
-            sasp.MessageType.SET_LB_STATE_REQUEST,
-            1,
-            lb_uid=b"lb-1",
-            flags=sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG,
-        )
-        self.registry.handle_request(0, m)
-        self.ask(sasp.MessageType.REGISTRATION_REQUEST, A, B)
-        first = self.registry.push_message(0)
-        assert first is not None and isinstance(first.groups[0], sasp.GroupOfEntries)
-        self.assertEqual(len(first.groups[0].entries), 2)
+    def test_members_register_themselves_only_if_their_load_balancer_trusts_them(self) -> None:
+        self.assertEqual(self.set_lb_state(sasp.TRUST_FLAG), ResponseCode.SUCCESSFUL)
+        registered = self.ask(MessageType.REGISTRATION_REQUEST, MEMBER_A, flags=0, connection_number=1)
+        self.assertEqual(registered.response_code, ResponseCode.SUCCESSFUL)
+        self.assertEqual(self.ask(MessageType.GET_WEIGHTS_REQUEST).response_code, ResponseCode.SUCCESSFUL)
+        # Another connection can't take over the UID of a connected load balancer.
+        self.assertEqual(self.set_lb_state(0, connection_number=1), ResponseCode.SENDER_NOT_ACCEPTED)
+
+    def test_groups_and_members_of_a_load_balancer_are_bounded(self) -> None:
+        members = [
+            sasp.MemberData(6, n % 65536, MEMBER_A.address, b"%d" % n) for n in range(limits.MAX_MEMBERS)
+        ]
+        registered = self.ask(MessageType.REGISTRATION_REQUEST, *members)
+        self.assertEqual(registered.response_code, ResponseCode.SUCCESSFUL)
+        rejected = self.ask(MessageType.REGISTRATION_REQUEST, MEMBER_A)
+        self.assertEqual(rejected.response_code, ResponseCode.INVALID_GROUP)
+
+
+class PushTest(RegistryTestCase):
+    def pushed_entries(self) -> tuple[sasp.Entry, ...] | None:
+        """The entries of the first group in a push, or None if nothing is pushed."""
+        message = self.registry.push_message(0)
+        if message is None:
+            return None
+        assert isinstance(message.groups[0], sasp.GroupOfEntries)
+        return message.groups[0].entries
+
+    def test_pushes_carry_changes_until_the_load_balancer_disconnects(self) -> None:
+        self.set_lb_state(sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG)
+        self.ask(MessageType.REGISTRATION_REQUEST, MEMBER_A, MEMBER_B)
+        first = self.pushed_entries()
+        assert first is not None
+        self.assertEqual(len(first), 2)
+        self.assertIsNone(self.registry.push_message(0))
+        self.views[2] = capacity_view(0.51)  # a change too small to be pushed
         self.assertIsNone(self.registry.push_message(0))
-        self.standing[2] = stands(0.51)
-        self.assertIsNone(self.registry.push_message(0))  # hardly moved
-        self.standing[2] = stands(0.5, since=3.0)
-        second = self.registry.push_message(0)
-        assert second is not None and isinstance(second.groups[0], sasp.GroupOfEntries)
-        (entry,) = second.groups[0].entries
+        self.views[2] = capacity_view(0.5, draining_since=3.0)
+        second = self.pushed_entries()
+        assert second is not None
+        (entry,) = second
         assert isinstance(entry, sasp.WeightEntry)
         self.assertEqual(
-            (entry.member, entry.weight, entry.flags & sasp.QUIESCE_FLAG), (B, 0, sasp.QUIESCE_FLAG)
+            (entry.member, entry.weight, entry.flags & sasp.QUIESCE_FLAG), (MEMBER_B, 0, sasp.QUIESCE_FLAG)
         )
-        self.ask(sasp.MessageType.DEREGISTRATION_REQUEST, A)  # a group changed between two pushes
+        self.ask(MessageType.DEREGISTRATION_REQUEST, MEMBER_A)
         self.registry.connection_closed(0)
         self.registry.connection_opened(0)
-        self.assertEqual(
-            self.ask(sasp.MessageType.GET_WEIGHTS_REQUEST).response_code,
-            sasp.ResponseCode.GROUP_NOT_REGISTERED,
-        )
+        reply = self.ask(MessageType.GET_WEIGHTS_REQUEST)
+        self.assertEqual(reply.response_code, ResponseCode.GROUP_NOT_REGISTERED)
 
-    def test_a_balancer_s_groups_and_members_are_bounded(self) -> None:
-        rows = [sasp.MemberData(6, n % 65536, A.address, b"%d" % n) for n in range(limits.MAX_MEMBERS)]
-        self.assertEqual(
-            self.ask(sasp.MessageType.REGISTRATION_REQUEST, *rows).response_code, sasp.ResponseCode.SUCCESSFUL
-        )
-        self.assertEqual(
-            self.ask(sasp.MessageType.REGISTRATION_REQUEST, A).response_code, sasp.ResponseCode.INVALID_GROUP
-        )
+    def test_a_load_balancer_without_the_change_flag_gets_all_weights_once_one_changed(self) -> None:
+        self.set_lb_state(sasp.PUSH_FLAG)
+        self.ask(MessageType.REGISTRATION_REQUEST, MEMBER_A, MEMBER_B)
+        self.assertEqual(len(self.pushed_entries() or ()), 2)
+        self.assertIsNone(self.registry.push_message(0))
+        self.views[2] = capacity_view(0.5, draining_since=3.0)
+        self.assertEqual(len(self.pushed_entries() or ()), 2)
+        self.assertIsNone(self.registry.push_message(0))
+
+
+if __name__ == "__main__":
+    unittest.main()
