--- a/tests/planning/test_advice_weighting.py
+++ b/tests/planning/test_advice_weighting.py
@@ -1,4 +1,4 @@
-"""What outside advice is worth: steps, credit, ageing, and a month-end under honest and lying advisors."""
+"""How advice counts: steps, credit, ageing, and a month-end under honest and lying advisors."""
 
 from __future__ import annotations
 
@@ -6,162 +6,188 @@
 import random
 import unittest
 
-from cottonladder.planning import advice_weighting as ad
-from cottonladder.testbed import month_end as me
+from cottonladder.planning import advice_weighting
+from cottonladder.planning.advice_weighting import MAX_FACTOR, MAX_LOG_STEP, AdviceWeighting, AdvisoryWeight
+from cottonladder.testbed import month_end
+from cottonladder.testbed.month_end import MonthEndRun
 from tests.support.capacity_views import capacity_view
 
+ADVISOR = "a"
+MAX_ADVISED = 65535.0
+ROUNDING = 1e-9
+
 
 class AdviceWeightingTest(unittest.TestCase):
+    """Six workers of equal capacity and of three different latencies."""
+
     def setUp(self) -> None:
-        self.standing = {be: capacity_view(1.0, latency_s=0.1 * (1 + be % 3)) for be in range(6)}
-        self.advice, self.now = ad.AdviceWeighting(), 0.0
-
-    def step(self, words: dict[int, float] | None, advisor: str = "a") -> dict[int, float]:
-        self.now += ad.UPDATE_INTERVAL_S
-        if words is not None:
-            self.advice.receive(
-                advisor, self.now, {be: ad.AdvisoryWeight(w) for be, w in words.items()}, True
-            )
-        factors = self.advice.update_factors(self.now, self.standing)
-        for be, factor in factors.items():
-            plain = 1.0
-            self.standing[be] = capacity_view(
-                plain * factor, self.standing[be].warming_up, latency_s=self.standing[be].latency_s
-            )
+        self.views = {
+            worker: capacity_view(1.0, latency_s=0.1 * self.slowness(worker)) for worker in range(6)
+        }
+        self.advice = AdviceWeighting()
+        self.now = 0.0
+
+    def slowness(self, worker: int) -> int:
+        return 1 + worker % 3
+
+    def honest_weights(self) -> dict[int, float]:
+        return {worker: 100.0 / self.slowness(worker) for worker in self.views}
+
+    def lying_weights(self) -> dict[int, float]:
+        return {worker: float(self.slowness(worker)) for worker in self.views}
+
+    def receive(self, weights: dict[int, float], advisor: str) -> None:
+        advisory = {worker: AdvisoryWeight(weight) for worker, weight in weights.items()}
+        self.advice.receive(advisor, self.now, advisory, True)
+
+    def step(self, weights: dict[int, float] | None, advisor: str = ADVISOR) -> dict[int, float]:
+        """One interval with these weights, or with a silent advisor; the factors change the capacities."""
+        self.now += advice_weighting.UPDATE_INTERVAL_S
+        if weights is not None:
+            self.receive(weights, advisor)
+        factors = self.advice.update_factors(self.now, self.views)
+        for worker, factor in factors.items():
+            view = self.views[worker]
+            self.views[worker] = capacity_view(factor, view.warming_up, latency_s=view.latency_s)
         return factors
 
-    def fast(self) -> dict[int, float]:
-        return {be: 100.0 / (1 + be % 3) for be in self.standing}
+    def credit(self, advisor: str = ADVISOR) -> float:
+        return self.advice.status(self.now)[advisor].credit
 
-    def test_steps_bounds_and_credit(self) -> None:
-        was = dict.fromkeys(self.standing, 1.0)
+    def test_factors_move_in_steps_within_their_bounds_and_honest_advice_gains_credit(self) -> None:
+        previous = dict.fromkeys(self.views, 1.0)
         for _ in range(40):
-            factors = self.step(self.fast())
-            for be in self.standing:
-                factor = factors.get(be, 1.0)
-                self.assertLessEqual(abs(math.log(factor / was[be])), ad.MAX_LOG_STEP + 1e-9)
-                self.assertTrue(1 / ad.MAX_FACTOR <= factor <= ad.MAX_FACTOR)
-                was[be] = factor
-        self.assertGreater(self.advice.status(self.now)["a"].credit, 0.8)
-        self.assertGreater(was[0], 1.3)
-        self.assertLess(was[2], 0.8)
-
-    def test_silence_fades_without_a_jump(self) -> None:
+            factors = self.step(self.honest_weights())
+            for worker in self.views:
+                factor = factors.get(worker, 1.0)
+                self.assertLessEqual(abs(math.log(factor / previous[worker])), MAX_LOG_STEP + ROUNDING)
+                self.assertTrue(1 / MAX_FACTOR <= factor <= MAX_FACTOR)
+                previous[worker] = factor
+        self.assertGreater(self.credit(), 0.8)
+        self.assertGreater(previous[0], 1.3)
+        self.assertLess(previous[2], 0.8)
+
+    def test_factors_of_a_silent_advisor_fade_without_a_jump(self) -> None:
         for _ in range(30):
-            was = self.step(self.fast())
-        begun = self.now
-        while was:
+            previous = self.step(self.honest_weights())
+        silent_since = self.now
+        while previous:
             factors = self.step(None)
-            for be in was:
-                step = abs(math.log(factors.get(be, 1.0) / was[be]))
-                self.assertLessEqual(step, ad.MAX_LOG_STEP + 1e-9)
-            was = factors
-        self.assertLessEqual(
-            self.now - begun,
-            ad.MAX_WEIGHT_AGE_S + ad.UPDATE_INTERVAL_S * (1 + math.log(ad.MAX_FACTOR) / ad.MAX_LOG_STEP),
+            for worker, factor in previous.items():
+                log_step = abs(math.log(factors.get(worker, 1.0) / factor))
+                self.assertLessEqual(log_step, MAX_LOG_STEP + ROUNDING)
+            previous = factors
+        steps_to_neutral = math.log(MAX_FACTOR) / MAX_LOG_STEP
+        max_fade_s = advice_weighting.MAX_WEIGHT_AGE_S + advice_weighting.UPDATE_INTERVAL_S * (
+            1 + steps_to_neutral
         )
+        self.assertLessEqual(self.now - silent_since, max_fade_s)
 
-    def test_lies_and_flapping_lose_credit_and_it_comes_back_slowly(self) -> None:
+    def test_lying_and_flapping_lose_credit_and_it_comes_back_slowly(self) -> None:
         for _ in range(8):
-            self.step({be: 1.0 * (1 + be % 3) for be in self.standing})
-        lost = self.advice.status(self.now)["a"].credit
-        self.assertLess(lost, 0.05)
+            self.step(self.lying_weights())
+        self.assertLess(self.credit(), 0.05)
         for _ in range(10):
-            self.step(self.fast())
-        self.assertLess(self.advice.status(self.now)["a"].credit, 0.35)
-        chance = random.Random(3)
+            self.step(self.honest_weights())
+        self.assertLess(self.credit(), 0.35)
+        rng = random.Random(3)
         for _ in range(12):
-            self.step({be: float(chance.randint(1, 1000)) for be in self.standing}, "wild")
-        self.assertLess(self.advice.status(self.now)["wild"].credit, 0.1)
+            self.step({worker: float(rng.randint(1, 1000)) for worker in self.views}, "flapping")
+        self.assertLess(self.credit("flapping"), 0.1)
 
-    def test_it_is_not_won_back_by_dialling_anew(self) -> None:
+    def test_reconnecting_regains_no_credit(self) -> None:
         for _ in range(8):
-            self.step({be: 1.0 * (1 + be % 3) for be in self.standing})
-        lost = self.advice.status(self.now)["a"].credit
-        self.advice.advisor_connected("a")
-        self.assertEqual(self.advice.status(self.now)["a"].credit, lost)
-
-    def test_words_without_ranks_change_nothing(self) -> None:
-        self.standing[0] = capacity_view(
-            3.0
-        )  # estimates that differ are not drawn together by words that don't
-        for words in (dict.fromkeys(self.standing, 0.0), dict.fromkeys(self.standing, 65535.0), {}):
-            self.assertEqual(self.step(words), {})
-
-    def test_a_cold_worker_is_never_lifted_and_nobody_gets_nothing(self) -> None:
-        self.standing[5] = capacity_view(0.2, warming_up=True)
+            self.step(self.lying_weights())
+        lost_credit = self.credit()
+        self.advice.advisor_connected(ADVISOR)
+        self.assertEqual(self.credit(), lost_credit)
+
+    def test_weights_that_are_all_alike_change_nothing(self) -> None:
+        self.views[0] = capacity_view(3.0)  # equal weights do not make unequal capacities alike
+        for weights in (dict.fromkeys(self.views, 0.0), dict.fromkeys(self.views, MAX_ADVISED), {}):
+            self.assertEqual(self.step(weights), {})
+
+    def test_a_warming_up_worker_is_never_favoured_and_no_worker_gets_nothing(self) -> None:
+        self.views[5] = capacity_view(0.2, warming_up=True)
         for _ in range(20):
-            factors = self.step({**dict.fromkeys(self.standing, 1.0), 5: 65535.0, 0: 0.0})
+            factors = self.step({**dict.fromkeys(self.views, 1.0), 5: MAX_ADVISED, 0: 0.0})
             self.assertLessEqual(factors.get(5, 1.0), 1.0)
-            self.assertTrue(all(factor >= 1 / ad.MAX_FACTOR for factor in factors.values()))
+            self.assertTrue(all(factor >= 1 / MAX_FACTOR for factor in factors.values()))
 
-    def test_two_that_differ_count_by_their_credit(self) -> None:
+    def test_advisors_that_differ_count_by_their_credit(self) -> None:
         for _ in range(20):
-            self.advice.receive(
-                "b", self.now, {be: ad.AdvisoryWeight(1.0 * (1 + be % 3)) for be in self.standing}, True
-            )
-            factors = self.step(self.fast())
+            self.receive(self.lying_weights(), "b")
+            factors = self.step(self.honest_weights())
         self.assertGreater(factors[0], 1.2)
         self.assertLess(factors[2], 0.9)
 
-    def test_old_words_after_an_hour_count_no_more(self) -> None:
+    def test_weights_of_an_hour_ago_no_longer_count(self) -> None:
         for _ in range(10):
-            self.step(self.fast())
+            self.step(self.honest_weights())
         self.now += 3600.0
-        self.assertLess(max(abs(math.log(f)) for f in self.step(None).values()), math.log(ad.MAX_FACTOR))
+        max_log = max(abs(math.log(factor)) for factor in self.step(None).values())
+        self.assertLess(max_log, math.log(MAX_FACTOR))
         for _ in range(8):
             factors = self.step(None)
         self.assertEqual(factors, {})
 
-    def test_who_is_gone_is_forgotten(self) -> None:
-        self.step(self.fast())
-        del self.standing[0]
+    def test_weights_of_removed_workers_are_dropped(self) -> None:
+        self.step(self.honest_weights())
+        del self.views[0]
         self.assertNotIn(0, self.step(None))
-        self.assertEqual(self.advice.status(self.now)["a"].weight_count, 5)
+        self.assertEqual(self.advice.status(self.now)[ADVISOR].weight_count, 5)
 
 
 class MonthEndTest(unittest.TestCase):
-    """The module on a stand-in fleet in simulated time."""
+    """A simulated fleet under the load of a month-end, with advisors."""
 
-    def mean(self, *advisors: me.Advisor) -> float:
-        named = {str(n): say for n, say in enumerate(advisors)}
-        days = [
-            me.MonthEndRun(named, seed=seed, duration_s=80.0, load=0.85).run(me.slow_two_workers)
+    def served_share(self, *advisors: month_end.Advisor) -> float:
+        """The mean over three seeds of the share of requests that were served in time."""
+        named = {str(number): advisor for number, advisor in enumerate(advisors)}
+        runs = [
+            MonthEndRun(named, seed=seed, duration_s=80.0, load=0.85).run(month_end.slow_two_workers)
             for seed in (7, 8, 9)
         ]
-        self.assertEqual(sum(day.proxies_without_worker for day in days), 0)
-        return sum(day.served_share for day in days) / len(days)
+        self.assertEqual(sum(run.proxies_without_worker for run in runs), 0)
+        return sum(run.served_share for run in runs) / len(runs)
 
     def test_honest_advice_gains_and_lies_cost_little(self) -> None:
-        none = self.mean()
-        self.assertGreater(self.mean(me.honest_advisor), none)
-        for lie in (
-            me.lying_advisor,
-            me.random_advisor,
-            me.zero_advisor,
-            me.maximum_advisor,
-            me.stalling_advisor,
-            me.stalling_then_lying_advisor,
+        unadvised = self.served_share()
+        self.assertGreater(self.served_share(month_end.honest_advisor), unadvised)
+        for dishonest in (
+            month_end.lying_advisor,
+            month_end.random_advisor,
+            month_end.zero_advisor,
+            month_end.maximum_advisor,
+            month_end.stalling_advisor,
+            month_end.stalling_then_lying_advisor,
         ):
-            self.assertGreater(self.mean(lie), 0.9 * none, lie.__name__)
-        self.assertGreater(self.mean(me.honest_advisor, me.lying_advisor), none)
+            self.assertGreater(self.served_share(dishonest), 0.9 * unadvised, dishonest.__name__)
+        both = self.served_share(month_end.honest_advisor, month_end.lying_advisor)
+        self.assertGreater(both, unadvised)
 
-    def test_a_cold_worker_ranked_highest_stays_under_its_rule_and_a_drain_stands(self) -> None:
-        def flatters(now: float, day: me.MonthEndRun) -> dict[int, ad.AdvisoryWeight]:
+    def test_advice_overloads_no_warming_up_worker_and_undoes_no_drain(self) -> None:
+        def flattering_advisor(_: float, run: MonthEndRun) -> dict[int, AdvisoryWeight]:
+            """Ranks a worker that was started during the run far above the others."""
             return {
-                be: ad.AdvisoryWeight(65535.0 if box.started_at else 1.0) for be, box in day.workers.items()
+                index: AdvisoryWeight(MAX_ADVISED if worker.started_at else 1.0)
+                for index, worker in run.workers.items()
             }
 
-        def events(now: float, day: me.MonthEndRun) -> None:
-            if abs(now - 20.0) < me.STEP_S / 2:
-                day.start_worker(20, 0, 1.5, 1000.0 + now)
-                day.drain_worker(0, 1000.0 + now)
-            if now > 22.0:
-                for p in range(me.PROXY_COUNT):
-                    self.assertNotIn(0, day.usable_weights(p))
-
-        plain = me.MonthEndRun({}, duration_s=50.0).run(events)
-        day = me.MonthEndRun({"a": flatters}, duration_s=50.0).run(events)
-        self.assertGreater(plain.worst_warm_up_load, 0.0)  # it was used while cold
-        self.assertLess(day.worst_warm_up_load, 1.0)
-        self.assertEqual(day.proxies_without_worker, 0)
+        def start_one_and_drain_one(elapsed_s: float, run: MonthEndRun) -> None:
+            if abs(elapsed_s - 20.0) < month_end.STEP_S / 2:
+                run.start_worker(20, 0, 1.5, 1000.0 + elapsed_s)
+                run.drain_worker(0, 1000.0 + elapsed_s)
+            if elapsed_s > 22.0:
+                for proxy in range(month_end.PROXY_COUNT):
+                    self.assertNotIn(0, run.usable_weights(proxy))
+
+        unadvised = MonthEndRun({}, duration_s=50.0).run(start_one_and_drain_one)
+        advised = MonthEndRun({ADVISOR: flattering_advisor}, duration_s=50.0).run(start_one_and_drain_one)
+        self.assertGreater(unadvised.worst_warm_up_load, 0.0)  # it was used while it was warming up
+        self.assertLess(advised.worst_warm_up_load, 1.0)
+        self.assertEqual(advised.proxies_without_worker, 0)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/planning/test_connection_migration.py
+++ b/tests/planning/test_connection_migration.py
@@ -1,4 +1,4 @@
-"""The plan of moves: rooms, the cold rule, slices within the grace, the channel; by cases and by chance."""
+"""The plan of migrations: capacity, warm-up, slices within the grace period, and the channel's budget."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from cottonladder.model.views import WorkerCapacityView
-from cottonladder.planning import connection_migration as mv
+from cottonladder.planning.connection_migration import CHANNEL_FRACTION, MigrationPlanner
 from cottonladder.planning.migration_capacity import CAPACITY_SLACK_RATIO
 from cottonladder.planning.migration_orders import (
     PLAN_INTERVAL_S,
@@ -22,253 +22,296 @@
 )
 from cottonladder.planning.migration_placement import apportion
 from cottonladder.planning.migration_slices import GRACE_MARGIN_RATIO
+from tests.support.capacity_views import capacity_view
 
-TERMS = MigrationParameters(2, 20.0, 8000, 100.0, 0.05, 3000.0, 10)
+PARAMETERS = MigrationParameters(
+    zone_count=2,
+    grace_s=20.0,
+    max_connections=8000,
+    arrivals_per_s=100.0,
+    load_per_connection=0.05,
+    channel_lines_per_s=3000.0,
+    message_header_lines=10,
+)
+# Lines that a slice may take, with one order that the planner always gives.
+MAX_SLICE_LINES = PARAMETERS.channel_lines_per_s * PLAN_INTERVAL_S * CHANNEL_FRACTION + 20
+Views = dict[int, WorkerCapacityView]
 
 
-def stands(
-    zone: int = 0, estimate: float = 1.0, cold: bool = False, since: float = -1.0
-) -> WorkerCapacityView:
-    return WorkerCapacityView(zone, 0.0 if since >= 0 else estimate, cold, since)
+def worker_view(zone: int = 0, capacity: float = 1.0, warming_up: bool = False) -> WorkerCapacityView:
+    return capacity_view(capacity, warming_up, zone=zone)
 
 
-class Fleet:
-    """Forwarders that carry every order out, or lose it; checks the plan's promises at each step."""
+def draining_view(zone: int = 0, since: float = 0.0) -> WorkerCapacityView:
+    return capacity_view(1.0, draining_since=since, zone=zone)
 
-    def __init__(
-        self, terms: MigrationParameters, standing: dict[int, WorkerCapacityView], zones: dict[int, int]
-    ) -> None:
-        self.terms, self.standing, self.zones = terms, standing, zones
-        self.moves = mv.MigrationPlanner(terms)
-        self.held: dict[int, Counter[int]] = {f: Counter() for f in zones}
-        self.now, self.most_lines, self.closed = 0.0, 0, 0
-        self.took: Counter[int] = Counter()  # by worker, in the last step
-        for f, zone in zones.items():
-            self.moves.add_forwarder(f, zone)
-
-    def tell(self, forwarder: int | None = None) -> None:
-        for f in self.zones if forwarder is None else [forwarder]:
-            self.moves.update_connections(
-                f, True, {be: HeldConnectionCounts(n) for be, n in self.held[f].items() if n}
-            )
 
-    def total(self, be: int) -> int:
-        return sum(held[be] for held in self.held.values())
-
-    def step(self, lose: bool = False, carry: bool = True) -> list[MigrationOrder]:
-        self.tell()
-        orders = self.moves.plan(self.now, self.standing)
-        self.most_lines = max(self.most_lines, self.moves.channel_lines(orders))
-        self.took = Counter()
-        for order in orders:
-            if isinstance(order, MigrateConnections) and carry and not lose:
-                held = self.held[order.forwarder]
-                assert 0 < order.count <= held[order.source], order
-                assert sum(n for _, n in order.destinations) <= order.count
-                held[order.source] -= order.count
-                for be, n in order.destinations:
-                    assert self.standing[be].draining_since < 0, "a move to a worker that leaves"
-                    held[be] += n
-                    self.took[be] += n
-                self.closed += order.count - sum(n for _, n in order.destinations)
-                self.moves.complete_migration(order.forwarder, order.number)
+def migrations(orders: list[MigrationOrder]) -> list[MigrateConnections]:
+    return [order for order in orders if isinstance(order, MigrateConnections)]
+
+
+def arrival_fractions(orders: list[MigrationOrder]) -> dict[int, float]:
+    """The fractions of the arrivals that were sent, by forwarder."""
+    return {order.forwarder: order.arrival_fraction for order in orders if isinstance(order, AdmitForwarder)}
+
+
+class SimulatedForwarders:
+    """Forwarders that execute every order at once, and check at each step what a plan must never do."""
+
+    def __init__(self, parameters: MigrationParameters, views: Views, zones: dict[int, int]) -> None:
+        self.parameters = parameters
+        self.views = views
+        self.zones = zones  # by forwarder
+        self.planner = MigrationPlanner(parameters)
+        self.connections: dict[int, Counter[int]] = {forwarder: Counter() for forwarder in zones}
+        self.now = 0.0
+        self.max_lines = 0
+        self.closed_count = 0
+        self.received: Counter[int] = Counter()  # by worker, in the last step
+        for forwarder, zone in zones.items():
+            self.planner.add_forwarder(forwarder, zone)
+
+    def report_connections(self) -> None:
+        for forwarder in self.zones:
+            rows = {
+                worker: HeldConnectionCounts(count)
+                for worker, count in self.connections[forwarder].items()
+                if count
+            }
+            self.planner.update_connections(forwarder, True, rows)
+
+    def connection_count(self, worker: int) -> int:
+        return sum(connections[worker] for connections in self.connections.values())
+
+    def total_count(self) -> int:
+        return sum(self.connection_count(worker) for worker in self.views)
+
+    def step(self, is_executed: bool = True) -> list[MigrationOrder]:
+        """Reports, plans, and executes the orders unless they are lost."""
+        self.report_connections()
+        orders = self.planner.plan(self.now, self.views)
+        self.max_lines = max(self.max_lines, self.planner.channel_lines(orders))
+        self.received = Counter()
+        if is_executed:
+            for order in migrations(orders):
+                self.execute(order)
         self.now += PLAN_INTERVAL_S
         return orders
 
-    def room(self, be: int) -> float:
-        """What the plan may fill a worker to: stated here anew, from the fleet's mean level."""
-        live = {b: s for b, s in self.standing.items() if s.draining_since < 0 and s.capacity > 0}
-        level = sum(self.total(b) for b in self.standing) / sum(s.capacity for s in live.values())
-        s = self.standing[be]
-        return min(
-            self.terms.max_connections, (1 + CAPACITY_SLACK_RATIO) * level * s.capacity + (not s.warming_up)
-        )
-
-
-class MigrationPlannerTest(unittest.TestCase):
-    def test_a_thousand_leave_within_the_grace_and_nobody_is_overfilled(self) -> None:
-        standing = {0: stands(since=0.0), 1: stands(0), 2: stands(0), 3: stands(1), 4: stands(1, 0.1, True)}
-        fleet = Fleet(TERMS, standing, {f: f % 2 for f in range(8)})
-        for f in fleet.held:
-            fleet.held[f].update({0: 125, 1: 30, 2: 30, 3: 30})
-        pace = Counter[int]()
-        while fleet.total(0):
-            fleet.step()
-            for be in (1, 2, 3, 4):
-                self.assertLessEqual(fleet.total(be), fleet.room(be))
-                pace[be] = max(pace[be], fleet.took[be])
-            self.assertLess(fleet.now, TERMS.grace_s * (1 - GRACE_MARGIN_RATIO) + 1.0)
-        self.assertEqual(fleet.closed, 0)
-        self.assertGreater(fleet.now, TERMS.grace_s / 2)  # the rush is spread
-        for be, most in ((1, 1.0), (4, 0.1)):
-            self.assertLessEqual(pace[be], max(1, TERMS.arrivals_per_s * most))  # a bucket of one second
-        self.assertLessEqual(
-            fleet.most_lines, TERMS.channel_lines_per_s * PLAN_INTERVAL_S * mv.CHANNEL_FRACTION + 20
-        )
-
-    def test_own_zone_first_and_others_where_it_is_full(self) -> None:
-        standing = {0: stands(0, since=0.0), 1: stands(0), 2: stands(1)}
-        fleet = Fleet(TERMS, standing, {0: 0})
-        fleet.held[0].update({0: 40, 1: 10, 2: 10})
-        first = [order for order in fleet.step() if isinstance(order, MigrateConnections)]
-        self.assertEqual([[be for be, _ in order.destinations] for order in first], [[1]])
-        while fleet.total(0):
-            fleet.step()
-        self.assertGreater(fleet.total(2), 10)
-
-    def test_taken_back_half_way_is_stopped_and_stays(self) -> None:
-        standing = {0: stands(since=0.0), 1: stands(since=0.0), 2: stands(), 3: stands(1)}
-        fleet = Fleet(TERMS, standing, {0: 0, 1: 1})
-        for held in fleet.held.values():
-            held.update({0: 50, 1: 50})
-        fleet.step(carry=False)  # ordered, not yet carried out
-        standing[1] = stands()
-        orders = fleet.step(carry=False)
-        stops = [order for order in orders if isinstance(order, StopMigration)]
-        self.assertEqual({(s.forwarder, s.source) for s in stops}, {(0, 1), (1, 1)})
-        left = fleet.total(1)
-        while fleet.total(0):
+    def execute(self, order: MigrateConnections) -> None:
+        connections = self.connections[order.forwarder]
+        placed_count = sum(count for _, count in order.destinations)
+        assert 0 < order.count <= connections[order.source], order
+        assert placed_count <= order.count
+        connections[order.source] -= order.count
+        for worker, count in order.destinations:
+            assert self.views[worker].draining_since < 0, "a migration to a draining worker"
+            connections[worker] += count
+            self.received[worker] += count
+        self.closed_count += order.count - placed_count
+        self.planner.complete_migration(order.forwarder, order.number)
+
+    def run_until_empty(self, worker: int) -> None:
+        while self.connection_count(worker):
+            self.step()
+
+    def max_connections(self, worker: int) -> float:
+        """The most that a plan may fill a worker to, computed apart from the planner."""
+        live = [view for view in self.views.values() if view.draining_since < 0 and view.capacity > 0]
+        per_capacity = self.total_count() / sum(view.capacity for view in live)
+        view = self.views[worker]
+        fill_limit = (1 + CAPACITY_SLACK_RATIO) * per_capacity * view.capacity + (not view.warming_up)
+        return min(self.parameters.max_connections, fill_limit)
+
+
+class DrainTest(unittest.TestCase):
+    def test_a_thousand_connections_move_within_the_grace_period_and_overfill_no_worker(self) -> None:
+        views = {
+            0: draining_view(),
+            1: worker_view(),
+            2: worker_view(),
+            3: worker_view(zone=1),
+            4: worker_view(zone=1, capacity=0.1, warming_up=True),
+        }
+        fleet = SimulatedForwarders(PARAMETERS, views, {forwarder: forwarder % 2 for forwarder in range(8)})
+        for connections in fleet.connections.values():
+            connections.update({0: 125, 1: 30, 2: 30, 3: 30})
+        max_received = Counter[int]()
+        while fleet.connection_count(0):
             fleet.step()
-        self.assertGreaterEqual(fleet.total(1), left)  # it takes connections again
+            for worker in (1, 2, 3, 4):
+                self.assertLessEqual(fleet.connection_count(worker), fleet.max_connections(worker))
+                max_received[worker] = max(max_received[worker], fleet.received[worker])
+            self.assertLess(fleet.now, PARAMETERS.grace_s * (1 - GRACE_MARGIN_RATIO) + 1.0)
+        self.assertEqual(fleet.closed_count, 0)
+        self.assertGreater(fleet.now, PARAMETERS.grace_s / 2)  # the migrations are spread over time
+        for worker, capacity in ((1, 1.0), (4, 0.1)):
+            self.assertLessEqual(max_received[worker], max(1, PARAMETERS.arrivals_per_s * capacity))
+        self.assertLessEqual(fleet.max_lines, MAX_SLICE_LINES)
+
+    def test_connections_stay_in_their_zone_until_it_is_full(self) -> None:
+        views = {0: draining_view(), 1: worker_view(), 2: worker_view(zone=1)}
+        fleet = SimulatedForwarders(PARAMETERS, views, {0: 0})
+        fleet.connections[0].update({0: 40, 1: 10, 2: 10})
+        destinations = [[worker for worker, _ in order.destinations] for order in migrations(fleet.step())]
+        self.assertEqual(destinations, [[1]])
+        fleet.run_until_empty(0)
+        self.assertGreater(fleet.connection_count(2), 10)
+
+    def test_a_worker_that_is_ready_again_keeps_its_connections(self) -> None:
+        views = {0: draining_view(), 1: draining_view(), 2: worker_view(), 3: worker_view(zone=1)}
+        fleet = SimulatedForwarders(PARAMETERS, views, {0: 0, 1: 1})
+        for connections in fleet.connections.values():
+            connections.update({0: 50, 1: 50})
+        fleet.step(is_executed=False)
+        views[1] = worker_view()
+        orders = fleet.step(is_executed=False)
+        stopped = {(order.forwarder, order.source) for order in orders if isinstance(order, StopMigration)}
+        self.assertEqual(stopped, {(0, 1), (1, 1)})
+        before = fleet.connection_count(1)
+        fleet.run_until_empty(0)
+        self.assertGreaterEqual(fleet.connection_count(1), before)  # it is a destination again
 
-    def test_no_room_waits_and_is_closed_at_the_end(self) -> None:
-        standing = {0: stands(since=0.0), 1: stands()}
-        fleet = Fleet(MigrationParameters(2, 10.0, 20, 100.0, 0.05, 3000.0, 10), standing, {0: 0})
-        fleet.held[0].update({0: 100, 1: 5})
+    def test_connections_without_a_place_wait_and_are_closed_at_the_end(self) -> None:
+        parameters = MigrationParameters(2, 10.0, 20, 100.0, 0.05, 3000.0, 10)
+        fleet = SimulatedForwarders(parameters, {0: draining_view(), 1: worker_view()}, {0: 0})
+        fleet.connections[0].update({0: 100, 1: 5})
         while fleet.now < 8.0:
             fleet.step()
-        self.assertEqual(fleet.total(1), 20)  # the operators' limit
-        self.assertEqual(fleet.closed, 0)
-        while fleet.total(0):
-            fleet.step()
-        self.assertLessEqual(fleet.now, 10.0)
-        self.assertEqual(fleet.closed, 85)
+        self.assertEqual(fleet.connection_count(1), parameters.max_connections)
+        self.assertEqual(fleet.closed_count, 0)
+        fleet.run_until_empty(0)
+        self.assertLessEqual(fleet.now, parameters.grace_s)
+        self.assertEqual(fleet.closed_count, 85)
+
+    def test_without_any_other_worker_connections_are_closed_within_the_grace_period(self) -> None:
+        fleet = SimulatedForwarders(PARAMETERS, {0: draining_view()}, {0: 0})
+        fleet.connections[0].update({0: 100})
+        fleet.run_until_empty(0)
+        self.assertLessEqual(fleet.now, PARAMETERS.grace_s)
 
-    def test_everybody_gone_closes_in_slices(self) -> None:
-        fleet = Fleet(TERMS, {0: stands(since=0.0)}, {0: 0})
-        fleet.held[0].update({0: 100})
-        while fleet.total(0):
+    def test_many_small_forwarders_fit_the_channel(self) -> None:
+        """If each of 400 forwarders got an order in each slice, the message headers alone would fill it."""
+        views = {0: draining_view()} | {worker: worker_view(zone=worker % 2) for worker in range(1, 30)}
+        fleet = SimulatedForwarders(PARAMETERS, views, {forwarder: forwarder % 2 for forwarder in range(400)})
+        for forwarder, connections in fleet.connections.items():
+            connections.update({0: 3 if forwarder == 0 else 2})
+        while fleet.connection_count(0):
             fleet.step()
-        self.assertLessEqual(fleet.now, TERMS.grace_s)
-
-    def test_a_destination_that_dies_is_planned_anew(self) -> None:
-        standing = {0: stands(since=0.0), 1: stands(), 2: stands()}
-        fleet = Fleet(TERMS, standing, {0: 0})
-        fleet.held[0].update({0: 60})
-        ordered = [o for o in fleet.step(carry=False) if isinstance(o, MigrateConnections)]
-        for order in ordered:
-            fleet.moves.complete_migration(0, order.number)  # answered: failed
-        standing[1] = stands(since=fleet.now)
+            self.assertLessEqual(fleet.max_lines, MAX_SLICE_LINES)
+            self.assertLess(fleet.now, PARAMETERS.grace_s)
+
+    @settings(max_examples=40, derandomize=True, deadline=None)
+    @given(st.data())
+    def test_the_invariants_hold_for_random_fleets(self, data: st.DataObject) -> None:
+        """Workers are not overfilled and drains end in time, for workers that drain at random times."""
+        zones = {forwarder: forwarder % 2 for forwarder in range(data.draw(st.integers(1, 6), "forwarders"))}
+        views = {
+            worker: worker_view(
+                worker % 2, data.draw(st.floats(0.05, 3.0), f"capacity {worker}"), data.draw(st.booleans())
+            )
+            for worker in range(data.draw(st.integers(2, 7), "workers"))
+        }
+        fleet = SimulatedForwarders(PARAMETERS, views, zones)
+        for connections in fleet.connections.values():
+            connections.update({worker: data.draw(st.integers(0, 40)) for worker in views})
+        draining_workers = [worker for worker in list(views)[:-1] if worker % 3 == 0]
+        drains_at = {worker: data.draw(st.sampled_from([0.0, 3.0, 8.0])) for worker in draining_workers}
+        before = fleet.total_count()
+        while fleet.now < 8.0 + PARAMETERS.grace_s:
+            self.start_due_drains(fleet, drains_at)
+            self.check_step(fleet)
+        self.assertEqual(sum(fleet.connection_count(worker) for worker in drains_at), 0)
+        self.assertEqual(fleet.total_count() + fleet.closed_count, before)
+        self.assertLessEqual(fleet.max_lines, MAX_SLICE_LINES)
+
+    def start_due_drains(self, fleet: SimulatedForwarders, drains_at: dict[int, float]) -> None:
+        for worker, drain_at in drains_at.items():
+            if drain_at <= fleet.now and fleet.views[worker].draining_since < 0:
+                fleet.views[worker] = draining_view(zone=worker % 2, since=fleet.now)
+
+    def check_step(self, fleet: SimulatedForwarders) -> None:
+        """Plans one slice, after which no worker may be over its limit unless it was before."""
+        limits = {
+            worker: max(fleet.max_connections(worker), fleet.connection_count(worker))
+            for worker, view in fleet.views.items()
+            if view.draining_since < 0
+        }
+        fleet.step()
+        for worker, limit in limits.items():
+            self.assertLessEqual(fleet.connection_count(worker), limit)
+
+
+class FailedOrderTest(unittest.TestCase):
+    def test_connections_are_planned_again_when_their_destination_drains(self) -> None:
+        views = {0: draining_view(), 1: worker_view(), 2: worker_view()}
+        fleet = SimulatedForwarders(PARAMETERS, views, {0: 0})
+        fleet.connections[0].update({0: 60})
+        for order in migrations(fleet.step(is_executed=False)):
+            fleet.planner.complete_migration(0, order.number)  # the answer to an order that failed
+        views[1] = draining_view(since=fleet.now)
         for _ in range(60):
             fleet.step()
-        self.assertEqual((fleet.total(0), fleet.total(1)), (0, 0))
-        self.assertEqual(fleet.total(2), 60)
+        self.assertEqual((fleet.connection_count(0), fleet.connection_count(1)), (0, 0))
+        self.assertEqual(fleet.connection_count(2), 60)
 
     def test_lost_orders_are_given_again(self) -> None:
-        fleet = Fleet(TERMS, {0: stands(since=0.0), 1: stands()}, {0: 0})
-        fleet.held[0].update({0: 10})
-        fleet.step(lose=True)
-        quiet = fleet.step(lose=True)
-        self.assertLessEqual(sum(o.count for o in quiet if isinstance(o, MigrateConnections)), 1)
-        while fleet.total(0):
+        fleet = SimulatedForwarders(PARAMETERS, {0: draining_view(), 1: worker_view()}, {0: 0})
+        fleet.connections[0].update({0: 10})
+        fleet.step(is_executed=False)
+        repeated = migrations(fleet.step(is_executed=False))
+        self.assertLessEqual(sum(order.count for order in repeated), 1)
+        while fleet.connection_count(0):
             fleet.step()
-            self.assertLess(fleet.now, TERMS.grace_s)
-
-    def test_many_small_holders_fit_the_channel(self) -> None:
-        """A thousand connections over 400 forwarders: a head each slice would fill the channel."""
-        standing = {0: stands(since=0.0)} | {be: stands(be % 2) for be in range(1, 30)}
-        fleet = Fleet(TERMS, standing, {f: f % 2 for f in range(400)})
-        for held in fleet.held.values():
-            held.update({0: 2 + (held is fleet.held[0])})
-        while fleet.total(0):
-            fleet.step()
-            self.assertLessEqual(
-                fleet.most_lines, TERMS.channel_lines_per_s * PLAN_INTERVAL_S * mv.CHANNEL_FRACTION + 20
-            )
-            self.assertLess(fleet.now, TERMS.grace_s)
-
-    def test_a_forwarder_that_left_is_forgotten_and_one_that_comes_back_begins_anew(self) -> None:
-        fleet = Fleet(TERMS, {0: stands(since=0.0), 1: stands()}, {0: 0, 1: 0})
-        fleet.held[0].update({0: 10})
-        fleet.step(carry=False)
-        fleet.moves.remove_forwarder(0)
-        self.assertEqual(fleet.moves.connections_by_worker(), {})
-        fleet.moves.update_connections(0, False, {0: HeldConnectionCounts(5)})  # a word that was on its way
-        self.assertEqual(fleet.moves.connections_by_worker(), {})
-        fleet.moves.add_forwarder(0, 0)
-        self.assertTrue(
-            [o for o in fleet.step(carry=False) if isinstance(o, MigrateConnections) and o.forwarder == 0]
-        )
-
-    def test_parts_of_the_arrivals_are_told_where_they_changed(self) -> None:
-        fleet = Fleet(TERMS, {0: stands()}, dict.fromkeys(range(4), 0))
-        told = {o.forwarder: o.arrival_fraction for o in fleet.step() if isinstance(o, AdmitForwarder)}
-        self.assertEqual(told, dict.fromkeys(range(4), 0.25))
+            self.assertLess(fleet.now, PARAMETERS.grace_s)
+
+
+class ForwarderTest(unittest.TestCase):
+    def test_a_removed_forwarder_has_no_connections_until_it_is_added_again(self) -> None:
+        fleet = SimulatedForwarders(PARAMETERS, {0: draining_view(), 1: worker_view()}, {0: 0, 1: 0})
+        fleet.connections[0].update({0: 10})
+        fleet.step(is_executed=False)
+        fleet.planner.remove_forwarder(0)
+        self.assertEqual(fleet.planner.connections_by_worker(), {})
+        fleet.planner.update_connections(0, False, {0: HeldConnectionCounts(5)})  # a late report
+        self.assertEqual(fleet.planner.connections_by_worker(), {})
+        fleet.planner.add_forwarder(0, 0)
+        orders = migrations(fleet.step(is_executed=False))
+        self.assertTrue([order for order in orders if order.forwarder == 0])
+
+    def test_fractions_of_the_arrivals_are_sent_when_they_change(self) -> None:
+        forwarders = range(4)
+        fleet = SimulatedForwarders(PARAMETERS, {0: worker_view()}, dict.fromkeys(forwarders, 0))
+        self.assertEqual(arrival_fractions(fleet.step()), dict.fromkeys(forwarders, 0.25))
         self.assertEqual(fleet.step(), [])
-        fleet.moves.remove_forwarder(3)
-        told = {
-            o.forwarder: o.arrival_fraction
-            for o in fleet.moves.plan(9.0, fleet.standing)
-            if isinstance(o, AdmitForwarder)
-        }
-        self.assertEqual(set(told), {0, 1, 2})
-
-    def test_rows_replace_and_vanish(self) -> None:
-        moves = mv.MigrationPlanner(TERMS)
-        moves.add_forwarder(7, 0)
-        moves.update_connections(7, True, {1: HeldConnectionCounts(5, 1, 2), 2: HeldConnectionCounts(3)})
-        moves.update_connections(7, False, {1: HeldConnectionCounts(4), 2: HeldConnectionCounts(0)})
-        self.assertEqual(moves.connections_by_worker(), {1: HeldConnectionCounts(4)})
-        self.assertEqual(moves.load_by_worker(), {1: 0.2})
-        moves.update_connections(7, True, {})
-        self.assertEqual(moves.connections_by_worker(), {})
+        fleet.planner.remove_forwarder(3)
+        self.assertEqual(set(arrival_fractions(fleet.planner.plan(9.0, fleet.views))), {0, 1, 2})
 
+    def test_reported_counts_replace_earlier_ones(self) -> None:
+        planner = MigrationPlanner(PARAMETERS)
+        planner.add_forwarder(7, 0)
+        planner.update_connections(7, True, {1: HeldConnectionCounts(5, 1, 2), 2: HeldConnectionCounts(3)})
+        planner.update_connections(7, False, {1: HeldConnectionCounts(4), 2: HeldConnectionCounts(0)})
+        self.assertEqual(planner.connections_by_worker(), {1: HeldConnectionCounts(4)})
+        self.assertEqual(planner.load_by_worker(), {1: 0.2})
+        planner.update_connections(7, True, {})
+        self.assertEqual(planner.connections_by_worker(), {})
+
+
+class ApportionTest(unittest.TestCase):
     @settings(max_examples=60, derandomize=True, deadline=None)
     @given(
         st.dictionaries(st.integers(0, 9), st.floats(0.0, 50.0), min_size=1, max_size=8),
         st.integers(0, 300),
     )
-    def test_apportion_adds_up_and_strays_by_less_than_one(
+    def test_parts_add_up_and_are_within_one_of_the_exact_part(
         self, weights: dict[int, float], total: int
     ) -> None:
         parts = apportion(total, weights)
-        whole = sum(weights.values())
-        self.assertEqual(sum(parts.values()), total if whole > 0 else 0)
-        for key, n in parts.items():
-            self.assertLess(abs(n - total * weights[key] / whole), 1.0 + 1e-6)
-
-    @settings(max_examples=40, derandomize=True, deadline=None)
-    @given(st.data())
-    def test_whatever_the_fleet_the_promises_hold(self, data: st.DataObject) -> None:
-        """Rooms, no move to who leaves, an end within the grace, the channel: for drawn fleets in which
-        workers begin to leave at drawn instants."""
-        zones = {f: f % 2 for f in range(data.draw(st.integers(1, 6), "forwarders"))}
-        standing = {
-            be: stands(be % 2, data.draw(st.floats(0.05, 3.0), f"estimate {be}"), data.draw(st.booleans()))
-            for be in range(data.draw(st.integers(2, 7), "workers"))
-        }
-        fleet = Fleet(TERMS, standing, zones)
-        for held in fleet.held.values():
-            held.update({be: data.draw(st.integers(0, 40)) for be in standing})
-        leaves = {
-            be: data.draw(st.sampled_from([0.0, 3.0, 8.0])) for be in list(standing)[:-1] if be % 3 == 0
-        }
-        before = sum(fleet.total(be) for be in standing)
-        while fleet.now < 8.0 + TERMS.grace_s:
-            for be, at in leaves.items():
-                if at <= fleet.now and standing[be].draining_since < 0:
-                    standing[be] = stands(be % 2, since=fleet.now)
-            rooms = {
-                be: max(fleet.room(be), fleet.total(be)) for be, s in standing.items() if s.draining_since < 0
-            }
-            fleet.step()
-            for be, room in rooms.items():
-                self.assertLessEqual(fleet.total(be), room)
-        self.assertEqual(sum(fleet.total(be) for be in leaves), 0)
-        self.assertEqual(sum(fleet.total(be) for be in standing) + fleet.closed, before)
-        self.assertLessEqual(
-            fleet.most_lines, TERMS.channel_lines_per_s * PLAN_INTERVAL_S * mv.CHANNEL_FRACTION + 20
-        )
+        weight_sum = sum(weights.values())
+        self.assertEqual(sum(parts.values()), total if weight_sum > 0 else 0)
+        for key, part in parts.items():
+            self.assertLess(abs(part - total * weights[key] / weight_sum), 1.0 + 1e-6)
 
 
 if __name__ == "__main__":
--- a/tests/planning/test_priority_scheduling.py
+++ b/tests/planning/test_priority_scheduling.py
@@ -5,61 +5,62 @@
 import unittest
 from collections import Counter
 
-from cottonladder.planning import priority_scheduling as turns
+from cottonladder.planning.priority_scheduling import PriorityScheduler, TaskPlan
+
+SLICE_S = 0.001
 
 
 class PrioritySchedulerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.turns = turns.PriorityScheduler()
+        self.scheduler = PriorityScheduler()
+
+    def add(self, name: str, period_s: float, priority: int = 5, cpu_fraction: float = 0.05) -> None:
+        """Adds a task without jitter that is due at once."""
+        plan = TaskPlan(name, period_s, priority=priority, cpu_fraction=cpu_fraction, jitter_ratio=0.0)
+        self.scheduler.add(0.0, plan, 0.0)
 
-    def run_for(self, until: float, cost: dict[str, float], late: bool = False) -> Counter[str]:
-        """Each slice takes its cost and is a whole run."""
-        now, ran = 0.0, Counter[str]()
-        while now < until:
-            name = self.turns.next_task(now, late)
+    def run_until(
+        self, end: float, slice_s: dict[str, float], is_late: bool = False, failed: bool = False
+    ) -> Counter[str]:
+        """Runs due tasks, whose slices are whole runs of these durations; counts the runs by task."""
+        now = 0.0
+        runs = Counter[str]()
+        while now < end:
+            name = self.scheduler.next_task(now, is_late)
             if name is None:
-                now += self.turns.time_until_next(now)
+                now += self.scheduler.time_until_next(now)
                 continue
-            self.turns.slice_started(name, now)
-            now += cost[name]
-            self.turns.slice_finished(name, now, cost[name], True, False, 0.0)
-            ran[name] += 1
-        return ran
+            self.scheduler.slice_started(name, now)
+            now += slice_s[name]
+            self.scheduler.slice_finished(name, now, slice_s[name], not failed, failed, 0.0)
+            runs[name] += 1
+        return runs
 
-    def test_budgets_and_priorities(self) -> None:
-        self.turns.add(0.0, turns.TaskPlan("first", 0.1, priority=1, cpu_fraction=0.1, jitter_ratio=0.0), 0.0)
-        self.turns.add(
-            0.0, turns.TaskPlan("greedy", 0.01, priority=2, cpu_fraction=0.05, jitter_ratio=0.0), 0.0
-        )
-        ran = self.run_for(20.0, {"first": 0.002, "greedy": 0.004})
-        self.assertGreater(ran["first"], 180)
-        self.assertLessEqual(ran["greedy"] * 0.004, 20.0 * 0.05 + 0.05 + 0.004)
+    def test_a_task_keeps_to_its_budget_and_leaves_time_to_a_better_priority(self) -> None:
+        self.add("first", 0.1, priority=1, cpu_fraction=0.1)
+        self.add("greedy", 0.01, priority=2, cpu_fraction=0.05)
+        runs = self.run_until(20.0, {"first": 0.002, "greedy": 0.004})
+        self.assertGreater(runs["first"], 180)
+        self.assertLessEqual(runs["greedy"] * 0.004, 20.0 * 0.05 + 0.05 + 0.004)
 
-    def test_late_decisions_hold_everything_but_the_starved(self) -> None:
-        self.turns.add(0.0, turns.TaskPlan("one", 1.0, jitter_ratio=0.0), 0.0)
-        ran = self.run_for(20.0, {"one": 0.001}, late=True)
-        self.assertTrue(2 <= ran["one"] <= 4, ran)  # each five periods
+    def test_only_starved_tasks_run_while_the_control_loop_is_late(self) -> None:
+        self.add("one", 1.0)
+        runs = self.run_until(20.0, {"one": SLICE_S}, is_late=True)
+        self.assertTrue(2 <= runs["one"] <= 4, runs)  # once in five periods
 
-    def test_a_hundred_due_at_once_all_run_by_priority(self) -> None:
+    def test_a_hundred_tasks_that_are_due_at_once_run_by_priority(self) -> None:
         for n in range(100):
-            self.turns.add(0.0, turns.TaskPlan(f"t-{n}", 10.0, priority=n % 3, jitter_ratio=0.0), 0.0)
-        order = []
-        now = 0.0
-        while (name := self.turns.next_task(now, False)) is not None:
-            order.append(self.turns.tasks[name].plan.priority)
-            self.turns.slice_finished(name, now, 0.001, True, False, 0.0)
-        self.assertEqual((len(order), order), (100, sorted(order)))
+            self.add(f"t-{n}", 10.0, priority=n % 3)
+        priorities = []
+        while (name := self.scheduler.next_task(0.0, False)) is not None:
+            priorities.append(self.scheduler.tasks[name].plan.priority)
+            self.scheduler.slice_finished(name, 0.0, SLICE_S, True, False, 0.0)
+        self.assertEqual((len(priorities), priorities), (100, sorted(priorities)))
 
     def test_failing_tasks_back_off(self) -> None:
-        self.turns.add(0.0, turns.TaskPlan("bad", 1.0, jitter_ratio=0.0), 0.0)
-        now, runs = 0.0, 0
-        while now < 500.0:
-            if (name := self.turns.next_task(now, False)) is None:
-                now += self.turns.time_until_next(now)
-                continue
-            runs += 1
-            self.turns.slice_finished(name, now, 0.001, False, True, 0.0)
-        self.assertLess(runs, 16)
+        self.add("bad", 1.0)
+        runs = self.run_until(500.0, {"bad": SLICE_S}, failed=True)
+        self.assertLess(runs["bad"], 16)
 
 
 if __name__ == "__main__":
--- a/tests/planning/test_snapshot_staleness.py
+++ b/tests/planning/test_snapshot_staleness.py
@@ -1,14 +1,15 @@
-"""What a snapshot's figures are worth when they are restored, at managers and forwarders."""
+"""What is restored from a snapshot at its age, by managers and forwarders."""
 
 from __future__ import annotations
 
 import math
 import unittest
+from dataclasses import dataclass
 
-from cottonladder.forwarder import restored_state as fr
-from cottonladder.forwarder import router as ro
+from cottonladder.forwarder import restored_state
 from cottonladder.forwarder.request_classes import IDEMPOTENT, RequestClass
 from cottonladder.forwarder.resource_limits import AdmissionPacer
+from cottonladder.forwarder.router import MAX_CONSECUTIVE_FAILURES, ConfigPart, Router
 from cottonladder.model.inputs import (
     Endpoint,
     EndpointList,
@@ -18,103 +19,162 @@
     TimerFired,
     WorkerHistory,
 )
-from cottonladder.planning import snapshot_staleness as ageing
+from cottonladder.model.state_changes import WorkerState
+from cottonladder.planning import snapshot_staleness
 from cottonladder.planning.controller_views import collect_state
 from cottonladder.policy.controller import RoutingController
-from cottonladder.testbed import month_end as me
+from cottonladder.testbed import month_end
 
+WORKER_COUNT = 6
+DAY_S = 86_400.0
 
-def worker_history(be: int, out: bool = False, leaving: bool = False, slowness: float = 0.2) -> WorkerHistory:
-    return WorkerHistory(be, 0.0, 0.1, slowness, out, leaving)
+
+def worker_history(
+    worker_index: int, was_ejected: bool = False, was_draining: bool = False, latency_factor: float = 0.2
+) -> WorkerHistory:
+    return WorkerHistory(
+        worker_index=worker_index,
+        started_at=0.0,
+        base_latency_s=0.1,
+        latency_factor=latency_factor,
+        was_ejected=was_ejected,
+        was_draining=was_draining,
+    )
+
+
+@dataclass(frozen=True)
+class AgeCase:
+    """What is left of a manager's state at an age."""
+
+    age_s: float
+    is_ejection_restored: bool
+    rate_count: int
 
 
 class SnapshotStalenessTest(unittest.TestCase):
-    def test_each_figure_by_its_kind(self) -> None:
-        life = RestoredState(
-            9,
-            (
-                worker_history(0, out=True),
-                worker_history(1),
-                worker_history(2),
-                worker_history(3, leaving=True),
-            ),
-            ((4, 2.5),),
+    def test_each_figure_ages_by_its_kind(self) -> None:
+        histories = (
+            worker_history(0, was_ejected=True),
+            worker_history(1),
+            worker_history(2),
+            worker_history(3, was_draining=True),
         )
-        for age, out, rates in ((1.0, True, 1), (60.0, False, 1), (7200.0, False, 0), (math.inf, False, 0)):
-            aged = ageing.discount(life, age)
+        state = RestoredState(9, histories, ((4, 2.5),))
+        for case in (
+            AgeCase(1.0, True, 1),
+            AgeCase(60.0, False, 1),
+            AgeCase(7200.0, False, 0),
+            AgeCase(math.inf, False, 0),
+        ):
+            aged = snapshot_staleness.discount(state, case.age_s)
             self.assertEqual(
-                (aged.workers[0].was_ejected, len(aged.proxy_rates), aged.last_checkpoint), (out, rates, 9)
+                (aged.workers[0].was_ejected, len(aged.proxy_rates), aged.last_checkpoint),
+                (case.is_ejection_restored, case.rate_count, 9),
             )
-            self.assertEqual(
-                [p.was_draining for p in aged.workers], [False, False, False, True]
-            )  # drains stand
-        self.assertAlmostEqual(ageing.discount(life, 30.0).workers[1].latency_factor, 0.6)
-        self.assertEqual(ageing.discount(life, math.inf).workers[1].latency_factor, 1.0)
-        self.assertEqual(ageing.discount(life, 8 * 86_400.0).workers[1].base_latency_s, 0.0)
-
-    def test_a_file_that_suspects_everybody_suspects_nobody(self) -> None:
-        pasts = tuple(worker_history(n, out=n < 4) for n in range(8))
-        self.assertEqual(ageing.valid_suspicions(pasts, 1.0), set())
-        self.assertEqual(ageing.valid_suspicions(pasts[2:], 1.0), {2, 3})
-
-    def test_clocks_that_were_stepped(self) -> None:
-        self.assertEqual(ageing.snapshot_age(1000.0, 999.0), 0.0)
-        self.assertEqual(ageing.snapshot_age(86_400.0, 0.0), math.inf)
-        self.assertEqual(ageing.snapshot_age(0.0, 86_400.0), 86_400.0)
-
-    def ladder(self, *pasts: WorkerHistory, started: float = 0.0) -> RoutingController:
-        ladder = RoutingController(me.PARAMETERS)
-        entries = tuple(
-            Endpoint(be, be % 2, EndpointState.READY, 1.0, started if be == 0 else 0.0) for be in range(6)
+            # A drain is restored at any age.
+            self.assertEqual([worker.was_draining for worker in aged.workers], [False, False, False, True])
+        self.assertAlmostEqual(snapshot_staleness.discount(state, 30.0).workers[1].latency_factor, 0.6)
+        self.assertEqual(snapshot_staleness.discount(state, math.inf).workers[1].latency_factor, 1.0)
+        self.assertEqual(snapshot_staleness.discount(state, 8 * DAY_S).workers[1].base_latency_s, 0.0)
+
+    def test_no_ejection_is_restored_if_too_many_workers_were_ejected(self) -> None:
+        histories = tuple(worker_history(n, was_ejected=n < 4) for n in range(8))
+        self.assertEqual(snapshot_staleness.valid_suspicions(histories, 1.0), set())
+        self.assertEqual(snapshot_staleness.valid_suspicions(histories[2:], 1.0), {2, 3})
+
+    def test_a_clock_that_was_set_back_makes_a_snapshot_infinitely_old(self) -> None:
+        self.assertEqual(snapshot_staleness.snapshot_age(1000.0, 999.0), 0.0)
+        self.assertEqual(snapshot_staleness.snapshot_age(DAY_S, 0.0), math.inf)
+        self.assertEqual(snapshot_staleness.snapshot_age(0.0, DAY_S), DAY_S)
+
+
+class RestoredControllerTest(unittest.TestCase):
+    def restored_controller(
+        self, *histories: WorkerHistory, first_started_at: float = 0.0
+    ) -> RoutingController:
+        """A controller with the cached endpoint list and an earlier incarnation's state."""
+        controller = RoutingController(month_end.PARAMETERS)
+        endpoints = tuple(
+            Endpoint(worker, worker % 2, EndpointState.READY, 1.0, first_started_at if worker == 0 else 0.0)
+            for worker in range(WORKER_COUNT)
         )
-        ladder.decide(1000.0, [EndpointList(ListUpdateKind.CACHED, entries), RestoredState(7, pasts, ())])
-        return ladder
-
-    def test_what_the_module_makes_of_it(self) -> None:
-        """A drain stands until the list has the worker ready; a suspect is tried again; who has started
-        since is a new worker; one that is unlisted is nobody; the number of marks goes on."""
-        ladder = self.ladder(
-            worker_history(0, leaving=True), worker_history(1, out=True), worker_history(9, leaving=True)
+        cached_list = EndpointList(ListUpdateKind.CACHED, endpoints)
+        controller.decide(1000.0, [cached_list, RestoredState(7, histories, ())])
+        return controller
+
+    def test_drains_and_ejections_are_restored_for_listed_workers(self) -> None:
+        controller = self.restored_controller(
+            worker_history(0, was_draining=True),
+            worker_history(1, was_ejected=True),
+            worker_history(9, was_draining=True),
         )
-        states = {be: state.state for be, state in ladder.fleet.workers.items()}
-        self.assertEqual((states[0], states[1], states[2], 9 in states), ("gone", "out", "well", False))
-        self.assertEqual(ladder.channel_budget.last_checkpoint, 7)
-        ready = Endpoint(0, 0, EndpointState.READY, 1.0, 0.0)
-        ladder.decide(1001.0, [EndpointList(ListUpdateKind.DELTA, (ready,))])
-        self.assertEqual(ladder.fleet.workers[0].state, "ramp")
-        ladder.decide(1008.0, [TimerFired(ladder.tick)])
-        self.assertIn(
-            ladder.fleet.workers[1].state, ("ramp", "well")
-        )  # a recovered one is back within seconds
-        replaced = self.ladder(worker_history(0, leaving=True), started=995.0)
-        self.assertNotEqual(replaced.fleet.workers[0].state, "gone")
-        self.assertTrue(replaced.fleet.is_warming_up(replaced.fleet.workers[0]))  # and still cold
-
-    def test_a_life_goes_round(self) -> None:
-        day = me.MonthEndRun({}, duration_s=30.0)
-        day.run()
-        life = collect_state(
-            day.controller, list(day.controller.fleet.workers), list(day.controller.fleet.proxies)
+        workers = controller.fleet.workers
+        self.assertEqual(
+            (workers[0].state, workers[1].state, workers[2].state, 9 in workers),
+            (WorkerState.REMOVED, WorkerState.EJECTED, WorkerState.HEALTHY, False),
         )
-        self.assertEqual({p.worker_index for p in life.workers}, set(day.workers))
-        self.assertTrue(all(p.base_latency_s > 0 for p in life.workers))
-        self.assertEqual(len(life.proxy_rates), me.PROXY_COUNT)
-
-    def test_the_forwarder_s(self) -> None:
-        kinds = [RequestClass("fetch", (), IDEMPOTENT)]
-        before = ro.Router(kinds, "ratio", lambda: 0.5)
-        before.apply(
-            [ro.ConfigPart(replace=True, weights=tuple((f"s-{n}", 1.0) for n in range(6)), exclude=("s-5",))]
+        self.assertEqual(controller.channel_budget.last_checkpoint, 7)
+
+    def test_a_restored_drain_ends_when_the_list_has_the_worker_ready_and_an_ejection_by_itself(self) -> None:
+        controller = self.restored_controller(
+            worker_history(0, was_draining=True),
+            worker_history(1, was_ejected=True),
+            worker_history(9, was_draining=True),
         )
-        for _ in range(ro.MAX_CONSECUTIVE_FAILURES):
+        ready = Endpoint(0, 0, EndpointState.READY, 1.0, 0.0)
+        controller.decide(1001.0, [EndpointList(ListUpdateKind.DELTA, (ready,))])
+        self.assertEqual(controller.fleet.workers[0].state, WorkerState.SLOW_START)
+        controller.decide(1008.0, [TimerFired(controller.tick)])
+        self.assertIn(controller.fleet.workers[1].state, (WorkerState.SLOW_START, WorkerState.HEALTHY))
+
+    def test_a_worker_that_was_started_since_is_a_new_one(self) -> None:
+        controller = self.restored_controller(worker_history(0, was_draining=True), first_started_at=995.0)
+        worker = controller.fleet.workers[0]
+        self.assertNotEqual(worker.state, WorkerState.REMOVED)
+        self.assertTrue(controller.fleet.is_warming_up(worker))
+
+    def test_a_controller_s_state_names_its_workers_and_proxies(self) -> None:
+        run = month_end.MonthEndRun({}, duration_s=30.0)
+        run.run()
+        fleet = run.controller.fleet
+        state = collect_state(run.controller, list(fleet.workers), list(fleet.proxies))
+        self.assertEqual({worker.worker_index for worker in state.workers}, set(run.workers))
+        self.assertTrue(all(worker.base_latency_s > 0 for worker in state.workers))
+        self.assertEqual(len(state.proxy_rates), month_end.PROXY_COUNT)
+
+
+@dataclass(frozen=True)
+class ForwarderCase:
+    """What a forwarder restores at an age."""
+
+    age_s: float
+    is_avoided: bool
+    candidates: frozenset[str]
+
+
+class RestoredForwarderTest(unittest.TestCase):
+    def test_exclusions_stand_and_tables_and_avoided_workers_age(self) -> None:
+        classes = [RequestClass("fetch", (), IDEMPOTENT)]
+        before = Router(classes, "ratio", lambda: 0.5)
+        weights = tuple((f"s-{n}", 1.0) for n in range(WORKER_COUNT))
+        before.apply([ConfigPart(replace=True, weights=weights, exclude=("s-5",))])
+        for _ in range(MAX_CONSECUTIVE_FAILURES):
             before.record_result(100.0, "s-0", False)
-        life = fr.snapshot_of(before, {}, 100.0)
-        for age, avoided, table in ((1.0, True, True), (60.0, False, True), (7200.0, False, False)):
-            after, arrivals = ro.Router(kinds, "ratio", lambda: 0.5), AdmissionPacer(10.0, 1.0)
-            fr.restore(life, age, 500.0, after, arrivals, lambda be: be != "s-4")
+        snapshot = restored_state.snapshot_of(before, {}, 100.0)
+        listed = frozenset({"s-0", "s-1", "s-2", "s-3"})
+        for case in (
+            ForwarderCase(1.0, True, listed),
+            ForwarderCase(60.0, False, listed),
+            ForwarderCase(7200.0, False, frozenset()),
+        ):
+            after = Router(classes, "ratio", lambda: 0.5)
+            pacer = AdmissionPacer(10.0, 1.0)
+            restored_state.restore(
+                snapshot, case.age_s, 500.0, after, pacer, lambda worker_id: worker_id != "s-4"
+            )
             self.assertEqual(after.excluded, {"s-5"})
-            self.assertEqual("s-0" in after.avoided_until(), avoided)
-            self.assertEqual(set(after.candidates("fetch")), {"s-0", "s-1", "s-2", "s-3"} if table else set())
+            self.assertEqual("s-0" in after.avoided_until(), case.is_avoided)
+            self.assertEqual(set(after.candidates("fetch")), case.candidates)
 
 
 if __name__ == "__main__":
