--- a/cottonladder/cli/configuration.py
+++ b/cottonladder/cli/configuration.py
@@ -1,31 +1,31 @@
-"""Reading configuration files for a command: a file that can't be used is one line and status 2."""
+"""Reads configuration files for a command; a file that is not valid ends it with one line and status 2."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from ..config.errors import InputError
-from ..config.manager_config import ManagerConfig, read_manager_config
+from ..control.startup_config import StartupConfig, read_startup_config
 from .errors import BadInputError
 
 if TYPE_CHECKING:
     from ..config.operator_config import OperatorConfig
 
 
-def load_manager_config(path: str) -> ManagerConfig:
+def load_startup_config(path: str) -> StartupConfig:
+    """Reads the manager's file; raises BadInputError if it is not valid."""
     try:
-        return read_manager_config(path)
+        return read_startup_config(path)
     except InputError as exc:
         raise BadInputError(str(exc)) from exc
 
 
 def load_operator_config(path: str) -> OperatorConfig | None:
-    """Reads the operators' file; None where no path is given, as everything in it is then off."""
+    """Reads the operators' file; None without a path, which switches everything in it off."""
     if not path:
         return None
-    from ..config.operator_config import (
-        read_operator_config,  # its parsers take memory of a manager without it
-    )
+    # Imported here, as the parsers would take memory in a manager without the file.
+    from ..config.operator_file import read_operator_config
 
     try:
         return read_operator_config(path)
--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 
 from ..model.views import WorkerCapacityView
-from ..policy.tuning import SOLVE_INTERVAL
+from ..policy.cadence import SOLVE_INTERVAL_S
 
 # Largest factor that all advice together may raise or lower a capacity estimate by.
 MAX_FACTOR = 2.0
@@ -53,7 +53,7 @@
 # Natural logarithm of a factor below which the factor counts as 1.
 NEUTRAL_LOG = 1e-4
 # Time between two calls of `update_factors`, that of the routing policy.
-UPDATE_INTERVAL_S = SOLVE_INTERVAL
+UPDATE_INTERVAL_S = SOLVE_INTERVAL_S
 
 
 @dataclass(frozen=True, slots=True)
--- a/cottonladder/planning/migration_placement.py
+++ b/cottonladder/planning/migration_placement.py
@@ -9,7 +9,7 @@
 
 from ..model.min_cost_flow import min_cost_flow
 from ..model.views import WorkerCapacityView
-from ..policy.flow import CROSS_ZONE_COST
+from ..policy.zone_flow import CROSS_ZONE_COST
 
 
 @dataclass(slots=True)
--- a/cottonladder/planning/snapshot_staleness.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -13,7 +13,7 @@
 from dataclasses import replace
 
 from ..model.inputs import RestoredState, WorkerHistory
-from ..policy.worker_lifecycle import MAX_EJECTED_RATIO as MAX_EJECTED_RATIO
+from ..policy.outlier_ejection import MAX_EJECTED_RATIO as MAX_EJECTED_RATIO
 
 # Age up to which an ejection is restored; the policy ends most ejections sooner.
 MAX_SUSPICION_AGE_S = 20.0
--- a/tests/control/test_program.py
+++ b/tests/control/test_program.py
@@ -21,9 +21,9 @@
 from cottonladder.cli import main as cli
 from cottonladder.config.deployment import read_settings
 from cottonladder.config.errors import InputError
-from cottonladder.config.manager_config import read_manager_config
 from cottonladder.control import manager
-from cottonladder.control.control_loop import Clock
+from cottonladder.control.clock import Clock
+from cottonladder.control.startup_config import read_startup_config
 from cottonladder.model.inputs import EndpointList, GossipReceived, Input, ListUpdateKind, TimerFired
 from cottonladder.model.orders import Order
 from cottonladder.policy.controller import RoutingController
@@ -73,7 +73,7 @@
             endpoint_list(42, endpoint_entry("s-1", "Terminating"), endpoint_entry("s-3", zone="b"))
         )
         await proxy.receive_until("s-1:0.0")
-        await program.logged(
+        line = await program.logged(
             "event=worker_state_changed",
             "worker_id=s-1",
             "from_state=healthy",
@@ -81,6 +81,7 @@
             "reason=endpoint_not_ready",
             "endpoint_state=draining",
         )
+        self.assertNotIn("uptime_s", line)  # the list gives no start for this worker
         collector.send("PING")
         self.assertEqual(await collector.receive(), "PONG")
         self.assertEqual(collector.received, [])  # nothing else was ever written to it
@@ -407,7 +408,7 @@
 
     async def test_a_fault_of_the_module_is_not_swallowed(self) -> None:
         program = await self.serving()
-        placement = read_manager_config(str(program.folder / "config.json"))
+        placement = read_startup_config(str(program.folder / "config.json"))
         await program.stop()
 
         class Faulty(RoutingController):
@@ -431,7 +432,7 @@
         transport.is_closing.return_value = False
         late.connection_made(transport)
         for sweeps, ended in ((1, False), (2, True)):
-            with mock.patch.object(address, "IDENTIFY_TIMEOUT", -1.0):
+            with mock.patch.object(address, "IDENTIFY_TIMEOUT_S", -1.0):
                 where._sweep()
             self.assertEqual(transport.abort.called, ended, sweeps)
         await where.close()
--- a/tests/planning/test_advertised_weights.py
+++ b/tests/planning/test_advertised_weights.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from cottonladder.planning.advertised_weights import AdvertisedWeight, advertise_weights, has_changed
-from cottonladder.policy.tables import MAX_WARM_UP_SHARE
+from cottonladder.policy.warm_up import MAX_WARM_UP_WEIGHT
 from tests.support.capacity_views import NOT_DRAINING, capacity_view
 
 
@@ -58,7 +58,7 @@
                 if view.draining_since >= 0:
                     self.assertEqual((weight.weight, weight.is_leaving), (0, True))
                 elif view.warming_up and has_warm:
-                    max_share = MAX_WARM_UP_SHARE * view.capacity / fleet_capacity
+                    max_share = MAX_WARM_UP_WEIGHT * view.capacity / fleet_capacity
                     self.assertLessEqual(weight.weight / total, max_share + 1.0 / total)
 
     def test_small_changes_do_not_count(self) -> None:
--- a/tests/planning/test_snapshot_staleness.py
+++ b/tests/planning/test_snapshot_staleness.py
@@ -7,9 +7,10 @@
 from dataclasses import dataclass
 
 from cottonladder.forwarder import restored_state
-from cottonladder.forwarder.request_classes import IDEMPOTENT, RequestClass
-from cottonladder.forwarder.resource_limits import AdmissionPacer
-from cottonladder.forwarder.router import MAX_CONSECUTIVE_FAILURES, ConfigPart, Router
+from cottonladder.forwarder.admission_pacer import AdmissionPacer
+from cottonladder.forwarder.request_classes import Idempotency, RequestClass
+from cottonladder.forwarder.router import MAX_CONSECUTIVE_FAILURES, AdmissionMode, Router
+from cottonladder.forwarder.routing_orders import ConfigPart
 from cottonladder.model.inputs import (
     Endpoint,
     EndpointList,
@@ -23,6 +24,7 @@
 from cottonladder.planning import snapshot_staleness
 from cottonladder.planning.controller_views import collect_state
 from cottonladder.policy.controller import RoutingController
+from cottonladder.policy.warm_up import is_warming_up
 from cottonladder.testbed import month_end
 
 WORKER_COUNT = 6
@@ -108,7 +110,7 @@
             worker_history(1, was_ejected=True),
             worker_history(9, was_draining=True),
         )
-        workers = controller.fleet.workers
+        workers = controller.state.workers.by_index
         self.assertEqual(
             (workers[0].state, workers[1].state, workers[2].state, 9 in workers),
             (WorkerState.REMOVED, WorkerState.EJECTED, WorkerState.HEALTHY, False),
@@ -123,21 +125,23 @@
         )
         ready = Endpoint(0, 0, EndpointState.READY, 1.0, 0.0)
         controller.decide(1001.0, [EndpointList(ListUpdateKind.DELTA, (ready,))])
-        self.assertEqual(controller.fleet.workers[0].state, WorkerState.SLOW_START)
+        self.assertEqual(controller.state.workers.by_index[0].state, WorkerState.SLOW_START)
         controller.decide(1008.0, [TimerFired(controller.tick)])
-        self.assertIn(controller.fleet.workers[1].state, (WorkerState.SLOW_START, WorkerState.HEALTHY))
+        self.assertIn(
+            controller.state.workers.by_index[1].state, (WorkerState.SLOW_START, WorkerState.HEALTHY)
+        )
 
     def test_a_worker_that_was_started_since_is_a_new_one(self) -> None:
         controller = self.restored_controller(worker_history(0, was_draining=True), first_started_at=995.0)
-        worker = controller.fleet.workers[0]
+        worker = controller.state.workers.by_index[0]
         self.assertNotEqual(worker.state, WorkerState.REMOVED)
-        self.assertTrue(controller.fleet.is_warming_up(worker))
+        self.assertTrue(is_warming_up(controller.state, worker))
 
     def test_a_controller_s_state_names_its_workers_and_proxies(self) -> None:
         run = month_end.MonthEndRun({}, duration_s=30.0)
         run.run()
-        fleet = run.controller.fleet
-        state = collect_state(run.controller, list(fleet.workers), list(fleet.proxies))
+        known = run.controller.state
+        state = collect_state(run.controller, list(known.workers.by_index), list(known.proxies.by_number))
         self.assertEqual({worker.worker_index for worker in state.workers}, set(run.workers))
         self.assertTrue(all(worker.base_latency_s > 0 for worker in state.workers))
         self.assertEqual(len(state.proxy_rates), month_end.PROXY_COUNT)
@@ -154,8 +158,8 @@
 
 class RestoredForwarderTest(unittest.TestCase):
     def test_exclusions_stand_and_tables_and_avoided_workers_age(self) -> None:
-        classes = [RequestClass("fetch", (), IDEMPOTENT)]
-        before = Router(classes, "ratio", lambda: 0.5)
+        classes = [RequestClass("fetch", (), Idempotency.IDEMPOTENT)]
+        before = Router(classes, AdmissionMode.RATIO, lambda: 0.5)
         weights = tuple((f"s-{n}", 1.0) for n in range(WORKER_COUNT))
         before.apply([ConfigPart(replace=True, weights=weights, exclude=("s-5",))])
         for _ in range(MAX_CONSECUTIVE_FAILURES):
@@ -167,7 +171,7 @@
             ForwarderCase(60.0, False, listed),
             ForwarderCase(7200.0, False, frozenset()),
         ):
-            after = Router(classes, "ratio", lambda: 0.5)
+            after = Router(classes, AdmissionMode.RATIO, lambda: 0.5)
             pacer = AdmissionPacer(10.0, 1.0)
             restored_state.restore(
                 snapshot, case.age_s, 500.0, after, pacer, lambda worker_id: worker_id != "s-4"
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -50,9 +50,10 @@
 from cottonladder.model.state_changes import AdmissionChanged, WorkerStateChanged
 from cottonladder.policy.controller import RoutingController
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
-from cottonladder.state.order_dispatcher import OrderDispatcher, OrderRejectedError
+from cottonladder.state.order_dispatcher import OrderDispatcher
+from cottonladder.state.order_errors import OrderRejectedError
 from cottonladder.state.worker_registry import WorkerRegistry
-from tests.policy.test_scenarios import USUAL
+from tests.support.deployment_parameters import DEFAULT_PARAMETERS
 
 UNDISPATCHED_ORDERS = (WatchEndpoints, HealthCheck, SendGossip, WorkerStateChanged, AdmissionChanged)
 
@@ -202,7 +203,7 @@
     def __init__(self, seed: int, managers: int) -> None:
         self.random = random.Random(seed)
         parameters = replace(
-            USUAL,
+            DEFAULT_PARAMETERS,
             seed=seed,
             manager_count=managers,
             zone_count=3,
@@ -277,14 +278,16 @@
 
     def check_agreement(self) -> None:
         """Once all has arrived, bound proxies hold and shut out what the module takes them to."""
-        for table in self.controller.fleet.tables:
+        for table in self.controller.state.tables.all:
             for p in table.readers:
                 stand_in = self.proxies[p]
                 stand_in.arrive()
-                expect_equal(self.workers.ids.keys() >= self.controller.fleet.workers.keys(), True)
+                expect_equal(self.workers.ids.keys() >= self.controller.state.workers.by_index.keys(), True)
                 sent = {self.workers.ids[i]: w for i, w in table.sent.items() if w > 0}
                 out = {
-                    self.workers.ids[i] for i in table.sent if self.controller.fleet.workers[i].is_excluded
+                    self.workers.ids[i]
+                    for i in table.sent
+                    if self.controller.state.workers.by_index[i].is_excluded
                 }
                 expect_equal(stand_in.rows, sent)
                 expect_equal(stand_in.out & set(sent), out & set(sent))
--- a/tests/weight_advice/test_advisor_clients.py
+++ b/tests/weight_advice/test_advisor_clients.py
@@ -118,8 +118,8 @@
         table: dict[str, float] = {}
         await self.apply_orders(proxy, table, lambda: first_to_last_ratio(table) > 1.5)
         self.assertIsNotNone(agent.keep_alive)
-        line = await manager.logged("advisor_status", "unmatched=1", wait=2 * EVENT_TIMEOUT_S)
-        self.assertIn("weights=4", line)
+        line = await manager.logged("advisor_status", "unmatched_count=1", wait=2 * EVENT_TIMEOUT_S)
+        self.assertIn("weight_count=4", line)
 
 
 if __name__ == "__main__":
