--- a/tests/weight_advice/manager_case.py
+++ b/tests/weight_advice/manager_case.py
@@ -12,7 +12,7 @@
 from cottonladder.testbed.advisors import SaspBalancer
 from cottonladder.testbed.discovery import SimulatedDiscovery
 from cottonladder.testbed.fleet import ManagerProcess
-from cottonladder.weight_advice import sasp
+from cottonladder.weight_advice import dfp, sasp
 from tests.support.stream_client import StreamClient
 
 EVENT_TIMEOUT_S = 20.0
@@ -27,6 +27,17 @@
     return sasp.MemberData(6, port, WORKER_ADDRESS, label.encode())
 
 
+def dfp_hosts() -> dict[int, tuple[dfp.HostPreference, ...]]:
+    """Weights by port: two workers have weights of two BindIDs, and one host is no worker."""
+    unknown_host = dfp.HostPreference(WORKER_ADDRESS + 68, 0, 50)  # 127.0.0.77
+    return {
+        8001: (dfp.HostPreference(WORKER_ADDRESS, 0, 100), dfp.HostPreference(WORKER_ADDRESS, 3, 90)),
+        8002: (dfp.HostPreference(WORKER_ADDRESS, 0, 100),),
+        8003: (dfp.HostPreference(WORKER_ADDRESS, 0, 10), unknown_host),
+        8004: (dfp.HostPreference(WORKER_ADDRESS, 0, 100), dfp.HostPreference(WORKER_ADDRESS, 1, 10)),
+    }
+
+
 class ManagerTestCase(unittest.IsolatedAsyncioTestCase):
     """Simulated discovery with four workers, and managers that are stopped after the test."""
 
