--- a/cottonladder/control/advice_connections.py
+++ b/cottonladder/control/advice_connections.py
@@ -14,8 +14,13 @@
     TlsConfig,
     host_port,
 )
-from ..weight_advice.client import AdviceListener, AdvisorClient, DfpAdvisorClient, SaspAdvisorClient
-from ..weight_advice.server import AdvertisedWeights, AdviceServer, DfpServer, SaspServer, tls_context
+from ..weight_advice.client import AdviceListener, AdvisorClient
+from ..weight_advice.dfp_client import DfpAdvisorClient
+from ..weight_advice.dfp_server import DfpServer
+from ..weight_advice.sasp_client import SaspAdvisorClient
+from ..weight_advice.sasp_server import SaspServer
+from ..weight_advice.server import AdvertisedWeights, AdviceServer
+from ..weight_advice.tls import tls_context
 
 MAX_SECRET_BYTES = 1024  # of a secret's file
 
--- a/cottonladder/control/extensions.py
+++ b/cottonladder/control/extensions.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ..config.manager_config import ManagerConfig
 from ..model.state_changes import StateChange
 from ..protocol.discovery import DiscoveryClient
 from ..protocol.messages import MessageReader
 from .control_loop_extension import ControlLoopExtension
+from .startup_config import StartupConfig
 
 if TYPE_CHECKING:
     from ..config.operator_config import OperatorConfig
@@ -59,7 +59,7 @@
 
 
 async def start_background_work(
-    config: ManagerConfig, operator: OperatorConfig | None, stack: AsyncExitStack
+    config: StartupConfig, operator: OperatorConfig | None, stack: AsyncExitStack
 ) -> BackgroundWork:
     """Starts the scheduler, snapshots and the admin socket where the file switches them on."""
     if operator is None or not (operator.memory or operator.control):
@@ -87,7 +87,7 @@
 
 
 def create_extensions(
-    config: ManagerConfig, operator: OperatorConfig | None, messages: MessageReader
+    config: StartupConfig, operator: OperatorConfig | None, messages: MessageReader
 ) -> Extensions:
     """Creates the extensions that the operators' file switches on, without starting them."""
     extensions = Extensions()
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -13,7 +13,6 @@
 
 import structlog
 
-from ..config.manager_config import ManagerConfig
 from ..policy.controller import RoutingController
 from ..protocol.discovery import DiscoveryClient
 from ..protocol.gossip import GossipSocket
@@ -35,6 +34,7 @@
 from .input_queue import InputQueue
 from .reload import ConfigReloader
 from .starting_list import StartingList
+from .startup_config import StartupConfig
 from .state_change_log import StateChangeLog
 
 if TYPE_CHECKING:
@@ -45,11 +45,11 @@
 LOAD_CHECK_PATH = "/load"  # on workers that report their load with the answer
 
 
-async def serve(config: ManagerConfig, config_path: str, operator: OperatorConfig | None = None) -> None:
+async def serve(config: StartupConfig, config_path: str, operator: OperatorConfig | None = None) -> None:
     """Runs one manager until SIGTERM or SIGINT; a fault of the policy is raised from here."""
     log: structlog.stdlib.BoundLogger = structlog.get_logger()
     stop = _stop_event()
-    limits = connection_limits(config)
+    limits = connection_limits(config.manager)
     input_queue = InputQueue()
     sessions = ProxySessions(input_queue.put)
     messages = MessageReader(config.settings, config.workers.find_index)
@@ -65,16 +65,16 @@
         control_loop.step([known.endpoints])  # before it listens, so that it can decide once it answers
         listener = StreamListener(messages, sessions, limits)
         stack.push_async_callback(listener.close)
-        port = await listener.listen(*config.listen)
-        log.info("serving", name=config.name, host=config.listen[0], port=port)
-        reloader = ConfigReloader(config_path, config, effects.discovery, listener)
+        port = await listener.listen(*config.manager.listen)
+        log.info("serving", name=config.manager.name, host=config.manager.listen[0], port=port)
+        reloader = ConfigReloader(config_path, config.manager, effects.discovery, listener)
         stack.callback(reloader.close)
         _reload_on_signal(reloader)
         running = await stack.enter_async_context(_owned_task(control_loop.run()))
         await _wait_for_first(running, stop)
         if running.done():
             running.result()  # raises what ended it
-        log.info("stopping", name=config.name)
+        log.info("stopping", name=config.manager.name)
 
 
 def _stop_event() -> asyncio.Event:
@@ -86,15 +86,15 @@
     return stop
 
 
-def _starting_list(config: ManagerConfig, background: BackgroundWork) -> StartingList:
+def _starting_list(config: StartupConfig, background: BackgroundWork) -> StartingList:
     """The newer of the snapshot's endpoint list and the configuration's."""
     if background.snapshots is not None:
         return background.snapshots.starting_list
-    return StartingList(config.list_version, config.known_endpoints)
+    return config.starting_list
 
 
 async def _open_effects(
-    config: ManagerConfig,
+    config: StartupConfig,
     limits: ConnectionLimits,
     list_version: int,
     input_queue: InputQueue,
@@ -103,20 +103,24 @@
     """Opens discovery client, health checks and gossip; their results come back through the queue."""
     settings = config.settings
     workers = config.workers
-    discovery = DiscoveryClient(config.discovery, settings, workers.register, input_queue.put, list_version)
+    discovery = DiscoveryClient(
+        config.manager.discovery, settings, workers.register, input_queue.put, list_version
+    )
     stack.push_async_callback(discovery.close)
     check_path = LOAD_CHECK_PATH if settings.load_reports else HEALTH_CHECK_PATH
     health_checker = HealthChecker(check_path, limits.max_health_checks, workers.address_of, input_queue.put)
     stack.push_async_callback(health_checker.close)
-    gossip = GossipSocket(settings.manager_index, config.peers, config.peers_all, input_queue.put)
+    gossip = GossipSocket(
+        settings.manager_index, config.manager.peers, config.manager.peers_all, input_queue.put
+    )
     stack.callback(gossip.close)
-    if config.peer_listen is not None:
-        await gossip.listen(config.peer_listen)
+    if config.manager.peer_listen is not None:
+        await gossip.listen(config.manager.peer_listen)
     return Effects(discovery, health_checker, gossip)
 
 
 def _create_control_loop(
-    config: ManagerConfig,
+    config: StartupConfig,
     input_queue: InputQueue,
     sessions: ProxySessions,
     effects: Effects,
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -18,8 +18,8 @@
 from ..planning.plugin_bounds import bounded_factor, may_veto
 from ..plugins.abi import EVENT, MOVE, WORKER
 from ..plugins.chain import PluginChain, PluginSpec
+from ..policy.cadence import SOLVE_INTERVAL_S
 from ..policy.controller import RoutingController
-from ..policy.tuning import SOLVE_INTERVAL
 from ..state.worker_registry import WorkerRegistry
 from .input_queue import LoopInput
 from .plugin_records import UNKNOWN_WORKER_ID, event_record, migration_record, worker_record
@@ -79,7 +79,7 @@
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
         """Sends proxies nothing; starts a round over the workers once an interval."""
         if now >= self._next_round_at:
-            self._next_round_at = now + SOLVE_INTERVAL
+            self._next_round_at = now + SOLVE_INTERVAL_S
             self._start_round(controller)
         self.chain.log_status()
         yield from ()
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -13,7 +13,6 @@
 
 import structlog
 
-from ..config.manager_config import ManagerConfig
 from ..model.inputs import EndpointState, Input, RestoredState, WorkerHistory
 from ..planning.controller_views import collect_state
 from ..planning.priority_scheduling import TaskPlan
@@ -31,6 +30,7 @@
 from .snapshot_folder import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
 from .snapshot_restore import restored_credits, restored_state, starting_list
 from .starting_list import StartingList
+from .startup_config import StartupConfig
 
 SECTION = "manager"  # of a snapshot file
 SNAPSHOT_PRIORITY = 3  # among background tasks; 0 runs first
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, folder: str, interval_s: float, config: ManagerConfig, scheduler: BackgroundScheduler
+        self, folder: str, interval_s: float, config: StartupConfig, scheduler: BackgroundScheduler
     ) -> None:
         self._folder = SnapshotFolder(folder)
         self._workers = config.workers
@@ -53,7 +53,7 @@
         self._interval_s = interval_s
         self._controller: RoutingController | None = None
         self._restored_state: RestoredState | None = None  # until the first step has taken it
-        self._starting_list = StartingList(config.list_version, config.known_endpoints)
+        self._starting_list = config.starting_list
         self.restored_credits: dict[str, float] = {}
         self.current_list_version: Callable[[], int] = lambda: self._starting_list.version
         self.current_credits: Callable[[], dict[str, float]] = dict
@@ -99,7 +99,7 @@
         self._controller = controller
         yield from ()
 
-    def _restore(self, config: ManagerConfig) -> None:
+    def _restore(self, config: StartupConfig) -> None:
         found = self._folder.read()
         if found is None:
             return
@@ -121,8 +121,8 @@
         endpoints: list[EndpointSnapshot] = []
         proxy_rates: dict[int, float] = {}
         last_checkpoint = 0
-        worker_indices = list(controller.fleet.workers)
-        proxies = list(controller.fleet.proxies)
+        worker_indices = list(controller.state.workers.by_index)
+        proxies = list(controller.state.proxies.by_number)
         yield None
         for first in range(0, len(worker_indices), ENTRIES_PER_SLICE):
             chunk = worker_indices[first : first + ENTRIES_PER_SLICE]
@@ -158,7 +158,7 @@
         )
 
     def _endpoint_snapshot(self, controller: RoutingController, history: WorkerHistory) -> EndpointSnapshot:
-        worker = controller.fleet.workers[history.worker_index]
+        worker = controller.state.workers.by_index[history.worker_index]
         state = EndpointState.DRAINING if history.was_draining else EndpointState.READY
         return EndpointSnapshot(
             self._workers.ids[history.worker_index].decode(),
--- a/cottonladder/control/snapshot_restore.py
+++ b/cottonladder/control/snapshot_restore.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from ..config.manager_config import ManagerConfig
 from ..model.inputs import (
     Endpoint,
     EndpointList,
@@ -17,14 +16,15 @@
 from ..snapshots.sections import EndpointSnapshot, ManagerSnapshot
 from ..state.worker_registry import WorkerRegistry
 from .starting_list import StartingList
+from .startup_config import StartupConfig
 
 STORED_STATES = (EndpointState.READY, EndpointState.DRAINING)  # that an endpoint of a snapshot may have
 
 
-def starting_list(config: ManagerConfig, snapshot: ManagerSnapshot) -> StartingList:
+def starting_list(config: StartupConfig, snapshot: ManagerSnapshot) -> StartingList:
     """The snapshot's list where it is newer than the configuration's; registers its workers."""
-    if snapshot.list_version <= config.list_version:
-        return StartingList(config.list_version, config.known_endpoints)
+    if snapshot.list_version <= config.starting_list.version:
+        return config.starting_list
     zone_count = config.settings.parameters.zone_count
     endpoints = tuple(
         _restored_endpoint(stored, config.workers)
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -21,8 +21,9 @@
 from ..planning.controller_views import capacity_views
 from ..policy.controller import RoutingController
 from ..state.worker_registry import WorkerRegistry
-from ..weight_advice.client import AdviceListener, AdvisorClient, ReportedWeight, worker_locations
+from ..weight_advice.client import AdviceListener, AdvisorClient, ReportedWeight
 from ..weight_advice.server import AdvertisedWeights, AdviceServer
+from ..weight_advice.worker_locations import worker_locations
 from .advice_connections import create_advice_server, create_advisor_client
 from .input_queue import LoopInput
 
@@ -165,7 +166,7 @@
                 advisor=advisor,
                 credit=round(status.credit, 3),
                 weight_count=status.weight_count,
-                unmatched_count=client.unmatched if client is not None else 0,
+                unmatched_count=client.unmatched_count if client is not None else 0,
                 age_s=round(min(status.age_s, MAX_LOGGED_AGE_S), 1),
             )
         for server in self._servers:
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -15,7 +15,7 @@
 
 from cottonladder.config.deployment import read_settings
 from cottonladder.config.errors import InputError
-from cottonladder.config.manager_config import read_manager_config
+from cottonladder.control.startup_config import read_startup_config
 from cottonladder.model.inputs import (
     Acknowledged,
     ArrivalReport,
@@ -191,13 +191,15 @@
                 (folder / "config.json").write_text(json.dumps(body))
                 with self.subTest(place=place, value=value):
                     try:
-                        placement = read_manager_config(str(folder / "config.json"))
+                        placement = read_startup_config(str(folder / "config.json"))
                     except InputError as exc:
                         self.assertNotIn("\n", str(exc))
                         self.assertRegex(str(exc), "field|not JSON|object|zone|address|unknown")
                         continue
                     ladder = RoutingController(placement.settings.parameters)
-                    ladder.decide(1000.0, [placement.known_endpoints, ProxyConnected(0, 0, 10.0, True)])
+                    ladder.decide(
+                        1000.0, [placement.starting_list.endpoints, ProxyConnected(0, 0, 10.0, True)]
+                    )
                     heard: list[Input] = [LoadReport(0, 0, 20, 1, 1.0, 0.1, {})]
                     heard.append(ArrivalReport(0, 0, 20, 0, 1.0))
                     for n in range(40):
