--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -53,7 +53,7 @@
 from cottonladder.state.order_dispatcher import OrderDispatcher
 from cottonladder.state.order_errors import OrderRejectedError
 from cottonladder.state.worker_registry import WorkerRegistry
-from tests.policy.test_scenarios import USUAL
+from tests.support.deployment_parameters import DEFAULT_PARAMETERS
 
 UNDISPATCHED_ORDERS = (WatchEndpoints, HealthCheck, SendGossip, WorkerStateChanged, AdmissionChanged)
 
@@ -203,7 +203,7 @@
     def __init__(self, seed: int, managers: int) -> None:
         self.random = random.Random(seed)
         parameters = replace(
-            USUAL,
+            DEFAULT_PARAMETERS,
             seed=seed,
             manager_count=managers,
             zone_count=3,
