--- a/tests/support/http_server.py
+++ b/tests/support/http_server.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from contextlib import suppress
 
 from aiohttp import web
 
@@ -15,3 +16,16 @@
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
     return f"127.0.0.1:{runner.addresses[0][1]}", runner
+
+
+def scripted_answer(text: str, status: int = 200) -> Handler:
+    """A handler that answers with these bytes, after which the connection ends."""
+
+    async def handle(request: web.BaseRequest) -> web.StreamResponse:
+        reply = web.StreamResponse(status=status)
+        await reply.prepare(request)
+        with suppress(ConnectionError):
+            await reply.write(text.encode())
+        return reply
+
+    return handle
--- a/tests/support/manager_program.py
+++ b/tests/support/manager_program.py
@@ -9,9 +9,11 @@
 import signal
 import sys
 import tempfile
+from collections.abc import Mapping
 from pathlib import Path
 from typing import Any
 
+from tests.support.program_with_constants import CONSTANTS_VARIABLE
 from tests.support.scripted_discovery import endpoint_entry, endpoint_list
 from tests.support.stream_client import StreamClient
 from tests.support.timeouts import in_time
@@ -29,9 +31,13 @@
 
 
 class ManagerProgram:
-    """The program under its own command line; its log lines are kept and waited for."""
+    """The program under its own command line; its log lines are kept and waited for.
 
-    def __init__(self, at: str, **changes: Any) -> None:
+    `constants` are set in the program by their full names, for a test that would wait long for them.
+    """
+
+    def __init__(self, at: str, constants: Mapping[str, float] | None = None, **changes: Any) -> None:
+        self._constants = dict(constants or {})
         settings = {**SETTINGS, **changes.pop("settings", {})}
         self.config = {
             "name": "n0", "listen": "127.0.0.1:0", "discovery": at, "seed": "8c1f30d27a5be964",
@@ -50,8 +56,12 @@
         await self.run(path)
 
     async def run(self, path: Path, **env: str) -> None:
+        module = "cottonladder"
+        if self._constants:
+            module = "tests.support.program_with_constants"
+            env[CONSTANTS_VARIABLE] = json.dumps(self._constants)
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "cottonladder", "serve",
+            sys.executable, "-B", "-m", module, "serve",
             env={**os.environ, "ROUTER_CONFIG": str(path), **env}, stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE, cwd=ROOT,
         )  # fmt: skip
--- /dev/null
+++ b/tests/support/program_with_constants.py
@@ -0,0 +1,29 @@
+"""Runs the program with other values for named constants, so that a test need not wait for a long interval.
+
+TEST_CONSTANTS='{"package.module.NAME_S": 1.0}' python -m tests.support.program_with_constants serve
+"""
+
+from __future__ import annotations
+
+import json
+import os
+import runpy
+from collections.abc import Mapping
+from importlib import import_module
+
+CONSTANTS_VARIABLE = "TEST_CONSTANTS"
+
+
+def set_constants(values: Mapping[str, float]) -> None:
+    """Sets constants by their full names; a name that does not exist is an error."""
+    for name, value in values.items():
+        module_name, _, constant = name.rpartition(".")
+        module = import_module(module_name)
+        if not hasattr(module, constant):
+            raise AttributeError(name)
+        setattr(module, constant, value)
+
+
+if __name__ == "__main__":
+    set_constants(json.loads(os.environ[CONSTANTS_VARIABLE]))
+    runpy.run_module("cottonladder", run_name="__main__", alter_sys=True)
