--- a/tests/control/test_background_scheduler.py
+++ b/tests/control/test_background_scheduler.py
@@ -1,4 +1,4 @@
-"""The background scheduler in a loop: tasks that misbehave, and a stop in the middle."""
+"""The background scheduler in an event loop: tasks that misbehave, and a stop in the middle of one."""
 
 from __future__ import annotations
 
@@ -6,70 +6,125 @@
 import time
 import unittest
 from collections import Counter
-from collections.abc import Iterator
-from typing import Any
+from collections.abc import Awaitable, Iterator
+from unittest import mock
 
-from cottonladder.control import background_scheduler as tasks
-from cottonladder.planning import priority_scheduling as turns
+from structlog.testing import capture_logs
 
+from cottonladder.control import background_scheduler
+from cottonladder.control.background_scheduler import BackgroundScheduler
+from cottonladder.planning.priority_scheduling import TaskPlan
+from tests.support.timeouts import in_time
 
-class BackgroundSchedulerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_tasks_that_misbehave_harm_nobody_else(self) -> None:
-        ran = Counter[str]()
+Slices = Iterator[Awaitable[None] | None]
 
-        def good() -> Iterator[Any]:
-            for _ in range(3):
-                yield None
-            yield asyncio.sleep(0.001)
-            ran["good"] += 1
+OBSERVED_S = 1.2  # long enough for ten runs of a task with a period of 20 ms, and for several backoffs
+PERIOD_S = 0.02
+CPU_FRACTION = 0.2
+ENDLESS_SLICE_S = 0.02
 
-        def bad() -> Iterator[Any]:
-            ran["bad"] += 1
+
+class MisbehavingTasks:
+    """One task that behaves and three that don't; `runs` counts what each did."""
+
+    def __init__(self) -> None:
+        self.runs: Counter[str] = Counter()
+
+    def succeed(self) -> Slices:
+        """Three slices and an awaitable, then the run is done."""
+        for _ in range(3):
             yield None
-            raise ValueError("always")
-
-        def hog() -> Iterator[Any]:
-            while True:
-                time.sleep(0.02)
-                ran["hog"] += 1
-                yield None
-
-        async def fails() -> None:
-            raise OSError("disk")
-
-        def waits() -> Iterator[Any]:
-            ran["waits"] += 1
-            yield fails()
-
-        t = tasks.BackgroundScheduler(lambda: 0.0)
-        for name, work in (("good", good), ("bad", bad), ("hog", hog), ("waits", waits)):
-            t.add(turns.TaskPlan(name, 0.02, cpu_fraction=0.2), work)
-        t.start()
-        await asyncio.sleep(1.2)
-        await t.close(("good",))
-        rows = {row["task"]: row for row in t.status_rows()}
-        self.assertGreater(ran["good"], 10)
-        self.assertLess(ran["bad"], 10)  # backs off
-        self.assertLess(ran["waits"], 10)
-        self.assertGreater(int(str(rows["hog"]["overruns"])), 0)
-        self.assertLess(ran["hog"] * 0.02, 1.2 * 0.2 + 0.25)  # its budget, though it never ends
-        self.assertEqual((rows["good"]["failures"], rows["hog"]["runs"]), (0, 0))
-
-    async def test_a_stop_in_the_middle(self) -> None:
-        done: list[str] = []
-
-        def slow() -> Iterator[Any]:
-            yield asyncio.sleep(0.3)
-            done.append("slow")
-
-        t = tasks.BackgroundScheduler(lambda: 0.0)
-        t.add(turns.TaskPlan("slow", 0.01), slow)
-        t.start()
-        await asyncio.sleep(0.05)
-        begun = time.monotonic()
-        await t.close(("slow",))
-        self.assertEqual(done, ["slow"])  # what was under way ended, and nothing was begun twice
-        self.assertLess(time.monotonic() - begun, 1.0)
+        yield asyncio.sleep(0.001)
+        self.runs["succeed"] += 1
+
+    def fail_in_slice(self) -> Slices:
+        """Raises in its second slice."""
+        self.runs["fail_in_slice"] += 1
+        yield None
+        raise ValueError("always")
+
+    def never_end(self) -> Slices:
+        """Takes far longer in each slice than a slice may."""
+        while True:
+            time.sleep(ENDLESS_SLICE_S)
+            self.runs["never_end"] += 1
+            yield None
+
+    def fail_in_awaitable(self) -> Slices:
+        """Yields an awaitable that raises."""
+        self.runs["fail_in_awaitable"] += 1
+        yield self._write()
+
+    async def _write(self) -> None:
+        raise OSError("disk")
+
+
+class BackgroundSchedulerTests(unittest.IsolatedAsyncioTestCase):
+    async def test_tasks_that_misbehave_do_not_harm_others(self) -> None:
+        tasks = MisbehavingTasks()
+        scheduler = BackgroundScheduler(lambda: 0.0)
+        for work in (tasks.succeed, tasks.fail_in_slice, tasks.never_end, tasks.fail_in_awaitable):
+            scheduler.add(TaskPlan(work.__name__, PERIOD_S, cpu_fraction=CPU_FRACTION), work)
+        scheduler.start()
+        await asyncio.sleep(OBSERVED_S)  # the bounds below are rates
+        await scheduler.close(("succeed",))
+        rows = {row["task"]: row for row in scheduler.status_rows()}
+        self.assertGreater(tasks.runs["succeed"], 10)
+        self.assertLess(tasks.runs["fail_in_slice"], 10)  # it backs off
+        self.assertLess(tasks.runs["fail_in_awaitable"], 10)
+        self.assertGreater(int(str(rows["never_end"]["overruns"])), 0)
+        endless_cpu_s = tasks.runs["never_end"] * ENDLESS_SLICE_S
+        self.assertLess(endless_cpu_s, OBSERVED_S * CPU_FRACTION + 0.25)  # its budget, though it never ends
+        self.assertEqual((rows["succeed"]["failures"], rows["never_end"]["runs"]), (0, 0))
+
+    async def test_a_run_under_way_ends_at_the_stop_and_is_not_started_again(self) -> None:
+        is_waiting = asyncio.Event()
+        may_continue = asyncio.Event()
+        ended_runs: list[str] = []
+
+        async def wait_for_test() -> None:
+            is_waiting.set()
+            await may_continue.wait()
+
+        def slow() -> Slices:
+            yield wait_for_test()
+            ended_runs.append("slow")
+
+        scheduler = BackgroundScheduler(lambda: 0.0)
+        scheduler.add(TaskPlan("slow", 0.01), slow)
+        scheduler.start()
+        await in_time(is_waiting.wait())
+        stopping_at = time.monotonic()
+        closing = asyncio.create_task(scheduler.close(("slow",)))
+        await asyncio.sleep(0)  # the stop begins while the run is under way
+        may_continue.set()
+        await in_time(closing)
+        self.assertEqual(ended_runs, ["slow"])
+        self.assertLess(time.monotonic() - stopping_at, 1.0)
+
+    async def test_work_that_does_not_end_in_time_is_cancelled_and_awaited(self) -> None:
+        is_waiting = asyncio.Event()
+        cancelled: list[str] = []
+
+        async def wait_for_ever() -> None:
+            is_waiting.set()
+            try:
+                await asyncio.Event().wait()
+            finally:
+                cancelled.append("endless")
+
+        def endless() -> Slices:
+            yield wait_for_ever()
+
+        scheduler = BackgroundScheduler(lambda: 0.0)
+        scheduler.add(TaskPlan("endless", 0.01), endless)
+        scheduler.start()
+        await in_time(is_waiting.wait())
+        with mock.patch.object(background_scheduler, "STOP_TIMEOUT_S", 0.05), capture_logs() as lines:
+            await in_time(scheduler.close(("endless",)))
+        self.assertEqual(cancelled, ["endless"])
+        self.assertEqual([line["event"] for line in lines], ["tasks_cancelled"])
+        self.assertEqual(lines[0]["tasks"], "endless")
 
 
 if __name__ == "__main__":
--- a/tests/control/test_signal_races.py
+++ b/tests/control/test_signal_races.py
@@ -1,7 +1,7 @@
 """Signals at each stage of a start and a stop, on real sockets.
 
-The stand-in or the turn of the loop forces the order of two events, and each test fails without its fix;
-`docs/race-conditions.md` has the whole table.
+A stand-in or an iteration of the event loop forces the order of two events, and each test fails without its
+fix; `docs/race-conditions.md` has the whole table.
 """
 
 from __future__ import annotations
@@ -19,13 +19,16 @@
 
 from cottonladder.control.reload import ConfigReloader
 from cottonladder.control.startup_config import read_startup_config
+from cottonladder.protocol.discovery import DiscoveryClient
 from cottonladder.protocol.resp import encode
+from cottonladder.protocol.stream_listener import StreamListener
 from tests.support.manager_program import ManagerProgram
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.scripted_discovery import ScriptedDiscovery, endpoint_entry, endpoint_list
 from tests.support.timeouts import in_time
 
-STUB = """
+# Stands in for a module that the program imports, and waits there until a pipe is closed.
+BLOCKING_STRUCTLOG = """
 import os, sys
 with open(os.environ["HELD"]) as held:
     held.read()
@@ -33,7 +36,8 @@
 del sys.modules["structlog"]
 import structlog
 """
-CLOSED = """
+# A service that ends, and then gets a second SIGTERM.
+STOP_AFTER_CLOSE = """
 import asyncio, os, signal, sys
 from cottonladder.cli import serving as cli; from cottonladder.control import signals
 sys.argv[1:] = ["serve"]
@@ -48,117 +52,126 @@
 
 
 class SignalTests(ManagerTestCase):
-    """Signals at each stage of a start and a stop; each stage is held open by a pipe."""
+    """Signals at each stage of a start and a stop, which a pipe that the program reads holds open."""
 
-    async def held_program(self, name: str) -> tuple[ManagerProgram, Path]:
+    async def program_with_pipe(self, name: str) -> tuple[ManagerProgram, Path]:
+        """A program that is not started, and a pipe of this name in its folder."""
         program = ManagerProgram(self.discovery_address)
         program.folder = Path(self.enterContext(TemporaryDirectory()))
         pipe = program.folder / name
         os.mkfifo(pipe)
         return program, pipe
 
-    async def begun(self, program: ManagerProgram, **env: str) -> None:
+    async def start(self, program: ManagerProgram, **env: str) -> None:
+        """Starts the program in its folder, and ends it with the test."""
         path = program.folder / "config.json"
         if not path.exists():
             path.write_text(json.dumps(program.config))
         await program.run(path, **env)
         self.addAsyncCleanup(self.end, program)
 
-    async def opened(self, pipe: Path) -> int:
-        """Returns once the program has opened it for reading."""
+    async def open_once_read(self, pipe: Path) -> int:
+        """Opens the pipe for writing, which waits until the program has opened it for reading."""
         return await in_time(asyncio.to_thread(os.open, pipe, os.O_WRONLY))
 
-    async def importing(self) -> tuple[ManagerProgram, int]:
-        program, pipe = await self.held_program("held")
-        (program.folder / "structlog.py").write_text(STUB)
-        await self.begun(program, HELD=str(pipe), PYTHONPATH=str(program.folder))
-        return program, await self.opened(pipe)
+    async def start_until_imports(self) -> tuple[ManagerProgram, int]:
+        """A program that is amid its imports until the descriptor returned is closed."""
+        program, pipe = await self.program_with_pipe("held")
+        (program.folder / "structlog.py").write_text(BLOCKING_STRUCTLOG)
+        await self.start(program, HELD=str(pipe), PYTHONPATH=str(program.folder))
+        return program, await self.open_once_read(pipe)
+
+    async def read_errors(self, program: ManagerProgram) -> bytes:
+        """All of the program's standard error, up to its end."""
+        return await in_time(cast(asyncio.StreamReader, program.process.stderr).read())
 
     async def test_a_reload_during_imports_is_not_lost(self) -> None:
-        program, held = await self.importing()
+        program, descriptor = await self.start_until_imports()
         program.process.send_signal(signal.SIGHUP)
-        os.close(held)
+        os.close(descriptor)
         await program.logged("event=serving")
 
     async def test_a_stop_during_imports_ends_silently(self) -> None:
-        program, held = await self.importing()
+        program, descriptor = await self.start_until_imports()
         program.process.send_signal(signal.SIGTERM)
-        errors = await in_time(cast(asyncio.StreamReader, program.process.stderr).read())
+        errors = await self.read_errors(program)
         self.assertEqual((await program.ended(), errors, program.lines), (0, b"", []))
-        os.close(held)
+        os.close(descriptor)
 
     async def test_a_reload_while_the_file_is_read_takes_the_new_file(self) -> None:
-        """The first reading is held in the middle; the file is another by the time that a handler stands."""
-        program, pipe = await self.held_program("config.json")
-        await self.begun(program)
-        held = await self.opened(pipe)
-        os.write(held, json.dumps(program.config).encode())
+        """The first read is held in the middle; the file is another one once a handler is installed."""
+        program, pipe = await self.program_with_pipe("config.json")
+        await self.start(program)
+        descriptor = await self.open_once_read(pipe)
+        os.write(descriptor, json.dumps(program.config).encode())
         new = ScriptedDiscovery()
-        at = await self.start_http_server(new.handle)
-        other = program.folder / "other"
-        other.write_text(json.dumps({**program.config, "discovery": at}))
-        other.replace(pipe)
+        new_address = await self.start_http_server(new.handle)
+        new_file = program.folder / "other"
+        new_file.write_text(json.dumps({**program.config, "discovery": new_address}))
+        new_file.replace(pipe)
         program.process.send_signal(signal.SIGHUP)
-        os.close(held)
-        await program.logged("config_reloaded", f"discovery={at}")
+        os.close(descriptor)
+        await program.logged("config_reloaded", f"discovery={new_address}")
         self.assertEqual(await in_time(new.calls.get()), "/v1/servers")
 
     async def test_a_stop_while_the_file_is_read_ends_silently(self) -> None:
-        program, pipe = await self.held_program("config.json")
-        await self.begun(program)
-        held = await self.opened(pipe)
+        program, pipe = await self.program_with_pipe("config.json")
+        await self.start(program)
+        descriptor = await self.open_once_read(pipe)
         program.process.send_signal(signal.SIGTERM)
-        errors = await in_time(cast(asyncio.StreamReader, program.process.stderr).read())
+        errors = await self.read_errors(program)
         self.assertEqual((await program.ended(), errors), (0, b""))
-        os.close(held)
+        os.close(descriptor)
 
     async def test_a_second_stop_after_the_loop_is_closed_is_harmless(self) -> None:
-        ended = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-c", CLOSED, cwd=Path(__file__).parents[2],
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, "-B", "-c", STOP_AFTER_CLOSE, cwd=Path(__file__).parents[2],
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
         )  # fmt: skip
-        said, errors = await in_time(ended.communicate())
-        self.assertEqual((ended.returncode, said, errors), (0, b"ended\n", b""))
+        output, errors = await in_time(process.communicate())
+        self.assertEqual((process.returncode, output, errors), (0, b"ended\n", b""))
 
-    async def test_many_signals_while_proxies_connect_end_it_cleanly(self) -> None:
-        """A join half said, orders half written to who reads nothing, reloads before and after the stop."""
-        known = [endpoint_entry(f"s-{n:04}") for n in range(400)]
-        program = await self.serving(known=endpoint_list(41, *known, full=True))
+    async def test_signals_in_quick_succession_while_proxies_connect_end_the_program_cleanly(self) -> None:
+        """With a message half sent, orders half written to proxies that read nothing, and late reloads."""
+        endpoints = [endpoint_entry(f"s-{number:04}") for number in range(400)]
+        program = await self.serving(known=endpoint_list(41, *endpoints, full=True))
         proxies = await asyncio.gather(*(self.connect(program) for _ in range(8)))
         for node, proxy in enumerate(proxies):
             proxy.join(node)
         await proxies[0].receive_until("replace")
-        half = await self.connect(program)
-        half.writer.write(encode(b"SUBSCRIBE node 7 locality a w 1.0 cold 1".split())[:40])
+        half_joined = await self.connect(program)
+        half_joined.writer.write(encode(b"SUBSCRIBE node 7 locality a w 1.0 cold 1".split())[:40])
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGTERM):
             os.kill(program.process.pid, number)
-        errors = await in_time(cast(asyncio.StreamReader, program.process.stderr).read())
+        errors = await self.read_errors(program)
         self.assertEqual((await program.ended(), errors), (0, b""))
-        for client in (*proxies, half):
+        for client in (*proxies, half_joined):
             await client.wait_closed()
 
     async def test_a_reload_after_close_does_nothing(self) -> None:
         program = await self.serving()
-        placement = read_startup_config(str(program.folder / "config.json"))
+        path = program.folder / "config.json"
+        running = read_startup_config(str(path)).manager
         program.config["discovery"] = await self.start_http_server(ScriptedDiscovery().handle)
-        (program.folder / "config.json").write_text(json.dumps(program.config))
-        follower, where = mock.Mock(), mock.Mock()
-        reloader = ConfigReloader(str(program.folder / "config.json"), placement.manager, follower, where)
+        path.write_text(json.dumps(program.config))
+        discovery = mock.Mock(spec=DiscoveryClient)
+        listener = mock.Mock(spec=StreamListener)
+        reloader = ConfigReloader(str(path), running, discovery, listener)
         reloader.close()
         reloader.reload()
-        follower.change_address.assert_not_called()
+        discovery.change_address.assert_not_called()
 
 
 class RestartTests(ManagerTestCase):
     async def test_checkpoints_of_two_incarnations_are_far_apart(self) -> None:
-        """A proxy comes over, or its manager starts anew, with an answer on its way.  Marks counted from 0 in
-        every life, so that it stood for lines that were still to be sent."""
-        marks = []
+        """An acknowledgement that is under way while its manager restarts must not count for the new one."""
+        checkpoints: list[int] = []
         for seed in ("8c1f30d27a5be964", "11"):
             program = await self.serving(seed=seed)
             proxy = await self.join(program, 3)
-            marks.append(int((await proxy.receive_until("stamp")).split("stamp ")[1].split()[0]))
-        self.assertGreater(abs(marks[0] - marks[1]), 1000)
+            message = await proxy.receive_until("stamp")
+            checkpoints.append(int(message.split("stamp ")[1].split()[0]))
+        self.assertGreater(abs(checkpoints[0] - checkpoints[1]), 1000)
 
 
 if __name__ == "__main__":
