--- a/tests/forwarder/test_connection_drainer.py
+++ b/tests/forwarder/test_connection_drainer.py
@@ -57,7 +57,7 @@
         self.assertLess(max(started_at), GRACE_S * (1 - CUT_PHASE_FRACTION))
         self.assertLessEqual(max(Counter(started_at).values()), 3)
 
-    def test_ordered_connections_are_spread_and_their_result_is_reported(self) -> None:
+    def test_ordered_connections_leave_evenly_and_their_result_is_reported(self) -> None:
         connections = Counter({"s-1": 50})
         self.drainer.add_order(0.0, "s-1", order(7, {"s-2": 3, "s-3": 1}, 6))
         moves: list[StartMove] = []
--- a/tests/forwarder/test_race_conditions.py
+++ b/tests/forwarder/test_race_conditions.py
@@ -1,5 +1,7 @@
-"""Where two events cross in a forwarder, on real sockets: the worker holds its answer until the other event
-has come, and each test fails without its fix."""
+"""Pairs of events that may come in either order in a forwarder, on real sockets.
+
+The worker holds its answer until the other event has come, so each test forces the order that once failed.
+"""
 
 from __future__ import annotations
 
@@ -9,87 +11,110 @@
 import struct
 import unittest
 from contextlib import suppress
+from dataclasses import dataclass
 from typing import Any
 from unittest import mock
 
 import aiohttp
 from aiohttp import web
 
-from cottonladder.forwarder import client_listener as front
+from cottonladder.forwarder import client_listener
+from cottonladder.forwarder.client_listener import ClientListener, LimitedRequestHandler
 from cottonladder.forwarder.resource_limits import ResourceLimits
 from cottonladder.testbed.fleet import ForwarderProcess
 from cottonladder.testbed.workers import SimulatedWorker
-from tests.support.forwarder_rig import ForwarderRig
+from tests.support.forwarder_rig import EVENT_TIMEOUT_S, ForwarderRig
 
 
-class Stops(ForwarderRig):
-    async def carrying(self) -> tuple[SimulatedWorker, ForwarderProcess]:
-        worker = await self.worker("s-1")
-        forwarder = await self.forwarder((await self.manager()).port)
-        await self.bound(forwarder, "s-1")
-        worker.hold_until = asyncio.Event()
-        return worker, forwarder
+@dataclass(frozen=True, slots=True)
+class Answer:
+    """A forwarder's answer; `outcome` is empty where it has no such header."""
+
+    status: int
+    outcome: str
+    body: bytes
+
+
+class ForwarderStops(ForwarderRig):
+    """A signal to stop while a worker has a request and has not answered it."""
+
+    async def asyncSetUp(self) -> None:
+        await super().asyncSetUp()
+        self.slow_worker: SimulatedWorker = await self.worker("s-1")
+        self.stopping_forwarder: ForwarderProcess = await self.forwarder((await self.manager()).port)
+        await self.wait_for_table(self.stopping_forwarder, "s-1")
+        self.answers_allowed = asyncio.Event()
+        self.slow_worker.hold_until = self.answers_allowed
 
-    async def sent(self, worker: SimulatedWorker, **request: Any) -> asyncio.Task[tuple[int, str, bytes]]:
-        """A request that its worker has read and holds."""
+    async def start_request(self, **request: Any) -> asyncio.Task[Answer]:
+        """A request that the worker has received and not answered."""
 
-        async def ask() -> tuple[int, str, bytes]:
-            async with self.session.request(**request) as reply:
-                return reply.status, reply.headers.get("Outcome", ""), await reply.read()
+        async def send() -> Answer:
+            async with self.session.request(**request) as response:
+                outcome = response.headers.get("Outcome", "")
+                return Answer(response.status, outcome, await response.read())
 
-        before = sum(worker.requests.values())
-        asking = asyncio.create_task(ask())
-        await self.until(lambda: sum(worker.requests.values()) > before)
-        return asking
+        worker = self.slow_worker
+        before = worker.requests.total()
+        task = asyncio.create_task(send())
+        await self.wait_until(lambda: worker.requests.total() > before)
+        return task
+
+    async def start_release(self) -> asyncio.Task[Answer]:
+        url = f"{self.stopping_forwarder.url}/release"
+        return await self.start_request(method="POST", url=url, data=b"r-1")
+
+    async def start_stop(self) -> None:
+        self.stopping_forwarder.send(signal.SIGTERM)
+        await self.stopping_forwarder.logged("event=draining")
 
     async def test_a_stop_waits_for_requests_under_way_and_answers_kept_connections(self) -> None:
-        worker, forwarder = await self.carrying()
-        assert worker.hold_until is not None
-        worker.hold_until.set()
+        forwarder = self.stopping_forwarder
+        self.answers_allowed.set()
         kept = aiohttp.ClientSession()
         self.addAsyncCleanup(kept.close)
-        async with kept.get(forwarder.url) as reply:
-            await reply.read()
-        worker.hold_until.clear()
-        asking = await self.sent(worker, method="POST", url=f"{forwarder.url}/release", data=b"r-1")
-        forwarder.send(signal.SIGTERM)
-        await forwarder.logged("event=draining")
-        async with kept.get(forwarder.url) as reply:
-            self.assertEqual((reply.status, reply.headers["Connection"]), (503, "close"))
-            self.assertIn("Retry-After", reply.headers)
+        async with kept.get(forwarder.url) as response:
+            await response.read()
+        self.answers_allowed.clear()
+        release = await self.start_release()
+        await self.start_stop()
+        async with kept.get(forwarder.url) as response:
+            self.assertEqual(response.status, 503)
+            self.assertEqual(response.headers["Connection"], "close")
+            self.assertIn("Retry-After", response.headers)
         status = await forwarder.status(self.session)
-        self.assertIsNotNone(status["manager"])  # whose orders count to the last request's end
-        worker.hold_until.set()
-        self.assertEqual(await asking, (200, "", b"r-1"))
+        self.assertIsNotNone(status["manager"])  # its orders count until the last request has ended
+        self.answers_allowed.set()
+        self.assertEqual(await release, Answer(200, "", b"r-1"))
         self.assertEqual(await forwarder.stop(), 0)
         self.assertEqual(self.ledger.releases["r-1"], 1)
 
     async def test_what_the_stop_gives_up_is_answered_at_once(self) -> None:
-        """The second signal ends the drain: nobody knows whether it ran, and nothing sends it again."""
-        worker, forwarder = await self.carrying()
-        asking = await self.sent(worker, method="POST", url=f"{forwarder.url}/release", data=b"r-1")
-        forwarder.send(signal.SIGTERM)
-        await forwarder.logged("event=draining")
-        self.assertEqual(await forwarder.stop(), 0)
-        status, outcome, _ = await asking
-        self.assertEqual((status, outcome, sum(worker.requests.values())), (502, "unknown", 1))
+        """The second signal ends the drain: nobody knows whether the release ran, and nothing repeats it."""
+        release = await self.start_release()
+        await self.start_stop()
+        self.assertEqual(await self.stopping_forwarder.stop(), 0)
+        answer = await release
+        self.assertEqual(answer.status, 502)
+        self.assertEqual(answer.outcome, "unknown")
+        self.assertEqual(self.slow_worker.requests.total(), 1)
 
     async def test_a_handshake_under_way_does_not_outlive_the_stop(self) -> None:
-        worker, forwarder = await self.carrying()
-        upgrade = {"Connection": "Upgrade", "Upgrade": "shout/1"}
-        asking = await self.sent(worker, method="GET", url=forwarder.url, headers=upgrade)
-        forwarder.send(signal.SIGTERM)
-        await forwarder.logged("event=draining")
-        self.assertEqual(await forwarder.stop(), 0)
-        status, outcome, _ = await asking
-        self.assertEqual((status, outcome, worker.held_connections), (502, "unknown", 0))
+        headers = {"Connection": "Upgrade", "Upgrade": "shout/1"}
+        upgrade = await self.start_request(method="GET", url=self.stopping_forwarder.url, headers=headers)
+        await self.start_stop()
+        self.assertEqual(await self.stopping_forwarder.stop(), 0)
+        answer = await upgrade
+        self.assertEqual(answer.status, 502)
+        self.assertEqual(answer.outcome, "unknown")
+        self.assertEqual(self.slow_worker.held_connections, 0)
 
 
-class Ends(ForwarderRig):
-    async def agreeing(self, reset: bool) -> ForwarderProcess:
-        """A worker that agrees, says one thing and ends, all of it at once."""
+class WorkerEnds(ForwarderRig):
+    """A worker that accepts an upgrade, sends its last bytes and ends, all at once."""
 
-        async def speak(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def start_ending_worker(self, reset: bool) -> ForwarderProcess:
+        async def accept_and_end(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: shout/1\r\n")
             writer.write(b"Connection: Upgrade\r\n\r\nBYE")
@@ -99,58 +124,82 @@
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             writer.close()
 
-        server = await asyncio.start_server(speak, "127.0.0.1", 0)
+        server = await asyncio.start_server(accept_and_end, "127.0.0.1", 0)
         self.addAsyncCleanup(server.wait_closed)
         self.addCleanup(server.close)
         port = server.sockets[0].getsockname()[1]
         await self.discovery.put("s-1", f"127.0.0.1:{port}", "a")
         forwarder = await self.forwarder((await self.manager()).port)
-        await self.bound(forwarder, "s-1")
+        await self.wait_for_table(forwarder, "s-1")
         return forwarder
 
+    async def upgrade_and_read(self, forwarder: ForwarderProcess) -> bytes:
+        """Whatever a client receives from the worker until the worker has ended; then the client ends."""
+        reader, writer = await asyncio.open_connection("127.0.0.1", forwarder.port)
+        writer.write(b"GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: shout/1\r\n\r\n")
+        received = b""
+        try:
+            with suppress(ConnectionError):
+                while piece := await asyncio.wait_for(reader.read(4096), EVENT_TIMEOUT_S):
+                    received += piece
+        finally:
+            writer.close()
+        return received
+
+    async def wait_until_released(self, forwarder: ForwarderProcess) -> None:
+        async def has_no_connection() -> bool:
+            return bool((await forwarder.status(self.session))["held"] == {})
+
+        await self.wait_until(has_no_connection)
+
     async def test_a_worker_that_ends_as_it_agrees_ends_the_tunnel(self) -> None:
-        """Its end was heard of before the connection had its tunnel, and its client waited for ever."""
-        for reset in (False, True):
-            with self.subTest(reset=reset):
-                forwarder = await self.agreeing(reset)
-                reader, writer = await asyncio.open_connection("127.0.0.1", forwarder.port)
-                writer.write(b"GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: shout/1\r\n\r\n")
-                said = b""
-                with suppress(ConnectionError):
-                    while more := await asyncio.wait_for(reader.read(4096), 15.0):
-                        said += more
-                writer.close()
-                if not reset:  # what a reset finds unread is thrown away by the system
-                    self.assertTrue(said.startswith(b"HTTP/1.1 101") and said.endswith(b"BYE"), said)
-
-                async def let_go(forwarder: ForwarderProcess = forwarder) -> bool:
-                    return bool((await forwarder.status(self.session))["held"] == {})
-
-                await self.until(let_go)
-
-
-class Heads(unittest.IsolatedAsyncioTestCase):
-    async def test_a_head_that_a_late_loop_left_unread_is_answered(self) -> None:
-        """Between the sweep that finds a connection late and the one that ends it, the loop reads."""
+        """Its end was lost as the connection had no tunnel yet, and its client waited for ever."""
+        forwarder = await self.start_ending_worker(reset=False)
+        received = await self.upgrade_and_read(forwarder)
+        self.assertTrue(received.startswith(b"HTTP/1.1 101"), received)
+        self.assertTrue(received.endswith(b"BYE"), received)
+        await self.wait_until_released(forwarder)
+
+    async def test_a_worker_that_resets_as_it_agrees_ends_the_tunnel(self) -> None:
+        """As above, but the operating system drops whatever a reset finds unread."""
+        forwarder = await self.start_ending_worker(reset=True)
+        await self.upgrade_and_read(forwarder)
+        await self.wait_until_released(forwarder)
+
 
-        async def answer(request: web.BaseRequest) -> web.StreamResponse:
-            return web.Response(text="ok")
+class CountingListener(ClientListener):
+    """A listener that announces when it has accepted two connections."""
 
-        here = front.ClientListener(ResourceLimits(), answer)
-        port = await here.listen("127.0.0.1", 0)
-        self.addAsyncCleanup(here.close)
+    def __init__(self) -> None:
+        super().__init__(ResourceLimits(), self.respond)
+        self.two_accepted = asyncio.Event()
+
+    async def respond(self, _request: web.BaseRequest) -> web.StreamResponse:
+        return web.Response(text="ok")
+
+    def connection_opened(self, handler: LimitedRequestHandler) -> None:
+        super().connection_opened(handler)
+        if self.slots.total == 2:
+            self.two_accepted.set()
+
+
+class OverdueHeads(unittest.IsolatedAsyncioTestCase):
+    async def test_a_head_that_a_late_loop_left_unread_is_answered(self) -> None:
+        """Between the sweep that finds a connection late and the one that ends it, the loop reads."""
+        listener = CountingListener()
+        port = await listener.listen("127.0.0.1", 0)
+        self.addAsyncCleanup(listener.close)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        silent, other = await asyncio.open_connection("127.0.0.1", port)
-        while len(here._awaiting_head) < 2:
-            await asyncio.sleep(0)
-        with mock.patch.object(front, "HEADER_TIMEOUT_S", -1.0):
-            writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")  # is there, and the loop has not read it yet
-            here._close_overdue()
-            self.assertIn(b"200 OK", await asyncio.wait_for(reader.readline(), 15.0))
-            here._close_overdue()
-        self.assertEqual(await asyncio.wait_for(silent.read(), 15.0), b"")
-        writer.close()
-        other.close()
+        self.addCleanup(writer.close)
+        silent_reader, silent_writer = await asyncio.open_connection("127.0.0.1", port)
+        self.addCleanup(silent_writer.close)
+        await asyncio.wait_for(listener.two_accepted.wait(), EVENT_TIMEOUT_S)
+        with mock.patch.object(client_listener, "HEADER_TIMEOUT_S", -1.0):
+            writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")  # has arrived, but the loop has not read it
+            listener._close_overdue()
+            self.assertIn(b"200 OK", await asyncio.wait_for(reader.readline(), EVENT_TIMEOUT_S))
+            listener._close_overdue()
+        self.assertEqual(await asyncio.wait_for(silent_reader.read(), EVENT_TIMEOUT_S), b"")
 
 
 if __name__ == "__main__":
--- a/tests/forwarder/test_router.py
+++ b/tests/forwarder/test_router.py
@@ -139,7 +139,7 @@
         admitted = sum(router.admits(0.0, "fetch") for _ in range(4000))
         self.assertAlmostEqual(admitted / 4000, 0.3, delta=0.03)
 
-    def test_a_rate_admits_so_many_requests_a_second(self) -> None:
+    def test_a_rate_admits_that_number_of_requests_a_second(self) -> None:
         router = new_router(AdmissionMode.RATE)
         router.apply([ConfigPart(admission=AdmissionOrder(5.0, RetryPolicy.ONCE_IF_NOT_RUN))])
         admitted = sum(router.admits(tick / 100, "fetch") for tick in range(1000))
--- a/tests/plugins/test_plugins.py
+++ b/tests/plugins/test_plugins.py
@@ -19,7 +19,7 @@
 from cottonladder.planning import plugin_bounds as hooks
 from cottonladder.plugins import abi, chain, host
 from cottonladder.testbed.fleet import ROOT, ForwarderProcess
-from tests.support.forwarder_rig import GRACE, ForwarderRig
+from tests.support.forwarder_rig import GRACE_S, ForwarderRig
 
 EXAMPLE = ROOT / "deploy" / "plugins" / "audit-trail.wat"
 HEAD = """(module {imports} (memory (export "memory") 1 {pages})
@@ -274,7 +274,7 @@
     async def start(self, plugins: dict[str, Any], **more: Any) -> ForwarderProcess:
         manager = await self.manager()
         forwarder = await self.forwarder(manager.port, plugins=plugins, **more)
-        await self.bound(forwarder, *self.workers)
+        await self.wait_for_table(forwarder, *self.workers)
         return forwarder
 
     async def got(self, forwarder: ForwarderProcess, count: int, **headers: str) -> set[str]:
@@ -292,7 +292,7 @@
         self.assertEqual(await self.got(forwarder, 20, **{"X-Matter": "42"}), {"s-2"})
         self.assertGreater(len(await self.got(forwarder, 30)), 2)
         await self.discovery.set_state("s-2", "Terminating")  # no worker carries the label any more
-        await self.bound(forwarder, "s-0", "s-1", "s-3")
+        await self.wait_for_table(forwarder, "s-0", "s-1", "s-3")
         begun = time.monotonic()
         self.assertEqual(await self.got(forwarder, 5, **{"X-Matter": "42"}), {"503"})
         self.assertLess(time.monotonic() - begun, 2.0)
@@ -322,9 +322,9 @@
                 took.append(time.monotonic() - begun)
 
         clients = [asyncio.create_task(client(n)) for n in range(8)]
-        await self.until(lambda: len(statuses) > 100)
+        await self.wait_until(lambda: len(statuses) > 100)
         await self.discovery.set_state("s-1", "Terminating")
-        await self.bound(forwarder, "s-0", "s-2", "s-3")
+        await self.wait_for_table(forwarder, "s-0", "s-2", "s-3")
         await asyncio.sleep(0.2)
         drained = sum(self.workers["s-1"].requests.values())
         await asyncio.gather(*clients)
@@ -371,7 +371,7 @@
             table = (await forwarder.status(self.session))["tables"]["fetch"]
             return len(table) == 3 and table["s-1"] < 0.65 * table["s-0"]
 
-        await self.until(lowered)
+        await self.wait_until(lowered)
         table = (await forwarder.status(self.session))["tables"]["fetch"]
         self.assertGreater(table["s-1"], 0.4 * table["s-0"])  # clipped: nothing takes a worker out
 
@@ -379,22 +379,22 @@
         for n in range(3):
             await self.worker(f"s-{n}")
         texts = (says("deny=not now", name="move"), HOSTILE["loops"][0].replace('"route"', '"event"'))
-        manager = await self.manager(plugins={**self.plugins(*texts), "grace": GRACE})
+        manager = await self.manager(plugins={**self.plugins(*texts), "grace": GRACE_S})
         forwarder = await self.forwarder(manager.port)
-        await self.bound(forwarder, *self.workers)
+        await self.wait_for_table(forwarder, *self.workers)
         await self.open(forwarder, 60)
         before = self.workers["s-0"].held_connections
         await self.discovery.set_state("s-0", "Terminating")
-        await asyncio.sleep(0.15 * GRACE)
+        await asyncio.sleep(0.15 * GRACE_S)
         self.assertEqual(self.workers["s-0"].held_connections, before)
-        await self.emptied("s-0")
-        self.assertEqual((sum(self.held().values()), self.counts.unanswered), (60, 0))
+        await self.wait_until_empty("s-0")
+        self.assertEqual((sum(self.connections_by_worker().values()), self.counts.unanswered), (60, 0))
         await manager.logged("plugin_disabled", "out_of_fuel")  # the feed's hook loops: left alone
 
     async def test_one_that_can_not_be_loaded_is_one_line_at_the_start(self) -> None:
         await self.worker("s-1")
         forwarder = ForwarderProcess(
-            0, self.at, ["127.0.0.1:9"], None, plugins=self.plugins(module(version=2))
+            0, self.discovery_address, ["127.0.0.1:9"], None, plugins=self.plugins(module(version=2))
         )
         with self.assertRaisesRegex(AssertionError, "interface 2, 1 expected"):
             await forwarder.serving()
--- a/tests/support/forwarder_rig.py
+++ b/tests/support/forwarder_rig.py
@@ -1,4 +1,4 @@
-"""Forwarders and managers as programs on loopback, stand-in workers and clients that hold connections."""
+"""Forwarders and managers as programs on loopback, simulated workers, and clients that stay connected."""
 
 from __future__ import annotations
 
@@ -15,32 +15,47 @@
 from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
 
-WAIT = 20.0  # s for any event, so that a slow machine fails no test
-GRACE = 6.0
-UPGRADES: dict[str, Any] = {"grace": GRACE, "arrivals": 1000.0}
-RELEASES = [{"name": "fetch", "replays": "replayable", "timeout": 8.0, "ticket": "Case-Ticket",
-             "busy": {"opens": "release:", "ends": "done:"}}]  # fmt: skip
+EVENT_TIMEOUT_S = 20.0  # for any event, so that a slow machine fails no test
+POLL_INTERVAL_S = 0.02  # between two looks at a condition that no event announces
+GRACE_S = 6.0
+UPGRADES: dict[str, Any] = {"grace": GRACE_S, "arrivals": 1000.0}
+RELEASE_CLASSES: list[dict[str, Any]] = [
+    {"name": "fetch", "replays": "replayable", "timeout": 8.0, "ticket": "Case-Ticket",
+     "busy": {"opens": "release:", "ends": "done:"}},
+]  # fmt: skip
+WEBSOCKET_HANDSHAKE = (
+    b"GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n"
+    b"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n"
+)
 
 
 class ForwarderRig(unittest.IsolatedAsyncioTestCase):
+    """A discovery service, and whatever a test starts beside it; all of it ends with the test."""
+
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # a thousand clients would wait for its traces
-        self.ledger, self.cases, self.counts = EffectLedger(), dict[str, TicketSession](), ClientCounters()
+        asyncio.get_running_loop().set_debug(False)  # debug traces would slow a thousand clients down
+        self.ledger = EffectLedger()
+        self.ticket_sessions: dict[str, TicketSession] = {}
+        self.counts = ClientCounters()
         self.workers: dict[str, SimulatedWorker] = {}
+        self.clients: list[HoldingClient] = []
         self.discovery = SimulatedDiscovery()
-        self.at = await self.discovery.start()
+        self.discovery_address = await self.discovery.start()
         self.addAsyncCleanup(self.discovery.close)
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
-        self.addAsyncCleanup(self.session.close)
-        self.desks: list[HoldingClient] = []
-        self.addAsyncCleanup(self.stop_desks)
+        self.addAsyncCleanup(self.disconnect_clients)
 
-    async def stop_desks(self) -> None:
-        for desk in self.desks:
-            await desk.stop()
+    async def disconnect_clients(self) -> None:
+        """Ends every client and closes the kept connections, for which a forwarder's stop would wait."""
+        clients = self.clients
+        self.clients = []
+        await asyncio.gather(*(client.stop() for client in clients))
+        await self.session.close()
 
     async def worker(self, name: str, zone: str = "a", **listed: Any) -> SimulatedWorker:
-        worker = self.workers[name] = SimulatedWorker(name, self.ledger, self.cases)
+        """Starts a worker and lists it."""
+        worker = SimulatedWorker(name, self.ledger, self.ticket_sessions)
+        self.workers[name] = worker
         await worker.start()
         self.addAsyncCleanup(worker.abort)
         await self.discovery.put(name, worker.address, zone, **listed)
@@ -49,38 +64,44 @@
     async def manager(
         self, upgrades: dict[str, Any] | None = UPGRADES, port: int = 0, **more: Any
     ) -> ManagerProcess:
-        manager = ManagerProcess(self.at, self.discovery.listing(), upgrades, **more)
+        """Starts a manager."""
+        manager = ManagerProcess(self.discovery_address, self.discovery.listing(), upgrades, **more)
         await manager.serving(port)
         self.addAsyncCleanup(manager.stop)
         return manager
 
     async def forwarder(self, *ports: int, node: int = 0, **part: Any) -> ForwarderProcess:
+        """Starts a forwarder of the managers on these ports; clients are disconnected before it stops."""
         managers = [f"127.0.0.1:{port}" for port in ports]
         upgrades = part.pop("upgrades", UPGRADES)
-        forwarder = ForwarderProcess(node, self.at, managers, upgrades, **part)
+        forwarder = ForwarderProcess(node, self.discovery_address, managers, upgrades, **part)
         await forwarder.serving()
         self.addAsyncCleanup(forwarder.stop)
+        self.addAsyncCleanup(self.disconnect_clients)
         return forwarder
 
-    async def until(
-        self, what: Callable[[], bool] | Callable[[], Awaitable[bool]], wait: float = WAIT
+    async def wait_until(
+        self,
+        condition: Callable[[], bool] | Callable[[], Awaitable[bool]],
+        timeout_s: float = EVENT_TIMEOUT_S,
     ) -> None:
-        end = time.monotonic() + wait
+        """Waits until a condition holds."""
+        deadline = time.monotonic() + timeout_s
         while True:
-            found = what()
-            if found if isinstance(found, bool) else await found:
+            result = condition()
+            if result if isinstance(result, bool) else await result:
                 return
-            self.assertLess(time.monotonic(), end, "did not come")
-            await asyncio.sleep(0.02)
+            self.assertLess(time.monotonic(), deadline, "the condition did not come about in time")
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def bound(self, forwarder: ForwarderProcess, *names: str) -> None:
-        """Until its table names these workers and no other."""
+    async def wait_for_table(self, forwarder: ForwarderProcess, *names: str) -> None:
+        """Waits until a manager is connected and the forwarder's table names exactly these workers."""
 
-        async def same() -> bool:
+        async def names_them() -> bool:
             status = await forwarder.status(self.session)
             return status["manager"] is not None and set(status["tables"]["fetch"]) == set(names)
 
-        await self.until(same)
+        await self.wait_until(names_them)
 
     async def open(
         self,
@@ -93,34 +114,48 @@
         reconnects_at_once: bool = False,
         ask_interval_s: float = 0.2,
     ) -> list[HoldingClient]:
-        """Clients that hold a connection, each connected."""
-        first = len(self.desks)
+        """Starts clients with an upgraded connection each, and waits until they are connected."""
+        first = len(self.clients)
         url = forwarder.url + path
-        new = [
+        clients = [
             HoldingClient(
                 self.session,
                 url,
                 self.counts,
-                f"d{first + n}",
+                f"d{first + number}",
                 busy=busy,
                 releases=releases,
                 reconnects_at_once=reconnects_at_once,
                 ask_interval_s=ask_interval_s,
             )
-            for n in range(count)
+            for number in range(count)
         ]
-        self.desks += new
-        for desk in new:
-            desk.start()
-        for desk in new:
-            await asyncio.wait_for(desk.connected.wait(), WAIT)
-        return new
-
-    def held(self) -> dict[str, int]:
+        self.clients += clients
+        for client in clients:
+            client.start()
+        for client in clients:
+            await asyncio.wait_for(client.connected.wait(), EVENT_TIMEOUT_S)
+        return clients
+
+    async def open_websocket(
+        self, forwarder: ForwarderProcess, limit_bytes: int = 65_536
+    ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """A client's end of a WebSocket as bytes, its handshake done."""
+        reader, writer = await asyncio.open_connection("127.0.0.1", forwarder.port, limit=limit_bytes)
+        self.addCleanup(lambda: writer.transport.abort())  # which also keeps the writer open until then
+        writer.write(WEBSOCKET_HANDSHAKE)
+        head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), EVENT_TIMEOUT_S)
+        self.assertIn(b" 101 ", head)
+        return reader, writer
+
+    def connections_by_worker(self) -> dict[str, int]:
+        """The number of upgraded connections at each worker, as the workers count them."""
         return {name: worker.held_connections for name, worker in self.workers.items()}
 
-    async def emptied(self, *names: str, grace: float = GRACE) -> float:
-        """Waits for these workers to hold nothing; s that it took, within the grace."""
-        begun = time.monotonic()
-        await self.until(lambda: not any(self.workers[name].held_connections for name in names), grace + 1.0)
-        return time.monotonic() - begun
+    async def wait_until_empty(self, *names: str, grace_s: float = GRACE_S) -> float:
+        """Waits until these workers have no connection, which must be within the grace; returns how long."""
+        started_at = time.monotonic()
+        await self.wait_until(
+            lambda: not any(self.workers[name].held_connections for name in names), grace_s + 1.0
+        )
+        return time.monotonic() - started_at
