--- a/tests/plugins/test_forwarder_plugins.py
+++ b/tests/plugins/test_forwarder_plugins.py
@@ -12,7 +12,7 @@
 
 from cottonladder.testbed.fleet import ForwarderProcess
 from tests.plugins.modules import EXAMPLE_PATH, HOSTILE_MODULES, answering, module
-from tests.support.forwarder_rig import GRACE, ForwarderRig
+from tests.support.forwarder_rig import GRACE_S, ForwarderRig
 
 MATTER = {"X-Matter": "42"}  # the header for which the example asks for the audit trail
 CLIENT_COUNT = 8
@@ -43,7 +43,7 @@
         """A forwarder whose manager has listed all workers."""
         manager = await self.manager()
         forwarder = await self.forwarder(manager.port, plugins=plugins)
-        await self.bound(forwarder, *self.workers)
+        await self.wait_for_table(forwarder, *self.workers)
         return forwarder
 
     async def post_releases(
@@ -65,7 +65,7 @@
         self.assertEqual(await self.post_releases(forwarder, 20, MATTER), {"s-2"})
         self.assertGreater(len(await self.post_releases(forwarder, 30)), 2)
         await self.discovery.set_state("s-2", "Terminating")
-        await self.bound(forwarder, "s-0", "s-1", "s-3")
+        await self.wait_for_table(forwarder, "s-0", "s-1", "s-3")
         started_at = time.monotonic()
         self.assertEqual(await self.post_releases(forwarder, 5, MATTER), {"503"})
         self.assertLess(time.monotonic() - started_at, 2.0)
@@ -97,7 +97,7 @@
     async def test_a_plugin_that_does_not_load_ends_the_start_with_one_line(self) -> None:
         await self.worker("s-1")
         part = self.plugin_part(module(version=2))
-        forwarder = ForwarderProcess(0, self.at, ["127.0.0.1:9"], None, plugins=part)
+        forwarder = ForwarderProcess(0, self.discovery_address, ["127.0.0.1:9"], None, plugins=part)
         with self.assertRaisesRegex(AssertionError, "interface 2, 1 expected"):
             await forwarder.serving()
         self.assertEqual(await forwarder.stop(), 2)
@@ -121,9 +121,9 @@
                 durations_s.append(time.monotonic() - started_at)
 
         clients = [asyncio.create_task(post_releases(client)) for client in range(CLIENT_COUNT)]
-        await self.until(lambda: len(statuses) > 100)
+        await self.wait_until(lambda: len(statuses) > 100)
         await self.discovery.set_state("s-1", "Terminating")
-        await self.bound(forwarder, "s-0", "s-2", "s-3")
+        await self.wait_for_table(forwarder, "s-0", "s-2", "s-3")
         await asyncio.sleep(0.2)  # requests that were forwarded before the order reach the worker
         drained_count = sum(self.workers["s-1"].requests.values())
         await asyncio.gather(*clients)
@@ -158,7 +158,7 @@
             table = (await forwarder.status(self.session))["tables"]["fetch"]
             return len(table) == 3 and table["s-1"] < 0.65 * table["s-0"]
 
-        await self.until(is_lowered)
+        await self.wait_until(is_lowered)
         table = (await forwarder.status(self.session))["tables"]["fetch"]
         self.assertGreater(table["s-1"], 0.4 * table["s-0"])
 
@@ -166,17 +166,17 @@
         """A second plug-in fails in each event hook, and is disabled."""
         await self.start_workers(3)
         looping_event_hook = HOSTILE_MODULES["loops"].text.replace('"route"', '"event"')
-        part = self.plugin_part(answering("deny=not now", hook="move"), looping_event_hook, grace=GRACE)
+        part = self.plugin_part(answering("deny=not now", hook="move"), looping_event_hook, grace=GRACE_S)
         manager = await self.manager(plugins=part)
         forwarder = await self.forwarder(manager.port)
-        await self.bound(forwarder, *self.workers)
+        await self.wait_for_table(forwarder, *self.workers)
         await self.open(forwarder, 60)
         before = self.workers["s-0"].held_connections
         await self.discovery.set_state("s-0", "Terminating")
-        await asyncio.sleep(0.15 * GRACE)  # within the time of the veto, nothing may happen
+        await asyncio.sleep(0.15 * GRACE_S)  # within the time of the veto, nothing may happen
         self.assertEqual(self.workers["s-0"].held_connections, before)
-        await self.emptied("s-0")
-        self.assertEqual((sum(self.held().values()), self.counts.unanswered), (60, 0))
+        await self.wait_until_empty("s-0")
+        self.assertEqual((sum(self.connections_by_worker().values()), self.counts.unanswered), (60, 0))
         await manager.logged("plugin_disabled", "out_of_fuel")
 
 
