--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -1,10 +1,10 @@
-"""Weight advice: what it gains and what a lie costs, the codecs' speed, pushes, memory.
+"""Weight advice: its gain, the cost of wrong weights, the speed of codecs and pushes, memory.
 
     python -m benchmarks.advice --json
 
 The month's end is played in simulated time on the controller itself (`cottonladder.testbed.month_end`),
-seeded; the rest runs on loopback.  `served_*`: share of requests within the latency objective; each scenario
-beside none, same seeds.
+seeded; the rest runs on loopback.  The served share counts requests within the latency objective;
+each scenario stands beside `none` on the same seeds.
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 import time
 from collections.abc import Callable, Sequence
 from contextlib import AsyncExitStack
-from dataclasses import dataclass
 from ipaddress import IPv4Address
 from pathlib import Path
 from statistics import mean
 from typing import Any
 
+import msgspec
+
 from benchmarks.harness import (
     MILLISECONDS_PER_S,
     argument_parser,
@@ -28,7 +29,7 @@
     start_discovery,
 )
 from cottonladder.planning.advice_weighting import AdvisoryWeight
-from cottonladder.testbed import month_end
+from cottonladder.testbed import month_end, month_end_advisors
 from cottonladder.testbed.advisors import SaspBalancer, weights_by_label
 from cottonladder.testbed.discovery import SimulatedDiscovery
 from cottonladder.testbed.fleet import ManagerProcess
@@ -38,7 +39,7 @@
 SEEDS = (7, 8, 9, 10)
 LOAD = 0.85  # of the workers' capacity
 NEW_WORKER = 20
-NEW_WORKER_SPEED = 1.5
+NEW_WORKER_SPEED = 1.5  # times the usual speed
 NEW_WORKER_AT_S = 20.0
 WARM_UP_RUN_S = 45.0
 BALANCER_COUNT = 200
@@ -48,7 +49,7 @@
 PUSH_TIMEOUT_S = 20.0
 SETTLE_S = 3.0  # until pushes of the registrations are over
 PUSH_INTERVAL_S = 2.5
-REST_S = 2.5  # of a manager, before its memory is read
+IDLE_S = 2.5  # of a manager, before its memory is read
 CALL_TIME_S = 0.7  # for which a codec is called again and again
 TCP = 6
 FIRST_ADDRESS = 0x0A000000  # 10.0.0.0
@@ -57,19 +58,18 @@
 
 SCENARIOS: dict[str, tuple[month_end.Advisor, ...]] = {
     "none": (),
-    "honest": (month_end.honest_advisor,),
-    "lying": (month_end.lying_advisor,),
-    "stalled": (month_end.stalling_advisor,),
-    "random": (month_end.random_advisor,),
-    "all_0": (month_end.zero_advisor,),
-    "all_most": (month_end.maximum_advisor,),
-    "stalls_then_lies": (month_end.stalling_then_lying_advisor,),
-    "two_differ": (month_end.honest_advisor, month_end.lying_advisor),
+    "honest": (month_end_advisors.honest_advisor,),
+    "lying": (month_end_advisors.lying_advisor,),
+    "stalled": (month_end_advisors.stalling_advisor,),
+    "random": (month_end_advisors.random_advisor,),
+    "all_0": (month_end_advisors.zero_advisor,),
+    "all_most": (month_end_advisors.maximum_advisor,),
+    "stalls_then_lies": (month_end_advisors.stalling_then_lying_advisor,),
+    "two_differ": (month_end_advisors.honest_advisor, month_end_advisors.lying_advisor),
 }
 
 
-@dataclass(frozen=True, slots=True)
-class ScenarioResult:
+class ScenarioResult(msgspec.Struct, frozen=True):
     """Means over the seeds, and the sum of steps at which a proxy had no worker."""
 
     served_share: float
@@ -77,47 +77,87 @@
     proxies_without_worker: int
 
 
+class WarmUpFigures(msgspec.Struct, frozen=True):
+    """Loads of a new worker, as parts of the load under which it collapses."""
+
+    overloaded_runs: int
+    largest_load: float
+    largest_load_without_advice: float
+
+
+class CodecFigures(msgspec.Struct, frozen=True):
+    """Messages, or members in large messages, that the codecs process a second."""
+
+    encode_per_s: int
+    decode_per_s: int
+    members_per_s_of_1000: int
+    members_per_s_of_10000: int
+    dfp_hosts_per_s_of_10000: int
+
+
+class PushFigures(msgspec.Struct, frozen=True):
+    """Time from a change of the endpoint list to the push at a balancer."""
+
+    p50_ms: float
+    p99_ms: float
+
+
+class AdviceFigures(msgspec.Struct, frozen=True):
+    """What the benchmark prints."""
+
+    scenarios: dict[str, ScenarioResult]
+    warm_up: WarmUpFigures
+    codecs: CodecFigures
+    pushes: PushFigures
+    manager_mb_without: float
+    manager_mb_with: float
+    measured_on: str
+
+
 def play_scenario(advisors: Sequence[month_end.Advisor]) -> ScenarioResult:
+    """Plays the month's end with these advisors, once for each seed."""
     named = {str(number): advisor for number, advisor in enumerate(advisors)}
     results = [MonthEndRun(named, seed=seed, load=LOAD).run(month_end.slow_two_workers) for seed in SEEDS]
     return ScenarioResult(
-        served_share=mean(result.served_share for result in results),
-        worst_share=mean(result.worst_share for result in results),
+        served_share=round(mean(result.served_share for result in results), 4),
+        worst_share=round(mean(result.worst_share for result in results), 3),
         proxies_without_worker=sum(result.proxies_without_worker for result in results),
     )
 
 
-def flattering_advisor(elapsed_s: float, run: MonthEndRun) -> dict[int, AdvisoryWeight]:
+def flattering_advisor(_elapsed_s: float, run: MonthEndRun) -> dict[int, AdvisoryWeight]:
     """Ranks a new worker far above all others."""
     return {
-        index: AdvisoryWeight(month_end.MAX_ADVISORY_WEIGHT if worker.started_at else 1.0)
+        index: AdvisoryWeight(month_end_advisors.MAX_ADVISORY_WEIGHT if worker.started_at else 1.0)
         for index, worker in run.workers.items()
     }
 
 
 def add_new_worker(elapsed_s: float, run: MonthEndRun) -> None:
+    """Starts a new worker at a fixed time of the run."""
     if month_end.happens_at(NEW_WORKER_AT_S, elapsed_s):
         run.start_worker(NEW_WORKER, 0, NEW_WORKER_SPEED, month_end.START_TIME_S + elapsed_s)
 
 
 def warm_up_loads(advisors: dict[str, month_end.Advisor]) -> list[float]:
-    """By seed, the most that a new worker was brought, of what would push it over."""
+    """By seed, the largest load of a new worker, as a part of the load under which it collapses."""
     runs = [MonthEndRun(advisors, seed=seed, duration_s=WARM_UP_RUN_S, load=LOAD) for seed in SEEDS]
     return [run.run(add_new_worker).worst_warm_up_load for run in runs]
 
 
-def measure_warm_up() -> dict[str, float]:
-    """Runs in which a flattered new worker was pushed over, and the most that it was brought."""
+def measure_warm_up() -> WarmUpFigures:
+    """Runs in which a new worker with too high a weight was overloaded, and its largest load."""
     flattered = warm_up_loads({"a": flattering_advisor})
     unadvised = warm_up_loads({})
-    return {
-        "cold_over_budget": sum(load >= 1.0 for load in flattered),
-        "cold_most_of_fall": round(max(flattered), 3),
-        "cold_most_none": round(max(unadvised), 3),
-    }
+    return WarmUpFigures(
+        overloaded_runs=sum(load >= 1.0 for load in flattered),
+        largest_load=round(max(flattered), 3),
+        largest_load_without_advice=round(max(unadvised), 3),
+    )
 
 
 def calls_per_s(call: Callable[[], object]) -> float:
+    """How often a second a function can be called."""
     count = 0
     started_at = time.perf_counter()
     while time.perf_counter() - started_at < CALL_TIME_S:
@@ -127,7 +167,7 @@
 
 
 def sasp_weights(count: int) -> sasp.Message:
-    """A message with the weights of so many members."""
+    """A message with the weights of `count` members."""
     entries = []
     for n in range(count):
         member = sasp.MemberData(TCP, n % 65536, IPv4Address(FIRST_ADDRESS + n), b"s-%d" % n)
@@ -138,26 +178,27 @@
 
 
 def dfp_report(count: int) -> bytes:
+    """An encoded DFP report on `count` hosts."""
     hosts = tuple(dfp.HostPreference(IPv4Address(FIRST_ADDRESS + n), 0, n) for n in range(count))
     return dfp.encode_message(
         dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, (dfp.Load(80, TCP, hosts),))
     )
 
 
-def measure_codecs() -> dict[str, float]:
+def measure_codecs() -> CodecFigures:
     """Small messages a second, and members a second in large ones."""
     small = sasp_weights(10)
     small_bytes = sasp.encode_message(small)
     large_bytes = sasp.encode_message(sasp_weights(1000))
     largest_bytes = sasp.encode_message(sasp_weights(10_000))
     report = dfp_report(10_000)
-    return {
-        "encode_per_s": calls_per_s(lambda: sasp.encode_message(small)),
-        "decode_per_s": calls_per_s(lambda: sasp.decode_message(small_bytes)),
-        "members_per_s_1000": 1000 * calls_per_s(lambda: sasp.decode_message(large_bytes)),
-        "members_per_s_10000": 10_000 * calls_per_s(lambda: sasp.decode_message(largest_bytes)),
-        "dfp_hosts_per_s_10000": 10_000 * calls_per_s(lambda: dfp.decode_message(report)),
-    }
+    return CodecFigures(
+        encode_per_s=round(calls_per_s(lambda: sasp.encode_message(small))),
+        decode_per_s=round(calls_per_s(lambda: sasp.decode_message(small_bytes))),
+        members_per_s_of_1000=round(1000 * calls_per_s(lambda: sasp.decode_message(large_bytes))),
+        members_per_s_of_10000=round(10_000 * calls_per_s(lambda: sasp.decode_message(largest_bytes))),
+        dfp_hosts_per_s_of_10000=round(10_000 * calls_per_s(lambda: dfp.decode_message(report))),
+    )
 
 
 async def start_advice_server(
@@ -173,7 +214,7 @@
 
 
 async def start_balancer(stack: AsyncExitStack, number: int, port: int) -> SaspBalancer:
-    """A balancer that has registered all workers and is pushed what changes."""
+    """A balancer that has registered all workers and receives pushes of changes."""
     balancer = SaspBalancer(b"lb-%d" % number)
     await balancer.connect(port)
     stack.push_async_callback(balancer.close)
@@ -186,7 +227,7 @@
 
 
 async def wait_for_push(balancer: SaspBalancer, is_draining: bool) -> float:
-    """When the balancer is pushed that the first worker drains, or that it is back."""
+    """Waits for the push that the first worker drains, or has returned; gives the time."""
     while True:
         message = await asyncio.wait_for(balancer.pushed.get(), PUSH_TIMEOUT_S)
         weights = weights_by_label(message)
@@ -194,8 +235,8 @@
             return time.perf_counter()
 
 
-async def measure_pushes() -> dict[str, float]:
-    """From the list's change to its arrival at each of two hundred balancers."""
+async def measure_pushes() -> PushFigures:
+    """Time from a change of the endpoint list to the push at each of two hundred balancers."""
     async with AsyncExitStack() as stack:
         discovery, discovery_address = await start_discovery(stack)
         for n in range(PUSHED_WORKERS):
@@ -212,47 +253,40 @@
             arrivals = await asyncio.gather(*waits)
             durations_ms += [MILLISECONDS_PER_S * (arrived_at - started_at) for arrived_at in arrivals]
             await asyncio.sleep(PUSH_INTERVAL_S)
-    return {"push_p50_ms": percentile(durations_ms, 0.5), "push_p99_ms": percentile(durations_ms, 0.99)}
+    return PushFigures(
+        p50_ms=round(percentile(durations_ms, 0.5), 1), p99_ms=round(percentile(durations_ms, 0.99), 1)
+    )
 
 
 async def peak_memory_mb(advice: dict[str, Any] | None) -> float:
-    """The most that a manager at rest has held."""
+    """The most memory that an idle manager has used."""
     async with AsyncExitStack() as stack:
         discovery, discovery_address = await start_discovery(stack)
         manager = ManagerProcess(discovery_address, discovery.listing(), None, advice)
         stack.push_async_callback(manager.stop)
         await manager.serving()
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(IDLE_S)
         assert manager.process is not None
         status = Path(f"/proc/{manager.process.pid}/status").read_text()
     return int(status.split("VmHWM:")[1].split()[0]) / KB_PER_MB
 
 
-def measure_scenarios() -> dict[str, float]:
-    figures: dict[str, float] = {}
-    results = {name: play_scenario(advisors) for name, advisors in SCENARIOS.items()}
-    for name, result in results.items():
-        figures[f"served_{name}"] = round(result.served_share, 4)
-        figures[f"worst_10s_{name}"] = round(result.worst_share, 3)
-    figures |= measure_warm_up()
-    figures["bare_proxies"] = sum(result.proxies_without_worker for result in results.values())
-    return figures
-
-
-def measure() -> dict[str, Any]:
-    figures: dict[str, Any] = measure_scenarios()
-    figures |= {name: round(value) for name, value in measure_codecs().items()}
-    figures |= {name: round(value, 1) for name, value in asyncio.run(measure_pushes()).items()}
+def measure() -> AdviceFigures:
+    """Measures all figures."""
     servers = [{"protocol": protocol, "listen": "127.0.0.1:0"} for protocol in ("sasp", "dfp")]
-    figures["manager_mb_off"] = round(asyncio.run(peak_memory_mb(None)), 1)
-    figures["manager_mb_on"] = round(asyncio.run(peak_memory_mb({"serve": servers})), 1)
-    figures["of"] = (
-        f"simulated workers, seeds {SEEDS}; sockets on loopback, one machine of {os.cpu_count()} cores"
+    return AdviceFigures(
+        scenarios={name: play_scenario(advisors) for name, advisors in SCENARIOS.items()},
+        warm_up=measure_warm_up(),
+        codecs=measure_codecs(),
+        pushes=asyncio.run(measure_pushes()),
+        manager_mb_without=round(asyncio.run(peak_memory_mb(None)), 1),
+        manager_mb_with=round(asyncio.run(peak_memory_mb({"serve": servers})), 1),
+        measured_on=f"simulated workers, seeds {SEEDS}; loopback, one machine of {os.cpu_count()} cores",
     )
-    return figures
 
 
 def main() -> None:
+    """The command line."""
     arguments = argument_parser(__doc__).parse_args()
     print_figures(measure(), arguments.json)
 
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -7,11 +7,13 @@
 import os
 import subprocess
 import sys
-from collections.abc import Mapping, Sequence
+from collections.abc import Sequence
 from contextlib import AsyncExitStack
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from cottonladder.testbed.discovery import SimulatedDiscovery
 
 TREE = Path(__file__).resolve().parents[1]
@@ -32,14 +34,14 @@
     parser.add_argument("--before", metavar="TREE", help="an older checkout, measured by its own benchmark")
 
 
-def print_figures(figures: Mapping[str, Any], as_json: bool) -> None:
-    """Prints figures as one JSON object or as aligned lines."""
+def print_figures(figures: msgspec.Struct, as_json: bool) -> None:
+    """Prints a record of figures as one JSON object or as aligned lines."""
     if as_json:
-        print(json.dumps(figures))
+        print(msgspec.json.encode(figures).decode())
         return
-    width = max(len(name) for name in figures)
-    for name, value in figures.items():
-        print(f"{name:{width}} {value}")
+    width = max(len(name) for name in figures.__struct_fields__)
+    for name in figures.__struct_fields__:
+        print(f"{name:{width}} {getattr(figures, name)}")
 
 
 def run_in_tree(tree: str, module: str, *arguments: str, timeout_s: float | None = None) -> Any:
--- a/benchmarks/http_load.py
+++ b/benchmarks/http_load.py
@@ -5,22 +5,46 @@
 import asyncio
 import statistics
 import time
+from collections.abc import Sequence
 
 import aiohttp
+import msgspec
 
 from benchmarks.harness import MILLISECONDS_PER_S
 
-HTTP_OK = 200
+HTTP_OK = 200  # status
 
 
-async def http_load(url: str, request_count: int, concurrency: int) -> dict[str, float]:
-    """Requests a second, and their times in milliseconds."""
+class LoadFigures(msgspec.Struct, frozen=True):
+    """Throughput and latency of one load."""
+
+    requests_per_s: float
+    p50_ms: float
+    p99_ms: float
+
+    def rounded(self) -> LoadFigures:
+        """The figures to two places."""
+        return LoadFigures(round(self.requests_per_s, 2), round(self.p50_ms, 2), round(self.p99_ms, 2))
+
+
+def median_load(rounds: Sequence[LoadFigures]) -> LoadFigures:
+    """The median of each figure over the rounds."""
+    return LoadFigures(
+        statistics.median(figures.requests_per_s for figures in rounds),
+        statistics.median(figures.p50_ms for figures in rounds),
+        statistics.median(figures.p99_ms for figures in rounds),
+    )
+
+
+async def http_load(url: str, request_count: int, concurrency: int) -> LoadFigures:
+    """Sends requests over several connections, each one after another."""
     durations_s: list[float] = []
     remaining = iter(range(request_count))
     connector = aiohttp.TCPConnector(limit=concurrency)
     async with aiohttp.ClientSession(connector=connector) as session:
 
         async def client() -> None:
+            """Sends requests until none remains."""
             for _ in remaining:
                 started_at = time.perf_counter()
                 async with session.get(url) as response:
@@ -32,8 +56,8 @@
         await asyncio.gather(*(client() for _ in range(concurrency)))
         total_s = time.perf_counter() - started_at
     percentiles = statistics.quantiles(durations_s, n=100)
-    return {
-        "reqs_per_s": request_count / total_s,
-        "p50_ms": percentiles[49] * MILLISECONDS_PER_S,
-        "p99_ms": percentiles[98] * MILLISECONDS_PER_S,
-    }
+    return LoadFigures(
+        requests_per_s=request_count / total_s,
+        p50_ms=percentiles[49] * MILLISECONDS_PER_S,
+        p99_ms=percentiles[98] * MILLISECONDS_PER_S,
+    )
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,4 +1,4 @@
-"""Memory across restarts: crashes, what snapshots save after a restart, what an old one costs, stalls.
+"""Snapshots across restarts: crashes, their gain after a restart, the cost of an old one, stalls.
 
     python -m benchmarks.memory --json
 
@@ -18,6 +18,7 @@
 from statistics import mean
 from typing import Any
 
+import msgspec
 import structlog
 
 from benchmarks.harness import MILLISECONDS_PER_S, argument_parser, percentile, print_figures
@@ -43,7 +44,7 @@
 from cottonladder.testbed.month_end_records import RequestCounts
 
 SEEDS = (7, 8, 9, 10, 11, 12)
-CRASH_SEED = 7
+CRASH_SEED = 7  # without unit
 LOAD = 0.8  # of the workers' capacity
 DURATION_S = 100.0
 RESTART_S = 70.0
@@ -54,19 +55,55 @@
 MAX_USUAL_SHARE = 0.97
 FRESH_AGE_S = 2.0
 STALE_AGE_S = 12 * 3600.0
-WRONGLY_SUSPECTED = (0, 1, 9)  # good workers
+WRONGLY_EJECTED = (0, 1, 9)  # good workers
 SNAPSHOT_INTERVAL_S = 0.25
 SNAPSHOT_CPU_FRACTION = 0.5
 SNAPSHOT_RUN_S = 3.0
-FLEETS = {"": (120, 640), "_large": (1200, 6400)}  # workers and proxies, by the suffix of their figures
+FLEET_SIZE = (120, 640)  # workers and proxies
+LARGE_FLEET_SIZE = (1200, 6400)
 BUSY_TASKS = 20
 BUSY_SLICE_S = 0.002
 TIMER_S = 0.005
 TIMER_COUNT = 400
-LATE_S = 0.01  # past which the scheduler is told that the loop lags
+LATE_S = 0.01  # of a timer, after which the scheduler is notified of loop lag
 Restore = Callable[[RestoredState], RestoredState | None]
 
 
+class RestartFigures(msgspec.Struct, frozen=True):
+    """Requests that missed the latency objective after a restart, over all seeds."""
+
+    late_requests_without_restart: int
+    late_requests_without_snapshot: int
+    late_requests_with_snapshot: int
+    saved_share: float
+    settled_s_without_snapshot: float
+    settled_s_with_snapshot: float
+    added_by_stale_snapshot: int
+
+
+class SnapshotFigures(msgspec.Struct, frozen=True):
+    """Writing snapshots of one fleet."""
+
+    snapshot_ms: float
+    longest_stall_ms: float
+    file_bytes: int
+
+
+class MemoryFigures(msgspec.Struct, frozen=True):
+    """What the benchmark prints."""
+
+    kills: int
+    half_written: int
+    states_lost: int
+    restarts: RestartFigures
+    snapshots: SnapshotFigures
+    snapshots_of_large_fleet: SnapshotFigures
+    timer_delay_p99_ms_idle: float
+    timer_delay_p99_ms_loaded: float
+    read_ms: float
+    measured_on: str = f"simulated workers, seeds {SEEDS}; this machine's disk and loop"
+
+
 @dataclass(frozen=True, slots=True)
 class Aftermath:
     """Requests not served in time after the restart, and seconds until all is as usual again."""
@@ -76,7 +113,7 @@
 
 
 class WindowCounter:
-    """Counts a run's requests by window, and restarts its manager; `restore` None: no restart at all."""
+    """Counts a run's requests by window and restarts its manager, or does not where `restore` is None."""
 
     def __init__(self, restore: Restore | None) -> None:
         self.windows: dict[int, RequestCounts] = {}
@@ -84,7 +121,7 @@
         self._seen = RequestCounts()
 
     def observe(self, elapsed_s: float, run: MonthEndRun) -> None:
-        """At each step of the run."""
+        """Called at each step of the run."""
         window = self.windows.setdefault(int(elapsed_s / WINDOW_S), RequestCounts())
         window.requests += run.result.requests - self._seen.requests
         window.served += run.result.served - self._seen.served
@@ -93,6 +130,7 @@
             run.restart_manager(self._restore)
 
     def aftermath(self) -> Aftermath:
+        """The figures after the restart."""
         first = int(RESTART_S / WINDOW_S)
         end = int((RESTART_S + AFTERMATH_S) / WINDOW_S)
         after = [window for index, window in self.windows.items() if first <= index < end]
@@ -113,33 +151,35 @@
 
 
 def play_restart(restore: Restore | None, seed: int) -> Aftermath:
+    """Plays one run with a restart at peak load."""
     run = MonthEndRun({}, seed=seed, duration_s=DURATION_S, load=LOAD)
     counter = WindowCounter(restore)
     run.run(counter.observe)
     return counter.aftermath()
 
 
-def forget(state: RestoredState) -> None:
+def forget(_state: RestoredState) -> None:
     """A restart without a snapshot."""
-    return
 
 
 def restore_fresh(state: RestoredState) -> RestoredState:
+    """A snapshot of two seconds ago."""
     return snapshot_staleness.discount(state, FRESH_AGE_S)
 
 
 def restore_stale(state: RestoredState) -> RestoredState:
-    """Twelve hours old, and its suspicions no longer hold: three good workers suspected and slow."""
+    """A snapshot of twelve hours ago in which three good workers are ejected and slow."""
     workers = tuple(
         replace(worker, was_ejected=True, latency_factor=0.05)
-        if worker.worker_index in WRONGLY_SUSPECTED
+        if worker.worker_index in WRONGLY_EJECTED
         else worker
         for worker in state.workers
     )
     return snapshot_staleness.discount(replace(state, workers=workers), STALE_AGE_S)
 
 
-def measure_restarts() -> dict[str, float]:
+def measure_restarts() -> RestartFigures:
+    """Requests not served in time, by kind of restart."""
     cases: dict[str, Restore | None] = {
         "no_restart": None,
         "without": forget,
@@ -150,24 +190,26 @@
     failed = {name: sum(row.failed for row in rows) for name, rows in played.items()}
     settled_s = {name: mean(row.settled_s for row in rows) for name, rows in played.items()}
     caused_by_restart = max(1, failed["without"] - failed["no_restart"])
-    return {
-        "bad_reqs_no_restart": failed["no_restart"],
-        "bad_reqs_after_restart_without": failed["without"],
-        "bad_reqs_after_restart_with": failed["with"],
-        "saved_of_restart": round((failed["without"] - failed["with"]) / caused_by_restart, 3),
-        "seconds_to_settled_without": round(settled_s["without"], 1),
-        "seconds_to_settled_with": round(settled_s["with"], 1),
-        "stale_file_extra_loss": failed["stale"] - failed["without"],
-    }
+    return RestartFigures(
+        late_requests_without_restart=failed["no_restart"],
+        late_requests_without_snapshot=failed["without"],
+        late_requests_with_snapshot=failed["with"],
+        saved_share=round((failed["without"] - failed["with"]) / caused_by_restart, 3),
+        settled_s_without_snapshot=round(settled_s["without"], 1),
+        settled_s_with_snapshot=round(settled_s["with"], 1),
+        added_by_stale_snapshot=failed["stale"] - failed["without"],
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsStub:
+    """The part of the settings that a snapshot manager reads."""
+
     parameters: Any = month_end.PARAMETERS
 
 
 class ManagerConfigStub:
-    """As much of a manager's configuration as a snapshot manager asks for."""
+    """The part of a manager's configuration that a snapshot manager reads."""
 
     def __init__(self, worker_count: int) -> None:
         self.workers = WorkerRegistry()
@@ -181,7 +223,7 @@
 
 
 def controller_of_fleet(config: ManagerConfigStub, proxy_count: int) -> RoutingController:
-    """A controller that all workers and proxies of a fleet have come to."""
+    """A controller that knows all workers and proxies of a fleet."""
     controller = RoutingController(replace(month_end.PARAMETERS, proxy_count=proxy_count))
     joins = [
         ProxyConnected(number, number % month_end.ZONE_COUNT, 2.0, True) for number in range(proxy_count)
@@ -203,7 +245,7 @@
     return longest_s
 
 
-async def measure_snapshots(worker_count: int, proxy_count: int) -> dict[str, float]:
+async def measure_snapshots(worker_count: int, proxy_count: int) -> SnapshotFigures:
     """The loop's longest stall while snapshots are written, how long one takes, and its bytes."""
     gc.collect()  # an earlier measurement's remains are not this one's stall
     config = ManagerConfigStub(worker_count)
@@ -215,6 +257,7 @@
         durations_s: list[float] = []
 
         def timed_snapshot() -> Iterator[Any]:
+            """Writes one snapshot and records its duration."""
             started_at = time.perf_counter()
             yield from manager._write_snapshot()
             durations_s.append(time.perf_counter() - started_at)
@@ -226,15 +269,15 @@
         await scheduler.close()
         size_bytes = manager._folder.size_bytes
         manager._folder.close()
-    return {
-        "snapshot_ms": MILLISECONDS_PER_S * percentile(durations_s, 0.5),
-        "longest_stall_ms": MILLISECONDS_PER_S * stall_s,
-        "file_bytes": size_bytes,
-    }
+    return SnapshotFigures(
+        snapshot_ms=round(MILLISECONDS_PER_S * percentile(durations_s, 0.5), 2),
+        longest_stall_ms=round(MILLISECONDS_PER_S * stall_s, 2),
+        file_bytes=size_bytes,
+    )
 
 
 def busy_work() -> Iterator[None]:
-    """A background task that always wants more."""
+    """A background task that is always due."""
     while True:
         end = time.perf_counter() + BUSY_SLICE_S
         while time.perf_counter() < end:
@@ -243,7 +286,7 @@
 
 
 async def timer_delay_ms(is_loaded: bool) -> float:
-    """p99 of how late a timer fires, beside background tasks that always want more, or none."""
+    """p99 of a timer's lateness, with background tasks that are always due, or with none."""
     scheduler = BackgroundScheduler(lambda: 0.0)
     for number in range(BUSY_TASKS if is_loaded else 0):
         plan = TaskPlan(f"busy-{number}", 0.01, priority=number % 3, cpu_fraction=0.02)
@@ -273,23 +316,26 @@
     return duration_s * MILLISECONDS_PER_S
 
 
-def measure(kills: int) -> dict[str, Any]:
+def measure(kill_count: int) -> MemoryFigures:
+    """Measures all figures."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     with tempfile.TemporaryDirectory() as folder:
-        counts = crash_test(folder, kills, CRASH_SEED)
-    figures: dict[str, Any] = {name: counts[name] for name in ("kills", "half_written", "states_lost")}
-    figures |= measure_restarts()
-    for suffix, (worker_count, proxy_count) in FLEETS.items():
-        measured = asyncio.run(measure_snapshots(worker_count, proxy_count))
-        figures |= {name + suffix: round(value, 2) for name, value in measured.items()}
-    figures["decision_delay_p99_ms_idle"] = round(asyncio.run(timer_delay_ms(is_loaded=False)), 2)
-    figures["decision_delay_p99_ms_loaded"] = round(asyncio.run(timer_delay_ms(is_loaded=True)), 2)
-    figures["read_ms"] = round(read_duration_ms(), 2)
-    figures["of"] = f"simulated workers, seeds {SEEDS}; this machine's disk and loop"
-    return figures
+        counts = crash_test(folder, kill_count, CRASH_SEED)
+    return MemoryFigures(
+        kills=counts["kills"],
+        half_written=counts["half_written"],
+        states_lost=counts["states_lost"],
+        restarts=measure_restarts(),
+        snapshots=asyncio.run(measure_snapshots(*FLEET_SIZE)),
+        snapshots_of_large_fleet=asyncio.run(measure_snapshots(*LARGE_FLEET_SIZE)),
+        timer_delay_p99_ms_idle=round(asyncio.run(timer_delay_ms(is_loaded=False)), 2),
+        timer_delay_p99_ms_loaded=round(asyncio.run(timer_delay_ms(is_loaded=True)), 2),
+        read_ms=round(read_duration_ms(), 2),
+    )
 
 
 def main() -> None:
+    """The command line."""
     parser = argument_parser(__doc__)
     parser.add_argument("--kills", type=int, default=1000)
     arguments = parser.parse_args()
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -1,4 +1,4 @@
-"""Plug-ins: a call's time, what a no-op costs, what hostile ones cost, reloads under load, memory.
+"""Plug-ins: the duration of a call, the cost of idle and of hostile ones, reloads under load, memory.
 
     python -m benchmarks.plugins --json
 
@@ -19,6 +19,7 @@
 from typing import Any
 
 import aiohttp
+import msgspec
 
 from benchmarks.harness import (
     BYTES_PER_MB,
@@ -64,13 +65,50 @@
 SETTLE_S = 1.5  # until a forwarder has its tables
 DRAIN_AFTER_S = 0.5
 DRAIN_GRACE_S = 1.5  # the grace of the platform's rule
-REST_S = 2.0  # of a manager, before its memory is read
+IDLE_S = 2.0  # of a manager, before its memory is read
 
 
-def measure_calls() -> dict[str, float]:
-    """How long a plug-in takes to load, and a call of it."""
+class CallFigures(msgspec.Struct, frozen=True):
+    """Durations of loading a plug-in and of calling it."""
+
+    load_ms: float
+    call_us_p50: float
+    call_us_p99: float
+
+
+class IdleHookFigures(msgspec.Struct, frozen=True):
+    """A forwarder with a hook that does nothing, against one without plug-ins."""
+
+    throughput_ratio: float
+    forwarder_mb_without: float
+    forwarder_mb_with: float
+
+
+class HostileFigures(msgspec.Struct, frozen=True):
+    """Releases under hostile plug-ins, against harmless ones."""
+
+    harmless_served_share: float
+    hostile_served_share: float
+    added_p99_ms: float
+    releases_run_twice: int
+    requests_after_grace: int
+
+
+class PluginFigures(msgspec.Struct, frozen=True):
+    """What the benchmark prints."""
+
+    calls: CallFigures
+    idle_hook: IdleHookFigures
+    hostile: HostileFigures
+    requests_lost_in_reloads: int
+    manager_mb_without: float
+    measured_on: str = "simulated workers on loopback, one machine"
+
+
+def measure_calls() -> CallFigures:
+    """The durations of loading a plug-in and of calling it."""
     started_at = time.perf_counter()
-    plugin = Plugin("audit", str(EXAMPLE), frozenset(), 0, lambda name, text: None)
+    plugin = Plugin("audit", str(EXAMPLE), frozenset(), 0, lambda _name, _text: None)
     load_ms = (time.perf_counter() - started_at) * MILLISECONDS_PER_S
     headers = {**{f"x-{n}": "v" * 20 for n in range(12)}, "X-Matter": "42"}
     record = request_record("route", "POST", "/release/42", "release", headers)
@@ -80,7 +118,7 @@
         plugin.call("route", record)
         durations_us.append((time.perf_counter() - started_at) * MICROSECONDS_PER_S)
     percentiles = statistics.quantiles(durations_us, n=100)
-    return {"load_ms": load_ms, "call_us_p50": percentiles[49], "call_us_p99": percentiles[98]}
+    return CallFigures(round(load_ms, 3), round(percentiles[49], 3), round(percentiles[98], 3))
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,6 +153,7 @@
 async def start_workers(
     stack: AsyncExitStack, discovery: SimulatedDiscovery, ledger: EffectLedger
 ) -> dict[str, SimulatedWorker]:
+    """Starts and lists workers; `stack` stops them."""
     workers: dict[str, SimulatedWorker] = {}
     sessions: dict[str, TicketSession] = {}
     for number in range(WORKER_COUNT):
@@ -136,9 +175,11 @@
     return chain
 
 
-async def measure_noop() -> dict[str, float]:
-    """Throughput with a hook that does nothing against none, in turn; over several pairs of processes, as one
-    may fall on a slower core for its life."""
+async def measure_idle_hook() -> IdleHookFigures:
+    """Throughput with a hook that does nothing against none, alternately.
+
+    Several pairs of processes are measured, because one of them may run on a slower core throughout.
+    """
     ratios: list[float] = []
     for _ in range(ROUND_COUNT):
         async with AsyncExitStack() as stack:
@@ -149,33 +190,35 @@
             ratios += [await throughput_ratio(plain, hooked) for _ in range(ROUND_COUNT)]
             plain_bytes = plain.resident_bytes()
             hooked_bytes = hooked.resident_bytes()
-    return {
-        "reqs_ratio_with_noop": statistics.median(ratios),
-        "forwarder_mb_off": plain_bytes / BYTES_PER_MB,
-        "forwarder_mb_on": hooked_bytes / BYTES_PER_MB,
-    }
+    return IdleHookFigures(
+        throughput_ratio=round(statistics.median(ratios), 3),
+        forwarder_mb_without=round(plain_bytes / BYTES_PER_MB, 3),
+        forwarder_mb_with=round(hooked_bytes / BYTES_PER_MB, 3),
+    )
 
 
 async def throughput_ratio(plain: ForwarderProcess, hooked: ForwarderProcess) -> float:
+    """Requests a second with the hook, as a part of those without."""
     plain_load = await http_load(plain.url, REQUEST_COUNT, CLIENT_COUNT)
     hooked_load = await http_load(hooked.url, REQUEST_COUNT, CLIENT_COUNT)
-    return hooked_load["reqs_per_s"] / plain_load["reqs_per_s"]
+    return hooked_load.requests_per_s / plain_load.requests_per_s
 
 
 @dataclass(slots=True)
 class ReleaseCounts:
-    """What a round of releases came to."""
+    """The result of a round of releases."""
 
     durations_ms: list[float]
     served: int = 0
 
 
 async def send_releases(url: str, count: int) -> ReleaseCounts:
-    """Each client releases one after another."""
+    """Sends releases from several clients, each one after another."""
     counts = ReleaseCounts([])
     async with aiohttp.ClientSession() as session:
 
         async def client(name: int) -> None:
+            """Sends one release after another."""
             for number in range(count // CLIENT_COUNT):
                 body = f"r-{name}-{number}".encode()
                 started_at = time.perf_counter()
@@ -196,10 +239,11 @@
     p99_ms: float
     served_share: float
     repeated_releases: int
-    requests_after_grace: int  # that the drained worker still got
+    requests_after_grace: int  # that the drained worker still received
 
 
 async def drain_under_plugins(*plugins: str) -> DrainUnderPlugins:
+    """Plays a round of releases during which a worker drains."""
     async with AsyncExitStack() as stack:
         fleet = await start_fleet(stack, *plugins)
         await send_releases(fleet.forwarder.url, BREAKER_RELEASES)
@@ -219,16 +263,17 @@
         )
 
 
-async def measure_hostile() -> dict[str, float]:
-    calm = await drain_under_plugins(NOOP)
+async def measure_hostile() -> HostileFigures:
+    """Figures with hostile plug-ins, beside those with a harmless one."""
+    harmless = await drain_under_plugins(NOOP)
     hostile = await drain_under_plugins(*HOSTILE)
-    return {
-        "calm_served_share": calm.served_share,
-        "hostile_served_share": hostile.served_share,
-        "hostile_added_delay_p99_ms": hostile.p99_ms - calm.p99_ms,
-        "released_twice": calm.repeated_releases + hostile.repeated_releases,
-        "drain_lapses": calm.requests_after_grace + hostile.requests_after_grace,
-    }
+    return HostileFigures(
+        harmless_served_share=round(harmless.served_share, 3),
+        hostile_served_share=round(hostile.served_share, 3),
+        added_p99_ms=round(hostile.p99_ms - harmless.p99_ms, 3),
+        releases_run_twice=harmless.repeated_releases + hostile.repeated_releases,
+        requests_after_grace=harmless.requests_after_grace + hostile.requests_after_grace,
+    )
 
 
 async def lost_in_reloads() -> int:
@@ -246,25 +291,27 @@
 
 
 async def manager_memory_mb() -> float:
-    """Of a manager at rest."""
+    """Memory of an idle manager."""
     async with AsyncExitStack() as stack:
         discovery, discovery_address = await start_discovery(stack)
         manager = ManagerProcess(discovery_address, discovery.listing(), None)
         stack.push_async_callback(manager.stop)
         await manager.serving()
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(IDLE_S)
         return manager.resident_bytes() / BYTES_PER_MB
 
 
 def main() -> None:
+    """The command line."""
     arguments = argument_parser(__doc__).parse_args()
-    figures: dict[str, float] = {**measure_calls(), **asyncio.run(measure_noop())}
-    figures |= asyncio.run(measure_hostile())
-    figures["reload_lost_reqs"] = asyncio.run(lost_in_reloads())
-    figures["manager_mb_off"] = asyncio.run(manager_memory_mb())
-    rounded: dict[str, Any] = {name: round(value, 3) for name, value in figures.items()}
-    rounded["of"] = "stand-in workers on loopback, one machine"
-    print_figures(rounded, arguments.json)
+    figures = PluginFigures(
+        calls=measure_calls(),
+        idle_hook=asyncio.run(measure_idle_hook()),
+        hostile=asyncio.run(measure_hostile()),
+        requests_lost_in_reloads=asyncio.run(lost_in_reloads()),
+        manager_mb_without=round(asyncio.run(manager_memory_mb()), 3),
+    )
+    print_figures(figures, arguments.json)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -105,6 +105,7 @@
         solve = self.controller._solve
 
         def timed() -> None:
+            """Runs the solver and records its duration."""
             started_at = time.perf_counter()
             solve()
             self.solve_durations.append(time.perf_counter() - started_at)
@@ -128,6 +129,7 @@
                 yield GossipReceived(manager, text)
 
     def step(self, name: str, inputs: Iterable[Input]) -> None:
+        """Runs one batch; the durations of ticks are kept."""
         super().step(name, inputs)
         if name == "look":
             self.step_durations.append(self.batch_durations[-1])
@@ -139,6 +141,7 @@
             self.run(0.25)
 
     def replace_half_of_the_workers(self) -> None:
+        """Lists half of the workers as draining and as many new ones."""
         zones = self.size.zones
         numbers = range(0, self.size.workers, 2)
         leaving = [self.endpoint(f"s-{n:04x}", n % zones, EndpointState.DRAINING) for n in numbers]
@@ -197,6 +200,7 @@
 
 
 def measure_axes(tree: str) -> dict[str, Any]:
+    """Figures by axis and size."""
     axes: dict[str, Any] = {}
     for axis, sizes in AXES.items():
         points = {size: measure_in_process({**USUAL, axis: size}, tree) for size in sizes}
@@ -219,6 +223,7 @@
 
 
 def print_axes(axes: dict[str, Any]) -> None:
+    """Prints one line for each point."""
     for axis, measured in axes.items():
         exponent = measured["growth_exponent"]
         print(f"{axis}: a step grows with the power {math.nan if exponent is None else exponent:.2f}")
@@ -228,6 +233,7 @@
 
 
 def main() -> None:
+    """The command line."""
     parser = argument_parser(__doc__)
     add_baseline_argument(parser)
     parser.add_argument("--point", help=argparse.SUPPRESS)
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -26,8 +26,8 @@
 
 from benchmarks.harness import TREE, add_baseline_argument, argument_parser, run_in_tree
 
-PROXIES = 1600
-WORKERS = 200
+PROXY_COUNT = 1600
+WORKER_COUNT = 200
 JOINED_PROXIES = 400
 TIMEOUT_S = 30.0  # for any answer
 CONNECT_TIMEOUT_S = 1.0
@@ -38,7 +38,7 @@
 SETTINGS: dict[str, Any] = {
     "NInstances": 5, "Me": 0, "Zones": ["a", "b", "c", "d"], "Discovery": "subscribe",
     "Profiles": [{"Name": n, "TargetMs": 1000.0, "Gain": g} for n, g in (("fetch", 1.0), ("release", 3.0))],
-    "FamilyInfo": {"Proxies": PROXIES, "EgressPerS": 3200.0, "Head": 10.0, "PendingMax": 50000.0,
+    "FamilyInfo": {"Proxies": PROXY_COUNT, "EgressPerS": 3200.0, "Head": 10.0, "PendingMax": 50000.0,
                    "ThrottleBy": "ratio", "Strikes": 3, "KeyRanges": 0},
     "Rules": {"ColdFrom": 0.2, "FallMultiple": 3.0, "WarmAfterMs": 15000.0, "AskWithinMs": 5000.0},
     "Limits": {"Probing": False, "Peers": False}, "Prices": {"CrossZone": 0.02, "Probe": 0.02},
@@ -51,6 +51,7 @@
 
 
 def free_port() -> int:
+    """A port of loopback that is free now."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return int(listener.getsockname()[1])
 
@@ -60,7 +61,7 @@
     servers = [
         {"id": f"s-{n:04x}", "addr": f"127.0.0.1:{1 + n}", "zone": "abcd"[n % 4], "kind": "m", "cell": 0,
          "state": "Ready", "weight": 1.0, "started_ms": 0}
-        for n in range(WORKERS)
+        for n in range(WORKER_COUNT)
     ]  # fmt: skip
     body = {
         "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{free_port()}", "seed": "8c1f",
@@ -105,9 +106,9 @@
 def join_as_proxy(port: int, node: int) -> socket.socket:
     """Opens a proxy's stream and asks for orders."""
     stream = socket.create_connection(("127.0.0.1", port), TIMEOUT_S)
-    words = f"SUBSCRIBE node {node} locality a w 5.0 cold 1".split()
-    encoded = b"".join(b"$%d\r\n%b\r\n" % (len(word), word.encode()) for word in words)
-    stream.sendall(b"*%d\r\n" % len(words) + encoded)
+    arguments = f"SUBSCRIBE node {node} locality a w 5.0 cold 1".split()
+    encoded = b"".join(b"$%d\r\n%b\r\n" % (len(argument), argument.encode()) for argument in arguments)
+    stream.sendall(b"*%d\r\n" % len(arguments) + encoded)
     return stream
 
 
@@ -152,10 +153,12 @@
 
 
 def medians(runs: list[dict[str, float]]) -> dict[str, float]:
+    """The median of each figure over the runs."""
     return {name: round(median(run[name] for run in runs), 4) for name in runs[0]}
 
 
 def main() -> None:
+    """The command line."""
     parser = argument_parser(__doc__)
     add_baseline_argument(parser)
     parser.add_argument("--runs", type=int, default=7)
@@ -171,7 +174,7 @@
     if runs_before:
         figures["before"] = medians(runs_before)
     if arguments.json:
-        counts = {"runs": arguments.runs, "proxies": PROXIES, "workers": WORKERS}
+        counts = {"runs": arguments.runs, "proxies": PROXY_COUNT, "workers": WORKER_COUNT}
         print(json.dumps({**counts, **figures}, indent=1))
         return
     for name, row in figures.items():
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -1,4 +1,4 @@
-"""Upgraded connections: a drain of a thousand, the forwarder's price, the plan's time.
+"""Upgraded connections: a drain of a thousand, the forwarder's overhead, the duration of a plan.
 
     python -m benchmarks.upgraded --json
 
@@ -9,23 +9,19 @@
 
 import asyncio
 import base64
-import random
-import statistics
 import sys
 import time
-from collections import Counter
 from collections.abc import AsyncIterator, Callable
 from contextlib import AsyncExitStack, asynccontextmanager
 from dataclasses import dataclass
 from typing import Any
 
 import aiohttp
+import msgspec
 
-from benchmarks.harness import MILLISECONDS_PER_S, argument_parser, print_figures, start_discovery
-from benchmarks.http_load import http_load
-from cottonladder.model.views import WorkerCapacityView
-from cottonladder.planning import connection_migration as migration
-from cottonladder.planning import migration_orders
+from benchmarks.harness import argument_parser, print_figures, start_discovery
+from benchmarks.http_load import LoadFigures, http_load, median_load
+from benchmarks.migration_plans import plan_duration_ms
 from cottonladder.testbed.fleet import ROOT, ForwarderProcess, ManagerProcess
 from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
@@ -33,23 +29,23 @@
 GRACE_S = 12.0
 ARRIVALS_PER_S = 100.0  # that a worker may get
 CLIENT_COUNT = 1000
-BUSY_CLIENTS = 10  # of these, ones that release all the time
+BUSY_CLIENTS = 10  # of these, clients with a request in progress all the time
 WORKER_COUNT = 6
 FORWARDER_COUNT = 2
 LEAVING_WORKER = "s-0"
 WARMING_WORKER = "s-5"
-FAIR_LEVEL = CLIENT_COUNT / 4.25  # four warm neighbours and a quarter of one
+EVEN_CONNECTION_COUNT = CLIENT_COUNT / 4.25  # four warm neighbours and a quarter of one
 WARM_UP_S = 15.0  # of the testbed's settings, as the next two
 WARM_UP_START = 0.2
-WARM_UP_HEADROOM = 0.66  # of a warming worker's capacity that may be used
+WARM_UP_HEADROOM = 0.66  # of a warming-up worker's capacity that may be used
 CLIENTS_PER_BATCH = 8
-BATCH_INTERVAL_S = 0.1  # under the pace, so that none is turned away
+BATCH_INTERVAL_S = 0.1  # slow enough that no connection is rejected
 UNPACED_BATCH_INTERVAL_S = 0.01
 CONNECT_TIMEOUT_S = 60.0
-SETTLE_S = 5.0  # two intervals: new workers stand in the tables
+SETTLE_S = 5.0  # two intervals, after which new workers are in the tables
 POLL_INTERVAL_S = 0.05
-CONCURRENCY = 8
-WARM_UP_REQUESTS = 300
+CONCURRENCY = 8  # requests at a time
+WARM_UP_REQUESTS = 300  # before the first measurement
 ROUND_COUNT = 3
 MEMORY_STEPS = (1000, 5000)  # held connections
 OPENED_AT_ONCE = 100
@@ -59,13 +55,10 @@
     "GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n"
     f"Sec-WebSocket-Key: {WEBSOCKET_KEY}\r\nSec-WebSocket-Version: 13\r\n\r\n"
 ).encode()
-PLAN_COUNT = 10
-PLAN_SEED = 7
-PLAN_ZONES = 4
 
 
 def allowed_arrivals_per_s(age_s: float) -> float:
-    """What operators state of a worker, and the part of it that the warm-up rule leaves of a new one."""
+    """The limit that operators configure, reduced by the warm-up bound for a new worker."""
     if age_s >= WARM_UP_S:
         return ARRIVALS_PER_S
     warm_part = WARM_UP_START + (1.0 - WARM_UP_START) * age_s / WARM_UP_S
@@ -73,7 +66,7 @@
 
 
 def worst_arrival_ratio(times: list[float], started_at: float | None = None) -> float:
-    """The most arrivals in any second, of what the worker may get."""
+    """The most arrivals in any second, as a part of the limit on the worker's arrivals."""
     worst = 0.0
     for at in times:
         count = sum(at <= other < at + 1.0 for other in times)
@@ -84,21 +77,24 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainResult:
-    """How a worker with a thousand connections was left."""
+    """How the drain of a worker with a thousand connections went."""
 
     part_of_grace: float
-    worst_arrivals: float  # at any other worker, of what it may get
+    worst_arrivals: float  # at any other worker, as a part of its limit
     worst_warming_arrivals: float
-    max_held: float  # by any other worker, of a fair level
+    max_connections: float  # of any other worker, as a part of an even share
     closed: int
-    cut: int  # amid a request
+    cut: int  # during a request
     repeated_releases: int
     failed_handshakes: int
 
 
 class DrainFleet:
-    """Six workers behind two forwarders.  The baseline (`is_orderly` false) has no upgrades part: it closes
-    all connections at once, and its clients come back at once."""
+    """Six workers behind two forwarders.
+
+    The baseline (`is_orderly` false) has no upgrades part: its worker closes all connections at once, and its
+    clients reconnect at once.
+    """
 
     def __init__(self, is_orderly: bool) -> None:
         self.is_orderly = is_orderly
@@ -113,6 +109,7 @@
         self.listed_at = 0.0  # when the other workers were listed
 
     async def start(self, stack: AsyncExitStack) -> None:
+        """Starts workers, a manager and forwarders; `stack` stops them."""
         self.discovery, discovery_address = await start_discovery(stack)
         sessions: dict[str, TicketSession] = {}
         for number in range(WORKER_COUNT):
@@ -144,7 +141,7 @@
         self.forwarders.append(forwarder)
 
     async def connect_clients(self, stack: AsyncExitStack) -> None:
-        """A thousand connections, all at the one worker that is listed."""
+        """Opens a thousand connections, all to the one worker that is listed."""
         http = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
         stack.push_async_callback(http.close)
         interval_s = BATCH_INTERVAL_S if self.is_orderly else UNPACED_BATCH_INTERVAL_S
@@ -167,7 +164,7 @@
             await asyncio.wait_for(client.connected.wait(), CONNECT_TIMEOUT_S)
 
     async def list_other_workers(self) -> None:
-        """One of them has just started."""
+        """Lists the other workers, one of which has just started."""
         for number in range(1, WORKER_COUNT):
             name = f"s-{number}"
             started = time.time() if name == WARMING_WORKER else 0.0
@@ -177,7 +174,7 @@
         await asyncio.sleep(SETTLE_S)
 
     async def drain(self) -> float:
-        """Has the worker leave; seconds until it holds nothing, and waits until all clients are back."""
+        """Drains the worker; gives the seconds until it is empty, once all clients are back."""
         leaving = self.workers[LEAVING_WORKER]
         self.counts.failed_handshakes = 0
         started_at = time.monotonic()
@@ -191,9 +188,11 @@
         return duration_s
 
     def held_connections(self) -> int:
+        """Connections that all workers hold."""
         return sum(worker.held_connections for worker in self.workers.values())
 
     def result(self, duration_s: float) -> DrainResult:
+        """The figures of the drain, which took `duration_s`."""
         others = {name: worker for name, worker in self.workers.items() if name != LEAVING_WORKER}
         ratios = {
             name: worst_arrival_ratio(worker.arrivals, self.listed_at if name == WARMING_WORKER else None)
@@ -203,7 +202,9 @@
             part_of_grace=round(duration_s / GRACE_S, 3),
             worst_arrivals=round(max(ratios.values()), 3),
             worst_warming_arrivals=round(ratios[WARMING_WORKER], 3),
-            max_held=round(max(worker.max_held_connections for worker in others.values()) / FAIR_LEVEL, 3),
+            max_connections=round(
+                max(worker.max_held_connections for worker in others.values()) / EVEN_CONNECTION_COUNT, 3
+            ),
             closed=sum(self.counts.closes.values()),
             cut=self.counts.unanswered,
             repeated_releases=self.ledger.repeated_releases(),
@@ -213,11 +214,12 @@
 
 async def wait_until(condition: Callable[[], bool], deadline: float) -> None:
     """Until the condition holds, or the deadline has passed."""
-    while not condition() and time.monotonic() < deadline:
+    while not condition() and time.monotonic() < deadline:  # noqa: ASYNC110 - reads counters of many workers
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def measure_drain(is_orderly: bool) -> DrainResult:
+    """Plays one drain from the start of the fleet."""
     async with AsyncExitStack() as stack:
         fleet = DrainFleet(is_orderly)
         await fleet.start(stack)
@@ -262,34 +264,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForwarderPrice:
-    """Medians of the load straight to the worker, and through the forwarder."""
+class ForwarderOverhead:
+    """Medians of the load directly to the worker, and through the forwarder."""
 
-    direct: dict[str, float]
-    through: dict[str, float]
+    direct: LoadFigures
+    through: LoadFigures
 
     @property
     def ratio(self) -> float:
-        return self.direct["reqs_per_s"] / self.through["reqs_per_s"]
+        """Requests a second directly, over those through the forwarder."""
+        return self.direct.requests_per_s / self.through.requests_per_s
 
 
-async def measure_price(request_count: int) -> ForwarderPrice:
-    """Through the forwarder against straight to the worker, in turn."""
-    direct: list[dict[str, float]] = []
-    through: list[dict[str, float]] = []
+async def measure_overhead(request_count: int) -> ForwarderOverhead:
+    """Measures requests directly to the worker and through the forwarder, alternately."""
+    direct: list[LoadFigures] = []
+    through: list[LoadFigures] = []
     async with one_worker() as (address, forwarder):
         await http_load(forwarder.url, WARM_UP_REQUESTS, CONCURRENCY)
         for _ in range(ROUND_COUNT):
             direct.append(await http_load(f"http://{address}/", request_count, CONCURRENCY))
             through.append(await http_load(forwarder.url, request_count, CONCURRENCY))
-    return ForwarderPrice(medians(direct), medians(through))
-
-
-def medians(rounds: list[dict[str, float]]) -> dict[str, float]:
-    return {name: statistics.median(figures[name] for figures in rounds) for name in rounds[0]}
+    return ForwarderOverhead(median_load(direct), median_load(through))
 
 
 async def open_websocket(port: int) -> asyncio.StreamWriter:
+    """Opens a WebSocket by hand, which costs less memory than a client library."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1024)
     writer.write(HANDSHAKE)
     assert b" 101 " in await reader.readuntil(b"\r\n\r\n")
@@ -314,77 +314,62 @@
     return figures
 
 
-def planner_of_fleet(connections: int, forwarders: int, workers: int) -> migration.MigrationPlanner:
-    """A planner that knows forwarders whose connections are drawn over the workers."""
-    chance = random.Random(PLAN_SEED)
-    parameters = migration_orders.MigrationParameters(PLAN_ZONES, 30.0, 8000, 50.0, 0.05, 3000.0, 10)
-    planner = migration.MigrationPlanner(parameters)
-    for forwarder in range(forwarders):
-        planner.add_forwarder(forwarder, forwarder % PLAN_ZONES)
-        counts = Counter(chance.randrange(workers) for _ in range(round(connections / forwarders)))
-        held = {worker: migration_orders.HeldConnectionCounts(count) for worker, count in counts.items()}
-        planner.update_connections(forwarder, True, held)
-    return planner
-
-
-def capacity_views(workers: int) -> dict[int, WorkerCapacityView]:
-    """Of workers of which a tenth leave."""
-    leaving = max(1, workers // 10)
-    views = {}
-    for worker in range(workers):
-        zone = worker % PLAN_ZONES
-        if worker < leaving:
-            views[worker] = WorkerCapacityView(zone, 0.0, False, 0.0)
-        else:
-            views[worker] = WorkerCapacityView(zone, 1.0, False, -1.0)
-    return views
-
-
-def plan_duration_ms(connections: int, forwarders: int, workers: int) -> float:
-    """The median of ten plans, while a tenth of the workers leave."""
-    planner = planner_of_fleet(connections, forwarders, workers)
-    views = capacity_views(workers)
-    durations_ms = []
-    for number in range(PLAN_COUNT):
-        started_at = time.perf_counter()
-        orders = planner.plan(number * migration_orders.PLAN_INTERVAL_S, views)
-        durations_ms.append((time.perf_counter() - started_at) * MILLISECONDS_PER_S)
-        for order in orders:
-            if isinstance(order, migration_orders.MigrateConnections):
-                planner.complete_migration(order.forwarder, order.number)
-    return statistics.median(durations_ms)
-
-
-async def measure(request_count: int) -> dict[str, Any]:
+class UpgradedFigures(msgspec.Struct, frozen=True):
+    """What the benchmark prints; arrivals and connections are parts of their limits."""
+
+    drain_part_of_grace: float
+    neighbour_arrivals: float
+    warming_neighbour_arrivals: float
+    neighbour_connections: float
+    cut_during_request: int
+    releases_run_twice: int
+    failed_handshakes: int
+    closed: int
+    baseline_neighbour_arrivals: float
+    baseline_warming_neighbour_arrivals: float
+    baseline_cut_during_request: int
+    baseline_failed_handshakes: int
+    direct_over_forwarded: float
+    direct: LoadFigures
+    forwarded: LoadFigures
+    bytes_per_connection: dict[int, int]
+    plan_ms: float
+    plan_ms_half: float
+    plan_ms_double: float
+    measured_on: str = "simulated workers on loopback, one machine"
+
+
+async def measure(request_count: int) -> UpgradedFigures:
+    """Measures all figures."""
     orderly = await measure_drain(is_orderly=True)
     baseline = await measure_drain(is_orderly=False)
-    price = await measure_price(request_count)
+    overhead = await measure_overhead(request_count)
     bytes_by_step = await bytes_per_connection(MEMORY_STEPS)
-    return {
-        "drain_of_grace": orderly.part_of_grace,
-        "neighbour_over_room": orderly.worst_arrivals,
-        "cold_over_room": orderly.worst_warming_arrivals,
-        "most_held_of_level": orderly.max_held,
-        "busy_cut": orderly.cut,
-        "released_twice": orderly.repeated_releases + baseline.repeated_releases,
-        "bare_clients": orderly.failed_handshakes,
-        "closed": orderly.closed,
-        "baseline_neighbour_over_room": baseline.worst_arrivals,
-        "baseline_cold_over_room": baseline.worst_warming_arrivals,
-        "baseline_busy_cut": baseline.cut,
-        "baseline_bare_clients": baseline.failed_handshakes,
-        "req_overhead_ratio": round(price.ratio, 2),
-        "direct": {name: round(value, 2) for name, value in price.direct.items()},
-        "through": {name: round(value, 2) for name, value in price.through.items()},
-        "bytes_per_connection": {str(count): round(size) for count, size in bytes_by_step.items()},
-        "plan_ms": round(plan_duration_ms(50_000, 400, 120), 2),
-        "plan_ms_half": round(plan_duration_ms(25_000, 200, 60), 2),
-        "plan_ms_double": round(plan_duration_ms(100_000, 800, 240), 2),
-        "of": "stand-in workers on loopback, one machine",
-    }
+    return UpgradedFigures(
+        drain_part_of_grace=orderly.part_of_grace,
+        neighbour_arrivals=orderly.worst_arrivals,
+        warming_neighbour_arrivals=orderly.worst_warming_arrivals,
+        neighbour_connections=orderly.max_connections,
+        cut_during_request=orderly.cut,
+        releases_run_twice=orderly.repeated_releases + baseline.repeated_releases,
+        failed_handshakes=orderly.failed_handshakes,
+        closed=orderly.closed,
+        baseline_neighbour_arrivals=baseline.worst_arrivals,
+        baseline_warming_neighbour_arrivals=baseline.worst_warming_arrivals,
+        baseline_cut_during_request=baseline.cut,
+        baseline_failed_handshakes=baseline.failed_handshakes,
+        direct_over_forwarded=round(overhead.ratio, 2),
+        direct=overhead.direct.rounded(),
+        forwarded=overhead.through.rounded(),
+        bytes_per_connection={count: round(size) for count, size in bytes_by_step.items()},
+        plan_ms=round(plan_duration_ms(50_000, 400, 120), 2),
+        plan_ms_half=round(plan_duration_ms(25_000, 200, 60), 2),
+        plan_ms_double=round(plan_duration_ms(100_000, 800, 240), 2),
+    )
 
 
 def main() -> None:
+    """The command line."""
     parser = argument_parser(__doc__)
     parser.add_argument(
         "--reqs", dest="request_count", type=int, default=1500, help="requests a round, either way"
--- a/cottonladder/testbed/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -1,4 +1,7 @@
-"""Simulated advisors and balancers for SASP and DFP.  Advisors stall, lie and cut bytes on command."""
+"""Simulated advisors and load balancers for SASP and DFP.
+
+Advisors stall, close in the middle of a message, or send wrong weights and invalid bytes on command.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,12 @@
 EVENT_TIMEOUT_S = 20.0
 READ_SIZE_BYTES = 65_536
 LOOPBACK = "127.0.0.1"
-GARBAGE_SEED = 3
+GARBAGE_SEED = 3  # without unit
 GARBAGE_SIZE_BYTES = 64
 
 
 def server_address(server: asyncio.Server) -> str:
+    """Host and port of a listening server."""
     return f"{LOOPBACK}:{server.sockets[0].getsockname()[1]}"
 
 
@@ -51,17 +55,19 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> str:
+        """Listens on a port, or on a free one; gives the address."""
         self._server = await asyncio.start_server(self._serve, LOOPBACK, port)
         return server_address(self._server)
 
     async def close(self) -> None:
+        """Stops listening and aborts all connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
     def push(self) -> None:
-        """Sends the weights unasked to whoever is connected."""
+        """Sends the weights to all connected balancers without a request."""
         if self.group is None:
             return
         for writer in self._writers:
@@ -155,6 +161,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> str:
+        """Listens on a free port; gives the address."""
         self._server = await asyncio.start_server(self._serve, LOOPBACK, 0)
         return server_address(self._server)
 
@@ -183,6 +190,7 @@
             await asyncio.sleep(self.report_interval_s)
 
     async def close(self) -> None:
+        """Stops listening and reporting."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -190,7 +198,7 @@
 
 
 class SaspBalancer:
-    """A SASP balancer; `pushed` has what it is sent unasked."""
+    """A SASP load balancer; `pushed` holds the messages that it received without a request."""
 
     def __init__(self, uid: bytes = b"lb-1") -> None:
         self.uid = uid
@@ -200,8 +208,9 @@
         self._answers: dict[int, asyncio.Future[sasp.Message]] = {}
         self._task: asyncio.Task[None] | None = None
 
-    async def connect(self, port: int, **more: object) -> None:
-        reader, self.writer = await asyncio.open_connection(LOOPBACK, port, **more)  # type: ignore[arg-type]
+    async def connect(self, port: int, **options: object) -> None:
+        """Connects to a server on loopback; `options` are those of `asyncio.open_connection`."""
+        reader, self.writer = await asyncio.open_connection(LOOPBACK, port, **options)  # type: ignore[arg-type]
         self._task = asyncio.create_task(self._read(reader))
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
@@ -230,9 +239,11 @@
     def group(
         self, name: bytes, *members: sasp.MemberData | sasp.WeightEntry | sasp.MemberStateInstance
     ) -> sasp.GroupOfEntries:
+        """A group of this balancer with the given entries."""
         return sasp.GroupOfEntries(sasp.GroupData(self.uid, name), members)
 
     async def register(self, name: bytes, *members: sasp.MemberData) -> int:
+        """Registers members of a group; gives the response code."""
         reply = await self.ask(
             sasp.MessageType.REGISTRATION_REQUEST,
             flags=sasp.LOAD_BALANCER_FLAG,
@@ -241,13 +252,14 @@
         return reply.response_code
 
     async def weights(self, *names: bytes) -> dict[bytes, sasp.WeightEntry]:
-        """Asks for the weights of groups; by the member's label."""
+        """Requests the weights of groups; gives them by the members' labels."""
         groups = tuple(sasp.GroupData(self.uid, name) for name in names)
         reply = await self.ask(sasp.MessageType.GET_WEIGHTS_REQUEST, groups=groups)
         assert reply.response_code == sasp.ResponseCode.SUCCESSFUL, hex(reply.response_code)
         return weights_by_label(reply)
 
     async def close(self) -> None:
+        """Closes the connection."""
         if self.writer is not None:
             self.writer.close()
         if self._task is not None:
@@ -255,6 +267,7 @@
 
 
 def weights_by_label(message: sasp.Message) -> dict[bytes, sasp.WeightEntry]:
+    """The weight entries of a message by their members' labels."""
     weights: dict[bytes, sasp.WeightEntry] = {}
     for group in message.groups:
         if not isinstance(group, sasp.GroupOfEntries):
@@ -268,7 +281,7 @@
 async def read_dfp_reports(
     port: int, count: int = 1, secret: tuple[int, bytes] | None = None
 ) -> list[dfp.Message]:
-    """A DFP manager that connects, asks for a report each second, and leaves after so many of them."""
+    """Acts as a DFP manager: requests a report each second, and disconnects after `count` of them."""
     reader, writer = await asyncio.open_connection(LOOPBACK, port)
     decoder = dfp.MessageReader(dict([secret]) if secret else None)
     messages: list[dfp.Message] = []
--- a/cottonladder/testbed/crash_test.py
+++ b/cottonladder/testbed/crash_test.py
@@ -1,9 +1,9 @@
-"""Kills a writer of snapshots at random instants, again and again, and reads what is left each time.
+"""Kills a process that writes snapshots at random instants, and reads the folder after each kill.
 
     python -m cottonladder.testbed.crash_test FOLDER --kills 1000 --seed 7
 
-Each time a child writes generations as fast as it can and tells, through shared memory, which it has
-finished; the parent kills it (SIGKILL) and reads the folder as a start would.
+Each time a child process writes generations as fast as it can and records in shared memory which ones it has
+finished. The parent kills it (SIGKILL) and reads the folder as a starting manager would.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 
-MAX_LIFE_S = 0.012  # of a writer: some ten generations
+MAX_WRITER_RUNTIME_S = 0.012  # enough for about ten generations
 WORKERS_PER_GENERATION = 120
 FINISHED = struct.Struct("!Q")  # the last finished count, in shared memory
 UNFINISHED_SUFFIX = ".new"
@@ -28,8 +28,11 @@
 
 @dataclass(slots=True)
 class CrashCounts:
-    """Over all kills: incomplete states read as whole, states lost, most leftovers at once, and kills amid a
-    write."""
+    """Sums over all kills.
+
+    `half_written` counts incomplete states that were read as complete, `leftovers` is the most unfinished
+    files at a time, and `mid_write` counts kills during a write.
+    """
 
     kills: int = 0
     half_written: int = 0
@@ -56,7 +59,7 @@
                 write_generations(self._folder, self._last_count, self._finished)
             finally:
                 os._exit(1)
-        time.sleep(self._random.uniform(0.0, MAX_LIFE_S))
+        time.sleep(self._random.uniform(0.0, MAX_WRITER_RUNTIME_S))
         os.kill(child, signal.SIGKILL)
         os.waitpid(child, 0)
         self.counts.kills += 1
@@ -83,7 +86,7 @@
 
 
 def write_generations(folder: str, first: int, finished: mmap.mmap) -> None:
-    """Writes generations without end and notes the count of each once it is finished."""
+    """Writes generations until the process is killed; records the count of each once it is finished."""
     store = SnapshotStore(folder)
     store.open()
     count = first
@@ -95,7 +98,7 @@
 
 
 def open_newest(store: SnapshotStore) -> Generation | None:
-    """The newest whole generation, as a start would read it."""
+    """The newest complete generation, as a starting manager would read it."""
     try:
         store.open()
         return store.read_newest()
@@ -114,6 +117,7 @@
 
 
 def main() -> None:
+    """The command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("folder")
     parser.add_argument("--kills", type=int, default=1000)
--- a/cottonladder/testbed/demo.py
+++ b/cottonladder/testbed/demo.py
@@ -1,4 +1,4 @@
-"""The demo: managers and forwarders on loopback before simulated workers, of which one drains."""
+"""The demo: managers, forwarders and simulated workers on loopback; one of the workers drains."""
 
 from __future__ import annotations
 
@@ -20,31 +20,38 @@
 WORKER_COUNT = 6
 FORWARDER_COUNT = 4
 MANAGER_COUNT = 2
-COLLECTOR_COUNT = 2  # forwarders that report for all
+COLLECTOR_COUNT = 2  # forwarders that send load reports
 GRACE_S = 12.0  # short enough to watch
-CALM_S = 4.0  # before the drain
-AFTER_S = 3.0  # after it
+STEADY_S = 4.0  # before the drain
+AFTER_DRAIN_S = 3.0
 CONNECT_TIMEOUT_S = 30.0
 REFRESH_INTERVAL_S = 0.5
 DRAINED_WORKER = "s-0"
 UPGRADES: dict[str, Any] = {"grace": GRACE_S, "arrivals": 100.0}
-COLUMNS = ("worker", "zone", "state", "share a", "share b", "held", "came below", "most held")
+DRAIN_PHASES = {  # by the word that a forwarder's status has for it
+    "waits": "awaiting orders",
+    "led": "paced by a manager",
+    "alone": "paced by the forwarder",
+    "last": "in its final phase",
+}
+COLUMNS = ("worker", "zone", "state", "share a", "share b", "connections", "migrated here", "most")
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerRow:
-    """What the table shows of one worker; `shares` of each zone's requests, in the order of ZONES."""
+    """One row of the table; `shares` are parts of each zone's requests, in the order of ZONES."""
 
     name: str
     zone: str
     state: str
     shares: tuple[str, ...]
-    held: int
-    resumed: int
-    max_held: int
+    connections: int
+    migrated: int
+    max_connections: int
 
     def cells(self) -> tuple[str, ...]:
-        counts = (str(self.held), str(self.resumed), str(self.max_held))
+        """The cells in the order of COLUMNS."""
+        counts = (str(self.connections), str(self.migrated), str(self.max_connections))
         return (self.name, self.zone, self.state, *self.shares, *counts)
 
 
@@ -52,7 +59,7 @@
 
 
 class DemoFleet:
-    """The whole fleet; owned by the stack that it was entered on."""
+    """Discovery, managers, forwarders, workers and clients; closed by the stack that `start` is given."""
 
     def __init__(self) -> None:
         self.ledger = EffectLedger()
@@ -66,7 +73,7 @@
         self._http: aiohttp.ClientSession | None = None
 
     async def start(self, stack: AsyncExitStack, client_count: int) -> None:
-        """Starts everything; the stack ends it in the opposite order."""
+        """Starts everything; the stack closes it in the opposite order."""
         discovery_address = await self.discovery.start()
         stack.push_async_callback(self.discovery.close)
         for number in range(WORKER_COUNT):
@@ -144,15 +151,15 @@
         return rows, fleet_line(states)
 
     def summary(self, connection_count: int, duration_s: float) -> str:
-        """The closing line."""
+        """The last line of the demo: what the drain came to."""
         resumed = sum(worker.resumed for worker in self.workers.values())
         return (
-            f"{DRAINED_WORKER} was rid of {connection_count} connections "
+            f"{DRAINED_WORKER} drained {connection_count} connections "
             f"in {duration_s:.1f} of {GRACE_S:g} s: "
-            f"{resumed} moved below their clients, "
-            f"{sum(self.counts.closes.values())} closed, {self.counts.unanswered} cut amid a req, "
-            f"{self.ledger.repeated_releases()} of {len(self.ledger.releases)} releases done twice "
-            "(stand-in workers)"
+            f"{resumed} migrated without their clients noticing, "
+            f"{sum(self.counts.closes.values())} closed, {self.counts.unanswered} cut during a request, "
+            f"{self.ledger.repeated_releases()} of {len(self.ledger.releases)} releases run twice "
+            "(simulated workers)"
         )
 
 
@@ -170,35 +177,38 @@
 def worker_row(
     worker: SimulatedWorker, entry: dict[str, Any], shares: dict[str, dict[str, float]]
 ) -> WorkerRow:
+    """One worker's row, from its entry in the endpoint list and each zone's shares."""
     return WorkerRow(
         name=worker.name,
         zone=entry["zone"],
         state=entry["state"],
         shares=tuple(f"{shares[zone].get(worker.name, 0.0):.0%}" for zone in ZONES),
-        held=worker.held_connections,
-        resumed=worker.resumed,
-        max_held=worker.max_held_connections,
+        connections=worker.held_connections,
+        migrated=worker.resumed,
+        max_connections=worker.max_held_connections,
     )
 
 
 def fleet_line(states: list[dict[str, Any]]) -> str:
-    """How many forwarders have a manager, what they admit, and which workers drain."""
-    levels = set()
+    """How many forwarders have a manager, which admission limits hold, and which workers drain."""
+    admission = set()
     drains = set()
     for state in states:
-        levels |= {f"{name} {level:.2f}" for name, level in state["levels"].items() if level is not None}
-        drains |= {f"{worker_id} {phase}" for worker_id, phase in state["drains"].items()}
-    joined = sum(state["manager"] is not None for state in states)
+        limits = {name: limit for name, limit in state["levels"].items() if limit is not None}
+        admission |= {f"{name} {limit:.2f}" for name, limit in limits.items()}
+        drains |= {f"{worker_id} {DRAIN_PHASES[phase]}" for worker_id, phase in state["drains"].items()}
+    connected = sum(state["manager"] is not None for state in states)
     return (
-        f"{joined}/{len(states)} forwarders joined; levels {', '.join(sorted(levels)) or 'none'}; "
-        f"drains {', '.join(sorted(drains)) or 'none'}"
+        f"{connected}/{len(states)} forwarders connected to a manager; "
+        f"admission limits: {', '.join(sorted(admission)) or 'none'}; "
+        f"draining: {', '.join(sorted(drains)) or 'none'}"
     )
 
 
 async def watch(
     fleet: DemoFleet, show: Show, title: str, timeout_s: float, until: Callable[[], bool] = lambda: False
 ) -> float:
-    """Shows the table again and again until something has come about or the time is over; seconds taken."""
+    """Refreshes the table until a condition holds or the time is over; gives the seconds that it took."""
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     while not until() and loop.time() - started_at < timeout_s:
@@ -208,7 +218,7 @@
 
 
 async def run_demo(client_count: int, show: Show) -> str:
-    """Starts the fleet, drains one worker, and ends it all; gives the closing line."""
+    """Starts the fleet, drains one worker, and stops everything; gives the last line."""
     async with AsyncExitStack() as stack:
         fleet = DemoFleet()
         await fleet.start(stack, client_count)
@@ -216,26 +226,26 @@
         await watch(
             fleet,
             show,
-            "the desks connect",
+            "clients connect",
             CONNECT_TIMEOUT_S,
             until=lambda: all(client.connected.is_set() for client in fleet.clients),
         )
-        await watch(fleet, show, "calm", CALM_S)
+        await watch(fleet, show, "steady state", STEADY_S)
         connection_count = drained.held_connections
         await fleet.discovery.set_state(DRAINED_WORKER, "Terminating")
         duration_s = await watch(
             fleet,
             show,
-            f"{DRAINED_WORKER} drains, grace {GRACE_S:g} s",
+            f"{DRAINED_WORKER} drains, grace period {GRACE_S:g} s",
             GRACE_S + 2.0,
             until=lambda: not drained.held_connections,
         )
-        await watch(fleet, show, "after it", AFTER_S)
+        await watch(fleet, show, "after the drain", AFTER_DRAIN_S)
         return fleet.summary(connection_count, duration_s)
 
 
 def show_demo(client_count: int, plain: bool) -> str:
-    """On the terminal by rich, where it is installed and wanted; else a line each half second."""
+    """Shows a table with rich where it is installed, else or with `plain` a line each half second."""
     if plain:
         return asyncio.run(run_demo(client_count, print_line))
     try:
@@ -255,5 +265,6 @@
 
 
 def print_line(title: str, rows: list[WorkerRow], line: str) -> None:
-    held = " ".join(f"{row.name}={row.held}" for row in rows)
-    print(f"{title}: held {held}; {line}", flush=True)
+    """Prints one refresh as a single line."""
+    connections = " ".join(f"{row.name}={row.connections}" for row in rows)
+    print(f"{title}: connections {connections}; {line}", flush=True)
--- a/cottonladder/testbed/discovery.py
+++ b/cottonladder/testbed/discovery.py
@@ -1,4 +1,4 @@
-"""A simulated discovery service: the list, watches on its changes, and faults on command."""
+"""A simulated discovery service: the endpoint list, watches on its changes, and faults on command."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SimulatedDiscovery:
-    """Owns the list and the watches on it; changes are kept for watches that begin at an older version."""
+    """Owns the endpoint list and its watches; keeps changes for watches that begin at an older version."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -27,10 +27,12 @@
         self.address = ""
 
     async def start(self) -> str:
+        """Listens on a free port; gives the address."""
         self._runner, self.address = await start_server(self._handle)
         return self.address
 
     async def close(self) -> None:
+        """Stops listening."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -43,7 +45,7 @@
         weight: float = 1.0,
         started: float = 0.0,
     ) -> None:
-        """Lists a worker, or changes its entry; `started` in Unix seconds, 0: long ago."""
+        """Lists a worker, or changes its entry; `started` is a Unix time, 0 if unknown."""
         entry = {
             "id": name, "addr": address, "zone": zone, "kind": "stand-in", "cell": 0, "state": state,
             "weight": weight, "started_ms": round(started * MILLISECONDS_PER_S),
@@ -58,13 +60,13 @@
             self._changed.notify_all()
 
     async def set_state(self, name: str, state: str) -> None:
-        """Lists a worker in another state, else as it is."""
+        """Lists a worker in another state, and otherwise unchanged."""
         entry = self.entries[name]
         started = entry["started_ms"] / MILLISECONDS_PER_S
         await self.put(name, entry["addr"], entry["zone"], state, entry["weight"], started)
 
     def listing(self) -> dict[str, Any]:
-        """The whole list, as the service answers."""
+        """The complete endpoint list, in the form of the service's answer."""
         return {"version": self.version, "full": True, "servers": list(self.entries.values())}
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -75,7 +77,7 @@
         return await self._watch(request, int(request.rel_url.query["after"]))
 
     async def _watch(self, request: web.BaseRequest, after: int) -> web.StreamResponse:
-        """Sends what changed after a version, at once and at each change; an empty line in between."""
+        """Sends what changed after a version, at once and at each change, with empty lines as keep-alive."""
         response = web.StreamResponse()
         await response.prepare(request)
         is_first = True
@@ -92,7 +94,7 @@
         return response
 
     async def _wait_for_change(self, version: int) -> None:
-        """Until the list is newer than a version, or an empty line is due."""
+        """Waits until the list is newer than a version, or a keep-alive is due."""
         try:
             async with asyncio.timeout(KEEP_ALIVE_INTERVAL_S), self._changed:
                 while self.version <= version and not self.is_down:
@@ -101,7 +103,7 @@
             pass
 
     async def set_down(self, down: bool) -> None:
-        """While it is down, requests get 503 and watches end."""
+        """Takes the service down or up: while it is down, requests get 503 and watches end."""
         async with self._changed:
             self.is_down = down
             self._changed.notify_all()
--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -17,9 +17,9 @@
 
 import aiohttp
 
-START_TIMEOUT_S = 30.0  # until a process says that it serves: a slow machine fails nothing
+START_TIMEOUT_S = 30.0  # until a process serves; long enough for a slow machine
 STOP_TIMEOUT_S = 20.0
-MAX_LOG_LINES = 5000  # log lines kept of one process
+MAX_LOG_LINES = 5000  # kept of one process
 ROOT = Path(__file__).parents[2]
 SETTINGS: dict[str, Any] = {
     "NInstances": 1, "Me": 0, "Zones": ["a", "b"], "Discovery": "subscribe",
@@ -43,13 +43,13 @@
 
 
 def free_port() -> int:
-    """A port of loopback on which nobody listens now."""
+    """A port of loopback that is free now."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return int(listener.getsockname()[1])
 
 
 class Process:
-    """One program under its own command line; its log lines are kept and can be waited for."""
+    """A process of the project's command line, whose log lines are kept and can be awaited."""
 
     def __init__(self, *arguments: str) -> None:
         self.folder = Path(tempfile.mkdtemp())
@@ -67,6 +67,7 @@
         return str(path)
 
     async def start(self, *arguments: str, env: dict[str, str] | None = None) -> None:
+        """Starts the process with further arguments and environment variables."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-B", "-m", "cottonladder", *self._arguments, *arguments, cwd=ROOT,
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT,
@@ -84,14 +85,14 @@
         async with self._line_added:
             self._line_added.notify_all()
 
-    async def logged(self, *words: str, wait: float = START_TIMEOUT_S) -> str:
-        """Waits for the first line with all these words."""
-        return await self.logged_line(lambda line: all(word in line for word in words), words, wait)
+    async def logged(self, *parts: str, wait: float = START_TIMEOUT_S) -> str:
+        """Waits for the first log line that contains all of `parts`."""
+        return await self.logged_line(lambda line: all(part in line for part in parts), parts, wait)
 
     async def logged_line(
         self, is_match: Callable[[str], bool], description: object, wait: float = START_TIMEOUT_S
     ) -> str:
-        """Waits for the first line that matches."""
+        """Waits for the first log line for which `is_match` holds; `description` names it in the error."""
 
         def find() -> str | None:
             return next((line for line in self.lines if is_match(line)), None)
@@ -110,14 +111,16 @@
         return self._reading is not None and self._reading.done()
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal, not by asyncio's own method: that reaps a process that has just ended, and its
-        status is lost."""
+        """Sends a signal.
+
+        asyncio's own method is not used: it reaps a process that has just ended, and its status is lost.
+        """
         if self.process is not None and self.process.returncode is None:
             with suppress(ProcessLookupError):
                 os.kill(self.process.pid, number)
 
     async def stop(self, number: signal.Signals = signal.SIGTERM) -> int:
-        """Ends the process, by force after a time; gives its status."""
+        """Stops the process, with SIGKILL after a timeout; gives its exit status."""
         assert self.process is not None
         self.send(signal.SIGCONT)
         self.send(number)
@@ -139,7 +142,7 @@
 
 
 class ManagerProcess(Process):
-    """A manager; what the operators' file would hold is off where it is None."""
+    """A manager process; parts of the operators' file that are None are left out of it."""
 
     def __init__(
         self,
@@ -201,9 +204,10 @@
 
     @property
     def url(self) -> str:
+        """The address at which clients connect."""
         return f"http://127.0.0.1:{self.port}"
 
     async def status(self, session: aiohttp.ClientSession) -> dict[str, Any]:
-        """What its status address tells."""
+        """The state that its status address gives."""
         async with session.get(f"http://127.0.0.1:{self.status_port}/") as reply:
             return dict(await reply.json())
--- a/cottonladder/testbed/holding_clients.py
+++ b/cottonladder/testbed/holding_clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients that hold a connection for hours and come back when they are told to."""
+"""Simulated clients that hold an upgraded connection and reconnect after the delay that its close names."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 HANDSHAKE_TIMEOUT_S = 10.0
 MAX_MESSAGE_BYTES = 1 << 20
-RECONNECT_DELAY_S = 0.2  # where the close names none
+RECONNECT_DELAY_S = 0.2  # if the close names none
 FAULT_DELAY_S = 0.5  # after a failed connection attempt
 RECONNECT_REASON = re.compile(r"come back in (\d+) s")
 OUTCOME_UNKNOWN = "outcome unknown"  # of a close's reason
@@ -20,19 +20,19 @@
 
 @dataclass(slots=True)
 class ClientCounters:
-    """What all clients of a run met."""
+    """Counts over all clients of a run."""
 
     closes: Counter[str] = field(default_factory=Counter)
     opened: int = 0
-    failed_handshakes: int = 0  # turned away or failed
-    unanswered: int = 0  # closed while an answer was awaited
-    outcome_unknown: int = 0  # of these, told that the outcome is unknown
+    failed_handshakes: int = 0  # rejected or failed
+    unanswered: int = 0  # connections closed while an answer was awaited
+    outcome_unknown: int = 0  # of these, closed with the reason that the outcome is unknown
     answered: int = 0
-    reconnect_gaps: list[float] = field(default_factory=list)  # s without a connection
+    reconnect_gaps: list[float] = field(default_factory=list)  # seconds without a connection
 
 
-class HandshakeFailed(Exception):
-    """No connection came about; `delay_s` is how long to wait before the next attempt."""
+class HandshakeError(Exception):
+    """A connection attempt failed; `delay_s` is the time until the next one."""
 
     def __init__(self, delay_s: float) -> None:
         super().__init__(f"handshake failed, next in {delay_s:g} s")
@@ -40,8 +40,11 @@
 
 
 class HoldingClient:
-    """One client.  `busy`: it asks again as soon as it is answered, every `ask_interval_s`; `releases`: what
-    it asks takes effect; `reconnects_at_once`: whatever it is told to wait."""
+    """One client with one connection at a time.
+
+    A `busy` client sends a request every `ask_interval_s`, once the last one is answered; with `releases` its
+    requests take effect at the worker. With `reconnects_at_once` it ignores the delay that a close names.
+    """
 
     def __init__(
         self,
@@ -71,9 +74,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
+        """Connects, and reconnects whenever the connection ends."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
+        """Disconnects for good."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -84,7 +89,7 @@
         while True:
             try:
                 self.socket = await self._connect()
-            except HandshakeFailed as exc:
+            except HandshakeError as exc:
                 delay_s = exc.delay_s
             else:
                 if disconnected_at is not None:
@@ -96,7 +101,7 @@
             await asyncio.sleep(0.0 if self._reconnects_at_once else delay_s)
 
     async def _connect(self) -> aiohttp.ClientWebSocketResponse:
-        """Opens the connection; after a failure, raises HandshakeFailed with how long to wait."""
+        """Opens the connection; raises HandshakeError with the time until the next attempt."""
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 socket = await self._session.ws_connect(
@@ -105,15 +110,15 @@
         except aiohttp.WSServerHandshakeError as exc:
             self.counts.failed_handshakes += 1
             delay_s = exc.headers.get("Retry-After", "1") if exc.headers else "1"
-            raise HandshakeFailed(float(delay_s)) from exc
+            raise HandshakeError(float(delay_s)) from exc
         except (aiohttp.ClientError, TimeoutError, OSError) as exc:
             self.counts.failed_handshakes += 1
-            raise HandshakeFailed(FAULT_DELAY_S) from exc
+            raise HandshakeError(FAULT_DELAY_S) from exc
         self.counts.opened += 1
         return socket
 
     async def _hold(self, socket: aiohttp.ClientWebSocketResponse) -> float:
-        """Reads until the connection ends; gives how long to wait before the next."""
+        """Reads until the connection ends; gives the delay before the next one."""
         self._awaited = ""
         asking = asyncio.create_task(self._ask_repeatedly(socket)) if self._busy else None
         try:
@@ -129,7 +134,7 @@
         return float(delay.group(1)) if delay else RECONNECT_DELAY_S
 
     async def _read_until_closed(self, socket: aiohttp.ClientWebSocketResponse) -> str:
-        """The reason that the close gives; empty where it has none."""
+        """Reads until the close; gives its reason, which may be empty."""
         while True:
             message = await socket.receive()
             if message.type is aiohttp.WSMsgType.TEXT:
@@ -151,7 +156,7 @@
             self._awaited = ""
 
     async def ask(self, verb: str = "ask") -> str:
-        """Sends one message; gives its number."""
+        """Sends one request; gives its id."""
         assert self.socket is not None
         number = f"{self.name}-{next(self._numbers)}"
         self._awaited = number
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -1,8 +1,8 @@
 """A month's end in simulated time: the real controller on unequal workers, with or without an advisor.
 
-No wire is involved.  Workers take requests in order on a few cores; how fast each is nobody lists, and some
-grow slower half-way.  Proxies route by the tables that the controller orders; what they met comes back summed
-and late.
+No protocol is involved. Workers serve requests in order on a few cores; their speeds are not listed, and some
+become slower half-way. Proxies route by the tables that the controller orders, and their load reports arrive
+late.
 """
 
 from __future__ import annotations
@@ -45,17 +45,16 @@
 LATENCY_OBJECTIVE_S = 1.0
 DEADLINE_S = 2.5
 SERVICE_TIME_S = 0.16  # of one request on one core of a worker of speed 1
-SERVICE_TIME_SPREAD = (0.9, 1.1)  # of it, drawn from this range
-COLLAPSE_MULTIPLE = 3.0  # of its capacity: a warming worker that is brought so much collapses
-LOAD_WINDOW_S = 2.0  # over which a warming worker's load is counted
+SERVICE_TIME_RATIO = (0.9, 1.1)  # of that time, drawn from this range
+COLLAPSE_MULTIPLE = 3.0  # of its capacity: under this load a warming-up worker collapses
+LOAD_WINDOW_S = 2.0  # over which a warming-up worker's load is counted
 WORST_WINDOW_S = 10.0
-MIN_WINDOW_REQUESTS = 50  # a window with no more tells nothing
+MIN_WINDOW_REQUESTS = 50  # of a window that counts for the worst one
 TIMER_TOLERANCE_S = 1e-6
 PROXY_COUNT = 12
 ZONE_COUNT = 2
 WORKER_SPEEDS = (1.6, 1.5, 1.0, 1.0, 0.9, 0.9, 0.6, 0.55, 0.5, 1.4)
-FALLBACK_WORKERS = 5  # where a proxy has no usable weight, its requests go to the first few workers
-MAX_ADVISORY_WEIGHT = 65535.0
+FALLBACK_WORKERS = 5  # first ones of the list, for requests of a proxy without a usable weight
 PARAMETERS = DeploymentParameters(
     seed=1,
     manager_count=1,
@@ -85,25 +84,32 @@
 Advisor = Callable[[float, "MonthEndRun"], Mapping[int, AdvisoryWeight] | None]
 
 
+def _no_events(_elapsed_s: float, _run: MonthEndRun) -> None:
+    """Changes nothing during the run."""
+
+
 @dataclass(slots=True)
 class MonthEndResult:
-    """What a run came to; times are in seconds, shares of all requests."""
+    """The result of a run; shares are parts of all requests."""
 
     requests: int = 0
     served: int = 0  # within the latency objective
     worst_share: float = 1.0  # served in the worst 10 s
-    worst_warm_up_load: float = 0.0  # most brought to a warming worker in 2 s, of what would collapse it
+    worst_warm_up_load: float = (
+        0.0  # the largest load of a warming-up worker, as a part of the collapsing one
+    )
     proxies_without_worker: int = 0  # steps at which a bound proxy had no usable weight
     credit: dict[str, float] = field(default_factory=dict)
     factors: list[dict[int, float]] = field(default_factory=list)
 
     @property
     def served_share(self) -> float:
+        """The part of all requests that was served within the latency objective."""
         return self.served / max(1, self.requests)
 
 
 class MonthEndRun:
-    """One seeded run of `duration_s`; `advisors` are asked for weights each interval."""
+    """One seeded run of `duration_s`; each interval the `advisors` give their weights."""
 
     def __init__(
         self, advisors: Mapping[str, Advisor], seed: int = 7, duration_s: float = 120.0, load: float = 0.8
@@ -137,24 +143,28 @@
         return capacity * self.load * (0.7 + 0.3 * min(1.0, elapsed_s / (self.duration_s / 2)) + wave)
 
     def schedule(self, at: float, message: Input) -> None:
-        """Has the manager receive an input at a time."""
+        """Delivers an input to the manager at a given time."""
         self._schedule_count += 1
         heapq.heappush(self._scheduled, (at, self._schedule_count, message))
 
     def start_worker(self, worker_index: int, zone: int, speed: float, now: float) -> None:
-        """A new worker, which warms up."""
+        """Starts and lists a new worker, which warms up."""
         self.workers[worker_index] = SimulatedWorker(zone, speed, now)
         endpoint = Endpoint(worker_index, zone, EndpointState.READY, 1.0, now)
         self.schedule(now + LIST_DELAY_S, EndpointList(ListUpdateKind.DELTA, (endpoint,)))
 
     def drain_worker(self, worker_index: int, now: float) -> None:
+        """Lists a worker as draining."""
         zone = self.workers[worker_index].zone
         endpoint = Endpoint(worker_index, zone, EndpointState.DRAINING, 1.0, 0.0)
         self.schedule(now, EndpointList(ListUpdateKind.DELTA, (endpoint,)))
 
     def restart_manager(self, restore: Callable[[RestoredState], RestoredState | None]) -> None:
-        """The manager dies and a new one starts with the list, and with what `restore` makes of the old one's
-        state.  Proxies keep their tables and join anew within a second."""
+        """Replaces the manager by a new one.
+
+        It starts with the endpoint list and with what `restore` makes of the old manager's state. Proxies
+        keep their tables and reconnect within a second.
+        """
         workers = list(self.controller.state.workers.by_index)
         state = restore(
             collect_state(self.controller, workers, list(self.controller.state.proxies.by_number))
@@ -170,8 +180,8 @@
             self.schedule(now, state)
         request_rate = self.request_rate(now - START_TIME_S) / PROXY_COUNT
         for proxy in range(PROXY_COUNT):
-            joined = ProxyConnected(proxy, proxy % ZONE_COUNT, request_rate, False)
-            self.schedule(now + 0.2 + self.random.random() * 0.8, joined)
+            connected = ProxyConnected(proxy, proxy % ZONE_COUNT, request_rate, False)
+            self.schedule(now + 0.2 + self.random.random() * 0.8, connected)
 
     def _endpoints(self) -> tuple[Endpoint, ...]:
         return tuple(
@@ -179,10 +189,8 @@
             for index, worker in self.workers.items()
         )
 
-    def run(
-        self, events: Callable[[float, MonthEndRun], None] = lambda elapsed_s, run: None
-    ) -> MonthEndResult:
-        """Plays the run; `events` is called at each step, with the seconds since its begin."""
+    def run(self, events: Callable[[float, MonthEndRun], None] = _no_events) -> MonthEndResult:
+        """Runs to the end; `events` is called at each step with the seconds since the start."""
         self._start()
         now = START_TIME_S
         report_at = START_TIME_S + REPORT_INTERVAL_S
@@ -208,8 +216,8 @@
         self.schedule(START_TIME_S, EndpointList(ListUpdateKind.FULL, self._endpoints()))
         request_rate = self.request_rate(0.0) / PROXY_COUNT
         for proxy in range(PROXY_COUNT):
-            joined = ProxyConnected(proxy, proxy % ZONE_COUNT, request_rate, True)
-            self.schedule(START_TIME_S + 0.01, joined)
+            connected = ProxyConnected(proxy, proxy % ZONE_COUNT, request_rate, True)
+            self.schedule(START_TIME_S + 0.01, connected)
 
     def _finish(self, now: float) -> None:
         shares = [
@@ -227,16 +235,16 @@
         return inputs
 
     def _ask_advisors(self, now: float) -> list[Input]:
-        """Takes the advisors' weights in; gives the factors that changed."""
+        """Applies the advisors' weights; gives the factors that changed."""
         for name, advisor in self._advisors.items():
             weights = advisor(now - START_TIME_S, self)
             if weights is not None:
                 self.advice.receive(name, now, weights, is_complete=True)
         factors = self.advice.update_factors(now, self._capacity_views) if self._capacity_views else {}
-        withdrawn = {index: 1.0 for index in self._factors if index not in factors}
+        removed = {index: 1.0 for index in self._factors if index not in factors}
         self._factors = factors
         self.result.factors.append(factors)
-        return [AdvisedFactor(index, factor) for index, factor in (withdrawn | factors).items()]
+        return [AdvisedFactor(index, factor) for index, factor in (removed | factors).items()]
 
     def _apply_orders(self, now: float, orders: list[Order]) -> None:
         for order in orders:
@@ -263,20 +271,20 @@
             self._excluded.discard(order.worker_index)
 
     def usable_weights(self, proxy: int) -> dict[int, float]:
-        """A proxy's weights by worker, without what it must not use."""
+        """A proxy's positive weights by worker, without the excluded workers."""
         table = self._tables[self._bound_tables[proxy]]
         return {
             index: weight for index, weight in table.items() if weight > 0 and index not in self._excluded
         }
 
     def _count_proxies_without_worker(self) -> None:
-        """The rule that must hold at each step: no bound proxy is without a usable weight."""
+        """Counts bound proxies without a usable weight, which must never occur."""
         for proxy, table in self._bound_tables.items():
             if table >= 0 and not self.usable_weights(proxy):
                 self.result.proxies_without_worker += 1
 
     def _send_requests(self, now: float) -> None:
-        """All requests that come until the next step, in order."""
+        """Sends all requests that arrive before the next step, in order."""
         fallback = dict.fromkeys(list(self.workers)[:FALLBACK_WORKERS], 1.0)
         weights = [self.usable_weights(proxy) or fallback for proxy in range(PROXY_COUNT)]
         request_rate = self.request_rate(now - START_TIME_S)
@@ -297,7 +305,7 @@
             self.result.served += 1
 
     def _serve(self, at: float, worker_index: int, zone: int) -> FinishedRequest:
-        """A worker takes a request in as soon as a core is free, unless its client has gone by then."""
+        """Serves a request as soon as a core is free, unless its deadline has passed by then."""
         worker = self.workers[worker_index]
         if worker.is_warming_up(at):
             self._note_warm_up_load(at, worker_index)
@@ -305,7 +313,7 @@
         if begins_at - at > DEADLINE_S:
             duration_s = DEADLINE_S
         else:
-            service_time = self.random.uniform(*SERVICE_TIME_SPREAD) * SERVICE_TIME_S / worker.speed_at(at)
+            service_time = self.random.uniform(*SERVICE_TIME_RATIO) * SERVICE_TIME_S / worker.speed_at(at)
             heapq.heapreplace(worker.cores_free_at, begins_at + service_time)
             duration_s = begins_at + service_time - at
         succeeded = begins_at - at <= DEADLINE_S and duration_s <= DEADLINE_S
@@ -328,7 +336,7 @@
         self.result.worst_warm_up_load = max(self.result.worst_warm_up_load, load)
 
     def _report(self, now: float) -> None:
-        """Sends what proxies met since the last report, summed."""
+        """Sends the load reports of the time since the last ones."""
         sums: dict[tuple[int, int], AttemptSums] = defaultdict(AttemptSums)
         while self._finished and self._finished[0].ended_at <= now:
             request = heapq.heappop(self._finished)
@@ -343,51 +351,13 @@
         self._arrivals.clear()
 
 
-def honest_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    """Weights as the workers' speeds are now."""
-    now = START_TIME_S + elapsed_s
-    return {index: AdvisoryWeight(100.0 * worker.speed_at(now)) for index, worker in run.workers.items()}
-
-
-def lying_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    """The slowest ranked best."""
-    return {index: AdvisoryWeight(100.0 / worker.speed) for index, worker in run.workers.items()}
-
-
-def random_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    return {index: AdvisoryWeight(float(run.random.randint(1, 1000))) for index in run.workers}
-
-
-def zero_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    return {index: AdvisoryWeight(0.0) for index in run.workers}
-
-
-def maximum_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    return {index: AdvisoryWeight(MAX_ADVISORY_WEIGHT) for index in run.workers}
-
-
-def stalling_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
-    """Honest for the first half, then silent."""
-    return honest_advisor(elapsed_s, run) if elapsed_s < run.duration_s / 2 else None
-
-
-def stalling_then_lying_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
-    """Honest for a third, silent for a third, then lying."""
-    third = run.duration_s / 3
-    if elapsed_s < third:
-        return honest_advisor(elapsed_s, run)
-    if elapsed_s < 2 * third:
-        return None
-    return lying_advisor(elapsed_s, run)
-
-
 def happens_at(time_s: float, elapsed_s: float) -> bool:
-    """Whether this is the one step that falls on a time."""
+    """Whether the present step is the one at `time_s`."""
     return abs(elapsed_s - time_s) < STEP_S / 2
 
 
 def slow_two_workers(elapsed_s: float, run: MonthEndRun) -> None:
-    """Half-way two of the good workers share their machines with somebody else's month's end."""
+    """Slows two of the fast workers half-way, as a noisy neighbour would."""
     if happens_at(run.duration_s / 2, elapsed_s):
         run.workers[0].speed = 0.8
         run.workers[3].speed = 0.5
--- a/cottonladder/testbed/month_end_records.py
+++ b/cottonladder/testbed/month_end_records.py
@@ -1,17 +1,17 @@
-"""Workers and requests of a month's end: what `month_end` keeps of each."""
+"""Records of workers and requests in the simulated month's end."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-CORES = 3
+CORES = 3  # of each worker
 WARM_UP_S = 15.0
-WARM_UP_START = 0.2  # of a worker's usual speed
+WARM_UP_START_RATIO = 0.2  # of a worker's usual speed
 
 
 @dataclass(slots=True)
 class SimulatedWorker:
-    """One worker: its `speed` once warm, and when each of its cores is free again."""
+    """One worker: its `speed` after the warm-up, and when each of its cores is free again."""
 
     zone: int
     speed: float
@@ -19,14 +19,15 @@
     cores_free_at: list[float] = field(default_factory=lambda: [0.0] * CORES)
 
     def is_warming_up(self, now: float) -> bool:
+        """Whether the worker started less than the warm-up time ago."""
         return self.started_at > 0 and now - self.started_at < WARM_UP_S
 
     def speed_at(self, now: float) -> float:
-        """Its speed now, which rises from a fifth while it warms up."""
+        """The speed at a given time, which rises linearly from a fifth during the warm-up."""
         if not self.is_warming_up(now):
             return self.speed
         age_s = now - self.started_at
-        return self.speed * (WARM_UP_START + (1.0 - WARM_UP_START) * age_s / WARM_UP_S)
+        return self.speed * (WARM_UP_START_RATIO + (1.0 - WARM_UP_START_RATIO) * age_s / WARM_UP_S)
 
 
 @dataclass(slots=True)
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class FinishedRequest:
-    """One attempt, in order of its end, for the reports."""
+    """One attempt; sorted by its end, for the load reports."""
 
     ended_at: float
     worker_index: int
@@ -50,13 +51,14 @@
 
 @dataclass(slots=True)
 class AttemptSums:
-    """What a load report says of one worker and zone."""
+    """Sums of a load report for one worker and zone."""
 
     attempts: int = 0
     failed: int = 0
     succeeded_duration_s: float = 0.0
 
     def add(self, request: FinishedRequest) -> None:
+        """Counts one attempt."""
         self.attempts += 1
         if request.succeeded:
             self.succeeded_duration_s += request.duration_s
@@ -64,4 +66,5 @@
             self.failed += 1
 
     def mean_duration_s(self) -> float:
+        """The mean duration of the attempts that succeeded; 0 without any."""
         return self.succeeded_duration_s / max(1.0, self.attempts - self.failed)
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -112,13 +112,16 @@
 
 def message_fields(message: bytes) -> Iterator[dict[bytes, bytes]]:
     """The named fields of each command in a message's bytes."""
-    for words in RespReader(MAX_MESSAGE_SIZE).feed(message):
-        yield dict(zip(words[1::2], words[2::2], strict=True))
+    for arguments in RespReader(MAX_MESSAGE_SIZE).feed(message):
+        yield dict(zip(arguments[1::2], arguments[2::2], strict=True))
 
 
 def count_lines(message: bytes, header_lines: int) -> int:
-    """What a message counts in the channel, read off its bytes: its header, and one for each weight, worker
-    excluded or let back, admission rate, checkpoint and `replace`."""
+    """The lines that a message takes in the channel, counted from its bytes.
+
+    These are its header and one line for each weight, excluded or readmitted worker, admission limit,
+    checkpoint and `replace`.
+    """
     lines = header_lines
     for fields in message_fields(message):
         lines += sum(len(fields[name].split(b",")) for name in LISTED_FIELDS if name in fields)
@@ -157,6 +160,7 @@
                 self.weights[worker_id] = float(weight)
 
     def usable_weights(self) -> dict[bytes, float]:
+        """Its weights by worker, without the excluded workers."""
         return {
             worker_id: weight for worker_id, weight in self.weights.items() if worker_id not in self.excluded
         }
@@ -202,6 +206,7 @@
         return Endpoint(self.workers.register(name, "127.0.0.1:1", started), zone, mode, 1.0, started)
 
     def queued_lines(self) -> int:
+        """Lines that wait in the channel."""
         return sum(queued.lines for queued in self.channel)
 
     def step(self, name: str, inputs: Iterable[Input]) -> None:
@@ -321,14 +326,15 @@
         while self.now < end - CLOCK_TOLERANCE_S:
             self.now += TICK_INTERVAL_S
             self.send_for(TICK_INTERVAL_S)
-            arrived = [message for at, message in self.pending_inputs if at <= self.now]
-            self.pending_inputs = [(at, message) for at, message in self.pending_inputs if at > self.now]
+            arrived = [item for due_at, item in self.pending_inputs if due_at <= self.now]
+            self.pending_inputs = [entry for entry in self.pending_inputs if entry[0] > self.now]
             self.step("look", [*arrived, *self.extra_inputs(), TimerFired(self.timer_token)])
 
 
 def fleet_parameters(
     proxies: int = 1600, zones: int = 4, managers: int = 5, max_queued_lines: float = 50000.0
 ) -> DeploymentParameters:
+    """The parameters of a fleet of this size; everything else is the same at each size."""
     return replace(
         PARAMETERS,
         proxy_count=proxies,
--- a/cottonladder/testbed/workers.py
+++ b/cottonladder/testbed/workers.py
@@ -1,8 +1,9 @@
-"""Simulated workers: HTTP and WebSockets by a small made-up service, with a ledger of what took effect.
+"""Simulated workers that serve HTTP and WebSockets, with a ledger of the requests that took effect.
 
-A held connection speaks text: `ask:ID` is answered by `answer:ID`, `release:ID` takes effect in the ledger
-and is answered by `done:ID`, each after the worker's `delay_s`; `push:N` comes unasked.  A handshake is
-answered with a ticket; one that brings a ticket back goes on where that connection stood.
+A held connection carries text: `ask:ID` is answered by `answer:ID`; `release:ID` takes effect in the
+ledger and is answered by `done:ID`, each after the worker's `delay_s`; `push:N` is sent without a request.
+A handshake is answered with a ticket, and a handshake with a ticket continues the connection that the
+ticket was given to.
 """
 
 from __future__ import annotations
@@ -11,6 +12,7 @@
 import itertools
 import sys
 from collections import Counter
+from contextlib import suppress
 from dataclasses import dataclass, field
 
 from aiohttp import WSMsgType, web
@@ -25,24 +27,25 @@
 
 @dataclass(slots=True)
 class EffectLedger:
-    """What took effect, over all workers of a fleet; each id is one release."""
+    """Requests that took effect, over all workers of a fleet, counted by their id."""
 
     releases: Counter[str] = field(default_factory=Counter)
     asked: Counter[str] = field(default_factory=Counter)
 
     def repeated_releases(self) -> int:
+        """How many releases took effect more than once."""
         return sum(count > 1 for count in self.releases.values())
 
 
 @dataclass(slots=True)
 class TicketSession:
-    """What a ticket stands for: how many messages of it were answered."""
+    """The state behind a ticket: how many of its messages were answered."""
 
     answered: int = 0
 
 
 class SimulatedWorker:
-    """One worker on a free port, with faults on command; `arrivals` has when each connection came."""
+    """One worker on a free port, with faults on command; `arrivals` are the times of new connections."""
 
     def __init__(self, name: str, ledger: EffectLedger, sessions: dict[str, TicketSession]) -> None:
         self.name = name
@@ -53,7 +56,7 @@
         self.refuses = False  # handshakes and requests get 503
         self.hangs = False  # nothing is answered
         self.hold_until: asyncio.Event | None = None  # nothing is answered before it
-        self.requests_to_drop = 0  # so many are read and their connections cut
+        self.requests_to_drop = 0  # the next ones are read and their connections aborted
         self.held_connections = 0
         self.max_held_connections = 0
         self.resumed = 0
@@ -65,11 +68,12 @@
         self._runner: web.ServerRunner | None = None
 
     async def start(self, port: int = 0) -> str:
+        """Listens on a port, or on a free one; gives the address."""
         self._runner, self.address = await start_server(self._handle, port)
         return self.address
 
     async def abort(self) -> None:
-        """Ends without a word: whoever is connected sees a reset."""
+        """Stops at once: all connections are reset."""
         if self._runner is None:
             return
         server = self._runner.server
@@ -111,7 +115,7 @@
         return web.Response(body=body or b"ok", headers={WORKER_HEADER: self.name})
 
     async def _hold(self, request: web.BaseRequest) -> web.StreamResponse:
-        """A client's connection, from its handshake to its end."""
+        """Serves a client's connection from its handshake to its end."""
         ticket = self._ticket(request)
         session = self._sessions.setdefault(ticket, TicketSession())
         socket = web.WebSocketResponse(compress=False, timeout=CLOSE_TIMEOUT_S)
@@ -134,7 +138,7 @@
         return socket
 
     def _ticket(self, request: web.BaseRequest) -> str:
-        """The ticket that a handshake brings back, or a new one."""
+        """The known ticket of a handshake, or a new one."""
         ticket = request.headers.get(TICKET)
         if ticket is not None and ticket in self._sessions:
             self.resumed += 1
@@ -150,10 +154,8 @@
             await asyncio.sleep(self.delay_s)
         session.answered += 1
         reply = "done" if verb == "release" else "answer"
-        try:
+        with suppress(ConnectionError):  # the client may be gone; the effect stays
             await socket.send_str(f"{reply}:{number}:{session.answered}")
-        except ConnectionError:
-            pass  # whoever asked has gone; what took effect stays
 
     async def _push(self, socket: web.WebSocketResponse) -> None:
         for number in itertools.count():
@@ -161,7 +163,7 @@
             await socket.send_str(f"push:{number}")
 
     async def _echo(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Any other protocol: bytes back as they come, in capitals; its end is answered by our own."""
+        """Serves any other upgraded protocol: echoes bytes in capitals, and answers the end of the stream."""
         assert request.transport is not None
         ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.held_connections += 1
@@ -173,7 +175,7 @@
 
 
 class EchoProtocol(asyncio.Protocol):
-    """Bytes back in capitals; `ended` is resolved when the connection is lost."""
+    """Echoes bytes in capitals; `ended` is resolved when the connection is lost."""
 
     def __init__(
         self, worker: SimulatedWorker, transport: asyncio.Transport, ended: asyncio.Future[None]
@@ -183,21 +185,24 @@
         self._ended = ended
 
     def data_received(self, data: bytes) -> None:
+        """Called by asyncio: echoes the bytes."""
         self._transport.write(data.upper())
 
     def eof_received(self) -> bool:
+        """Called by asyncio: answers the end of the client's stream and closes."""
         self._transport.write(b"BYE")
         self._transport.close()
         return True
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Called by asyncio: ends the request's handler."""
         self._worker.held_connections -= 1
         if not self._ended.done():
             self._ended.set_result(None)
 
 
 async def serve_alone() -> None:
-    """One worker in a process of its own: its address on standard output, its end with standard input."""
+    """Runs one worker in this process: prints its address, and stops when standard input ends."""
     worker = SimulatedWorker("s-0", EffectLedger(), {})
     print(await worker.start(), flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
--- a/tests/benchmarks/test_harness.py
+++ b/tests/benchmarks/test_harness.py
@@ -11,13 +11,20 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
+import msgspec
+
 from benchmarks import harness, scale
 
 BENCHMARKS = ("advice", "memory", "plugins", "scale", "starts", "upgraded")
 SMALL = {"proxies": 20, "workers": 8, "zones": 2, "managers": 2}
 
 
-def printed(figures: dict[str, object], as_json: bool) -> str:
+class Figures(msgspec.Struct):
+    served: float
+    of: str
+
+
+def printed(figures: Figures, as_json: bool) -> str:
     output = io.StringIO()
     with contextlib.redirect_stdout(output):
         harness.print_figures(figures, as_json)
@@ -26,8 +33,8 @@
 
 class Harness(unittest.TestCase):
     def test_figures_are_printed_as_json_or_as_aligned_lines(self) -> None:
-        figures: dict[str, object] = {"served": 0.9, "of": "one machine"}
-        self.assertEqual(json.loads(printed(figures, as_json=True)), figures)
+        figures = Figures(served=0.9, of="one machine")
+        self.assertEqual(json.loads(printed(figures, as_json=True)), {"served": 0.9, "of": "one machine"})
         self.assertEqual(printed(figures, as_json=False), "served 0.9\nof     one machine\n")
 
     def test_percentiles(self) -> None:
--- a/tests/planning/test_advice_weighting.py
+++ b/tests/planning/test_advice_weighting.py
@@ -8,7 +8,7 @@
 
 from cottonladder.planning import advice_weighting
 from cottonladder.planning.advice_weighting import MAX_FACTOR, MAX_LOG_STEP, AdviceWeighting, AdvisoryWeight
-from cottonladder.testbed import month_end
+from cottonladder.testbed import month_end, month_end_advisors
 from cottonladder.testbed.month_end import MonthEndRun
 from tests.support.capacity_views import capacity_view
 
@@ -153,17 +153,17 @@
 
     def test_honest_advice_gains_and_lies_cost_little(self) -> None:
         unadvised = self.served_share()
-        self.assertGreater(self.served_share(month_end.honest_advisor), unadvised)
+        self.assertGreater(self.served_share(month_end_advisors.honest_advisor), unadvised)
         for dishonest in (
-            month_end.lying_advisor,
-            month_end.random_advisor,
-            month_end.zero_advisor,
-            month_end.maximum_advisor,
-            month_end.stalling_advisor,
-            month_end.stalling_then_lying_advisor,
+            month_end_advisors.lying_advisor,
+            month_end_advisors.random_advisor,
+            month_end_advisors.zero_advisor,
+            month_end_advisors.maximum_advisor,
+            month_end_advisors.stalling_advisor,
+            month_end_advisors.stalling_then_lying_advisor,
         ):
             self.assertGreater(self.served_share(dishonest), 0.9 * unadvised, dishonest.__name__)
-        both = self.served_share(month_end.honest_advisor, month_end.lying_advisor)
+        both = self.served_share(month_end_advisors.honest_advisor, month_end_advisors.lying_advisor)
         self.assertGreater(both, unadvised)
 
     def test_advice_overloads_no_warming_up_worker_and_undoes_no_drain(self) -> None:
--- a/tests/support/simulated_days.py
+++ b/tests/support/simulated_days.py
@@ -211,7 +211,7 @@
             rev = (body["Rev"] + 7) % 65536 if chance > 0.99 else body["Rev"]
             self.post(delay, who, "CAUGHT_UP", {"Proxy": proxy, "Rev": rev, "RttMs": delay * 1000.0})
 
-    def on_watch(self, who: int, body: Event) -> None:
+    def on_watch(self, who: int, _body: Event) -> None:
         if self.random.random() < 0.2:
             self.post(1.0, who, "SYNC", {"How": 1})
             return
