--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -7,7 +7,7 @@
 import os
 import subprocess
 import sys
-from collections.abc import Sequence
+from collections.abc import Iterator, Mapping, Sequence
 from contextlib import AsyncExitStack
 from pathlib import Path
 from typing import Any
@@ -39,9 +39,19 @@
     if as_json:
         print(msgspec.json.encode(figures).decode())
         return
-    width = max(len(name) for name in figures.__struct_fields__)
-    for name in figures.__struct_fields__:
-        print(f"{name:{width}} {getattr(figures, name)}")
+    lines = list(_figure_lines(msgspec.to_builtins(figures)))
+    width = max(len(name) for name, _ in lines)
+    for name, value in lines:
+        print(f"{name:{width}} {value}")
+
+
+def _figure_lines(figures: Mapping[str, Any], prefix: str = "") -> Iterator[tuple[str, Any]]:
+    """Name and value of each figure; the names of nested figures are joined by dots."""
+    for name, value in figures.items():
+        if isinstance(value, dict):
+            yield from _figure_lines(value, f"{prefix}{name}.")
+        else:
+            yield f"{prefix}{name}", value
 
 
 def run_in_tree(tree: str, module: str, *arguments: str, timeout_s: float | None = None) -> Any:
