--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -30,6 +30,8 @@
 MAX_WEIGHT_AGE_S = 16.0
 # Credit of a new advisor; the largest credit is 1.
 INITIAL_CREDIT = 0.5
+# Trust in an advisor for which the operators set none.
+DEFAULT_TRUST = 1.0
 # Smallest credit: from 0 a credit could not rise again.
 MIN_CREDIT = 0.01
 # Part of the missing credit that is regained in an interval if latencies confirm the weights.
@@ -105,7 +107,7 @@
         self._advisors: dict[str, _Advisor] = {}
         self._factors: dict[int, float] = {}  # logarithms, by worker index
 
-    def advisor_connected(self, advisor: str, trust: float = 1.0) -> None:
+    def advisor_connected(self, advisor: str, trust: float = DEFAULT_TRUST) -> None:
         """Sets the trust of an advisor that connected; its credit stays as it was before."""
         self._advisors.setdefault(advisor, _Advisor(trust)).trust = trust
 
@@ -113,7 +115,7 @@
         self, advisor: str, now: float, weights: Mapping[int, AdvisoryWeight], is_complete: bool
     ) -> None:
         """Takes weights by worker index; `is_complete` means that earlier ones no longer hold."""
-        state = self._advisors.setdefault(advisor, _Advisor(1.0))
+        state = self._advisors.setdefault(advisor, _Advisor(DEFAULT_TRUST))
         if is_complete:
             state.weights.clear()
             state.received_at.clear()
@@ -129,7 +131,7 @@
     def restore_credits(self, credits: Mapping[str, float]) -> None:
         """Takes over the credits of an earlier incarnation of the manager."""
         for name, credit in credits.items():
-            state = self._advisors.setdefault(name, _Advisor(1.0))
+            state = self._advisors.setdefault(name, _Advisor(DEFAULT_TRUST))
             state.credit = min(1.0, max(MIN_CREDIT, credit))
 
     def drop_missing_workers(self, views: Mapping[int, WorkerCapacityView]) -> None:
--- a/cottonladder/weight_advice/dfp.py
+++ b/cottonladder/weight_advice/dfp.py
@@ -16,11 +16,13 @@
 from ipaddress import IPv4Address
 
 from .errors import (
-    ComponentError,
     DigestError,
     MessageHeaderError,
     MessageSizeError,
     MissingSecurityError,
+    TlvLengthError,
+    TlvTooLargeError,
+    TlvTrailingDataError,
     TooManyItemsError,
     UnknownMessageError,
     UnknownVersionError,
@@ -174,7 +176,7 @@
             self.unknown_tlv_count += 1
             return
         if body.remaining:
-            raise ComponentError(f"TLV {tlv_type:#06x}", f": {body.remaining} bytes too many")
+            raise TlvTrailingDataError(tlv_type, body.remaining)
 
     def _read_load(self, body: Cursor) -> Load:
         port, protocol, flags, host_count, _ = _LOAD.unpack_from(body.data, body.advance(_LOAD.size))
@@ -234,7 +236,7 @@
             raise TooManyItemsError(MAX_TLVS_PER_MESSAGE, "TLVs")
         tlv_type, length = cursor.read_header()
         if length < _TLV.size:
-            raise ComponentError(f"TLV {tlv_type:#06x}", f" of {length} bytes")
+            raise TlvLengthError(tlv_type, length)
         start = cursor.advance(length - _TLV.size)
         decoder.read_tlv(tlv_type, Cursor(data, start, cursor.position))
     if secrets and decoder.key_id is None:
@@ -251,7 +253,7 @@
 
 def _encode_tlv(tlv_type: int, body: bytes) -> bytes:
     if _TLV.size + len(body) > MAX_TLV_BYTES:
-        raise ComponentError(f"TLV {tlv_type:#06x}", " over its size")
+        raise TlvTooLargeError(tlv_type)
     return _TLV.pack(tlv_type, _TLV.size + len(body)) + body
 
 
--- a/cottonladder/weight_advice/dfp_client.py
+++ b/cottonladder/weight_advice/dfp_client.py
@@ -52,7 +52,8 @@
                 dfp.MessageType.BIND_ID_REPORT,
                 dfp.MessageType.BIND_ID_CHANGE_NOTICE,
             ):
-                raise UnexpectedMessageError(dfp.MESSAGE_NAMES[message.message_type], ": not an agent's")
+                reason = f"{dfp.MESSAGE_NAMES[message.message_type]}: not an agent's"
+                raise UnexpectedMessageError(message.message_type, reason)
 
     def _report_weights(self, message: dfp.Message) -> None:
         """Reports one weight for each worker: the lowest, if several BindIDs have one."""
--- a/cottonladder/weight_advice/dfp_server.py
+++ b/cottonladder/weight_advice/dfp_server.py
@@ -41,7 +41,8 @@
         elif message.message_type == dfp.MessageType.BIND_ID_REQUEST:
             self._send(client, dfp.Message(dfp.MessageType.BIND_ID_REPORT, bindings=(ALL_CLIENTS,)))
         elif message.message_type != dfp.MessageType.SERVER_STATE:  # a manager's own view, which is not used
-            raise UnexpectedMessageError(dfp.MESSAGE_NAMES[message.message_type], ": not from a manager")
+            reason = f"{dfp.MESSAGE_NAMES[message.message_type]}: not from a manager"
+            raise UnexpectedMessageError(message.message_type, reason)
 
     def serve_client(self, client: ClientConnection, now: float) -> None:
         """Reports all weights at half of the keep-alive, or sooner if one of them changed."""
--- a/cottonladder/weight_advice/errors.py
+++ b/cottonladder/weight_advice/errors.py
@@ -68,12 +68,12 @@
 
 
 class UnexpectedMessageError(AdviceError):
-    """A message of a known type that this side does not accept."""
+    """A message of a known type that this side does not accept; the reason names the message."""
 
-    def __init__(self, message: str, fault: str) -> None:
-        super().__init__(f"{message}{fault}")
-        self.message = message
-        self.fault = fault
+    def __init__(self, message_type: int, reason: str) -> None:
+        super().__init__(reason)
+        self.message_type = message_type
+        self.reason = reason
 
 
 class UnexpectedComponentError(AdviceError):
@@ -85,13 +85,58 @@
         self.expected_type = expected_type
 
 
-class ComponentError(AdviceError):
-    """A SASP component or a DFP TLV whose type, length or contents do not fit together."""
+class ComponentLengthError(AdviceError):
+    """A SASP component whose length does not fit its contents; `expected` lists the lengths that do."""
 
-    def __init__(self, component: str, fault: str) -> None:
-        super().__init__(f"{component}{fault}")
+    def __init__(self, component: str, length: int, expected: str) -> None:
+        super().__init__(f"{component}: a length of {length}, {expected} expected")
         self.component = component
-        self.fault = fault
+        self.length = length
+        self.expected = expected
+
+
+class MemberError(AdviceError):
+    """A SASP component that is no member, or a member whose length does not fit its label."""
+
+    def __init__(self, component_type: int, length: int) -> None:
+        super().__init__(f"component {component_type:#06x} of {length} bytes where a member is expected")
+        self.component_type = component_type
+        self.length = length
+
+
+class TrailingDataError(AdviceError):
+    """A SASP message that is longer than its contents."""
+
+    def __init__(self, message_type: int, trailing_bytes: int) -> None:
+        super().__init__(f"{trailing_bytes} bytes behind a message of {message_type:#06x}")
+        self.message_type = message_type
+        self.trailing_bytes = trailing_bytes
+
+
+class TlvLengthError(AdviceError):
+    """A DFP TLV that is shorter than its own header."""
+
+    def __init__(self, tlv_type: int, length: int) -> None:
+        super().__init__(f"TLV {tlv_type:#06x} of {length} bytes")
+        self.tlv_type = tlv_type
+        self.length = length
+
+
+class TlvTrailingDataError(AdviceError):
+    """A DFP TLV that is longer than its contents."""
+
+    def __init__(self, tlv_type: int, trailing_bytes: int) -> None:
+        super().__init__(f"TLV {tlv_type:#06x}: {trailing_bytes} bytes too many")
+        self.tlv_type = tlv_type
+        self.trailing_bytes = trailing_bytes
+
+
+class TlvTooLargeError(AdviceError):
+    """Contents that do not fit a DFP TLV, whose length is stored in two bytes."""
+
+    def __init__(self, tlv_type: int) -> None:
+        super().__init__(f"TLV {tlv_type:#06x} over its size")
+        self.tlv_type = tlv_type
 
 
 class TooManyItemsError(AdviceError):
--- a/cottonladder/weight_advice/load_balancer.py
+++ b/cottonladder/weight_advice/load_balancer.py
@@ -93,11 +93,10 @@
 
 @dataclass(slots=True)
 class LoadBalancer:
-    """A connected load balancer: UID, flags and health as it set them, and its groups by name."""
+    """A connected load balancer: UID and flags as it set them, and its groups by name."""
 
     lb_uid: bytes = b""
     flags: int = 0
-    health: int = 0
     groups: dict[bytes, RegisteredGroup] = field(default_factory=dict)
 
     @property
--- a/cottonladder/weight_advice/registry.py
+++ b/cottonladder/weight_advice/registry.py
@@ -150,7 +150,6 @@
             raise RegistryError(ResponseCode.SENDER_NOT_ACCEPTED)
         sender.lb_uid = request.lb_uid
         sender.flags = request.flags
-        sender.health = request.lb_health
         sender.forget_sent_weights()  # it may have restarted since
         return ()
 
--- a/cottonladder/weight_advice/sasp/decoding.py
+++ b/cottonladder/weight_advice/sasp/decoding.py
@@ -5,11 +5,13 @@
 from collections.abc import Callable
 
 from ..errors import (
-    ComponentError,
+    ComponentLengthError,
+    MemberError,
     MessageHeaderError,
     MessageSizeError,
     MissingHeaderError,
     TooManyItemsError,
+    TrailingDataError,
     UnexpectedComponentError,
     UnknownMessageError,
     UnknownVersionError,
@@ -115,7 +117,7 @@
         groups = _read_groups(cursor, layout.nested_type, group_count)
     _check_length(cursor, message_type, start, length, fixed_size)
     if cursor.remaining:
-        raise ComponentError(f"{cursor.remaining} bytes", f" behind a message of {message_type:#06x}")
+        raise TrailingDataError(message_type, cursor.remaining)
     return Message(message_type, message_id, groups=tuple(groups), **fields)  # type: ignore[arg-type]
 
 
@@ -179,7 +181,7 @@
     group_name = cursor.read_label()
     size = cursor.position - start
     if length != size:
-        raise ComponentError("group data", f": a length of {length}, {size} expected")
+        raise ComponentLengthError("group data", length, str(size))
     return GroupData(lb_uid, group_name)
 
 
@@ -189,8 +191,7 @@
         cursor.data, start
     )
     if component_type != _MEMBER_TYPE or length != MEMBER_STRUCT.size + label_size:
-        fault = f" of {length} bytes where a member is expected"
-        raise ComponentError(f"component {component_type:#06x}", fault)
+        raise MemberError(component_type, length)
     return MemberData(protocol, port, decode_address(address), cursor.read_bytes(label_size))
 
 
@@ -237,5 +238,5 @@
     """
     nested_size = cursor.position - start
     if length not in (fixed_size, nested_size):
-        fault = f": a length of {length}, {fixed_size} or {nested_size} expected"
-        raise ComponentError(f"component {component_type:#06x}", fault)
+        component = f"component {component_type:#06x}"
+        raise ComponentLengthError(component, length, f"{fixed_size} or {nested_size}")
--- a/cottonladder/weight_advice/sasp_client.py
+++ b/cottonladder/weight_advice/sasp_client.py
@@ -84,7 +84,8 @@
                 MessageType.SEND_WEIGHTS,
             )
             if not carries_weights and message.message_type not in sasp.REPLY_TYPES.values():
-                raise UnexpectedMessageError(f"message {message.message_type:#06x}", " is not an advisor's")
+                reason = f"message {message.message_type:#06x} is not an advisor's"
+                raise UnexpectedMessageError(message.message_type, reason)
             if message.response_code != sasp.ResponseCode.SUCCESSFUL:
                 reason = sasp.response_text(message.response_code)
                 self.log.info("advisor_rejected_request", advisor=self.name, reason=reason)
--- a/cottonladder/weight_advice/sasp_server.py
+++ b/cottonladder/weight_advice/sasp_server.py
@@ -41,7 +41,8 @@
         self._update_registry()
         reply = self.registry.handle_request(client.number, message)
         if reply is None:
-            raise UnexpectedMessageError(f"message {message.message_type:#06x}", " is no request")
+            reason = f"message {message.message_type:#06x} is no request"
+            raise UnexpectedMessageError(message.message_type, reason)
         client.send(sasp.encode_message(reply))
 
     def serve_client(self, client: ClientConnection, now: float) -> None:
