--- a/cottonladder/weight_advice/dfp_server.py
+++ b/cottonladder/weight_advice/dfp_server.py
@@ -6,7 +6,7 @@
 from ipaddress import IPv4Address
 
 from ..planning.advertised_weights import AdvertisedWeight, advertise_weights, has_changed
-from . import dfp, limits, sasp
+from . import dfp, limits
 from .errors import KeepAliveError, UnexpectedMessageError
 from .server import AdvertisedWeights, AdviceServer, ClientConnection
 from .tlv import TCP_PROTOCOL_NUMBER
@@ -29,42 +29,59 @@
         super().__init__(weights, max_clients)
         self._secret = secret
 
-    def create_reader(self) -> dfp.MessageReader:
-        """Returns the decoder for a new connection."""
-        return dfp.MessageReader(dict([self._secret]) if self._secret else None)
+    def create_connection(self) -> ClientConnection:
+        """Creates the connection of a new manager."""
+        return DfpConnection(self, self._secret)
 
-    def message_received(self, client: ClientConnection, message: sasp.Message | dfp.Message) -> None:
-        """Takes over a keep-alive or answers a BindID request; a message of an agent ends the connection."""
-        assert isinstance(message, dfp.Message)
+
+class DfpConnection(ClientConnection):
+    """The connection of a DFP manager."""
+
+    def __init__(self, server: DfpServer, secret: tuple[int, bytes] | None) -> None:
+        super().__init__(server)
+        self._weights = server.weights
+        self._secret = secret
+        self._reader = dfp.MessageReader(dict([secret]) if secret else None)
+        self._keep_alive_s = float(limits.KEEP_ALIVE_INTERVAL_S)
+        self._sent_weights: dict[int, AdvertisedWeight] = {}  # by worker index
+
+    def handle_data(self, data: bytes) -> None:
+        """Handles the messages of a manager; a message of an agent ends the connection."""
+        for message in self._reader.feed(data):
+            self.has_spoken = True
+            self._handle_message(message)
+
+    def _handle_message(self, message: dfp.Message) -> None:
         if message.message_type == dfp.MessageType.DFP_PARAMETERS:
-            client.keep_alive_s = _checked_keep_alive(message.keep_alive_s)
+            self._keep_alive_s = _checked_keep_alive(message.keep_alive_s)
         elif message.message_type == dfp.MessageType.BIND_ID_REQUEST:
-            self._send(client, dfp.Message(dfp.MessageType.BIND_ID_REPORT, bindings=(ALL_CLIENTS,)))
+            self._send_message(dfp.Message(dfp.MessageType.BIND_ID_REPORT, bindings=(ALL_CLIENTS,)))
         elif message.message_type != dfp.MessageType.SERVER_STATE:  # a manager's own view, which is not used
             reason = f"{dfp.MESSAGE_NAMES[message.message_type]}: not from a manager"
             raise UnexpectedMessageError(message.message_type, reason)
 
-    def serve_client(self, client: ClientConnection, now: float) -> None:
+    def serve(self, now: float) -> None:
         """Reports all weights at half of the keep-alive, or sooner if one of them changed."""
-        is_new_version = client.sent_version != self.weights.version
-        may_push = is_new_version and now - client.pushed_at >= limits.PUSH_INTERVAL_S
-        is_due = now - client.pushed_at >= client.keep_alive_s / 2
-        if not (may_push or is_due) or client.unread_bytes or not self.weights.version:
+        version = self._weights.version
+        is_new_version = self.sent_version != version
+        may_push = is_new_version and now - self.pushed_at >= limits.PUSH_INTERVAL_S
+        is_due = now - self.pushed_at >= self._keep_alive_s / 2
+        if not (may_push or is_due) or self.unread_bytes or not version:
             return
-        client.sent_version = self.weights.version
+        self.sent_version = version
         locations = [
-            location for location in self.weights.locations if isinstance(location.address, IPv4Address)
+            location for location in self._weights.locations if isinstance(location.address, IPv4Address)
         ]
-        advertised = advertise_weights(self.weights.views, [location.worker_index for location in locations])
-        if not is_due and not _has_changes(client.sent_weights, advertised):
+        advertised = advertise_weights(self._weights.views, [location.worker_index for location in locations])
+        if not is_due and not _has_changes(self._sent_weights, advertised):
             return
-        client.sent_weights = advertised
-        client.pushed_at = now
+        self._sent_weights = advertised
+        self.pushed_at = now
         for loads in _reports(locations, advertised):
-            self._send(client, dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, loads))
+            self._send_message(dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, loads))
 
-    def _send(self, client: ClientConnection, message: dfp.Message) -> None:
-        client.send(dfp.encode_message(message, self._secret))
+    def _send_message(self, message: dfp.Message) -> None:
+        self.send(dfp.encode_message(message, self._secret))
 
 
 def _checked_keep_alive(keep_alive_s: int | None) -> float:
--- a/cottonladder/weight_advice/sasp_server.py
+++ b/cottonladder/weight_advice/sasp_server.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
+import asyncio
 import ssl
 
-from . import dfp, limits, sasp
+from . import limits, sasp
 from .errors import UnexpectedMessageError
 from .registry import LoadBalancerRegistry
 from .server import AdvertisedWeights, AdviceServer, ClientConnection
@@ -21,53 +22,69 @@
         self.registry = LoadBalancerRegistry()
         self._registry_version = -1  # of the advertised weights
 
-    def create_reader(self) -> sasp.MessageReader:
-        """Returns the decoder for a new connection."""
-        return sasp.MessageReader()
-
-    def client_connected(self, client: ClientConnection) -> None:
-        """Adds a client without registrations."""
-        super().client_connected(client)
-        self.registry.connection_opened(client.number)
-
-    def client_disconnected(self, client: ClientConnection) -> None:
-        """Removes a client with its registrations."""
-        self.registry.connection_closed(client.number)
-        super().client_disconnected(client)
-
-    def message_received(self, client: ClientConnection, message: sasp.Message | dfp.Message) -> None:
-        """Answers a request; any other message ends the connection."""
-        assert isinstance(message, sasp.Message)
-        self._update_registry()
-        reply = self.registry.handle_request(client.number, message)
+    def create_connection(self) -> ClientConnection:
+        """Creates the connection of a new load balancer."""
+        return SaspConnection(self)
+
+    def update_registry(self) -> None:
+        """Gives the registry the advertised weights if they changed."""
+        if self._registry_version != self.weights.version:
+            self._registry_version = self.weights.version
+            self.registry.update(self.weights.views, MemberIndex(self.weights.locations))
+
+    def status(self) -> list[dict[str, object]]:
+        """Gives a log line's fields for each load balancer."""
+        return self.registry.status()
+
+
+class SaspConnection(ClientConnection):
+    """The connection of a load balancer; its registrations end with it."""
+
+    def __init__(self, server: SaspServer) -> None:
+        super().__init__(server)
+        self._sasp_server = server
+        self._registry = server.registry
+        self._reader = sasp.MessageReader()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Adds a load balancer without registrations."""
+        super().connection_made(transport)
+        self._registry.connection_opened(self.number)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Removes the load balancer with its registrations."""
+        self._registry.connection_closed(self.number)
+        super().connection_lost(exc)
+
+    def handle_data(self, data: bytes) -> None:
+        """Answers requests; any other message ends the connection."""
+        for message in self._reader.feed(data):
+            self.has_spoken = True
+            self._answer(message)
+
+    def _answer(self, message: sasp.Message) -> None:
+        self._sasp_server.update_registry()
+        reply = self._registry.handle_request(self.number, message)
         if reply is None:
             reason = f"message {message.message_type:#06x} is no request"
             raise UnexpectedMessageError(message.message_type, reason)
-        client.send(sasp.encode_message(reply))
+        self.send(sasp.encode_message(reply))
 
-    def serve_client(self, client: ClientConnection, now: float) -> None:
-        """Pushes changed weights to a client that asked for it; ends one that sent nothing."""
-        if not client.has_spoken:
-            if now - client.connected_at > limits.FIRST_MESSAGE_TIMEOUT_S:
-                client.end("said nothing")
+    def serve(self, now: float) -> None:
+        """Pushes changed weights if the load balancer asked for it; ends a client that sent nothing."""
+        if not self.has_spoken:
+            if now - self.connected_at > limits.FIRST_MESSAGE_TIMEOUT_S:
+                self.end("said nothing")
             return
-        if now - client.pushed_at < limits.PUSH_INTERVAL_S or client.sent_version == self.weights.version:
+        version = self._sasp_server.weights.version
+        if now - self.pushed_at < limits.PUSH_INTERVAL_S or self.sent_version == version:
             return
         # A client that has not read the last push gets the newer weights with a later one.
-        if not self.registry.wants_push(client.number) or client.unread_bytes:
+        if not self._registry.wants_push(self.number) or self.unread_bytes:
             return
-        self._update_registry()
-        client.sent_version = self.weights.version
-        client.pushed_at = now
-        message = self.registry.push_message(client.number)
+        self._sasp_server.update_registry()
+        self.sent_version = version
+        self.pushed_at = now
+        message = self._registry.push_message(self.number)
         if message is not None:
-            client.send(sasp.encode_message(message))
-
-    def status(self) -> list[dict[str, object]]:
-        """Gives a log line's fields for each load balancer."""
-        return self.registry.status()
-
-    def _update_registry(self) -> None:
-        if self._registry_version != self.weights.version:
-            self._registry_version = self.weights.version
-            self.registry.update(self.weights.views, MemberIndex(self.weights.locations))
+            self.send(sasp.encode_message(message))
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -1,4 +1,4 @@
-"""Listener and connections that the SASP and the DFP server share.
+"""The listener of an advice server and its connections; subclasses speak SASP or DFP.
 
 All that belongs to a client, its connection, its registrations and what it left unread, ends together in
 `ClientConnection.connection_lost`.
@@ -18,9 +18,8 @@
 
 from ..config.fields import HostPort
 from ..model.views import WorkerCapacityView
-from ..planning.advertised_weights import AdvertisedWeight
 from ..protocol.fault_log import RateLimitedFaultLog
-from . import dfp, limits, sasp
+from . import limits
 from .errors import AdviceError
 from .worker_locations import WorkerLocation
 
@@ -48,38 +47,41 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """The connection of one load balancer or DFP manager."""
+    """The connection of one load balancer or DFP manager; a subclass speaks its protocol."""
 
     def __init__(self, server: AdviceServer) -> None:
-        self.server = server
         self.number = -1  # set by the server once the connection is made
         self.peer = "?"
-        self.connected_at = 0.0
         self.has_spoken = False
+        self.end_reason = "ended by the other side"
+        self.connected_at = 0.0
         self.pushed_at = 0.0
         self.sent_version = -1  # of the advertised weights
-        self.sent_weights: dict[int, AdvertisedWeight] = {}  # by worker index
-        self.keep_alive_s = float(limits.KEEP_ALIVE_INTERVAL_S)
-        self.end_reason = "ended by the other side"
+        self._server = server
         self._transport: asyncio.Transport | None = None
 
+    def handle_data(self, data: bytes) -> None:
+        """Handles received bytes; raises AdviceError for messages that the protocol does not allow."""
+        raise NotImplementedError
+
+    def serve(self, now: float) -> None:
+        """Sends the weights that are due at this time, or ends the connection."""
+        raise NotImplementedError
+
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Registers the connection with its server."""
+        """Adds the connection to its server."""
         self._transport = cast(asyncio.Transport, transport)
         host, port = transport.get_extra_info("peername", ("?", "?"))[:2]
         self.peer = f"{host}:{port}"
         self.connected_at = time.monotonic()
-        self.reader = self.server.create_reader()
-        self.server.client_connected(self)
+        self._server.client_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Passes complete messages to the server; ends the connection at the first invalid one."""
+        """Handles the client's messages; ends the connection at the first invalid one."""
         if self._transport is None or self._transport.is_closing():
             return
         try:
-            for message in self.reader.feed(data):
-                self.has_spoken = True
-                self.server.message_received(self, message)
+            self.handle_data(data)
         except AdviceError as exc:
             self.end(str(exc))
 
@@ -108,32 +110,36 @@
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - part of asyncio.Protocol
         """Removes the connection from its server, whichever side ended it."""
-        self.server.client_disconnected(self)
+        self._server.client_disconnected(self)
 
 
 class AdviceServer:
-    """Accepts clients and serves them at each sweep; a subclass speaks its protocol."""
+    """Accepts clients and serves them at each sweep; a subclass creates the connections of its protocol."""
 
     def __init__(
         self, weights: AdvertisedWeights, max_clients: int, tls: ssl.SSLContext | None = None
     ) -> None:
         self.weights = weights
-        self.clients: dict[int, ClientConnection] = {}
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self.faults = RateLimitedFaultLog("advice_client_disconnected")
+        self._clients: dict[int, ClientConnection] = {}
+        self._faults = RateLimitedFaultLog("advice_client_disconnected")
         self._max_clients = max_clients
         self._tls = tls
         self._next_number = 0
         self._listener: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
 
+    def create_connection(self) -> ClientConnection:
+        """Creates the connection of a new client."""
+        raise NotImplementedError
+
     async def listen(self, address: HostPort, stack: AsyncExitStack) -> int:
         """Starts to accept clients and returns the port; `stack` closes the server."""
         loop = asyncio.get_running_loop()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         listener = socket.create_server(address, family=family)
         self._listener = await loop.create_server(
-            lambda: ClientConnection(self),
+            self.create_connection,
             sock=listener,
             ssl=self._tls,
             backlog=min(self._max_clients, MAX_ACCEPTED_CONNECTIONS),
@@ -143,48 +149,36 @@
         self._sweep()
         return int(listener.getsockname()[1])
 
-    def create_reader(self) -> sasp.MessageReader | dfp.MessageReader:
-        """Returns the decoder for a new connection."""
-        raise NotImplementedError
-
-    def message_received(self, client: ClientConnection, message: sasp.Message | dfp.Message) -> None:
-        """Handles a client's message; raises AdviceError to end the connection."""
-        raise NotImplementedError
-
-    def serve_client(self, client: ClientConnection, now: float) -> None:
-        """Sends a client the weights that are due at this time, or ends its connection."""
-        raise NotImplementedError
-
     def client_connected(self, client: ClientConnection) -> None:
-        """Adds a client.
+        """Numbers and adds a client.
 
         If there are too many clients, the one that has been connected longest without a message is ended; a
         client that has sent one never is.
         """
         client.number = self._next_number
         self._next_number += 1
-        self.clients[client.number] = client
-        if len(self.clients) > self._max_clients:
-            unidentified = (other for other in self.clients.values() if not other.has_spoken)
+        self._clients[client.number] = client
+        if len(self._clients) > self._max_clients:
+            unidentified = (other for other in self._clients.values() if not other.has_spoken)
             ended = next(unidentified, client)
             ended.end("too many clients")
-            self.clients.pop(ended.number, None)
+            self._clients.pop(ended.number, None)
 
     def client_disconnected(self, client: ClientConnection) -> None:
         """Removes a client and logs why its connection ended."""
-        self.clients.pop(client.number, None)
-        self.faults.report(client.end_reason, peer=client.peer)
+        self._clients.pop(client.number, None)
+        self._faults.report(client.end_reason, peer=client.peer)
 
     def weights_changed(self) -> None:
         """Serves every client at once, because the advertised weights changed."""
         now = time.monotonic()
-        for client in list(self.clients.values()):
-            self.serve_client(client, now)
+        for client in list(self._clients.values()):
+            client.serve(now)
 
     def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
         self.weights_changed()
-        self.faults.summarize(time.monotonic())
+        self._faults.summarize(time.monotonic())
         self._timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def status(self) -> list[dict[str, object]]:
@@ -197,5 +191,5 @@
             self._timer.cancel()
         if self._listener is not None:
             self._listener.close()
-        for client in list(self.clients.values()):
+        for client in list(self._clients.values()):
             client.end("the manager stops")
