--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -121,7 +121,7 @@
 
 def forget(state: RestoredState) -> None:
     """A restart without a snapshot."""
-    return None
+    return
 
 
 def restore_fresh(state: RestoredState) -> RestoredState:
