--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -48,19 +48,25 @@
     gossip: GossipSocket
 
 
-def _ignore_loop_lag() -> None:
-    """Stands in where there is no background work to pause."""
+@dataclass(frozen=True, slots=True)
+class ControlLoopObservers:
+    """Functions that the control loop calls, where there are any.
+
+    `on_loop_lag`: a batch or a timer was late; `on_state_change`: the policy reports a state change.
+    """
 
+    on_loop_lag: Callable[[], None] | None = None
+    on_state_change: Callable[[StateChange], None] | None = None
 
-def _ignore_state_change(change: StateChange) -> None:
-    """Stands in where no plug-in observes state changes."""
+
+NO_OBSERVERS = ControlLoopObservers()
 
 
 class ControlLoop:
     """Owns the routing controller and its timers.
 
-    Extensions are called in the order given.  `on_loop_lag` is called where a batch or a timer was late,
-    `on_state_change` with each state change that the policy reports.
+    Inputs come from a queue, orders go to the dispatcher or to the effects.  Extensions are called in the
+    order given.
     """
 
     def __init__(
@@ -72,8 +78,7 @@
         effects: Effects,
         state_change_log: StateChangeLog,
         extensions: Iterable[ControlLoopExtension] = (),
-        on_loop_lag: Callable[[], None] = _ignore_loop_lag,
-        on_state_change: Callable[[StateChange], None] = _ignore_state_change,
+        observers: ControlLoopObservers = NO_OBSERVERS,
     ) -> None:
         self._controller = controller
         self._input_queue = input_queue
@@ -82,10 +87,10 @@
         self._effects = effects
         self._state_change_log = state_change_log
         self._extensions = list(extensions)
-        self._on_state_change = on_state_change
+        self._observers = observers
         controller.channel_budget.extra_lines = dispatcher.count_added_lines
         self._clock = Clock()
-        self._lag_monitor = LoopLagMonitor(on_loop_lag)
+        self._lag_monitor = LoopLagMonitor(observers.on_loop_lag)
         self._timers = PolicyTimers(input_queue.put, self._lag_monitor)
         self._effect_handlers: dict[type, Callable[[Any], None]] = {
             StartTimer: self._start_timer,
@@ -169,8 +174,12 @@
 
     def _log_worker_state(self, change: WorkerStateChanged) -> None:
         self._state_change_log.worker_state_changed(change)
-        self._on_state_change(change)
+        self._notify_observer(change)
 
     def _log_admission(self, change: AdmissionChanged) -> None:
         self._state_change_log.admission_changed(change)
-        self._on_state_change(change)
+        self._notify_observer(change)
+
+    def _notify_observer(self, change: StateChange) -> None:
+        if self._observers.on_state_change is not None:
+            self._observers.on_state_change(change)
--- a/cottonladder/control/loop_lag.py
+++ b/cottonladder/control/loop_lag.py
@@ -11,9 +11,9 @@
 
 
 class LoopLagMonitor:
-    """Calls `on_lag` for each late batch or timer, and logs those that are the longest so far."""
+    """Calls `on_lag`, if given, for each late batch or timer, and logs those that are the longest so far."""
 
-    def __init__(self, on_lag: Callable[[], None]) -> None:
+    def __init__(self, on_lag: Callable[[], None] | None) -> None:
         self._on_lag = on_lag
         self._longest_lag_s: dict[str, float] = {}  # by source
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
@@ -22,7 +22,8 @@
         """Records how long a batch took, or how late a timer was; `source` says which of them."""
         if lag_s <= MIN_LOOP_LAG_S:
             return
-        self._on_lag()
+        if self._on_lag is not None:
+            self._on_lag()
         if lag_s > LAG_LOG_GROWTH * self._longest_lag_s.get(source, 0.0):
             self._longest_lag_s[source] = lag_s
             self.log.info("loop_lag", source=source, duration_ms=round(lag_s * 1000, 1))
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -7,7 +7,7 @@
 
 import asyncio
 import signal
-from collections.abc import AsyncIterator, Callable, Coroutine
+from collections.abc import AsyncIterator, Coroutine
 from contextlib import AsyncExitStack, asynccontextmanager
 from typing import TYPE_CHECKING, Any
 
@@ -23,7 +23,7 @@
 from ..state.proxy_sessions import ProxySessions
 from . import signals
 from .connection_limits import connection_limits
-from .control_loop import ControlLoop, Effects
+from .control_loop import ControlLoop, ControlLoopObservers, Effects
 from .extensions import (
     BackgroundWork,
     Extensions,
@@ -133,12 +133,11 @@
     if background.snapshots is not None:
         connect_snapshots(background.snapshots, extensions, effects.discovery)
         loop_extensions.insert(0, background.snapshots)
-    observers: dict[str, Callable[..., None]] = {}
-    if background.scheduler is not None:
-        observers["on_loop_lag"] = background.scheduler.pause_for_loop_lag
-    on_state_change = extensions.state_change_observer()
-    if on_state_change is not None:
-        observers["on_state_change"] = on_state_change
+    scheduler = background.scheduler
+    observers = ControlLoopObservers(
+        on_loop_lag=None if scheduler is None else scheduler.pause_for_loop_lag,
+        on_state_change=extensions.state_change_observer(),
+    )
     return ControlLoop(
         RoutingController(settings.parameters),
         input_queue,
@@ -147,7 +146,7 @@
         effects,
         StateChangeLog(config.workers, list(settings.zones)),
         loop_extensions,
-        **observers,
+        observers,
     )
 
 
--- a/cottonladder/control/reload.py
+++ b/cottonladder/control/reload.py
@@ -1,4 +1,4 @@
-"""Reloading the manager's file on SIGHUP, and which of its fields a reload may change."""
+"""Reloads the manager's file on SIGHUP, and says which of its fields a reload may change."""
 
 from __future__ import annotations
 
--- a/cottonladder/control/startup_config.py
+++ b/cottonladder/control/startup_config.py
@@ -1,4 +1,4 @@
-"""What a manager starts from: its file, and the workers that the file lists, registered."""
+"""The configuration that a manager starts from, with the workers of its last known endpoint list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartupConfig:
-    """The manager's configuration, with the last known endpoint list and the registry of its workers."""
+    """The manager's configuration, the last known endpoint list, and the registry with its workers."""
 
     manager: ManagerConfig
     workers: WorkerRegistry
@@ -27,7 +27,10 @@
 
 
 def read_startup_config(path: str) -> StartupConfig:
-    """The file at `path`; an InputError names its first fault: of the settings, the known list, the rest."""
+    """Reads the file at `path`.
+
+    Raises InputError for the first fault, looking at the settings, then the known list, then the rest.
+    """
     file = ManagerFile.load(path)
     with overflows_as_config_errors():
         settings = file.read_settings()
--- a/tests/control/test_connection_bounds.py
+++ b/tests/control/test_connection_bounds.py
@@ -15,7 +15,7 @@
 from cottonladder.state.proxy_sessions import ProxySessions
 from tests.support.manager_test_case import ManagerTestCase
 
-DESCRIPTORS = 128
+DESCRIPTOR_LIMIT = 128
 UNIDENTIFIED_CONNECTIONS = 400
 SUMMARY_INTERVAL = "cottonladder.protocol.fault_log.SUMMARY_INTERVAL_S"
 
@@ -32,9 +32,9 @@
     async def test_unidentified_connections_do_not_use_up_what_proxies_need(self) -> None:
         # The summary comes after the flood, as the interval is longer than the flood may take.
         program = await self.serving(
-            limits={"memory_mb": 192, "sockets": DESCRIPTORS}, constants={SUMMARY_INTERVAL: 5.0}
+            limits={"memory_mb": 192, "sockets": DESCRIPTOR_LIMIT}, constants={SUMMARY_INTERVAL: 5.0}
         )
-        resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
+        resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
         collector = await self.connect(program, "SOURCE locality a")  # says no more, and is not ended
         unidentified = await asyncio.gather(
             *(self.connect(program, "PING" * (number % 2)) for number in range(UNIDENTIFIED_CONNECTIONS))
--- a/tests/control/test_endpoint_updates.py
+++ b/tests/control/test_endpoint_updates.py
@@ -61,7 +61,7 @@
         await program.logged("event=worker_state_changed", "from_state=healthy", "to_state=removed")
 
     async def test_after_a_version_that_goes_back_the_complete_list_is_fetched(self) -> None:
-        """Discovery started over; without the complete list its drains would not be heard of."""
+        """Discovery started over; without the complete list the manager would miss its drains."""
         self.discovery.script = [
             line_answer(endpoint_list(7, endpoint_entry("s-1", "Gone"))),
             complete_answer(7, "s-2"),
--- a/tests/control/test_protocol_violations.py
+++ b/tests/control/test_protocol_violations.py
@@ -24,7 +24,7 @@
     line: str
     messages: list[str]
     is_connection_kept: bool
-    expected_words: list[str]  # of the log line; empty where an earlier line had them
+    expected_parts: list[str]  # of the log line; empty where an earlier line had them
 
 
 def read_cases() -> Iterator[ViolationCase]:
@@ -33,8 +33,8 @@
         if not line or line.startswith("#"):
             continue
         is_connection_kept = " ||" in line
-        messages, _, words = line.partition(" ||" if is_connection_kept else " |")
-        yield ViolationCase(line, messages.split(" ; "), is_connection_kept, words.split())
+        messages, _, expected = line.partition(" ||" if is_connection_kept else " |")
+        yield ViolationCase(line, messages.split(" ; "), is_connection_kept, expected.split())
 
 
 def send_case(client: StreamClient, case: ViolationCase) -> None:
@@ -69,9 +69,9 @@
             await client.receive_until("PONG")
         else:
             await client.wait_closed()
-        if case.expected_words:
+        if case.expected_parts:
             event = "message_rejected" if case.is_connection_kept else "connection_closed"
-            await program.logged(event, *case.expected_words)
+            await program.logged(event, *case.expected_parts)
 
     async def test_a_long_message_is_rejected_before_its_end_is_read(self) -> None:
         start_of_message = b"*2\r\n$600000\r\n" + b"x" * 600000 + b"\r\n$600000\r\n"
--- a/tests/state/test_dispatch_scenarios.py
+++ b/tests/state/test_dispatch_scenarios.py
@@ -39,7 +39,7 @@
 
 
 class ScenarioPlayer:
-    """Carries out the lines of one scenario; raises AssertionError where an expectation is not met."""
+    """Carries out the lines of one scenario; raises AssertionError where an expectation fails."""
 
     def __init__(self) -> None:
         self.class_names = ["fetch"]
@@ -193,10 +193,10 @@
         for path in paths:
             player = ScenarioPlayer()
             for number, line in enumerate(path.read_text().splitlines(), 1):
-                words = line.split("#")[0].split()
+                tokens = line.split("#")[0].split()
                 with self.subTest(f"{path.name}:{number}: {line.strip()}"):
-                    if words:
-                        player.play(words[0], words[1:])
+                    if tokens:
+                        player.play(tokens[0], tokens[1:])
 
 
 if __name__ == "__main__":
