--- a/tests/cli/test_command_output.py
+++ b/tests/cli/test_command_output.py
@@ -1,9 +1,9 @@
-"""What each command prints and its status, as recorded in `tests/recorded/cli/`; scripts may read both.
+"""The output and the status of each command, as recorded in `tests/recorded/cli/`; scripts may read both.
 
-`help.txt` has `--help` of every command, `output.txt` what those print that run without a network, and
-`schema.json` the schema of the operators' file less the titles and descriptions in it.  `version` is left
-out, as it tells what is installed.  After a change that is meant to alter them,
-`python -m tests.cli.test_command_output` writes the files anew.
+`help.txt` has `--help` of every command, `output.txt` the output of those that need no network, and
+`schema.json` the schema of the operators' file without titles and descriptions.  `version` is left out, as
+its output depends on what is installed.  After an intended change `python -m tests.cli.test_command_output`
+writes the files again.
 """
 
 from __future__ import annotations
@@ -31,7 +31,8 @@
 FILES = ROOT / "tests" / "recorded" / "files"
 EXAMPLE_PLUGIN = ROOT / "deploy" / "plugins" / "audit-trail.wat"
 ENVIRONMENT = {"COLUMNS": "80", "ROUTER_CONFIG": "", "ROUTER_OPERATOR": ""}
-NOW = 1_800_000_000.0  # s of the system's time, against which ages are told
+CURRENT_TIME = 1_800_000_000.0  # Unix s, from which the ages of snapshots are computed
+REQUEST_SIZE = 64  # bytes, more than any command sends to the socket
 TRAPPING_PLUGIN = """(module (memory (export "memory") 1 4)
   (func (export "interface") (result i32) (i32.const 1))
   (func (export "input") (result i32) (i32.const 1024))
@@ -57,7 +58,7 @@
 
 
 def commands(group: click.Group, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
-    """The words of every command and group, the program itself first."""
+    """The names that lead to every command and group, the program itself first."""
     yield path
     context = click.Context(group)
     for name in sorted(group.list_commands(context)):
@@ -69,14 +70,14 @@
 
 
 class Recorder:
-    """Runs commands in a folder of its own, and writes down each with its status and what it printed."""
+    """Runs commands in a temporary folder, and records each with its status and its output."""
 
     def __init__(self) -> None:
         self.records: list[str] = []
 
     def run(self, *arguments: str) -> None:
         runner = CliRunner(env=ENVIRONMENT)
-        with mock.patch("time.time", return_value=NOW):
+        with mock.patch("time.time", return_value=CURRENT_TIME):
             result = runner.invoke(main, list(arguments), prog_name="cottonladder")
         lines = [f"$ cottonladder {' '.join(arguments)}", f"status {result.exit_code}"]
         lines += [f"out: {line}".rstrip() for line in result.stdout.splitlines()]
@@ -174,7 +175,7 @@
         self.run("plugin", "list", "unknown.json5")
 
     def run_tasks(self) -> None:
-        """Against a local socket that answers as a running process does, and as none should."""
+        """Against a local socket with answers of a running process, and with invalid ones."""
         rows = json.dumps(TASK_ROWS).encode() + b"\n"
         with socket.socket(socket.AF_UNIX) as listener:
             listener.bind("socket")
@@ -192,11 +193,11 @@
     def answer_once(listener: socket.socket, answer: bytes) -> None:
         connection, _ = listener.accept()
         with connection:
-            connection.recv(64)
+            connection.recv(REQUEST_SIZE)
             connection.sendall(answer)
 
     def run_addresses(self) -> None:
-        """What is no address is told before anything is dialled."""
+        """An invalid address is reported before any connection is opened."""
         self.run("ping", "nowhere")
         self.run("ping")
         self.run("advice", "show", "nowhere")
@@ -206,32 +207,34 @@
 
 
 def help_texts() -> str:
+    """The help text and status of every command."""
     texts = []
-    for words in commands(main):
-        arguments = [*words, "--help"]
+    for names in commands(main):
+        arguments = [*names, "--help"]
         result = CliRunner(env=ENVIRONMENT).invoke(main, arguments, prog_name="cottonladder")
         texts.append(f"$ cottonladder {' '.join(arguments)}\nstatus {result.exit_code}\n{result.output}")
     return "\n".join(texts)
 
 
-def resolved(part: Any, definitions: dict[str, Any]) -> Any:
-    """A schema with its references replaced by what they mean, and without titles and descriptions."""
+def resolve(part: Any, definitions: dict[str, Any]) -> Any:
+    """A part of a schema with its references resolved, and without titles and descriptions."""
     if isinstance(part, list):
-        return [resolved(item, definitions) for item in part]
+        return [resolve(item, definitions) for item in part]
     if not isinstance(part, dict):
         return part
     if "$ref" in part:
-        return resolved(definitions[part["$ref"].rpartition("/")[2]], definitions)
-    kept = part.keys() - {"$defs", "title", "description"}
-    return {key: resolved(part[key], definitions) for key in sorted(kept)}
+        return resolve(definitions[part["$ref"].rpartition("/")[2]], definitions)
+    keys = part.keys() - {"$defs", "title", "description"}
+    return {key: resolve(part[key], definitions) for key in sorted(keys)}
 
 
 def schema() -> Any:
+    """The schema of the operators' file, resolved."""
     printed = json.loads(CliRunner().invoke(main, ["schema"]).output)
-    return resolved(printed, printed["$defs"])
+    return resolve(printed, printed["$defs"])
 
 
-class CommandOutput(unittest.TestCase):
+class CommandOutputTests(unittest.TestCase):
     maxDiff = None
 
     def setUp(self) -> None:
