--- a/tests/config/test_manager_file.py
+++ b/tests/config/test_manager_file.py
@@ -127,19 +127,23 @@
 class RejectedStartTests(ManagerTestCase):
     """The program's start with a file that is not valid."""
 
+    INVALID_VALUES: tuple[tuple[Place, Any], ...] = (
+        (("settings", "Zones"), []),
+        (("settings", "Profiles"), None),
+        (("limits", "sockets"), 0),
+        (("settings", "FamilyInfo", "EgressPerS"), 0),
+        (("settings", "FamilyInfo", "Proxies"), -3),
+        (("settings", "Rules", "ColdFrom"), "much"),
+    )
+
     async def test_the_program_says_which_field(self) -> None:
-        for place, value in (
-            (("settings", "Zones"), []),
-            (("settings", "Profiles"), None),
-            (("limits", "sockets"), 0),
-            (("settings", "FamilyInfo", "EgressPerS"), 0),
-            (("settings", "FamilyInfo", "Proxies"), -3),
-            (("settings", "Rules", "ColdFrom"), "much"),
-        ):
-            field_name = place[-1]
+        programs: list[tuple[str, ManagerProgram]] = []
+        for place, value in self.INVALID_VALUES:  # all are started first, so that they run beside each other
+            program = ManagerProgram(self.discovery_address)
+            await program.start(json.dumps(replaced(program.config, place, value)))
+            programs.append((str(place[-1]), program))
+        for field_name, program in programs:
             with self.subTest(field_name):
-                program = ManagerProgram(self.discovery_address)
-                await program.start(json.dumps(replaced(program.config, place, value)))
                 error_stream = cast(asyncio.StreamReader, program.process.stderr)
                 errors = (await in_time(error_stream.read())).decode()
                 self.assertEqual(await program.ended(), 2)
