--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -17,7 +17,7 @@
 from ..config.operator_config import AdviceConfig, host_port
 from ..model.inputs import AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
-from ..planning.advice_weighting import UPDATE_INTERVAL, AdviceWeighting, AdvisoryWeight
+from ..planning.advice_weighting import UPDATE_INTERVAL_S, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views
 from ..policy.controller import RoutingController
 from ..state.worker_registry import WorkerRegistry
@@ -103,7 +103,7 @@
 
     def collect_inputs(self, now: float) -> list[Input]:
         """Once an interval, the factors on workers' capacities that have changed."""
-        self._apply_connections(now)
+        self._apply_connections()
         self._apply_reports(now)
         if now < self._next_update_at:
             return []
@@ -116,16 +116,16 @@
             self._has_list_changed = False
             self._update_advertised(controller)
         if is_due:
-            self._next_update_at = now + UPDATE_INTERVAL
+            self._next_update_at = now + UPDATE_INTERVAL_S
             for client in self._clients:
                 client.poll()
             self._log_status_if_due(now)
         yield from ()
 
-    def _apply_connections(self, now: float) -> None:
+    def _apply_connections(self) -> None:
         for advisor in self._connected_advisors:
             trust = self._trust_by_advisor.get(advisor, DEFAULT_TRUST)
-            self._weighting.advisor_connected(advisor, now, trust)
+            self._weighting.advisor_connected(advisor, trust)
         self._connected_advisors.clear()
 
     def _apply_reports(self, now: float) -> None:
--- a/tests/policy/test_recorded_orders.py
+++ b/tests/policy/test_recorded_orders.py
@@ -11,11 +11,11 @@
 import json
 import unittest
 from pathlib import Path
-from typing import Any
+from typing import TypedDict
 
 import structlog
 
-from cottonladder.simulator.__main__ import SimulatorHost
+from cottonladder.simulator.host import SimulatorHost
 from tests.support.simulated_days import DAYS, SimulatedDay
 from tests.support.wire_fleet import play_two_lives
 
@@ -26,9 +26,16 @@
 }
 
 
-def play_simulated_days() -> dict[str, Any]:
-    """Returns digest and number of actions by day."""
-    played: dict[str, Any] = {}
+class RecordedDay(TypedDict):
+    """The digest of a day's replies, and the number of actions of each type."""
+
+    digest: str
+    actions: dict[str, int]
+
+
+def play_simulated_days() -> dict[str, RecordedDay]:
+    """Returns what each simulated day gives, by name."""
+    played: dict[str, RecordedDay] = {}
     for name in DAYS:
         day = SimulatedDay(name, SimulatorHost().handle_batch)
         digest = day.play()
