--- a/cottonladder/protocol/errors.py
+++ b/cottonladder/protocol/errors.py
@@ -44,6 +44,14 @@
         self.where = where
 
 
+class UnencodableNumberError(ProtocolError):
+    """A number that can't be sent, as no peer accepts it: negative, infinite or NaN."""
+
+    def __init__(self, value: float) -> None:
+        super().__init__(f"figure {value} can't stand in a message")
+        self.value = value
+
+
 class EndpointListError(ProtocolError):
     """An endpoint list, or an answer of discovery, that is not valid; `where` names which."""
 
--- a/cottonladder/protocol/protocol_connection.py
+++ b/cottonladder/protocol/protocol_connection.py
@@ -10,7 +10,7 @@
 
 from ..config.errors import InputError
 from ..model.inputs import Acknowledged, ArrivalReport, Input, LoadReport, ProxyConnected
-from .errors import MessageError, ProtocolError
+from .errors import FieldError, MessageError
 from .fault_log import RateLimitedFaultLog
 from .message_fields import printable
 from .messages import (
@@ -184,9 +184,9 @@
         self.listener.events.input_received(cast(Input, message))
 
     def _pass_on_own(self, message: IncomingMessage) -> None:
-        """Passes on what a proxy reports about itself; raises ProtocolError if it names another proxy."""
+        """Passes on what a proxy reports about itself; raises FieldError if it names another proxy."""
         if cast(Acknowledged | ArrivalReport, message).proxy != self.proxy:
-            raise ProtocolError("ACK or RATE: field node is another's than the stream's")
+            raise FieldError("ACK or RATE", "node", "is another's than the stream's")
         self._pass_on(message)
 
     def _pass_on_extension(self, message: IncomingMessage) -> None:
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -22,7 +22,7 @@
 
 from ..config.fields import MS_PER_S
 from . import resp
-from .errors import FieldError, MessageError, ProtocolError
+from .errors import FieldError, MessageError, UnencodableNumberError
 from .message_fields import MessageFields
 
 VERSION = 1  # of the extension
@@ -264,7 +264,7 @@
 
 
 def _number(value: float) -> bytes:
-    """Encodes a finite number of 0 or more; raises ProtocolError for any other, which no peer accepts."""
+    """Encodes a finite number of 0 or more; raises UnencodableNumberError for any other."""
     if not math.isfinite(value) or value < 0:
-        raise ProtocolError(f"figure {value} can't stand in a message")
+        raise UnencodableNumberError(value)
     return b"%r" % float(value)
--- a/tests/protocol/test_stream_listener.py
+++ b/tests/protocol/test_stream_listener.py
@@ -37,7 +37,7 @@
 PROXY = 3  # index
 CHECKPOINT_MESSAGE = encode([b"CONFIG", b"stamp", b"9"])
 CHECKPOINT_TEXT = "CONFIG stamp 9"
-STRANGER_COUNT = 2000  # connections that never identify themselves
+UNIDENTIFIED_COUNT = 2000  # connections that never identify themselves
 MAX_SOCKETS = 512  # of the program under the flood
 TEST_DESCRIPTORS = 8192  # of the test itself, for both ends of the flood
 MAX_PEAK_MEMORY_KB = 96 << 10
@@ -117,27 +117,27 @@
 class ConnectionFloodTests(ManagerTestCase):
     """A manager's program to which far more connections are opened than it has descriptors."""
 
-    async def wait_closed(self, stranger: socket.socket) -> None:
+    async def wait_closed(self, connection: socket.socket) -> None:
         """Reads until the program has ended the connection."""
         loop = asyncio.get_running_loop()
         with suppress(OSError):
-            while await in_time(loop.sock_recv(stranger, 4096)):
+            while await in_time(loop.sock_recv(connection, 4096)):
                 pass
 
-    def open_strangers(self, port: int) -> list[socket.socket]:
+    def open_unidentified(self, port: int) -> list[socket.socket]:
         """Opens connections without waiting: the kernel queues them until the program accepts them.
 
         One half sends nothing, the other half no valid message.
         """
-        strangers = [socket.socket() for _ in range(STRANGER_COUNT)]
-        for stranger in strangers:
-            self.addCleanup(stranger.close)
-            stranger.setblocking(False)
-            stranger.connect_ex(("127.0.0.1", port))
-        for stranger in strangers[::2]:
+        unidentified = [socket.socket() for _ in range(UNIDENTIFIED_COUNT)]
+        for connection in unidentified:
+            self.addCleanup(connection.close)
+            connection.setblocking(False)
+            connection.connect_ex(("127.0.0.1", port))
+        for connection in unidentified[::2]:
             with suppress(OSError):
-                stranger.send(b"GET / HTTP/1.1\r\n\r\n")
-        return strangers
+                connection.send(b"GET / HTTP/1.1\r\n\r\n")
+        return unidentified
 
     async def test_two_thousand_dials_do_not_delay_proxies_or_a_drain(self) -> None:
         """Proxies that connect during the flood get their tables, and all proxies the drain, in time."""
@@ -147,7 +147,7 @@
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (MAX_SOCKETS, MAX_SOCKETS))
         first = await self.join(program, 0)
         first.acknowledge(await first.receive_until("stamp"))
-        strangers = self.open_strangers(program.port)
+        unidentified = self.open_unidentified(program.port)
         proxies = [await self.join(program, node) for node in range(1, 8)]
         await self.discovery.send_updates(
             endpoint_list(42, endpoint_entry("s-1", "Terminating"), endpoint_entry("s-3"))
@@ -157,8 +157,8 @@
         await first.receive_until("s-1:0.0")
         first.send("PING")
         await first.receive_until("PONG")
-        for stranger in strangers:
-            await self.wait_closed(stranger)
+        for connection in unidentified:
+            await self.wait_closed(connection)
         status = Path(f"/proc/{program.process.pid}/status").read_text()
         peak_memory_kb = int(status.split("VmHWM:")[1].split()[0])
         self.assertLess(peak_memory_kb, MAX_PEAK_MEMORY_KB)
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -133,7 +133,7 @@
         self.assertNotIn("s-1", table)
         self.assertIn("s-0", table)
 
-    async def test_files_that_can_not_be_used_never_stop_a_start(self) -> None:
+    async def test_unusable_files_never_prevent_a_start(self) -> None:
         for unusable in UNUSABLE_FILES:
             unusable.create(self.manager_folder)
             manager = await self.start_manager()
@@ -141,7 +141,7 @@
             self.assertIn("s-0", await self.read_table(manager))
             self.assertEqual(await manager.stop(), 0)
 
-    async def test_a_folder_that_another_process_owns_never_stops_a_start(self) -> None:
+    async def test_a_folder_owned_by_another_process_never_prevents_a_start(self) -> None:
         owner = SnapshotStore(str(self.manager_folder))
         owner.open()
         self.addCleanup(owner.close)
@@ -164,7 +164,7 @@
 
 
 class ForwarderRestartTests(RestartTestCase):
-    async def test_a_forwarder_keeps_its_tables_while_no_manager_is(self) -> None:
+    async def test_a_forwarder_restores_its_tables_without_a_manager(self) -> None:
         manager = await self.start_manager()
         self.processes.push_async_callback(manager.stop)
         forwarder = await self.start_forwarder(f"127.0.0.1:{manager.port}")
