--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -14,8 +14,9 @@
 from ..protocol.fault_log import RateLimitedFaultLog
 from .connection_slots import ConnectionSlots
 from .errors import ClientGoneError
+from .handshake_reply import HandshakeReply
 from .resource_limits import HEADER_TIMEOUT_S, ResourceLimits
-from .tunnel_ends import ClientEnd, HandshakeReply
+from .tunnel_ends import ClientEnd
 
 SWEEP_INTERVAL_S = 0.5  # between two searches for connections without a request head
 STOP_TIMEOUT_S = 5.0  # for plain requests in flight at the stop
--- a/cottonladder/forwarder/connection_drainer.py
+++ b/cottonladder/forwarder/connection_drainer.py
@@ -30,11 +30,11 @@
 
 
 class DrainEvent(Enum):
-    """An event that changes the state of a drain."""
+    """An event that changes the state of a drain; the values are those of log event `drain_state`."""
 
     EXCLUDED = "excluded"
     ORDERED = "ordered"
-    UNHEARD = "unheard"
+    NO_ORDER_IN_TIME = "unheard"
     ENDING = "ending"
     READMITTED = "readmitted"
 
@@ -45,8 +45,8 @@
     (DrainState.NOT_DRAINING, DrainEvent.ORDERED): DrainState.ORDERED,
     (DrainState.AWAITING_ORDERS, DrainEvent.ORDERED): DrainState.ORDERED,
     (DrainState.SELF_PACED, DrainEvent.ORDERED): DrainState.ORDERED,
-    (DrainState.AWAITING_ORDERS, DrainEvent.UNHEARD): DrainState.SELF_PACED,
-    (DrainState.ORDERED, DrainEvent.UNHEARD): DrainState.SELF_PACED,
+    (DrainState.AWAITING_ORDERS, DrainEvent.NO_ORDER_IN_TIME): DrainState.SELF_PACED,
+    (DrainState.ORDERED, DrainEvent.NO_ORDER_IN_TIME): DrainState.SELF_PACED,
     (DrainState.AWAITING_ORDERS, DrainEvent.ENDING): DrainState.FINAL,
     (DrainState.ORDERED, DrainEvent.ENDING): DrainState.FINAL,
     (DrainState.SELF_PACED, DrainEvent.ENDING): DrainState.FINAL,
@@ -184,7 +184,7 @@
         for worker_id, drain in self._drains.items():
             drain.orders.clear()
             if drain.state is DrainState.ORDERED:
-                self._step(worker_id, DrainEvent.UNHEARD)
+                self._step(worker_id, DrainEvent.NO_ORDER_IN_TIME)
         self.results.clear()
 
     def connection_settled(self, worker_id: str, number: int, succeeded: bool) -> None:
@@ -242,7 +242,7 @@
             return
         awaits_order = drain.state in (DrainState.AWAITING_ORDERS, DrainState.ORDERED) and not drain.orders
         if awaits_order and now - drain.last_order_at > ORDER_WAIT_FRACTION * self.grace_s:
-            self._step(worker_id, DrainEvent.UNHEARD)
+            self._step(worker_id, DrainEvent.NO_ORDER_IN_TIME)
 
     @staticmethod
     def _due_of_order(now: float, worker_id: str, order: DrainOrder, idle: int) -> list[StartMove]:
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -16,7 +16,6 @@
 from .admission_pacer import AdmissionPacer
 from .connection_drainer import ConnectionDrainer
 from .drain_orders import TICK_INTERVAL_S
-from .fleet import Fleet
 from .load_recorder import REPORT_INTERVAL_S, LoadRecorder
 from .load_reporter import LoadReporter
 from .manager_orders import ManagerOrders
@@ -25,6 +24,7 @@
 from .operator_settings import request_classes, resource_limits, upgrade_policies
 from .plugin_loading import PluginLoader
 from .request_handler import RequestHandler
+from .request_services import RequestServices
 from .router import AdmissionMode, Router
 from .worker_list import WorkerList
 
@@ -53,8 +53,8 @@
         self.pacer = AdmissionPacer(arrival_rate, 1.0)
         recorder = LoadRecorder(config.zone, config.node, self.loop.time())
         limits = resource_limits(config.limits)
-        fleet = Fleet(self.router, self.pacer, limits, self._address_of, recorder, rng)
-        self.handler = RequestHandler(classes, upgrade_policies(config), fleet, self.drainer)
+        services = RequestServices(self.router, self.pacer, limits, self._address_of, recorder, rng)
+        self.handler = RequestHandler(classes, upgrade_policies(config), services, self.drainer)
         self.plugins = PluginLoader(config.plugins, self.handler.verdicts)
         managers = [host_port(text) for text in config.managers]
         rng.shuffle(managers)  # a fleet of forwarders spreads over its managers
--- a/cottonladder/forwarder/plain_requests.py
+++ b/cottonladder/forwarder/plain_requests.py
@@ -16,10 +16,10 @@
     FinalAnswer,
     failure_answer,
 )
-from .fleet import Fleet
 from .plugin_verdicts import PluginVerdicts
 from .request_body import RequestBody, read_body
 from .request_context import RequestContext
+from .request_services import RequestServices
 from .resource_limits import MIN_ATTEMPT_TIMEOUT_S
 from .response_relay import ResponseRelay
 from .responses import ResponseBuilder
@@ -40,13 +40,13 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        services: RequestServices,
         connections: WorkerConnections,
         verdicts: PluginVerdicts,
         relay: ResponseRelay,
         responses: ResponseBuilder,
     ) -> None:
-        self._fleet = fleet
+        self._services = services
         self._connections = connections
         self._verdicts = verdicts
         self._relay = relay
@@ -54,7 +54,7 @@
 
     async def forward(self, context: RequestContext) -> web.StreamResponse:
         """Makes attempts until a worker has answered or no retry is allowed."""
-        max_bytes = self._fleet.limits.body_bytes
+        max_bytes = self._services.limits.body_bytes
         length = context.request.content_length
         if length is not None and length > max_bytes:
             return self._responses.build(BODY_TOO_LARGE)
@@ -71,13 +71,13 @@
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     async def _attempt_workers(self, context: RequestContext, body: RequestBody) -> web.StreamResponse:
-        deadline = self._fleet.now() + (context.request_class.timeout_s or math.inf)
+        deadline = self._services.now() + (context.request_class.timeout_s or math.inf)
         failed = FailedAttempts()
         while True:
             worker = self._select_worker(context, failed)
             if worker is None:
                 return self._give_up(context, NO_WORKER_ANSWERED if failed.count else NO_WORKER)
-            started_at = self._fleet.now()
+            started_at = self._services.now()
             context.progress.may_have_run = True
             try:
                 answer = await self._send(context, body, worker.address, deadline)
@@ -86,17 +86,17 @@
                     return self._responses.build(BODY_TOO_LARGE)
                 failed.add(worker.worker_id, error)
                 context.progress.may_have_run = failed.may_have_run
-                self._fleet.record_attempt(worker.worker_id, False, started_at)
+                self._services.record_attempt(worker.worker_id, False, started_at)
                 if not self._may_retry(context, body, failed, deadline):
                     return self._give_up(context, failure_answer(failed.may_have_run, error.timed_out))
                 continue
             return await self._relay.relay(context, answer, worker.worker_id, started_at)
 
     def _select_worker(self, context: RequestContext, failed: FailedAttempts) -> SelectedWorker | None:
-        worker_id = self._fleet.router.select_worker(
-            self._fleet.now(), context.request_class.name, failed.workers, context.preferred
+        worker_id = self._services.router.select_worker(
+            self._services.now(), context.request_class.name, failed.workers, context.preferred
         )
-        address = self._fleet.address_of(worker_id) if worker_id else None
+        address = self._services.address_of(worker_id) if worker_id else None
         if worker_id is None or address is None:
             return None
         return SelectedWorker(worker_id, address)
@@ -107,8 +107,8 @@
         headers = forwarded_headers(context.headers)
         headers.popall("Expect", None)
         headers.add("X-Forwarded-For", context.request.remote or "?")
-        time_left_s = max(MIN_ATTEMPT_TIMEOUT_S, deadline - self._fleet.now())
-        timeout_s = min(self._fleet.limits.first_byte_timeout_s, time_left_s)
+        time_left_s = max(MIN_ATTEMPT_TIMEOUT_S, deadline - self._services.now())
+        timeout_s = min(self._services.limits.first_byte_timeout_s, time_left_s)
         request = WorkerRequest(context.request.method, context.request.raw_path, headers, body.data())
         return await self._connections.send(address, request, timeout_s)
 
@@ -116,13 +116,13 @@
         self, context: RequestContext, body: RequestBody, failed: FailedAttempts, deadline: float
     ) -> bool:
         request_class = context.request_class
-        policy = self._fleet.retry_policy(request_class.name)
+        policy = self._services.retry_policy(request_class.name)
         if not should_retry(request_class, policy, failed.count, failed.may_have_run):
             return False
-        if self._fleet.now() >= deadline or not body.is_repeatable:
+        if self._services.now() >= deadline or not body.is_repeatable:
             return False
         return not self._verdicts.forbids_retry(context, failed)
 
     def _give_up(self, context: RequestContext, answer: FinalAnswer) -> web.Response:
-        self._fleet.recorder.record_failure(context.request_class.name)
+        self._services.recorder.record_failure(context.request_class.name)
         return self._responses.build(answer)
--- a/cottonladder/forwarder/plugin_loading.py
+++ b/cottonladder/forwarder/plugin_loading.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
 
 import structlog
 
@@ -57,11 +58,12 @@
         self._verdicts.falls_back = config.missing == "fall back"
         self._verdicts.allowed_headers = frozenset(name.lower() for name in config.headers)
 
-    def record_labels(self, endpoint: dict[str, Any]) -> None:
+    def record_labels(self, endpoint: Mapping[str, object]) -> None:
         """Adds the labels of an endpoint, as discovery lists it, to those of the operators' file."""
         labels = endpoint.get("labels")
         if self._config is None or not isinstance(labels, list):
             return
         listed = {str(label)[:MAX_LABEL_LENGTH] for label in labels[:MAX_LABELS]}
-        configured = set(self._config.labels.get(endpoint["id"], ()))
-        self._verdicts.labels = {**self._verdicts.labels, endpoint["id"]: frozenset(listed | configured)}
+        worker_id = str(endpoint["id"])
+        configured = set(self._config.labels.get(worker_id, ()))
+        self._verdicts.labels = {**self._verdicts.labels, worker_id: frozenset(listed | configured)}
--- a/cottonladder/forwarder/plugin_verdicts.py
+++ b/cottonladder/forwarder/plugin_verdicts.py
@@ -11,9 +11,9 @@
 from ..planning.plugin_bounds import RoutePreference, narrow_candidates
 from .errors import RequestRejectedError
 from .final_answers import NO_MATCHING_WORKER, rejected_by_plugin
-from .fleet import Fleet
 from .request_classes import RequestClass
 from .request_context import RequestContext
+from .request_services import RequestServices
 from .retries import FailedAttempts
 
 if TYPE_CHECKING:
@@ -34,9 +34,9 @@
     `allowed_headers` are the headers, in lower case, that plug-ins may change.
     """
 
-    def __init__(self, classes: list[RequestClass], fleet: Fleet) -> None:
+    def __init__(self, classes: list[RequestClass], services: RequestServices) -> None:
         self._classes = {request_class.name: request_class for request_class in classes}
-        self._fleet = fleet
+        self._services = services
         self.chain: PluginChain | None = None
         self.labels: Mapping[str, frozenset[str]] = {}
         self.falls_back = True
@@ -89,12 +89,12 @@
     def _with_workers(self, chain: PluginChain, context: RequestContext, verdict: Answer) -> RequestContext:
         if not (verdict.required_labels or verdict.preferred_labels):
             return context
-        candidates = self._fleet.router.candidates(context.request_class.name)
+        candidates = self._services.router.candidates(context.request_class.name)
         preference = RoutePreference(verdict.required_labels, verdict.preferred_labels)
         choice = narrow_candidates(candidates, self.labels, preference, self.falls_back)
         if choice.was_limited:
             chain.record_clipped()
-        if choice.admitted_fraction < 1.0 and self._fleet.rng.random() >= choice.admitted_fraction:
+        if choice.admitted_fraction < 1.0 and self._services.rng.random() >= choice.admitted_fraction:
             raise RequestRejectedError(NO_MATCHING_WORKER)
         return replace(context, preferred=choice.weights)
 
--- a/cottonladder/forwarder/request_handler.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -12,11 +12,11 @@
 from .connection_drainer import ConnectionDrainer
 from .errors import RequestRejectedError
 from .final_answers import NO_REQUEST_CLASS, OVERLOADED, STOPPING, failure_answer
-from .fleet import Fleet
 from .plain_requests import PlainRequestForwarder
 from .plugin_verdicts import PluginVerdicts
 from .request_classes import RequestClass, classify
 from .request_context import RequestContext, RequestProgress
+from .request_services import RequestServices
 from .response_relay import ResponseRelay
 from .responses import ResponseBuilder
 from .tunnel_manager import TunnelManager
@@ -34,21 +34,21 @@
         self,
         classes: list[RequestClass],
         policies: Mapping[str, UpgradePolicy],
-        fleet: Fleet,
+        services: RequestServices,
         drainer: ConnectionDrainer,
     ) -> None:
         self._classes = classes
-        self._fleet = fleet
-        self.listener = ClientListener(fleet.limits, self.handle)
-        self.connections = WorkerConnections(fleet.limits)
-        self.verdicts = PluginVerdicts(classes, fleet)
-        self.tunnels = TunnelManager(fleet, drainer, self.listener)
+        self._services = services
+        self.listener = ClientListener(services.limits, self.handle)
+        self.connections = WorkerConnections(services.limits)
+        self.verdicts = PluginVerdicts(classes, services)
+        self.tunnels = TunnelManager(services, drainer, self.listener)
         self.in_flight: dict[asyncio.Task[Any], None] = {}  # requests and handshakes not answered yet
         self._is_closing = False
-        self._responses = ResponseBuilder(fleet.rng)
-        relay = ResponseRelay(fleet, self.listener.faults)
-        self._plain = PlainRequestForwarder(fleet, self.connections, self.verdicts, relay, self._responses)
-        self._upgrades = UpgradeForwarder(policies, fleet, self.listener, self.tunnels, self._responses)
+        self._responses = ResponseBuilder(services.rng)
+        relay = ResponseRelay(services, self.listener.faults)
+        self._plain = PlainRequestForwarder(services, self.connections, self.verdicts, relay, self._responses)
+        self._upgrades = UpgradeForwarder(policies, services, self.listener, self.tunnels, self._responses)
 
     def stop_accepting(self) -> None:
         """Rejects every further request with a Retry-After header."""
@@ -78,14 +78,14 @@
             return self._responses.build(NO_REQUEST_CLASS)
         if self._responses.stopping:
             return self._responses.build(STOPPING)
-        self._fleet.recorder.record_arrival(request_class.name)
-        if not self._fleet.router.admits(self._fleet.now(), request_class.name):
+        self._services.recorder.record_arrival(request_class.name)
+        if not self._services.router.admits(self._services.now(), request_class.name):
             return self._responses.build(OVERLOADED)
         context = RequestContext(request, request_class, request.headers, progress)
         try:
             context = self.verdicts.apply(context)
         except RequestRejectedError as rejected:
-            self._fleet.recorder.record_failure(request_class.name)
+            self._services.recorder.record_failure(request_class.name)
             return self._responses.build(rejected.answer)
         if context.is_upgrade:
             return await self._upgrades.forward(context)
--- a/cottonladder/forwarder/fleet.py
+++ b/cottonladder/forwarder/request_services.py
@@ -1,4 +1,4 @@
-"""What the handlers of plain requests, upgrades and plug-ins share: the fleet as the forwarder knows it."""
+"""What the handlers of plain requests, of upgrades and of plug-ins' verdicts share."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .router import Router
 
 
-class Fleet:
+class RequestServices:
     """The routing state, the limits, the workers' addresses, and the record of attempts.
 
     `address_of` gives a worker's host:port, or None for an unknown worker; `now` is the loop's clock.
--- a/cottonladder/forwarder/response_relay.py
+++ b/cottonladder/forwarder/response_relay.py
@@ -8,8 +8,8 @@
 from aiohttp import web
 
 from ..protocol.fault_log import RateLimitedFaultLog
-from .fleet import Fleet
 from .request_context import RequestContext
+from .request_services import RequestServices
 from .resource_limits import STALL_TIMEOUT_S
 from .worker_connections import forwarded_headers
 
@@ -20,8 +20,8 @@
 class ResponseRelay:
     """Relays answers; a client that stops reading is disconnected after `STALL_TIMEOUT_S`."""
 
-    def __init__(self, fleet: Fleet, faults: RateLimitedFaultLog) -> None:
-        self._fleet = fleet
+    def __init__(self, services: RequestServices, faults: RateLimitedFaultLog) -> None:
+        self._services = services
         self._faults = faults
 
     async def relay(
@@ -47,7 +47,7 @@
                 answer.release()
             else:
                 answer.close()
-            self._fleet.record_attempt(worker_id, succeeded, started_at)
+            self._services.record_attempt(worker_id, succeeded, started_at)
         return reply
 
     @staticmethod
--- a/cottonladder/forwarder/tunnel_ends.py
+++ b/cottonladder/forwarder/tunnel_ends.py
@@ -3,16 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-from dataclasses import dataclass
-from typing import Any, Protocol, cast
-
-import httptools
+from typing import Protocol, cast
 
 from .errors import HandshakeError
-from .resource_limits import MAX_HEADER_BYTES, RELAY_BUFFER_BYTES
-
-SWITCHING_PROTOCOLS = 101  # the HTTP status of a worker that accepts an upgrade
-FIRST_FINAL_STATUS = 200  # the lowest HTTP status, besides 101, that is not informational
+from .handshake_reply import HandshakeReply, HandshakeReplyReader
+from .resource_limits import RELAY_BUFFER_BYTES
 
 
 class TunnelEvents(Protocol):
@@ -109,65 +104,22 @@
     __slots__ = ()
 
 
-@dataclass(slots=True)
-class HandshakeReply:
-    """A worker's answer to a handshake: its status, reason phrase and headers."""
-
-    status: int
-    reason: bytes
-    headers: list[tuple[bytes, bytes]]
-
-    def header(self, name: str) -> str:
-        """The value of a header; empty if there is no such header."""
-        wanted = name.lower().encode()
-        for header, value in self.headers:
-            if header.lower() == wanted:
-                return value.decode("latin-1")
-        return ""
-
-
 class WorkerEnd(TunnelEnd):
     """The end at the worker; it parses the answer to the handshake before it relays data."""
 
-    __slots__ = (
-        "_head_bytes",
-        "_headers",
-        "_parser",
-        "_reason",
-        "_reply_future",
-        "buffered",
-        "reply",
-        "worker_id",
-    )
+    __slots__ = ("_reader", "_reply_future", "buffered", "worker_id")
 
     def __init__(self, worker_id: str) -> None:
         super().__init__()
         self.worker_id = worker_id
-        self.reply: HandshakeReply | None = None
         self.buffered = b""  # data received before a tunnel could relay it
-        self._parser: Any = httptools.HttpResponseParser(self)
-        self._reason = b""
-        self._headers: list[tuple[bytes, bytes]] = []
-        self._head_bytes = 0
+        self._reader = HandshakeReplyReader()
         self._reply_future: asyncio.Future[HandshakeReply] = asyncio.get_running_loop().create_future()
 
-    def on_status(self, status: bytes) -> None:
-        """Called by the parser."""
-        self._reason = status
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser."""
-        self._headers.append((name, value))
-
-    def on_headers_complete(self) -> None:
-        """Called by the parser; ignores the heads of informational answers."""
-        status = int(self._parser.get_status_code())
-        if status < FIRST_FINAL_STATUS and status != SWITCHING_PROTOCOLS:
-            self._headers = []
-            return
-        self.reply = HandshakeReply(status, self._reason, self._headers)
-        if not self._reply_future.done():
-            self._reply_future.set_result(self.reply)
+    @property
+    def reply(self) -> HandshakeReply | None:
+        """The worker's answer to the handshake, None until its head is complete."""
+        return self._reader.reply
 
     def data_received(self, data: bytes) -> None:
         """Called by asyncio."""
@@ -179,22 +131,15 @@
             self.buffer(data)
 
     def _read_head(self, data: bytes) -> None:
-        self._head_bytes += len(data)
         try:
-            self._parser.feed_data(data)
-            if self._head_bytes > MAX_HEADER_BYTES and not self._has_reply():
-                raise httptools.HttpParserError("head over its size")
-        except httptools.HttpParserUpgrade as exc:
-            self.buffer(data[exc.args[0] :])
-        except httptools.HttpParserError as exc:
-            if not self._has_reply():
-                self._fail(HandshakeError(f"answer can't be read: {exc}", may_have_run=True))
-        if self._has_reply():
-            self._parser = None
-
-    def _has_reply(self) -> bool:
-        """Whether the head of the answer is complete; a method, as the parser's callbacks set `reply`."""
-        return self.reply is not None
+            following = self._reader.feed(data)
+        except HandshakeError as error:
+            self._fail(error)
+            return
+        if following:
+            self.buffer(following)
+        if self.reply is not None and not self._reply_future.done():
+            self._reply_future.set_result(self.reply)
 
     def buffer(self, data: bytes) -> None:
         """Keeps data that can't be relayed yet, and pauses reading when it fills the buffer."""
--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -13,8 +13,8 @@
 from .connection_registry import ConnectionRegistry
 from .drain_orders import NO_ORDER
 from .final_answers import OUTCOME_UNKNOWN
-from .fleet import Fleet
 from .frame_scanner import GOING_AWAY, INTERNAL_ERROR, SERVICE_RESTART
+from .request_services import RequestServices
 from .resource_limits import MIN_ATTEMPT_TIMEOUT_S
 from .retry_after import retry_after
 from .tunnel import CLOSE_TIMEOUT_S, Tunnel
@@ -44,14 +44,16 @@
 class TunnelManager:
     """Observes and closes the tunnels, and owns the handshakes with workers that they migrate to."""
 
-    def __init__(self, fleet: Fleet, drainer: ConnectionDrainer, listener: ClientListener) -> None:
-        self._fleet = fleet
+    def __init__(
+        self, services: RequestServices, drainer: ConnectionDrainer, listener: ClientListener
+    ) -> None:
+        self._services = services
         self._drainer = drainer
         self._listener = listener
         self._handshakes: set[asyncio.Task[WorkerEnd]] = set()
         self.registry: ConnectionRegistry[Tunnel] = ConnectionRegistry()
-        self.slots = WorkerSlots(fleet, self.registry)
-        self.end_reasons: dict[str, int] = {}  # number of tunnels by reason, since the last log line
+        self.slots = WorkerSlots(services, self.registry)
+        self._end_reasons: dict[str, int] = {}  # number of tunnels by reason, since the last log line
         self.counters = TunnelCounters()
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
@@ -76,22 +78,22 @@
         self._count_reason(reason)
 
     def _count_reason(self, reason: str) -> None:
-        is_separate = reason in self.end_reasons or len(self.end_reasons) < MAX_END_REASONS
+        is_separate = reason in self._end_reasons or len(self._end_reasons) < MAX_END_REASONS
         key = reason if is_separate else OTHER_REASONS
-        self.end_reasons[key] = self.end_reasons.get(key, 0) + 1
+        self._end_reasons[key] = self._end_reasons.get(key, 0) + 1
 
     def log_ended_connections(self) -> None:
         """Logs one line for all connections that have ended since the last one."""
-        if self.end_reasons:
-            count = sum(self.end_reasons.values())
-            self.log.info("connections_ended", count=count, reasons=str(self.end_reasons))
-            self.end_reasons = {}
+        if self._end_reasons:
+            count = sum(self._end_reasons.values())
+            self.log.info("connections_ended", count=count, reasons=str(self._end_reasons))
+            self._end_reasons = {}
 
     # Drains.
 
     def tick_drains(self) -> None:
         """Carries out what is due of each drain."""
-        now = self._fleet.now()
+        now = self._services.now()
         workers = self.registry.workers()
         self._start_and_cancel_drains(now, workers)
         draining = workers & self._drainer.workers()
@@ -104,15 +106,15 @@
             elif not self._start_move(action, idle[action.worker_id].pop(0), now):
                 break
         self._log_state_changes()
-        router = self._fleet.router
+        router = self._services.router
         self._drainer.forget_finished(workers, router.excluded | router.leaving)
 
     def _start_and_cancel_drains(self, now: float, workers: set[str]) -> None:
         for worker_id in workers:
-            if self._fleet.router.is_excluded(worker_id):
+            if self._services.router.is_excluded(worker_id):
                 self._drainer.start(now, worker_id)
         for worker_id in self._drainer.workers():
-            if not self._fleet.router.is_excluded(worker_id) and not self._drainer.has_orders(worker_id):
+            if not self._services.router.is_excluded(worker_id) and not self._drainer.has_orders(worker_id):
                 self._drainer.cancel(worker_id)
 
     def _log_state_changes(self) -> None:
@@ -148,16 +150,16 @@
         return True
 
     def _is_available(self, worker_id: str) -> bool:
-        if self._fleet.router.is_excluded(worker_id):
+        if self._services.router.is_excluded(worker_id):
             return False
-        return self._fleet.address_of(worker_id) is not None
+        return self._services.address_of(worker_id) is not None
 
     def _close_for_drain(self, move: StartMove, tunnel: Tunnel, now: float) -> None:
         """Closes a connection and asks its client to reconnect."""
         if move.target is None:
-            delay_s = retry_after(0.0, self._fleet.rng.random())
+            delay_s = retry_after(0.0, self._services.rng.random())
         else:
-            self._fleet.pacer.reserve(now, move.target, 1)  # for the client, which reconnects at once
+            self._services.pacer.reserve(now, move.target, 1)  # for the client, which reconnects at once
             delay_s = retry_after(0.0, 0.0)
         self.counters.closed += 1
         message = f"moved: come back in {delay_s} s"
@@ -166,12 +168,12 @@
 
     def _migrate(self, move: StartMove, tunnel: Tunnel, target: str, now: float) -> None:
         time_left_s = self._drainer.time_left_s(now, move.worker_id)
-        timeout_s = max(MIN_ATTEMPT_TIMEOUT_S, min(self._fleet.limits.first_byte_timeout_s, time_left_s))
+        timeout_s = max(MIN_ATTEMPT_TIMEOUT_S, min(self._services.limits.first_byte_timeout_s, time_left_s))
         tunnel.migrate(move.order, lambda head: self._start_handshake(target, head, now + timeout_s))
 
     def _start_handshake(self, target: str, head: bytes, deadline: float) -> asyncio.Task[WorkerEnd]:
         task = asyncio.create_task(
-            handshake(self._fleet, target, head, deadline), name=f"migrate to {target}"
+            handshake(self._services, target, head, deadline), name=f"migrate to {target}"
         )
         self._handshakes.add(task)
         task.add_done_callback(self._handshakes.discard)
@@ -205,7 +207,7 @@
 
     def close_fraction(self, fraction: float) -> int:
         """Closes a fraction of the open connections, idle ones first; returns how many stay open."""
-        now = self._fleet.now()
+        now = self._services.now()
         still_open = [tunnel for tunnel in self._all() if not tunnel.is_closing]
         still_open.sort(key=lambda tunnel: tunnel.is_busy(now))
         count = math.ceil(fraction * len(still_open))
@@ -214,7 +216,7 @@
         return len(still_open) - count
 
     def _close_for_stop(self, tunnel: Tunnel) -> None:
-        delay_s = retry_after(0.0, self._fleet.rng.random())
+        delay_s = retry_after(0.0, self._services.rng.random())
         is_unknown = tunnel.pending_requests > 0
         code = INTERNAL_ERROR if is_unknown else GOING_AWAY
         message = OUTCOME_UNKNOWN if is_unknown else f"forwarder stops: come back in {delay_s} s"
--- a/cottonladder/forwarder/tunnel_migration.py
+++ b/cottonladder/forwarder/tunnel_migration.py
@@ -13,7 +13,8 @@
 
 from .drain_orders import NO_ORDER
 from .frame_scanner import INTERNAL_ERROR, SERVICE_RESTART, encode_close_frame
-from .tunnel_ends import SWITCHING_PROTOCOLS, ClientEnd, TunnelEnd, TunnelEvents, WorkerEnd
+from .handshake_reply import SWITCHING_PROTOCOLS
+from .tunnel_ends import ClientEnd, TunnelEnd, TunnelEvents, WorkerEnd
 from .tunnel_frames import TunnelFrames
 from .tunnel_states import TunnelEvent, TunnelState
 from .upgrade_policy import UpgradePolicy
--- a/cottonladder/forwarder/upgrade_handshake.py
+++ b/cottonladder/forwarder/upgrade_handshake.py
@@ -6,8 +6,8 @@
 
 from .errors import HandshakeError, RequestRejectedError
 from .final_answers import UPGRADE_NOT_GET, UPGRADE_WITH_BODY, UPGRADE_WITHOUT_KEY
-from .fleet import Fleet
 from .request_context import RequestContext
+from .request_services import RequestServices
 from .resource_limits import MIN_ATTEMPT_TIMEOUT_S
 from .tunnel_ends import WorkerEnd, connect
 from .upgrade_policy import UpgradePolicy
@@ -53,15 +53,15 @@
     return not (name == "sec-websocket-extensions" and policy.request_prefix is not None)
 
 
-async def handshake(fleet: Fleet, worker_id: str, head: bytes, deadline: float) -> WorkerEnd:
+async def handshake(services: RequestServices, worker_id: str, head: bytes, deadline: float) -> WorkerEnd:
     """Connects to a worker and reads the head of its answer, whatever its status.  Raises HandshakeError."""
-    address = fleet.address_of(worker_id)
+    address = services.address_of(worker_id)
     if address is None:
         raise HandshakeError("no address", may_have_run=False)
     host, _, port = address.rpartition(":")
-    worker_end = await connect(worker_id, host, int(port), fleet.limits.connect_timeout_s)
+    worker_end = await connect(worker_id, host, int(port), services.limits.connect_timeout_s)
     try:
-        time_left_s = min(deadline - fleet.now(), fleet.limits.first_byte_timeout_s)
+        time_left_s = min(deadline - services.now(), services.limits.first_byte_timeout_s)
         await worker_end.handshake(head, max(MIN_ATTEMPT_TIMEOUT_S, time_left_s))
     except BaseException:  # includes the cancellation of the request
         worker_end.abort()
--- a/cottonladder/forwarder/upgrade_requests.py
+++ b/cottonladder/forwarder/upgrade_requests.py
@@ -11,12 +11,13 @@
 from .client_listener import ClientListener, UpgradedResponse, switching_protocols_head
 from .errors import ClientGoneError, HandshakeError, RequestRejectedError
 from .final_answers import NO_SLOT, NO_WORKER_ANSWERED, FinalAnswer, failure_answer
-from .fleet import Fleet
+from .handshake_reply import SWITCHING_PROTOCOLS
 from .request_context import RequestContext
+from .request_services import RequestServices
 from .responses import DEFAULT_RETRY_DELAY_S, NO_SLOT_RETRY_DELAY_S, ResponseBuilder
 from .retries import FailedAttempts, should_retry
 from .tunnel import Tunnel, TunnelOptions
-from .tunnel_ends import SWITCHING_PROTOCOLS, WorkerEnd
+from .tunnel_ends import WorkerEnd
 from .tunnel_manager import TunnelManager
 from .upgrade_handshake import check_upgrade, handshake, handshake_head, is_websocket
 from .upgrade_policy import UpgradePolicy
@@ -39,13 +40,13 @@
     def __init__(
         self,
         policies: Mapping[str, UpgradePolicy],
-        fleet: Fleet,
+        services: RequestServices,
         listener: ClientListener,
         tunnels: TunnelManager,
         responses: ResponseBuilder,
     ) -> None:
         self._policies = policies
-        self._fleet = fleet
+        self._services = services
         self._listener = listener
         self._tunnels = tunnels
         self._responses = responses
@@ -58,21 +59,21 @@
             return self._responses.build(rejected.answer)
         request_class = context.request_class
         policy = self._policies[request_class.name]
-        timeout_s = request_class.timeout_s or self._fleet.limits.first_byte_timeout_s
-        offer = Handshake(handshake_head(context, policy), policy, self._fleet.now() + timeout_s)
+        timeout_s = request_class.timeout_s or self._services.limits.first_byte_timeout_s
+        offer = Handshake(handshake_head(context, policy), policy, self._services.now() + timeout_s)
         failed = FailedAttempts()
         for _ in range(MAX_HANDSHAKE_ATTEMPTS):
             selection = self._tunnels.slots.select(request_class.name, failed.workers, context.preferred)
             if selection.worker_id is None:
                 return self._no_slot(context, selection.retry_delay_s)
-            started_at = self._fleet.now()
+            started_at = self._services.now()
             context.progress.may_have_run = True
             try:
-                worker_end = await handshake(self._fleet, selection.worker_id, offer.head, offer.deadline)
+                worker_end = await handshake(self._services, selection.worker_id, offer.head, offer.deadline)
             except HandshakeError as error:
                 failed.add(selection.worker_id, error)
                 context.progress.may_have_run = error.may_have_run
-                self._fleet.record_attempt(selection.worker_id, False, started_at)
+                self._services.record_attempt(selection.worker_id, False, started_at)
                 if self._may_retry(context, failed, error, offer.deadline):
                     continue
                 return self._give_up(context, failure_answer(error.may_have_run))
@@ -83,10 +84,10 @@
         self, context: RequestContext, failed: FailedAttempts, error: HandshakeError, deadline: float
     ) -> bool:
         request_class = context.request_class
-        policy = self._fleet.retry_policy(request_class.name)
+        policy = self._services.retry_policy(request_class.name)
         if not should_retry(request_class, policy, failed.count, error.may_have_run):
             return False
-        return self._fleet.now() < deadline
+        return self._services.now() < deadline
 
     def _no_slot(self, context: RequestContext, wait_s: float) -> web.Response:
         delay_s = max(wait_s, DEFAULT_RETRY_DELAY_S) if wait_s < math.inf else NO_SLOT_RETRY_DELAY_S
@@ -95,7 +96,7 @@
     def _give_up(
         self, context: RequestContext, answer: FinalAnswer, delay_s: float = DEFAULT_RETRY_DELAY_S
     ) -> web.Response:
-        self._fleet.recorder.record_failure(context.request_class.name)
+        self._services.recorder.record_failure(context.request_class.name)
         return self._responses.build(answer, delay_s)
 
     def _answered(
@@ -104,7 +105,7 @@
         """Opens a tunnel if the worker has answered 101, and otherwise passes the worker's status on."""
         reply = worker_end.reply
         assert reply is not None
-        self._fleet.record_attempt(worker_end.worker_id, reply.status < 500, started_at)
+        self._services.record_attempt(worker_end.worker_id, reply.status < 500, started_at)
         if reply.status != SWITCHING_PROTOCOLS:
             worker_end.abort()
             return self._responses.upgrade_refused(reply.status, reply.header("Retry-After"))
--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -4,8 +4,7 @@
 
 import asyncio
 import random
-from collections.abc import Callable, Sequence
-from typing import Any
+from collections.abc import Callable, Mapping, Sequence
 
 from ..config.errors import UnknownNameError
 from ..config.fields import HostPort
@@ -50,7 +49,7 @@
         router: Router,
         pacer: AdmissionPacer,
         rng: random.Random,
-        record_labels: Callable[[dict[str, Any]], None],
+        record_labels: Callable[[Mapping[str, object]], None],
         workers_with_connections: Callable[[], set[str]],
     ) -> None:
         self._router = router
--- a/cottonladder/forwarder/worker_slots.py
+++ b/cottonladder/forwarder/worker_slots.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from .connection_registry import ConnectionRegistry
-from .fleet import Fleet
+from .request_services import RequestServices
 from .tunnel import Tunnel
 
 
@@ -22,8 +22,8 @@
 class WorkerSlots:
     """Selects workers that may accept one more upgraded connection."""
 
-    def __init__(self, fleet: Fleet, registry: ConnectionRegistry[Tunnel]) -> None:
-        self._fleet = fleet
+    def __init__(self, services: RequestServices, registry: ConnectionRegistry[Tunnel]) -> None:
+        self._services = services
         self._registry = registry
 
     def select(
@@ -33,8 +33,8 @@
 
         `attempted` are workers to leave out; `preferred` are weights that replace those of the table.
         """
-        now = self._fleet.now()
-        candidates = self._fleet.router.candidates(request_class)
+        now = self._services.now()
+        candidates = self._services.router.candidates(request_class)
         if preferred is not None:
             candidates = {worker: weight for worker, weight in preferred.items() if worker in candidates}
         reserved = self._take_reservation(now, candidates, attempted)
@@ -43,12 +43,12 @@
         return self._select_by_weight(now, request_class, candidates, attempted, preferred)
 
     def _is_full(self, worker_id: str) -> bool:
-        return self._registry.count(worker_id) >= self._fleet.limits.connections_per_worker
+        return self._registry.count(worker_id) >= self._services.limits.connections_per_worker
 
     def _take_reservation(
         self, now: float, candidates: Mapping[str, float], attempted: Collection[str]
     ) -> str | None:
-        pacer = self._fleet.pacer
+        pacer = self._services.pacer
         reserved = pacer.reserved_worker(now)
         if not reserved:
             return None
@@ -68,12 +68,12 @@
         attempted: Collection[str],
         preferred: Mapping[str, float] | None,
     ) -> SlotSelection:
-        pacer = self._fleet.pacer
+        pacer = self._services.pacer
         mean_weight = sum(candidates.values()) / len(candidates) if candidates else 0.0
         excluded = [*attempted, *(worker_id for worker_id in candidates if self._is_full(worker_id))]
         shortest_wait_s = math.inf
         while True:
-            worker_id = self._fleet.router.select_worker(now, request_class, excluded, preferred)
+            worker_id = self._services.router.select_worker(now, request_class, excluded, preferred)
             if worker_id is None or worker_id in excluded:
                 return SlotSelection(None, shortest_wait_s)
             rate = pacer.worker_rate(candidates[worker_id], mean_weight)
