--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -5,6 +5,7 @@
 import asyncio
 import random
 from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
 
 from ..config.errors import UnknownNameError
 from ..config.fields import HostPort
@@ -35,6 +36,15 @@
         return self._index[name]
 
 
+@dataclass(slots=True)
+class ListedWorker:
+    """A worker as it was last listed; `removed_at` is when it was found to be gone."""
+
+    zone: int
+    state: EndpointState
+    removed_at: float | None = None
+
+
 class WorkerList:
     """Passes the endpoint list on to the router, whether or not a manager is connected.
 
@@ -59,9 +69,7 @@
         self._zones = Zones(zones)
         self._home_zone = self._zones.zone_index(zone, "forwarder")
         self._registry = WorkerRegistry()
-        self._states: dict[int, EndpointState] = {}
-        self._zone_of: dict[int, int] = {}
-        self._removed_at: dict[int, float] = {}
+        self._workers: dict[int, ListedWorker] = {}
         self._backoff_factor = 1.0
         self._retry_timer: asyncio.TimerHandle | None = None
         self._now = asyncio.get_running_loop().time
@@ -122,13 +130,16 @@
         now = self._now()
         if item.kind == ListUpdateKind.FULL:
             named = {endpoint.worker_index for endpoint in item.endpoints}
-            for worker_index in [index for index in self._states if index not in named]:
+            for worker_index in self._workers.keys() - named:
                 self._set_state(worker_index, EndpointState.GONE, now)
         for endpoint in item.endpoints:
-            self._zone_of[endpoint.worker_index] = endpoint.zone
+            worker = self._workers.setdefault(
+                endpoint.worker_index, ListedWorker(endpoint.zone, endpoint.state)
+            )
+            worker.zone = endpoint.zone
             self._set_state(endpoint.worker_index, endpoint.state, now)
-        ready = [index for index, state in self._states.items() if state == EndpointState.READY]
-        nearby = [index for index in ready if self._zone_of[index] == self._home_zone] or ready
+        ready = [index for index, worker in self._workers.items() if worker.state == EndpointState.READY]
+        nearby = [index for index in ready if self._workers[index].zone == self._home_zone] or ready
         self._rng.shuffle(nearby)
         if ready:
             self._restore()
@@ -143,33 +154,33 @@
             restore_snapshot()
 
     def _set_state(self, worker_index: int, state: EndpointState, now: float) -> None:
+        worker = self._workers[worker_index]
         worker_id = self._worker_id(worker_index)
-        self._states[worker_index] = state
+        worker.state = state
         if state == EndpointState.READY:
             self._router.leaving.discard(worker_id)
-            self._removed_at.pop(worker_index, None)
+            worker.removed_at = None
             return
         self._router.leaving.add(worker_id)
-        if state == EndpointState.GONE:
-            self._removed_at.setdefault(worker_index, now)
+        if state == EndpointState.GONE and worker.removed_at is None:
+            worker.removed_at = now
 
     def _forget_removed(self, now: float) -> None:
         """Forgets workers that were removed long ago, have no connection and are in no table."""
         in_use = self._workers_with_connections()
         for table in self._router.tables.values():
             in_use |= set(table.weights)
-        for worker_index, removed_at in list(self._removed_at.items()):
-            worker_id = self._worker_id(worker_index)
-            if now - removed_at > REMOVED_WORKER_TTL_S and worker_id not in in_use:
-                self._forget(worker_index, worker_id)
+        for worker_index, worker in list(self._workers.items()):
+            is_expired = worker.removed_at is not None and now - worker.removed_at > REMOVED_WORKER_TTL_S
+            if is_expired and self._worker_id(worker_index) not in in_use:
+                self._forget(worker_index)
         known = {name.decode() for name in self._registry.ids.values()}
         self._router.retain_workers(known)
         self._pacer.retain_workers(known)
 
-    def _forget(self, worker_index: int, worker_id: str) -> None:
-        del self._removed_at[worker_index]
-        del self._states[worker_index]
-        del self._zone_of[worker_index]
+    def _forget(self, worker_index: int) -> None:
+        worker_id = self._worker_id(worker_index)
+        del self._workers[worker_index]
         self._registry.remove(worker_index)
         self._router.leaving.discard(worker_id)
         self._router.excluded.discard(worker_id)
