--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -7,11 +7,13 @@
 import os
 import subprocess
 import sys
-from collections.abc import Mapping, Sequence
+from collections.abc import Iterator, Mapping, Sequence
 from contextlib import AsyncExitStack
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from cottonladder.testbed.discovery import SimulatedDiscovery
 
 TREE = Path(__file__).resolve().parents[1]
@@ -32,16 +34,26 @@
     parser.add_argument("--before", metavar="TREE", help="an older checkout, measured by its own benchmark")
 
 
-def print_figures(figures: Mapping[str, Any], as_json: bool) -> None:
-    """Prints figures as one JSON object or as aligned lines."""
+def print_figures(figures: msgspec.Struct, as_json: bool) -> None:
+    """Prints a record of figures as one JSON object or as aligned lines."""
     if as_json:
-        print(json.dumps(figures))
+        print(msgspec.json.encode(figures).decode())
         return
-    width = max(len(name) for name in figures)
-    for name, value in figures.items():
+    lines = list(_figure_lines(msgspec.to_builtins(figures)))
+    width = max(len(name) for name, _ in lines)
+    for name, value in lines:
         print(f"{name:{width}} {value}")
 
 
+def _figure_lines(figures: Mapping[str, Any], prefix: str = "") -> Iterator[tuple[str, Any]]:
+    """Name and value of each figure; the names of nested figures are joined by dots."""
+    for name, value in figures.items():
+        if isinstance(value, dict):
+            yield from _figure_lines(value, f"{prefix}{name}.")
+        else:
+            yield f"{prefix}{name}", value
+
+
 def run_in_tree(tree: str, module: str, *arguments: str, timeout_s: float | None = None) -> Any:
     """Runs a benchmark module of a checkout as a process of its own and reads the JSON that it prints.
 
