--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -8,6 +8,7 @@
 
 from collections.abc import Callable, Iterator
 from contextlib import AsyncExitStack
+from dataclasses import dataclass
 
 import structlog
 
@@ -33,6 +34,14 @@
 from .input_queue import LoopInput
 
 
+@dataclass(frozen=True, slots=True)
+class _LoggedDrain:
+    """A worker whose held connections drain; its id is kept, as it may be removed before they have ended."""
+
+    worker_id: str
+    open_count_at_start: int
+
+
 class ConnectionMigrator:
     """Owns the planner, which knows a forwarder from its announcement to the end of its stream.
 
@@ -66,7 +75,7 @@
         self._extra_lines = 0
         self.is_vetoed: Callable[[MigrateConnections], bool] = _never_vetoed
         self._next_plan_at = 0.0
-        self._draining_connections: dict[int, int] = {}  # by draining worker: held when its drain began
+        self._logged_drains: dict[int, _LoggedDrain] = {}  # by worker
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         messages.extension_readers.update(dict.fromkeys(wire.TO_MANAGER, wire.read_for_manager))
 
@@ -128,8 +137,8 @@
         loads = self._planner.load_by_worker()
         previous = self._loads
         self._loads = loads
-        ended = [HeldLoad(worker, 0.0) for worker in previous if worker not in loads]
-        changed = [HeldLoad(worker, load) for worker, load in loads.items() if previous.get(worker) != load]
+        ended = [HeldLoad(index, 0.0) for index in previous if index not in loads]
+        changed = [HeldLoad(index, load) for index, load in loads.items() if previous.get(index) != load]
         return [*ended, *changed]
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
@@ -159,7 +168,7 @@
 
     def _encode_migration(self, order: MigrateConnections) -> bytes:
         ids = self._workers.ids
-        destinations = {ids[worker]: count for worker, count in order.destinations if worker in ids}
+        destinations = {ids[index]: count for index, count in order.destinations if index in ids}
         return wire.encode_migration(
             order.number, ids[order.source], destinations, order.count, order.within_s, order.grace_left_s
         )
@@ -174,23 +183,21 @@
     def _log_drains(self, views: dict[int, WorkerCapacityView]) -> None:
         """Logs where the drain of held connections begins, is cancelled, or has ended."""
         totals = self._planner.connections_by_worker()
-        draining = {worker for worker, view in views.items() if view.draining_since >= 0}
-        for worker in totals.keys() & draining - self._draining_connections.keys():
-            open_count = totals[worker].open
-            self._draining_connections[worker] = open_count
+        draining = {index for index, view in views.items() if view.draining_since >= 0}
+        for index in totals.keys() & draining - self._logged_drains.keys():
+            drain = _LoggedDrain(self._workers.ids[index].decode(), totals[index].open)
+            self._logged_drains[index] = drain
             self.log.info(
-                "held_connections_draining", worker_id=self._worker_id(worker), open_count=open_count
+                "held_connections_draining",
+                worker_id=drain.worker_id,
+                open_count=drain.open_count_at_start,
             )
-        for worker in list(self._draining_connections):
-            if worker in draining and worker in totals:
+        for index in list(self._logged_drains):
+            if index in draining and index in totals:
                 continue
-            open_count_at_start = self._draining_connections.pop(worker)
-            event = "held_connections_drain_cancelled" if worker in totals else "held_connections_drained"
-            self.log.info(event, worker_id=self._worker_id(worker), open_count_at_start=open_count_at_start)
-
-    def _worker_id(self, worker_index: int) -> str:
-        """The listed id; a question mark for a worker that was removed meanwhile."""
-        return self._workers.ids.get(worker_index, b"?").decode()
+            drain = self._logged_drains.pop(index)
+            event = "held_connections_drain_cancelled" if index in totals else "held_connections_drained"
+            self.log.info(event, worker_id=drain.worker_id, open_count_at_start=drain.open_count_at_start)
 
 
 def _never_vetoed(_migration: MigrateConnections) -> bool:
--- a/cottonladder/control/snapshot_folder.py
+++ b/cottonladder/control/snapshot_folder.py
@@ -12,7 +12,7 @@
 from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 
 SNAPSHOT_TASK = "snapshot"  # name of the background task that writes
-SNAPSHOT_CPU_SHARE = 0.05  # of a core that the background task may take
+SNAPSHOT_CPU_FRACTION = 0.05  # of a core that the background task may take
 
 
 class SnapshotFolder:
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -27,7 +27,7 @@
 )
 from .background_scheduler import BackgroundScheduler
 from .input_queue import LoopInput
-from .snapshot_folder import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
+from .snapshot_folder import SNAPSHOT_CPU_FRACTION, SNAPSHOT_TASK, SnapshotFolder
 from .snapshot_restore import restored_credits, restored_state, starting_list
 from .starting_list import StartingList
 from .startup_config import StartupConfig
@@ -72,7 +72,7 @@
             SNAPSHOT_TASK,
             self._interval_s,
             priority=SNAPSHOT_PRIORITY,
-            cpu_fraction=SNAPSHOT_CPU_SHARE,
+            cpu_fraction=SNAPSHOT_CPU_FRACTION,
             deadline_s=self._interval_s,
         )
         self._scheduler.add(plan, self._write_snapshot)
--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -11,7 +11,7 @@
 from ..config.operator_config import OperatorConfig, SnapshotConfig
 from ..control.admin_socket import AdminSocket
 from ..control.background_scheduler import BackgroundScheduler
-from ..control.snapshot_folder import SNAPSHOT_CPU_SHARE, SNAPSHOT_TASK, SnapshotFolder
+from ..control.snapshot_folder import SNAPSHOT_CPU_FRACTION, SNAPSHOT_TASK, SnapshotFolder
 from ..planning.priority_scheduling import TaskPlan
 from ..planning.snapshot_staleness import snapshot_age
 from ..snapshots.sections import ForwarderSnapshot, decode_section, encode_section
@@ -53,7 +53,9 @@
         section = encode_section(SNAPSHOT_SECTION, snapshot)
         yield asyncio.to_thread(folder.write, {SNAPSHOT_SECTION: section})
 
-    plan = TaskPlan(SNAPSHOT_TASK, config.every, priority=SNAPSHOT_PRIORITY, cpu_fraction=SNAPSHOT_CPU_SHARE)
+    plan = TaskPlan(
+        SNAPSHOT_TASK, config.every, priority=SNAPSHOT_PRIORITY, cpu_fraction=SNAPSHOT_CPU_FRACTION
+    )
     tasks.add(plan, write_snapshot)
 
 
