--- a/cottonladder/forwarder/manager_orders.py
+++ b/cottonladder/forwarder/manager_orders.py
@@ -59,7 +59,7 @@
         """Carries out a message of the extension.  Raises OrderRejectedError."""
         if isinstance(message, upgrades.AnnouncementAccepted):
             self._pacer.share = message.arrival_share
-            self._pacer.arrival_rate = message.worker_arrival_rate
+            self._pacer.arrival_rate = message.worker_arrivals_per_s
         elif isinstance(message, upgrades.MigrationStopped):
             self._drainer.orders_stopped(self._now(), message.source)
         else:
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -2,7 +2,8 @@
 
 A forwarder announces the extension after its SUBSCRIBE; a manager that has it accepts, and only then does
 either side send its other messages.  A manager without the extension rejects the announcement, and a proxy
-without it never receives any of these messages.  Times on the wire are in milliseconds.
+without it never receives any of these messages.  Times on the wire are in milliseconds; `node` is the proxy's
+index, and `done` the number of connections that were migrated.
 
     UPGRADES node 17 version 1                            forwarder: announces the extension
     UPGRADES version 1 part 0.25 arrivals 50.0            manager: accepts; the forwarder's share of arrivals
@@ -42,7 +43,7 @@
 class ForwarderAnnounced:
     """UPGRADES of a forwarder: it has the extension."""
 
-    node: int
+    proxy: int
     version: int
 
 
@@ -52,7 +53,7 @@
 
     version: int
     arrival_share: float  # of all new connections, the part that this forwarder takes, 0 to 1
-    worker_arrival_rate: float  # new connections per second that an average worker accepts
+    worker_arrivals_per_s: float  # new connections that an average worker accepts
 
 
 class ConnectionCounts(NamedTuple):
@@ -67,7 +68,7 @@
 class HeldConnections:
     """HELD: the connections of a forwarder by worker id; with `is_complete`, it has none to other workers."""
 
-    node: int
+    proxy: int
     is_complete: bool
     counts_by_worker: dict[bytes, ConnectionCounts]
 
@@ -79,7 +80,7 @@
     `destinations` has, by worker id, how many of them go where; the forwarder selects workers for the rest.
     """
 
-    number: int
+    number: int  # identifies the migration in its result
     source: str
     destinations: dict[str, int]
     count: int
@@ -98,9 +99,9 @@
 class MigrationDone:
     """MOVED: how many connections of a migration were migrated, and how many could not be."""
 
-    node: int
-    number: int
-    done: int
+    proxy: int
+    number: int  # of the migration
+    succeeded: int
     failed: int
 
 
@@ -158,10 +159,10 @@
 
 def _read_acceptance(fields: MessageFields) -> AnnouncementAccepted:
     arrival_share = fields.number("part")
-    worker_arrival_rate = fields.number("arrivals")
+    worker_arrivals_per_s = fields.number("arrivals")
     if arrival_share > 1.0:
         raise FieldError(fields.message_type, "part", "is over 1")
-    return AnnouncementAccepted(fields.count("version"), arrival_share, worker_arrival_rate)
+    return AnnouncementAccepted(fields.count("version"), arrival_share, worker_arrivals_per_s)
 
 
 def _read_migration(fields: MessageFields) -> MigrationOrdered | MigrationStopped:
@@ -211,26 +212,26 @@
         raise MessageError(message_type, "a worker's id is not text") from None
 
 
-def encode_announcement(node: int) -> bytes:
+def encode_announcement(proxy: int) -> bytes:
     """Encodes the UPGRADES of a forwarder."""
-    return resp.encode([UPGRADES, b"node", b"%d" % node, b"version", b"%d" % VERSION])
+    return resp.encode([UPGRADES, b"node", b"%d" % proxy, b"version", b"%d" % VERSION])
 
 
-def encode_acceptance(arrival_share: float, worker_arrival_rate: float) -> bytes:
+def encode_acceptance(arrival_share: float, worker_arrivals_per_s: float) -> bytes:
     """Encodes the UPGRADES of a manager."""
     arguments = [UPGRADES, b"version", b"%d" % VERSION]
-    arguments += [b"part", _number(arrival_share), b"arrivals", _number(worker_arrival_rate)]
+    arguments += [b"part", _number(arrival_share), b"arrivals", _number(worker_arrivals_per_s)]
     return resp.encode(arguments)
 
 
 def encode_held_connections(
-    node: int, is_complete: bool, counts_by_worker: Mapping[str, ConnectionCounts]
+    proxy: int, is_complete: bool, counts_by_worker: Mapping[str, ConnectionCounts]
 ) -> bytes:
     """Encodes HELD."""
     entries = [
         b"%b:%d:%d:%d" % (worker_id.encode(), *counts) for worker_id, counts in counts_by_worker.items()
     ]
-    arguments = [HELD, b"node", b"%d" % node, b"whole", b"%d" % is_complete, b"holds", b",".join(entries)]
+    arguments = [HELD, b"node", b"%d" % proxy, b"whole", b"%d" % is_complete, b"holds", b",".join(entries)]
     return resp.encode(arguments)
 
 
@@ -256,10 +257,10 @@
     return resp.encode([MOVE, b"from", source, b"stop", b"1"])
 
 
-def encode_migration_result(node: int, number: int, done: int, failed: int) -> bytes:
+def encode_migration_result(proxy: int, number: int, succeeded: int, failed: int) -> bytes:
     """Encodes MOVED, the result of a migration."""
-    arguments = [MOVED, b"node", b"%d" % node, b"move", b"%d" % number]
-    arguments += [b"done", b"%d" % done, b"failed", b"%d" % failed]
+    arguments = [MOVED, b"node", b"%d" % proxy, b"move", b"%d" % number]
+    arguments += [b"done", b"%d" % succeeded, b"failed", b"%d" % failed]
     return resp.encode(arguments)
 
 
