--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -1,8 +1,8 @@
 """The types of the operators' file, with the valid range of each field.
 
-The names of the fields are those of the file; the subsystem that a part configures maps them to its own
-terms.  Docstrings and descriptions are part of the JSON schema that `schema` prints for operators.  The
-module is imported only if a file is given, so that a manager without one does not load the schema library.
+The names of the file's fields are fixed; the tables of names below map them to the terms of the code.
+Docstrings and descriptions are part of the JSON schema that `schema` prints for operators.  The module is
+imported only if a file is given, so that a manager without one does not load the schema library.
 """
 
 from __future__ import annotations
@@ -22,6 +22,29 @@
 MAX_LENGTH_BYTES = 1 << 31
 MAX_KEY_NUMBER = 1 << 32  # of DFP's security TLV, which has four bytes for it
 
+# The names in the file of the fields that have another name in the code.
+UPGRADES_NAMES = {
+    "grace_s": "grace",
+    "max_connections_per_worker": "most",
+    "arrivals_per_s": "arrivals",
+    "requests_per_s_per_connection": "load",
+}
+BUSY_NAMES = {"request_prefix": "opens", "response_prefix": "ends", "quiet_time_s": "quiet"}
+REQUEST_CLASS_NAMES = {"idempotency": "replays", "deadline_s": "timeout", "ticket_header": "ticket"}
+LIMITS_NAMES = {
+    "connections_per_worker": "worker",
+    "connections_per_client": "client",
+    "connect_timeout_s": "connect_wait",
+    "first_byte_timeout_s": "first_byte_wait",
+    "idle_timeout_s": "idle_wait",
+    "pool_size_per_worker": "pool",
+}
+MANAGER_PLUGINS_NAMES = {"grace_s": "grace"}
+FORWARDER_NAMES = {"request_classes": "kinds", "admission_mode": "levels", "expected_requests_per_s": "rate"}
+ADVICE_SERVER_NAMES = {"max_clients": "clients"}
+ADVISOR_NAMES = {"address": "at"}
+SNAPSHOT_NAMES = {"interval_s": "every"}
+
 Seconds = Annotated[float, Meta(gt=0, le=DAY_S, description="seconds")]
 Rate = Annotated[float, Meta(gt=0, le=defaults.MAX_REQUESTS_PER_S)]
 Count = Annotated[int, Meta(gt=0, le=MAX_COUNT)]
@@ -31,19 +54,19 @@
 Header = Annotated[str, Meta(pattern=r"^[A-Za-z0-9!#$%&'*+.^_`|~-]+$", max_length=128)]
 
 
-class UpgradesConfig(Struct, forbid_unknown_fields=True, frozen=True):
+class UpgradesConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=UPGRADES_NAMES):
     """Upgraded connections; managers and forwarders of a deployment need the same values."""
 
-    grace: Annotated[Seconds, Meta(description="s within which a draining worker's connections end")]
-    most: Annotated[Count, Meta(description="maximum of connections to one worker")] = (
+    grace_s: Annotated[Seconds, Meta(description="s within which a draining worker's connections end")]
+    max_connections_per_worker: Annotated[Count, Meta(description="maximum of connections to one worker")] = (
         defaults.CONNECTIONS_PER_WORKER
     )
-    arrivals: Annotated[Rate, Meta(description="new ones per second, average worker")] = (
+    arrivals_per_s: Annotated[Rate, Meta(description="new ones per second, average worker")] = (
         defaults.ARRIVALS_PER_S
     )
-    load: Annotated[Rate, Meta(description="requests per second that one counts for")] = (
-        defaults.REQUESTS_PER_S_PER_CONNECTION
-    )
+    requests_per_s_per_connection: Annotated[
+        Rate, Meta(description="requests per second that one counts for")
+    ] = defaults.REQUESTS_PER_S_PER_CONNECTION
 
 
 class Match(Struct, forbid_unknown_fields=True, frozen=True):
@@ -54,41 +77,41 @@
     headers: dict[Header, str] = {}
 
 
-class Busy(Struct, forbid_unknown_fields=True, frozen=True):
+class Busy(Struct, forbid_unknown_fields=True, frozen=True, rename=BUSY_NAMES):
     """When an upgraded connection is busy with a request.
 
     With `opens`: from a client's message that begins with it to a worker's message that begins with `ends`.
     Without: until no data has passed for `quiet` seconds.
     """
 
-    opens: Annotated[str, Meta(max_length=64)] | None = None
-    ends: Annotated[str, Meta(max_length=64)] = ""
-    quiet: Annotated[float, Meta(ge=0, le=HOUR_S)] = 1.0
+    request_prefix: Annotated[str, Meta(max_length=64)] | None = None
+    response_prefix: Annotated[str, Meta(max_length=64)] = ""
+    quiet_time_s: Annotated[float, Meta(ge=0, le=HOUR_S)] = 1.0
 
 
-class RequestClassConfig(Struct, forbid_unknown_fields=True, frozen=True):
+class RequestClassConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=REQUEST_CLASS_NAMES):
     """A request class; one without `match` takes the requests that no other class matches."""
 
     name: Name
-    replays: Literal["replayable", "uniqued", "non-replayable"] = "non-replayable"
+    idempotency: Literal["replayable", "uniqued", "non-replayable"] = "non-replayable"
     match: Annotated[list[Match], Meta(max_length=64)] = []
-    timeout: Annotated[float, Meta(ge=0, le=DAY_S, description="deadline of a request, s; 0: none")] = 0.0
+    deadline_s: Annotated[float, Meta(ge=0, le=DAY_S, description="deadline of a request, s; 0: none")] = 0.0
     busy: Busy = Busy()
-    ticket: Annotated[str, Meta(pattern=r"^([A-Za-z0-9-]+)?$", max_length=64)] = ""
+    ticket_header: Annotated[str, Meta(pattern=r"^([A-Za-z0-9-]+)?$", max_length=64)] = ""
 
 
-class LimitsConfig(Struct, forbid_unknown_fields=True, frozen=True):
+class LimitsConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=LIMITS_NAMES):
     """A forwarder's limits on connections (all, per worker, per client), sizes, waits in s, and the pool."""
 
     connections: Count = defaults.FORWARDER_CONNECTIONS
-    worker: Count = defaults.FORWARDER_CONNECTIONS_PER_WORKER
-    client: Count = defaults.FORWARDER_CONNECTIONS_PER_CLIENT
+    connections_per_worker: Count = defaults.FORWARDER_CONNECTIONS_PER_WORKER
+    connections_per_client: Count = defaults.FORWARDER_CONNECTIONS_PER_CLIENT
     header_bytes: Bytes = defaults.HEADER_BYTES
     body_bytes: Bytes = defaults.BODY_BYTES
-    connect_wait: Seconds = defaults.CONNECT_TIMEOUT_S
-    first_byte_wait: Seconds = defaults.FIRST_BYTE_TIMEOUT_S
-    idle_wait: Seconds = defaults.IDLE_TIMEOUT_S
-    pool: Count = defaults.POOL_SIZE_PER_WORKER
+    connect_timeout_s: Seconds = defaults.CONNECT_TIMEOUT_S
+    first_byte_timeout_s: Seconds = defaults.FIRST_BYTE_TIMEOUT_S
+    idle_timeout_s: Seconds = defaults.IDLE_TIMEOUT_S
+    pool_size_per_worker: Count = defaults.POOL_SIZE_PER_WORKER
 
 
 class PluginConfig(Struct, forbid_unknown_fields=True, frozen=True):
@@ -114,15 +137,15 @@
     headers: Annotated[list[Header], Meta(max_length=64)] = []
 
 
-class ManagerPluginsConfig(Struct, forbid_unknown_fields=True, frozen=True):
+class ManagerPluginsConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=MANAGER_PLUGINS_NAMES):
     """A manager's plug-ins, with `labels` by worker id; `grace` (s) bounds their vetoes of migrations."""
 
     chain: Annotated[list[PluginConfig], Meta(min_length=1, max_length=16)]
     labels: dict[str, Annotated[list[Name], Meta(max_length=64)]] = {}
-    grace: Seconds = 30.0
+    grace_s: Seconds = 30.0
 
 
-class ForwarderConfig(Struct, forbid_unknown_fields=True, frozen=True):
+class ForwarderConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=FORWARDER_NAMES):
     """One forwarder, a proxy of the platform's protocol."""
 
     node: Annotated[int, Meta(ge=0, le=MAX_COUNT, description="its proxy number, unique in the deployment")]
@@ -131,9 +154,9 @@
     listen: HostAndPort
     discovery: HostAndPort
     managers: Annotated[list[HostAndPort], Meta(min_length=1, max_length=64)]
-    kinds: Annotated[list[RequestClassConfig], Meta(min_length=1, max_length=64)]
-    levels: Literal["ratio", "rate", "none"] = "ratio"
-    rate: Annotated[
+    request_classes: Annotated[list[RequestClassConfig], Meta(min_length=1, max_length=64)]
+    admission_mode: Literal["ratio", "rate", "none"] = "ratio"
+    expected_requests_per_s: Annotated[
         float,
         Meta(ge=0, le=defaults.MAX_REQUESTS_PER_S, description="expected requests/s, reported on connecting"),
     ] = 0.0
@@ -159,21 +182,21 @@
     file: str
 
 
-class AdviceServerConfig(Struct, forbid_unknown_fields=True, frozen=True):
+class AdviceServerConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=ADVICE_SERVER_NAMES):
     """Serves weight advice to load balancers, as a SASP workload manager or a DFP agent."""
 
     protocol: Literal["sasp", "dfp"]
     listen: HostAndPort
-    clients: Annotated[int, Meta(gt=0, le=4096)] = defaults.LOAD_BALANCERS
+    max_clients: Annotated[int, Meta(gt=0, le=4096)] = defaults.LOAD_BALANCERS
     tls: TlsConfig | None = None
     secret: SecretConfig | None = None
 
 
-class AdvisorFollowConfig(Struct, forbid_unknown_fields=True, frozen=True):
+class AdvisorFollowConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=ADVISOR_NAMES):
     """Follows an advisor's weights, as a SASP load balancer or a DFP manager; `trust` scales their effect."""
 
     protocol: Literal["sasp", "dfp"]
-    at: HostAndPort
+    address: HostAndPort
     trust: Annotated[float, Meta(ge=0, le=1)] = 1.0
     uid: Annotated[str, Meta(min_length=1, max_length=64)] = "cottonladder"
     group: Annotated[str, Meta(min_length=1, max_length=255)] = "workers"
@@ -188,11 +211,11 @@
     follow: Annotated[list[AdvisorFollowConfig], Meta(max_length=16)] = []
 
 
-class SnapshotConfig(Struct, forbid_unknown_fields=True, frozen=True):
+class SnapshotConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=SNAPSHOT_NAMES):
     """Snapshots, written every `every` seconds to a persistent folder that no other process uses."""
 
     folder: Annotated[str, Meta(min_length=1, max_length=1024)]
-    every: Annotated[float, Meta(ge=0.1, le=HOUR_S)] = 2.0
+    interval_s: Annotated[float, Meta(ge=0.1, le=HOUR_S)] = 2.0
 
 
 class OperatorConfig(Struct, forbid_unknown_fields=True, frozen=True):
--- a/cottonladder/config/operator_file.py
+++ b/cottonladder/config/operator_file.py
@@ -67,11 +67,11 @@
         raise OperatorFileError(path, "$.forwarder.zone", f"one of zones expected, got {config.zone!r}")
     if _has_duplicates(config.zones):
         raise OperatorFileError(path, "$.forwarder.zones", "a zone comes twice")
-    if _has_duplicates([request_class.name for request_class in config.kinds]):
+    if _has_duplicates([request_class.name for request_class in config.request_classes]):
         raise OperatorFileError(path, "$.forwarder.kinds", "a name comes twice")
     if _has_duplicates(config.managers):
         raise OperatorFileError(path, "$.forwarder.managers", "a manager comes twice")
-    for index, request_class in enumerate(config.kinds):
+    for index, request_class in enumerate(config.request_classes):
         if "+" in request_class.name:
             place = f"$.forwarder.kinds[{index}].name"
             raise OperatorFileError(path, place, "no '+' expected, as it joins kinds on the wire")
@@ -90,7 +90,7 @@
 def _check_advice(path: str, config: AdviceConfig) -> None:
     """Checks what the types can't express: each address once, TLS only with SASP, secrets only with DFP."""
     _check_advice_peers(path, "$.advice.serve", config.serve, [row.listen for row in config.serve])
-    _check_advice_peers(path, "$.advice.follow", config.follow, [row.at for row in config.follow])
+    _check_advice_peers(path, "$.advice.follow", config.follow, [row.address for row in config.follow])
 
 
 def _check_advice_peers(
--- a/cottonladder/control/advice_connections.py
+++ b/cottonladder/control/advice_connections.py
@@ -30,15 +30,15 @@
 ) -> AdviceServer:
     """A server that load balancers connect to; `place` is where the operators' file configures it."""
     if config.protocol == "sasp":
-        return SaspServer(advertised, config.clients, _tls_context(config.tls, place, is_server=True))
-    return DfpServer(advertised, config.clients, _read_secret(config.secret, place))
+        return SaspServer(advertised, config.max_clients, _tls_context(config.tls, place, is_server=True))
+    return DfpServer(advertised, config.max_clients, _read_secret(config.secret, place))
 
 
 def create_advisor_client(
     config: AdvisorFollowConfig, listener: AdviceListener, uniform: Callable[[], float], place: str
 ) -> AdvisorClient:
     """A client of one outside advisor; `uniform` returns a random number in 0 to 1, for its backoff."""
-    address = host_port(config.at)
+    address = host_port(config.address)
     if config.protocol == "sasp":
         tls = _tls_context(config.tls, place, is_server=False)
         return SaspAdvisorClient(address, listener, tls, uniform, config.uid, config.group)
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -50,15 +50,15 @@
         self._planner = MigrationPlanner(
             MigrationParameters(
                 zone_count=parameters.zone_count,
-                grace_s=config.grace,
-                max_connections=config.most,
-                arrivals_per_s=config.arrivals,
-                load_per_connection=config.load,
+                grace_s=config.grace_s,
+                max_connections=config.max_connections_per_worker,
+                arrivals_per_s=config.arrivals_per_s,
+                load_per_connection=config.requests_per_s_per_connection,
                 channel_lines_per_s=parameters.channel_lines_per_s,
                 message_header_lines=parameters.message_header_lines,
             )
         )
-        self._arrivals_per_s = config.arrivals
+        self._arrivals_per_s = config.arrivals_per_s
         self._workers = workers
         self._proxy_zones: dict[int, int] = {}  # of joined proxies
         self._announced: set[int] = set()
--- a/cottonladder/control/extensions.py
+++ b/cottonladder/control/extensions.py
@@ -75,7 +75,7 @@
         from .snapshot_folder import SNAPSHOT_TASK
         from .snapshot_manager import SnapshotManager
 
-        snapshots = SnapshotManager(operator.memory.folder, operator.memory.every, config, scheduler)
+        snapshots = SnapshotManager(operator.memory.folder, operator.memory.interval_s, config, scheduler)
         await snapshots.start(stack)
         stack.push_async_callback(scheduler.close, (SNAPSHOT_TASK,))
     else:
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -94,7 +94,7 @@
         answer = self.chain.call_hook(MOVE, migration_record(migration, self._workers.ids))
         if answer.rejection_reason is None:
             return False
-        if not may_veto(migration.grace_left_s, self._config.grace):
+        if not may_veto(migration.grace_left_s, self._config.grace_s):
             self.chain.record_clipped()
             return False
         return True
--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -53,7 +53,9 @@
         section = encode_section(SNAPSHOT_SECTION, snapshot)
         yield asyncio.to_thread(folder.write, {SNAPSHOT_SECTION: section})
 
-    plan = TaskPlan(SNAPSHOT_TASK, config.every, priority=SNAPSHOT_PRIORITY, cpu_fraction=SNAPSHOT_CPU_SHARE)
+    plan = TaskPlan(
+        SNAPSHOT_TASK, config.interval_s, priority=SNAPSHOT_PRIORITY, cpu_fraction=SNAPSHOT_CPU_SHARE
+    )
     tasks.add(plan, write_snapshot)
 
 
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -46,9 +46,13 @@
         self.loop = asyncio.get_running_loop()
         rng = random.Random(config.seed or time.time_ns())
         classes = request_classes(config)
-        grace_s = operator.upgrades.grace if operator.upgrades else DEFAULT_GRACE_S
-        arrival_rate = operator.upgrades.arrivals if operator.upgrades else float(config.limits.worker)
-        self.router = Router(classes, AdmissionMode(config.levels), rng.random)
+        grace_s = operator.upgrades.grace_s if operator.upgrades else DEFAULT_GRACE_S
+        arrival_rate = (
+            operator.upgrades.arrivals_per_s
+            if operator.upgrades
+            else float(config.limits.connections_per_worker)
+        )
+        self.router = Router(classes, AdmissionMode(config.admission_mode), rng.random)
         self.drainer = ConnectionDrainer(grace_s)
         self.pacer = AdmissionPacer(arrival_rate, 1.0)
         recorder = LoadRecorder(config.zone, config.node, self.loop.time())
@@ -59,7 +63,7 @@
         managers = [host_port(text) for text in config.managers]
         rng.shuffle(managers)  # a fleet of forwarders spreads over its managers
         self.stream = ManagerStream(
-            Subscription(config.node, config.zone, config.rate),
+            Subscription(config.node, config.zone, config.expected_requests_per_s),
             managers,
             rng.uniform,
             uses_extension=operator.upgrades is not None,
--- a/cottonladder/forwarder/operator_settings.py
+++ b/cottonladder/forwarder/operator_settings.py
@@ -10,7 +10,7 @@
 
 def request_classes(config: ForwarderConfig) -> list[RequestClass]:
     """The request classes in the order of the file."""
-    return [_request_class(request_class) for request_class in config.kinds]
+    return [_request_class(request_class) for request_class in config.request_classes]
 
 
 def _request_class(config: RequestClassConfig) -> RequestClass:
@@ -18,21 +18,21 @@
         MatchRule(frozenset(match.methods), match.path, tuple(match.headers.items()))
         for match in config.match
     )
-    return RequestClass(config.name, rules, Idempotency(config.replays), config.timeout)
+    return RequestClass(config.name, rules, Idempotency(config.idempotency), config.deadline_s)
 
 
 def upgrade_policies(config: ForwarderConfig) -> dict[str, UpgradePolicy]:
     """The policies for upgraded connections by request class."""
-    return {request_class.name: _upgrade_policy(request_class) for request_class in config.kinds}
+    return {request_class.name: _upgrade_policy(request_class) for request_class in config.request_classes}
 
 
 def _upgrade_policy(config: RequestClassConfig) -> UpgradePolicy:
     busy = config.busy
     return UpgradePolicy(
-        request_prefix=None if busy.opens is None else busy.opens.encode(),
-        response_prefix=busy.ends.encode(),
-        quiet_time_s=busy.quiet,
-        ticket_header=config.ticket,
+        request_prefix=None if busy.request_prefix is None else busy.request_prefix.encode(),
+        response_prefix=busy.response_prefix.encode(),
+        quiet_time_s=busy.quiet_time_s,
+        ticket_header=config.ticket_header,
     )
 
 
@@ -40,12 +40,12 @@
     """The resource limits in force."""
     return ResourceLimits(
         connections=config.connections,
-        connections_per_worker=config.worker,
-        connections_per_client=config.client,
+        connections_per_worker=config.connections_per_worker,
+        connections_per_client=config.connections_per_client,
         header_bytes=config.header_bytes,
         body_bytes=config.body_bytes,
-        connect_timeout_s=config.connect_wait,
-        first_byte_timeout_s=config.first_byte_wait,
-        idle_timeout_s=config.idle_wait,
-        pool_size=config.pool,
+        connect_timeout_s=config.connect_timeout_s,
+        first_byte_timeout_s=config.first_byte_timeout_s,
+        idle_timeout_s=config.idle_timeout_s,
+        pool_size=config.pool_size_per_worker,
     )
--- a/tests/config/test_operator_defaults.py
+++ b/tests/config/test_operator_defaults.py
@@ -19,10 +19,10 @@
         self.assertEqual(defaults.MAX_REQUESTS_PER_S, MAX_REQUEST_RATE)
 
     def test_upgraded_connections(self) -> None:
-        upgrades = UpgradesConfig(grace=30.0)
-        self.assertEqual(upgrades.most, 8_000)
-        self.assertEqual(upgrades.arrivals, 50.0)
-        self.assertEqual(upgrades.load, 0.05)
+        upgrades = UpgradesConfig(grace_s=30.0)
+        self.assertEqual(upgrades.max_connections_per_worker, 8_000)
+        self.assertEqual(upgrades.arrivals_per_s, 50.0)
+        self.assertEqual(upgrades.requests_per_s_per_connection, 0.05)
 
 
 if __name__ == "__main__":
--- a/tests/support/wire_fleet.py
+++ b/tests/support/wire_fleet.py
@@ -162,7 +162,12 @@
         self.workers = placement.workers
         self.messages = MessageReader(self.site, self.workers.find_index)
         self.keeper = SnapshotManager(folder, 2.0, placement, cast(BackgroundScheduler, self.tasks))
-        upgrades = UpgradesConfig(grace=8.0, most=500, arrivals=40.0, load=0.05)
+        upgrades = UpgradesConfig(
+            grace_s=8.0,
+            max_connections_per_worker=500,
+            arrivals_per_s=40.0,
+            requests_per_s_per_connection=0.05,
+        )
         mover = ConnectionMigrator(self.site, upgrades, self.workers, self.messages)
         outside = cast(Any, self.outside)
         self.owner = SteppedOwner(
--- a/tests/weight_advice/test_advisor_status.py
+++ b/tests/weight_advice/test_advisor_status.py
@@ -46,7 +46,7 @@
             endpoints.append(Endpoint(worker_index, 0, EndpointState.READY, 1.0, 0.0))
         controller = RoutingController(month_end.PARAMETERS)
         controller.decide(STARTED_AT, [EndpointList(ListUpdateKind.FULL, tuple(endpoints))])
-        config = AdviceConfig(follow=[AdvisorFollowConfig(protocol="dfp", at=address)])
+        config = AdviceConfig(follow=[AdvisorFollowConfig(protocol="dfp", address=address)])
         advisor = ObservedWeightAdvisor(config, workers)
         async with AsyncExitStack() as stack:
             await advisor.start(stack)
