--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -54,7 +54,7 @@
         yield asyncio.to_thread(folder.write, {SNAPSHOT_SECTION: section})
 
     plan = TaskPlan(
-        SNAPSHOT_TASK, config.every, priority=SNAPSHOT_PRIORITY, cpu_fraction=SNAPSHOT_CPU_FRACTION
+        SNAPSHOT_TASK, config.interval_s, priority=SNAPSHOT_PRIORITY, cpu_fraction=SNAPSHOT_CPU_FRACTION
     )
     tasks.add(plan, write_snapshot)
 
--- a/tests/control/test_background_scheduler.py
+++ b/tests/control/test_background_scheduler.py
@@ -21,6 +21,7 @@
 OBSERVED_S = 1.2  # long enough for ten runs of a task with a period of 20 ms, and for several backoffs
 PERIOD_S = 0.02
 CPU_FRACTION = 0.2
+RUN_AFTER_STOP_S = 0.25
 ENDLESS_SLICE_S = 0.02
 
 
@@ -96,7 +97,8 @@
         await in_time(is_waiting.wait())
         stopping_at = time.monotonic()
         closing = asyncio.create_task(scheduler.close(("slow",)))
-        await asyncio.sleep(0)  # the stop begins while the run is under way
+        await asyncio.sleep(RUN_AFTER_STOP_S)
+        self.assertFalse(closing.done())  # it waits for the run under way
         may_continue.set()
         await in_time(closing)
         self.assertEqual(ended_runs, ["slow"])
--- a/tests/control/test_connection_migrator.py
+++ b/tests/control/test_connection_migrator.py
@@ -37,7 +37,7 @@
         self.workers = WorkerRegistry()
         self.worker_index = self.workers.register("s-1", "10.0.0.1:8080", 0.0)
         messages = MessageReader(settings, self.workers.find_index)
-        self.migrator = ConnectionMigrator(settings, UpgradesConfig(grace=8.0), self.workers, messages)
+        self.migrator = ConnectionMigrator(settings, UpgradesConfig(grace_s=8.0), self.workers, messages)
         self.now = 0.0
         self.migrator.observe(self.now, ProxyConnected(FORWARDER, 0, 10.0, True))
         self.observe_message(ForwarderAnnounced(FORWARDER, VERSION))
--- a/tests/forwarder/test_manager_stream.py
+++ b/tests/forwarder/test_manager_stream.py
@@ -113,9 +113,6 @@
             status = await forwarder.status(self.session)
             self.assertEqual(set(status["tables"]["fetch"]), {"s-1", "s-2"})
             self.assertEqual(status["shut"], [])
-            stream.send(
-                "CONFIG undrop s-1"
-            )  # an order that changes nothing, and ends the forwarder's backoff
         async with self.session.get(forwarder.url) as response:
             self.assertEqual(response.status, 200)
 
--- a/tests/forwarder/test_race_conditions.py
+++ b/tests/forwarder/test_race_conditions.py
@@ -23,7 +23,9 @@
 from cottonladder.forwarder.resource_limits import ResourceLimits
 from cottonladder.testbed.fleet import ForwarderProcess
 from cottonladder.testbed.workers import SimulatedWorker
-from tests.support.forwarder_rig import EVENT_TIMEOUT_S, ForwarderRig
+from tests.support.forwarder_rig import ForwarderRig
+
+EVENT_TIMEOUT_S = 15.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -142,6 +142,8 @@
             self.assertEqual(await manager.stop(), 0)
 
     async def test_a_folder_owned_by_another_process_never_prevents_a_start(self) -> None:
+        for unusable in UNUSABLE_FILES:
+            unusable.create(self.manager_folder)
         owner = SnapshotStore(str(self.manager_folder))
         owner.open()
         self.addCleanup(owner.close)
--- a/tests/weight_advice/test_advisor_clients.py
+++ b/tests/weight_advice/test_advisor_clients.py
@@ -108,6 +108,7 @@
         table: dict[str, float] = {}
         await self.apply_orders(proxy, table, lambda: first_to_last_ratio(table) > 1.5)
         self.assertIsNotNone(agent.keep_alive)
+        await manager.logged("event=advisor_status", "weight_count=", "unmatched_count=")
 
 
 if __name__ == "__main__":
