--- a/tests/policy/test_recorded_orders.py
+++ b/tests/policy/test_recorded_orders.py
@@ -16,7 +16,8 @@
 import structlog
 
 from cottonladder.simulator.host import SimulatorHost
-from tests.support.simulated_days import DAYS, SimulatedDay
+from tests.support.simulated_day_settings import DAYS
+from tests.support.simulated_days import SimulatedDay
 from tests.support.wire_fleet import play_two_lives
 
 RECORDED = Path(__file__).parents[1] / "recorded" / "orders.json"
@@ -39,7 +40,7 @@
     for name in DAYS:
         day = SimulatedDay(name, SimulatorHost().handle_batch)
         digest = day.play()
-        played[name] = {"digest": digest, "actions": dict(sorted(day.actions.items()))}
+        played[name] = {"digest": digest, "actions": dict(sorted(day.action_counts.items()))}
     return played
 
 
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -8,12 +8,12 @@
 import unittest
 from typing import Any
 
-from tests.support.simulated_days import settings
+from tests.support.simulated_day_settings import simulator_settings
 
 Event = dict[str, Any]  # with its name as the only key
 Batch = dict[str, Any]
 
-ATTACH: Event = {"ATTACH": {"Info": {**settings(), "Me": 0}, "Prng": 7}}
+ATTACH: Event = {"ATTACH": {"Info": {**simulator_settings(), "Me": 0}, "Prng": 7}}
 RETIRE: Event = {"RETIRE": {}}
 ENTRY = {"Worker": 5, "Mode": 1, "Locality": "east", "Size": 1.0, "CameUpMs": 0}
 CONNECTED: Event = {"CONNECTED": {"Proxy": 1, "Locality": "east", "Size": 2.0, "Active": True}}
--- a/tests/support/simulated_days.py
+++ b/tests/support/simulated_days.py
@@ -1,412 +1,364 @@
-"""Seeded days on the simulator's wire: settings, events and their answers, as JSON and nothing else.
+"""Seeded days on the simulator's wire: settings, events and the actions that they lead to, as JSON alone.
 
-`SimulatedDay` plays the outside of several managers at once: discovery, workers, proxies, collectors and the
-network between managers.  It knows the wire's own words only, so a recorded day stands whatever the program's
-types are called.  Chance comes from the seed alone.
+`SimulatedDay` stands in for everything outside several managers: discovery, workers, proxies, collectors and
+the network between managers.  It uses only the names of the wire, so a recorded day stays valid whatever the
+program's types are called.  All randomness comes from the seed.  Another order of the random draws gives
+other digests than the recorded ones.
 """
 
 from __future__ import annotations
 
 import hashlib
-import heapq
 import json
 import random
 from collections import defaultdict
-from collections.abc import Callable
-from typing import Any
-
-Event = dict[str, Any]
-Batch = Callable[[str], dict[str, Any]]
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+
+from tests.support.event_queue import EventQueue, Message, ScheduledEvent
+from tests.support.simulated_day_fleet import (
+    CORRUPT_COUNT,
+    MS_PER_S,
+    REPORT_INTERVAL_MS,
+    ListedState,
+    ListUpdate,
+    SimulatedDayFleet,
+    SimulatedProxy,
+)
+from tests.support.simulated_day_settings import (
+    DAYS,
+    DEFAULT_FLEET_SIZE,
+    FLEET_SIZES,
+    REQUEST_CLASSES,
+    JsonObject,
+)
+
+BatchHandler = Callable[[str], JsonObject]
 TICK_S = 0.25
-REPORT_TICKS = 4  # load reports come once a second
-CLASSES = (("fetch", 800.0, 1.0), ("release", 1000.0, 3.0), ("audit", 2500.0, 0.5))
-START_S = 1000.0  # of the simulator's clock, as a start of 0 is listed for long ago
-YOUNG_S = 9.0  # since a tenth of the workers started, as the day begins
-OUTLIER = 1  # workers in trouble for a while
-SLOW = 2
-LOST_ZONE = 1
-
-
-def settings(**changes: Any) -> dict[str, Any]:
-    """The settings of a day; `changes` replaces whole groups, or keys of them by `Group__Key`."""
-    info: dict[str, Any] = {
-        "NInstances": 2,
-        "Zones": ["east", "west", "north"],
-        "Discovery": "subscribe",
-        "Profiles": [{"Name": n, "TargetMs": t, "Gain": g} for n, t, g in CLASSES],
-        "FamilyInfo": {
-            "Proxies": 24,
-            "EgressPerS": 3000.0,
-            "Head": 10.0,
-            "PendingMax": 6000.0,
-            "ThrottleBy": "ratio",
-            "Strikes": 0,
-            "KeyRanges": 0,
-            "ReloadsMax": 0,
-            "ReloadSpanMs": 10000.0,
-        },
-        "Rules": {
-            "ColdFrom": 0.2,
-            "FallMultiple": 3.0,
-            "WarmAfterMs": 12000.0,
-            "AskWithinMs": 10000.0,
-            "DrainGraceMs": 3000.0,
-        },
-        "Limits": {"Probing": True, "Peers": True},
-        "Prices": {"CrossZone": 0.05, "Probe": 0.002},
-        "Stats": {"Via": "probe"},
-    }
-    for name, value in changes.items():
-        group, _, key = name.partition("__")
-        if key:
-            info[group][key] = value
-        else:
-            info[group] = value
-    return info
-
-
-DAYS: dict[str, dict[str, Any]] = {
-    "ratio": settings(),
-    "rate": settings(
-        Discovery="automatic", FamilyInfo__ThrottleBy="rate", FamilyInfo__Strikes=3, Limits__Peers=False
-    ),
-    "none": settings(
-        NInstances=1,
-        FamilyInfo__ThrottleBy="none",
-        FamilyInfo__SingleWriter=True,
-        Limits={"Probing": False, "Peers": False},
-        Stats={},
-    ),
-    "slices": settings(NInstances=1, FamilyInfo__KeyRanges=8, FamilyInfo__ReloadsMax=6),
-    "few_messages": settings(FamilyInfo__ReloadsMax=5, FamilyInfo__PendingMax=700.0),
-    "short_tables": settings(FamilyInfo__EgressPerS=260.0, FamilyInfo__Strikes=2, NInstances=3),
-    "many_zones": settings(Zones=[f"zone-{n}" for n in range(20)], Prices={}),
-    "partitioned_tables": settings(
-        NInstances=3,
-        FamilyInfo__Proxies=150,
-        FamilyInfo__EgressPerS=2500.0,
-        FamilyInfo__PendingMax=1800.0,
-        FamilyInfo__Strikes=2,
-        Rules__FallMultiple=2.0,
-    ),
-}
-# Workers, proxies and the highest requests a second of one, where a day has others than the usual.
-FLEETS = {"partitioned_tables": (45, 150, 9.0)}
-USUAL_FLEET = (14, 24, 30.0)
+REPORT_INTERVAL_TICKS = 4
+START_S = 1000.0  # of the simulator's clock, on which a start at 0 is long ago
+RECENT_START_AGE_S = 9.0  # of the tenth of the workers that has just started when the day begins
 
 
 class SimulatedDay:
-    """One day of `seconds`, played against `batch`, which takes a line of JSON and gives the reply."""
-
-    def __init__(self, name: str, batch: Batch, seed: int = 1, seconds: float = 70.0) -> None:
-        self.info = DAYS[name]
-        self.batch = batch
-        self.seconds = seconds
-        self.random = random.Random(f"{name}-{seed}")
-        self.digest = hashlib.sha256()
-        self.actions: dict[str, int] = defaultdict(int)
-        self.now = START_S
-        self.fleet = FLEETS.get(name, USUAL_FLEET)
-        self.zones: list[str] = self.info["Zones"]
-        self.managers = range(self.info["NInstances"])
-        self.queue: list[tuple[float, int, int, Event]] = []
-        self.sequence = 0
-        self.workers: dict[int, dict[str, Any]] = {}
-        self.proxies: dict[int, dict[str, Any]] = {}
-        self.tables: dict[tuple[int, int], dict[int, float]] = defaultdict(dict)
-        self.bound: dict[tuple[int, int], int] = {}
-        self.watched: set[int] = set()
-        self.alive: set[int] = set()
+    """One day of `duration_s`; `handle_batch` takes a line of JSON and returns the reply."""
+
+    def __init__(
+        self, name: str, handle_batch: BatchHandler, seed: int = 1, duration_s: float = 70.0
+    ) -> None:
+        self.settings = DAYS[name]
+        self.action_counts: dict[str, int] = defaultdict(int)
+        self._handle_batch = handle_batch
+        self._duration_s = duration_s
+        self._random = random.Random(f"{name}-{seed}")
+        self._digest = hashlib.sha256()
+        self._now = START_S
+        self._fleet_size = FLEET_SIZES.get(name, DEFAULT_FLEET_SIZE)
+        self._fleet = SimulatedDayFleet(self.settings["Zones"], self._fleet_size, self._random)
+        self._managers = range(self.settings["NInstances"])
+        self._queue = EventQueue()
+        self._tables: dict[tuple[int, int], dict[int, float]] = defaultdict(dict)  # by manager and table
+        self._bound_tables: dict[tuple[int, int], int] = {}  # by manager and proxy
+        self._watching_managers: set[int] = set()
+        self._running_managers: set[int] = set()
 
     def play(self) -> str:
-        """The digest of all replies, less the words of their log lines."""
-        workers, proxies, rate = self.fleet
-        for worker in range(workers):
-            self.add_worker(worker, START_S - YOUNG_S if worker % 10 == 9 else 0.0)
-        for proxy in range(proxies):
-            home = self.zones[proxy % len(self.zones)]
-            self.proxies[proxy] = {
-                "zone": home,
-                "rate": self.random.uniform(0.5, rate),
-                "manager": proxy % len(self.managers),
-                "joined": False,
-            }
-        for manager in self.managers:
-            self.start(manager)
+        """Returns the digest of all replies, without the texts of their log lines."""
+        for worker in range(self._fleet_size.worker_count):
+            has_just_started = worker % 10 == 9
+            self._fleet.add_worker(worker, START_S - RECENT_START_AGE_S if has_just_started else 0.0)
+        for proxy in range(self._fleet_size.proxy_count):
+            self._fleet.add_proxy(proxy, len(self._managers))
+        for manager in self._managers:
+            self.start_manager(manager)
         tick = 0
-        while self.now < START_S + self.seconds:
-            self.now = START_S + tick * TICK_S
-            self.tick(tick)
-            self.deliver(self.now)
+        while self._now < START_S + self._duration_s:
+            self._now = START_S + tick * TICK_S
+            self._play_tick(tick)
+            self._deliver_until(self._now)
             tick += 1
-        return self.digest.hexdigest()
-
-    def post(self, after: float, manager: int, name: str, body: Event) -> None:
-        self.sequence += 1
-        heapq.heappush(self.queue, (self.now + after, self.sequence, manager, {name: body}))
-
-    def deliver(self, until: float) -> None:
-        """Everything due, in order of time; what has the same time comes as one batch."""
-        while self.queue and self.queue[0][0] <= until:
-            at = self.queue[0][0]
-            arrivals: dict[int, list[Event]] = {}
-            while self.queue and self.queue[0][0] == at:
-                _, _, manager, event = heapq.heappop(self.queue)
-                if "ATTACH" in event:
-                    self.alive.add(manager)
-                if manager in self.alive:
-                    arrivals.setdefault(manager, []).append(event)
-            self.now = at
-            self.hand_over(at, arrivals)
-        self.now = until
-
-    def hand_over(self, at: float, arrivals: dict[int, list[Event]]) -> None:
-        groups = [{"ManagerId": who, "arrivals": events} for who, events in arrivals.items()]
-        reply = self.batch(json.dumps({"SimTimeMs": at * 1000.0, "managers": groups}))
+        return self._digest.hexdigest()
+
+    @property
+    def _elapsed_s(self) -> float:
+        return self._now - START_S
+
+    def _send(self, delay_s: float, manager: int, name: str, body: Message) -> None:
+        """Schedules an event for a manager."""
+        self._queue.push(self._now + delay_s, manager, {name: body})
+
+    def _deliver_until(self, end: float) -> None:
+        """Delivers everything due, in order of time; events of the same time make one batch."""
+        while events := self._queue.pop_next_batch(end):
+            self._now = events[0].time_s
+            self._deliver(self._events_by_manager(events))
+        self._now = end
+
+    def _events_by_manager(self, events: list[ScheduledEvent]) -> dict[int, list[Message]]:
+        """Groups events by manager, without those for managers that do not run."""
+        grouped: dict[int, list[Message]] = {}
+        for event in events:
+            if "ATTACH" in event.message:
+                self._running_managers.add(event.manager)
+            if event.manager in self._running_managers:
+                grouped.setdefault(event.manager, []).append(event.message)
+        return grouped
+
+    def _deliver(self, events: dict[int, list[Message]]) -> None:
+        groups = [{"ManagerId": manager, "arrivals": arrivals} for manager, arrivals in events.items()]
+        reply = self._handle_batch(json.dumps({"SimTimeMs": self._now * MS_PER_S, "managers": groups}))
         for group in reply["managers"]:
             for action in group["outbox"]:
                 if "REMARK" in action:
                     action["REMARK"] = {}
                 if "CRASH" in action:
-                    raise AssertionError(f"{at:.2f} s: {action}")
-        self.digest.update(json.dumps(reply, separators=(",", ":")).encode())
+                    raise AssertionError(f"{self._now:.2f} s: {action}")
+        self._digest.update(json.dumps(reply, separators=(",", ":")).encode())
         for group in reply["managers"]:
-            self.react(group["ManagerId"], group["outbox"])
+            self._react(group["ManagerId"], group["outbox"])
 
-    # what the outside does with the managers' actions
+    # Reactions to the managers' actions.
 
-    def react(self, who: int, outbox: list[Event]) -> None:
-        for action in outbox:
+    def _react(self, manager: int, actions: list[Message]) -> None:
+        for action in actions:
             ((name, body),) = action.items()
-            self.actions[name] += 1
-            handler = REACTIONS.get(name)
-            if handler is not None:
-                handler(self, who, body)
+            self.action_counts[name] += 1
+            reaction = REACTIONS.get(name)
+            if reaction is not None:
+                reaction(self, manager, body)
 
-    def on_defer(self, who: int, body: Event) -> None:
-        self.post(body["SleepForMs"] / 1000.0, who, "WAKE", {"Nonce": body["Nonce"]})
+    def start_timer(self, manager: int, body: Message) -> None:
+        """Lets the timer fire when it is due."""
+        self._send(body["SleepForMs"] / MS_PER_S, manager, "WAKE", {"Nonce": body["Nonce"]})
 
-    def on_probe(self, who: int, body: Event) -> None:
+    def check_health(self, manager: int, body: Message) -> None:
+        """Answers a health check; a third of the workers report a queue, the others requests in flight."""
         worker = body["Worker"]
-        if self.fails(worker) or self.random.random() < 0.03:
-            done = {"Worker": worker, "StateCode": "lost"}
-            self.post(0.5, who, "PROBE_DONE", done)
+        if self._fleet.is_failing(worker, self._elapsed_s) or self._random.random() < 0.03:
+            self._send(0.5, manager, "PROBE_DONE", {"Worker": worker, "StateCode": "lost"})
             return
-        rtt = self.response_s(worker)
-        report = {"inflight": self.random.randrange(12) * (3 if self.overloaded() else 1)}
-        if worker % 3 == 0:
-            report = {"queue": report["inflight"] // 2}
-        done = {"Worker": worker, "StateCode": "served", "RttMs": rtt * 1000.0, "HealthInfo": report}
-        self.post(rtt, who, "PROBE_DONE", done)
-
-    def on_stamp(self, who: int, body: Event) -> None:
-        """Most of the manager's proxies acknowledge; some late, some never, some a number never used."""
-        for proxy, stands in self.proxies.items():
-            if stands["manager"] != who or not stands["joined"]:
+        latency_s = self._fleet.draw_latency_s(worker, self._elapsed_s)
+        in_flight = self._random.randrange(12) * (3 if self._fleet.is_overloaded(self._elapsed_s) else 1)
+        health_info = {"queue": in_flight // 2} if worker % 3 == 0 else {"inflight": in_flight}
+        result = {
+            "Worker": worker,
+            "StateCode": "served",
+            "RttMs": latency_s * MS_PER_S,
+            "HealthInfo": health_info,
+        }
+        self._send(latency_s, manager, "PROBE_DONE", result)
+
+    def acknowledge(self, manager: int, body: Message) -> None:
+        """Acknowledges for most of the manager's proxies; some late, some never, some a number never used."""
+        for proxy_index, proxy in self._fleet.proxies.items():
+            if proxy.manager != manager or not proxy.is_connected:
                 continue
-            chance = self.random.random()
+            chance = self._random.random()
             if chance < 0.15:
                 continue
-            delay = 4.0 if chance < 0.2 else self.random.uniform(0.05, 0.6)
-            rev = (body["Rev"] + 7) % 65536 if chance > 0.99 else body["Rev"]
-            self.post(delay, who, "CAUGHT_UP", {"Proxy": proxy, "Rev": rev, "RttMs": delay * 1000.0})
-
-    def on_watch(self, who: int, _body: Event) -> None:
-        if self.random.random() < 0.2:
-            self.post(1.0, who, "SYNC", {"How": 1})
+            delay_s = 4.0 if chance < 0.2 else self._random.uniform(0.05, 0.6)
+            checkpoint = (body["Rev"] + 7) % 65536 if chance > 0.99 else body["Rev"]
+            reply = {"Proxy": proxy_index, "Rev": checkpoint, "RttMs": delay_s * MS_PER_S}
+            self._send(delay_s, manager, "CAUGHT_UP", reply)
+
+    def watch_endpoints(self, manager: int, _body: Message) -> None:
+        """Opens a watch, or lets it fail."""
+        if self._random.random() < 0.2:
+            self._send(1.0, manager, "SYNC", {"How": ListUpdate.FAILED})
             return
-        self.watched.add(who)
-        self.post(0.2, who, "SYNC", {"How": 0, "Entries": self.entries(self.workers)})
-
-    def on_broadcast(self, who: int, body: Event) -> None:
-        for manager in self.managers:
-            if manager != who and self.random.random() > 0.1:
-                data = body["Data"] if self.random.random() > 0.02 else body["Data"][::-1]
-                self.post(self.random.uniform(0.01, 0.4), manager, "HEARD", {"From": who, "Data": data})
-
-    def on_upsert(self, who: int, body: Event) -> None:
-        table = self.tables[who, body["SetId"]]
+        self._watching_managers.add(manager)
+        self._send_list(0.2, manager, ListUpdate.FULL, self._fleet.workers)
+
+    def deliver_gossip(self, manager: int, body: Message) -> None:
+        """Delivers a datagram to the other managers; some are lost, some corrupted."""
+        for other in self._managers:
+            if other != manager and self._random.random() > 0.1:
+                data = body["Data"] if self._random.random() > 0.02 else body["Data"][::-1]
+                delay_s = self._random.uniform(0.01, 0.4)
+                self._send(delay_s, other, "HEARD", {"From": manager, "Data": data})
+
+    def set_weight(self, manager: int, body: Message) -> None:
+        """Writes one weight into a table, or removes the worker from it."""
+        table = self._tables[manager, body["SetId"]]
         table[body["Worker"]] = body["Size"]
         if body["Size"] <= 0:
             del table[body["Worker"]]
 
-    def on_empty(self, who: int, body: Event) -> None:
-        self.tables[who, body["SetId"]].clear()
-
-    def on_pin(self, who: int, body: Event) -> None:
-        self.bound[who, body["Proxy"]] = body["SetId"]
-
-    # what happens on the day
-
-    def tick(self, tick: int) -> None:
-        for at, happening in HAPPENINGS:
-            if at == tick * TICK_S:
-                happening(self)
-        if tick % REPORT_TICKS == 0:
-            self.report_load()
-        self.joins_and_leaves()
-
-    def start(self, manager: int) -> None:
-        info = {**self.info, "Me": manager}
-        self.post(0.0, manager, "ATTACH", {"Info": info, "Prng": 77 + manager})
-        self.post(0.0, manager, "SYNC", {"How": 3, "Entries": self.entries(self.workers)})
-        if self.info["FamilyInfo"]["KeyRanges"]:
+    def clear_table(self, manager: int, body: Message) -> None:
+        """Removes every worker from a table."""
+        self._tables[manager, body["SetId"]].clear()
+
+    def bind_proxy(self, manager: int, body: Message) -> None:
+        """Lets a proxy read another table."""
+        self._bound_tables[manager, body["Proxy"]] = body["SetId"]
+
+    # Incidents of the day.
+
+    def _play_tick(self, tick: int) -> None:
+        for incident in INCIDENTS:
+            if incident.time_s == tick * TICK_S:
+                incident.play(self)
+        if tick % REPORT_INTERVAL_TICKS == 0:
+            self._report_load()
+        self._connect_and_disconnect_proxies()
+
+    def start_manager(self, manager: int) -> None:
+        """Starts a manager with the cached endpoint list."""
+        settings = {**self.settings, "Me": manager}
+        self._send(0.0, manager, "ATTACH", {"Info": settings, "Prng": 77 + manager})
+        self._send_list(0.0, manager, ListUpdate.CACHED, self._fleet.workers)
+        if self.settings["FamilyInfo"]["KeyRanges"]:
             for table in range(3):
-                self.post(0.5, manager, "GIVEN", {"SetId": table, "Active": True})
-                self.post(0.6, manager, "STORED_LINE", {"SetId": table, "Worker": table, "Size": 1.5})
-
-    def stop(self, manager: int) -> None:
-        self.post(0.0, manager, "RETIRE", {})
-        self.deliver(self.now)
-        self.alive.discard(manager)
-        for stands in self.proxies.values():
-            if stands["manager"] == manager:
-                stands["joined"] = False
-                stands["manager"] = (manager + 1) % len(self.managers)
-
-    def add_worker(self, worker: int, started: float) -> None:
-        self.workers[worker] = {
-            "zone": self.zones[worker % len(self.zones)],
-            "mode": 1,
-            "size": self.random.choice([1.0, 1.0, 2.0]),
-            "started": started,
-            "speed": self.random.uniform(0.05, 0.2),
-        }
-
-    def entries(self, workers: Any) -> list[Event]:
-        return [
-            {
-                "Worker": worker,
-                "Locality": self.workers[worker]["zone"],
-                "Mode": self.workers[worker]["mode"],
-                "Size": self.workers[worker]["size"],
-                "CameUpMs": self.workers[worker]["started"] * 1000.0,
-            }
-            for worker in workers
+                self._send(0.5, manager, "GIVEN", {"SetId": table, "Active": True})
+                self._send(0.6, manager, "STORED_LINE", {"SetId": table, "Worker": table, "Size": 1.5})
+
+    def stop_manager(self, manager: int) -> None:
+        """Stops a manager; its proxies turn to the next one."""
+        self._send(0.0, manager, "RETIRE", {})
+        self._deliver_until(self._now)
+        self._running_managers.discard(manager)
+        for proxy in self._fleet.proxies.values():
+            if proxy.manager == manager:
+                proxy.is_connected = False
+                proxy.manager = self._next_manager(manager)
+
+    def _next_manager(self, manager: int) -> int:
+        return (manager + 1) % len(self._managers)
+
+    def _send_list(self, delay_s: float, manager: int, update: ListUpdate, workers: Iterable[int]) -> None:
+        endpoints = [self._fleet.endpoint(worker) for worker in workers]
+        self._send(delay_s, manager, "SYNC", {"How": update, "Entries": endpoints})
+
+    def _send_list_changes(self, changed: list[int]) -> None:
+        for manager in self._managers:
+            if self.settings["Discovery"] != "subscribe" or manager in self._watching_managers:
+                delay_s = self._random.uniform(0.05, 1.5)
+                self._send_list(delay_s, manager, ListUpdate.DELTA, changed)
+
+    def send_full_list(self) -> None:
+        """Sends the complete list, from which one worker is missing."""
+        workers = list(self._fleet.workers)[1:]
+        for manager in self._managers:
+            self._send_list(0.1, manager, ListUpdate.FULL, workers)
+
+    def replace_third_of_workers(self) -> None:
+        """Drains a third of the workers at once, and lists as many new ones."""
+        draining = [worker for worker in self._fleet.workers if worker % 3 == 0]
+        for worker in draining:
+            self._fleet.workers[worker].state = ListedState.DRAINING
+        first = max(self._fleet.workers) + 1
+        started = range(first, first + len(draining))
+        for worker in started:
+            self._fleet.add_worker(worker, self._now)
+        self._send_list_changes([*draining, *started])
+
+    def remove_drained_workers(self) -> None:
+        """Lists the drained workers as gone, and forgets all but the first of them."""
+        gone = [
+            index for index, worker in self._fleet.workers.items() if worker.state == ListedState.DRAINING
         ]
-
-    def list_changes(self, changed: list[int]) -> None:
-        for manager in self.managers:
-            if self.info["Discovery"] != "subscribe" or manager in self.watched:
-                delay = self.random.uniform(0.05, 1.5)
-                self.post(delay, manager, "SYNC", {"How": 2, "Entries": self.entries(changed)})
-
-    def drain_storm(self) -> None:
-        leaving = [w for w in self.workers if w % 3 == 0]
-        for worker in leaving:
-            self.workers[worker]["mode"] = 0
-        first = max(self.workers) + 1
-        new = range(first, first + len(leaving))
-        for worker in new:
-            self.add_worker(worker, self.now)
-        self.list_changes([*leaving, *new])
-
-    def drains_end(self) -> None:
-        gone = [w for w, stands in self.workers.items() if stands["mode"] == 0]
         for worker in gone:
-            self.workers[worker]["mode"] = 2
-        self.list_changes(gone)
+            self._fleet.workers[worker].state = ListedState.GONE
+        self._send_list_changes(gone)
         for worker in gone[1:]:
-            del self.workers[worker]
+            del self._fleet.workers[worker]
 
     def restart_workers(self) -> None:
-        again = [w for w in self.workers if w % 4 == 1]
-        for worker in again:
-            self.workers[worker]["started"] = self.now - 1.0
-        self.list_changes(again)
-
-    def full_list(self) -> None:
-        for manager in self.managers:
-            self.post(0.1, manager, "SYNC", {"How": 0, "Entries": self.entries(list(self.workers)[1:])})
-
-    def overloaded(self) -> bool:
-        return 44.0 <= self.now - START_S < 56.0
-
-    def fails(self, worker: int) -> bool:
-        since = self.now - START_S
-        if worker == OUTLIER and 12.0 <= since < 20.0:
-            return True
-        lost = 36.0 <= since < 42.0 and worker in self.workers
-        return lost and self.workers[worker]["zone"] == self.zones[LOST_ZONE]
-
-    def response_s(self, worker: int) -> float:
-        speed = self.workers.get(worker, {"speed": 0.1})["speed"]
-        slow = 8.0 if worker == SLOW and 14.0 <= self.now - START_S < 30.0 else 1.0
-        crowded = 10.0 if self.overloaded() else 1.0
-        return float(speed * slow * crowded * self.random.uniform(0.8, 1.3))
-
-    def joins_and_leaves(self) -> None:
-        for proxy, stands in self.proxies.items():
-            who = stands["manager"]
-            if who not in self.alive:
-                stands["manager"] = (who + 1) % len(self.managers)
-            elif not stands["joined"] and self.random.random() < 0.25:
-                stands["joined"] = True
-                join = {"Proxy": proxy, "Locality": stands["zone"], "Size": stands["rate"]}
-                self.post(0.0, who, "CONNECTED", {**join, "Active": self.random.random() < 0.5})
-            elif stands["joined"] and self.random.random() < 0.002:
-                stands["joined"] = False
-                self.bound.pop((who, proxy), None)
-                self.post(0.0, who, "LOST_STREAM", {"Proxy": proxy})
-
-    def report_load(self) -> None:
-        for who in sorted(self.alive):
-            here = {p: s for p, s in self.proxies.items() if s["manager"] == who and s["joined"]}
-            sums: dict[tuple[int, str], float] = defaultdict(float)
-            for proxy, stands in here.items():
-                self.report_arrivals(who, proxy, stands["rate"])
-                table = self.tables[who, self.bound.get((who, proxy), -1)] or dict.fromkeys(self.workers, 1.0)
-                for worker, weight in table.items():
-                    sums[worker, stands["zone"]] += stands["rate"] * weight / sum(table.values())
-            for (worker, zone), rate in sums.items():
-                if self.random.random() < 0.9:
-                    self.post(self.random.uniform(0.0, 0.9), who, "TALLY", self.tally(worker, zone, rate))
-
-    def report_arrivals(self, who: int, proxy: int, rate: float) -> None:
-        for name, _, _ in CLASSES:
-            many = int(rate * self.random.uniform(0.1, 0.6) * (3.0 if self.overloaded() else 1.0))
-            counted = {"Lane": name, "Many": many, "Failed": many // 5, "ElapsedMs": 1000.0}
-            if self.random.random() < 0.004:
-                counted["Many"] = 39_000_000_000  # a spoilt sum
-            if self.info["FamilyInfo"]["KeyRanges"]:
-                self.post(0.3, who, "SLICE_LOAD", {**counted, "SetId": proxy % 3})
-            if self.random.random() < 0.8:
-                self.post(self.random.uniform(0.0, 2.5), who, "INGRESS", {**counted, "Proxy": proxy})
-
-    def tally(self, worker: int, zone: str, rate: float) -> Event:
-        many = int(rate + self.random.random())
-        errors = 0.9 if self.fails(worker) else 0.25 if self.overloaded() else 0.01
-        failed = sum(self.random.random() < errors for _ in range(many))
-        body = {"Worker": worker, "Locality": zone, "Many": many, "Failed": failed, "ElapsedMs": 1000.0}
-        body["RttMs"] = self.response_s(worker) * 1000.0
-        if self.info["Stats"]:
-            load = self.random.uniform(0.9, 1.4) if self.overloaded() else self.random.uniform(0.2, 0.7)
-            body["HealthInfo"] = {"util": load, "name": "left out"}
-        odd = self.random.random()
-        if odd < 0.004:
-            body["ElapsedMs"] = 400_000.0
-        elif odd < 0.008:
-            body["RttMs"] = 9e6
-        return body
-
-
-REACTIONS: dict[str, Callable[[SimulatedDay, int, Event], None]] = {
-    "DEFER": SimulatedDay.on_defer,
-    "SOUND_OUT": SimulatedDay.on_probe,
-    "STAMP": SimulatedDay.on_stamp,
-    "WATCH": SimulatedDay.on_watch,
-    "BROADCAST_TO": SimulatedDay.on_broadcast,
-    "UPSERT": SimulatedDay.on_upsert,
-    "EMPTY": SimulatedDay.on_empty,
-    "PIN": SimulatedDay.on_pin,
+        """Restarts a quarter of the workers at once."""
+        restarted = [worker for worker in self._fleet.workers if worker % 4 == 1]
+        for worker in restarted:
+            self._fleet.workers[worker].started_at_s = self._now - 1.0
+        self._send_list_changes(restarted)
+
+    def _connect_and_disconnect_proxies(self) -> None:
+        for proxy_index, proxy in self._fleet.proxies.items():
+            manager = proxy.manager
+            if manager not in self._running_managers:
+                proxy.manager = self._next_manager(manager)
+            elif not proxy.is_connected and self._random.random() < 0.25:
+                self._connect(proxy_index, proxy)
+            elif proxy.is_connected and self._random.random() < 0.002:
+                proxy.is_connected = False
+                self._bound_tables.pop((manager, proxy_index), None)
+                self._send(0.0, manager, "LOST_STREAM", {"Proxy": proxy_index})
+
+    def _connect(self, proxy_index: int, proxy: SimulatedProxy) -> None:
+        proxy.is_connected = True
+        body = {
+            "Proxy": proxy_index,
+            "Locality": proxy.zone,
+            "Size": proxy.requests_per_s,
+            "Active": self._random.random() < 0.5,
+        }
+        self._send(0.0, proxy.manager, "CONNECTED", body)
+
+    def _report_load(self) -> None:
+        reports_stats = bool(self.settings["Stats"])
+        for manager in sorted(self._running_managers):
+            for (worker, zone), requests_per_s in self._send_arrivals(manager).items():
+                if self._random.random() < 0.9:
+                    delay_s = self._random.uniform(0.0, 0.9)
+                    report = self._fleet.load_report(
+                        worker, zone, requests_per_s, reports_stats, self._elapsed_s
+                    )
+                    self._send(delay_s, manager, "TALLY", report)
+
+    def _send_arrivals(self, manager: int) -> dict[tuple[int, str], float]:
+        """Sends the arrival reports of a manager's proxies; returns request rates by worker and zone."""
+        rates: dict[tuple[int, str], float] = defaultdict(float)
+        for proxy_index, proxy in self._fleet.proxies.items():
+            if proxy.manager != manager or not proxy.is_connected:
+                continue
+            self._report_arrivals(manager, proxy_index, proxy.requests_per_s)
+            bound_table = self._bound_tables.get((manager, proxy_index), -1)
+            weights = self._tables[manager, bound_table] or dict.fromkeys(self._fleet.workers, 1.0)
+            for worker, weight in weights.items():
+                rates[worker, proxy.zone] += proxy.requests_per_s * weight / sum(weights.values())
+        return rates
+
+    def _report_arrivals(self, manager: int, proxy: int, requests_per_s: float) -> None:
+        for request_class in REQUEST_CLASSES:
+            overload_factor = 3.0 if self._fleet.is_overloaded(self._elapsed_s) else 1.0
+            count = int(requests_per_s * self._random.uniform(0.1, 0.6) * overload_factor)
+            report: Message = {
+                "Lane": request_class.name,
+                "Many": count,
+                "Failed": count // 5,
+                "ElapsedMs": REPORT_INTERVAL_MS,
+            }
+            if self._random.random() < 0.004:
+                report["Many"] = CORRUPT_COUNT
+            if self.settings["FamilyInfo"]["KeyRanges"]:
+                self._send(0.3, manager, "SLICE_LOAD", {**report, "SetId": proxy % 3})
+            if self._random.random() < 0.8:
+                self._send(self._random.uniform(0.0, 2.5), manager, "INGRESS", {**report, "Proxy": proxy})
+
+
+@dataclass(frozen=True, slots=True)
+class Incident:
+    """Something that happens to the fleet at a time of the day."""
+
+    time_s: float
+    play: Callable[[SimulatedDay], None]
+
+
+REACTIONS: dict[str, Callable[[SimulatedDay, int, Message], None]] = {
+    "DEFER": SimulatedDay.start_timer,
+    "SOUND_OUT": SimulatedDay.check_health,
+    "STAMP": SimulatedDay.acknowledge,
+    "WATCH": SimulatedDay.watch_endpoints,
+    "BROADCAST_TO": SimulatedDay.deliver_gossip,
+    "UPSERT": SimulatedDay.set_weight,
+    "EMPTY": SimulatedDay.clear_table,
+    "PIN": SimulatedDay.bind_proxy,
 }
-HAPPENINGS: list[tuple[float, Callable[[SimulatedDay], None]]] = [
-    (8.0, SimulatedDay.full_list),
-    (22.0, SimulatedDay.drain_storm),
-    (27.0, SimulatedDay.drains_end),
-    (32.0, SimulatedDay.restart_workers),
-    (33.0, lambda day: day.stop(0)),
-    (34.0, lambda day: day.start(0)),
-    (43.0, SimulatedDay.restart_workers),
-    (58.0, SimulatedDay.drain_storm),
-]
+INCIDENTS = (
+    Incident(8.0, SimulatedDay.send_full_list),
+    Incident(22.0, SimulatedDay.replace_third_of_workers),
+    Incident(27.0, SimulatedDay.remove_drained_workers),
+    Incident(32.0, SimulatedDay.restart_workers),
+    Incident(33.0, lambda day: day.stop_manager(0)),
+    Incident(34.0, lambda day: day.start_manager(0)),
+    Incident(43.0, SimulatedDay.restart_workers),
+    Incident(58.0, SimulatedDay.replace_third_of_workers),
+)
--- a/tests/support/wire_fleet.py
+++ b/tests/support/wire_fleet.py
@@ -43,7 +43,7 @@
 from cottonladder.protocol.messages import ExtensionMessage, MessageReader
 from cottonladder.state.order_dispatcher import OrderDispatcher
 from cottonladder.state.proxy_sessions import ProxySessions
-from tests.support.simulated_days import settings
+from tests.support.simulated_day_settings import simulator_settings
 
 START = 1_700_000_000.0  # Unix s
 SNAPSHOT_AGE = 9.0  # s between a life's last snapshot and the next life
@@ -119,7 +119,7 @@
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": listing(1, range(6), True),
-        "settings": {**settings(**changes), "Me": 0},
+        "settings": {**simulator_settings(**changes), "Me": 0},
         "peer_listen": "127.0.0.1:0",
         "peers": ["127.0.0.1:1", "127.0.0.1:2"],
         "peers_all": "127.0.0.1:3",
