--- a/tests/policy/test_recorded_orders.py
+++ b/tests/policy/test_recorded_orders.py
@@ -18,7 +18,7 @@
 from cottonladder.simulator.host import SimulatorHost
 from tests.support.simulated_day_settings import DAYS
 from tests.support.simulated_days import SimulatedDay
-from tests.support.wire_fleet import play_two_lives
+from tests.support.wire_manager import play_two_incarnations
 
 RECORDED = Path(__file__).parents[1] / "recorded" / "orders.json"
 INCARNATION_S = 30
@@ -60,9 +60,13 @@
         self.assertEqual({name for day in played.values() for name in day["actions"]}, ALL_ACTIONS)
 
     def test_resp2_messages_datagrams_and_snapshots(self) -> None:
-        self.assertEqual(play_two_lives(INCARNATION_S), self.recorded["wire"])
+        self.assertEqual(play_two_incarnations(INCARNATION_S), self.recorded["wire"])
 
 
 if __name__ == "__main__":
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
-    print(json.dumps({"simulated": play_simulated_days(), "wire": play_two_lives(INCARNATION_S)}, indent=2))
+    print(
+        json.dumps(
+            {"simulated": play_simulated_days(), "wire": play_two_incarnations(INCARNATION_S)}, indent=2
+        )
+    )
