--- a/tests/support/forwarder_rig.py
+++ b/tests/support/forwarder_rig.py
@@ -14,12 +14,13 @@
 from cottonladder.testbed.fleet import ForwarderProcess, ManagerProcess
 from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
+from tests.support.simulated_day_settings import JsonObject
 
-EVENT_TIMEOUT_S = 20.0  # for any event, so that a slow machine fails no test
-POLL_INTERVAL_S = 0.02  # between two looks at a condition that no event announces
+EVENT_TIMEOUT_S = 20.0  # for any event; long enough for a slow machine
+POLL_INTERVAL_S = 0.02  # between two checks of a condition that no event signals
 GRACE_S = 6.0
-UPGRADES: dict[str, Any] = {"grace": GRACE_S, "arrivals": 1000.0}
-RELEASE_CLASSES: list[dict[str, Any]] = [
+UPGRADES: JsonObject = {"grace": GRACE_S, "arrivals": 1000.0}
+RELEASE_CLASSES: list[JsonObject] = [
     {"name": "fetch", "replays": "replayable", "timeout": 8.0, "ticket": "Case-Ticket",
      "busy": {"opens": "release:", "ends": "done:"}},
 ]  # fmt: skip
@@ -62,7 +63,7 @@
         return worker
 
     async def manager(
-        self, upgrades: dict[str, Any] | None = UPGRADES, port: int = 0, **more: Any
+        self, upgrades: JsonObject | None = UPGRADES, port: int = 0, **more: Any
     ) -> ManagerProcess:
         """Starts a manager."""
         manager = ManagerProcess(self.discovery_address, self.discovery.listing(), upgrades, **more)
@@ -91,7 +92,7 @@
             result = condition()
             if result if isinstance(result, bool) else await result:
                 return
-            self.assertLess(time.monotonic(), deadline, "the condition did not come about in time")
+            self.assertLess(time.monotonic(), deadline, "the condition did not hold in time")
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_for_table(self, forwarder: ForwarderProcess, *names: str) -> None:
--- a/tests/support/http_server.py
+++ b/tests/support/http_server.py
@@ -1,4 +1,4 @@
-"""One HTTP service on a free port of loopback, for the length of a test."""
+"""HTTP services on free ports of loopback, for the length of a test."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def start_http_server(handler: Handler) -> tuple[str, web.ServerRunner]:
-    """One HTTP service on a free port: its address, and what gives it back."""
+    """Starts an HTTP service on a free port; returns its address, and the runner whose `cleanup` stops it."""
     runner = web.ServerRunner(web.Server(handler, handler_cancellation=True), shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -19,7 +19,7 @@
 
 
 def scripted_answer(text: str, status: int = 200) -> Handler:
-    """A handler that answers with these bytes, after which the connection ends."""
+    """Returns a handler that answers with `text` and then closes the connection."""
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         reply = web.StreamResponse(status=status)
--- a/tests/support/manager_program.py
+++ b/tests/support/manager_program.py
@@ -1,4 +1,4 @@
-"""A manager under its own command line; its log lines are kept and waited for."""
+"""A manager under its own command line, with its file, its log lines and connections to it."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 from tests.support.program_with_constants import CONSTANTS_VARIABLE
 from tests.support.scripted_discovery import endpoint_entry, endpoint_list
+from tests.support.simulated_day_settings import JsonObject
 from tests.support.stream_client import StreamClient
 from tests.support.timeouts import in_time
 
 ROOT = Path(__file__).parents[2]
-SETTINGS: dict[str, Any] = {
+SETTINGS: JsonObject = {
     "NInstances": 1, "Me": 0, "Zones": ["a", "b"], "Discovery": "subscribe",
     "Profiles": [{"Name": n, "TargetMs": 1000.0, "Gain": g} for n, g in (("lookup", 1.0), ("order", 3.0))],
     "FamilyInfo": {"Proxies": 8, "EgressPerS": 3000.0, "Head": 10.0, "PendingMax": 6000.0,
@@ -31,16 +32,19 @@
 
 
 class ManagerProgram:
-    """The program under its own command line; its log lines are kept and waited for.
+    """A manager as a process of its own, whose log lines are kept and can be awaited.
 
-    `constants` are set in the program by their full names, for a test that would wait long for them.
+    `constants` replace constants of the program, by their full names, where a test would wait long for them.
+    `changes` replace keys of the configuration file; `settings` replaces single settings.
     """
 
-    def __init__(self, at: str, constants: Mapping[str, float] | None = None, **changes: Any) -> None:
+    def __init__(
+        self, discovery_address: str, constants: Mapping[str, float] | None = None, **changes: Any
+    ) -> None:
         self._constants = dict(constants or {})
         settings = {**SETTINGS, **changes.pop("settings", {})}
         self.config = {
-            "name": "n0", "listen": "127.0.0.1:0", "discovery": at, "seed": "8c1f30d27a5be964",
+            "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery_address, "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": endpoint_list(41, endpoint_entry("s-1"), endpoint_entry("s-2"), full=True),
             "settings": settings, **changes,
@@ -50,12 +54,14 @@
         self._line_added = asyncio.Condition()
 
     async def start(self, config: str | None = None) -> None:
+        """Writes the configuration file, or `config` in its place, and starts the program."""
         self.folder = Path(tempfile.mkdtemp())
         path = self.folder / "config.json"
         path.write_text(json.dumps(self.config) if config is None else config)
         await self.run(path)
 
     async def run(self, path: Path, **env: str) -> None:
+        """Starts the program with a configuration file and further environment variables."""
         module = "cottonladder"
         if self._constants:
             module = "tests.support.program_with_constants"
@@ -68,6 +74,7 @@
         self.reading = asyncio.create_task(self._read())
 
     async def serving(self) -> None:
+        """Starts the program and waits until it serves."""
         await self.start()
         self.port = int((await self.logged("event=serving")).split("port=")[1])
 
@@ -78,35 +85,40 @@
                 self.lines.append(line.decode())
                 self._line_added.notify_all()
 
-    async def logged(self, *words: str) -> str:
-        """The first line with all these words, which is then used up."""
-
-        def find() -> str | None:
-            return next((line for line in self.lines if all(word in line for word in words)), None)
-
+    async def logged(self, *parts: str) -> str:
+        """Waits for the first log line that contains all of `parts`; removes and returns it."""
         try:
             async with self._line_added:
-                await in_time(self._line_added.wait_for(lambda: find() is not None))
+                await in_time(self._line_added.wait_for(lambda: self._find_line(parts) is not None))
         except TimeoutError:
-            raise AssertionError(f"no line with {words} in:\n{''.join(self.lines)}") from None
-        line = str(find())
+            raise AssertionError(f"no line with {parts} in:\n{''.join(self.lines)}") from None
+        line = str(self._find_line(parts))
         self.lines.remove(line)
         return line
 
+    def _find_line(self, parts: tuple[str, ...]) -> str | None:
+        return next((line for line in self.lines if all(part in line for part in parts)), None)
+
     async def connect(self) -> StreamClient:
+        """Opens a connection to the program's stream listener."""
         return StreamClient(*await asyncio.open_connection("127.0.0.1", self.port))
 
     def reload(self, text: str | None = None, **changes: Any) -> None:
+        """Changes the configuration file, or writes `text` in its place, and sends SIGHUP."""
         self.config.update(changes)
         (self.folder / "config.json").write_text(json.dumps(self.config) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
 
     async def stop(self) -> int:
-        """Only for one that runs: a signal to one that has just ended reaps it, and its status is lost."""
+        """Stops the program and returns its exit status.
+
+        It must run: asyncio reaps a process that has just ended as it is signalled, and its status is lost.
+        """
         self.process.send_signal(signal.SIGTERM)
         return await self.ended()
 
     async def ended(self) -> int:
+        """Waits until the program has ended; returns its exit status."""
         status = await in_time(self.process.wait())
         await in_time(self.reading)
         shutil.rmtree(self.folder)
--- a/tests/support/manager_test_case.py
+++ b/tests/support/manager_test_case.py
@@ -13,29 +13,33 @@
 
 
 class ManagerTestCase(unittest.IsolatedAsyncioTestCase):
-    """A discovery, programs beside it and who speaks to them, each ended with the test."""
+    """A scripted discovery service, manager programs and connections to them, all closed with the test."""
 
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # its traces would hold thousands of dials up
+        asyncio.get_running_loop().set_debug(False)  # debug traces would slow thousands of connections down
         self.discovery = ScriptedDiscovery()
         self.discovery_address = await self.start_http_server(self.discovery.handle)
 
     async def start_http_server(self, handler: Handler) -> str:
-        at, runner = await start_http_server(handler)
+        """Starts an HTTP service; returns its address."""
+        address, runner = await start_http_server(handler)
         self.addAsyncCleanup(runner.cleanup)
-        return at
+        return address
 
     async def serving(self, **changes: Any) -> ManagerProgram:
+        """Starts a manager with these changes to its configuration, and waits until it serves."""
         program = ManagerProgram(self.discovery_address, **changes)
         await program.serving()
         self.addAsyncCleanup(self.end, program)
         return program
 
     async def end(self, program: ManagerProgram) -> None:
+        """Stops a manager unless it has ended."""
         if program.process.returncode is None:
             await program.stop()
 
     async def connect(self, program: ManagerProgram, first: str = "") -> StreamClient:
+        """Opens a connection, and sends a first message if one is given."""
         client = await program.connect()
         self.addCleanup(client.close)
         if first:
@@ -43,6 +47,7 @@
         return client
 
     async def join(self, program: ManagerProgram, node: int, cold: int = 1) -> StreamClient:
+        """Connects a proxy; with `cold` 0 it still has tables of another manager."""
         proxy = await self.connect(program)
         proxy.join(node, cold=cold)
         return proxy
--- a/tests/support/recorded_inputs.py
+++ b/tests/support/recorded_inputs.py
@@ -115,14 +115,14 @@
         self._dispatcher.track_proxies(inputs)
         orders = self._controller.decide(now, inputs)
         for order in orders:
-            self._carry_out(order, now)
+            self._apply_order(order, now)
         if any(isinstance(order, Checkpoint) for order in orders):
             self._controller.channel_budget.record_written(self._dispatcher.pending_line_counts())
         for proxy, data in self._dispatcher.take_messages():
             for arguments in RespReader(MAX_MESSAGE_SIZE).feed(data):
                 self._send(proxy, b" ".join(arguments).decode(), now)
 
-    def _carry_out(self, order: Order, now: float) -> None:
+    def _apply_order(self, order: Order, now: float) -> None:
         if isinstance(order, StartTimer):
             self._timer = DueTimer(now + order.delay_s, order.token)
         elif isinstance(order, (WorkerStateChanged, AdmissionChanged, SendGossip)):
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service that answers as a test has scripted it, by the published pages."""
+"""A discovery service whose answers a test scripts."""
 
 from __future__ import annotations
 
@@ -9,17 +9,27 @@
 from aiohttp import web
 
 from tests.support.http_server import Handler
+from tests.support.simulated_day_settings import JsonObject
 from tests.support.timeouts import in_time
 
-KEEP_ALIVE_INTERVAL_S = 2.0  # between empty lines of a watch
+KEEP_ALIVE_INTERVAL_S = 2.0  # between the empty lines that keep a watch open
 
 
-def endpoint_entry(name: str, state: str = "Ready", **more: Any) -> dict[str, Any]:
-    usual = {"addr": "127.0.0.1:1", "zone": "a", "kind": "m", "cell": 0, "weight": 1.0, "started_ms": 0}
-    return {"id": name, "state": state, **usual, **more}
+def endpoint_entry(name: str, state: str = "Ready", **fields: Any) -> JsonObject:
+    """Returns a worker's entry; `fields` replace or add to the default ones."""
+    default_fields = {
+        "addr": "127.0.0.1:1",
+        "zone": "a",
+        "kind": "m",
+        "cell": 0,
+        "weight": 1.0,
+        "started_ms": 0,
+    }
+    return {"id": name, "state": state, **default_fields, **fields}
 
 
-def endpoint_list(version: int, *servers: dict[str, Any], full: bool = False) -> dict[str, Any]:
+def endpoint_list(version: int, *servers: JsonObject, full: bool = False) -> JsonObject:
+    """Returns an endpoint list, complete or with changes alone."""
     return {"version": version, "full": full, "servers": list(servers)}
 
 
@@ -32,6 +42,7 @@
         self.watches: asyncio.Queue[web.StreamResponse] = asyncio.Queue()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answers one call."""
         self.calls.put_nowait(request.path_qs)
         if self.script:
             return await self.script.pop(0)(request)
@@ -40,10 +51,10 @@
         self.watches.put_nowait(reply)
         while True:
             await reply.write(b"\n")
-            await asyncio.sleep(KEEP_ALIVE_INTERVAL_S)  # the empty line that the protocol promises
+            await asyncio.sleep(KEEP_ALIVE_INTERVAL_S)
 
-    async def send_updates(self, *bodies: dict[str, Any]) -> None:
-        """On the newest watch."""
+    async def send_updates(self, *bodies: JsonObject) -> None:
+        """Sends changes of the endpoint list on the newest watch."""
         watch = await in_time(self.watches.get())
         for body in bodies:
             await watch.write(json.dumps(body).encode() + b"\n")
--- a/tests/support/simulated_day_fleet.py
+++ b/tests/support/simulated_day_fleet.py
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class SimulatedProxy:
-    """A proxy of the day's fleet, and the manager that it is connected to or tries next."""
+    """A proxy of the day's fleet, and the manager that it is connected to or connects to next."""
 
     zone: str
     requests_per_s: float
@@ -77,7 +77,7 @@
         )
 
     def add_proxy(self, proxy: int, manager_count: int) -> None:
-        """Adds a proxy that tries the managers in turn."""
+        """Adds a proxy; the proxies are spread over the managers."""
         self.proxies[proxy] = SimulatedProxy(
             zone=self._zones[proxy % len(self._zones)],
             requests_per_s=self._random.uniform(0.5, self._size.max_requests_per_s),
--- a/tests/support/simulated_days.py
+++ b/tests/support/simulated_days.py
@@ -35,7 +35,7 @@
 
 BatchHandler = Callable[[str], JsonObject]
 TICK_S = 0.25
-REPORT_INTERVAL_TICKS = 4
+REPORT_INTERVAL_TICKS = 4  # of TICK_S each
 START_S = 1000.0  # of the simulator's clock, on which a start at 0 is long ago
 RECENT_START_AGE_S = 9.0  # of the tenth of the workers that has just started when the day begins
 
--- a/tests/support/stream_client.py
+++ b/tests/support/stream_client.py
@@ -3,48 +3,59 @@
 from __future__ import annotations
 
 import asyncio
+from contextlib import suppress
 
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader, encode
 from tests.support.timeouts import in_time
 
+READ_SIZE_BYTES = 65536
+
 
 class StreamClient:
-    """A proxy's, collector's or stranger's connection."""
+    """The client end of a connection to a manager; sends and receives RESP2 messages as words of text."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
-        self.resp, self.received = RespReader(MAX_MESSAGE_SIZE), list[list[bytes]]()
+        self.reader = reader
+        self.writer = writer
+        self._resp_reader = RespReader(MAX_MESSAGE_SIZE)
+        self.received: list[list[bytes]] = []
 
     def send(self, text: str) -> None:
+        """Sends a message whose arguments are the words of `text`."""
         self.writer.write(encode(text.encode().split()))
 
     async def receive(self) -> str:
+        """Returns the next message; EOFError if the manager has closed the connection."""
         while not self.received:
-            data = await in_time(self.reader.read(65536))
+            data = await in_time(self.reader.read(READ_SIZE_BYTES))
             if not data:
                 raise EOFError
-            self.received += list(self.resp.feed(data))
+            self.received += list(self._resp_reader.feed(data))
         return b" ".join(self.received.pop(0)).decode()
 
-    async def receive_until(self, word: str) -> str:
-        while word not in (heard := await self.receive()):
-            if "stamp" in heard:
-                self.acknowledge(heard)
-        return heard
+    async def receive_until(self, text: str) -> str:
+        """Returns the first message that contains `text`, and acknowledges the checkpoints before it."""
+        while text not in (message := await self.receive()):
+            if "stamp" in message:
+                self.acknowledge(message)
+        return message
 
-    def acknowledge(self, heard: str) -> None:
-        self.send(f"ACK node {self.node} nonce {heard.split('stamp ')[1].split()[0]} latency 120.5")
+    def acknowledge(self, message: str) -> None:
+        """Acknowledges the checkpoint of a message."""
+        checkpoint = message.split("stamp ")[1].split()[0]
+        self.send(f"ACK node {self.node} nonce {checkpoint} latency 120.5")
 
     def join(self, node: int, zone: str = "a", cold: int = 1) -> None:
+        """Subscribes as a proxy; with `cold` 0 it still has tables of another manager."""
         self.node = node
         self.send(f"SUBSCRIBE node {node} locality {zone} w 10.0 cold {cold}")
 
     async def wait_closed(self) -> None:
-        try:
-            while await in_time(self.reader.read(65536)):
+        """Waits until the manager has closed or reset the connection."""
+        with suppress(ConnectionError):
+            while await in_time(self.reader.read(READ_SIZE_BYTES)):
                 pass
-        except ConnectionError:
-            pass
 
     def close(self) -> None:
+        """Closes the connection."""
         self.writer.close()
--- a/tests/support/timeouts.py
+++ b/tests/support/timeouts.py
@@ -1,4 +1,4 @@
-"""How long tests wait for what must come about."""
+"""The time limit of tests for events that must occur."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from collections.abc import Awaitable
 from typing import TypeVar
 
-EVENT_TIMEOUT_S = 15.0  # for any event, so that a slow machine fails no test
+EVENT_TIMEOUT_S = 15.0  # for any event; long enough for a slow machine
 T = TypeVar("T")
 
 
 async def in_time(awaitable: Awaitable[T]) -> T:
-    """The awaitable's result; TimeoutError if it takes longer than any event may."""
+    """Returns the awaitable's result; TimeoutError after `EVENT_TIMEOUT_S`."""
     return await asyncio.wait_for(awaitable, EVENT_TIMEOUT_S)
--- a/tests/support/wire_manager.py
+++ b/tests/support/wire_manager.py
@@ -64,7 +64,7 @@
 PROXY_COUNT = 12
 OUTLIER_WORKER = b"s-4"
 OVERLOAD_FROM_S = 24
-SEED = 5
+SEED = 5  # of the random draws
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -1,8 +1,8 @@
-"""Files that an earlier text wrote, or that operators may have, are still read: `tests/recorded/files`.
+"""Files that an earlier version wrote, or that operators may have, are still read: `tests/recorded/files`.
 
-Snapshots of a manager, of a forwarder and of the first format stand beside what `memory export` printed of
-them; the manager's file and the operators' file, with every key, beside what `check` printed and what was
-read.  None of them is ever written anew, as operators' own files are not.
+The folder has snapshots of a manager, of a forwarder and of the first format, each with the output of
+`memory export`; and a manager's file and an operators' file with every key, with the output of `check` and
+the configuration that was read.  The files are never written again, because operators' own files are not.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 FILES = Path(__file__).parent / "recorded" / "files"
 
 
-def printed(*arguments: str) -> tuple[int, str]:
-    """Status and output of one command."""
+def run_command(*arguments: str) -> tuple[int, str]:
+    """Returns the exit status and the output of a command."""
     result = CliRunner().invoke(main, list(arguments))
     return result.exit_code, result.output
 
 
-class RecordedFiles(unittest.TestCase):
+class RecordedFileTests(unittest.TestCase):
     def test_snapshots_are_read(self) -> None:
         for name in ("manager", "forwarder", "format_1"):
             with self.subTest(name):
-                status, text = printed("memory", "export", str(FILES / name))
+                status, text = run_command("memory", "export", str(FILES / name))
                 self.assertEqual(status, 0)
                 self.assertEqual(json.loads(text), json.loads((FILES / name / "export.json").read_text()))
 
-    def test_check_tells_of_both_files_what_it_told(self) -> None:
+    def test_check_prints_the_recorded_output_for_both_files(self) -> None:
         files = ["--config", str(FILES / "manager.json"), "--operator", str(FILES / "operator.json5")]
-        status, text = printed("check", *files)
+        status, text = run_command("check", *files)
         self.assertEqual(status, 0)
         self.assertEqual(text.replace(f"{FILES}/", ""), (FILES / "check.txt").read_text())
 
