--- a/tests/forwarder/test_race_conditions.py
+++ b/tests/forwarder/test_race_conditions.py
@@ -86,6 +86,7 @@
         self.assertIsNotNone(status["manager"])  # its orders count until the last request has ended
         self.answers_allowed.set()
         self.assertEqual(await release, Answer(200, "", b"r-1"))
+        await self.session.close()  # otherwise the forwarder waits for this test's own idle connections
         self.assertEqual(await forwarder.stop(), 0)
         self.assertEqual(self.ledger.releases["r-1"], 1)
 
