--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -10,7 +10,7 @@
 import socket
 import sys
 import tempfile
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from contextlib import suppress
 from pathlib import Path
 from typing import Any
@@ -49,7 +49,13 @@
 
 
 class Process:
-    """A process of the project's command line, whose log lines are kept and can be awaited."""
+    """A process of the project's command line, whose log lines are kept and can be awaited.
+
+    Subclasses may run another module or add environment variables.
+    """
+
+    module = "cottonladder"
+    environment: Mapping[str, str] = {}
 
     def __init__(self, *arguments: str) -> None:
         self.folder = Path(tempfile.mkdtemp())
@@ -69,9 +75,9 @@
     async def start(self, *arguments: str, env: dict[str, str] | None = None) -> None:
         """Starts the process with further arguments and environment variables."""
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-m", "cottonladder", *self._arguments, *arguments, cwd=ROOT,
+            sys.executable, "-B", "-m", self.module, *self._arguments, *arguments, cwd=ROOT,
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT,
-            env={**os.environ, **(env or {})},
+            env={**os.environ, **self.environment, **(env or {})},
         )  # fmt: skip
         self._reading = asyncio.create_task(self._read())
 
