--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -206,7 +206,7 @@
 ) -> int:
     """A manager that serves advice over SASP; gives that port."""
     server = {"protocol": "sasp", "listen": "127.0.0.1:0", "clients": BALANCER_COUNT + SPARE_BALANCERS}
-    manager = ManagerProcess(discovery_address, discovery.listing(), None, {"serve": [server]})
+    manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None, {"serve": [server]})
     stack.push_async_callback(manager.stop)
     await manager.serving()
     line = await manager.logged("advice_server_started")
@@ -262,7 +262,7 @@
     """The most memory that an idle manager has used."""
     async with AsyncExitStack() as stack:
         discovery, discovery_address = await start_discovery(stack)
-        manager = ManagerProcess(discovery_address, discovery.listing(), None, advice)
+        manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None, advice)
         stack.push_async_callback(manager.stop)
         await manager.serving()
         await asyncio.sleep(IDLE_S)
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -61,7 +61,7 @@
 SNAPSHOT_RUN_S = 3.0
 FLEET_SIZE = (120, 640)  # workers and proxies
 LARGE_FLEET_SIZE = (1200, 6400)
-BUSY_TASKS = 20
+BUSY_TASK_COUNT = 20
 BUSY_SLICE_S = 0.002
 TIMER_S = 0.005
 TIMER_COUNT = 400
@@ -288,7 +288,7 @@
 async def timer_delay_ms(is_loaded: bool) -> float:
     """p99 of a timer's lateness, with background tasks that are always due, or with none."""
     scheduler = BackgroundScheduler(lambda: 0.0)
-    for number in range(BUSY_TASKS if is_loaded else 0):
+    for number in range(BUSY_TASK_COUNT if is_loaded else 0):
         plan = TaskPlan(f"busy-{number}", 0.01, priority=number % 3, cpu_fraction=0.02)
         scheduler.add(plan, busy_work)
     scheduler.start()
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -137,7 +137,7 @@
     discovery, discovery_address = await start_discovery(stack)
     ledger = EffectLedger()
     workers = await start_workers(stack, discovery, ledger)
-    manager = ManagerProcess(discovery_address, discovery.listing(), None)
+    manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None)
     stack.push_async_callback(manager.stop)
     port = await manager.serving()
     folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -294,7 +294,7 @@
     """Memory of an idle manager."""
     async with AsyncExitStack() as stack:
         discovery, discovery_address = await start_discovery(stack)
-        manager = ManagerProcess(discovery_address, discovery.listing(), None)
+        manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None)
         stack.push_async_callback(manager.stop)
         await manager.serving()
         await asyncio.sleep(IDLE_S)
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -118,7 +118,7 @@
             stack.push_async_callback(worker.abort)
             self.workers[worker.name] = worker
         await self.discovery.put(LEAVING_WORKER, self.workers[LEAVING_WORKER].address, "a")
-        manager = ManagerProcess(discovery_address, self.discovery.listing(), self.upgrades)
+        manager = ManagerProcess(discovery_address, self.discovery.endpoint_list(), self.upgrades)
         stack.push_async_callback(manager.stop)
         manager_address = f"127.0.0.1:{await manager.serving()}"
         for number in range(FORWARDER_COUNT):
@@ -252,7 +252,7 @@
         address = await start_worker_process(stack)
         discovery, discovery_address = await start_discovery(stack)
         await discovery.put("s-0", address, "a")
-        manager = ManagerProcess(discovery_address, discovery.listing(), None)
+        manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None)
         stack.push_async_callback(manager.stop)
         manager_address = f"127.0.0.1:{await manager.serving()}"
         forwarder = ForwarderProcess(0, discovery_address, [manager_address], None, **part)
--- a/cottonladder/testbed/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -278,6 +278,11 @@
     return weights
 
 
+def count_reports(messages: list[dfp.Message]) -> int:
+    """The number of messages that report weights."""
+    return sum(message.message_type == dfp.MessageType.PREFERENCE_INFORMATION for message in messages)
+
+
 async def read_dfp_reports(
     port: int, count: int = 1, secret: tuple[int, bytes] | None = None
 ) -> list[dfp.Message]:
@@ -290,7 +295,7 @@
         writer.write(dfp.encode_message(parameters, secret))
         writer.write(dfp.encode_message(dfp.Message(dfp.MessageType.BIND_ID_REQUEST), secret))
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
-            while sum(m.message_type == dfp.MessageType.PREFERENCE_INFORMATION for m in messages) < count:
+            while count_reports(messages) < count:
                 data = await reader.read(READ_SIZE_BYTES)
                 if not data:
                     raise ConnectionResetError("ended by the agent")
--- a/cottonladder/testbed/demo.py
+++ b/cottonladder/testbed/demo.py
@@ -102,7 +102,7 @@
     ) -> None:
         family = {**SETTINGS["FamilyInfo"], "Proxies": FORWARDER_COUNT}
         settings: dict[str, Any] = {"NInstances": MANAGER_COUNT, "FamilyInfo": family, "Me": number}
-        manager = ManagerProcess(discovery_address, self.discovery.listing(), UPGRADES, **settings)
+        manager = ManagerProcess(discovery_address, self.discovery.endpoint_list(), UPGRADES, **settings)
         stack.push_async_callback(manager.stop)
         await manager.serving(port)
         self.managers.append(manager)
@@ -256,6 +256,7 @@
     with Live(auto_refresh=False) as live:
 
         def show(title: str, rows: list[WorkerRow], line: str) -> None:
+            """Shows one refresh as a table."""
             table = Table(*COLUMNS, title=title, caption=line)
             for row in rows:
                 table.add_row(*row.cells(), style="yellow" if row.state != "Ready" else "")
--- a/cottonladder/testbed/discovery.py
+++ b/cottonladder/testbed/discovery.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import json
+from dataclasses import dataclass
 from typing import Any
 
 from aiohttp import web
@@ -14,6 +15,14 @@
 MILLISECONDS_PER_S = 1000.0
 
 
+@dataclass(frozen=True, slots=True)
+class EndpointChange:
+    """A worker's entry as the list has had it since a version."""
+
+    version: int
+    entry: dict[str, Any]
+
+
 class SimulatedDiscovery:
     """Owns the endpoint list and its watches; keeps changes for watches that begin at an older version."""
 
@@ -21,7 +30,7 @@
         self.version = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self._changed = asyncio.Condition()
-        self._changes: list[tuple[int, dict[str, Any]]] = []
+        self._changes: list[EndpointChange] = []
         self.is_down = False
         self._runner: web.ServerRunner | None = None
         self.address = ""
@@ -56,7 +65,7 @@
                 self.entries.pop(name, None)
             else:
                 self.entries[name] = entry
-            self._changes.append((self.version, entry))
+            self._changes.append(EndpointChange(self.version, entry))
             self._changed.notify_all()
 
     async def set_state(self, name: str, state: str) -> None:
@@ -65,7 +74,7 @@
         started = entry["started_ms"] / MILLISECONDS_PER_S
         await self.put(name, entry["addr"], entry["zone"], state, entry["weight"], started)
 
-    def listing(self) -> dict[str, Any]:
+    def endpoint_list(self) -> dict[str, Any]:
         """The complete endpoint list, in the form of the service's answer."""
         return {"version": self.version, "full": True, "servers": list(self.entries.values())}
 
@@ -73,7 +82,7 @@
         if self.is_down:
             return web.Response(status=503)
         if "watch" not in request.rel_url.query:
-            return web.Response(text=json.dumps(self.listing()))
+            return web.Response(text=json.dumps(self.endpoint_list()))
         return await self._watch(request, int(request.rel_url.query["after"]))
 
     async def _watch(self, request: web.BaseRequest, after: int) -> web.StreamResponse:
@@ -82,7 +91,8 @@
         await response.prepare(request)
         is_first = True
         while not self.is_down:
-            changes = {entry["id"]: entry for version, entry in self._changes if version > after}
+            newer = [change.entry for change in self._changes if change.version > after]
+            changes = {entry["id"]: entry for entry in newer}
             if is_first or changes:
                 body = {"version": self.version, "full": False, "servers": list(changes.values())}
                 await response.write(json.dumps(body).encode() + b"\n")
--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -99,18 +99,17 @@
         self, is_match: Callable[[str], bool], description: object, wait: float = START_TIMEOUT_S
     ) -> str:
         """Waits for the first log line for which `is_match` holds; `description` names it in the error."""
-
-        def find() -> str | None:
-            return next((line for line in self.lines if is_match(line)), None)
-
         with suppress(TimeoutError):
             async with asyncio.timeout(wait), self._line_added:
-                await self._line_added.wait_for(lambda: find() is not None or self.ended)
-        line = find()
+                await self._line_added.wait_for(lambda: self._find_line(is_match) is not None or self.ended)
+        line = self._find_line(is_match)
         if line is None:
             raise AssertionError(f"no line with {description} in:\n{''.join(self.lines[-40:])}")
         return line
 
+    def _find_line(self, is_match: Callable[[str], bool]) -> str | None:
+        return next((line for line in self.lines if is_match(line)), None)
+
     @property
     def ended(self) -> bool:
         """Whether the process has closed its output."""
--- a/cottonladder/testbed/http_server.py
+++ b/cottonladder/testbed/http_server.py
@@ -8,7 +8,7 @@
 
 LOOPBACK = "127.0.0.1"
 SHUTDOWN_TIMEOUT_S = 0.1
-BACKLOG = 2048
+BACKLOG = 2048  # connections that wait to be accepted
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -13,6 +13,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from ..model.inputs import (
     Acknowledged,
@@ -108,6 +109,14 @@
         return self.served / max(1, self.requests)
 
 
+class ScheduledInput(NamedTuple):
+    """An input on its way; inputs of the same time are delivered in the order of scheduling."""
+
+    delivered_at: float
+    sequence: int
+    message: Input
+
+
 class MonthEndRun:
     """One seeded run of `duration_s`; each interval the `advisors` give their weights."""
 
@@ -127,7 +136,7 @@
         self._tables: dict[int, dict[int, float]] = defaultdict(dict)  # weights by table and worker
         self._bound_tables = dict.fromkeys(range(PROXY_COUNT), -1)  # -1: not bound yet
         self._excluded: set[int] = set()
-        self._scheduled: list[tuple[float, int, Input]] = []  # a heap of inputs on their way
+        self._scheduled: list[ScheduledInput] = []  # a heap of inputs on their way
         self._schedule_count = 0
         self._finished: list[FinishedRequest] = []  # a heap
         self._capacity_views: dict[int, WorkerCapacityView] = {}
@@ -142,10 +151,11 @@
         wave = 0.08 * math.sin(elapsed_s / 9.0)
         return capacity * self.load * (0.7 + 0.3 * min(1.0, elapsed_s / (self.duration_s / 2)) + wave)
 
-    def schedule(self, at: float, message: Input) -> None:
+    def schedule(self, delivered_at: float, message: Input) -> None:
         """Delivers an input to the manager at a given time."""
         self._schedule_count += 1
-        heapq.heappush(self._scheduled, (at, self._schedule_count, message))
+        scheduled = ScheduledInput(delivered_at, self._schedule_count, message)
+        heapq.heappush(self._scheduled, scheduled)
 
     def start_worker(self, worker_index: int, zone: int, speed: float, now: float) -> None:
         """Starts and lists a new worker, which warms up."""
@@ -172,7 +182,7 @@
         now = self.controller.state.now
         self.controller = RoutingController(PARAMETERS)
         self._scheduled = [
-            entry for entry in self._scheduled if not isinstance(entry[2], TimerFired | Acknowledged)
+            entry for entry in self._scheduled if not isinstance(entry.message, TimerFired | Acknowledged)
         ]
         heapq.heapify(self._scheduled)
         self.schedule(now, EndpointList(ListUpdateKind.CACHED, self._endpoints()))
@@ -230,8 +240,8 @@
 
     def _take_scheduled(self, now: float) -> list[Input]:
         inputs: list[Input] = []
-        while self._scheduled and self._scheduled[0][0] <= now:
-            inputs.append(heapq.heappop(self._scheduled)[2])
+        while self._scheduled and self._scheduled[0].delivered_at <= now:
+            inputs.append(heapq.heappop(self._scheduled).message)
         return inputs
 
     def _ask_advisors(self, now: float) -> list[Input]:
@@ -288,50 +298,54 @@
         fallback = dict.fromkeys(list(self.workers)[:FALLBACK_WORKERS], 1.0)
         weights = [self.usable_weights(proxy) or fallback for proxy in range(PROXY_COUNT)]
         request_rate = self.request_rate(now - START_TIME_S)
-        at = now + self.random.expovariate(request_rate)
-        while at < now + STEP_S:
+        arrived_at = now + self.random.expovariate(request_rate)
+        while arrived_at < now + STEP_S:
             proxy = min(int(PROXY_COUNT * self.random.random() ** 2), PROXY_COUNT - 1)  # few carry most
             self._arrivals[proxy] += 1
             worker_index = self.random.choices(list(weights[proxy]), list(weights[proxy].values()))[0]
-            self._count(at, self._serve(at, worker_index, proxy % ZONE_COUNT))
-            at += self.random.expovariate(request_rate)
+            self._count(arrived_at, self._serve(arrived_at, worker_index, proxy % ZONE_COUNT))
+            arrived_at += self.random.expovariate(request_rate)
 
-    def _count(self, at: float, request: FinishedRequest) -> None:
-        window = self._windows[int((at - START_TIME_S) / WORST_WINDOW_S)]
+    def _count(self, arrived_at: float, request: FinishedRequest) -> None:
+        window = self._windows[int((arrived_at - START_TIME_S) / WORST_WINDOW_S)]
         window.requests += 1
         self.result.requests += 1
         if request.succeeded and request.duration_s <= LATENCY_OBJECTIVE_S:
             window.served += 1
             self.result.served += 1
 
-    def _serve(self, at: float, worker_index: int, zone: int) -> FinishedRequest:
+    def _serve(self, arrived_at: float, worker_index: int, zone: int) -> FinishedRequest:
         """Serves a request as soon as a core is free, unless its deadline has passed by then."""
         worker = self.workers[worker_index]
-        if worker.is_warming_up(at):
-            self._note_warm_up_load(at, worker_index)
-        begins_at = max(at, worker.cores_free_at[0])
-        if begins_at - at > DEADLINE_S:
+        if worker.is_warming_up(arrived_at):
+            self._note_warm_up_load(arrived_at, worker_index)
+        begins_at = max(arrived_at, worker.cores_free_at[0])
+        if begins_at - arrived_at > DEADLINE_S:
             duration_s = DEADLINE_S
         else:
-            service_time = self.random.uniform(*SERVICE_TIME_RATIO) * SERVICE_TIME_S / worker.speed_at(at)
+            service_time = (
+                self.random.uniform(*SERVICE_TIME_RATIO) * SERVICE_TIME_S / worker.speed_at(arrived_at)
+            )
             heapq.heapreplace(worker.cores_free_at, begins_at + service_time)
-            duration_s = begins_at + service_time - at
-        succeeded = begins_at - at <= DEADLINE_S and duration_s <= DEADLINE_S
-        ended_at = at + min(duration_s, DEADLINE_S)
+            duration_s = begins_at + service_time - arrived_at
+        succeeded = begins_at - arrived_at <= DEADLINE_S and duration_s <= DEADLINE_S
+        ended_at = arrived_at + min(duration_s, DEADLINE_S)
         request = FinishedRequest(ended_at, worker_index, zone, duration_s, succeeded)
         heapq.heappush(self._finished, request)
         return request
 
-    def _note_warm_up_load(self, at: float, worker_index: int) -> None:
+    def _note_warm_up_load(self, arrived_at: float, worker_index: int) -> None:
         worker = self.workers[worker_index]
         arrivals = [
-            arrived for arrived in self._warm_up_arrivals[worker_index] if arrived > at - LOAD_WINDOW_S
+            earlier
+            for earlier in self._warm_up_arrivals[worker_index]
+            if earlier > arrived_at - LOAD_WINDOW_S
         ]
-        arrivals.append(at)
+        arrivals.append(arrived_at)
         self._warm_up_arrivals[worker_index] = arrivals
-        if at - worker.started_at <= LOAD_WINDOW_S:
+        if arrived_at - worker.started_at <= LOAD_WINDOW_S:
             return
-        capacity = CORES * worker.speed_at(at) * LOAD_WINDOW_S
+        capacity = CORES * worker.speed_at(arrived_at) * LOAD_WINDOW_S
         load = sum(SERVICE_TIME_S for _ in arrivals) / (COLLAPSE_MULTIPLE * capacity)
         self.result.worst_warm_up_load = max(self.result.worst_warm_up_load, load)
 
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -73,7 +73,7 @@
         """A manager that serves; `known` is the list of its file, by default discovery's."""
         manager = ManagerProcess(
             self.discovery_address,
-            self.discovery.listing() if known is None else known,
+            self.discovery.endpoint_list() if known is None else known,
             None,
             memory={"folder": str(self.manager_folder), "every": SNAPSHOT_INTERVAL_S},
             control=str(self.admin_socket),
@@ -113,7 +113,7 @@
 
 class ManagerRestartTests(RestartTestCase):
     async def test_a_drain_is_kept_while_discovery_is_down(self) -> None:
-        list_before_drain = self.discovery.listing()
+        list_before_drain = self.discovery.endpoint_list()
         manager = await self.start_manager()
         await self.discovery.set_state("s-1", "Terminating")
         await manager.logged(
--- a/tests/support/forwarder_rig.py
+++ b/tests/support/forwarder_rig.py
@@ -66,7 +66,7 @@
         self, upgrades: JsonObject | None = UPGRADES, port: int = 0, **more: Any
     ) -> ManagerProcess:
         """Starts a manager."""
-        manager = ManagerProcess(self.discovery_address, self.discovery.listing(), upgrades, **more)
+        manager = ManagerProcess(self.discovery_address, self.discovery.endpoint_list(), upgrades, **more)
         await manager.serving(port)
         self.addAsyncCleanup(manager.stop)
         return manager
--- a/tests/weight_advice/manager_case.py
+++ b/tests/weight_advice/manager_case.py
@@ -61,7 +61,9 @@
         """Starts a manager with these parts of the operators' file, these settings and constants."""
         servers = [{"listen": "127.0.0.1:0", **part} for part in serve]
         advice = {"serve": servers, "follow": follow or []}
-        manager = ManagerProcess(self.discovery_address, self.discovery.listing(), None, advice, **settings)
+        manager = ManagerProcess(
+            self.discovery_address, self.discovery.endpoint_list(), None, advice, **settings
+        )
         if constants:
             manager.module = program_with_constants.__name__
             manager.environment = {program_with_constants.CONSTANTS_VARIABLE: json.dumps(constants)}
