--- a/cottonladder/testbed/demo.py
+++ b/cottonladder/testbed/demo.py
@@ -55,6 +55,28 @@
         return (self.name, self.zone, self.state, *self.shares, *counts)
 
 
+@dataclass(frozen=True, slots=True)
+class ForwarderState:
+    """What the demo shows of a forwarder's status; the weights, admission limits and drains are by name."""
+
+    zone: str
+    is_connected: bool
+    weights: dict[str, float]
+    admission_limits: dict[str, float]
+    drain_phases: dict[str, str]
+
+    @classmethod
+    def from_status(cls, status: dict[str, Any]) -> ForwarderState:
+        """Reads the state from what a forwarder's status address gives."""
+        return cls(
+            zone=status["zone"],
+            is_connected=status["manager"] is not None,
+            weights=status["tables"]["fetch"],
+            admission_limits={name: limit for name, limit in status["levels"].items() if limit is not None},
+            drain_phases={worker_id: DRAIN_PHASES[phase] for worker_id, phase in status["drains"].items()},
+        )
+
+
 Show = Callable[[str, list[WorkerRow], str], None]  # a title, rows, and a line below them
 
 
@@ -141,7 +163,8 @@
         """Rows by worker, and a line on managers, admission rates and drains."""
         assert self._http is not None
         http = self._http
-        states = await asyncio.gather(*(forwarder.status(http) for forwarder in self.forwarders))
+        statuses = await asyncio.gather(*(forwarder.status(http) for forwarder in self.forwarders))
+        states = [ForwarderState.from_status(status) for status in statuses]
         shares = {zone: zone_shares(zone, states) for zone in ZONES}
         rows = []
         for name, worker in self.workers.items():
@@ -163,14 +186,13 @@
         )
 
 
-def zone_shares(zone: str, states: list[dict[str, Any]]) -> dict[str, float]:
+def zone_shares(zone: str, states: list[ForwarderState]) -> dict[str, float]:
     """Each worker's share of a zone's requests, by the table of the zone's last forwarder."""
     shares: dict[str, float] = {}
     for state in states:
-        if state["zone"] == zone:
-            weights = state["tables"]["fetch"]
-            total = sum(weights.values()) or 1.0
-            shares = {worker_id: weight / total for worker_id, weight in weights.items()}
+        if state.zone == zone:
+            total = sum(state.weights.values()) or 1.0
+            shares = {worker_id: weight / total for worker_id, weight in state.weights.items()}
     return shares
 
 
@@ -189,15 +211,14 @@
     )
 
 
-def fleet_line(states: list[dict[str, Any]]) -> str:
+def fleet_line(states: list[ForwarderState]) -> str:
     """How many forwarders have a manager, which admission limits hold, and which workers drain."""
     admission = set()
     drains = set()
     for state in states:
-        limits = {name: limit for name, limit in state["levels"].items() if limit is not None}
-        admission |= {f"{name} {limit:.2f}" for name, limit in limits.items()}
-        drains |= {f"{worker_id} {DRAIN_PHASES[phase]}" for worker_id, phase in state["drains"].items()}
-    connected = sum(state["manager"] is not None for state in states)
+        admission |= {f"{name} {limit:.2f}" for name, limit in state.admission_limits.items()}
+        drains |= {f"{worker_id} {phase}" for worker_id, phase in state.drain_phases.items()}
+    connected = sum(state.is_connected for state in states)
     return (
         f"{connected}/{len(states)} forwarders connected to a manager; "
         f"admission limits: {', '.join(sorted(admission)) or 'none'}; "
