--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -22,7 +22,6 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, replace
 from statistics import median
-from typing import Any
 
 from benchmarks.harness import (
     MILLISECONDS_PER_S,
@@ -43,6 +42,7 @@
 )
 from cottonladder.testbed.simulated_fleet import SimulatedFleet, fleet_parameters
 
+Figures = dict[str, float | None]  # by name, as in FIGURES
 USUAL = {"proxies": 400, "workers": 200, "zones": 4, "managers": 5}
 AXES = {
     "proxies": (150, 400, 1600, 6400),
@@ -199,35 +199,56 @@
     return covariance / variance
 
 
-def measure_axes(tree: str) -> dict[str, Any]:
-    """Figures by axis and size."""
-    axes: dict[str, Any] = {}
-    for axis, sizes in AXES.items():
-        points = {size: measure_in_process({**USUAL, axis: size}, tree) for size in sizes}
-        durations = {size: figures["look_ms"] for size, figures in points.items() if figures is not None}
-        axes[axis] = {
-            "points": {str(size): figures for size, figures in points.items()},
-            "growth_exponent": growth_exponent(durations),
-        }
-    return axes
-
-
-def add_baseline(axes: dict[str, Any], baseline: dict[str, Any]) -> None:
-    """Writes the older tree's figures beside this one's, as `..._before`."""
-    for axis, older in baseline.items():
-        axes[axis]["growth_exponent_before"] = older["growth_exponent"]
-        for size, figures in axes[axis]["points"].items():
-            older_figures = older["points"][size] or {}
+@dataclass(slots=True)
+class AxisFigures:
+    """The figures of one axis by size, and the power of the size with which a step's duration grows.
+
+    A point that took too long has no figures.  `exponent_before` is the older tree's, with `has_baseline`.
+    """
+
+    points: dict[str, Figures | None]
+    growth_exponent: float | None
+    has_baseline: bool = False
+    exponent_before: float | None = None
+
+    def add_baseline(self, older: AxisFigures) -> None:
+        """Writes an older tree's figures beside these, as `..._before`."""
+        self.has_baseline = True
+        self.exponent_before = older.growth_exponent
+        for size, figures in self.points.items():
+            older_figures = older.points[size] or {}
             if figures is not None:
                 figures.update({f"{name}_before": older_figures.get(name) for name in FIGURES})
 
+    def as_json(self) -> dict[str, object]:
+        """The figures in the form that is printed as JSON."""
+        body: dict[str, object] = {"points": self.points, "growth_exponent": self.growth_exponent}
+        if self.has_baseline:
+            body["growth_exponent_before"] = self.exponent_before
+        return body
+
+
+def measure_axis(axis: str, tree: str) -> AxisFigures:
+    """Measures each point of an axis in a process of its own."""
+    points = {size: measure_in_process({**USUAL, axis: size}, tree) for size in AXES[axis]}
+    durations = {size: figures["look_ms"] for size, figures in points.items() if figures is not None}
+    by_size: dict[str, Figures | None] = {}
+    for size, figures in points.items():
+        by_size[str(size)] = None if figures is None else {**figures}
+    return AxisFigures(by_size, growth_exponent(durations))
+
+
+def measure_axes(tree: str) -> dict[str, AxisFigures]:
+    """Measures every axis, by its name."""
+    return {axis: measure_axis(axis, tree) for axis in AXES}
+
 
-def print_axes(axes: dict[str, Any]) -> None:
+def print_axes(axes: dict[str, AxisFigures]) -> None:
     """Prints one line for each point."""
     for axis, measured in axes.items():
-        exponent = measured["growth_exponent"]
+        exponent = measured.growth_exponent
         print(f"{axis}: a step grows with the power {math.nan if exponent is None else exponent:.2f}")
-        for size, figures in measured["points"].items():
+        for size, figures in measured.points.items():
             shown = [f"{name} {value:.1f}" for name, value in (figures or {}).items() if value is not None]
             print(f"  {size:>5}  " + "  ".join(shown))
 
@@ -243,9 +264,11 @@
         return
     axes = measure_axes(str(TREE))
     if arguments.before:
-        add_baseline(axes, measure_axes(arguments.before))
+        for axis, older in measure_axes(arguments.before).items():
+            axes[axis].add_baseline(older)
     if arguments.json:
-        print(json.dumps({"usual": USUAL, "axes": axes}, indent=1))
+        figures_by_axis = {axis: measured.as_json() for axis, measured in axes.items()}
+        print(json.dumps({"usual": USUAL, "axes": figures_by_axis}, indent=1))
         return
     print_axes(axes)
 
--- a/tests/benchmarks/test_harness.py
+++ b/tests/benchmarks/test_harness.py
@@ -67,15 +67,14 @@
         self.assertGreater(figures["bytes_per_join"], 0)
 
     def test_an_older_tree_s_figures_stand_beside_this_one_s(self) -> None:
-        axes = {"zones": {"points": {"3": {"look_ms": 1.0}, "8": None}, "growth_exponent": 1.0}}
-        older = {"zones": {"points": {"3": {"look_ms": 2.0}, "8": None}, "growth_exponent": 2.0}}
-        scale.add_baseline(axes, older)
-        self.assertEqual(axes["zones"]["growth_exponent_before"], 2.0)
-        points = axes["zones"]["points"]
-        assert isinstance(points, dict)
-        self.assertEqual(points["3"]["look_ms_before"], 2.0)
-        self.assertIsNone(points["3"]["solve_ms_before"])
-        self.assertIsNone(points["8"])
+        measured = scale.AxisFigures({"3": {"look_ms": 1.0}, "8": None}, growth_exponent=1.0)
+        measured.add_baseline(scale.AxisFigures({"3": {"look_ms": 2.0}, "8": None}, growth_exponent=2.0))
+        self.assertEqual(measured.as_json()["growth_exponent_before"], 2.0)
+        figures = measured.points["3"]
+        assert figures is not None
+        self.assertEqual(figures["look_ms_before"], 2.0)
+        self.assertIsNone(figures["solve_ms_before"])
+        self.assertIsNone(measured.points["8"])
 
 
 if __name__ == "__main__":
