--- a/benchmarks/migration_plans.py
+++ b/benchmarks/migration_plans.py
@@ -25,8 +25,10 @@
     for forwarder in range(forwarders):
         planner.add_forwarder(forwarder, forwarder % PLAN_ZONES)
         counts = Counter(chance.randrange(workers) for _ in range(round(connections / forwarders)))
-        held = {worker: migration_orders.HeldConnectionCounts(count) for worker, count in counts.items()}
-        planner.update_connections(forwarder, True, held)
+        counts_by_worker = {
+            worker: migration_orders.HeldConnectionCounts(count) for worker, count in counts.items()
+        }
+        planner.update_connections(forwarder, True, counts_by_worker)
     return planner
 
 
--- a/tests/support/forwarder_rig.py
+++ b/tests/support/forwarder_rig.py
@@ -14,7 +14,7 @@
 from cottonladder.testbed.fleet import ForwarderProcess, ManagerProcess
 from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
-from tests.support.simulated_day_settings import JsonObject
+from tests.support.json_object import JsonObject
 
 EVENT_TIMEOUT_S = 20.0  # for any event; long enough for a slow machine
 POLL_INTERVAL_S = 0.02  # between two checks of a condition that no event signals
--- a/tests/support/manager_program.py
+++ b/tests/support/manager_program.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
+from tests.support.json_object import JsonObject
 from tests.support.program_with_constants import CONSTANTS_VARIABLE
 from tests.support.scripted_discovery import endpoint_entry, endpoint_list
-from tests.support.simulated_day_settings import JsonObject
 from tests.support.stream_client import StreamClient
 from tests.support.timeouts import in_time
 
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from tests.support.http_server import Handler
-from tests.support.simulated_day_settings import JsonObject
+from tests.support.json_object import JsonObject
 from tests.support.timeouts import in_time
 
 KEEP_ALIVE_INTERVAL_S = 2.0  # between the empty lines that keep a watch open
--- a/tests/support/simulated_day_settings.py
+++ b/tests/support/simulated_day_settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-JsonObject = dict[str, Any]
+from tests.support.json_object import JsonObject
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/support/simulated_days.py
+++ b/tests/support/simulated_days.py
@@ -16,6 +16,7 @@
 from dataclasses import dataclass
 
 from tests.support.event_queue import EventQueue, Message, ScheduledEvent
+from tests.support.json_object import JsonObject
 from tests.support.simulated_day_fleet import (
     CORRUPT_COUNT,
     MS_PER_S,
@@ -30,7 +31,6 @@
     DEFAULT_FLEET_SIZE,
     FLEET_SIZES,
     REQUEST_CLASSES,
-    JsonObject,
 )
 
 BatchHandler = Callable[[str], JsonObject]
--- a/tests/support/wire_manager.py
+++ b/tests/support/wire_manager.py
@@ -52,7 +52,7 @@
     SteppedClock,
     SteppedControlLoop,
 )
-from tests.support.simulated_day_settings import JsonObject
+from tests.support.json_object import JsonObject
 from tests.support.wire_manager_files import ZONES, endpoint_list, manager_file
 
 START_TIME_S = 1_700_000_000.0  # Unix time
--- a/tests/support/wire_manager_files.py
+++ b/tests/support/wire_manager_files.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Iterable
 
-from tests.support.simulated_day_settings import JsonObject, simulator_settings
+from tests.support.json_object import JsonObject
+from tests.support.simulated_day_settings import simulator_settings
 
 ZONES = ("east", "west", "north")
 
