--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -112,7 +112,9 @@
         wait_s = max(self._paused_until - now, until_due_s)
         self._wake.clear()
         with suppress(TimeoutError):
-            await asyncio.wait_for(self._wake.wait(), min(wait_s, MAX_IDLE_S))
+            # Not `wait_for`: it drops a cancellation that comes in the same turn as the event.
+            async with asyncio.timeout(min(wait_s, MAX_IDLE_S)):
+                await self._wake.wait()
 
     def _run_slice(self, name: str, now: float) -> None:
         if self._scheduler.slice_started(name, now):
--- a/cottonladder/forwarder/load_reporter.py
+++ b/cottonladder/forwarder/load_reporter.py
@@ -23,7 +23,8 @@
 
     async def _run(self, manager: HostPort) -> None:
         try:
-            reader, writer = await asyncio.wait_for(asyncio.open_connection(*manager), CONNECT_TIMEOUT_S)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(*manager)
         except (OSError, TimeoutError):
             return
         writer.write(resp.encode([b"SOURCE", b"locality", self._zone.encode()]))
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -113,8 +113,8 @@
     async def _serve(self, host: str, port: int, messages: ManagerMessageReader, orders: OrderHandler) -> str:
         """Serves one connection to its end; returns the reason of the end."""
         try:
-            connecting = asyncio.open_connection(host, port)
-            reader, writer = await asyncio.wait_for(connecting, CONNECT_TIMEOUT_S)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(host, port)
         except (OSError, TimeoutError) as exc:
             return f"no connection: {exc or 'timed out'}"
         self._writer = writer
@@ -140,7 +140,9 @@
         is_ping_sent = False
         while True:
             try:
-                data = await asyncio.wait_for(reader.read(MAX_READ_BYTES), PING_INTERVAL_S)
+                # Not `wait_for`: it drops a cancellation that comes in the same turn as data.
+                async with asyncio.timeout(PING_INTERVAL_S):
+                    data = await reader.read(MAX_READ_BYTES)
             except TimeoutError:
                 if time.monotonic() - last_received_at > SILENCE_TIMEOUT_S:
                     return f"silent for {SILENCE_TIMEOUT_S:g} s"
--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -98,8 +98,8 @@
     async def _connect_and_receive(self) -> str:
         """Holds one connection until it ends, and returns the reason for its end."""
         try:
-            connecting = asyncio.open_connection(*self.address, ssl=self._tls)
-            reader, writer = await asyncio.wait_for(connecting, limits.CONNECT_TIMEOUT_S)
+            async with asyncio.timeout(limits.CONNECT_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(*self.address, ssl=self._tls)
         except (OSError, TimeoutError, ssl.SSLError) as exc:
             return f"no connection: {exc or 'timed out'}"
         self._writer = writer
@@ -109,7 +109,9 @@
         try:
             self.start_session()
             while True:
-                data = await asyncio.wait_for(reader.read(limits.READ_SIZE_BYTES), self.silence_timeout_s)
+                # Not `wait_for`: it drops a cancellation that comes in the same turn as data.
+                async with asyncio.timeout(self.silence_timeout_s):
+                    data = await reader.read(limits.READ_SIZE_BYTES)
                 if not data:
                     return "ended by the advisor"
                 self.receive(data)
