--- a/tests/weight_advice/test_servers.py
+++ b/tests/weight_advice/test_servers.py
@@ -11,7 +11,7 @@
 from tempfile import TemporaryDirectory
 
 from cottonladder.planning.advertised_weights import MAX_WEIGHT
-from cottonladder.testbed.advisors import read_dfp_reports, weights_by_label
+from cottonladder.testbed.advisors import SaspBalancer, read_dfp_reports, weights_by_label
 from cottonladder.testbed.fleet import SETTINGS
 from cottonladder.weight_advice import dfp, sasp
 from cottonladder.weight_advice.sasp import MessageType, ResponseCode
@@ -51,14 +51,19 @@
         weights = {label: entry.weight for label, entry in (await balancer.weights(b"g")).items()}
         self.assertEqual(weights, {b"s-1": MAX_WEIGHT, b"another name": MAX_WEIGHT, b"nobody": 0})
         await self.discovery.set_state("s-1", "Terminating")
-        pushed: dict[bytes, sasp.WeightEntry] = {}
-        while b"s-1" not in pushed:
-            pushed = weights_by_label(await asyncio.wait_for(balancer.pushed.get(), EVENT_TIMEOUT_S))
+        pushed = await self.next_push(balancer)
+        if pushed.keys() == weights.keys():  # the server's timer came between registration and request
+            self.assertEqual({label: entry.weight for label, entry in pushed.items()}, weights)
+            pushed = await self.next_push(balancer)
         self.assertEqual(set(pushed), {b"s-1"})
         self.assertEqual(
             (pushed[b"s-1"].weight, pushed[b"s-1"].flags & sasp.QUIESCE_FLAG), (0, sasp.QUIESCE_FLAG)
         )
 
+    async def next_push(self, balancer: SaspBalancer) -> dict[bytes, sasp.WeightEntry]:
+        """The weights of the next push by member."""
+        return weights_by_label(await asyncio.wait_for(balancer.pushed.get(), EVENT_TIMEOUT_S))
+
     async def test_a_warming_up_worker_has_a_small_weight(self) -> None:
         await self.discovery.put("s-9", f"{WORKER_ADDRESS}:8009", "a", started=time.time())
         rules = {**SETTINGS["Rules"], "WarmAfterMs": 600_000.0}  # slow start lasts longer than the test
