--- a/tests/control/test_log_events.py
+++ b/tests/control/test_log_events.py
@@ -1,4 +1,7 @@
-"""Each event that the code can log stands in the runbook, and the reverse."""
+"""Each event that the code can log stands in the runbook with its fields, and the reverse.
+
+The runbook also gives the name that earlier releases logged for each event.
+"""
 
 from __future__ import annotations
 
@@ -8,21 +11,35 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from cottonladder.model.state_changes import WorkerEvent
+from cottonladder.model import ControllerState, LatencyHistogram, WorkerRecord
+from cottonladder.model.state_changes import WorkerEvent, WorkerState, WorkerStateChanged
+from cottonladder.policy.worker_states import apply_event
 from cottonladder.state.order_errors import RejectionReason
+from tests.support.deployment_parameters import DEFAULT_PARAMETERS
 
 ROOT = Path(__file__).parents[2]
-LOG_METHODS = {"debug", "info", "warning", "error"}
+LOG_METHODS = {"debug", "info", "warning", "error", "exception", "critical"}
 REASON_ROW = re.compile(r"^\| `worker_state_changed reason=([a-z_]+)` \|", re.MULTILINE)
+FIELDS_CELL = re.compile(r"^\| `([a-z_]+)` \| ([^|]+) \|", re.MULTILINE)
 TABLE_ROW = re.compile(r"^\| `([a-z_]+)` \|", re.MULTILINE)
+OLD_EVENT_ROW = re.compile(
+    r"^\| (?:[a-z][^|`]*)(?:`[^|`]+` )?\| `([^`|]+)`( \(never logged\))? \|$", re.MULTILINE
+)
+REASON_PREFIX = "worker_state_changed reason="
+
+
+def program_modules() -> list[Path]:
+    """The modules whose events operators read."""
+    modules = (ROOT / "cottonladder").rglob("*.py")
+    return [path for path in modules if "testbed" not in path.relative_to(ROOT).parts]
 
 
 def is_log_call(call: ast.Call) -> bool:
-    """`log.info(..)` and the like, whoever holds the logger."""
+    """`log.info(..)`, `self._log.info(..)` and the like, whoever holds the logger."""
     function = call.func
     if not isinstance(function, ast.Attribute) or function.attr not in LOG_METHODS:
         return False
-    return ast.unparse(function.value).split(".")[-1] == "log"
+    return ast.unparse(function.value).split(".")[-1] in ("log", "_log")
 
 
 def is_fault_log(call: ast.Call) -> bool:
@@ -43,6 +60,14 @@
                 yield from constants(value)
 
 
+def event_fields(tree: ast.AST) -> Iterator[tuple[str, str]]:
+    """Event and field for each field that a call names, where the call names its event too."""
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Call) and node.args and is_log_call(node):
+            for event in constants(node.args[0]):
+                yield from ((event, keyword.arg) for keyword in node.keywords if keyword.arg)
+
+
 def constants(value: ast.expr) -> Iterator[str]:
     """The texts of an expression's results; the test of a conditional is none of them."""
     if isinstance(value, ast.IfExp):
@@ -52,25 +77,82 @@
         yield value.value
 
 
-def event_table() -> str:
-    """The part of the runbook that lists each event."""
+def runbook_section(title: str) -> str:
+    """One section of the runbook, up to the next of its kind."""
     page = (ROOT / "docs" / "runbook.md").read_text()
-    return page[page.index("## Log events") :]
+    _, _, section = page.partition(f"\n## {title}\n")
+    return section.partition("\n## ")[0]
+
+
+def event_table() -> str:
+    """The section of the runbook that lists each event."""
+    return runbook_section("Log events")
+
+
+def table_rows(section: str) -> list[str]:
+    """The rows of a section's table, without its head."""
+    return [line for line in section.splitlines() if line.startswith("|")][2:]
+
+
+def reported_changes() -> Iterator[WorkerStateChanged]:
+    """Every state change that the policy can report for the log: each event in each state of a worker."""
+    for event in WorkerEvent:
+        for former in WorkerState:
+            state = ControllerState(DEFAULT_PARAMETERS)
+            worker = WorkerRecord(LatencyHistogram(0.01, 1.5, 16), 10)
+            worker.state = former
+            state.workers.by_index[0] = worker
+            apply_event(state, 0, event)
+            for order in state.pending.take():
+                if isinstance(order, WorkerStateChanged):
+                    yield order
 
 
 class LogEventTests(unittest.TestCase):
     def test_code_and_runbook_name_the_same_events(self) -> None:
         logged: set[str] = set()
-        for path in (ROOT / "cottonladder").rglob("*.py"):
-            if "testbed" not in path.parts:
-                logged.update(event_names(ast.parse(path.read_text())))
+        for path in program_modules():
+            logged.update(event_names(ast.parse(path.read_text())))
         described = set(TABLE_ROW.findall(event_table()))
         self.assertEqual(logged, described)
         self.assertGreater(len(logged), 40)
 
-    def test_code_and_runbook_name_the_same_reasons_of_a_state_change(self) -> None:
+    def test_runbook_lists_the_fields_of_each_event(self) -> None:
+        described = dict(FIELDS_CELL.findall(event_table()))
+        for path in program_modules():
+            for event, field in event_fields(ast.parse(path.read_text())):
+                with self.subTest(event=event, field=field, module=path.name):
+                    self.assertRegex(described[event], rf"\b{field}\b")
+
+    def test_each_event_has_one_row(self) -> None:
+        section = event_table()
+        names = TABLE_ROW.findall(section) + REASON_ROW.findall(section)
+        self.assertEqual(len(table_rows(section)), len(names))
+        self.assertEqual(len(names), len(set(names)))
+
+    def test_runbook_lists_the_reasons_of_a_state_change_that_are_logged(self) -> None:
         described = set(REASON_ROW.findall(event_table()))
-        self.assertEqual(described, {event.value for event in WorkerEvent})
+        self.assertEqual(described, {change.event.value for change in reported_changes()})
+
+    def test_runbook_lists_the_states_that_are_logged(self) -> None:
+        (row,) = re.findall(r"^\| `worker_state_changed` \|.*$", event_table(), re.MULTILINE)
+        (states,) = re.findall(r"from_state and to_state \(([a-z_, ]+)\)", row)
+        changes = list(reported_changes())
+        self.assertEqual(set(states.split(", ")), {change.from_state.value for change in changes})
+        self.assertEqual(set(states.split(", ")), {change.to_state.value for change in changes})
+
+    def test_old_and_new_events_stand_side_by_side(self) -> None:
+        section = runbook_section("Old event names")
+        rows = OLD_EVENT_ROW.findall(section)
+        self.assertEqual(len(rows), len(table_rows(section)))
+        names = [name for name, _ in rows]
+        self.assertEqual(len(names), len(set(names)))
+        reasons = {name.removeprefix(REASON_PREFIX) for name in names if name.startswith(REASON_PREFIX)}
+        self.assertEqual(reasons, {event.value for event in WorkerEvent})
+        events = {name for name in names if not name.startswith(REASON_PREFIX)}
+        self.assertEqual(events, set(TABLE_ROW.findall(event_table())))
+        never_logged = {name.removeprefix(REASON_PREFIX) for name, mark in rows if mark}
+        self.assertEqual(never_logged, reasons - set(REASON_ROW.findall(event_table())))
 
     def test_runbook_names_each_reason_of_a_rejected_order(self) -> None:
         (row,) = re.findall(r"^\| `order_rejected` \|.*$", event_table(), re.MULTILINE)
