--- a/tests/control/test_log_events.py
+++ b/tests/control/test_log_events.py
@@ -77,10 +77,14 @@
         yield value.value
 
 
+def runbook() -> str:
+    """The whole page."""
+    return (ROOT / "docs" / "runbook.md").read_text()
+
+
 def runbook_section(title: str) -> str:
     """One section of the runbook, up to the next of its kind."""
-    page = (ROOT / "docs" / "runbook.md").read_text()
-    _, _, section = page.partition(f"\n## {title}\n")
+    _, _, section = runbook().partition(f"\n## {title}\n")
     return section.partition("\n## ")[0]
 
 
@@ -141,6 +145,17 @@
         self.assertEqual(set(states.split(", ")), {change.from_state.value for change in changes})
         self.assertEqual(set(states.split(", ")), {change.to_state.value for change in changes})
 
+    def test_symptoms_name_only_reasons_and_states_that_are_logged(self) -> None:
+        symptoms, _, _ = runbook().partition("\n## Log events\n")
+        changes = list(reported_changes())
+        reasons = set(re.findall(r"\breason=([a-z_]+)", symptoms))
+        self.assertLessEqual(reasons, {change.event.value for change in changes})
+        from_states = set(re.findall(r"\bfrom_state=([a-z_]+)", symptoms))
+        self.assertLessEqual(from_states, {change.from_state.value for change in changes})
+        to_states = set(re.findall(r"\bto_state=([a-z_]+)", symptoms))
+        self.assertLessEqual(to_states, {change.to_state.value for change in changes})
+        self.assertGreater(min(len(reasons), len(from_states), len(to_states)), 0)
+
     def test_old_and_new_events_stand_side_by_side(self) -> None:
         section = runbook_section("Old event names")
         rows = OLD_EVENT_ROW.findall(section)
