--- /dev/null
+++ b/cottonladder/forwarder/endpoint_follower.py
@@ -0,0 +1,83 @@
+"""Follows discovery's endpoint list, whether or not a manager is connected."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable, Mapping
+
+from ..config.fields import HostPort
+from ..model.inputs import EndpointList, Input, ListUpdateKind
+from ..protocol.discovery import DiscoveryClient
+from .worker_list import WorkerList
+from .worker_removal import WorkerRemoval
+
+MIN_LIST_RETRY_DELAY_S = 0.3  # before a failed call is repeated, at the lower end of the jitter
+MAX_LIST_RETRY_DELAY_S = 1.0  # before a failed call is repeated, at the upper end of the jitter
+# The backoff multiplies the delay by up to this factor, as the calls of a whole fleet could overload a
+# discovery service that is recovering.
+MAX_BACKOFF_FACTOR = 8.0
+NO_VERSION = 0  # of the endpoint list, before the first one is accepted
+
+
+class EndpointFollower:
+    """Passes the endpoint list on to the workers' list, and repeats failed calls to discovery.
+
+    `record_labels` is called with each entry of the list as it was decoded.
+    """
+
+    def __init__(
+        self,
+        discovery: HostPort,
+        workers: WorkerList,
+        removal: WorkerRemoval,
+        rng: random.Random,
+        record_labels: Callable[[Mapping[str, object]], None],
+    ) -> None:
+        self._workers = workers
+        self._removal = removal
+        self._rng = rng
+        self._loop = asyncio.get_running_loop()
+        self._backoff_factor = 1.0
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._discovery = DiscoveryClient(
+            discovery, workers.zones, workers.register, self._on_input, NO_VERSION, record_labels
+        )
+
+    def start(self) -> None:
+        """Fetches the list and watches its changes."""
+        self._discovery.fetch()
+        self._watch()
+
+    def stop_timers(self) -> None:
+        """Cancels the repetition of a failed call."""
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+
+    async def close(self) -> None:
+        """Closes the connections to discovery."""
+        await self._discovery.close()
+
+    def refresh(self) -> None:
+        """Fetches the list at once."""
+        self._discovery.fetch()
+
+    def _watch(self) -> None:
+        self._discovery.set_watching(True)
+
+    def _on_input(self, item: Input | object) -> None:
+        if not isinstance(item, EndpointList):
+            return
+        if item.kind == ListUpdateKind.FAILED:
+            self._retry_later()
+            return
+        self._backoff_factor = 1.0
+        now = self._loop.time()
+        self._workers.update(item, now)
+        self._removal.forget_expired(now)
+
+    def _retry_later(self) -> None:
+        self.stop_timers()  # a call and the watch may fail together
+        delay_s = self._rng.uniform(MIN_LIST_RETRY_DELAY_S, MAX_LIST_RETRY_DELAY_S) * self._backoff_factor
+        self._retry_timer = self._loop.call_later(delay_s, self._watch)
+        self._backoff_factor = min(MAX_BACKOFF_FACTOR, 2.0 * self._backoff_factor)
--- a/cottonladder/forwarder/operator_settings.py
+++ b/cottonladder/forwarder/operator_settings.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
-from ..config.operator_config import ForwarderConfig, LimitsConfig, RequestClassConfig
+from ..config.operator_config import ForwarderConfig, LimitsConfig, OperatorConfig, RequestClassConfig
 from .request_classes import Idempotency, MatchRule, RequestClass
 from .resource_limits import ResourceLimits
 from .upgrade_policy import UpgradePolicy
 
+DEFAULT_GRACE_S = 30.0  # the grace period of a drain where the operators' file states none
+
 
 def request_classes(config: ForwarderConfig) -> list[RequestClass]:
     """The request classes in the order of the file."""
@@ -36,6 +38,21 @@
     )
 
 
+def drain_grace_s(operator: OperatorConfig) -> float:
+    """The time within which a draining worker's connections end."""
+    return DEFAULT_GRACE_S if operator.upgrades is None else operator.upgrades.grace_s
+
+
+def worker_arrivals_per_s(operator: OperatorConfig, config: ForwarderConfig) -> float:
+    """The upgraded connections that an average worker accepts in a second, until a manager states it.
+
+    Where the operators' file states no rate, a worker may be filled up to its limit within a second.
+    """
+    if operator.upgrades is None:
+        return float(config.limits.connections_per_worker)
+    return operator.upgrades.arrivals_per_s
+
+
 def resource_limits(config: LimitsConfig) -> ResourceLimits:
     """The resource limits in force."""
     return ResourceLimits(
--- /dev/null
+++ b/cottonladder/forwarder/periodic_work.py
@@ -0,0 +1,67 @@
+"""Carries out, on one timer, what is due of the drains and of the reports to managers."""
+
+from __future__ import annotations
+
+import asyncio
+
+from .connection_drainer import ConnectionDrainer
+from .drain_orders import TICK_INTERVAL_S
+from .load_recorder import REPORT_INTERVAL_S
+from .manager_reports import ManagerReports
+from .manager_stream import ManagerStream
+from .request_handler import RequestHandler
+
+CONNECTION_REPORT_INTERVAL_S = 0.25  # between two reports on upgraded connections
+
+
+class PeriodicWork:
+    """Owns the timer, which runs from `start` to `stop`."""
+
+    def __init__(
+        self,
+        handler: RequestHandler,
+        drainer: ConnectionDrainer,
+        stream: ManagerStream,
+        reports: ManagerReports,
+    ) -> None:
+        self._handler = handler
+        self._drainer = drainer
+        self._stream = stream
+        self._reports = reports
+        self._loop = asyncio.get_running_loop()
+        self._connection_report_due_at = 0.0
+        self._load_report_due_at = 0.0
+        self._timer: asyncio.TimerHandle | None = None
+
+    def start(self) -> None:
+        """Carries out what is due at once, and from now on at each interval."""
+        self._tick()
+
+    def stop(self) -> None:
+        """Cancels the timer."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _tick(self) -> None:
+        now = self._loop.time()
+        self._timer = self._loop.call_later(TICK_INTERVAL_S, self._tick)
+        self._handler.tunnels.tick_drains()
+        self._report_migrations()
+        if self._stream.speaks_extension and now >= self._connection_report_due_at:
+            self._connection_report_due_at = now + CONNECTION_REPORT_INTERVAL_S
+            self._reports.report_connections(now, is_full=False)
+        if now >= self._load_report_due_at:
+            self._load_report_due_at = now + REPORT_INTERVAL_S
+            self._report_load(now)
+
+    def _report_migrations(self) -> None:
+        for result in self._drainer.results:
+            self._reports.report_migration(result)
+        self._drainer.results.clear()
+
+    def _report_load(self, now: float) -> None:
+        """Reports the load to managers, and logs what has ended since the last report."""
+        self._reports.report_load(now)
+        self._handler.tunnels.log_ended_connections()
+        if self._handler.verdicts.chain is not None:
+            self._handler.verdicts.chain.log_status()
--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -1,27 +1,16 @@
-"""Follows discovery's endpoint list and keeps the workers' addresses and states."""
+"""The workers that the endpoint list names, with their addresses, zones and states."""
 
 from __future__ import annotations
 
-import asyncio
 import random
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
 from ..config.errors import UnknownNameError
-from ..config.fields import HostPort
-from ..model.inputs import EndpointList, EndpointState, Input, ListUpdateKind
-from ..protocol.discovery import DiscoveryClient
+from ..model.inputs import EndpointList, EndpointState, ListUpdateKind
 from ..state.worker_registry import WorkerRegistry
-from .admission_pacer import AdmissionPacer
 from .router import Router
 
-MIN_LIST_RETRY_DELAY_S = 0.3  # before a failed call is repeated, at the lower end of the jitter
-MAX_LIST_RETRY_DELAY_S = 1.0  # before a failed call is repeated, at the upper end of the jitter
-# The backoff multiplies the delay by up to this factor, as the calls of a whole fleet could overload a
-# discovery service that is recovering.
-MAX_BACKOFF_FACTOR = 8.0
-REMOVED_WORKER_TTL_S = 600.0  # after which a worker that is gone and not in use is forgotten
-
 
 class Zones:
     """The site's zones by name."""
@@ -46,58 +35,23 @@
 
 
 class WorkerList:
-    """Passes the endpoint list on to the router, whether or not a manager is connected.
+    """Keeps the listed workers, and tells the router which of them requests may be sent to.
 
     `restore_snapshot` is called once, with the first list that has a ready worker.
     """
 
-    def __init__(
-        self,
-        discovery: HostPort,
-        zone: str,
-        zones: Sequence[str],
-        router: Router,
-        pacer: AdmissionPacer,
-        rng: random.Random,
-        record_labels: Callable[[Mapping[str, object]], None],
-        workers_with_connections: Callable[[], set[str]],
-    ) -> None:
+    def __init__(self, zones: Zones, home_zone: int, router: Router, rng: random.Random) -> None:
+        self.zones = zones
+        self.restore_snapshot: Callable[[], None] | None = None
+        self._home_zone = home_zone
         self._router = router
-        self._pacer = pacer
         self._rng = rng
-        self._workers_with_connections = workers_with_connections
-        self._zones = Zones(zones)
-        self._home_zone = self._zones.zone_index(zone, "forwarder")
         self._registry = WorkerRegistry()
         self._workers: dict[int, ListedWorker] = {}
-        self._backoff_factor = 1.0
-        self._retry_timer: asyncio.TimerHandle | None = None
-        self._now = asyncio.get_running_loop().time
-        self._discovery = DiscoveryClient(
-            discovery, self._zones, self._registry.register, self._on_input, 0, record_labels
-        )
-        self.restore_snapshot: Callable[[], None] | None = None
-
-    def start(self) -> None:
-        """Fetches the list and watches its changes."""
-        self._discovery.fetch()
-        self._watch()
-
-    def stop_timers(self) -> None:
-        """Cancels the repetition of a failed call."""
-        if self._retry_timer is not None:
-            self._retry_timer.cancel()
 
-    async def close(self) -> None:
-        """Closes the connections to discovery."""
-        await self._discovery.close()
-
-    def refresh(self) -> None:
-        """Fetches the list at once."""
-        self._discovery.fetch()
-
-    def _watch(self) -> None:
-        self._discovery.set_watching(True)
+    def register(self, worker_id: str, address: str, started_at: float) -> int:
+        """The index of a listed worker, new or known; `started_at` is 0 for a start of long ago."""
+        return self._registry.register(worker_id, address, started_at)
 
     def is_known(self, worker_id: str) -> bool:
         """Whether the list has named a worker."""
@@ -108,31 +62,32 @@
         index = self._registry.find_index(worker_id.encode())
         return None if index is None else self._registry.address_of(index)
 
-    def _worker_id(self, worker_index: int) -> str:
-        return self._registry.ids[worker_index].decode()
+    def known_ids(self) -> set[str]:
+        """The ids of all workers that are not forgotten."""
+        return {worker_id.decode() for worker_id in self._registry.ids.values()}
+
+    def removed_before(self, time: float) -> list[str]:
+        """The ids of the workers that were found to be gone before `time`."""
+        return [
+            self._worker_id(worker_index)
+            for worker_index, worker in self._workers.items()
+            if worker.removed_at is not None and worker.removed_at < time
+        ]
+
+    def forget(self, worker_id: str) -> None:
+        """Forgets a known worker."""
+        worker_index = self._registry.find_index(worker_id.encode())
+        assert worker_index is not None
+        del self._workers[worker_index]
+        self._registry.remove(worker_index)
 
-    def _on_input(self, item: Input | object) -> None:
-        if not isinstance(item, EndpointList):
-            return
-        if item.kind == ListUpdateKind.FAILED:
-            self._retry_later()
-        else:
-            self._backoff_factor = 1.0
-            self._update(item)
-
-    def _retry_later(self) -> None:
-        self.stop_timers()  # a call and the watch may fail together
-        delay_s = self._rng.uniform(MIN_LIST_RETRY_DELAY_S, MAX_LIST_RETRY_DELAY_S) * self._backoff_factor
-        self._retry_timer = asyncio.get_running_loop().call_later(delay_s, self._watch)
-        self._backoff_factor = min(MAX_BACKOFF_FACTOR, 2.0 * self._backoff_factor)
-
-    def _update(self, item: EndpointList) -> None:
-        now = self._now()
-        if item.kind == ListUpdateKind.FULL:
-            named = {endpoint.worker_index for endpoint in item.endpoints}
+    def update(self, update: EndpointList, now: float) -> None:
+        """Takes over a complete list or a change of it, whose workers are registered."""
+        if update.kind == ListUpdateKind.FULL:
+            named = {endpoint.worker_index for endpoint in update.endpoints}
             for worker_index in self._workers.keys() - named:
                 self._set_state(worker_index, EndpointState.GONE, now)
-        for endpoint in item.endpoints:
+        for endpoint in update.endpoints:
             worker = self._workers.setdefault(
                 endpoint.worker_index, ListedWorker(endpoint.zone, endpoint.state)
             )
@@ -144,7 +99,9 @@
         if ready:
             self._restore()
         self._router.use_default_table(self._worker_id(index) for index in nearby)
-        self._forget_removed(now)
+
+    def _worker_id(self, worker_index: int) -> str:
+        return self._registry.ids[worker_index].decode()
 
     def _restore(self) -> None:
         """Restores the snapshot, of which only the workers on the list still count."""
@@ -164,23 +121,3 @@
         self._router.leaving.add(worker_id)
         if state == EndpointState.GONE and worker.removed_at is None:
             worker.removed_at = now
-
-    def _forget_removed(self, now: float) -> None:
-        """Forgets workers that were removed long ago, have no connection and are in no table."""
-        in_use = self._workers_with_connections()
-        for table in self._router.tables.values():
-            in_use |= set(table.weights)
-        for worker_index, worker in list(self._workers.items()):
-            is_expired = worker.removed_at is not None and now - worker.removed_at > REMOVED_WORKER_TTL_S
-            if is_expired and self._worker_id(worker_index) not in in_use:
-                self._forget(worker_index)
-        known = {name.decode() for name in self._registry.ids.values()}
-        self._router.retain_workers(known)
-        self._pacer.retain_workers(known)
-
-    def _forget(self, worker_index: int) -> None:
-        worker_id = self._worker_id(worker_index)
-        del self._workers[worker_index]
-        self._registry.remove(worker_index)
-        self._router.leaving.discard(worker_id)
-        self._router.excluded.discard(worker_id)
