--- a/cottonladder/config/defaults.py
+++ b/cottonladder/config/defaults.py
@@ -1,7 +1,4 @@
-"""Default values of the operators' file, and the largest rate that it may state.
-
-`forwarder.resource_limits.ResourceLimits` has the same defaults and explains them; a test keeps both equal.
-"""
+"""Default values of the operators' file, and the largest rate that it may state."""
 
 from __future__ import annotations
 
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -103,15 +103,15 @@
 class LimitsConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=LIMITS_NAMES):
     """A forwarder's limits on connections (all, per worker, per client), sizes, waits in s, and the pool."""
 
-    connections: Count = defaults.FORWARDER_CONNECTIONS
-    connections_per_worker: Count = defaults.FORWARDER_CONNECTIONS_PER_WORKER
-    connections_per_client: Count = defaults.FORWARDER_CONNECTIONS_PER_CLIENT
+    connections: Count = defaults.FORWARDER_CONNECTIONS  # of all clients
+    connections_per_worker: Count = defaults.FORWARDER_CONNECTIONS_PER_WORKER  # upgraded connections
+    connections_per_client: Count = defaults.FORWARDER_CONNECTIONS_PER_CLIENT  # from one client address
     header_bytes: Bytes = defaults.HEADER_BYTES
     body_bytes: Bytes = defaults.BODY_BYTES
     connect_timeout_s: Seconds = defaults.CONNECT_TIMEOUT_S
-    first_byte_timeout_s: Seconds = defaults.FIRST_BYTE_TIMEOUT_S
-    idle_timeout_s: Seconds = defaults.IDLE_TIMEOUT_S
-    pool_size_per_worker: Count = defaults.POOL_SIZE_PER_WORKER
+    first_byte_timeout_s: Seconds = defaults.FIRST_BYTE_TIMEOUT_S  # for the head of an answer
+    idle_timeout_s: Seconds = defaults.IDLE_TIMEOUT_S  # without a request, before the connection is closed
+    pool_size_per_worker: Count = defaults.POOL_SIZE_PER_WORKER  # connections for plain requests
 
 
 class PluginConfig(Struct, forbid_unknown_fields=True, frozen=True):
--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -11,11 +11,12 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
+from ..config.operator_config import LimitsConfig
 from ..protocol.fault_log import RateLimitedFaultLog
 from .connection_slots import ConnectionSlots
 from .errors import ClientGoneError
 from .handshake_reply import HandshakeReply
-from .resource_limits import HEADER_TIMEOUT_S, ResourceLimits
+from .resource_limits import HEADER_TIMEOUT_S
 from .tunnel_ends import ClientEnd
 
 SWEEP_INTERVAL_S = 0.5  # between two searches for connections without a request head
@@ -71,7 +72,7 @@
     """Owns the listening socket and the slots of the connections that it has accepted."""
 
     def __init__(
-        self, limits: ResourceLimits, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
+        self, limits: LimitsConfig, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
     ) -> None:
         self.limits = limits
         self._handle = handle
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -23,13 +23,7 @@
 from .manager_orders import ManagerOrders
 from .manager_reports import ManagerReports
 from .manager_stream import ManagerStream, Subscription
-from .operator_settings import (
-    drain_grace_s,
-    request_classes,
-    resource_limits,
-    upgrade_policies,
-    worker_arrivals_per_s,
-)
+from .operator_settings import drain_grace_s, request_classes, upgrade_policies, worker_arrivals_per_s
 from .periodic_work import PeriodicWork
 from .plugin_loading import PluginLoader
 from .request_handler import RequestHandler
@@ -59,8 +53,9 @@
         self.drainer = ConnectionDrainer(drain_grace_s(operator))
         self.pacer = AdmissionPacer(worker_arrivals_per_s(operator, config), share=1.0)
         self.workers = _worker_list(config, self.router, rng)
-        limits = resource_limits(config.limits)
-        services = RequestServices(self.router, self.pacer, limits, self.workers.address_of, recorder, rng)
+        services = RequestServices(
+            self.router, self.pacer, config.limits, self.workers.address_of, recorder, rng
+        )
         self.handler = RequestHandler(classes, upgrade_policies(config), services, self.drainer)
         self.plugins = PluginLoader(config.plugins, self.handler.verdicts)
         self.stream = _manager_stream(config, operator.upgrades is not None, rng)
--- a/cottonladder/forwarder/operator_settings.py
+++ b/cottonladder/forwarder/operator_settings.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from ..config.operator_config import ForwarderConfig, LimitsConfig, OperatorConfig, RequestClassConfig
+from ..config.operator_config import ForwarderConfig, OperatorConfig, RequestClassConfig
 from .request_classes import Idempotency, MatchRule, RequestClass
-from .resource_limits import ResourceLimits
 from .upgrade_policy import UpgradePolicy
 
 DEFAULT_GRACE_S = 30.0  # the grace period of a drain where the operators' file states none
@@ -51,18 +50,3 @@
     if operator.upgrades is None:
         return float(config.limits.connections_per_worker)
     return operator.upgrades.arrivals_per_s
-
-
-def resource_limits(config: LimitsConfig) -> ResourceLimits:
-    """The resource limits in force."""
-    return ResourceLimits(
-        connections=config.connections,
-        connections_per_worker=config.connections_per_worker,
-        connections_per_client=config.connections_per_client,
-        header_bytes=config.header_bytes,
-        body_bytes=config.body_bytes,
-        connect_timeout_s=config.connect_timeout_s,
-        first_byte_timeout_s=config.first_byte_timeout_s,
-        idle_timeout_s=config.idle_timeout_s,
-        pool_size=config.pool_size_per_worker,
-    )
--- a/cottonladder/forwarder/request_services.py
+++ b/cottonladder/forwarder/request_services.py
@@ -6,9 +6,9 @@
 import random
 from collections.abc import Callable
 
+from ..config.operator_config import LimitsConfig
 from .admission_pacer import AdmissionPacer
 from .load_recorder import LoadRecorder
-from .resource_limits import ResourceLimits
 from .retries import RetryPolicy
 from .router import Router
 
@@ -23,7 +23,7 @@
         self,
         router: Router,
         pacer: AdmissionPacer,
-        limits: ResourceLimits,
+        limits: LimitsConfig,
         address_of: Callable[[str], str | None],
         recorder: LoadRecorder,
         rng: random.Random,
--- a/cottonladder/forwarder/worker_connections.py
+++ b/cottonladder/forwarder/worker_connections.py
@@ -10,8 +10,9 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 from yarl import URL
 
+from ..config.operator_config import LimitsConfig
 from .errors import WorkerError
-from .resource_limits import RELAY_BUFFER_BYTES, ResourceLimits
+from .resource_limits import RELAY_BUFFER_BYTES
 
 KEEPALIVE_TIMEOUT_S = 15.0  # that a pooled connection is kept without a request
 
@@ -45,13 +46,13 @@
 class WorkerConnections:
     """Owns the client session and its connection pools."""
 
-    def __init__(self, limits: ResourceLimits) -> None:
+    def __init__(self, limits: LimitsConfig) -> None:
         self._limits = limits
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=limits.connect_timeout_s, sock_read=None)
         self._session = aiohttp.ClientSession(
             timeout=timeout,
             connector=aiohttp.TCPConnector(
-                limit=0, limit_per_host=limits.pool_size, keepalive_timeout=KEEPALIVE_TIMEOUT_S
+                limit=0, limit_per_host=limits.pool_size_per_worker, keepalive_timeout=KEEPALIVE_TIMEOUT_S
             ),
             auto_decompress=False,
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
--- a/tests/config/test_operator_defaults.py
+++ b/tests/config/test_operator_defaults.py
@@ -4,16 +4,51 @@
 
 import unittest
 
+import msgspec
+
 from cottonladder.config import defaults
-from cottonladder.config.operator_config import LimitsConfig, UpgradesConfig
-from cottonladder.forwarder.operator_settings import resource_limits
-from cottonladder.forwarder.resource_limits import ResourceLimits
+from cottonladder.config.operator_config import ForwarderConfig, LimitsConfig, UpgradesConfig
 from cottonladder.policy.report_plausibility import MAX_REQUEST_RATE
 
 
 class OperatorDefaultsTests(unittest.TestCase):
     def test_limits_of_a_forwarder(self) -> None:
-        self.assertEqual(resource_limits(LimitsConfig()), ResourceLimits())
+        """A file without `limits` gives the defaults, whose values `tests.forwarder` states."""
+        part = {
+            "node": 1,
+            "zone": "a",
+            "zones": ["a"],
+            "listen": "127.0.0.1:1",
+            "discovery": "127.0.0.1:2",
+            "managers": ["127.0.0.1:3"],
+            "kinds": [{"name": "lookup"}],
+        }
+        self.assertEqual(msgspec.convert(part, ForwarderConfig).limits, LimitsConfig())
+
+    def test_each_limit_is_read_from_its_name_in_the_file(self) -> None:
+        part = {
+            "connections": 1,
+            "worker": 2,
+            "client": 3,
+            "header_bytes": 4,
+            "body_bytes": 5,
+            "connect_wait": 6.0,
+            "first_byte_wait": 7.0,
+            "idle_wait": 8.0,
+            "pool": 9,
+        }
+        stated = LimitsConfig(
+            connections=1,
+            connections_per_worker=2,
+            connections_per_client=3,
+            header_bytes=4,
+            body_bytes=5,
+            connect_timeout_s=6.0,
+            first_byte_timeout_s=7.0,
+            idle_timeout_s=8.0,
+            pool_size_per_worker=9,
+        )
+        self.assertEqual(msgspec.convert(part, LimitsConfig), stated)
 
     def test_the_largest_rate_is_what_the_policy_counts(self) -> None:
         self.assertEqual(defaults.MAX_REQUESTS_PER_S, MAX_REQUEST_RATE)
--- a/tests/forwarder/test_race_conditions.py
+++ b/tests/forwarder/test_race_conditions.py
@@ -18,9 +18,9 @@
 import aiohttp
 from aiohttp import web
 
+from cottonladder.config.operator_config import LimitsConfig
 from cottonladder.forwarder import client_listener
 from cottonladder.forwarder.client_listener import ClientListener, LimitedRequestHandler
-from cottonladder.forwarder.resource_limits import ResourceLimits
 from cottonladder.testbed.fleet import ForwarderProcess
 from cottonladder.testbed.workers import SimulatedWorker
 from tests.support.forwarder_rig import ForwarderRig
@@ -174,7 +174,7 @@
     """A listener that announces when it has accepted two connections."""
 
     def __init__(self) -> None:
-        super().__init__(ResourceLimits(), self.respond)
+        super().__init__(LimitsConfig(), self.respond)
         self.two_accepted = asyncio.Event()
 
     async def respond(self, _request: web.BaseRequest) -> web.StreamResponse:
--- a/tests/forwarder/test_resource_limits.py
+++ b/tests/forwarder/test_resource_limits.py
@@ -4,15 +4,15 @@
 
 import unittest
 
+from cottonladder.config.operator_config import LimitsConfig
 from cottonladder.forwarder.admission_pacer import AdmissionPacer
 from cottonladder.forwarder.connection_slots import ConnectionSlots
-from cottonladder.forwarder.resource_limits import ResourceLimits
 from cottonladder.forwarder.retry_after import retry_after
 
 
 class DefaultLimits(unittest.TestCase):
     def test_each_limit_has_its_default(self) -> None:
-        stated = ResourceLimits(
+        stated = LimitsConfig(
             connections=20_000,
             connections_per_worker=8_000,
             connections_per_client=2_000,
@@ -21,9 +21,9 @@
             connect_timeout_s=1.0,
             first_byte_timeout_s=30.0,
             idle_timeout_s=75.0,
-            pool_size=64,
+            pool_size_per_worker=64,
         )
-        self.assertEqual(ResourceLimits(), stated)
+        self.assertEqual(LimitsConfig(), stated)
 
 
 class Slots(unittest.TestCase):
