--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -18,13 +18,8 @@
 from ..planning.priority_scheduling import TaskPlan
 from ..planning.snapshot_staleness import snapshot_age
 from ..policy.controller import RoutingController
-from ..snapshots.sections import (
-    EndpointSnapshot,
-    ManagerSnapshot,
-    WorkerSnapshot,
-    decode_section,
-    encode_section,
-)
+from ..snapshots.errors import SnapshotSectionError
+from ..snapshots.sections import MANAGER_SECTION, EndpointSnapshot, ManagerSnapshot, WorkerSnapshot
 from .background_scheduler import BackgroundScheduler
 from .input_queue import LoopInput
 from .snapshot_folder import SNAPSHOT_CPU_FRACTION, SNAPSHOT_TASK, SnapshotFolder
@@ -32,7 +27,6 @@
 from .starting_list import StartingList
 from .startup_config import StartupConfig
 
-SECTION = "manager"  # of a snapshot file
 SNAPSHOT_PRIORITY = 3  # among background tasks; 0 runs first
 ENTRIES_PER_SLICE = 200  # workers or proxies; keeps a slice to a millisecond or two
 
@@ -103,9 +97,13 @@
         found = self._folder.read()
         if found is None:
             return
-        snapshot, reason = decode_section(SECTION, found.sections, ManagerSnapshot)
+        try:
+            snapshot = MANAGER_SECTION.decode(found.sections)
+        except SnapshotSectionError as exc:
+            self.log.warning("snapshot_rejected", reason=str(exc))
+            return
         if snapshot is None:
-            self.log.warning("snapshot_rejected", reason=reason or f"no section {SECTION}")
+            self.log.warning("snapshot_rejected", reason=f"no section {MANAGER_SECTION.name}")
             return
         age_s = snapshot_age(found.written_at, time.time())
         self._starting_list = starting_list(config, snapshot)  # first, as it registers workers
@@ -170,4 +168,4 @@
         )
 
     def _encode_and_write(self, snapshot: ManagerSnapshot) -> None:
-        self._folder.write({SECTION: encode_section(SECTION, snapshot)})
+        self._folder.write({MANAGER_SECTION.name: MANAGER_SECTION.encode(snapshot)})
--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -14,14 +14,14 @@
 from ..control.snapshot_folder import SNAPSHOT_CPU_FRACTION, SNAPSHOT_TASK, SnapshotFolder
 from ..planning.priority_scheduling import TaskPlan
 from ..planning.snapshot_staleness import snapshot_age
-from ..snapshots.sections import ForwarderSnapshot, decode_section, encode_section
+from ..snapshots.errors import SnapshotSectionError
+from ..snapshots.sections import FORWARDER_SECTION
 from .forwarder import Forwarder
 from .restored_state import restore, snapshot_of
 from .status import forwarder_status
 
 SNAPSHOT_PRIORITY = 3  # among background tasks, of which the lowest number runs first
 MAX_LOGGED_AGE_S = 1e9  # as the age of a snapshot may be infinite
-SNAPSHOT_SECTION = "forwarder"  # the name of the forwarder's section in a snapshot file
 
 
 async def start_background(forwarder: Forwarder, operator: OperatorConfig, stack: AsyncExitStack) -> None:
@@ -50,8 +50,8 @@
         now = forwarder.loop.time()
         snapshot = snapshot_of(forwarder.router, forwarder.handler.tunnels.registry.counts(now), now)
         yield None
-        section = encode_section(SNAPSHOT_SECTION, snapshot)
-        yield asyncio.to_thread(folder.write, {SNAPSHOT_SECTION: section})
+        sections = {FORWARDER_SECTION.name: FORWARDER_SECTION.encode(snapshot)}
+        yield asyncio.to_thread(folder.write, sections)
 
     plan = TaskPlan(
         SNAPSHOT_TASK, config.interval_s, priority=SNAPSHOT_PRIORITY, cpu_fraction=SNAPSHOT_CPU_FRACTION
@@ -64,9 +64,11 @@
     found = folder.read()
     if not found:
         return
-    snapshot, reason = decode_section(SNAPSHOT_SECTION, found.sections, ForwarderSnapshot)
-    if reason:
-        forwarder.log.warning("snapshot_rejected", reason=reason)
+    try:
+        snapshot = FORWARDER_SECTION.decode(found.sections)
+    except SnapshotSectionError as exc:
+        forwarder.log.warning("snapshot_rejected", reason=str(exc))
+        return
     if snapshot is None:
         return
     earlier = snapshot
--- a/cottonladder/snapshots/errors.py
+++ b/cottonladder/snapshots/errors.py
@@ -38,3 +38,34 @@
         super().__init__(f"{size_bytes} bytes to keep, {max_size_bytes} at most")
         self.size_bytes = size_bytes
         self.max_size_bytes = max_size_bytes
+
+
+class SnapshotSectionError(SnapshotError):
+    """A section of a valid file can't be used."""
+
+    def __init__(self, section: str, reason: str) -> None:
+        super().__init__(f"section {section}: {reason}")
+        self.section = section
+
+
+class UnversionedSectionError(SnapshotSectionError):
+    """A section does not state its version."""
+
+    def __init__(self, section: str) -> None:
+        super().__init__(section, "no version")
+
+
+class NewerSectionError(SnapshotSectionError):
+    """A section was written by a newer version of the program."""
+
+    def __init__(self, section: str, version: int) -> None:
+        super().__init__(section, f"of a newer version, {version}")
+        self.version = version
+
+
+class InvalidSectionError(SnapshotSectionError):
+    """The content of a section is not what its version prescribes; `fault` says where it differs."""
+
+    def __init__(self, section: str, fault: str) -> None:
+        super().__init__(section, fault)
+        self.fault = fault
--- a/cottonladder/snapshots/file_format.py
+++ b/cottonladder/snapshots/file_format.py
@@ -20,7 +20,7 @@
 FORMAT_VERSION = 2  # version 1 had no version of each section; see MIGRATIONS
 # Magic, format version, flags, time of writing in ms, uncompressed and compressed size in bytes, digest.
 HEADER = struct.Struct("!8sHHQII16s")
-NO_FLAGS = 0
+NO_FLAGS = 0  # in the header: no flag is defined
 DIGEST_SIZE = 16  # bytes
 MAX_UNCOMPRESSED_SIZE = 64 << 20  # bytes of all sections: some hundred thousand workers and proxies
 COMPRESSION_LEVEL = 1  # of zlib, the fastest: the file is small, and the machine may have one core
--- a/cottonladder/snapshots/sections.py
+++ b/cottonladder/snapshots/sections.py
@@ -1,22 +1,25 @@
 """The sections of a snapshot file, each with its own version and checked when it is read.
 
-A section that is not valid is left out and the others are used.  Workers are named by id, as their indices
-are different after a restart.  The stored names of fields are fixed; this module maps them to the terms of
-the code.
+A section that is not valid does not keep the others from being used.  Workers are named by id, as their
+indices are different after a restart.  The stored names of fields are fixed; this module maps them to the
+terms of the code.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
-from typing import Any, Generic, NamedTuple, TypeVar
+from typing import Any, Generic, TypeVar
 
 import msgspec
 from msgspec import Struct
 
-T = TypeVar("T")
+from .errors import InvalidSectionError, NewerSectionError, UnversionedSectionError
+
+T = TypeVar("T", bound=Struct)
 
 # Stored names of the fields that have another name in the code.
+STORED_SECTION_NAMES = {"version": "v"}
 MANAGER_NAMES = {
     "last_checkpoint": "mark",
     "proxy_rates": "rates",
@@ -78,50 +81,52 @@
     held_connections: dict[str, int]  # by worker id: number of upgraded connections
 
 
-@dataclass(frozen=True, slots=True)
-class SectionType:
-    """The present version and type of a section, and the migrations from each earlier version."""
+class StoredSection(Struct, rename=STORED_SECTION_NAMES):
+    """A section as a snapshot file has it: its version, and its content in that version."""
 
     version: int
-    type: type[Struct]
-    migrations: dict[int, Callable[[Any], Any]] = field(default_factory=dict)
-
+    data: Any = None
 
-SECTION_TYPES: dict[str, SectionType] = {
-    "manager": SectionType(1, ManagerSnapshot),
-    "forwarder": SectionType(1, ForwarderSnapshot),
-}
 
+@dataclass(frozen=True, slots=True)
+class SectionType(Generic[T]):
+    """The name of a section, its present version and type, and the migration from each earlier version."""
 
-class DecodedSection(NamedTuple, Generic[T]):
-    """A section, or None with the reason in one line; the reason is empty if there is no such section."""
-
-    section: T | None
-    reason: str
-
-
-def encode_section(name: str, snapshot: Struct) -> dict[str, Any]:
-    """The section with its version, ready for `SnapshotStore.write`."""
-    return {"v": SECTION_TYPES[name].version, "data": snapshot}
-
-
-def decode_section(name: str, sections: Mapping[str, Any], expected: type[T]) -> DecodedSection[T]:
-    """Decodes the section `name`, of type `expected`; migrates it if an earlier version wrote it."""
-    section = sections.get(name)
-    if section is None:
-        return DecodedSection(None, "")
-    known = SECTION_TYPES[name]
-    assert expected is known.type
-    if not isinstance(section, dict) or not isinstance(section.get("v"), int):
-        return DecodedSection(None, f"section {name}: no version")
-    version = section["v"]
-    if version > known.version:
-        return DecodedSection(None, f"section {name}: of a newer version, {version}")
-    data = section.get("data")
-    try:
-        while version < known.version:
-            data = known.migrations[version](data)
-            version += 1
-        return DecodedSection(msgspec.convert(data, expected, strict=False), "")
-    except (msgspec.ValidationError, KeyError, TypeError, ValueError) as exc:
-        return DecodedSection(None, f"section {name}: {exc}")
+    name: str
+    version: int
+    type: type[T]
+    migrations: Mapping[int, Callable[[Any], Any]] = field(default_factory=dict)
+
+    def encode(self, snapshot: T) -> StoredSection:
+        """The section in its present version, ready for `SnapshotStore.write`."""
+        return StoredSection(self.version, snapshot)
+
+    def decode(self, sections: Mapping[str, Any]) -> T | None:
+        """This one of the sections of a file, migrated if an earlier version wrote it; None if it is missing.
+
+        Raises SnapshotSectionError if the section can't be used.
+        """
+        section = sections.get(self.name)
+        if section is None:
+            return None
+        try:
+            stored = msgspec.convert(section, StoredSection)
+        except msgspec.ValidationError:
+            raise UnversionedSectionError(self.name) from None
+        if stored.version > self.version:
+            raise NewerSectionError(self.name, stored.version)
+        try:
+            data = self._migrate(stored)
+            return msgspec.convert(data, self.type, strict=False)
+        except (msgspec.ValidationError, KeyError, TypeError, ValueError) as exc:
+            raise InvalidSectionError(self.name, str(exc)) from None
+
+    def _migrate(self, stored: StoredSection) -> Any:
+        data = stored.data
+        for version in range(stored.version, self.version):
+            data = self.migrations[version](data)
+        return data
+
+
+MANAGER_SECTION = SectionType("manager", 1, ManagerSnapshot)
+FORWARDER_SECTION = SectionType("forwarder", 1, ForwarderSnapshot)
--- a/tests/snapshots/test_store.py
+++ b/tests/snapshots/test_store.py
@@ -19,7 +19,12 @@
 
 from cottonladder.cli import main as cli
 from cottonladder.snapshots import file_format, sections, store
-from cottonladder.snapshots.errors import SnapshotError
+from cottonladder.snapshots.errors import (
+    InvalidSectionError,
+    NewerSectionError,
+    SnapshotError,
+    UnversionedSectionError,
+)
 from cottonladder.testbed.fleet import ROOT
 
 SECTIONS: dict[str, Any] = {"manager": {"v": 1, "data": {"mark": 7}}}
@@ -141,22 +146,25 @@
 
     def test_sections_that_are_not_valid_are_left_out(self) -> None:
         snapshot = sections.ForwarderSnapshot({}, ["s-1"], {}, {})
-        encoded = file_format.encode_file({"forwarder": sections.encode_section("forwarder", snapshot)}, 1)
+        encoded = file_format.encode_file({"forwarder": sections.FORWARDER_SECTION.encode(snapshot)}, 1)
         decoded = file_format.decode_file(encoded)
-        self.assertEqual(self.decode_forwarder_section(decoded.sections["forwarder"]), (snapshot, ""))
-        for section, expected_reason in (
-            ({"v": 9, "data": {}}, "newer version"),
-            ({"v": 1, "data": {"out": 3}}, "section forwarder"),
-            ({"v": 0, "data": {}}, "section forwarder"),
-            ([], "no version"),
+        self.assertEqual(sections.FORWARDER_SECTION.decode(decoded.sections), snapshot)
+        self.assertIsNone(sections.FORWARDER_SECTION.decode({}))
+        for section, expected_error, expected_text in (
+            ({"v": 9, "data": {}}, NewerSectionError, "section forwarder: of a newer version, 9"),
+            (
+                {"v": 1, "data": {"out": 3}},
+                InvalidSectionError,
+                "section forwarder: Expected `array`, got `int` - at `$.out`",
+            ),
+            ({"v": 0, "data": {}}, InvalidSectionError, "section forwarder: 0"),
+            ({"v": 1}, InvalidSectionError, "section forwarder: Expected `object`, got `null`"),
+            ([], UnversionedSectionError, "section forwarder: no version"),
+            ({"v": "1", "data": {}}, UnversionedSectionError, "section forwarder: no version"),
         ):
-            with self.subTest(section):
-                decoded_section = self.decode_forwarder_section(section)
-                self.assertIsNone(decoded_section.section)
-                self.assertIn(expected_reason, decoded_section.reason)
-
-    def decode_forwarder_section(self, section: Any) -> sections.DecodedSection[sections.ForwarderSnapshot]:
-        return sections.decode_section("forwarder", {"forwarder": section}, sections.ForwarderSnapshot)
+            with self.subTest(section), self.assertRaises(expected_error) as raised:
+                sections.FORWARDER_SECTION.decode({"forwarder": section})
+            self.assertEqual(str(raised.exception), expected_text)
 
 
 class MemoryCommandTests(StoreTestCase):
