--- /dev/null
+++ b/cottonladder/state/exclusions.py
@@ -0,0 +1,83 @@
+"""Which workers this manager excludes, and the lines that have a proxy exclude the same ones.
+
+A proxy keeps its exclusions when it reconnects, so they are remembered here too.  Where a proxy may exclude a
+worker that this manager does not, the worker's next line comes with another one that readmits it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+
+from .line_operations import LineOperation, set_excluded
+from .proxy_view import ProxyView
+from .worker_registry import WorkerRegistry
+
+
+class Exclusions:
+    """The excluded workers, and a view of each proxy that ever connected.
+
+    Methods that return lines also record in the proxy's view what these lines change.
+    """
+
+    def __init__(self, workers: WorkerRegistry, is_only_manager: bool) -> None:
+        self._workers = workers
+        self._is_only_manager = is_only_manager
+        self._excluded: dict[int, None] = {}  # workers, in the order of their exclusion
+        self._views: dict[int, ProxyView] = {}  # by proxy, connected or not
+
+    def connect_proxy(self, proxy: int, is_fresh: bool) -> None:
+        """Begins a new connection of a proxy; a fresh one has just started, so it excludes no worker yet."""
+        known = self._views.get(proxy)
+        if known is None:
+            self._views[proxy] = ProxyView(is_authoritative=is_fresh)
+        else:
+            was_authoritative = self._is_only_manager and known.is_authoritative
+            self._views[proxy] = known.reconnected(is_fresh or was_authoritative)
+
+    def count_added_lines(self, proxy: int, worker_indices: Iterable[int], binds_table: bool) -> int:
+        """Lines at this proxy that readmit these workers, on top of their own; see `ProxyView`."""
+        view = self._views.get(proxy)
+        if view is None:
+            return 0
+        return view.count_readmissions(worker_indices, self._workers, binds_table)
+
+    def set_excluded(self, worker_index: int, excluded: bool) -> None:
+        """Excludes a worker, or readmits it."""
+        if excluded:
+            self._excluded[worker_index] = None
+        else:
+            self._excluded.pop(worker_index, None)
+
+    def order_line(self, proxy: int, worker_index: int) -> LineOperation:
+        """The line that has the proxy exclude a worker where this manager does, and readmit it otherwise."""
+        excluded = worker_index in self._excluded
+        self._views[proxy].exclusions[worker_index] = excluded
+        return set_excluded(worker_index, excluded)
+
+    def worker_lines(self, proxy: int, worker_index: int) -> list[LineOperation]:
+        """The same line, or none if the proxy already does as this manager."""
+        is_excluded = self._views[proxy].is_excluded(worker_index, self._workers)
+        if is_excluded == (worker_index in self._excluded):
+            return []
+        return [self.order_line(proxy, worker_index)]
+
+    def table_lines(self, proxy: int, weights: Mapping[int, float]) -> list[LineOperation]:
+        """Lines for the exclusions of a table's workers, all of which are counted in the cost of a bind."""
+        view = self._views[proxy]
+        excluded = self._excluded.keys() & weights.keys()
+        view.exclusions.update(dict.fromkeys(excluded))
+        deferred = view.deferrable_readmissions(weights.keys() - excluded, self._workers)
+        lines: list[LineOperation] = []
+        for worker_index in weights:
+            if worker_index not in deferred:
+                lines += self.worker_lines(proxy, worker_index)
+        return lines
+
+    def remove_worker(self, worker_index: int) -> None:
+        """Frees what is kept of a worker.
+
+        A proxy may exclude it for good; should the worker be listed again, its first line readmits it.
+        """
+        self._excluded.pop(worker_index, None)
+        for view in self._views.values():
+            view.exclusions.pop(worker_index, None)
--- /dev/null
+++ b/cottonladder/state/order_checks.py
@@ -0,0 +1,44 @@
+"""Checks an order before any part of it is applied, so that a fault of the policy never reaches a proxy."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+
+from ..model.orders import ExcludeWorker, Order, RemoveWorker, SetAdmission, SetWeight
+from .order_errors import InvalidAdmissionError, InvalidWeightError, UnknownWorkerError
+from .worker_registry import WorkerRegistry
+
+
+class OrderChecker:
+    """Checks the figures of orders, and that their workers are known."""
+
+    def __init__(self, class_names: Sequence[str], workers: WorkerRegistry) -> None:
+        self._class_names = class_names
+        self._workers = workers
+
+    def check(self, order: Order) -> None:
+        """Raises `OrderRejectedError` for an order that must never be sent."""
+        if isinstance(order, SetWeight) and not _is_valid_figure(order.weight):
+            worker_id = self._workers.ids.get(order.worker_index, b"").decode()
+            raise InvalidWeightError(order, worker_id)
+        if isinstance(order, SetAdmission) and not _is_valid_figure(order.admission):
+            raise InvalidAdmissionError(order, self._names_of(order.class_mask))
+        if isinstance(order, (SetWeight, ExcludeWorker, RemoveWorker)):
+            self._check_worker(order)
+
+    def _check_worker(self, order: SetWeight | ExcludeWorker | RemoveWorker) -> None:
+        if not self._workers.is_known(order.worker_index):
+            raise UnknownWorkerError(order)
+
+    def _names_of(self, class_mask: int) -> list[str]:
+        """The names of the request classes in a mask, of which 0 stands for all."""
+        return [
+            name
+            for class_index, name in enumerate(self._class_names)
+            if not class_mask or class_mask >> class_index & 1
+        ]
+
+
+def _is_valid_figure(value: float) -> bool:
+    return math.isfinite(value) and value >= 0
