--- a/cottonladder/model/records.py
+++ b/cottonladder/model/records.py
@@ -144,7 +144,7 @@
         self.lost_checks = 0  # in a row
         self.in_flight = -1.0  # requests at the last health check; negative if unknown
         self.smoothed_in_flight = -1.0
-        self.held_request_rate = 0.0  # requests/s that stand for its held connections
+        self.connection_load = 0.0  # requests/s that stand for its held connections
         self.advised_factor = 1.0
         self.advised_factors: dict[int, float] = {}  # by advisor
 
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -64,7 +64,7 @@
     def __init__(self, parameters: MigrationParameters) -> None:
         self.parameters = parameters
         self.last_order_number = 0
-        self._held = HeldConnections()
+        self._connections = HeldConnections()
         self._intake = ConnectionIntake(parameters)
         self._pending: dict[int, _PendingMigration] = {}  # by order number
         self._missing_since: dict[int, float] = {}  # by worker
@@ -72,18 +72,18 @@
     def add_forwarder(self, forwarder: int, zone: int) -> None:
         """Adds a forwarder whose stream began; orders to an earlier stream of it no longer count."""
         self.remove_forwarder(forwarder)
-        self._held.add_forwarder(forwarder, zone)
+        self._connections.add_forwarder(forwarder, zone)
 
     def remove_forwarder(self, forwarder: int) -> None:
         """Removes a forwarder whose stream ended, with its connections and pending orders."""
-        self._held.remove_forwarder(forwarder)
+        self._connections.remove_forwarder(forwarder)
         self._drop_pending(lambda pending: pending.forwarder == forwarder)
 
     def update_connections(
         self, forwarder: int, is_complete: bool, rows: Mapping[int, HeldConnectionCounts]
     ) -> None:
         """Takes over a forwarder's counts by worker; `is_complete` means that it holds no others."""
-        self._held.update(forwarder, is_complete, rows)
+        self._connections.update(forwarder, is_complete, rows)
 
     def complete_migration(self, forwarder: int, number: int) -> None:
         """Ends a pending order that was carried out as far as possible; the rest is planned again."""
@@ -93,7 +93,7 @@
 
     def connections_by_worker(self) -> dict[int, HeldConnectionCounts]:
         """Counts by worker index, over all forwarders."""
-        return self._held.by_worker()
+        return self._connections.by_worker()
 
     def load_by_worker(self) -> dict[int, float]:
         """Requests a second that held connections stand for, by worker index."""
@@ -105,17 +105,17 @@
     def plan(self, now: float, views: Mapping[int, WorkerCapacityView]) -> list[MigrationOrder]:
         """Gives the orders of this slice; `views` is by worker index, `now` is in seconds."""
         self._drop_pending(lambda pending: now >= pending.expires_at)
-        held = self.connections_by_worker()
-        grace_ends = self._grace_ends(now, views, held)
+        connections = self.connections_by_worker()
+        grace_ends = self._grace_ends(now, views, connections)
         orders: list[MigrationOrder] = [*self._stop_orders(grace_ends)]
         line_budget = int(self.parameters.channel_lines_per_s * PLAN_INTERVAL_S * CHANNEL_FRACTION)
         spent_lines = len(orders) * (self.parameters.message_header_lines + 1)
         live = {
             worker: view for worker, view in views.items() if view.capacity > 0 and worker not in grace_ends
         }
-        acceptable = self._intake.acceptable_connections(now, live, held, self._incoming_connections())
+        acceptable = self._intake.acceptable_connections(now, live, connections, self._incoming_connections())
         drains = due_drains(
-            now, grace_ends, self._held.forwarders, self._ordered_connections(), self.parameters
+            now, grace_ends, self._connections.forwarders, self._ordered_connections(), self.parameters
         )
         if drains:
             orders += self._migrations(now, drains, acceptable, views, max(1, line_budget - spent_lines))
@@ -154,16 +154,16 @@
         self,
         now: float,
         views: Mapping[int, WorkerCapacityView],
-        held: Mapping[int, HeldConnectionCounts],
+        connections: Mapping[int, HeldConnectionCounts],
     ) -> dict[int, float]:
         """When the grace period of each worker ends that holds connections and drains or is gone.
 
         For a worker that the routing controller no longer knows it starts when the worker is first missing.
         """
-        missing = [worker for worker in held if worker not in views][:MAX_MISSING_WORKERS]
+        missing = [worker for worker in connections if worker not in views][:MAX_MISSING_WORKERS]
         self._missing_since = {worker: self._missing_since.get(worker, now) for worker in missing}
         ends = {worker: since + self.parameters.grace_s for worker, since in self._missing_since.items()}
-        for worker in held:
+        for worker in connections:
             if worker in views and views[worker].draining_since >= 0:
                 ends[worker] = views[worker].draining_since + self.parameters.grace_s
         return ends
@@ -195,7 +195,7 @@
         spent_lines = 0
         for drain, share in zip(drains, shares, strict=True):
             for forwarder, count in share.items():
-                destinations = placement.take(self._held.forwarders[forwarder].zone, count)
+                destinations = placement.take(self._connections.forwarders[forwarder].zone, count)
                 order = self._create_order(forwarder, drain, destinations, count)
                 if order is None:
                     continue
@@ -212,7 +212,7 @@
         demand = [0.0] * self.parameters.zone_count
         for share in shares:
             for forwarder, count in share.items():
-                demand[self._held.forwarders[forwarder].zone] += count
+                demand[self._connections.forwarders[forwarder].zone] += count
         return demand
 
     def _create_order(
@@ -245,9 +245,9 @@
 
     def _admission_orders(self, line_budget: int) -> list[MigrationOrder]:
         """Sends forwarders their fraction of the arrivals if it changed far enough, as lines allow."""
-        fraction = 1.0 / max(1, len(self._held.forwarders))
+        fraction = 1.0 / max(1, len(self._connections.forwarders))
         orders: list[MigrationOrder] = []
-        for forwarder, holdings in self._held.forwarders.items():
+        for forwarder, holdings in self._connections.forwarders.items():
             announced = holdings.announced_fraction
             if abs(fraction - announced) <= MIN_ADMISSION_CHANGE_RATIO * announced:
                 continue
--- a/cottonladder/planning/migration_capacity.py
+++ b/cottonladder/planning/migration_capacity.py
@@ -32,7 +32,7 @@
         self,
         now: float,
         live: Mapping[int, WorkerCapacityView],
-        held: Mapping[int, HeldConnectionCounts],
+        connections: Mapping[int, HeldConnectionCounts],
         incoming: Mapping[int, int],
     ) -> dict[int, int]:
         """Refills the buckets and gives the connections that each live worker may be given.
@@ -42,15 +42,15 @@
         """
         self._refill(now, live)
         capacity_sum = sum(view.capacity for view in live.values())
-        held_sum = sum(counts.open for counts in held.values())
-        connections_per_capacity = held_sum / capacity_sum if capacity_sum > 0 else 0.0
+        open_sum = sum(counts.open for counts in connections.values())
+        connections_per_capacity = open_sum / capacity_sum if capacity_sum > 0 else 0.0
         acceptable: dict[int, int] = {}
         for worker, view in live.items():
             fill_limit = (1.0 + CAPACITY_SLACK_RATIO) * connections_per_capacity * view.capacity
             if not view.warming_up:
                 fill_limit += 1
             fill_limit = min(float(self._parameters.max_connections), fill_limit)
-            open_count = held[worker].open if worker in held else 0
+            open_count = connections[worker].open if worker in connections else 0
             spare = fill_limit - incoming.get(worker, 0) - open_count
             count = int(min(spare, self._tokens[worker]))
             if count > 0:
--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -71,7 +71,7 @@
         """Records the load of a worker's held connections, in requests/s."""
         worker = self._state.workers.by_index.get(load.worker_index)
         if worker is not None:
-            worker.held_request_rate = report_plausibility.believed_rate(load.requests_per_s)
+            worker.connection_load = report_plausibility.believed_rate(load.requests_per_s)
 
     def set_advised_factor(self, advised: inputs.AdvisedFactor) -> None:
         """Records one advisor's factor for a worker."""
--- a/cottonladder/policy/worker_removal.py
+++ b/cottonladder/policy/worker_removal.py
@@ -42,7 +42,7 @@
     named = {index for table in state.tables.all for index in table.sent}
     for index, worker in state.workers.in_state(WorkerState.REMOVED).items():
         is_old = state.now - worker.due_at > REMOVED_TTL_S
-        if is_old and index not in named and not worker.held_request_rate:
+        if is_old and index not in named and not worker.connection_load:
             del state.workers.by_index[index]
             state.pending.add(orders.ExcludeWorker(index, False))
             state.pending.add(orders.RemoveWorker(index))
--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -75,13 +75,13 @@
     def _free_capacities(self, capacities: dict[int, float], demand: float) -> dict[int, float]:
         """Returns what the workers' held connections leave of their capacities for requests."""
         workers = self._state.workers.by_index
-        held_rates = {index: workers[index].held_request_rate for index in capacities}
-        if not sum(held_rates.values()):
+        connection_loads = {index: workers[index].connection_load for index in capacities}
+        if not sum(connection_loads.values()):
             return capacities
         # Held connections are in requests/s and capacities may be relative, hence the conversion.
-        unit = sum(capacities.values()) / (demand + sum(held_rates.values()))
+        unit = sum(capacities.values()) / (demand + sum(connection_loads.values()))
         return {
-            index: max(MIN_FREE_RATIO * capacity, capacity - unit * held_rates[index])
+            index: max(MIN_FREE_RATIO * capacity, capacity - unit * connection_loads[index])
             for index, capacity in capacities.items()
         }
 
--- a/cottonladder/protocol/discovery_http.py
+++ b/cottonladder/protocol/discovery_http.py
@@ -4,12 +4,12 @@
 
 import asyncio
 from collections.abc import AsyncIterator
+from http import HTTPStatus
 
 import aiohttp
 
 from .errors import EndpointListError
 
-HTTP_OK = 200
 MAX_LIST_SIZE = 8 << 20  # bytes of one line or list: some 50,000 workers
 LINE_TIMEOUT_S = 5.0  # from a line's first byte to its end, as long as a fetch of the complete list
 LINE_END = b"\n"
@@ -17,7 +17,7 @@
 
 def check_status(reply: aiohttp.ClientResponse) -> None:
     """Raises EndpointListError unless the answer's status is 200."""
-    if reply.status != HTTP_OK:
+    if reply.status != HTTPStatus.OK:
         raise EndpointListError("discovery", f"status {reply.status}")
 
 
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -5,6 +5,7 @@
 import asyncio
 import time
 from collections.abc import Callable
+from http import HTTPStatus
 
 import aiohttp
 
@@ -12,7 +13,6 @@
 from ..model.inputs import HealthCheckResult, Input
 from .message_fields import parse_number
 
-HTTP_OK = 200
 CHECK_TIMEOUT_S = 0.5  # for connection and answer together; checks of one worker are at least 1 s apart
 MAX_BODY_SIZE = 4096  # bytes of a load report, which is one line of a few numbers
 REPORT_PREFIX = "TEXT"
@@ -70,7 +70,7 @@
             try:
                 async with self._session.get(f"http://{address}{self._path}") as reply:
                     body = await reply.content.read(MAX_BODY_SIZE)
-                    succeeded = reply.status == HTTP_OK
+                    succeeded = reply.status == HTTPStatus.OK
                     if succeeded:
                         report = read_load_report(body.decode())
             except (aiohttp.ClientError, TimeoutError, OSError, UnicodeDecodeError, InputError):
