--- a/cottonladder/control/advice_connections.py
+++ b/cottonladder/control/advice_connections.py
@@ -14,19 +14,20 @@
     TlsConfig,
     host_port,
 )
+from ..weight_advice.advertised_workers import AdvertisedWorkers
 from ..weight_advice.client import AdviceListener, AdvisorClient
 from ..weight_advice.dfp_client import DfpAdvisorClient
 from ..weight_advice.dfp_server import DfpServer
 from ..weight_advice.sasp_client import SaspAdvisorClient
 from ..weight_advice.sasp_server import SaspServer
-from ..weight_advice.server import AdvertisedWeights, AdviceServer
+from ..weight_advice.server import AdviceServer
 from ..weight_advice.tls import tls_context
 
 MAX_SECRET_BYTES = 1024  # of a secret's file
 
 
 def create_advice_server(
-    config: AdviceServerConfig, advertised: AdvertisedWeights, place: str
+    config: AdviceServerConfig, advertised: AdvertisedWorkers, place: str
 ) -> AdviceServer:
     """A server that load balancers connect to; `place` is where the operators' file configures it."""
     if config.protocol == "sasp":
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -21,8 +21,9 @@
 from ..planning.controller_views import capacity_views
 from ..policy.controller import RoutingController
 from ..state.worker_registry import WorkerRegistry
+from ..weight_advice.advertised_workers import AdvertisedWorkers
 from ..weight_advice.client import AdviceListener, AdvisorClient, ReportedWeight
-from ..weight_advice.server import AdvertisedWeights, AdviceServer
+from ..weight_advice.server import AdviceServer
 from ..weight_advice.worker_locations import worker_locations
 from .advice_connections import create_advice_server, create_advisor_client
 from .input_queue import LoopInput
@@ -51,7 +52,7 @@
     def __init__(self, config: AdviceConfig, workers: WorkerRegistry) -> None:
         self._config = config
         self._workers = workers
-        self._advertised = AdvertisedWeights()
+        self._advertised = AdvertisedWorkers()
         self._weighting = AdviceWeighting()
         self._servers: list[AdviceServer] = []
         self._clients: list[AdvisorClient] = []  # two of them may follow the same advisor
@@ -60,7 +61,7 @@
         self._connected_advisors: list[str] = []  # since the last step
         self._next_update_at = 0.0
         self._status_logged_at = 0.0
-        self._has_list_changed = False  # since the advertised weights were updated
+        self._has_list_changed = False  # since the advertised workers were updated
         self._factors: dict[int, float] = {}  # by worker, as last given to the policy
         self._capacities: dict[int, WorkerCapacityView] = {}  # by worker
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
@@ -151,7 +152,7 @@
         locations = worker_locations(self._workers.ids, self._workers.address_of)
         self._advertised.update(self._capacities, locations)
         for server in self._servers:
-            server.weights_changed()
+            server.push_due_weights_to_all()
         for client in self._clients:
             client.update(locations)
 
--- a/cottonladder/weight_advice/dfp_server.py
+++ b/cottonladder/weight_advice/dfp_server.py
@@ -7,8 +7,9 @@
 
 from ..planning.advertised_weights import AdvertisedWeight, advertise_weights, has_changed
 from . import dfp, limits
+from .advertised_workers import AdvertisedWorkers
 from .errors import KeepAliveError, UnexpectedMessageError
-from .server import AdvertisedWeights, AdviceServer, ClientConnection
+from .server import AdviceServer, ClientConnection
 from .tlv import TCP_PROTOCOL_NUMBER
 from .worker_locations import WorkerLocation
 
@@ -24,9 +25,9 @@
     """Serves DFP managers; `secret` is the key id and key that their messages must be signed with."""
 
     def __init__(
-        self, weights: AdvertisedWeights, max_clients: int, secret: tuple[int, bytes] | None = None
+        self, advertised: AdvertisedWorkers, max_clients: int, secret: tuple[int, bytes] | None = None
     ) -> None:
-        super().__init__(weights, max_clients)
+        super().__init__(advertised, max_clients)
         self._secret = secret
 
     def create_connection(self) -> ClientConnection:
@@ -39,7 +40,7 @@
 
     def __init__(self, server: DfpServer, secret: tuple[int, bytes] | None) -> None:
         super().__init__(server)
-        self._weights = server.weights
+        self._advertised = server.advertised
         self._secret = secret
         self._reader = dfp.MessageReader(dict([secret]) if secret else None)
         self._keep_alive_s = float(limits.KEEP_ALIVE_INTERVAL_S)
@@ -48,7 +49,7 @@
     def handle_data(self, data: bytes) -> None:
         """Handles the messages of a manager; a message of an agent ends the connection."""
         for message in self._reader.feed(data):
-            self.has_spoken = True
+            self.has_sent_message = True
             self._handle_message(message)
 
     def _handle_message(self, message: dfp.Message) -> None:
@@ -60,9 +61,9 @@
             reason = f"{dfp.MESSAGE_NAMES[message.message_type]}: not from a manager"
             raise UnexpectedMessageError(message.message_type, reason)
 
-    def serve(self, now: float) -> None:
+    def push_due_weights(self, now: float) -> None:
         """Reports all weights at half of the keep-alive, or sooner if one of them changed."""
-        version = self._weights.version
+        version = self._advertised.version
         is_new_version = self.sent_version != version
         may_push = is_new_version and now - self.pushed_at >= limits.PUSH_INTERVAL_S
         is_due = now - self.pushed_at >= self._keep_alive_s / 2
@@ -70,9 +71,11 @@
             return
         self.sent_version = version
         locations = [
-            location for location in self._weights.locations if isinstance(location.address, IPv4Address)
+            location for location in self._advertised.locations if isinstance(location.address, IPv4Address)
         ]
-        advertised = advertise_weights(self._weights.views, [location.worker_index for location in locations])
+        advertised = advertise_weights(
+            self._advertised.capacities, [location.worker_index for location in locations]
+        )
         if not is_due and not _has_changes(self._sent_weights, advertised):
             return
         self._sent_weights = advertised
--- a/cottonladder/weight_advice/sasp_server.py
+++ b/cottonladder/weight_advice/sasp_server.py
@@ -6,34 +6,38 @@
 import ssl
 
 from . import limits, sasp
+from .advertised_workers import AdvertisedWorkers
 from .errors import UnexpectedMessageError
 from .registry import LoadBalancerRegistry
-from .server import AdvertisedWeights, AdviceServer, ClientConnection
+from .server import AdviceServer, ClientConnection
 from .worker_locations import MemberIndex
 
+# Reason, as logged, of the end of a connection whose client sent no message in time.
+NO_FIRST_MESSAGE_REASON = "said nothing"
+
 
 class SaspServer(AdviceServer):
     """Serves load balancers that register groups of members."""
 
     def __init__(
-        self, weights: AdvertisedWeights, max_clients: int, tls: ssl.SSLContext | None = None
+        self, advertised: AdvertisedWorkers, max_clients: int, tls: ssl.SSLContext | None = None
     ) -> None:
-        super().__init__(weights, max_clients, tls)
+        super().__init__(advertised, max_clients, tls)
         self.registry = LoadBalancerRegistry()
-        self._registry_version = -1  # of the advertised weights
+        self._registry_version = -1  # of the advertised workers
 
     def create_connection(self) -> ClientConnection:
         """Creates the connection of a new load balancer."""
         return SaspConnection(self)
 
     def update_registry(self) -> None:
-        """Gives the registry the advertised weights if they changed."""
-        if self._registry_version != self.weights.version:
-            self._registry_version = self.weights.version
-            self.registry.update(self.weights.views, MemberIndex(self.weights.locations))
+        """Gives the registry the advertised workers if they changed."""
+        if self._registry_version != self.advertised.version:
+            self._registry_version = self.advertised.version
+            self.registry.update(self.advertised.capacities, MemberIndex(self.advertised.locations))
 
     def status(self) -> list[dict[str, object]]:
-        """Gives a log line's fields for each load balancer."""
+        """Returns the status log fields of each load balancer."""
         return self.registry.status()
 
 
@@ -59,7 +63,7 @@
     def handle_data(self, data: bytes) -> None:
         """Answers requests; any other message ends the connection."""
         for message in self._reader.feed(data):
-            self.has_spoken = True
+            self.has_sent_message = True
             self._answer(message)
 
     def _answer(self, message: sasp.Message) -> None:
@@ -70,13 +74,14 @@
             raise UnexpectedMessageError(message.message_type, reason)
         self.send(sasp.encode_message(reply))
 
-    def serve(self, now: float) -> None:
-        """Pushes changed weights if the load balancer asked for it; ends a client that sent nothing."""
-        if not self.has_spoken:
-            if now - self.connected_at > limits.FIRST_MESSAGE_TIMEOUT_S:
-                self.end("said nothing")
-            return
-        version = self._sasp_server.weights.version
+    def disconnect_if_silent(self, now: float) -> None:
+        """Ends the connection if the first message has not come within `FIRST_MESSAGE_TIMEOUT_S`."""
+        if not self.has_sent_message and now - self.connected_at > limits.FIRST_MESSAGE_TIMEOUT_S:
+            self.abort(NO_FIRST_MESSAGE_REASON)
+
+    def push_due_weights(self, now: float) -> None:
+        """Pushes changed weights if the load balancer asked for it."""
+        version = self._sasp_server.advertised.version
         if now - self.pushed_at < limits.PUSH_INTERVAL_S or self.sent_version == version:
             return
         # A client that has not read the last push gets the newer weights with a later one.
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -1,7 +1,7 @@
-"""The listener of an advice server and its connections; subclasses speak SASP or DFP.
+"""Base classes of the SASP and DFP servers and of their connections.
 
-All that belongs to a client, its connection, its registrations and what it left unread, ends together in
-`ClientConnection.connection_lost`.
+A client's registrations and unsent data are discarded when its connection ends
+(`ClientConnection.connection_lost`).
 """
 
 from __future__ import annotations
@@ -10,63 +10,56 @@
 import socket
 import ssl
 import time
-from collections.abc import Mapping
+from abc import ABC, abstractmethod
 from contextlib import AsyncExitStack
 from typing import cast
 
 import structlog
 
 from ..config.fields import HostPort
-from ..model.views import WorkerCapacityView
 from ..protocol.fault_log import RateLimitedFaultLog
+from ..protocol.stream_listener import STOP_REASON
 from . import limits
+from .advertised_workers import AdvertisedWorkers
 from .errors import AdviceError
-from .worker_locations import WorkerLocation
 
-# Pause between two checks of each client: its first message, pushes and keep-alives.
+# Interval between sweeps, which push due weights and disconnect silent clients.
 SWEEP_INTERVAL_S = 0.5
 # Connections that the kernel holds until they are accepted.
 LISTEN_BACKLOG_CONNECTIONS = 1024
-# Connections accepted at once: asyncio accepts as many as its own backlog, and others wait in the kernel.
+# Connections accepted in one iteration of the event loop (asyncio's `backlog`).
 MAX_ACCEPTED_CONNECTIONS = 64
 
+# Reasons of a connection's end, as logged.
+CLIENT_CLOSED_REASON = "ended by the other side"
+UNREAD_DATA_REASON = "left its advice unread"
+TOO_MANY_CLIENTS_REASON = "too many clients"
 
-class AdvertisedWeights:
-    """The workers as last solved, with their locations; servers compare `version` to notice a change."""
 
-    def __init__(self) -> None:
-        self.views: Mapping[int, WorkerCapacityView] = {}
-        self.locations: list[WorkerLocation] = []
-        self.version = 0
-
-    def update(self, views: Mapping[int, WorkerCapacityView], locations: list[WorkerLocation]) -> None:
-        """Takes over the workers as last solved, and where they are reached."""
-        self.views = views
-        self.locations = locations
-        self.version += 1
-
-
-class ClientConnection(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol, ABC):
     """The connection of one load balancer or DFP manager; a subclass speaks its protocol."""
 
     def __init__(self, server: AdviceServer) -> None:
         self.number = -1  # set by the server once the connection is made
         self.peer = "?"
-        self.has_spoken = False
-        self.end_reason = "ended by the other side"
+        self.has_sent_message = False
+        self.end_reason = CLIENT_CLOSED_REASON
         self.connected_at = 0.0
         self.pushed_at = 0.0
-        self.sent_version = -1  # of the advertised weights
+        self.sent_version = -1  # of the advertised workers
         self._server = server
         self._transport: asyncio.Transport | None = None
 
+    @abstractmethod
     def handle_data(self, data: bytes) -> None:
         """Handles received bytes; raises AdviceError for messages that the protocol does not allow."""
-        raise NotImplementedError
 
-    def serve(self, now: float) -> None:
-        """Sends the weights that are due at this time, or ends the connection."""
-        raise NotImplementedError
+    @abstractmethod
+    def push_due_weights(self, now: float) -> None:
+        """Sends the client the weights that are due at this time."""
+
+    def disconnect_if_silent(self, now: float) -> None:
+        """Ends the connection if the client has not sent a message in time; the base class never does."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Adds the connection to its server."""
@@ -83,7 +76,7 @@
         try:
             self.handle_data(data)
         except AdviceError as exc:
-            self.end(str(exc))
+            self.abort(str(exc))
 
     def send(self, data: bytes) -> None:
         """Writes to the client; ends the connection instead if the client leaves too much unread."""
@@ -91,7 +84,7 @@
         if transport is None or transport.is_closing():
             return
         if transport.get_write_buffer_size() + len(data) > limits.MAX_UNREAD_BYTES:
-            self.end("left its advice unread")
+            self.abort(UNREAD_DATA_REASON)
         else:
             transport.write(data)
 
@@ -102,7 +95,7 @@
             return 0
         return self._transport.get_write_buffer_size()
 
-    def end(self, reason: str) -> None:
+    def abort(self, reason: str) -> None:
         """Aborts the connection; the reason is logged."""
         if self._transport is not None and not self._transport.is_closing():
             self.end_reason = reason
@@ -113,25 +106,25 @@
         self._server.client_disconnected(self)
 
 
-class AdviceServer:
-    """Accepts clients and serves them at each sweep; a subclass creates the connections of its protocol."""
+class AdviceServer(ABC):
+    """Accepts clients and sends them weights; a subclass creates the connections of its protocol."""
 
     def __init__(
-        self, weights: AdvertisedWeights, max_clients: int, tls: ssl.SSLContext | None = None
+        self, advertised: AdvertisedWorkers, max_clients: int, tls: ssl.SSLContext | None = None
     ) -> None:
-        self.weights = weights
+        self.advertised = advertised
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self._clients: dict[int, ClientConnection] = {}
-        self._faults = RateLimitedFaultLog("advice_client_disconnected")
+        self._disconnect_log = RateLimitedFaultLog("advice_client_disconnected")
         self._max_clients = max_clients
         self._tls = tls
         self._next_number = 0
         self._listener: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
 
+    @abstractmethod
     def create_connection(self) -> ClientConnection:
         """Creates the connection of a new client."""
-        raise NotImplementedError
 
     async def listen(self, address: HostPort, stack: AsyncExitStack) -> int:
         """Starts to accept clients and returns the port; `stack` closes the server."""
@@ -150,39 +143,44 @@
         return int(listener.getsockname()[1])
 
     def client_connected(self, client: ClientConnection) -> None:
-        """Numbers and adds a client.
+        """Adds a client.
 
-        If there are too many clients, the one that has been connected longest without a message is ended; a
-        client that has sent one never is.
+        Over the limit, disconnects the oldest client that has sent no message, possibly this one.
         """
         client.number = self._next_number
         self._next_number += 1
         self._clients[client.number] = client
         if len(self._clients) > self._max_clients:
-            unidentified = (other for other in self._clients.values() if not other.has_spoken)
-            ended = next(unidentified, client)
-            ended.end("too many clients")
-            self._clients.pop(ended.number, None)
+            silent_clients = (other for other in self._clients.values() if not other.has_sent_message)
+            oldest = next(silent_clients)
+            oldest.abort(TOO_MANY_CLIENTS_REASON)
+            del self._clients[oldest.number]  # now: asyncio reports the lost connection in its next iteration
 
     def client_disconnected(self, client: ClientConnection) -> None:
         """Removes a client and logs why its connection ended."""
         self._clients.pop(client.number, None)
-        self._faults.report(client.end_reason, peer=client.peer)
+        self._disconnect_log.report(client.end_reason, peer=client.peer)
 
-    def weights_changed(self) -> None:
-        """Serves every client at once, because the advertised weights changed."""
+    def push_due_weights_to_all(self) -> None:
+        """Sends each client the weights that are due now."""
         now = time.monotonic()
         for client in list(self._clients.values()):
-            client.serve(now)
+            client.push_due_weights(now)
+
+    def _disconnect_silent_clients(self) -> None:
+        now = time.monotonic()
+        for client in list(self._clients.values()):
+            client.disconnect_if_silent(now)
 
     def _sweep(self) -> None:
-        loop = asyncio.get_running_loop()
-        self.weights_changed()
-        self._faults.summarize(time.monotonic())
-        self._timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        """Does what is due by time, and schedules the next sweep."""
+        self._disconnect_silent_clients()
+        self.push_due_weights_to_all()
+        self._disconnect_log.summarize(time.monotonic())
+        self._timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def status(self) -> list[dict[str, object]]:
-        """Gives a log line's fields for each client that there is something to say about."""
+        """Returns the status log fields of each client; the base class has none."""
         return []
 
     def close(self) -> None:
@@ -192,4 +190,4 @@
         if self._listener is not None:
             self._listener.close()
         for client in list(self._clients.values()):
-            client.end("the manager stops")
+            client.abort(STOP_REASON)
