--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -14,7 +14,7 @@
 from ..config.fields import MS_PER_S, address
 from ..weight_advice.query import MemberWeight, query_dfp, query_sasp
 from .errors import CommandError
-from .options import AS_JSON
+from .options import json_option
 from .output import print_table
 
 QUERY_TIMEOUT_S = 5.0  # for the whole exchange
@@ -40,7 +40,7 @@
 @HOST_PORT
 @PROTOCOL
 @MEMBERS
-@AS_JSON
+@json_option
 def show(host_port: str, protocol: str, members: tuple[str, ...], as_json: bool) -> None:
     """Show an advisor's weights; status 1 if it gives no valid answer."""
 
@@ -62,7 +62,7 @@
 @advice.command()
 @HOST_PORT
 @PROTOCOL
-@AS_JSON
+@json_option
 def probe(host_port: str, protocol: str, as_json: bool) -> None:
     """Test whether an advisor speaks the protocol, and how long its answer takes."""
 
--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -17,7 +17,7 @@
 from ..protocol.messages import PING, PONG
 from .configuration import load_operator_config, load_startup_config
 from .errors import BadInputError, CommandError
-from .options import CONFIG, OPERATOR_CONFIG
+from .options import config_option, operator_option
 from .serving import configure_logging, serve_then_block_signals
 
 PING_TIMEOUT_S = 2.0  # to connect, and to wait for each part of the answer
@@ -25,8 +25,8 @@
 
 
 @click.command()
-@CONFIG
-@OPERATOR_CONFIG
+@config_option
+@operator_option
 def serve(config_path: str, operator_path: str) -> None:
     """Serve proxies until SIGTERM; SIGHUP reloads the configuration."""
     configure_logging()
@@ -37,8 +37,8 @@
 
 
 @click.command()
-@CONFIG
-@OPERATOR_CONFIG
+@config_option
+@operator_option
 @click.option("--running", "running_path", default="", help="The configuration that a manager now runs on.")
 def check(config_path: str, operator_path: str, running_path: str) -> None:
     """Check the configuration and the operators' file as serve would read them.
--- a/cottonladder/cli/memory.py
+++ b/cottonladder/cli/memory.py
@@ -14,7 +14,7 @@
 from ..snapshots.errors import SnapshotError
 from ..snapshots.store import Generation, SnapshotStore
 from .errors import CommandError
-from .options import AS_JSON
+from .options import json_option
 from .output import print_table
 
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False))
@@ -54,7 +54,7 @@
 
 @memory.command()
 @FOLDER
-@AS_JSON
+@json_option
 def show(folder: str, as_json: bool) -> None:
     """List the generations: which are valid, how old and how large they are."""
     with store_errors():
--- a/cottonladder/cli/options.py
+++ b/cottonladder/cli/options.py
@@ -1,13 +1,13 @@
-"""Options and arguments that several commands share."""
+"""Click options shared by several commands."""
 
 from __future__ import annotations
 
 import click
 
-CONFIG = click.option(
+config_option = click.option(
     "--config", "config_path", envvar="ROUTER_CONFIG", default="", help="The manager's configuration, JSON."
 )
-OPERATOR_CONFIG = click.option(
+operator_option = click.option(
     "--operator", "operator_path", envvar="ROUTER_OPERATOR", default="", help="The operators' file, JSON5."
 )
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON in place of a table.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON in place of a table.")
--- a/cottonladder/cli/plugin.py
+++ b/cottonladder/cli/plugin.py
@@ -13,7 +13,7 @@
 
 from ..config.errors import InputError
 from .errors import BadInputError
-from .options import AS_JSON
+from .options import json_option
 from .output import print_rows, print_table
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
 @MODULE
 @click.argument("requests_path", type=click.Path(exists=True, dir_okay=False), metavar="REQUESTS")
 @GRANTS
-@AS_JSON
+@json_option
 def run(module: str, requests_path: str, grants: tuple[str, ...], as_json: bool) -> None:
     """Replay recorded requests, a line of JSON each, and print what the plug-in would have changed."""
     from .plugin_trial import load_plugin, replay
@@ -71,7 +71,7 @@
 @MODULE
 @click.option("--calls", "call_count", default=2000, type=click.IntRange(10, 1_000_000))
 @GRANTS
-@AS_JSON
+@json_option
 def bench(module: str, call_count: int, grants: tuple[str, ...], as_json: bool) -> None:
     """Measure how long a call takes."""
     from .plugin_trial import load_plugin, measure_calls
@@ -85,7 +85,7 @@
 
 @plugin.command("list")
 @click.argument("operator_path", type=click.Path(exists=True, dir_okay=False), metavar="FILE")
-@AS_JSON
+@json_option
 def list_plugins(operator_path: str, as_json: bool) -> None:
     """List the plug-ins that an operators' file names, and whether they load."""
     from .plugin_trial import configured_plugins
--- a/cottonladder/cli/tasks.py
+++ b/cottonladder/cli/tasks.py
@@ -9,7 +9,7 @@
 import click
 
 from .errors import CommandError
-from .options import AS_JSON
+from .options import json_option
 from .output import print_rows
 
 ANSWER_TIMEOUT_S = 3.0
@@ -19,7 +19,7 @@
 
 @click.command()
 @click.argument("path", type=click.Path(exists=True), metavar="SOCKET")
-@AS_JSON
+@json_option
 def tasks(path: str, as_json: bool) -> None:
     """Show the background tasks of a running process, over its local control socket."""
     try:
