--- a/cottonladder/cli/tasks.py
+++ b/cottonladder/cli/tasks.py
@@ -8,6 +8,7 @@
 
 import click
 
+from ..control.admin_socket import TASKS_QUERY
 from .errors import CommandError
 from .options import json_option
 from .output import print_rows
@@ -23,7 +24,7 @@
 def tasks(path: str, as_json: bool) -> None:
     """Show the background tasks of a running process, over its local control socket."""
     try:
-        rows = _query(path, "tasks")
+        rows = _query(path, TASKS_QUERY)
     except OSError as exc:
         raise CommandError(str(exc)) from exc
     except ValueError as exc:
--- a/cottonladder/control/admin_socket.py
+++ b/cottonladder/control/admin_socket.py
@@ -16,6 +16,7 @@
 
 from ..config.errors import ConfigError
 
+TASKS_QUERY = "tasks"  # answered with the status of each background task
 SETTING = "control"  # of the operators' file, which names the path
 MAX_REQUEST_BYTES = 256
 REQUEST_TIMEOUT_S = 2.0  # for a request to come, and for its answer to be read
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -45,7 +45,7 @@
 class ConnectionMigrator:
     """Owns the planner, which knows a forwarder from its announcement to the end of its stream.
 
-    `is_vetoed` may be set to a function that puts a migration off.
+    `is_vetoed` tells whether a migration is to be postponed; None means that none is.
     """
 
     def __init__(
@@ -54,6 +54,7 @@
         config: UpgradesConfig,
         workers: WorkerRegistry,
         messages: MessageReader,
+        is_vetoed: Callable[[MigrateConnections], bool] | None = None,
     ) -> None:
         parameters = settings.parameters
         self._planner = MigrationPlanner(
@@ -73,7 +74,7 @@
         self._announced: set[int] = set()
         self._loads: dict[int, float] = {}  # by worker, as last given to the policy
         self._extra_lines = 0
-        self.is_vetoed: Callable[[MigrateConnections], bool] = _never_vetoed
+        self._is_vetoed = is_vetoed
         self._next_plan_at = 0.0
         self._logged_drains: dict[int, _LoggedDrain] = {}  # by worker
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
@@ -174,8 +175,10 @@
         )
 
     def _drop_vetoed(self, order: MigrationOrder) -> bool:
-        """Whether a plug-in puts a migration off; it then counts as done, and the next plan has it again."""
-        if not isinstance(order, MigrateConnections) or not self.is_vetoed(order):
+        """Whether a plug-in postpones a migration; it then counts as done, and the next plan has it again."""
+        if self._is_vetoed is None or not isinstance(order, MigrateConnections):
+            return False
+        if not self._is_vetoed(order):
             return False
         self._planner.complete_migration(order.forwarder, order.number)
         return True
@@ -198,8 +201,3 @@
             drain = self._logged_drains.pop(index)
             event = "held_connections_drain_cancelled" if index in totals else "held_connections_drained"
             self.log.info(event, worker_id=drain.worker_id, open_count_at_start=drain.open_count_at_start)
-
-
-def _never_vetoed(_migration: MigrateConnections) -> bool:
-    """Stands in where no plug-in may put migrations off."""
-    return False
--- a/cottonladder/control/extensions.py
+++ b/cottonladder/control/extensions.py
@@ -1,11 +1,12 @@
-"""The extensions that the operators' file switches on.
+"""Creates the extensions and background services that the operators' file enables.
 
-Each module is imported only where its part of the file is present, so that a manager without extensions
+Each module is imported only if its part of the file is present, so that a manager without extensions
 starts quickly and takes little memory.
 """
 
 from __future__ import annotations
 
+import random
 from collections.abc import Callable
 from contextlib import AsyncExitStack
 from dataclasses import dataclass
@@ -18,7 +19,7 @@
 from .startup_config import StartupConfig
 
 if TYPE_CHECKING:
-    from ..config.operator_config import OperatorConfig
+    from ..config.operator_config import OperatorConfig, SnapshotConfig
     from .background_scheduler import BackgroundScheduler
     from .connection_migrator import ConnectionMigrator
     from .plugin_extension import PluginExtension
@@ -27,8 +28,8 @@
 
 
 @dataclass(slots=True)
-class BackgroundWork:
-    """The background scheduler and the snapshots; each None where the file does not switch it on."""
+class BackgroundServices:
+    """The background scheduler and the snapshots; each None if disabled in the operators' file."""
 
     scheduler: BackgroundScheduler | None = None
     snapshots: SnapshotManager | None = None
@@ -36,14 +37,14 @@
 
 @dataclass(slots=True)
 class Extensions:
-    """The control loop's extensions but snapshots; each None where the file does not switch it on."""
+    """All extensions except snapshots; each None if disabled in the operators' file."""
 
     connection_migrator: ConnectionMigrator | None = None
     weight_advisor: WeightAdvisor | None = None
     plugins: PluginExtension | None = None
 
-    def in_order(self) -> list[ControlLoopExtension]:
-        """The extensions that are on, in the order in which a step calls them."""
+    def enabled(self) -> list[ControlLoopExtension]:
+        """The enabled extensions, in call order."""
         candidates: tuple[ControlLoopExtension | None, ...] = (
             self.connection_migrator,
             self.weight_advisor,
@@ -52,70 +53,90 @@
         return [extension for extension in candidates if extension is not None]
 
     def state_change_observer(self) -> Callable[[StateChange], None] | None:
-        """The function to call with each state change of the policy; None where nothing observes them."""
+        """The function to call with each state change of the policy; None if nothing observes them."""
         if self.plugins is None:
             return None
         return self.plugins.queue_state_change
 
 
-async def start_background_work(
+async def start_background_services(
     config: StartupConfig, operator: OperatorConfig | None, stack: AsyncExitStack
-) -> BackgroundWork:
-    """Starts the scheduler, snapshots and the admin socket where the file switches them on."""
+) -> BackgroundServices:
+    """Starts the scheduler, snapshots and the admin socket, if enabled; `stack` closes them."""
     if operator is None or not (operator.memory or operator.control):
-        return BackgroundWork()
-    import random
-
-    from .admin_socket import AdminSocket
+        return BackgroundServices()
     from .background_scheduler import BackgroundScheduler
 
     scheduler = BackgroundScheduler(random.Random(config.settings.parameters.seed).random)
     snapshots: SnapshotManager | None = None
     if operator.memory is not None:
-        from .snapshot_folder import SNAPSHOT_TASK
-        from .snapshot_manager import SnapshotManager
-
-        snapshots = SnapshotManager(operator.memory.folder, operator.memory.interval_s, config, scheduler)
-        await snapshots.start(stack)
-        stack.push_async_callback(scheduler.close, (SNAPSHOT_TASK,))
+        snapshots = await _start_snapshots(operator.memory, config, scheduler, stack)
     else:
         stack.push_async_callback(scheduler.close)
     if operator.control:
-        await AdminSocket(operator.control, {"tasks": scheduler.status_rows}).listen(stack)
+        await _open_admin_socket(operator.control, scheduler, stack)
     scheduler.start()
-    return BackgroundWork(scheduler, snapshots)
+    return BackgroundServices(scheduler, snapshots)
+
+
+async def _start_snapshots(
+    memory: SnapshotConfig, config: StartupConfig, scheduler: BackgroundScheduler, stack: AsyncExitStack
+) -> SnapshotManager:
+    """Reads the last snapshot and schedules new ones; `stack` closes the scheduler and the folder."""
+    from .snapshot_folder import SNAPSHOT_TASK
+    from .snapshot_manager import SnapshotManager
+
+    snapshots = SnapshotManager(memory.folder, memory.interval_s, config, scheduler)
+    await snapshots.start(stack)
+    # Pushed last, so that it runs before the folder closes and the last snapshot can be written.
+    stack.push_async_callback(scheduler.close, final_tasks=(SNAPSHOT_TASK,))
+    return snapshots
+
+
+async def _open_admin_socket(path: str, scheduler: BackgroundScheduler, stack: AsyncExitStack) -> None:
+    from .admin_socket import TASKS_QUERY, AdminSocket
+
+    await AdminSocket(path, {TASKS_QUERY: scheduler.status_rows}).listen(stack)
 
 
 def create_extensions(
     config: StartupConfig, operator: OperatorConfig | None, messages: MessageReader
 ) -> Extensions:
-    """Creates the extensions that the operators' file switches on, without starting them."""
+    """Creates the extensions that the operators' file enables, without starting them."""
     extensions = Extensions()
     if operator is None:
         return extensions
+    if operator.plugins is not None:
+        from .plugin_extension import PluginExtension
+
+        extensions.plugins = PluginExtension(operator.plugins, config.workers)
     if operator.upgrades is not None:
         from .connection_migrator import ConnectionMigrator
 
+        is_vetoed = None if extensions.plugins is None else extensions.plugins.is_vetoed
         extensions.connection_migrator = ConnectionMigrator(
-            config.settings, operator.upgrades, config.workers, messages
+            config.settings, operator.upgrades, config.workers, messages, is_vetoed
         )
     if operator.advice is not None:
         from .weight_advisor import WeightAdvisor
 
         extensions.weight_advisor = WeightAdvisor(operator.advice, config.workers)
-    if operator.plugins is not None:
-        from .plugin_extension import PluginExtension
-
-        extensions.plugins = PluginExtension(operator.plugins, config.workers)
-        if extensions.connection_migrator is not None:
-            extensions.connection_migrator.is_vetoed = extensions.plugins.is_vetoed
     return extensions
 
 
-def connect_snapshots(snapshots: SnapshotManager, extensions: Extensions, discovery: DiscoveryClient) -> None:
-    """Has snapshots keep the endpoint list's version and the advisors' credits, and restores the latter."""
+def set_snapshot_sources(
+    snapshots: SnapshotManager, extensions: Extensions, discovery: DiscoveryClient
+) -> None:
+    """Makes snapshots include the endpoint list's version and the advisors' credits.
+
+    An advisor's credit is how much its weights count, 0 to 1.
+    """
     snapshots.current_list_version = lambda: discovery.version
     if extensions.weight_advisor is not None:
-        weighting = extensions.weight_advisor.weighting
-        weighting.restore_credits(snapshots.restored_credits)
-        snapshots.current_credits = weighting.credits
+        snapshots.current_credits = extensions.weight_advisor.weighting.credits
+
+
+def restore_advisor_credits(snapshots: SnapshotManager, extensions: Extensions) -> None:
+    """Gives the advisors the credits of the last snapshot."""
+    if extensions.weight_advisor is not None:
+        extensions.weight_advisor.weighting.restore_credits(snapshots.restored_credits)
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -25,11 +25,12 @@
 from .connection_limits import connection_limits
 from .control_loop import ControlLoop, ControlLoopObservers, Effects
 from .extensions import (
-    BackgroundWork,
+    BackgroundServices,
     Extensions,
-    connect_snapshots,
     create_extensions,
-    start_background_work,
+    restore_advisor_credits,
+    set_snapshot_sources,
+    start_background_services,
 )
 from .input_queue import InputQueue
 from .reload import ConfigReloader
@@ -54,11 +55,11 @@
     sessions = ProxySessions(input_queue.put)
     messages = MessageReader(config.settings, config.workers.find_index)
     async with AsyncExitStack() as stack:
-        background = await start_background_work(config, operator, stack)
+        background = await start_background_services(config, operator, stack)
         known = _starting_list(config, background)
         effects = await _open_effects(config, limits, known.version, input_queue, stack)
         extensions = create_extensions(config, operator, messages)
-        for extension in extensions.in_order():
+        for extension in extensions.enabled():
             await extension.start(stack)
         control_loop = _create_control_loop(config, input_queue, sessions, effects, extensions, background)
         stack.callback(control_loop.close)
@@ -86,7 +87,7 @@
     return stop
 
 
-def _starting_list(config: StartupConfig, background: BackgroundWork) -> StartingList:
+def _starting_list(config: StartupConfig, background: BackgroundServices) -> StartingList:
     """The newer of the snapshot's endpoint list and the configuration's."""
     if background.snapshots is not None:
         return background.snapshots.starting_list
@@ -125,13 +126,14 @@
     sessions: ProxySessions,
     effects: Effects,
     extensions: Extensions,
-    background: BackgroundWork,
+    background: BackgroundServices,
 ) -> ControlLoop:
     """Creates the control loop; snapshots are its first extension, as they restore the earlier state."""
     settings = config.settings
-    loop_extensions = extensions.in_order()
+    loop_extensions = extensions.enabled()
     if background.snapshots is not None:
-        connect_snapshots(background.snapshots, extensions, effects.discovery)
+        set_snapshot_sources(background.snapshots, extensions, effects.discovery)
+        restore_advisor_credits(background.snapshots, extensions)
         loop_extensions.insert(0, background.snapshots)
     scheduler = background.scheduler
     observers = ControlLoopObservers(
