--- a/tests/config/test_manager_file.py
+++ b/tests/config/test_manager_file.py
@@ -1,4 +1,4 @@
-"""The manager's file with values that are not valid: one line names the fault, or the manager can decide."""
+"""Invalid values in the manager's file: reading reports one fault in one line, or the controller runs."""
 
 from __future__ import annotations
 
@@ -25,22 +25,28 @@
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.timeouts import in_time
 
-Place = tuple[str | int, ...]  # names and indices that lead from the file's root to a value
+JsonPath = tuple[str | int, ...]  # names and indices that lead from the file's root to a value
 
-ODD_VALUES: tuple[Any, ...] = (
+UNREACHABLE_ADDRESS = "127.0.0.1:1"
+EDGE_VALUES: tuple[Any, ...] = (
+    # absent and empty
     None,
     "",
     [],
     {},
+    # at and beyond the ends of ranges
     0,
     -1,
     1e308,
     -1e308,
     10**30,
+    # of another type
     "x",
     True,
+    # not finite
     float("nan"),
     float("inf"),
+    # lists of invalid and of equal items
     [None],
     ["a", "a"],
 )
@@ -49,36 +55,42 @@
 TICK_COUNT = 40  # ten seconds
 
 
-def places_in(body: Any, parent: Place = ()) -> Iterator[Place]:
-    """The places of all values of a file; of a list only its first item's."""
+def json_paths(body: Any, parent: JsonPath = ()) -> Iterator[JsonPath]:
+    """The paths of all values of a file (of a list, only its first item)."""
     items: list[tuple[str | int, Any]] = []
     if isinstance(body, dict):
         items = list(body.items())
     elif isinstance(body, list):
         items = list(enumerate(body[:1]))
     for name, value in items:
-        place = (*parent, name)
-        yield place
-        yield from places_in(value, place)
+        path = (*parent, name)
+        yield path
+        yield from json_paths(value, path)
 
 
-def replaced(body: dict[str, Any], place: Place, value: Any) -> dict[str, Any]:
-    """A copy of the file with another value at this place."""
+def with_value_at(body: dict[str, Any], path: JsonPath, value: Any) -> dict[str, Any]:
+    """A copy of the file with another value at this path."""
     changed = copy.deepcopy(body)
     parent: Any = changed
-    for name in place[:-1]:
+    for name in path[:-1]:
         parent = parent[name]
-    parent[place[-1]] = value
+    parent[path[-1]] = value
     return changed
 
 
-def decide_for_ten_seconds(config: StartupConfig) -> None:
-    """Runs a controller on the configuration, with one proxy and reports of one worker."""
+def default_manager_config(discovery_address: str) -> dict[str, Any]:
+    """A valid file's content."""
+    return ManagerProgram(discovery_address).config
+
+
+def run_controller(config: StartupConfig) -> None:
+    """Runs a controller for `TICK_COUNT` ticks, with one proxy and the reports of one worker."""
     controller = RoutingController(config.settings.parameters)
-    controller.decide(START_TIME_S, [config.starting_list.endpoints, ProxyConnected(0, 0, 10.0, True)])
+    proxy = ProxyConnected(proxy=0, zone=0, requests_per_s=10.0, is_fresh=True)
+    controller.decide(START_TIME_S, [config.starting_list.endpoints, proxy])
     reports: list[Input] = [
-        LoadReport(0, 0, 20, 1, 1.0, 0.1, {}),
-        ArrivalReport(0, 0, 20, 0, 1.0),
+        LoadReport(worker_index=0, zone=0, attempts=20, failed=1, interval_s=1.0, duration_s=0.1, metrics={}),
+        ArrivalReport(proxy=0, class_index=0, requests=20, unanswered=0, interval_s=1.0),
     ]
     for tick in range(TICK_COUNT):
         now = START_TIME_S + TICK_S * (tick + 1)
@@ -89,45 +101,45 @@
     def setUp(self) -> None:
         folder = self.enterContext(TemporaryDirectory())
         self.path = Path(folder) / "config.json"
-        self.valid = ManagerProgram("127.0.0.1:1").config
+        self.valid = default_manager_config(UNREACHABLE_ADDRESS)
 
     def read(self, body: dict[str, Any]) -> StartupConfig:
         self.path.write_text(json.dumps(body))
         return read_startup_config(str(self.path))
 
-    def test_every_field_with_every_odd_value(self) -> None:
-        """Either the error is one line that names a field, or a controller can decide."""
-        for place in places_in(self.valid):
-            for value in ODD_VALUES:
-                with self.subTest(place=place, value=value):
+    def test_every_field_with_every_edge_value(self) -> None:
+        """Either the error is one line that says what is wrong, or a controller runs."""
+        for path in json_paths(self.valid):
+            for value in EDGE_VALUES:
+                with self.subTest(path=path, value=value):
                     try:
-                        config = self.read(replaced(self.valid, place, value))
+                        config = self.read(with_value_at(self.valid, path, value))
                     except InputError as exc:
                         self.assertNotIn("\n", str(exc))
                         self.assertRegex(str(exc), "field|not JSON|object|zone|address|unknown")
                         continue
-                    decide_for_ten_seconds(config)
+                    run_controller(config)
 
     def test_faults_are_reported_in_order(self) -> None:
         """Of several faults the first is reported: of the settings, the known list, then the addresses."""
-        bad_listen = replaced(self.valid, ("listen",), 1)
-        with self.assertRaises(FieldTypeError) as listen_error:
-            self.read(bad_listen)
-        self.assertEqual(str(listen_error.exception), "configuration: field listen has the wrong type (int)")
-        bad_known = replaced(bad_listen, ("known", "servers", 0, "zone"), None)
-        with self.assertRaises(MissingFieldError) as known_error:
-            self.read(bad_known)
-        self.assertEqual(str(known_error.exception), "configuration: known: field zone is missing")
-        bad_settings = replaced(bad_known, ("settings", "Rules"), None)
-        with self.assertRaises(MissingFieldError) as settings_error:
-            self.read(bad_settings)
-        self.assertEqual(str(settings_error.exception), "configuration: settings: field Rules is missing")
+        faults: tuple[tuple[JsonPath, Any, type[InputError], str], ...] = (
+            (("listen",), 1, FieldTypeError, "field listen has the wrong type (int)"),
+            (("known", "servers", 0, "zone"), None, MissingFieldError, "known: field zone is missing"),
+            (("settings", "Rules"), None, MissingFieldError, "settings: field Rules is missing"),
+        )
+        body = self.valid
+        for path, value, error_type, message in faults:  # each is reported before the ones above it
+            body = with_value_at(body, path, value)
+            with self.subTest(path=path):
+                with self.assertRaises(error_type) as error:
+                    self.read(body)
+                self.assertEqual(str(error.exception), f"configuration: {message}")
 
 
 class RejectedStartTests(ManagerTestCase):
     """The program's start with a file that is not valid."""
 
-    INVALID_VALUES: tuple[tuple[Place, Any], ...] = (
+    INVALID_VALUES: tuple[tuple[JsonPath, Any], ...] = (
         (("settings", "Zones"), []),
         (("settings", "Profiles"), None),
         (("limits", "sockets"), 0),
@@ -136,12 +148,13 @@
         (("settings", "Rules", "ColdFrom"), "much"),
     )
 
-    async def test_the_program_says_which_field(self) -> None:
+    async def test_an_invalid_field_is_named_on_standard_error(self) -> None:
         programs: list[tuple[str, ManagerProgram]] = []
-        for place, value in self.INVALID_VALUES:  # all are started first, so that they run beside each other
+        for path, value in self.INVALID_VALUES:  # all start first, so they run in parallel
             program = ManagerProgram(self.discovery_address)
-            await program.start(json.dumps(replaced(program.config, place, value)))
-            programs.append((str(place[-1]), program))
+            await program.start(json.dumps(with_value_at(program.config, path, value)))
+            self.addAsyncCleanup(self.end, program)  # waits for it also if an assertion fails
+            programs.append((str(path[-1]), program))
         for field_name, program in programs:
             with self.subTest(field_name):
                 error_stream = cast(asyncio.StreamReader, program.process.stderr)
--- a/tests/control/test_protocol_violations.py
+++ b/tests/control/test_protocol_violations.py
@@ -1,4 +1,4 @@
-"""Messages that the protocol does not allow end or are rejected alone, and harm no other connection."""
+"""Invalid messages: each closes its own connection or is rejected; other connections are unaffected."""
 
 from __future__ import annotations
 
@@ -7,14 +7,17 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from cottonladder.config.errors import InputError
-from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from tests.support.manager_program import ManagerProgram
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.stream_client import StreamClient
 
 CASES_FILE = Path(__file__).parents[1] / "wire" / "bad.txt"
-SUMMARY_INTERVAL = "cottonladder.protocol.fault_log.SUMMARY_INTERVAL_S"
+SUMMARY_INTERVAL_CONSTANT = "cottonladder.protocol.fault_log.SUMMARY_INTERVAL_S"
+# Separators in the cases' file between the messages and the words of the log line.
+CONNECTION_KEPT = " ||"
+CONNECTION_CLOSED = " |"
+RAW_PREFIX = "raw "  # of a message that is written as it stands, with escapes
+FIRST_TABLE = "replace"  # part of the message with which a manager sends a proxy its first table
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +27,8 @@
     line: str
     messages: list[str]
     is_connection_kept: bool
-    expected_parts: list[str]  # of the log line; empty where an earlier line had them
+    expected_parts: list[str]  # words of the log line; empty if an earlier case has the same reason,
+    # since repeats are summarized
 
 
 def read_cases() -> Iterator[ViolationCase]:
@@ -32,34 +36,39 @@
     for line in CASES_FILE.read_text().splitlines():
         if not line or line.startswith("#"):
             continue
-        is_connection_kept = " ||" in line
-        messages, _, expected = line.partition(" ||" if is_connection_kept else " |")
+        is_connection_kept = CONNECTION_KEPT in line
+        messages, _, expected = line.partition(CONNECTION_KEPT if is_connection_kept else CONNECTION_CLOSED)
         yield ViolationCase(line, messages.split(" ; "), is_connection_kept, expected.split())
 
 
+def decode_escapes(text: str) -> bytes:
+    r"""The bytes that a text with escapes such as `\r` stands for."""
+    return text.encode().decode("unicode_escape").encode()
+
+
 def send_case(client: StreamClient, case: ViolationCase) -> None:
-    """Writes the case's messages; `raw ` stands before bytes with escapes."""
+    """Writes the case's messages."""
     for message in case.messages:
-        if message.startswith("raw "):
-            client.writer.write(message[4:].encode().decode("unicode_escape").encode())
+        if message.startswith(RAW_PREFIX):
+            client.writer.write(decode_escapes(message.removeprefix(RAW_PREFIX)))
         else:
             client.send(message)
 
 
 class ProtocolViolationTests(ManagerTestCase):
-    async def test_bad_input_ends_its_connection_or_is_rejected_and_harms_nobody_else(self) -> None:
+    async def test_invalid_message_closes_or_is_rejected_without_affecting_others(self) -> None:
         # A repeated reason is logged with the next summary, which is due after this interval.
-        program = await self.serving(constants={SUMMARY_INTERVAL: 0.5})
-        proxy = await self.join(program, 2)
-        await proxy.receive_until("replace")
+        program = await self.serving(constants={SUMMARY_INTERVAL_CONSTANT: 0.5})
+        proxy = await self.join(program, node=2)
+        await proxy.receive_until(FIRST_TABLE)
         for case in read_cases():
             with self.subTest(case.line):
                 await self._check_case(program, case)
-        quiet = await self.connect(program)
+        new_client = await self.connect(program)
         proxy.send("PING")
         await proxy.receive_until("PONG")
-        quiet.send("PING")
-        self.assertEqual(await quiet.receive(), "PONG")
+        new_client.send("PING")
+        self.assertEqual(await new_client.receive(), "PONG")
 
     async def _check_case(self, program: ManagerProgram, case: ViolationCase) -> None:
         client = await self.connect(program)
@@ -73,11 +82,6 @@
             event = "message_rejected" if case.is_connection_kept else "connection_closed"
             await program.logged(event, *case.expected_parts)
 
-    async def test_a_long_message_is_rejected_before_its_end_is_read(self) -> None:
-        start_of_message = b"*2\r\n$600000\r\n" + b"x" * 600000 + b"\r\n$600000\r\n"
-        with self.assertRaisesRegex(InputError, "over the limit"):
-            list(RespReader(MAX_MESSAGE_SIZE).feed(start_of_message))
-
 
 if __name__ == "__main__":
     unittest.main()
