--- a/cottonladder/weight_advice/limits.py
+++ b/cottonladder/weight_advice/limits.py
@@ -1,32 +1,32 @@
-"""Bounds and intervals for the load balancers and advisors that a manager talks to."""
+"""Limits and intervals of the connections with load balancers, DFP managers and advisors."""
 
 from __future__ import annotations
 
-# A SASP client has nothing to wait for before its first request.
+# Time within which a SASP client must send its first request.
 FIRST_MESSAGE_TIMEOUT_S = 5.0
 # Bytes that a client may leave unread: one weights message of 100,000 members.
 MAX_UNREAD_BYTES = 4 << 20
-# Shortest pause between two pushes to one client; routing tables are solved every 2 s.
+# Minimum interval between two pushes to one client; the routing policy solves them every 2 s.
 PUSH_INTERVAL_S = 1.0
-# Pause between two requests for weights that polling load balancers are asked for.
+# Polling interval that load balancers are asked to keep.
 POLL_INTERVAL_S = 5
-# Keep-alive of a DFP connection whose manager does not state one.
+# Keep-alive interval of a DFP connection whose manager does not set one.
 KEEP_ALIVE_INTERVAL_S = 10
-# Longest keep-alive that a DFP manager may state: a dead connection is kept for as long.
+# Longest keep-alive interval that a DFP manager may set; a dead connection stays open as long.
 MAX_KEEP_ALIVE_INTERVAL_S = 3600
 
-# Groups of one load balancer.
+# Maximum number of groups of one load balancer.
 MAX_GROUPS = 256
-# Members of one load balancer, over its groups.
+# Maximum number of members of one load balancer, over all its groups.
 MAX_MEMBERS = 20_000
-# Size of a load balancer's UID.
+# Maximum size of a load balancer's UID.
 MAX_LB_UID_BYTES = 64
 
 # Time to connect to an advisor, TLS included.
 CONNECT_TIMEOUT_S = 3.0
-# First pause before an advisor is connected to again; it doubles with each attempt.
+# Delay before the first reconnection to an advisor; it doubles with each attempt.
 MIN_BACKOFF_S = 0.5
-# Longest pause before an advisor is connected to again.
+# Longest delay before a reconnection to an advisor.
 MAX_BACKOFF_S = 30.0
 # Part of each backoff that is random, so that clients do not reconnect at the same moment.
 BACKOFF_JITTER_RATIO = 0.5
--- a/cottonladder/weight_advice/load_balancer.py
+++ b/cottonladder/weight_advice/load_balancer.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from ..model.views import WorkerCapacityView
 from ..planning.advertised_weights import AdvertisedWeight, advertise_weights, has_changed
@@ -11,25 +12,50 @@
 from .sasp import GroupData, GroupOfEntries, MemberData, WeightEntry
 from .worker_locations import MemberIndex
 
-# Weight of a member that is no listed worker.
+# Weight of a member that matches no listed worker.
 UNKNOWN_MEMBER_WEIGHT = AdvertisedWeight(0, False, False)
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """The workers as last solved, and how members are matched to them."""
+    """The workers' capacities as of the last solution, and the index that matches members to workers."""
 
-    capacity_views: Mapping[int, WorkerCapacityView]
+    capacities: Mapping[int, WorkerCapacityView]
     members: MemberIndex
 
 
+class CurrentWeight(NamedTuple):
+    """A member's weight now; `is_known`: it matches a listed worker, `is_quiesced`: it takes no new work."""
+
+    weight: AdvertisedWeight
+    is_known: bool
+    is_quiesced: bool
+
+    def entry(self, member: MemberData) -> WeightEntry:
+        """Builds the weight entry of a message."""
+        return WeightEntry(member, 0, self._flags(), self.weight.weight)
+
+    def _flags(self) -> int:
+        flags = 0
+        if self.weight.is_reachable:
+            flags |= sasp.CONTACT_SUCCESS_FLAG
+        if self.is_quiesced:
+            flags |= sasp.QUIESCE_FLAG
+        if self.is_known:
+            flags |= sasp.CONFIDENT_FLAG
+        return flags
+
+
+CurrentWeights = dict[MemberData, CurrentWeight]
+
+
 @dataclass(slots=True)
 class RegisteredGroup:
     """One group of a load balancer: its members, those that are quiesced, and the weights last sent."""
 
     members: dict[MemberData, None] = field(default_factory=dict)
     quiesced: set[MemberData] = field(default_factory=set)
-    sent: dict[MemberData, AdvertisedWeight] = field(default_factory=dict)
+    sent_weights: dict[MemberData, AdvertisedWeight] = field(default_factory=dict)
 
     def add(self, members: Mapping[MemberData, None]) -> None:
         """Registers members."""
@@ -39,7 +65,7 @@
         """Deregisters a member."""
         self.members.pop(member, None)
         self.quiesced.discard(member)
-        self.sent.pop(member, None)
+        self.sent_weights.pop(member, None)
 
     def set_quiesced(self, member: MemberData, is_quiesced: bool) -> None:
         """Records whether the load balancer keeps new work from a member."""
@@ -48,11 +74,8 @@
         else:
             self.quiesced.discard(member)
 
-    def weight_entries(self, fleet: FleetView, changed_only: bool) -> list[WeightEntry]:
-        """Gives the members' current weights, and records them as sent.
-
-        With `changed_only` a member is left out if its weight is close to the one last sent.
-        """
+    def current_weights(self, fleet: FleetView) -> CurrentWeights:
+        """Computes the weights of all members."""
         worker_by_member = {member: fleet.members.find(member) for member in self.members}
         workers = {index for index in worker_by_member.values() if index is not None}
         quiesced_workers = frozenset(
@@ -60,40 +83,31 @@
             for member, index in worker_by_member.items()
             if member in self.quiesced and index is not None
         )
-        advertised = advertise_weights(fleet.capacity_views, workers, quiesced_workers)
-        entries: list[WeightEntry] = []
+        advertised = advertise_weights(fleet.capacities, workers, quiesced_workers)
+        weights: CurrentWeights = {}
         for member, index in worker_by_member.items():
             weight = UNKNOWN_MEMBER_WEIGHT if index is None else advertised[index]
-            if changed_only and not has_changed(self.sent.get(member), weight):
-                continue
-            self.sent[member] = weight
             is_quiesced = weight.is_leaving or index in quiesced_workers
-            flags = _weight_flags(weight.is_reachable, is_quiesced, index is not None)
-            entries.append(WeightEntry(member, 0, flags, weight.weight))
-        return entries
-
-    def has_changes(self, fleet: FleetView) -> bool:
-        """Tells whether a member's weight differs from the one last sent; records nothing."""
-        sent = dict(self.sent)
-        entries = self.weight_entries(fleet, changed_only=True)
-        self.sent = sent
-        return bool(entries)
+            weights[member] = CurrentWeight(weight, index is not None, is_quiesced)
+        return weights
 
+    def changed_weights(self, weights: CurrentWeights) -> CurrentWeights:
+        """Returns those of the weights that differ enough from the last sent ones to be sent again."""
+        return {
+            member: current
+            for member, current in weights.items()
+            if has_changed(self.sent_weights.get(member), current.weight)
+        }
 
-def _weight_flags(is_reachable: bool, is_quiesced: bool, is_known: bool) -> int:
-    flags = 0
-    if is_reachable:
-        flags |= sasp.CONTACT_SUCCESS_FLAG
-    if is_quiesced:
-        flags |= sasp.QUIESCE_FLAG
-    if is_known:
-        flags |= sasp.CONFIDENT_FLAG
-    return flags
+    def record_sent(self, weights: CurrentWeights) -> None:
+        """Records weights as sent."""
+        for member, current in weights.items():
+            self.sent_weights[member] = current.weight
 
 
 @dataclass(slots=True)
 class LoadBalancer:
-    """A connected load balancer: UID and flags as it set them, and its groups by name."""
+    """A connected load balancer: the UID and flags that it has set, and its groups by name."""
 
     lb_uid: bytes = b""
     flags: int = 0
@@ -120,41 +134,34 @@
         return sum(len(group.members) for group in self.groups.values())
 
     def unmatched_count(self, members: MemberIndex) -> int:
-        """Counts the members that are no listed worker."""
+        """Counts the members that match no listed worker."""
         return sum(members.find(member) is None for group in self.groups.values() for member in group.members)
 
     def forget_sent_weights(self) -> None:
         """Makes the next push carry every weight."""
         for group in self.groups.values():
-            group.sent.clear()
+            group.sent_weights.clear()
 
     def all_weights(self, fleet: FleetView, group_names: list[bytes]) -> tuple[GroupOfEntries, ...]:
-        """Gives the weights of all members of these groups."""
-        return tuple(
-            GroupOfEntries(
-                GroupData(self.lb_uid, name),
-                tuple(self.groups[name].weight_entries(fleet, changed_only=False)),
-            )
-            for name in group_names
-        )
-
-    def changed_weights(self, fleet: FleetView) -> tuple[GroupOfEntries, ...]:
-        """Gives the weights that changed since they were sent; a group without one is left out."""
-        changed: list[GroupOfEntries] = []
-        for name, group in self.groups.items():
-            entries = group.weight_entries(fleet, changed_only=True)
-            if entries:
-                changed.append(GroupOfEntries(GroupData(self.lb_uid, name), tuple(entries)))
-        return tuple(changed)
+        """Returns the weights of all members of these groups, and records them as sent."""
+        return tuple(self._send(name, self.groups[name].current_weights(fleet)) for name in group_names)
 
     def pushed_weights(self, fleet: FleetView) -> tuple[GroupOfEntries, ...]:
-        """Gives what a push has to carry now: nothing unless a weight changed.
+        """Returns the content of the next push, and records it as sent; empty unless a weight changed.
 
-        A load balancer that does not ask for changes only gets all of its groups as soon as one weight
-        changed.
+        A load balancer that asked for changes only is not sent groups without a change; any other one is sent
+        all weights of all groups.
         """
+        current = {name: group.current_weights(fleet) for name, group in self.groups.items()}
+        changed = {name: self.groups[name].changed_weights(weights) for name, weights in current.items()}
         if self.wants_changes_only:
-            return self.changed_weights(fleet)
-        if any(group.has_changes(fleet) for group in self.groups.values()):
-            return self.all_weights(fleet, list(self.groups))
+            return tuple(self._send(name, weights) for name, weights in changed.items() if weights)
+        if any(changed.values()):
+            return tuple(self._send(name, weights) for name, weights in current.items())
         return ()
+
+    def _send(self, group_name: bytes, weights: CurrentWeights) -> GroupOfEntries:
+        """Builds a group's part of a message, and records its weights as sent."""
+        self.groups[group_name].record_sent(weights)
+        entries = tuple(current.entry(member) for member, current in weights.items())
+        return GroupOfEntries(GroupData(self.lb_uid, group_name), entries)
--- a/cottonladder/weight_advice/registry.py
+++ b/cottonladder/weight_advice/registry.py
@@ -1,7 +1,7 @@
 """The registrations of a SASP workload manager: which load balancer registered which members.
 
-A load balancer is known by the number of its connection, and its registrations end with that connection.
-Each request gets its reply here; the weights in it come from `planning.advertised_weights`.
+A load balancer is identified by the number of its connection, and its registrations end with that connection.
+The registry builds the reply to each request; the weights in it come from `planning.advertised_weights`.
 """
 
 from __future__ import annotations
@@ -40,9 +40,9 @@
         self._balancers: dict[int, LoadBalancer] = {}
         self._fleet = FleetView({}, MemberIndex(()))
 
-    def update(self, capacity_views: Mapping[int, WorkerCapacityView], members: MemberIndex) -> None:
-        """Takes over the workers as last solved, and how members are matched to them."""
-        self._fleet = FleetView(capacity_views, members)
+    def update(self, capacities: Mapping[int, WorkerCapacityView], members: MemberIndex) -> None:
+        """Replaces the workers' capacities and the index that matches members to workers."""
+        self._fleet = FleetView(capacities, members)
 
     def connection_opened(self, connection_number: int) -> None:
         """Adds a load balancer without registrations for a new connection."""
@@ -53,12 +53,15 @@
         self._balancers.pop(connection_number, None)
 
     def wants_push(self, connection_number: int) -> bool:
-        """Tells whether the load balancer of a connection asked for weights to be pushed."""
+        """Whether the load balancer of a connection asked for weights to be pushed."""
         balancer = self._balancers.get(connection_number)
         return balancer is not None and balancer.wants_push
 
     def status(self) -> list[dict[str, object]]:
-        """Gives a log line's fields for each load balancer: what it registered, and how much is unknown."""
+        """Returns the status log fields of each load balancer.
+
+        "unmatched" counts the members that match no listed worker.
+        """
         return [
             {
                 "uid": balancer.lb_uid.decode(errors="replace"),
@@ -91,14 +94,14 @@
         )
 
     def push_message(self, connection_number: int) -> Message | None:
-        """Returns the message to push to a load balancer now, or None if it knows all weights already."""
+        """Returns the message to push to a load balancer, or None if no weight changed."""
         groups = self._balancers[connection_number].pushed_weights(self._fleet)
         if not groups:
             return None
         return Message(MessageType.SEND_WEIGHTS, 0, groups=groups)
 
     def _register(self, sender: LoadBalancer, request: Message) -> tuple[GroupOfEntries, ...]:
-        """Registers all members of the request, or none of them if one can't be."""
+        """Registers all members of the request, or none of them if one is rejected."""
         balancer = self._resolve_balancer(sender, request)
         new_members = _new_members(balancer, request)
         member_count = balancer.member_count + sum(map(len, new_members.values()))
@@ -130,7 +133,7 @@
         return ()
 
     def _get_weights(self, sender: LoadBalancer, request: Message) -> tuple[GroupOfEntries, ...]:
-        """Gives the weights of the groups named, or of all groups if none is named."""
+        """Returns the weights of the named groups, or of all groups if none is named."""
         if request.groups:
             self._resolve_balancer(sender, request)
         named = [group.group_name for group in request.groups if isinstance(group, GroupData)]
@@ -146,7 +149,7 @@
             raise RegistryError(ResponseCode.INVALID_LB_UID)
         if sender.lb_uid and sender.lb_uid != request.lb_uid:
             raise RegistryError(ResponseCode.INVALID_LB_UID)
-        if self._find_balancer(request.lb_uid, besides=sender) is not None:
+        if self._find_balancer(request.lb_uid, excluding=sender) is not None:
             raise RegistryError(ResponseCode.SENDER_NOT_ACCEPTED)
         sender.lb_uid = request.lb_uid
         sender.flags = request.flags
@@ -169,9 +172,10 @@
         return ()
 
     def _resolve_balancer(self, sender: LoadBalancer, request: Message) -> LoadBalancer:
-        """Finds the load balancer whose groups a request is about.
+        """Returns the load balancer that a request refers to.
 
-        That is the sender itself, or, if members send the request, the load balancer that trusts them.
+        That is the sender itself or, if a member sends the request, the load balancer with the request's UID,
+        which must trust members to register themselves.
         """
         lb_uid = _request_uid(request)
         is_from_balancer = bool(request.flags & sasp.LOAD_BALANCER_FLAG)
@@ -186,9 +190,9 @@
             raise RegistryError(ResponseCode.SENDER_NOT_ACCEPTED)
         return balancer
 
-    def _find_balancer(self, lb_uid: bytes, besides: LoadBalancer | None = None) -> LoadBalancer | None:
+    def _find_balancer(self, lb_uid: bytes, excluding: LoadBalancer | None = None) -> LoadBalancer | None:
         for balancer in self._balancers.values():
-            if balancer is not besides and balancer.lb_uid == lb_uid:
+            if balancer is not excluding and balancer.lb_uid == lb_uid:
                 return balancer
         return None
 
@@ -238,7 +242,7 @@
 
 
 def _new_members(balancer: LoadBalancer, request: Message) -> NewMembers:
-    """Collects the members of a registration by group; raises RegistryError for one that is known already."""
+    """Returns the members of a registration by group; raises RegistryError if one is registered already."""
     new_members: NewMembers = {}
     for group_name, entries in _entries_by_group(request):
         if not group_name:
