--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -154,7 +154,7 @@
         for server in self._servers:
             server.push_due_weights_to_all()
         for client in self._clients:
-            client.update(locations)
+            client.update_locations(locations)
 
     def _log_status_if_due(self, now: float) -> None:
         if now - self._status_logged_at < STATUS_LOG_INTERVAL_S:
--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -1,6 +1,6 @@
-"""A connection to an advisor that is kept up: connect, receive weights, back off, reconnect.
+"""Base class of the SASP and DFP clients: connects to an advisor, receives weights, reconnects with backoff.
 
-Each advisor has one task.  Weights are passed to a listener; `planning.advice_weighting` decides how much
+Each client has one task and passes the weights to a listener.  `planning.advice_weighting` decides how much
 they count.
 """
 
@@ -9,8 +9,10 @@
 import asyncio
 import ssl
 import time
+from abc import ABC, abstractmethod
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
+from typing import Protocol
 
 import structlog
 
@@ -22,27 +24,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedWeight:
-    """An advisor's weight of one member; `worker_index` is None if the member is no listed worker."""
+    """An advisor's weight of one member; `worker_index` is None if the member matches no listed worker."""
 
     worker_index: int | None
     weight: int
     is_usable: bool
 
 
-class AdviceListener:
-    """What an advisor's client calls, in the event loop of the manager."""
+class AdviceListener(Protocol):
+    """Is notified by the clients of advisors, in the manager's event loop."""
 
     def advisor_connected(self, advisor: str) -> None:
         """A connection to the advisor is established."""
-        raise NotImplementedError
 
     def weights_received(self, advisor: str, weights: Iterable[ReportedWeight], is_complete: bool) -> None:
         """The advisor sent weights; `is_complete` means that its earlier weights no longer hold."""
-        raise NotImplementedError
 
 
-class AdvisorClient:
-    """Keeps the connection to one advisor; a subclass speaks its protocol.
+class AdvisorClient(ABC):
+    """Maintains the connection to one advisor; a subclass implements its protocol.
 
     `uniform` draws from 0 to 1 for the jitter of the backoff.
     """
@@ -59,7 +59,7 @@
         self.listener = listener
         self.locations: list[WorkerLocation] = []
         self.members = MemberIndex(())
-        self.unmatched_count = 0  # members of the last weights that are no listed workers
+        self.unmatched_count = 0  # members of the last report that match no listed worker
         self.is_connected = False
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self._tls = tls
@@ -71,15 +71,16 @@
         """Starts the task that connects, receives and reconnects."""
         self._task = asyncio.create_task(self._run())
 
-    def update(self, locations: list[WorkerLocation]) -> None:
-        """Takes over the workers as listed."""
+    def update_locations(self, locations: list[WorkerLocation]) -> None:
+        """Replaces the locations of the listed workers."""
         if locations != self.locations:
             self.locations = locations
             self.members = MemberIndex(locations)
             self.locations_changed()
 
+    @abstractmethod
     def locations_changed(self) -> None:
-        """The list of workers changed; a subclass may tell the advisor."""
+        """Tells the advisor of the changed locations, if the protocol has a message for it."""
 
     async def _run(self) -> None:
         backoff_s = limits.MIN_BACKOFF_S
@@ -96,7 +97,7 @@
             backoff_s = min(limits.MAX_BACKOFF_S, 2.0 * backoff_s)
 
     async def _connect_and_receive(self) -> str:
-        """Holds one connection until it ends, and returns the reason for its end."""
+        """Opens a connection and receives until it ends; returns the reason for its end."""
         try:
             async with asyncio.timeout(limits.CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self.address, ssl=self._tls)
@@ -136,16 +137,17 @@
         """Time without a message after which the connection is closed."""
         return limits.SILENCE_TIMEOUT_S
 
+    @abstractmethod
     def start_session(self) -> None:
         """Sends the first messages of a new connection."""
-        raise NotImplementedError
 
+    @abstractmethod
     def receive(self, data: bytes) -> None:
         """Handles received bytes; raises AdviceError for messages that the protocol does not allow."""
-        raise NotImplementedError
 
+    @abstractmethod
     def poll(self) -> None:
-        """Asks for weights if a request is due; called at each interval of the routing policy."""
+        """Requests weights if a request is due; called periodically."""
 
     async def close(self) -> None:
         """Cancels the task, which closes its connection, and waits for its end."""
--- a/cottonladder/weight_advice/dfp_client.py
+++ b/cottonladder/weight_advice/dfp_client.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 
 from ..config.fields import HostPort
 from . import dfp, sasp
@@ -12,14 +12,14 @@
 
 # Keep-alive interval that an agent is asked for.
 REQUESTED_KEEP_ALIVE_S = 10
-# Keep-alive intervals without a message after which the connection is closed.
+# Number of keep-alive intervals without a message after which the connection is closed.
 SILENCE_TIMEOUT_INTERVALS = 2.0
-# Port of a load that stands for all ports of its hosts.
-ALL_PORTS = 0  # port number
+# Port number of a load that covers all ports of its hosts.
+ALL_PORTS = 0
 
 
 class DfpAdvisorClient(AdvisorClient):
-    """Receives the reports of an agent; `secret` is the key id and key that messages are signed with."""
+    """Receives the reports of an agent; `secret` is the id and the bytes of the key that signs messages."""
 
     def __init__(
         self,
@@ -38,6 +38,12 @@
         parameters = dfp.Message(dfp.MessageType.DFP_PARAMETERS, keep_alive_s=REQUESTED_KEEP_ALIVE_S)
         self.send(dfp.encode_message(parameters, self._secret))
 
+    def locations_changed(self) -> None:
+        """Does nothing: an agent is not told which workers there are."""
+
+    def poll(self) -> None:
+        """Does nothing: an agent reports unasked."""
+
     @property
     def silence_timeout_s(self) -> float:
         """Time without a message after which the connection is closed."""
@@ -56,16 +62,14 @@
                 raise UnexpectedMessageError(message.message_type, reason)
 
     def _report_weights(self, message: dfp.Message) -> None:
-        """Reports one weight for each worker: the lowest, if several BindIDs have one."""
-        workers_by_address: dict[Address | None, list[int]] = {}
-        for location in self.locations:
-            workers_by_address.setdefault(location.address, []).append(location.worker_index)
+        """Passes one weight for each worker to the listener: the lowest, if several BindIDs have one."""
+        workers_by_address = self._workers_by_address()
         lowest: dict[int, int] = {}
         self.unmatched_count = 0
         for load in message.loads:
             for host in load.hosts:
                 if load.port == ALL_PORTS:
-                    workers: Sequence[int] = workers_by_address.get(host.address, [])
+                    workers = workers_by_address.get(host.address, [])
                 else:
                     workers = self._workers_at(load, host)
                 if not workers:
@@ -75,6 +79,13 @@
         reported = [ReportedWeight(worker_index, weight, True) for worker_index, weight in lowest.items()]
         self.listener.weights_received(self.name, reported, is_complete=False)
 
+    def _workers_by_address(self) -> dict[Address | None, list[int]]:
+        workers: dict[Address | None, list[int]] = {}
+        for location in self.locations:
+            workers.setdefault(location.address, []).append(location.worker_index)
+        return workers
+
     def _workers_at(self, load: dfp.Load, host: dfp.HostPreference) -> list[int]:
+        """The worker at the load's port of a host, or none."""
         worker_index = self.members.find(sasp.MemberData(load.protocol, load.port, host.address))
         return [] if worker_index is None else [worker_index]
--- a/cottonladder/weight_advice/dfp_server.py
+++ b/cottonladder/weight_advice/dfp_server.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Mapping
 from ipaddress import IPv4Address
+from typing import NamedTuple
 
 from ..planning.advertised_weights import AdvertisedWeight, advertise_weights, has_changed
 from . import dfp, limits
@@ -13,11 +14,11 @@
 from .tlv import TCP_PROTOCOL_NUMBER
 from .worker_locations import WorkerLocation
 
-# Hosts and loads of one report: half of what a reader of this project accepts.
+# Limits on the hosts and loads of one report: half of those of this project's decoder.
 MAX_HOSTS_PER_REPORT = dfp.MAX_HOSTS_PER_MESSAGE // 2
 MAX_LOADS_PER_REPORT = dfp.MAX_TLVS_PER_MESSAGE // 2
 
-# BindID and network of the only binding: all clients get the same weights.
+# The only binding that the server reports: all clients get the same weights.
 ALL_CLIENTS = dfp.BindIdEntry(0, IPv4Address(0), IPv4Address(0))
 
 
@@ -57,30 +58,28 @@
             self._keep_alive_s = _checked_keep_alive(message.keep_alive_s)
         elif message.message_type == dfp.MessageType.BIND_ID_REQUEST:
             self._send_message(dfp.Message(dfp.MessageType.BIND_ID_REPORT, bindings=(ALL_CLIENTS,)))
-        elif message.message_type != dfp.MessageType.SERVER_STATE:  # a manager's own view, which is not used
+        elif message.message_type != dfp.MessageType.SERVER_STATE:  # accepted and ignored
             reason = f"{dfp.MESSAGE_NAMES[message.message_type]}: not from a manager"
             raise UnexpectedMessageError(message.message_type, reason)
 
     def push_due_weights(self, now: float) -> None:
-        """Reports all weights at half of the keep-alive, or sooner if one of them changed."""
+        """Reports all weights at half of the keep-alive interval, or sooner if one of them changed."""
         version = self._advertised.version
-        is_new_version = self.sent_version != version
-        may_push = is_new_version and now - self.pushed_at >= limits.PUSH_INTERVAL_S
-        is_due = now - self.pushed_at >= self._keep_alive_s / 2
-        if not (may_push or is_due) or self.unread_bytes or not version:
+        elapsed_s = now - self.pushed_at
+        is_keep_alive_due = elapsed_s >= self._keep_alive_s / 2
+        may_have_changes = self.checked_version != version and elapsed_s >= limits.PUSH_INTERVAL_S
+        if not (is_keep_alive_due or may_have_changes) or self.unread_bytes or not version:
             return
-        self.sent_version = version
-        locations = [
-            location for location in self._advertised.locations if isinstance(location.address, IPv4Address)
-        ]
-        advertised = advertise_weights(
-            self._advertised.capacities, [location.worker_index for location in locations]
-        )
-        if not is_due and not _has_changes(self._sent_weights, advertised):
-            return
-        self._sent_weights = advertised
-        self.pushed_at = now
-        for loads in _reports(locations, advertised):
+        self.checked_version = version
+        hosts = _reportable_hosts(self._advertised.locations)
+        weights = advertise_weights(self._advertised.capacities, [host.worker_index for host in hosts])
+        if is_keep_alive_due or _has_changes(self._sent_weights, weights):
+            self._sent_weights = weights
+            self.pushed_at = now
+            self._send_reports(hosts, weights)
+
+    def _send_reports(self, hosts: list[_Host], weights: Mapping[int, AdvertisedWeight]) -> None:
+        for loads in _split_into_reports(_preferences_by_port(hosts, weights)):
             self._send_message(dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, loads))
 
     def _send_message(self, message: dfp.Message) -> None:
@@ -96,32 +95,53 @@
     return float(keep_alive_s)
 
 
+class _Host(NamedTuple):
+    """A worker that DFP can report: the protocol has IPv4 addresses alone."""
+
+    worker_index: int
+    address: IPv4Address
+    port: int
+
+
+def _reportable_hosts(locations: list[WorkerLocation]) -> list[_Host]:
+    return [
+        _Host(location.worker_index, location.address, location.port)
+        for location in locations
+        if isinstance(location.address, IPv4Address)
+    ]
+
+
 def _has_changes(sent: Mapping[int, AdvertisedWeight], advertised: Mapping[int, AdvertisedWeight]) -> bool:
     return any(has_changed(sent.get(worker_index), weight) for worker_index, weight in advertised.items())
 
 
-def _reports(
-    locations: list[WorkerLocation], advertised: Mapping[int, AdvertisedWeight]
+def _preferences_by_port(
+    hosts: list[_Host], weights: Mapping[int, AdvertisedWeight]
+) -> dict[int, list[dfp.HostPreference]]:
+    """The weight of each host, grouped by port, as a load has one port."""
+    preferences: dict[int, list[dfp.HostPreference]] = {}
+    for host in hosts:
+        weight = weights[host.worker_index].weight
+        preference = dfp.HostPreference(host.address, ALL_CLIENTS.bind_id, weight)
+        preferences.setdefault(host.port, []).append(preference)
+    return preferences
+
+
+def _split_into_reports(
+    preferences_by_port: Mapping[int, list[dfp.HostPreference]],
 ) -> list[tuple[dfp.Load, ...]]:
-    """Groups the weights by port, split into messages that stay well below what a reader accepts."""
-    hosts_by_port: dict[int, list[dfp.HostPreference]] = {}
-    for location in locations:
-        assert isinstance(location.address, IPv4Address)
-        host = dfp.HostPreference(
-            location.address, ALL_CLIENTS.bind_id, advertised[location.worker_index].weight
-        )
-        hosts_by_port.setdefault(location.port, []).append(host)
+    """The loads of each report: one load for each port, as many as fit the limits on a report."""
     reports: list[tuple[dfp.Load, ...]] = []
     loads: list[dfp.Load] = []
     host_count = 0
-    for port, hosts in hosts_by_port.items():
-        is_full = host_count + len(hosts) > MAX_HOSTS_PER_REPORT or len(loads) >= MAX_LOADS_PER_REPORT
+    for port, preferences in preferences_by_port.items():
+        is_full = host_count + len(preferences) > MAX_HOSTS_PER_REPORT or len(loads) >= MAX_LOADS_PER_REPORT
         if loads and is_full:
             reports.append(tuple(loads))
             loads = []
             host_count = 0
-        loads.append(dfp.Load(port, TCP_PROTOCOL_NUMBER, tuple(hosts)))
-        host_count += len(hosts)
+        loads.append(dfp.Load(port, TCP_PROTOCOL_NUMBER, tuple(preferences)))
+        host_count += len(preferences)
     if loads:
         reports.append(tuple(loads))
     return reports
--- a/cottonladder/weight_advice/errors.py
+++ b/cottonladder/weight_advice/errors.py
@@ -12,7 +12,7 @@
 class AdviceError(InputError):
     """Bytes or messages that SASP or DFP does not allow.
 
-    The start of the next message can't be found any more, so the connection has to be closed.
+    The message boundaries after them are unknown, so the connection has to be closed.
     """
 
 
@@ -96,7 +96,7 @@
 
 
 class MemberError(AdviceError):
-    """A SASP component that is no member, or a member whose length does not fit its label."""
+    """A SASP component that is not a member, or a member whose length does not fit its label."""
 
     def __init__(self, component_type: int, length: int) -> None:
         super().__init__(f"component {component_type:#06x} of {length} bytes where a member is expected")
@@ -158,14 +158,14 @@
 
 
 class MissingSecurityError(AdviceError):
-    """A DFP message without a security TLV on a connection that has a secret."""
+    """A DFP message without a security TLV on a connection that requires a secret."""
 
     def __init__(self) -> None:
         super().__init__("no security TLV, where one is asked for")
 
 
 class DigestError(AdviceError):
-    """A DFP message whose digest was not made with a secret that is known here."""
+    """A DFP message whose digest does not match the configured secret."""
 
     def __init__(self, algorithm: int, key_id: int) -> None:
         super().__init__(f"security: algorithm {algorithm}, key {key_id}: the digest doesn't hold")
--- a/cottonladder/weight_advice/query.py
+++ b/cottonladder/weight_advice/query.py
@@ -1,4 +1,4 @@
-"""One exchange with an advisor, for the command line: connect, ask for weights, disconnect."""
+"""Queries an advisor once, for the command line: connects, requests weights, disconnects."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberWeight:
-    """An advisor's weight of one member; `place` is its host:port."""
+    """An advisor's weight of one member; `place` is its host:port.
+
+    The names of the fields are the keys of the command's JSON output.
+    """
 
     label: str
     place: str
@@ -35,9 +38,9 @@
 
 
 def parse_member(text: str) -> sasp.MemberData:
-    """Reads `[LABEL@]HOST:PORT`, where the host is a literal address."""
-    label, _, place = text.rpartition("@")
-    host, port = address({"member": place}, "member", "--member")
+    """Parses `[LABEL@]HOST:PORT`, where the host must be an IP address."""
+    label, _, host_port = text.rpartition("@")
+    host, port = address({"member": host_port}, "member", "--member")
     ip_address = parse_address(host.strip("[]"))
     if ip_address is None:
         raise InputError(f"--member: {host} is no literal address")
@@ -53,13 +56,13 @@
         self._decoder = sasp.MessageReader()
         self._message_id = 0
 
-    async def ask(self, message_type: MessageType, **fields: object) -> sasp.Message:
+    async def request(self, message_type: MessageType, **fields: object) -> sasp.Message:
         """Sends a request and waits for its reply; raises RequestRejectedError if it reports a fault."""
         self._message_id += 1
         request = sasp.Message(message_type, self._message_id, **fields)  # type: ignore[arg-type]
         self._writer.write(sasp.encode_message(request))
         while True:
-            for message in self._decoder.feed(await _read_some(self._reader)):
+            for message in self._decoder.feed(await _read_chunk(self._reader)):
                 is_reply = message.message_type == sasp.REPLY_TYPES[message_type]
                 if not is_reply or message.message_id != self._message_id:
                     continue
@@ -69,7 +72,7 @@
                 return message
 
 
-async def _read_some(reader: asyncio.StreamReader) -> bytes:
+async def _read_chunk(reader: asyncio.StreamReader) -> bytes:
     data = await reader.read(limits.READ_SIZE_BYTES)
     if not data:
         raise ConnectionEndedError
@@ -77,20 +80,24 @@
 
 
 async def query_sasp(host: str, port: int, members: Sequence[str]) -> list[MemberWeight]:
-    """Registers members, each `[LABEL@]HOST:PORT`, as a load balancer and asks for their weights.
+    """Registers members, each `[LABEL@]HOST:PORT`, as a load balancer does, and requests their weights.
 
-    Without members it only checks that the advisor accepts a load balancer's state.
+    Without members it only checks that the advisor accepts a Set LB State Request.
     """
     reader, writer = await asyncio.open_connection(host, port)
     try:
         query = SaspQuery(reader, writer)
-        await query.ask(MessageType.SET_LB_STATE_REQUEST, lb_uid=BALANCER_UID, lb_health=sasp.MAX_LB_HEALTH)
+        await query.request(
+            MessageType.SET_LB_STATE_REQUEST, lb_uid=BALANCER_UID, lb_health=sasp.MAX_LB_HEALTH
+        )
         if not members:
             return []
         group = sasp.GroupData(BALANCER_UID, GROUP_NAME)
         registered = sasp.GroupOfEntries(group, tuple(parse_member(text) for text in members))
-        await query.ask(MessageType.REGISTRATION_REQUEST, flags=sasp.LOAD_BALANCER_FLAG, groups=(registered,))
-        reply = await query.ask(MessageType.GET_WEIGHTS_REQUEST, groups=(group,))
+        await query.request(
+            MessageType.REGISTRATION_REQUEST, flags=sasp.LOAD_BALANCER_FLAG, groups=(registered,)
+        )
+        reply = await query.request(MessageType.GET_WEIGHTS_REQUEST, groups=(group,))
         return _sasp_weights(reply)
     finally:
         writer.close()
@@ -120,7 +127,7 @@
         writer.write(dfp.encode_message(dfp.Message(dfp.MessageType.BIND_ID_REQUEST)))
         decoder = dfp.MessageReader()
         while True:
-            for message in decoder.feed(await _read_some(reader)):
+            for message in decoder.feed(await _read_chunk(reader)):
                 if message.message_type == dfp.MessageType.PREFERENCE_INFORMATION:
                     return _dfp_weights(message)
                 if first_answer:
--- a/cottonladder/weight_advice/sasp_client.py
+++ b/cottonladder/weight_advice/sasp_client.py
@@ -15,12 +15,12 @@
 
 # Message ids are unsigned integers of 32 bits.
 MAX_MESSAGE_ID = 0xFFFFFFFF
-# Requests for weights that fit into the silence timeout, however long a pause the advisor asks for.
+# Minimum number of polls within the silence timeout, however long an interval the advisor asks for.
 MIN_POLLS_PER_SILENCE_TIMEOUT = 3
 
 
 class SaspAdvisorClient(AdvisorClient):
-    """Registers the workers as one group, asks for pushes, and polls as often as the advisor states."""
+    """Registers the workers as one group, asks for pushes, and polls at the advisor's interval."""
 
     def __init__(
         self,
@@ -79,21 +79,21 @@
     def receive(self, data: bytes) -> None:
         """Passes weights to the listener and logs rejected requests; a request ends the connection."""
         for message in self._reader.feed(data):
-            carries_weights = message.message_type in (
-                MessageType.GET_WEIGHTS_REPLY,
-                MessageType.SEND_WEIGHTS,
-            )
-            if not carries_weights and message.message_type not in sasp.REPLY_TYPES.values():
-                reason = f"message {message.message_type:#06x} is not an advisor's"
-                raise UnexpectedMessageError(message.message_type, reason)
-            if message.response_code != sasp.ResponseCode.SUCCESSFUL:
-                reason = sasp.response_text(message.response_code)
-                self.log.info("advisor_rejected_request", advisor=self.name, reason=reason)
-            elif carries_weights:
-                self._take_poll_interval(message)
-                self._report_weights(message)
-
-    def _take_poll_interval(self, message: Message) -> None:
+            self._handle_message(message)
+
+    def _handle_message(self, message: Message) -> None:
+        has_weights = message.message_type in (MessageType.GET_WEIGHTS_REPLY, MessageType.SEND_WEIGHTS)
+        if not has_weights and message.message_type not in sasp.REPLY_TYPES.values():
+            reason = f"message {message.message_type:#06x} is not an advisor's"
+            raise UnexpectedMessageError(message.message_type, reason)
+        if message.response_code != sasp.ResponseCode.SUCCESSFUL:
+            reason = sasp.response_text(message.response_code)
+            self.log.info("advisor_rejected_request", advisor=self.name, reason=reason)
+        elif has_weights:
+            self._update_poll_interval(message)
+            self._report_weights(message)
+
+    def _update_poll_interval(self, message: Message) -> None:
         if message.message_type == MessageType.GET_WEIGHTS_REPLY and message.interval_s:
             max_interval_s = limits.SILENCE_TIMEOUT_S / MIN_POLLS_PER_SILENCE_TIMEOUT
             self._poll_interval_s = min(float(message.interval_s), max_interval_s)
--- a/cottonladder/weight_advice/sasp_server.py
+++ b/cottonladder/weight_advice/sasp_server.py
@@ -82,13 +82,13 @@
     def push_due_weights(self, now: float) -> None:
         """Pushes changed weights if the load balancer asked for it."""
         version = self._sasp_server.advertised.version
-        if now - self.pushed_at < limits.PUSH_INTERVAL_S or self.sent_version == version:
+        if now - self.pushed_at < limits.PUSH_INTERVAL_S or self.checked_version == version:
             return
         # A client that has not read the last push gets the newer weights with a later one.
         if not self._registry.wants_push(self.number) or self.unread_bytes:
             return
         self._sasp_server.update_registry()
-        self.sent_version = version
+        self.checked_version = version
         self.pushed_at = now
         message = self._registry.push_message(self.number)
         if message is not None:
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -46,7 +46,7 @@
         self.end_reason = CLIENT_CLOSED_REASON
         self.connected_at = 0.0
         self.pushed_at = 0.0
-        self.sent_version = -1  # of the advertised workers
+        self.checked_version = -1  # of the advertised workers, as last compared with the sent weights
         self._server = server
         self._transport: asyncio.Transport | None = None
 
--- a/cottonladder/weight_advice/tls.py
+++ b/cottonladder/weight_advice/tls.py
@@ -5,12 +5,12 @@
 import ssl
 
 
-def tls_context(certificate: str, key: str, authorities: str, server: bool) -> ssl.SSLContext:
+def tls_context(certificate: str, key: str, authorities: str, is_server: bool) -> ssl.SSLContext:
     """Builds a context from the paths of PEM files; empty paths are left out.
 
-    With `authorities` the other side must present a certificate that one of them signed.
+    With `authorities` the peer must present a certificate that one of them signed.
     """
-    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if server else ssl.PROTOCOL_TLS_CLIENT)
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if is_server else ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     if certificate:
         context.load_cert_chain(certificate, key or None)
--- a/cottonladder/weight_advice/tlv.py
+++ b/cottonladder/weight_advice/tlv.py
@@ -16,13 +16,11 @@
 # IANA's protocol number of TCP, which identifies the protocol of members and loads.
 TCP_PROTOCOL_NUMBER = 6
 
-# First 10 bytes of an IPv4 address in IPv6 form (RFC 4291, 2.5.5).
-_ZERO_PREFIX = bytes(10)
-# The next 2 bytes of an IPv4-mapped address (RFC 4291, 2.5.5.2) and of an IPv4-compatible one (2.5.5.1).
-_MAPPED_MARK = b"\xff\xff"
-_COMPATIBLE_MARK = b"\0\0"
-_MAPPED_PREFIX = _ZERO_PREFIX + _MAPPED_MARK
-# Up to ::1 (unspecified and loopback address) an IPv4-compatible form is no IPv4 address.
+# First 12 bytes of an IPv4-mapped address (RFC 4291, 2.5.5.2) and of an IPv4-compatible one (2.5.5.1).
+_MAPPED_PREFIX = bytes(10) + b"\xff\xff"
+_COMPATIBLE_PREFIX = bytes(12)
+_PREFIX_BYTES = 12
+# Last 4 bytes of ::1; up to it (unspecified and loopback address) an IPv4-compatible form is no IPv4 address.
 _LOOPBACK_SUFFIX = b"\0\0\0\1"
 
 
@@ -95,10 +93,9 @@
 
 def decode_address(data: bytes) -> Address:
     """Decodes 16 bytes; IPv4-mapped and IPv4-compatible addresses become IPv4 ones."""
-    prefix = data[:10]
-    mark = data[10:12]
-    suffix = data[12:]
-    if prefix == _ZERO_PREFIX and mark in (_MAPPED_MARK, _COMPATIBLE_MARK) and suffix > _LOOPBACK_SUFFIX:
+    prefix = data[:_PREFIX_BYTES]
+    suffix = data[_PREFIX_BYTES:]
+    if prefix in (_MAPPED_PREFIX, _COMPATIBLE_PREFIX) and suffix > _LOOPBACK_SUFFIX:
         return IPv4Address(suffix)
     return IPv6Address(data)
 
