--- a/cottonladder/control/advice_connections.py
+++ b/cottonladder/control/advice_connections.py
@@ -23,46 +23,48 @@
 from ..weight_advice.server import AdviceServer
 from ..weight_advice.tls import tls_context
 
-MAX_SECRET_BYTES = 1024  # of a secret's file
+MAX_SECRET_BYTES = 1024  # read from a secret's file
 
 
 def create_advice_server(
-    config: AdviceServerConfig, advertised: AdvertisedWorkers, place: str
+    config: AdviceServerConfig, advertised: AdvertisedWorkers, setting_path: str
 ) -> AdviceServer:
-    """A server that load balancers connect to; `place` is where the operators' file configures it."""
+    """A server that load balancers connect to; `setting_path` is its path in the operators' file."""
     if config.protocol == "sasp":
-        return SaspServer(advertised, config.max_clients, _tls_context(config.tls, place, is_server=True))
-    return DfpServer(advertised, config.max_clients, _read_secret(config.secret, place))
+        return SaspServer(
+            advertised, config.max_clients, _tls_context(config.tls, setting_path, is_server=True)
+        )
+    return DfpServer(advertised, config.max_clients, _read_secret(config.secret, setting_path))
 
 
 def create_advisor_client(
-    config: AdvisorFollowConfig, listener: AdviceListener, uniform: Callable[[], float], place: str
+    config: AdvisorFollowConfig, listener: AdviceListener, uniform: Callable[[], float], setting_path: str
 ) -> AdvisorClient:
     """A client of one outside advisor; `uniform` returns a random number in 0 to 1, for its backoff."""
     address = host_port(config.address)
     if config.protocol == "sasp":
-        tls = _tls_context(config.tls, place, is_server=False)
+        tls = _tls_context(config.tls, setting_path, is_server=False)
         return SaspAdvisorClient(address, listener, tls, uniform, config.uid, config.group)
-    return DfpAdvisorClient(address, listener, uniform, _read_secret(config.secret, place))
+    return DfpAdvisorClient(address, listener, uniform, _read_secret(config.secret, setting_path))
 
 
-def _tls_context(config: TlsConfig | None, place: str, is_server: bool) -> ssl.SSLContext | None:
+def _tls_context(config: TlsConfig | None, setting_path: str, is_server: bool) -> ssl.SSLContext | None:
     if config is None:
         return None
     try:
         return tls_context(config.certificate, config.key, config.authorities, is_server)
     except (OSError, ValueError) as exc:
-        raise ConfigError(f"{place}.tls", str(exc)) from None
+        raise ConfigError(f"{setting_path}.tls", str(exc)) from None
 
 
-def _read_secret(config: SecretConfig | None, place: str) -> tuple[int, bytes] | None:
-    """The key's number and the secret's bytes."""
+def _read_secret(config: SecretConfig | None, setting_path: str) -> tuple[int, bytes] | None:
+    """The id and the bytes of the key that signs DFP messages."""
     if config is None:
         return None
     try:
         secret = Path(config.file).read_bytes()[:MAX_SECRET_BYTES].strip()
     except OSError as exc:
-        raise ConfigError(f"{place}.secret", f"{config.file}: {exc.strerror}") from None
+        raise ConfigError(f"{setting_path}.secret", f"{config.file}: {exc.strerror}") from None
     if not secret:
-        raise ConfigError(f"{place}.secret", f"{config.file}: empty")
+        raise ConfigError(f"{setting_path}.secret", f"{config.file}: empty")
     return config.key, secret
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -1,7 +1,7 @@
 """Control-loop extension that migrates held connections away from workers that drain.
 
-It passes forwarders' reports to the planner, `planning.connection_migration`, and the planner's orders to
-forwarders; the planner decides.
+It passes forwarders' reports to the planner, `planning.connection_migration`, and sends the planner's orders
+to forwarders.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _LoggedDrain:
-    """A worker whose held connections drain; its id is kept, as it may be removed before they have ended."""
+    """A worker whose held connections drain; the id is kept, as the worker may be removed before they end."""
 
     worker_id: str
     open_count_at_start: int
 
 
 class ConnectionMigrator:
-    """Owns the planner, which knows a forwarder from its announcement to the end of its stream.
+    """Owns the planner, to which a forwarder belongs from its announcement to the end of its stream.
 
     `is_vetoed` tells whether a migration is to be postponed; None means that none is.
     """
@@ -116,7 +116,7 @@
         self._next_plan_at = 0.0  # the forwarder is answered in this step
 
     def _counts_by_index(self, body: wire.HeldConnections) -> dict[int, HeldConnectionCounts]:
-        """The reported counts of the workers that are known here."""
+        """The reported counts of the known workers, by worker index."""
         counts: dict[int, HeldConnectionCounts] = {}
         for worker_id, row in body.counts_by_worker.items():
             worker_index = self._workers.find_index(worker_id)
@@ -125,7 +125,7 @@
         return counts
 
     def collect_inputs(self, now: float) -> list[Input]:
-        """Returns the channel lines that the last messages took, and once an interval the changed loads."""
+        """Returns the channel lines of the last messages, and once an interval the changed loads."""
         inputs: list[Input] = []
         if self._extra_lines:
             inputs.append(ExtraLinesWritten(self._extra_lines))
@@ -157,7 +157,7 @@
                 yield order.forwarder, message
 
     def _encode(self, order: MigrationOrder) -> bytes | None:
-        """The order's message, or None where its source was removed meanwhile."""
+        """The order's message, or None if the source worker has been removed."""
         if isinstance(order, AdmitForwarder):
             return wire.encode_acceptance(order.arrival_fraction, self._arrivals_per_s)
         source_id = self._workers.ids.get(order.source)
@@ -175,7 +175,7 @@
         )
 
     def _drop_vetoed(self, order: MigrationOrder) -> bool:
-        """Whether a plug-in postpones a migration; it then counts as done, and the next plan has it again."""
+        """Whether a plug-in postpones a migration; if so, records it as done, so that it is planned again."""
         if self._is_vetoed is None or not isinstance(order, MigrateConnections):
             return False
         if not self._is_vetoed(order):
@@ -184,9 +184,13 @@
         return True
 
     def _log_drains(self, views: dict[int, WorkerCapacityView]) -> None:
-        """Logs where the drain of held connections begins, is cancelled, or has ended."""
+        """Logs the drains of held connections that have started, been cancelled or ended."""
         totals = self._planner.connections_by_worker()
         draining = {index for index, view in views.items() if view.draining_since >= 0}
+        self._log_started_drains(totals, draining)
+        self._log_ended_drains(totals, draining)
+
+    def _log_started_drains(self, totals: dict[int, HeldConnectionCounts], draining: set[int]) -> None:
         for index in totals.keys() & draining - self._logged_drains.keys():
             drain = _LoggedDrain(self._workers.ids[index].decode(), totals[index].open)
             self._logged_drains[index] = drain
@@ -195,6 +199,8 @@
                 worker_id=drain.worker_id,
                 open_count=drain.open_count_at_start,
             )
+
+    def _log_ended_drains(self, totals: dict[int, HeldConnectionCounts], draining: set[int]) -> None:
         for index in list(self._logged_drains):
             if index in draining and index in totals:
                 continue
--- a/cottonladder/control/control_loop_extension.py
+++ b/cottonladder/control/control_loop_extension.py
@@ -1,4 +1,4 @@
-"""The interface of planners that run beside the routing policy, in the control loop's task."""
+"""The interface of the control loop's extensions, which run beside the routing policy in the loop's task."""
 
 from __future__ import annotations
 
@@ -12,15 +12,14 @@
 
 
 class ControlLoopExtension(Protocol):
-    """A planner beside the routing policy.
+    """An extension of the control loop.
 
-    In each step of the control loop it observes the inputs, may add inputs of its own for the policy, and may
-    send messages to proxies once the policy has decided.  `now` is the control loop's clock, in seconds since
-    1970.
+    In each step it observes the inputs, may add inputs for the policy, and may send messages to proxies after
+    the policy has decided.  `now` is the control loop's clock, in seconds since 1970.
     """
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Opens what the extension needs; `stack` closes it."""
+        """Opens the extension's resources; `stack` closes them."""
 
     def observe(self, now: float, item: LoopInput) -> None:
         """Called with each input, before the policy decides."""
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -1,6 +1,6 @@
-"""Control-loop extension for plug-ins: a factor for each worker, a veto on migrations, a feed of events.
+"""Control-loop extension for plug-ins, which give workers factors, veto migrations and receive events.
 
-What an answer may change is bounded in `planning.plugin_bounds` and, for factors, again by the policy.
+`planning.plugin_bounds` limits what an answer may change, and the policy limits factors again.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from contextlib import AsyncExitStack
 
 from ..config.operator_config import ManagerPluginsConfig
-from ..model.inputs import AdvisedFactor, EndpointList, Input
+from ..model.inputs import NEUTRAL_FACTOR, PLUGIN_FACTORS, AdvisedFactor, EndpointList, Input
 from ..model.state_change_text import state_change_text
 from ..model.state_changes import StateChange
 from ..model.views import WorkerCapacityView
@@ -24,17 +24,15 @@
 from .input_queue import LoopInput
 from .plugin_records import UNKNOWN_WORKER_ID, event_record, migration_record, worker_record
 
-WORKERS_PER_STEP = 40  # takes a few ms of a tick of 250
+WORKERS_PER_STEP = 40  # takes a few ms of a tick of 250 ms
 MAX_EVENTS_PER_STEP = 32  # further ones are dropped and counted
-FACTOR_SOURCE = 1  # tells these factors from those of weight advice, which are source 0
-NEUTRAL_FACTOR = 1.0  # of a worker that no plug-in changes
 
 
 class PluginExtension:
     """Owns the plug-in chain.
 
-    The chain is asked about each worker once an interval, some workers at each step, so that no step takes
-    long however large the fleet is.
+    Plug-ins are called for each worker once an interval, in batches of `WORKERS_PER_STEP`, so that the length
+    of a step does not depend on the size of the fleet.
     """
 
     def __init__(self, config: ManagerPluginsConfig, workers: WorkerRegistry) -> None:
@@ -44,7 +42,7 @@
             PluginSpec(plugin.name, plugin.path, False, frozenset(plugin.grants), plugin.seed)
             for plugin in config.chain
         )
-        self._pending_workers: list[int] = []  # that this interval's round has yet to ask about
+        self._pending_workers: list[int] = []  # not yet called for in this interval's round
         self._next_round_at = 0.0
         self._capacities: dict[int, WorkerCapacityView] = {}  # by worker
         self._factors: dict[int, float] = {}  # by worker, as last given to the policy
@@ -52,10 +50,10 @@
         self.dropped_events = 0
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Does nothing: the plug-ins are loaded when the object is made."""
+        """Does nothing: the constructor loads the plug-ins."""
 
     def observe(self, _now: float, item: LoopInput) -> None:
-        """Queues an event for each endpoint that a list names."""
+        """Queues an event for each endpoint of an endpoint list."""
         if not isinstance(item, EndpointList) or not self.chain.has_hook(EVENT):
             return
         for endpoint in item.endpoints:
@@ -63,18 +61,18 @@
             self._queue_event("listed", f"{worker_id} {endpoint.state.name.lower()}")
 
     def queue_state_change(self, change: StateChange) -> None:
-        """Queues a state change of the policy for the next step, in the text form of the interface."""
+        """Queues an event for a state change of the policy, as text of the plug-in interface."""
         if self.chain.has_hook(EVENT):
             self._queue_event("mode", state_change_text(change))
 
     def collect_inputs(self, _now: float) -> list[Input]:
-        """Tells plug-ins of the queued events, then asks for the factors of some workers."""
+        """Sends plug-ins the queued events, then calls them for the next batch of workers."""
         self._send_events()
         if not self.chain.has_hook(WORKER):
             return []
-        asked = self._pending_workers[:WORKERS_PER_STEP]
+        batch = self._pending_workers[:WORKERS_PER_STEP]
         del self._pending_workers[:WORKERS_PER_STEP]
-        return list(self._changed_factors(asked))
+        return list(self._changed_factors(batch))
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
         """Sends proxies nothing; starts a round over the workers once an interval."""
@@ -85,9 +83,9 @@
         yield from ()
 
     def is_vetoed(self, migration: MigrateConnections) -> bool:
-        """Whether a plug-in puts a migration off.
+        """Whether a plug-in postpones a migration.
 
-        Near the end of the grace period a veto does not count, as the drain must end in time.
+        Near the end of the grace period vetoes are ignored, because the drain must end in time.
         """
         if not self.chain.has_hook(MOVE):
             return False
@@ -123,12 +121,12 @@
             view = self._capacities.get(worker_index)
             if view is None or view.capacity <= 0 or not self._workers.is_known(worker_index):
                 continue
-            factor = self._ask_factor(worker_index, view)
+            factor = self._call_for_factor(worker_index, view)
             if factor != self._factors.get(worker_index, NEUTRAL_FACTOR):
                 self._factors[worker_index] = factor
-                yield AdvisedFactor(worker_index, factor, FACTOR_SOURCE)
+                yield AdvisedFactor(worker_index, factor, PLUGIN_FACTORS)
 
-    def _ask_factor(self, worker_index: int, view: WorkerCapacityView) -> float:
+    def _call_for_factor(self, worker_index: int, view: WorkerCapacityView) -> float:
         worker_id = self._workers.ids[worker_index].decode()
         labels = self._config.labels.get(worker_id, ())
         answer = self.chain.call_hook(WORKER, worker_record(worker_id, view, labels))
--- a/cottonladder/control/plugin_records.py
+++ b/cottonladder/control/plugin_records.py
@@ -8,12 +8,12 @@
 from ..planning.migration_orders import MigrateConnections
 from ..plugins.abi import EVENT, MOVE, WORKER, encode_record
 
-UNKNOWN_WORKER_ID = b"?"  # of a worker that was removed meanwhile
+UNKNOWN_WORKER_ID = b"?"  # of a worker that has been removed
 MS_PER_S = 1000.0
 
 
 def worker_record(worker_id: str, view: WorkerCapacityView, labels: Iterable[str]) -> bytes:
-    """A worker as last solved, with the labels that operators gave it."""
+    """A worker's capacity as of the last solution, with the labels that operators gave the worker."""
     pairs = [
         ("hook", WORKER),
         ("id", worker_id),
@@ -27,7 +27,7 @@
 
 
 def migration_record(migration: MigrateConnections, worker_ids: Mapping[int, bytes]) -> bytes:
-    """A migration of held connections; destinations that were removed meanwhile are left out."""
+    """A migration of held connections; destinations that have been removed are left out."""
     source = worker_ids.get(migration.source, UNKNOWN_WORKER_ID).decode()
     pairs = [("hook", MOVE), ("from", source), ("count", str(migration.count))]
     for worker_index, count in migration.destinations:
--- a/cottonladder/control/reload.py
+++ b/cottonladder/control/reload.py
@@ -1,4 +1,4 @@
-"""Reloads the manager's file on SIGHUP, and says which of its fields a reload may change."""
+"""Reloads the manager's file on SIGHUP, and determines which of its fields a reload can't change."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 def unchangeable_fields(running: ManagerConfig, new: ManagerConfig) -> list[str]:
-    """Names of the fields that the new file changes and a reload can't.
+    """Names of the fields that differ in the new file and can't be changed by a reload.
 
-    The seed is not compared, as it counts at a start alone.
+    The seed is not compared, because it is only used at the start.
     """
     parameters = replace(new.settings.parameters, seed=running.settings.parameters.seed)
     new = replace(new, settings=replace(new.settings, parameters=parameters))
@@ -28,10 +28,9 @@
 
 
 class ConfigReloader:
-    """Reads the manager's file again and applies what can change while the manager runs.
+    """Reads the manager's file again and applies discovery's address and the limits on sockets and memory.
 
-    That is discovery's address and the limits on sockets and memory.  A file with any fault is rejected as a
-    whole, as nobody can tell what its faulty part was meant to change.
+    A file with any fault is rejected as a whole.
     """
 
     def __init__(
@@ -45,11 +44,11 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def close(self) -> None:
-        """Makes later calls do nothing, as the signal's handler stays until the event loop is closed."""
+        """Makes later calls do nothing; the handler stays installed until the loop closes."""
         self._is_closed = True
 
     def reload(self) -> None:
-        """Applies the file as it is now, or logs why it is rejected."""
+        """Reads and applies the file, or logs why it is rejected."""
         if self._is_closed:
             return
         try:
--- a/cottonladder/control/signals.py
+++ b/cottonladder/control/signals.py
@@ -1,7 +1,7 @@
-"""Signal handling outside the event loop's lifetime.
+"""Signal handling before the event loop's handlers are installed and after the loop is closed.
 
-Before the loop's own handlers are installed, SIGTERM and SIGHUP would end a start with a signal's status, and
-once the loop is closed, so would a second SIGTERM.
+Without it, SIGTERM or SIGHUP during the start, or a second SIGTERM after the loop is closed, would end the
+process by the signal's default action, with another exit status than that of an orderly shutdown.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 SERVICE_COMMANDS = ("serve", "forward")  # commands that run until a signal ends them
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-_pending_reloads: list[int] = []  # SIGHUPs that came before a handler of the loop was installed
+_pending_reloads: list[int] = []  # SIGHUPs received before the loop's handler was installed
 
 
 def install_early_handlers(arguments: list[str]) -> None:
-    """Installs handlers for the time until the loop's own; called before anything else is imported."""
+    """Installs handlers that act until the loop's replace them; called before anything else is imported."""
     if arguments[1:2] and arguments[1] in SERVICE_COMMANDS:
         signal.signal(signal.SIGTERM, _exit_now)
         signal.signal(signal.SIGINT, _exit_now)
@@ -24,17 +24,17 @@
 
 
 def discard_pending_reloads() -> None:
-    """Forgets the SIGHUPs so far; called just before the file is read, which does what they ask for."""
+    """Discards the SIGHUPs so far; called just before the file is read, which makes a reload unnecessary."""
     _pending_reloads.clear()
 
 
 def reload_was_requested() -> bool:
-    """Whether a SIGHUP came after the file was read and before a handler of the loop was installed."""
+    """Whether a SIGHUP was received after the file was read and before the loop's handler was installed."""
     return bool(_pending_reloads)
 
 
 def block() -> None:
-    """Blocks the handled signals; called once the loop is closed, as they must not change the status."""
+    """Blocks the handled signals, which must not change the exit status; called before the loop closes."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
--- a/cottonladder/control/snapshot_folder.py
+++ b/cottonladder/control/snapshot_folder.py
@@ -1,4 +1,4 @@
-"""The folder with a process's snapshots, whose faults are logged and never end the service."""
+"""The folder with a process's snapshots; a fault of the folder is logged and never stops the process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 class SnapshotFolder:
     """Reads the newest snapshot at the start and writes later ones.
 
-    A folder that can't be read means a start without a snapshot.  A fault in writing is raised for the
+    If the folder can't be read, the process starts without a snapshot.  A failed write is raised to the
     background scheduler, which retries with backoff.
     """
 
@@ -29,7 +29,7 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def read(self) -> Generation | None:
-        """Returns the newest snapshot that can be used, or None; logs which of these."""
+        """Returns the newest valid snapshot, or None if there is none; logs the result."""
         started_at = time.monotonic()
         try:
             self.store.open()
@@ -55,7 +55,7 @@
     def write(self, sections: Mapping[str, Any]) -> None:
         """Writes a snapshot; blocks, so it is called in a thread.
 
-        The folder is opened again where it vanished, or where another process owned it before.
+        Opens the folder again if it has been removed, or could not be opened before.
         """
         if not self._is_open or not os.path.isdir(self.store.folder):
             self.store.close()
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -1,6 +1,6 @@
 """Control-loop extension for snapshots: restores the last one at the start and writes new ones.
 
-How far an old figure still counts is decided in `planning.snapshot_staleness`.
+`planning.snapshot_staleness` decides how much a restored value counts by its age.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 
 import structlog
 
-from ..model.inputs import EndpointState, Input, RestoredState, WorkerHistory
-from ..planning.controller_views import collect_state
+from ..model.inputs import Input, RestoredState
 from ..planning.priority_scheduling import TaskPlan
 from ..planning.snapshot_staleness import snapshot_age
 from ..policy.controller import RoutingController
 from ..snapshots.errors import SnapshotSectionError
-from ..snapshots.sections import MANAGER_SECTION, EndpointSnapshot, ManagerSnapshot, WorkerSnapshot
+from ..snapshots.sections import MANAGER_SECTION, ManagerSnapshot
 from .background_scheduler import BackgroundScheduler
 from .input_queue import LoopInput
+from .snapshot_collector import SnapshotCollector
 from .snapshot_folder import SNAPSHOT_CPU_FRACTION, SNAPSHOT_TASK, SnapshotFolder
 from .snapshot_restore import restored_credits, restored_state, starting_list
 from .starting_list import StartingList
 from .startup_config import StartupConfig
 
 SNAPSHOT_PRIORITY = 3  # among background tasks; 0 runs first
-ENTRIES_PER_SLICE = 200  # workers or proxies; keeps a slice to a millisecond or two
 
 
 class SnapshotManager:
     """Owns a manager's snapshot folder.
 
-    The snapshot is read when the object is made, and the state restored from it is the first step's input.
-    `current_list_version` and `current_credits` are set by whoever knows them.
+    The constructor reads the last snapshot; the state restored from it is an input of the first step.
+    `current_list_version` and `current_credits` return what a new snapshot includes beside the controller's
+    state; `extensions.set_snapshot_sources` sets them.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
 
     @property
     def starting_list(self) -> StartingList:
-        """The endpoint list to start from: the snapshot's, or the configuration's where that is newer."""
+        """The endpoint list to start from: the newer of the snapshot's and the configuration's."""
         return self._starting_list
 
     async def start(self, stack: AsyncExitStack) -> None:
@@ -111,61 +111,14 @@
         self.restored_credits = restored_credits(snapshot, age_s)
 
     def _write_snapshot(self) -> Iterator[Awaitable[Any] | None]:
-        """The background task: collects in slices, then has a thread write the file."""
+        """The background task: collects in slices, then writes the file in a thread."""
         controller = self._controller
         if controller is None:
             return
-        workers: list[WorkerSnapshot] = []
-        endpoints: list[EndpointSnapshot] = []
-        proxy_rates: dict[int, float] = {}
-        last_checkpoint = 0
-        worker_indices = list(controller.state.workers.by_index)
-        proxies = list(controller.state.proxies.by_number)
-        yield None
-        for first in range(0, len(worker_indices), ENTRIES_PER_SLICE):
-            chunk = worker_indices[first : first + ENTRIES_PER_SLICE]
-            for history in collect_state(controller, chunk, ()).workers:
-                if self._workers.is_known(history.worker_index):
-                    workers.append(self._worker_snapshot(history))
-                    endpoints.append(self._endpoint_snapshot(controller, history))
-            yield None
-        for first in range(0, len(proxies) + 1, ENTRIES_PER_SLICE):  # once at least, for the checkpoint
-            chunk = proxies[first : first + ENTRIES_PER_SLICE]
-            state = collect_state(controller, (), chunk)
-            proxy_rates.update(state.proxy_rates)
-            last_checkpoint = state.last_checkpoint
-            yield None
-        snapshot = ManagerSnapshot(
-            last_checkpoint,
-            workers,
-            proxy_rates,
-            self.current_list_version(),
-            endpoints,
-            self.current_credits(),
-        )
+        collector = SnapshotCollector(controller, self._workers)
+        yield from collector.collect()
+        snapshot = collector.snapshot(self.current_list_version(), self.current_credits())
         yield asyncio.to_thread(self._encode_and_write, snapshot)
 
-    def _worker_snapshot(self, history: WorkerHistory) -> WorkerSnapshot:
-        return WorkerSnapshot(
-            self._workers.ids[history.worker_index].decode(),
-            history.started_at,
-            history.base_latency_s,
-            history.latency_factor,
-            history.was_ejected,
-            history.was_draining,
-        )
-
-    def _endpoint_snapshot(self, controller: RoutingController, history: WorkerHistory) -> EndpointSnapshot:
-        worker = controller.state.workers.by_index[history.worker_index]
-        state = EndpointState.DRAINING if history.was_draining else EndpointState.READY
-        return EndpointSnapshot(
-            self._workers.ids[history.worker_index].decode(),
-            self._workers.address_of(history.worker_index),
-            worker.zone,
-            int(state),
-            worker.weight,
-            history.started_at,
-        )
-
     def _encode_and_write(self, snapshot: ManagerSnapshot) -> None:
         self._folder.write({MANAGER_SECTION.name: MANAGER_SECTION.encode(snapshot)})
--- a/cottonladder/control/snapshot_restore.py
+++ b/cottonladder/control/snapshot_restore.py
@@ -1,4 +1,4 @@
-"""What of an earlier incarnation's snapshot a manager starts from."""
+"""Converts the snapshot of an earlier process to the state that a manager starts from."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from .starting_list import StartingList
 from .startup_config import StartupConfig
 
-STORED_STATES = (EndpointState.READY, EndpointState.DRAINING)  # that an endpoint of a snapshot may have
+STORED_STATES = (EndpointState.READY, EndpointState.DRAINING)  # states that a snapshot's endpoint may have
 
 
 def starting_list(config: StartupConfig, snapshot: ManagerSnapshot) -> StartingList:
-    """The snapshot's list where it is newer than the configuration's; registers its workers."""
+    """The newer of the snapshot's and the configuration's list; registers the workers of the snapshot's."""
     if snapshot.list_version <= config.starting_list.version:
         return config.starting_list
     zone_count = config.settings.parameters.zone_count
@@ -35,9 +35,9 @@
 
 
 def restored_state(snapshot: ManagerSnapshot, workers: WorkerRegistry, age_s: float) -> RestoredState:
-    """The snapshot's knowledge of workers and proxies that is still of use after `age_s` seconds.
+    """The snapshot's state of workers and proxies, discounted for its age of `age_s` seconds.
 
-    Workers that no list has named since are left out.
+    Workers that the starting endpoint list does not name are left out.
     """
     histories: list[WorkerHistory] = []
     for stored in snapshot.workers:
@@ -59,7 +59,7 @@
 
 
 def restored_credits(snapshot: ManagerSnapshot, age_s: float) -> dict[str, float]:
-    """The credit of each weight advisor after `age_s` seconds."""
+    """The credit of each weight advisor, discounted for the snapshot's age of `age_s` seconds."""
     return {
         advisor: discounted_credit(credit, INITIAL_CREDIT, age_s)
         for advisor, credit in snapshot.advisor_credits.items()
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -1,7 +1,7 @@
-"""Control-loop extension for weight advice, between the manager and load balancers or outside advisors.
+"""Control-loop extension for weight advice: advertises weights to load balancers, and follows advisors.
 
-How much an advisor's weights count is decided in `planning.advice_weighting`; which weights are sent to load
-balancers, in `planning.advertised_weights`.
+`planning.advice_weighting` decides how much an advisor's weights count, `planning.advertised_weights` which
+weights load balancers are sent.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import structlog
 
 from ..config.operator_config import AdviceConfig, host_port
-from ..model.inputs import AdvisedFactor, EndpointList, Input
+from ..model.inputs import ADVISOR_FACTORS, NEUTRAL_FACTOR, AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
 from ..planning.advice_weighting import UPDATE_INTERVAL_S, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views
@@ -31,12 +31,11 @@
 STATUS_LOG_INTERVAL_S = 30.0
 MAX_LOGGED_AGE_S = 1e6  # stands for an advisor that has sent no weight
 DEFAULT_TRUST = 1.0
-NEUTRAL_FACTOR = 1.0  # of a worker that no advice changes
 
 
 @dataclass(frozen=True, slots=True)
 class _WeightReport:
-    """Weights received from one advisor; `is_complete`: they replace all that it sent before."""
+    """Weights received from one advisor; `is_complete` means that its earlier weights no longer hold."""
 
     advisor: str
     weights: list[ReportedWeight]
@@ -46,7 +45,7 @@
 class WeightAdvisor(AdviceListener):
     """Owns the advice servers and the clients of outside advisors.
 
-    What advisors send is kept until the next step of the control loop, in whose task all of this runs.
+    Received weights are queued for the next step of the control loop.
     """
 
     def __init__(self, config: AdviceConfig, workers: WorkerRegistry) -> None:
@@ -98,12 +97,12 @@
         self._reports.append(_WeightReport(advisor, list(weights), is_complete))
 
     def observe(self, _now: float, item: LoopInput) -> None:
-        """Notes a changed endpoint list, as a worker that drains is advertised at once."""
+        """Records that the endpoint list changed, so that a draining worker is advertised at once."""
         if isinstance(item, EndpointList):
             self._has_list_changed = True
 
     def collect_inputs(self, now: float) -> list[Input]:
-        """Once an interval, the factors on workers' capacities that have changed."""
+        """Returns the changed factors on workers' capacities once an interval."""
         self._apply_connections()
         self._apply_reports(now)
         if now < self._next_update_at:
@@ -142,10 +141,10 @@
         previous = self._factors
         self._factors = factors
         for worker_index in previous.keys() - factors.keys():
-            yield AdvisedFactor(worker_index, NEUTRAL_FACTOR)
+            yield AdvisedFactor(worker_index, NEUTRAL_FACTOR, ADVISOR_FACTORS)
         for worker_index, factor in factors.items():
             if previous.get(worker_index) != factor:
-                yield AdvisedFactor(worker_index, factor)
+                yield AdvisedFactor(worker_index, factor, ADVISOR_FACTORS)
 
     def _update_advertised(self, controller: RoutingController) -> None:
         self._capacities = capacity_views(controller)
@@ -176,13 +175,13 @@
 
 
 def _lowest_by_worker(reported: Iterable[ReportedWeight]) -> dict[int, AdvisoryWeight]:
-    """One weight for each worker: the lowest, where an advisor knows a worker under two identifications."""
+    """One weight for each worker: the lowest, if an advisor has several members that match the worker."""
     weights: dict[int, AdvisoryWeight] = {}
     for report in reported:
         if report.worker_index is None:
             continue
         weight = AdvisoryWeight(float(report.weight), report.is_usable)
-        other = weights.get(report.worker_index)
-        if other is None or weight.weight < other.weight or not weight.is_usable:
+        lowest = weights.get(report.worker_index)
+        if lowest is None or weight.weight < lowest.weight or not weight.is_usable:
             weights[report.worker_index] = weight
     return weights
--- a/cottonladder/model/inputs.py
+++ b/cottonladder/model/inputs.py
@@ -162,16 +162,19 @@
     requests_per_s: float
 
 
+NEUTRAL_FACTOR = 1.0  # advised factor of a worker for which a source has no advice
+# Sources of advised factors: outside advisors and plug-ins.
+ADVISOR_FACTORS = 0
+PLUGIN_FACTORS = 1
+
+
 @dataclass(frozen=True, slots=True)
 class AdvisedFactor:
-    """One advisor's factor on a worker's capacity, 1 where it has no advice.
-
-    The factors of several sources are multiplied.
-    """
+    """The factor of one source on a worker's capacity; the factors of several sources are multiplied."""
 
     worker_index: int
     factor: float
-    source: int = 0
+    source: int = ADVISOR_FACTORS
 
 
 @dataclass(frozen=True, slots=True)
