--- a/cottonladder/control/admin_socket.py
+++ b/cottonladder/control/admin_socket.py
@@ -1,6 +1,6 @@
 """The local administration socket: a Unix socket that answers one line of text with one line of JSON.
 
-It is off unless the operators' file names its path.
+It is disabled unless the operators' file sets its path.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from ..config.errors import ConfigError
 
 TASKS_QUERY = "tasks"  # answered with the status of each background task
-SETTING = "control"  # of the operators' file, which names the path
+SETTING = "control"  # of the operators' file: the socket's path
 MAX_REQUEST_BYTES = 256
-REQUEST_TIMEOUT_S = 2.0  # for a request to come, and for its answer to be read
+REQUEST_TIMEOUT_S = 2.0  # to receive the request and send the answer
 MAX_CONNECTIONS = 8
-SOCKET_MODE = 0o600  # for the process's own user alone
+SOCKET_MODE = 0o600  # accessible to the process's user only
 
 
 class AdminSocket:
-    """Owns the socket and its file; `answers` gives for each request a function that returns JSON data."""
+    """Owns the socket and its file; `answers` maps each request to a function that returns JSON data."""
 
     def __init__(self, path: str, answers: Mapping[str, Callable[[], object]]) -> None:
         self._path = path
@@ -36,7 +36,7 @@
     async def listen(self, stack: AsyncExitStack) -> None:
         """Opens the socket; `stack` closes it and removes its file.
 
-        A socket that an earlier process left at the path is replaced; any other file there is an error.
+        Replaces the socket of an earlier process at the path; raises ConfigError for any other file.
         """
         with suppress(FileNotFoundError):
             if not stat.S_ISSOCK(os.stat(self._path).st_mode):
@@ -66,7 +66,7 @@
                 writer.write(json.dumps(self._answer(request)).encode() + b"\n")
                 await writer.drain()
         except (OSError, TimeoutError, ValueError):
-            pass  # the client has gone, or sent no request in time or a longer one than is allowed
+            pass  # the client disconnected, or sent no request in time or one over the size limit
         finally:
             self._connection_count -= 1
             writer.close()
--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -18,16 +18,17 @@
 
 from ..planning.priority_scheduling import PriorityScheduler, ScheduledSlice, TaskPlan
 
+# Begins a run of a task; each step of the iterator is one slice.
 Work = Callable[[], Iterator[Awaitable[Any] | None]]
 
-LOOP_LAG_PAUSE_S = 0.05  # without a slice after a batch or timer of the control loop came late
-STOP_TIMEOUT_S = 2.0  # for the awaitables under way and the final runs, at the stop
-MAX_IDLE_S = 1.0  # between two looks at what is due
+LOOP_LAG_PAUSE_S = 0.05  # after a late batch or timer of the control loop, only starved tasks run
+STOP_TIMEOUT_S = 2.0  # for pending awaitables and the final runs, when the scheduler is closed
+MAX_IDLE_S = 1.0  # between two checks for due tasks
 
 
 @dataclass(frozen=True, slots=True)
 class _SliceResult:
-    """What one slice yielded, and whether its run has thereby ended."""
+    """What one slice yielded, and whether it ended the task's run."""
 
     awaitable: Awaitable[Any] | None = None
     is_done: bool = False
@@ -37,8 +38,8 @@
 class BackgroundScheduler:
     """Owns the task that runs the slices, and the tasks that await what slices yield.
 
-    A fault of one task is logged, and that task is tried again with backoff; the others go on.  `uniform`
-    returns a random number in 0 to 1.
+    A failure of one task is logged, and that task is retried with backoff; other tasks are unaffected.
+    `uniform` returns a random number in 0 to 1.
     """
 
     def __init__(self, uniform: Callable[[], float]) -> None:
@@ -59,11 +60,11 @@
         self._wake.set()
 
     def start(self) -> None:
-        """Starts to run what is due; needs a running event loop."""
+        """Starts to run due tasks, in the running event loop."""
         self._task = asyncio.create_task(self._run())
 
     def pause_for_loop_lag(self) -> None:
-        """Runs nothing for `LOOP_LAG_PAUSE_S`, as the control loop is behind."""
+        """Runs only starved tasks for `LOOP_LAG_PAUSE_S`, because the control loop is behind."""
         self._paused_until = time.monotonic() + LOOP_LAG_PAUSE_S
 
     def run_soon(self, name: str) -> None:
@@ -72,7 +73,7 @@
         self._wake.set()
 
     async def close(self, final_tasks: tuple[str, ...] = ()) -> None:
-        """Ends what runs, and runs `final_tasks` once more, all within `STOP_TIMEOUT_S`."""
+        """Awaits what is pending and runs `final_tasks` once more; cancels all after `STOP_TIMEOUT_S`."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -83,7 +84,7 @@
                     await self._finish(name)
         except TimeoutError:
             self.log.warning("tasks_cancelled", tasks=",".join(self._awaited) or ",".join(final_tasks))
-        except Exception as exc:  # a fault of background work must not keep the process from ending
+        except Exception as exc:  # a failed task must not keep the process from ending
             self._log_failure(",".join(final_tasks), exc, consecutive_failures=1)
         cancelled = list(self._awaited.values())
         for task in cancelled:
@@ -91,7 +92,7 @@
         await asyncio.gather(*cancelled, return_exceptions=True)
 
     def status_rows(self) -> list[dict[str, object]]:
-        """One row a task with its plan and its counts, as the admin socket shows them."""
+        """Returns a row for each task, with its plan and counts, for the admin socket."""
         now = time.monotonic()
         return [_status_row(task, now) for task in self._scheduler.tasks.values()]
 
@@ -104,15 +105,15 @@
                 await self._wait(now)
             else:
                 self._run_slice(name, now)
-                await asyncio.sleep(0)  # the control loop's batches come between two slices
+                await asyncio.sleep(0)  # lets the control loop handle a batch between two slices
 
     async def _wait(self, now: float) -> None:
-        """Waits until a task may be due, or is added or made due."""
+        """Waits until a task may be due, is added or is made due."""
         until_due_s = self._scheduler.time_until_next(now, self._awaited)
         wait_s = max(self._paused_until - now, until_due_s)
         self._wake.clear()
         with suppress(TimeoutError):
-            # Not `wait_for`: it drops a cancellation that comes in the same turn as the event.
+            # Not `wait_for`: it loses a cancellation in the event loop's iteration that also sets the event.
             async with asyncio.timeout(min(wait_s, MAX_IDLE_S)):
                 await self._wake.wait()
 
@@ -138,14 +139,14 @@
             return _SliceResult(awaitable=next(self._running[name]))
         except StopIteration:
             return _SliceResult(is_done=True)
-        except Exception as exc:  # a fault of one task must not end the others
+        except Exception as exc:  # a failed task must not end the others
             self._log_repeated_failure(name, exc)
             return _SliceResult(has_failed=True)
 
     async def _await(self, name: str, awaitable: Awaitable[Any]) -> None:
         try:
             await awaitable
-        except Exception as exc:  # a fault of one task must not end the others
+        except Exception as exc:  # a failed task must not end the others
             self._log_repeated_failure(name, exc)
             self._running.pop(name, None)
             self._scheduler.slice_finished(name, time.monotonic(), 0.0, True, True, self._uniform())
@@ -154,7 +155,7 @@
             self._wake.set()
 
     async def _finish(self, name: str) -> None:
-        """Ends the run that is under way, or else runs the task from its beginning."""
+        """Completes the task's current run, or a new one if there is none."""
         steps = self._running.pop(name, None) or iter(self._work[name]())
         for awaitable in steps:
             if awaitable is not None:
@@ -162,7 +163,7 @@
 
     def _log_overrun(self, name: str, duration_s: float) -> None:
         overrun_count = self._scheduler.tasks[name].overruns
-        if _is_power_of_two(overrun_count):  # ever more rarely, where a task overruns again and again
+        if _is_power_of_two(overrun_count):  # ever more rarely, if a task overruns repeatedly
             self.log.info(
                 "task_overran",
                 task=name,
@@ -171,7 +172,7 @@
             )
 
     def _log_repeated_failure(self, name: str, exc: Exception) -> None:
-        failure_count = self._scheduler.tasks[name].consecutive_failures + 1  # with this one
+        failure_count = self._scheduler.tasks[name].consecutive_failures + 1  # including this one
         if failure_count == 1 or _is_power_of_two(failure_count - 1):  # ever more rarely in a long series
             self._log_failure(name, exc, failure_count)
 
--- a/cottonladder/control/clock.py
+++ b/cottonladder/control/clock.py
@@ -8,7 +8,7 @@
 class Clock:
     """Unix time at the start, advanced by a monotonic clock.
 
-    Steps of the system's time don't reach it, and the start times of workers can be compared with it.
+    Changes of the system's time do not affect it, and it can be compared with the start times of workers.
     """
 
     def __init__(self) -> None:
--- a/cottonladder/control/connection_limits.py
+++ b/cottonladder/control/connection_limits.py
@@ -17,7 +17,7 @@
 DESCRIPTORS_PER_HEALTH_CHECK = 16  # one more in flight for each so many descriptors
 UNREAD_MEMORY_DIVISOR = 4  # messages that proxies have not read may take this part of the memory
 BYTES_PER_MIB = 1 << 20
-CONNECTIONS_PER_ZONE = 2  # that stay possible however few descriptors there are
+CONNECTIONS_PER_ZONE = 2  # minimum, however few descriptors there are
 
 
 def connection_limits(config: ManagerConfig) -> ConnectionLimits:
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -1,6 +1,6 @@
-"""The control loop: one task that feeds inputs to the routing policy and carries out the orders it gives.
+"""The control loop: one task that passes inputs to the routing policy and carries out the policy's orders.
 
-Nothing in a step waits, so a step is done entirely or not begun, whenever its task is cancelled.
+A step awaits nothing, so a cancellation of the task never interrupts one.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Effects:
-    """The sockets' owners, which carry out the orders that are not messages to proxies."""
+    """The owners of the sockets for orders that are not messages to proxies."""
 
     discovery: DiscoveryClient
     health_checker: HealthChecker
@@ -50,9 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlLoopObservers:
-    """Functions that the control loop calls, where there are any.
+    """Functions that the control loop calls; None if there is none.
 
-    `on_loop_lag`: a batch or a timer was late; `on_state_change`: the policy reports a state change.
+    `on_loop_lag` is called after a late batch or timer, `on_state_change` with each state change of the
+    policy.
     """
 
     on_loop_lag: Callable[[], None] | None = None
@@ -104,7 +105,7 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     async def run(self) -> None:
-        """Handles batches of inputs until it is cancelled; a fault of the policy is raised from here."""
+        """Handles batches of inputs until it is cancelled; raises what the policy raises."""
         while True:
             batch = await self._input_queue.take()
             started_at = time.monotonic()
@@ -112,7 +113,7 @@
             self._lag_monitor.record("batch", time.monotonic() - started_at)
 
     def step(self, batch: list[LoopInput]) -> None:
-        """Handles one batch: the policy decides on its inputs, then its orders and messages go out."""
+        """Handles one batch: passes it to the policy, then carries out the orders and sends the messages."""
         now = self._clock.now()
         inputs = self._collect_inputs(now, batch)
         self._dispatcher.track_proxies(inputs)
--- a/cottonladder/control/input_queue.py
+++ b/cottonladder/control/input_queue.py
@@ -1,4 +1,4 @@
-"""The queue from sockets and timers to the control loop."""
+"""The queue of inputs from sockets and timers to the control loop."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class InputQueue:
-    """An unbounded queue; `put` never waits, and `take` gives all that is in it as one batch."""
+    """An unbounded queue; `put` never waits, and `take` returns all items as one batch."""
 
     def __init__(self) -> None:
         self._items: deque[LoopInput] = deque()
@@ -24,7 +24,7 @@
         self._has_items.set()
 
     async def take(self) -> list[LoopInput]:
-        """Waits until the queue is not empty, then empties it."""
+        """Waits until the queue is not empty, then removes and returns all items."""
         await self._has_items.wait()
         batch = list(self._items)
         self._items.clear()
--- a/cottonladder/control/loop_lag.py
+++ b/cottonladder/control/loop_lag.py
@@ -1,4 +1,4 @@
-"""Measures how far the control loop is behind."""
+"""Monitors the lag of the control loop: long batches and late timers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import structlog
 
 MIN_LOOP_LAG_S = 0.01  # the policy's tick is 25 times as long, so a shorter lag changes no decision
-LAG_LOG_GROWTH = 1.5  # a lag is logged where it is this many times the longest one before
+LAG_LOG_GROWTH = 1.5  # a lag is logged if it exceeds the longest one so far by this factor
 
 
 class LoopLagMonitor:
@@ -19,7 +19,7 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def record(self, source: str, lag_s: float) -> None:
-        """Records how long a batch took, or how late a timer was; `source` says which of them."""
+        """Records how long a batch took, or how late a timer was; `source` names which of the two."""
         if lag_s <= MIN_LOOP_LAG_S:
             return
         if self._on_lag is not None:
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -1,6 +1,6 @@
 """Starts and stops one manager process.
 
-What `serve` opens, it closes in the opposite order.
+`serve` closes what it has opened in the opposite order.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 async def serve(config: StartupConfig, config_path: str, operator: OperatorConfig | None = None) -> None:
-    """Runs one manager until SIGTERM or SIGINT; a fault of the policy is raised from here."""
+    """Runs one manager until SIGTERM or SIGINT; raises what the policy raises."""
     log: structlog.stdlib.BoundLogger = structlog.get_logger()
     stop = _stop_event()
     limits = connection_limits(config.manager)
@@ -63,7 +63,9 @@
             await extension.start(stack)
         control_loop = _create_control_loop(config, input_queue, sessions, effects, extensions, background)
         stack.callback(control_loop.close)
-        control_loop.step([known.endpoints])  # before it listens, so that it can decide once it answers
+        control_loop.step(
+            [known.endpoints]
+        )  # before listening, so that the policy knows the workers when proxies connect
         listener = StreamListener(messages, sessions, limits)
         stack.push_async_callback(listener.close)
         port = await listener.listen(*config.manager.listen)
@@ -74,7 +76,7 @@
         running = await stack.enter_async_context(_owned_task(control_loop.run()))
         await _wait_for_first(running, stop)
         if running.done():
-            running.result()  # raises what ended it
+            running.result()  # raises the exception that ended it
         log.info("stopping", name=config.manager.name)
 
 
@@ -101,7 +103,7 @@
     input_queue: InputQueue,
     stack: AsyncExitStack,
 ) -> Effects:
-    """Opens discovery client, health checks and gossip; their results come back through the queue."""
+    """Opens the discovery client, health checks and gossip; their results are put into the queue."""
     settings = config.settings
     workers = config.workers
     discovery = DiscoveryClient(
@@ -128,7 +130,7 @@
     extensions: Extensions,
     background: BackgroundServices,
 ) -> ControlLoop:
-    """Creates the control loop; snapshots are its first extension, as they restore the earlier state."""
+    """Creates the control loop; snapshots are its first extension, because they restore the earlier state."""
     settings = config.settings
     loop_extensions = extensions.enabled()
     if background.snapshots is not None:
@@ -161,7 +163,7 @@
 
 @asynccontextmanager
 async def _owned_task(coroutine: Coroutine[Any, Any, None]) -> AsyncIterator[asyncio.Task[None]]:
-    """Runs a task that is cancelled and awaited at the end, before what it uses is closed."""
+    """Runs a task that is cancelled and awaited when the context ends."""
     task = asyncio.create_task(coroutine)
     try:
         yield task
--- a/cottonladder/control/policy_timers.py
+++ b/cottonladder/control/policy_timers.py
@@ -1,4 +1,4 @@
-"""The timers that the routing policy orders."""
+"""Runs the timers that the routing policy orders."""
 
 from __future__ import annotations
 
@@ -13,8 +13,7 @@
 class PolicyTimers:
     """Owns the running timers; each puts `TimerFired` into the queue when it is due.
 
-    The policy may start a timer with the token of one that runs, and can't cancel any, so timers are kept by
-    numbers of their own.
+    The policy may start a timer with the token of a running one, so timers are kept by a number of their own.
     """
 
     def __init__(self, put_input: Callable[[TimerFired], None], lag_monitor: LoopLagMonitor) -> None:
@@ -31,7 +30,7 @@
         self._handles[self._last_number] = handle
 
     def cancel_all(self) -> None:
-        """Cancels every timer that is not due yet."""
+        """Cancels all running timers."""
         for handle in self._handles.values():
             handle.cancel()
         self._handles.clear()
--- a/cottonladder/control/starting_list.py
+++ b/cottonladder/control/starting_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list that a manager serves from until discovery has answered."""
+"""The endpoint list that a manager uses until discovery has answered."""
 
 from __future__ import annotations
 
--- a/cottonladder/control/state_change_log.py
+++ b/cottonladder/control/state_change_log.py
@@ -1,4 +1,4 @@
-"""Log events for state changes of the routing policy, with the ids and addresses that discovery lists."""
+"""Logs the state changes of the routing policy, with workers' ids and addresses from the endpoint list."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def worker_state_changed(self, change: WorkerStateChanged) -> None:
-        """Logs a worker's new state, with the worker's listed names and the figures behind the decision."""
+        """Logs a worker's new state, with its id, its address and the evidence for the change."""
         self.log.info(
             "worker_state_changed",
             worker_id=self._workers.ids.get(change.worker_index, b"").decode(),
@@ -51,7 +51,7 @@
 
 
 def _evidence_fields(evidence: Evidence | None) -> LogFields:
-    """The figures behind a change, under names that tell their units."""
+    """The evidence for a change, as log fields whose names include the units."""
     match evidence:
         case EndpointEvidence(endpoint_state, uptime_s, is_start_known):
             fields: LogFields = {"endpoint_state": endpoint_state.name.lower()}
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -14,7 +14,7 @@
 
 
 def capacity_views(controller: RoutingController) -> dict[int, WorkerCapacityView]:
-    """Returns each worker's capacity as last solved, by worker index."""
+    """Returns each worker's capacity as of the last solution, by worker index."""
     return {
         index: _capacity_view(controller, index, worker)
         for index, worker in controller.state.workers.by_index.items()
--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -110,7 +110,7 @@
         try:
             self.start_session()
             while True:
-                # Not `wait_for`: it drops a cancellation that comes in the same turn as data.
+                # Not `wait_for`: it loses a cancellation in the event loop's iteration that receives data.
                 async with asyncio.timeout(self.silence_timeout_s):
                     data = await reader.read(limits.READ_SIZE_BYTES)
                 if not data:
--- a/cottonladder/weight_advice/dfp.py
+++ b/cottonladder/weight_advice/dfp.py
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BindIdEntry:
-    """A BindID and the network whose clients it stands for."""
+    """A BindID and the network whose clients it identifies."""
 
     bind_id: int
     network: IPv4Address
--- a/cottonladder/weight_advice/sasp/codes.py
+++ b/cottonladder/weight_advice/sasp/codes.py
@@ -1,4 +1,4 @@
-"""The numbers that SASP fixes (RFC 4678): component and message types, flags and response codes."""
+"""The numbers that SASP defines (RFC 4678): component and message types, flags and response codes."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 QUIESCE_FLAG = 0x02
 # Bit of a weight entry's flags: the member registered itself.
 REGISTRATION_FLAG = 0x04
-# Bit of a weight entry's flags: the workload manager knows enough of the member to vouch for the weight.
+# Bit of a weight entry's flags: the workload manager is confident in the weight.
 CONFIDENT_FLAG = 0x08
 
 # Bit of a member state's flags: the member takes no new work.
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -37,7 +37,7 @@
 
 
 class ClientConnection(asyncio.Protocol, ABC):
-    """The connection of one load balancer or DFP manager; a subclass speaks its protocol."""
+    """The connection of one load balancer or DFP manager; a subclass implements its protocol."""
 
     def __init__(self, server: AdviceServer) -> None:
         self.number = -1  # set by the server once the connection is made
--- a/cottonladder/weight_advice/tlv.py
+++ b/cottonladder/weight_advice/tlv.py
@@ -25,7 +25,7 @@
 
 
 class Cursor:
-    """Reads fields of `data` one after another, up to `end`; a field beyond it is a TruncatedDataError."""
+    """Reads consecutive fields of `data` up to `end`; raises TruncatedDataError for a field beyond it."""
 
     __slots__ = ("data", "end", "position")
 
--- a/cottonladder/weight_advice/worker_locations.py
+++ b/cottonladder/weight_advice/worker_locations.py
@@ -1,4 +1,4 @@
-"""Matches the members that load balancers and advisors name to the workers of the endpoint list."""
+"""Matches members, as load balancers and advisors identify them, to the workers of the endpoint list."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class WorkerLocation(NamedTuple):
-    """Where a worker is reached; `address` is None if the endpoint list has a host name."""
+    """A worker's id, address and port; `address` is None if the endpoint list has a host name."""
 
     worker_index: int
     worker_id: bytes
@@ -30,7 +30,7 @@
                 self._by_address[location.address, location.port] = location.worker_index
 
     def find(self, member: MemberData) -> int | None:
-        """Returns the index of the worker that a member stands for, or None if it is no listed worker."""
+        """Returns the index of the worker that matches a member, or None if no listed worker does."""
         worker_index = self._by_id.get(member.label)
         if worker_index is not None:
             return worker_index
@@ -40,7 +40,7 @@
 def worker_locations(
     worker_ids: Mapping[int, bytes], address_of: Callable[[int], str]
 ) -> list[WorkerLocation]:
-    """Gives the location of each listed worker; `address_of` maps a worker index to its `host:port`."""
+    """Returns the location of each listed worker; `address_of` maps a worker index to its `host:port`."""
     locations: list[WorkerLocation] = []
     for worker_index, worker_id in worker_ids.items():
         host, _, port = address_of(worker_index).rpartition(":")
