--- a/cottonladder/weight_advice/dfp_client.py
+++ b/cottonladder/weight_advice/dfp_client.py
@@ -39,7 +39,7 @@
         self.send(dfp.encode_message(parameters, self._secret))
 
     def locations_changed(self) -> None:
-        """Does nothing: an agent is not told which workers there are."""
+        """Does nothing: DFP has no message for it."""
 
     def poll(self) -> None:
         """Does nothing: an agent reports unasked."""
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -33,7 +33,7 @@
 # Reasons of a connection's end, as logged.
 CLIENT_CLOSED_REASON = "ended by the other side"
 UNREAD_DATA_REASON = "left its advice unread"
-TOO_MANY_CLIENTS_REASON = "too many clients"
+CLIENT_LIMIT_REASON = "too many clients"
 
 
 class ClientConnection(asyncio.Protocol, ABC):
@@ -153,7 +153,7 @@
         if len(self._clients) > self._max_clients:
             silent_clients = (other for other in self._clients.values() if not other.has_sent_message)
             oldest = next(silent_clients)
-            oldest.abort(TOO_MANY_CLIENTS_REASON)
+            oldest.abort(CLIENT_LIMIT_REASON)
             del self._clients[oldest.number]  # now: asyncio reports the lost connection in its next iteration
 
     def client_disconnected(self, client: ClientConnection) -> None:
