--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -5,7 +5,7 @@
 import asyncio
 import json
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Coroutine, Sequence
 from dataclasses import asdict
 
 import click
@@ -24,7 +24,7 @@
 MEMBERS = click.option(
     "--member", "members", multiple=True, metavar="[LABEL@]HOST:PORT", help="For SASP: a member to ask about."
 )
-Query = Callable[[str, int], Awaitable[list[MemberWeight]]]
+Query = Coroutine[object, object, list[MemberWeight]]
 
 
 class NoAnswerError(Exception):
@@ -43,14 +43,8 @@
 @AS_JSON
 def show(host_port: str, protocol: str, members: tuple[str, ...], as_json: bool) -> None:
     """Show an advisor's weights; status 1 if it gives no valid answer."""
-
-    async def query_weights(host: str, port: int) -> list[MemberWeight]:
-        if protocol == "dfp":
-            return await query_dfp(host, port)
-        return await query_sasp(host, port, members)
-
     try:
-        weights = _run(host_port, query_weights)
+        weights = _run(_query_weights(host_port, protocol, members))
     except NoAnswerError as exc:
         raise CommandError(f"{host_port}: {exc}") from exc
     if as_json:
@@ -65,16 +59,10 @@
 @AS_JSON
 def probe(host_port: str, protocol: str, as_json: bool) -> None:
     """Test whether an advisor speaks the protocol, and how long its answer takes."""
-
-    async def query_once(host: str, port: int) -> list[MemberWeight]:
-        if protocol == "dfp":
-            return await query_dfp(host, port, first_answer=True)
-        return await query_sasp(host, port, [])
-
     started_at = time.monotonic()
     failure_reason = ""
     try:
-        _run(host_port, query_once)
+        _run(_query_weights(host_port, protocol, members=(), first_answer=True))
     except NoAnswerError as exc:
         failure_reason = str(exc)
     duration_ms = round((time.monotonic() - started_at) * MS_PER_S, 1)
@@ -96,16 +84,21 @@
         click.get_current_context().exit(CommandError.exit_code)
 
 
-def _run(host_port: str, query: Query) -> list[MemberWeight]:
-    """Runs a query within the timeout; raises NoAnswerError if it brings no valid answer."""
+async def _query_weights(
+    host_port: str, protocol: str, members: Sequence[str], first_answer: bool = False
+) -> list[MemberWeight]:
+    """Asks an advisor for its weights: over SASP those of `members`, over DFP all or its first answer."""
+    host, port = address({"where": host_port}, "where", "advice")
+    async with asyncio.timeout(QUERY_TIMEOUT_S):
+        if protocol == "dfp":
+            return await query_dfp(host, port, first_answer=first_answer)
+        return await query_sasp(host, port, members)
 
-    async def query_in_time() -> list[MemberWeight]:
-        host, port = address({"where": host_port}, "where", "advice")
-        async with asyncio.timeout(QUERY_TIMEOUT_S):
-            return await query(host, port)
 
+def _run(query: Query) -> list[MemberWeight]:
+    """Runs a query; raises NoAnswerError if it brings no valid answer within its timeout."""
     try:
-        return asyncio.run(query_in_time())
+        return asyncio.run(query)
     except TimeoutError as exc:
         raise NoAnswerError(f"no answer within {QUERY_TIMEOUT_S:g} s") from exc
     except (OSError, InputError) as exc:
--- a/cottonladder/cli/plugin_trial.py
+++ b/cottonladder/cli/plugin_trial.py
@@ -57,16 +57,16 @@
 
 def load_plugin(path: str, grants: tuple[str, ...]) -> Plugin:
     """Loads a plug-in; its log lines go to standard error."""
-
-    def print_log_line(_name: str, line: str) -> None:
-        click.echo(line, err=True)
-
     try:
-        return Plugin("plug-in", path, frozenset(grants), 0, print_log_line)
+        return Plugin("plug-in", path, frozenset(grants), 0, _print_log_line)
     except PluginLoadError as exc:
         raise CommandError(str(exc)) from exc
 
 
+def _print_log_line(_name: str, line: str) -> None:
+    click.echo(line, err=True)
+
+
 def replay(plugin: Plugin, requests_path: str) -> list[ReplayedRequest]:
     """Calls the plug-in on each recorded request, a JSON object a line."""
     hook = "route" if "route" in plugin.hooks else plugin.hooks[0]
