--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -25,6 +25,7 @@
 from typing import Any
 
 from benchmarks.harness import TREE, add_baseline_argument, argument_parser, run_in_tree
+from cottonladder.testbed.fleet import free_port
 
 PROXY_COUNT = 1600
 WORKER_COUNT = 200
@@ -50,12 +51,6 @@
 """
 
 
-def free_port() -> int:
-    """A port of loopback that is free now."""
-    with socket.create_server(("127.0.0.1", 0)) as listener:
-        return int(listener.getsockname()[1])
-
-
 def write_configuration(folder: str, port: int) -> str:
     """A manager's file with all workers known and a discovery that nobody runs; its path."""
     servers = [
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -12,7 +12,7 @@
 import random
 from collections import defaultdict
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
 from ..model.inputs import (
@@ -30,11 +30,12 @@
     TimerFired,
 )
 from ..model.orders import BindProxy, Checkpoint, ClearTable, ExcludeWorker, Order, SetWeight, StartTimer
-from ..model.parameters import DeploymentParameters, RequestClass
+from ..model.parameters import RequestClass
 from ..model.views import WorkerCapacityView
 from ..planning.advice_weighting import UPDATE_INTERVAL_S, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views, collect_state
 from ..policy.controller import RoutingController
+from .deployment_parameters import BASE_PARAMETERS
 from .month_end_records import CORES, AttemptSums, FinishedRequest, RequestCounts, SimulatedWorker
 
 STEP_S = 0.25
@@ -56,31 +57,16 @@
 ZONE_COUNT = 2
 WORKER_SPEEDS = (1.6, 1.5, 1.0, 1.0, 0.9, 0.9, 0.6, 0.55, 0.5, 1.4)
 FALLBACK_WORKERS = 5  # first ones of the list, for requests of a proxy without a usable weight
-PARAMETERS = DeploymentParameters(
+PARAMETERS = replace(
+    BASE_PARAMETERS,
     seed=1,
-    manager_count=1,
     zone_count=ZONE_COUNT,
     request_classes=(RequestClass(LATENCY_OBJECTIVE_S, 1.0),),
     proxy_count=PROXY_COUNT,
-    watches_endpoints=False,
     poll_within_s=1.0,
-    health_checks=False,
-    gossip=False,
     admission_mode="none",
-    slice_count=0,
-    single_owner=False,
-    channel_lines_per_s=3000.0,
-    message_header_lines=10,
     max_queued_lines=6000.0,
-    max_messages=0,
     message_window_s=0.0,
-    drain_grace_s=3.0,
-    warm_up_start_ratio=0.2,
-    collapse_multiple=3.0,
-    proxies_eject_outliers=False,
-    warm_up_s=15.0,
-    cross_zone_cost=0.02,
-    health_check_cost=0.02,
 )
 Advisor = Callable[[float, "MonthEndRun"], Mapping[int, AdvisoryWeight] | None]
 
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -28,40 +28,30 @@
     StartTimer,
     WatchEndpoints,
 )
-from ..model.parameters import DeploymentParameters, RequestClass
+from ..model.parameters import DeploymentParameters
 from ..model.state_changes import AdmissionChanged, WorkerStateChanged
 from ..policy.cadence import TICK_INTERVAL_S
 from ..policy.controller import RoutingController
 from ..protocol.resp import MAX_MESSAGE_SIZE, RespReader
 from ..state.order_dispatcher import OrderDispatcher
 from ..state.worker_registry import WorkerRegistry
+from .deployment_parameters import BASE_PARAMETERS
 
 REQUEST_CLASSES = ("fetch", "release")
-PARAMETERS = DeploymentParameters(
-    seed=7,
+PARAMETERS = replace(
+    BASE_PARAMETERS,
     manager_count=5,
     zone_count=4,
-    request_classes=(RequestClass(1.0, 1.0), RequestClass(1.0, 3.0)),
     proxy_count=1600,
-    watches_endpoints=False,
-    poll_within_s=10.0,
     health_checks=True,
     gossip=True,
-    admission_mode="ratio",
-    slice_count=0,
-    single_owner=False,
     channel_lines_per_s=3200.0,
-    message_header_lines=10,
     max_queued_lines=50000.0,
-    max_messages=0,
-    message_window_s=10.0,
     drain_grace_s=16.0,
     warm_up_start_ratio=0.15,
-    collapse_multiple=3.0,
     proxies_eject_outliers=True,
     warm_up_s=17.0,
     cross_zone_cost=0.08,
-    health_check_cost=0.02,
 )
 START_TIME_S = 1000.0  # of the fleet's clock
 ACKNOWLEDGEMENT_DELAY_S = (0.1, 0.6)  # drawn from this range
--- a/tests/support/deployment_parameters.py
+++ b/tests/support/deployment_parameters.py
@@ -2,32 +2,10 @@
 
 from __future__ import annotations
 
-from cottonladder.model.parameters import DeploymentParameters, RequestClass
+from dataclasses import replace
+
+from cottonladder.model.parameters import RequestClass
+from cottonladder.testbed.deployment_parameters import BASE_PARAMETERS
 
 REQUEST_CLASSES = (RequestClass(0.8, 1.0), RequestClass(1.0, 3.0))
-DEFAULT_PARAMETERS = DeploymentParameters(
-    seed=7,
-    manager_count=1,
-    zone_count=2,
-    request_classes=REQUEST_CLASSES,
-    proxy_count=2,
-    watches_endpoints=False,
-    poll_within_s=10.0,
-    health_checks=False,
-    gossip=False,
-    admission_mode="ratio",
-    slice_count=0,
-    single_owner=False,
-    channel_lines_per_s=3000.0,
-    message_header_lines=10,
-    max_queued_lines=5000.0,
-    max_messages=0,
-    message_window_s=10.0,
-    drain_grace_s=3.0,
-    warm_up_start_ratio=0.2,
-    collapse_multiple=3.0,
-    proxies_eject_outliers=False,
-    warm_up_s=15.0,
-    cross_zone_cost=0.02,
-    health_check_cost=0.02,
-)
+DEFAULT_PARAMETERS = replace(BASE_PARAMETERS, request_classes=REQUEST_CLASSES)
