--- a/cottonladder/config/deployment.py
+++ b/cottonladder/config/deployment.py
@@ -64,6 +64,13 @@
     )
 
 
+def _slice_count(family: Any, where: str) -> int:
+    """Reads the number of slices; `SingleWriter`, on the owners of a slice, is checked and has no effect."""
+    slice_count = field(family, "KeyRanges", int, where, 0)
+    field(family, "SingleWriter", bool, where, False)
+    return int(slice_count)
+
+
 def _deployment_parameters(
     info: dict[str, Any], profiles: list[Any], zone_count: int, seed: int, where: str
 ) -> DeploymentParameters:
@@ -83,8 +90,7 @@
         health_checks=field(limits, "Probing", bool, where, False),
         gossip=field(limits, "Peers", bool, where, False),
         admission_mode=field(family, "ThrottleBy", str, where, "none"),
-        slice_count=field(family, "KeyRanges", int, where, 0),
-        single_owner=field(family, "SingleWriter", bool, where, False),
+        slice_count=_slice_count(family, where),
         channel_lines_per_s=number(family, "EgressPerS", where, MIN_DIVISOR),
         message_header_lines=int(number(family, "Head", where)),
         max_queued_lines=number(family, "PendingMax", where),
--- a/cottonladder/model/parameters.py
+++ b/cottonladder/model/parameters.py
@@ -31,7 +31,6 @@
     gossip: bool
     admission_mode: str
     slice_count: int
-    single_owner: bool
     channel_lines_per_s: float
     message_header_lines: int
     max_queued_lines: float
--- a/cottonladder/testbed/deployment_parameters.py
+++ b/cottonladder/testbed/deployment_parameters.py
@@ -16,7 +16,6 @@
     gossip=False,
     admission_mode="ratio",
     slice_count=0,
-    single_owner=False,
     channel_lines_per_s=3000.0,
     message_header_lines=10,
     max_queued_lines=5000.0,
