--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -17,6 +17,8 @@
 
 import aiohttp
 
+from .process_log import ProcessLog
+
 START_TIMEOUT_S = 30.0  # until a process serves; long enough for a slow machine
 STOP_TIMEOUT_S = 20.0
 MAX_LOG_LINES = 5000  # kept of one process
@@ -59,11 +61,10 @@
 
     def __init__(self, *arguments: str) -> None:
         self.folder = Path(tempfile.mkdtemp())
-        self.lines: list[str] = []
+        self.log = ProcessLog(MAX_LOG_LINES, decoding_errors="replace")
         self.process: asyncio.subprocess.Process | None = None
         self.port = 0
         self._arguments = arguments
-        self._line_added = asyncio.Condition()
         self._reading: asyncio.Task[None] | None = None
 
     def write(self, name: str, body: object) -> str:
@@ -79,41 +80,28 @@
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT,
             env={**os.environ, **self.environment, **(env or {})},
         )  # fmt: skip
-        self._reading = asyncio.create_task(self._read())
-
-    async def _read(self) -> None:
-        assert self.process is not None and self.process.stdout is not None
-        while line := await self.process.stdout.readline():
-            async with self._line_added:
-                self.lines.append(line.decode(errors="replace"))
-                del self.lines[:-MAX_LOG_LINES]
-                self._line_added.notify_all()
-        async with self._line_added:
-            self._line_added.notify_all()
+        assert self.process.stdout is not None
+        self._reading = asyncio.create_task(self.log.read(self.process.stdout))
+
+    @property
+    def lines(self) -> list[str]:
+        """The newest log lines."""
+        return self.log.lines
 
     async def logged(self, *parts: str, wait: float = START_TIMEOUT_S) -> str:
         """Waits for the first log line that contains all of `parts`."""
-        return await self.logged_line(lambda line: all(part in line for part in parts), parts, wait)
+        return await self.log.wait_for_parts(*parts, timeout_s=wait)
 
     async def logged_line(
         self, is_match: Callable[[str], bool], description: object, wait: float = START_TIMEOUT_S
     ) -> str:
         """Waits for the first log line for which `is_match` holds; `description` names it in the error."""
-        with suppress(TimeoutError):
-            async with asyncio.timeout(wait), self._line_added:
-                await self._line_added.wait_for(lambda: self._find_line(is_match) is not None or self.ended)
-        line = self._find_line(is_match)
-        if line is None:
-            raise AssertionError(f"no line with {description} in:\n{''.join(self.lines[-40:])}")
-        return line
-
-    def _find_line(self, is_match: Callable[[str], bool]) -> str | None:
-        return next((line for line in self.lines if is_match(line)), None)
+        return await self.log.wait_for_line(is_match, description, wait)
 
     @property
     def ended(self) -> bool:
         """Whether the process has closed its output."""
-        return self._reading is not None and self._reading.done()
+        return self.log.has_ended
 
     def send(self, number: signal.Signals) -> None:
         """Sends a signal.
--- /dev/null
+++ b/cottonladder/testbed/process_log.py
@@ -0,0 +1,59 @@
+"""The log lines of a process that the testbed or a test has started, as they come."""
+
+from __future__ import annotations
+
+import asyncio
+import sys
+from collections.abc import Callable
+from contextlib import suppress
+
+SHOWN_LINES = 200  # the newest ones, in the text of an error
+
+
+class ProcessLog:
+    """Keeps the lines of a process's output, and lets its owner wait for one of them.
+
+    `decoding_errors` says what becomes of a line that is not UTF-8, as in `bytes.decode`.
+    """
+
+    def __init__(self, max_lines: int = sys.maxsize, decoding_errors: str = "strict") -> None:
+        self.lines: list[str] = []
+        self.has_ended = False  # whether the process has closed its output
+        self._max_lines = max_lines
+        self._decoding_errors = decoding_errors
+        self._changed = asyncio.Condition()
+
+    async def read(self, output: asyncio.StreamReader) -> None:
+        """Reads lines until the output ends."""
+        try:
+            while line := await output.readline():
+                await self._add(line.decode(errors=self._decoding_errors))
+        finally:
+            self.has_ended = True
+            async with self._changed:
+                self._changed.notify_all()
+
+    async def _add(self, line: str) -> None:
+        async with self._changed:
+            self.lines.append(line)
+            del self.lines[: -self._max_lines]
+            self._changed.notify_all()
+
+    async def wait_for_parts(self, *parts: str, timeout_s: float) -> str:
+        """Waits for the first line that contains all of `parts`."""
+        return await self.wait_for_line(lambda line: all(part in line for part in parts), parts, timeout_s)
+
+    async def wait_for_line(
+        self, is_match: Callable[[str], bool], description: object, timeout_s: float
+    ) -> str:
+        """Waits for the first line for which `is_match` holds; `description` names it in the error."""
+        with suppress(TimeoutError):
+            async with asyncio.timeout(timeout_s), self._changed:
+                await self._changed.wait_for(lambda: self._find(is_match) is not None or self.has_ended)
+        line = self._find(is_match)
+        if line is None:
+            raise AssertionError(f"no line with {description} in:\n{''.join(self.lines[-SHOWN_LINES:])}")
+        return line
+
+    def _find(self, is_match: Callable[[str], bool]) -> str | None:
+        return next((line for line in self.lines if is_match(line)), None)
--- a/tests/support/manager_program.py
+++ b/tests/support/manager_program.py
@@ -13,11 +13,12 @@
 from pathlib import Path
 from typing import Any
 
+from cottonladder.testbed.process_log import ProcessLog
 from tests.support.json_object import JsonObject
 from tests.support.program_with_constants import CONSTANTS_VARIABLE
 from tests.support.scripted_discovery import endpoint_entry, endpoint_list
 from tests.support.stream_client import StreamClient
-from tests.support.timeouts import in_time
+from tests.support.timeouts import EVENT_TIMEOUT_S, in_time
 
 ROOT = Path(__file__).parents[2]
 SETTINGS: JsonObject = {
@@ -50,8 +51,8 @@
             "settings": settings, **changes,
         }  # fmt: skip
         self.port = 0
-        self.lines: list[str] = []
-        self._line_added = asyncio.Condition()
+        self._log = ProcessLog()
+        self.lines = self._log.lines
 
     async def start(self, config: str | None = None) -> None:
         """Writes the configuration file, or `config` in its place, and starts the program."""
@@ -71,34 +72,20 @@
             env={**os.environ, "ROUTER_CONFIG": str(path), **env}, stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE, cwd=ROOT,
         )  # fmt: skip
-        self.reading = asyncio.create_task(self._read())
+        assert self.process.stdout is not None
+        self.reading = asyncio.create_task(self._log.read(self.process.stdout))
 
     async def serving(self) -> None:
         """Starts the program and waits until it serves."""
         await self.start()
         self.port = int((await self.logged("event=serving")).split("port=")[1])
 
-    async def _read(self) -> None:
-        assert self.process.stdout is not None
-        while line := await self.process.stdout.readline():
-            async with self._line_added:
-                self.lines.append(line.decode())
-                self._line_added.notify_all()
-
     async def logged(self, *parts: str) -> str:
         """Waits for the first log line that contains all of `parts`; removes and returns it."""
-        try:
-            async with self._line_added:
-                await in_time(self._line_added.wait_for(lambda: self._find_line(parts) is not None))
-        except TimeoutError:
-            raise AssertionError(f"no line with {parts} in:\n{''.join(self.lines)}") from None
-        line = str(self._find_line(parts))
+        line = await self._log.wait_for_parts(*parts, timeout_s=EVENT_TIMEOUT_S)
         self.lines.remove(line)
         return line
 
-    def _find_line(self, parts: tuple[str, ...]) -> str | None:
-        return next((line for line in self.lines if all(part in line for part in parts)), None)
-
     async def connect(self) -> StreamClient:
         """Opens a connection to the program's stream listener."""
         return StreamClient(*await asyncio.open_connection("127.0.0.1", self.port))
