--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -16,7 +16,6 @@
 from contextlib import AsyncExitStack
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import aiohttp
 import msgspec
@@ -33,6 +32,7 @@
 from benchmarks.http_load import HTTP_OK, http_load
 from cottonladder.plugins.chain import request_record
 from cottonladder.plugins.host import Plugin
+from cottonladder.testbed.configuration_files import ForwarderOptions
 from cottonladder.testbed.discovery import SimulatedDiscovery
 from cottonladder.testbed.fleet import ROOT, ForwarderProcess, ManagerProcess
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
@@ -141,8 +141,10 @@
     stack.push_async_callback(manager.stop)
     port = await manager.serving()
     folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-    part: dict[str, Any] = {"plugins": {"chain": write_chain(folder, plugins)}} if plugins else {}
-    forwarder = ForwarderProcess(0, discovery_address, [f"127.0.0.1:{port}"], None, **part)
+    options: ForwarderOptions = {}
+    if plugins:
+        options["plugins"] = {"chain": write_chain(folder, plugins)}
+    forwarder = ForwarderProcess(0, discovery_address, [f"127.0.0.1:{port}"], None, **options)
     stack.push_async_callback(forwarder.stop)
     await forwarder.serving()
     await forwarder.logged("stream_opened")
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -22,29 +22,35 @@
 from contextlib import ExitStack
 from pathlib import Path
 from statistics import median
-from typing import Any
 
 from benchmarks.harness import TREE, add_baseline_argument, argument_parser, run_in_tree
+from cottonladder.testbed import configuration_files as testbed
+from cottonladder.testbed.configuration_files import ManagerSettings
+from cottonladder.testbed.discovery import EndpointEntry, EndpointListBody
 from cottonladder.testbed.fleet import free_port
 
 PROXY_COUNT = 1600
 WORKER_COUNT = 200
 JOINED_PROXIES = 400
+MAX_SOCKETS = 2048  # of the manager
 TIMEOUT_S = 30.0  # for any answer
 CONNECT_TIMEOUT_S = 1.0
 RETRY_INTERVAL_S = 0.002
 NANOSECONDS_PER_S = 1e9
 PING = b"*1\r\n$4\r\nPING\r\n"
 PONG = b"PONG"
-SETTINGS: dict[str, Any] = {
-    "NInstances": 5, "Me": 0, "Zones": ["a", "b", "c", "d"], "Discovery": "subscribe",
-    "Profiles": [{"Name": n, "TargetMs": 1000.0, "Gain": g} for n, g in (("fetch", 1.0), ("release", 3.0))],
-    "FamilyInfo": {"Proxies": PROXY_COUNT, "EgressPerS": 3200.0, "Head": 10.0, "PendingMax": 50000.0,
-                   "ThrottleBy": "ratio", "Strikes": 3, "KeyRanges": 0},
-    "Rules": {"ColdFrom": 0.2, "FallMultiple": 3.0, "WarmAfterMs": 15000.0, "AskWithinMs": 5000.0},
-    "Limits": {"Probing": False, "Peers": False}, "Prices": {"CrossZone": 0.02, "Probe": 0.02},
-    "Stats": {"Via": "none", "Fields": []},
-}  # fmt: skip
+SETTINGS: ManagerSettings = {
+    **testbed.SETTINGS,
+    "NInstances": 5,
+    "Zones": ["a", "b", "c", "d"],
+    "FamilyInfo": {
+        **testbed.SETTINGS["FamilyInfo"],
+        "Proxies": PROXY_COUNT,
+        "EgressPerS": 3200.0,
+        "PendingMax": 50000.0,
+    },
+    "Rules": {**testbed.SETTINGS["Rules"], "AskWithinMs": 5000.0},
+}
 AT_EXIT = """
 import atexit, os, time
 atexit.register(lambda: open(os.environ["CPU_TIME_FILE"], "w").write(str(time.process_time())))
@@ -53,16 +59,16 @@
 
 def write_configuration(folder: str, port: int) -> str:
     """A manager's file with all workers known and a discovery that nobody runs; its path."""
-    servers = [
+    servers: list[EndpointEntry] = [
         {"id": f"s-{n:04x}", "addr": f"127.0.0.1:{1 + n}", "zone": "abcd"[n % 4], "kind": "m", "cell": 0,
          "state": "Ready", "weight": 1.0, "started_ms": 0}
         for n in range(WORKER_COUNT)
     ]  # fmt: skip
-    body = {
-        "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{free_port()}", "seed": "8c1f",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 2048},
-        "known": {"version": 41, "full": True, "servers": servers}, "settings": SETTINGS,
-    }  # fmt: skip
+    known: EndpointListBody = {"version": 41, "full": True, "servers": servers}
+    discovery = f"127.0.0.1:{free_port()}"
+    body = testbed.manager_file(
+        f"127.0.0.1:{port}", discovery, known, SETTINGS, seed="8c1f", sockets=MAX_SOCKETS
+    )
     path = Path(folder) / "config.json"
     path.write_text(json.dumps(body))
     return str(path)
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -22,6 +22,7 @@
 from benchmarks.harness import argument_parser, print_figures, start_discovery
 from benchmarks.http_load import LoadFigures, http_load, median_load
 from benchmarks.migration_plans import plan_duration_ms
+from cottonladder.testbed.configuration_files import UpgradesPart
 from cottonladder.testbed.fleet import ROOT, ForwarderProcess, ManagerProcess
 from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
@@ -98,7 +99,7 @@
 
     def __init__(self, is_orderly: bool) -> None:
         self.is_orderly = is_orderly
-        self.upgrades: dict[str, Any] | None = None
+        self.upgrades: UpgradesPart | None = None
         if is_orderly:
             self.upgrades = {"grace": GRACE_S, "arrivals": ARRIVALS_PER_S}
         self.ledger = EffectLedger()
--- /dev/null
+++ b/cottonladder/testbed/configuration_files.py
@@ -0,0 +1,174 @@
+"""The files that the testbed's processes read, in the types of their JSON.
+
+The keys are those of the files, which are fixed; what a key means is written at the types that read it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TypedDict
+
+OperatorPart = Mapping[str, object]  # a part of the operators' file, written as it is
+
+
+class RequestClassProfile(TypedDict):
+    """A request class in a manager's settings."""
+
+    Name: str
+    TargetMs: float
+    Gain: float
+
+
+class FamilyInfo(TypedDict):
+    """The proxies and the channel to them, in a manager's settings."""
+
+    Proxies: int
+    EgressPerS: float
+    Head: float
+    PendingMax: float
+    ThrottleBy: str
+    Strikes: int
+    KeyRanges: int
+
+
+class Rules(TypedDict):
+    """Limits and times of the policy, in a manager's settings."""
+
+    ColdFrom: float
+    FallMultiple: float
+    WarmAfterMs: float
+    AskWithinMs: float
+
+
+class Limits(TypedDict):
+    """What a manager may do, in its settings."""
+
+    Probing: bool
+    Peers: bool
+
+
+class Prices(TypedDict):
+    """Costs that the policy weighs, in a manager's settings."""
+
+    CrossZone: float
+    Probe: float
+
+
+class Stats(TypedDict):
+    """Where load reports come from, in a manager's settings."""
+
+    Via: str
+    Fields: list[str]
+
+
+class ManagerSettings(TypedDict, total=False):
+    """A manager's settings, or those of them that replace `SETTINGS`."""
+
+    NInstances: int
+    Me: int
+    Zones: list[str]
+    Discovery: str
+    Profiles: list[RequestClassProfile]
+    FamilyInfo: FamilyInfo
+    Rules: Rules
+    Limits: Limits
+    Prices: Prices
+    Stats: Stats
+
+
+class ProcessLimits(TypedDict):
+    """The resources that a manager may use."""
+
+    cores: float
+    memory_mb: int
+    sockets: int
+
+
+class ManagerFile(TypedDict):
+    """A manager's file."""
+
+    name: str
+    listen: str
+    discovery: str
+    seed: str
+    limits: ProcessLimits
+    known: Mapping[str, object]
+    settings: Mapping[str, object]
+
+
+class RequestClassEntry(TypedDict, total=False):
+    """A request class in a forwarder's part of the operators' file."""
+
+    name: str
+    match: list[OperatorPart]
+    replays: str
+    timeout: float
+    ticket: str
+    busy: OperatorPart
+
+
+class ForwarderOptions(TypedDict, total=False):
+    """Keys of a forwarder's part of the operators' file for which the testbed has default values."""
+
+    zone: str
+    zones: list[str]
+    listen: str
+    kinds: list[RequestClassEntry]
+    collector: bool
+    seed: int
+    rate: float
+    status: str
+    limits: OperatorPart
+    plugins: OperatorPart
+
+
+class ForwarderPart(ForwarderOptions):
+    """A forwarder's part of the operators' file."""
+
+    node: int
+    discovery: str
+    managers: list[str]
+
+
+class UpgradesPart(TypedDict):
+    """How upgraded connections drain, in the operators' file."""
+
+    grace: float
+    arrivals: float
+
+
+SETTINGS: ManagerSettings = {
+    "NInstances": 1, "Me": 0, "Zones": ["a", "b"], "Discovery": "subscribe",
+    "Profiles": [{"Name": "fetch", "TargetMs": 1000.0, "Gain": 1.0},
+                 {"Name": "release", "TargetMs": 1000.0, "Gain": 3.0}],
+    "FamilyInfo": {"Proxies": 64, "EgressPerS": 3000.0, "Head": 10.0, "PendingMax": 6000.0,
+                   "ThrottleBy": "ratio", "Strikes": 3, "KeyRanges": 0},
+    "Rules": {"ColdFrom": 0.2, "FallMultiple": 3.0, "WarmAfterMs": 15000.0, "AskWithinMs": 1000.0},
+    "Limits": {"Probing": False, "Peers": False}, "Prices": {"CrossZone": 0.02, "Probe": 0.02},
+    "Stats": {"Via": "none", "Fields": []},
+}  # fmt: skip
+REQUEST_CLASSES: list[RequestClassEntry] = [
+    {"name": "release", "match": [{"path": "/release"}], "replays": "non-replayable", "timeout": 5.0},
+    {"name": "fetch", "replays": "replayable", "timeout": 5.0, "ticket": "Case-Ticket",
+     "busy": {"opens": "", "ends": ""}},
+]  # fmt: skip
+
+
+def manager_file(
+    listen: str,
+    discovery: str,
+    known: Mapping[str, object],
+    settings: Mapping[str, object],
+    seed: str = "8c1f30d27a5be964",
+    sockets: int = 1024,
+) -> ManagerFile:
+    """A manager's file with one core; `known` is the endpoint list that it starts from."""
+    return {
+        "name": "n0",
+        "listen": listen,
+        "discovery": discovery,
+        "seed": seed,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
+        "known": known,
+        "settings": settings,
+    }
--- a/cottonladder/testbed/demo.py
+++ b/cottonladder/testbed/demo.py
@@ -7,12 +7,13 @@
 from collections.abc import Callable
 from contextlib import AsyncExitStack
 from dataclasses import dataclass
-from typing import Any
 
 import aiohttp
 
-from .discovery import SimulatedDiscovery
-from .fleet import SETTINGS, ForwarderProcess, ManagerProcess, free_port
+from .configuration_files import SETTINGS, FamilyInfo, UpgradesPart
+from .discovery import EndpointEntry, SimulatedDiscovery
+from .fleet import ForwarderProcess, ManagerProcess, free_port
+from .forwarder_status import ForwarderStatus
 from .holding_clients import ClientCounters, HoldingClient
 from .workers import EffectLedger, SimulatedWorker, TicketSession
 
@@ -27,7 +28,7 @@
 CONNECT_TIMEOUT_S = 30.0
 REFRESH_INTERVAL_S = 0.5
 DRAINED_WORKER = "s-0"
-UPGRADES: dict[str, Any] = {"grace": GRACE_S, "arrivals": 100.0}
+UPGRADES: UpgradesPart = {"grace": GRACE_S, "arrivals": 100.0}
 DRAIN_PHASES = {  # by the word that a forwarder's status has for it
     "waits": "awaiting orders",
     "led": "paced by a manager",
@@ -66,14 +67,16 @@
     drain_phases: dict[str, str]
 
     @classmethod
-    def from_status(cls, status: dict[str, Any]) -> ForwarderState:
-        """Reads the state from what a forwarder's status address gives."""
+    def from_status(cls, status: ForwarderStatus) -> ForwarderState:
+        """Picks what the demo shows from a forwarder's status."""
+        limits = status.admission_limits.items()
+        phases = status.drain_phases.items()
         return cls(
-            zone=status["zone"],
-            is_connected=status["manager"] is not None,
-            weights=status["tables"]["fetch"],
-            admission_limits={name: limit for name, limit in status["levels"].items() if limit is not None},
-            drain_phases={worker_id: DRAIN_PHASES[phase] for worker_id, phase in status["drains"].items()},
+            zone=status.zone,
+            is_connected=status.manager is not None,
+            weights=status.tables["fetch"],
+            admission_limits={name: limit for name, limit in limits if limit is not None},
+            drain_phases={worker_id: DRAIN_PHASES[phase] for worker_id, phase in phases},
         )
 
 
@@ -122,9 +125,15 @@
     async def _start_manager(
         self, stack: AsyncExitStack, number: int, port: int, discovery_address: str
     ) -> None:
-        family = {**SETTINGS["FamilyInfo"], "Proxies": FORWARDER_COUNT}
-        settings: dict[str, Any] = {"NInstances": MANAGER_COUNT, "FamilyInfo": family, "Me": number}
-        manager = ManagerProcess(discovery_address, self.discovery.endpoint_list(), UPGRADES, **settings)
+        family: FamilyInfo = {**SETTINGS["FamilyInfo"], "Proxies": FORWARDER_COUNT}
+        manager = ManagerProcess(
+            discovery_address,
+            self.discovery.endpoint_list(),
+            UPGRADES,
+            NInstances=MANAGER_COUNT,
+            FamilyInfo=family,
+            Me=number,
+        )
         stack.push_async_callback(manager.stop)
         await manager.serving(port)
         self.managers.append(manager)
@@ -197,7 +206,7 @@
 
 
 def worker_row(
-    worker: SimulatedWorker, entry: dict[str, Any], shares: dict[str, dict[str, float]]
+    worker: SimulatedWorker, entry: EndpointEntry, shares: dict[str, dict[str, float]]
 ) -> WorkerRow:
     """One worker's row, from its entry in the endpoint list and each zone's shares."""
     return WorkerRow(
--- a/cottonladder/testbed/discovery.py
+++ b/cottonladder/testbed/discovery.py
@@ -5,7 +5,7 @@
 import asyncio
 import json
 from dataclasses import dataclass
-from typing import Any
+from typing import TypedDict
 
 from aiohttp import web
 
@@ -15,12 +15,33 @@
 MILLISECONDS_PER_S = 1000.0
 
 
+class EndpointEntry(TypedDict):
+    """A worker in the service's JSON; the keys are those of the protocol."""
+
+    id: str
+    addr: str
+    zone: str
+    kind: str
+    cell: int
+    state: str
+    weight: float
+    started_ms: int
+
+
+class EndpointListBody(TypedDict):
+    """An endpoint list in the service's JSON: complete if `full`, otherwise the changes."""
+
+    version: int
+    full: bool
+    servers: list[EndpointEntry]
+
+
 @dataclass(frozen=True, slots=True)
 class EndpointChange:
     """A worker's entry as the list has had it since a version."""
 
     version: int
-    entry: dict[str, Any]
+    entry: EndpointEntry
 
 
 class SimulatedDiscovery:
@@ -28,7 +49,7 @@
 
     def __init__(self) -> None:
         self.version = 1
-        self.entries: dict[str, dict[str, Any]] = {}
+        self.entries: dict[str, EndpointEntry] = {}
         self._changed = asyncio.Condition()
         self._changes: list[EndpointChange] = []
         self.is_down = False
@@ -55,7 +76,7 @@
         started: float = 0.0,
     ) -> None:
         """Lists a worker, or changes its entry; `started` is a Unix time, 0 if unknown."""
-        entry = {
+        entry: EndpointEntry = {
             "id": name, "addr": address, "zone": zone, "kind": "stand-in", "cell": 0, "state": state,
             "weight": weight, "started_ms": round(started * MILLISECONDS_PER_S),
         }  # fmt: skip
@@ -74,7 +95,7 @@
         started = entry["started_ms"] / MILLISECONDS_PER_S
         await self.put(name, entry["addr"], entry["zone"], state, entry["weight"], started)
 
-    def endpoint_list(self) -> dict[str, Any]:
+    def endpoint_list(self) -> EndpointListBody:
         """The complete endpoint list, in the form of the service's answer."""
         return {"version": self.version, "full": True, "servers": list(self.entries.values())}
 
@@ -94,7 +115,11 @@
             newer = [change.entry for change in self._changes if change.version > after]
             changes = {entry["id"]: entry for entry in newer}
             if is_first or changes:
-                body = {"version": self.version, "full": False, "servers": list(changes.values())}
+                body: EndpointListBody = {
+                    "version": self.version,
+                    "full": False,
+                    "servers": list(changes.values()),
+                }
                 await response.write(json.dumps(body).encode() + b"\n")
             else:
                 await response.write(b"\n")
--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -13,35 +13,27 @@
 from collections.abc import Callable, Mapping
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
+from typing import Unpack
 
 import aiohttp
-
+import msgspec
+
+from .configuration_files import (
+    REQUEST_CLASSES,
+    SETTINGS,
+    ForwarderOptions,
+    ForwarderPart,
+    ManagerSettings,
+    OperatorPart,
+    manager_file,
+)
+from .forwarder_status import ForwarderStatus
 from .process_log import ProcessLog
 
 START_TIMEOUT_S = 30.0  # until a process serves; long enough for a slow machine
 STOP_TIMEOUT_S = 20.0
 MAX_LOG_LINES = 5000  # kept of one process
 ROOT = Path(__file__).parents[2]
-SETTINGS: dict[str, Any] = {
-    "NInstances": 1, "Me": 0, "Zones": ["a", "b"], "Discovery": "subscribe",
-    "Profiles": [{"Name": "fetch", "TargetMs": 1000.0, "Gain": 1.0},
-                 {"Name": "release", "TargetMs": 1000.0, "Gain": 3.0}],
-    "FamilyInfo": {"Proxies": 64, "EgressPerS": 3000.0, "Head": 10.0, "PendingMax": 6000.0,
-                   "ThrottleBy": "ratio", "Strikes": 3, "KeyRanges": 0},
-    "Rules": {"ColdFrom": 0.2, "FallMultiple": 3.0, "WarmAfterMs": 15000.0, "AskWithinMs": 1000.0},
-    "Limits": {"Probing": False, "Peers": False}, "Prices": {"CrossZone": 0.02, "Probe": 0.02},
-    "Stats": {"Via": "none", "Fields": []},
-}  # fmt: skip
-REQUEST_CLASSES: list[dict[str, Any]] = [
-    {"name": "release", "match": [{"path": "/release"}], "replays": "non-replayable", "timeout": 5.0},
-    {"name": "fetch", "replays": "replayable", "timeout": 5.0, "ticket": "Case-Ticket",
-     "busy": {"opens": "", "ends": ""}},
-]  # fmt: skip
-
-
-MANAGER_PARTS = ("memory", "control", "plugins")  # of the operators' file, beside upgrades and advice
-FORWARDER_PARTS = ("memory", "control")  # of the operators' file, beside the forwarder's own part
 
 
 def free_port() -> int:
@@ -140,26 +132,31 @@
     def __init__(
         self,
         discovery: str,
-        known: dict[str, Any],
-        upgrades: dict[str, Any] | None,
-        advice: dict[str, Any] | None = None,
-        **settings: Any,
+        known: Mapping[str, object],
+        upgrades: OperatorPart | None,
+        advice: OperatorPart | None = None,
+        *,
+        memory: OperatorPart | None = None,
+        control: str | None = None,
+        plugins: OperatorPart | None = None,
+        **settings: Unpack[ManagerSettings],
     ) -> None:
         super().__init__("serve")
         self._discovery = discovery
         self._known = known
-        more = {name: settings.pop(name) for name in MANAGER_PARTS if name in settings}
-        parts = {"upgrades": upgrades, "advice": advice, **more}
+        parts = {
+            "upgrades": upgrades,
+            "advice": advice,
+            "memory": memory,
+            "control": control,
+            "plugins": plugins,
+        }
         self._operator = {name: part for name, part in parts.items() if part is not None}
         self._settings = {**SETTINGS, **settings}
 
     async def serving(self, port: int = 0) -> int:
         """Starts the manager and waits until it serves; gives its port."""
-        config = {
-            "name": "n0", "listen": f"127.0.0.1:{port}", "discovery": self._discovery,
-            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": self._known, "settings": self._settings,
-        }  # fmt: skip
+        config = manager_file(f"127.0.0.1:{port}", self._discovery, self._known, self._settings)
         arguments = ["--config", self.write("manager.json", config)]
         if self._operator:
             arguments += ["--operator", self.write("operator.json5", self._operator)]
@@ -172,23 +169,29 @@
     """A forwarder with a status address."""
 
     def __init__(
-        self, node: int, discovery: str, managers: list[str], upgrades: dict[str, Any] | None, **part: Any
+        self,
+        node: int,
+        discovery: str,
+        managers: list[str],
+        upgrades: OperatorPart | None,
+        *,
+        memory: OperatorPart | None = None,
+        control: str | None = None,
+        **options: Unpack[ForwarderOptions],
     ) -> None:
         super().__init__("forward")
-        self.part = {
+        self.part: ForwarderPart = {
             "node": node, "zone": "a", "zones": ["a", "b"], "listen": "127.0.0.1:0", "discovery": discovery,
             "managers": managers, "kinds": REQUEST_CLASSES, "collector": False, "seed": node + 1,
-            "rate": 10.0, "status": "127.0.0.1:0", **part,
+            "rate": 10.0, "status": "127.0.0.1:0", **options,
         }  # fmt: skip
-        self._upgrades = upgrades
-        self._more = {name: self.part.pop(name) for name in FORWARDER_PARTS if name in self.part}
+        self._other_parts = {"memory": memory, "control": control, "upgrades": upgrades}
         self.status_port = 0
 
     async def serving(self) -> int:
         """Starts the forwarder and waits until it serves; gives its port."""
-        body: dict[str, Any] = {"forwarder": self.part, **self._more}
-        if self._upgrades is not None:
-            body["upgrades"] = self._upgrades
+        others = {name: part for name, part in self._other_parts.items() if part is not None}
+        body = {"forwarder": self.part, **others}
         await self.start("--config", self.write("operator.json5", body))
         line = await self.logged("event=forwarding")
         self.port = int(line.split(" port=")[1].split()[0])
@@ -200,7 +203,7 @@
         """The address at which clients connect."""
         return f"http://127.0.0.1:{self.port}"
 
-    async def status(self, session: aiohttp.ClientSession) -> dict[str, Any]:
+    async def status(self, session: aiohttp.ClientSession) -> ForwarderStatus:
         """The state that its status address gives."""
         async with session.get(f"http://127.0.0.1:{self.status_port}/") as reply:
-            return dict(await reply.json())
+            return msgspec.json.decode(await reply.read(), type=ForwarderStatus)
--- a/tests/forwarder/test_draining.py
+++ b/tests/forwarder/test_draining.py
@@ -10,6 +10,7 @@
 
 from cottonladder.forwarder.frame_scanner import SERVICE_RESTART
 from cottonladder.testbed.fleet import ForwarderProcess, free_port
+from cottonladder.testbed.forwarder_status import UpgradedConnections
 from tests.support.forwarder_rig import EVENT_TIMEOUT_S, GRACE_S, RELEASE_CLASSES, ForwarderRig
 
 LONG_GRACE_S = 10.0
@@ -184,7 +185,7 @@
 
         async def only_busy_clients_are_busy() -> bool:
             status = await forwarder.status(self.session)
-            return bool(status["held"]["s-0"] == [30, 5, 0])  # open, busy, resumable
+            return status.upgraded_connections["s-0"] == UpgradedConnections(open=30, busy=5, resumable=0)
 
         await self.wait_until(only_busy_clients_are_busy)
         await self.discovery.set_state("s-0", "Terminating")
--- a/tests/forwarder/test_manager_stream.py
+++ b/tests/forwarder/test_manager_stream.py
@@ -93,13 +93,13 @@
         stream.send("CONFIG replace 1 rows s-1:1.0 part 1")
         stream.send("PONG")
         status = await forwarder.status(self.session)
-        self.assertEqual(status["levels"], {"release": None, "fetch": None})
+        self.assertEqual(status.admission_limits, {"release": None, "fetch": None})
         stream.send("CONFIG for release gate 0.5 again 0 stamp 9")
         acknowledgement = await stream.receive_until(b"ACK")
         self.assertEqual(acknowledgement[1:5], [b"node", b"0", b"nonce", b"9"])
         await self.wait_for_table(forwarder, "s-1")
         status = await forwarder.status(self.session)
-        self.assertEqual(status["levels"], {"release": 0.5, "fetch": None})
+        self.assertEqual(status.admission_limits, {"release": 0.5, "fetch": None})
 
     async def test_unusable_orders_reset_the_stream_and_change_nothing(self) -> None:
         forwarder = await self.forwarder(self.stand_in_port)
@@ -111,8 +111,8 @@
             await forwarder.logged("stream_ended", order.reason)
             stream = await self.accept_forwarder()
             status = await forwarder.status(self.session)
-            self.assertEqual(set(status["tables"]["fetch"]), {"s-1", "s-2"})
-            self.assertEqual(status["shut"], [])
+            self.assertEqual(set(status.tables["fetch"]), {"s-1", "s-2"})
+            self.assertEqual(status.excluded, [])
         async with self.session.get(forwarder.url) as response:
             self.assertEqual(response.status, 200)
 
@@ -125,7 +125,7 @@
         await self.discovery.set_down(False)
         await self.worker("s-9")
         self.assertEqual((await stream.receive_until(b"ACK"))[4], b"4")
-        self.assertIn("s-9", (await forwarder.status(self.session))["tables"]["fetch"])
+        self.assertIn("s-9", (await forwarder.status(self.session)).tables["fetch"])
 
     async def test_a_silent_manager_is_left_for_another(self) -> None:
         forwarder = await self.forwarder(self.stand_in_port, (await self.manager()).port, seed=2)
--- a/tests/forwarder/test_operator_file.py
+++ b/tests/forwarder/test_operator_file.py
@@ -15,7 +15,8 @@
 from click.testing import CliRunner, Result
 
 from cottonladder.cli import main as cli
-from cottonladder.testbed.fleet import REQUEST_CLASSES, ForwarderProcess
+from cottonladder.testbed.configuration_files import REQUEST_CLASSES
+from cottonladder.testbed.fleet import ForwarderProcess
 from tests.support.forwarder_rig import UPGRADES
 
 OPTIONAL_MODULES = {
--- a/tests/forwarder/test_plain_requests.py
+++ b/tests/forwarder/test_plain_requests.py
@@ -9,7 +9,8 @@
 
 import aiohttp
 
-from cottonladder.testbed.fleet import REQUEST_CLASSES, ForwarderProcess
+from cottonladder.testbed.configuration_files import REQUEST_CLASSES
+from cottonladder.testbed.fleet import ForwarderProcess
 from tests.support.forwarder_rig import EVENT_TIMEOUT_S, ForwarderRig
 
 HOST = b"Host: x\r\n"
--- a/tests/forwarder/test_race_conditions.py
+++ b/tests/forwarder/test_race_conditions.py
@@ -85,7 +85,7 @@
             self.assertEqual(response.headers["Connection"], "close")
             self.assertIn("Retry-After", response.headers)
         status = await forwarder.status(self.session)
-        self.assertIsNotNone(status["manager"])  # its orders count until the last request has ended
+        self.assertIsNotNone(status.manager)  # its orders count until the last request has ended
         self.answers_allowed.set()
         self.assertEqual(await release, Answer(200, "", b"r-1"))
         await self.session.close()  # otherwise the forwarder waits for this test's own idle connections
@@ -151,7 +151,7 @@
 
     async def wait_until_released(self, forwarder: ForwarderProcess) -> None:
         async def has_no_connection() -> bool:
-            return bool((await forwarder.status(self.session))["held"] == {})
+            return (await forwarder.status(self.session)).upgraded_connections == {}
 
         await self.wait_until(has_no_connection)
 
--- a/tests/plugins/test_forwarder_plugins.py
+++ b/tests/plugins/test_forwarder_plugins.py
@@ -86,7 +86,7 @@
             self.assertEqual((reply.status, reply.headers["Outcome"]), (502, "unknown"))
         self.assertEqual(sum(worker.requests.values()), 1)
         status = await forwarder.status(self.session)
-        self.assertEqual(status["plugins"][0]["clipped"], 1)  # the header Host
+        self.assertEqual(status.plugins[0].clipped_answers, 1)  # the header Host
 
     async def test_a_plugin_rejects_requests_with_its_reason(self) -> None:
         await self.worker("s-1")
@@ -133,7 +133,7 @@
         self.assertEqual(sum(self.workers["s-1"].requests.values()), drained_count)
         self.assertLess(sorted(durations_s)[int(len(durations_s) * 0.99)], MAX_P99_S)
         status = await forwarder.status(self.session)
-        self.assertEqual({row["breaker"] for row in status["plugins"]} - {"open", "trying"}, set())
+        self.assertEqual({row.breaker_state for row in status.plugins} - {"open", "trying"}, set())
         await self.reload(forwarder, self.plugin_part(EXAMPLE_PATH.read_text()))
         async with self.session.get(forwarder.url) as reply:
             self.assertEqual(reply.status, 200)
@@ -155,11 +155,11 @@
         forwarder = await self.forwarder(manager.port)
 
         async def is_lowered() -> bool:
-            table = (await forwarder.status(self.session))["tables"]["fetch"]
+            table = (await forwarder.status(self.session)).tables["fetch"]
             return len(table) == 3 and table["s-1"] < 0.65 * table["s-0"]
 
         await self.wait_until(is_lowered)
-        table = (await forwarder.status(self.session))["tables"]["fetch"]
+        table = (await forwarder.status(self.session)).tables["fetch"]
         self.assertGreater(table["s-1"], 0.4 * table["s-0"])
 
     async def test_a_veto_postpones_migrations_and_the_drain_ends_in_time(self) -> None:
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -7,7 +7,7 @@
 import tempfile
 import time
 import unittest
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from contextlib import AsyncExitStack
 from dataclasses import dataclass
 from pathlib import Path
@@ -69,7 +69,7 @@
         for number in range(WORKER_COUNT):
             await self.discovery.put(f"s-{number}", f"127.0.0.9:{8000 + number}", "a")
 
-    async def start_manager(self, known: dict[str, Any] | None = None) -> ManagerProcess:
+    async def start_manager(self, known: Mapping[str, object] | None = None) -> ManagerProcess:
         """A manager that serves; `known` is the list of its file, by default discovery's."""
         manager = ManagerProcess(
             self.discovery_address,
--- a/tests/support/forwarder_rig.py
+++ b/tests/support/forwarder_rig.py
@@ -100,7 +100,7 @@
 
         async def names_them() -> bool:
             status = await forwarder.status(self.session)
-            return status["manager"] is not None and set(status["tables"]["fetch"]) == set(names)
+            return status.manager is not None and set(status.tables["fetch"]) == set(names)
 
         await self.wait_until(names_them)
 
--- a/tests/support/manager_program.py
+++ b/tests/support/manager_program.py
@@ -13,6 +13,7 @@
 from pathlib import Path
 from typing import Any
 
+from cottonladder.testbed.configuration_files import manager_file
 from cottonladder.testbed.process_log import ProcessLog
 from tests.support.json_object import JsonObject
 from tests.support.program_with_constants import CONSTANTS_VARIABLE
@@ -44,12 +45,11 @@
     ) -> None:
         self._constants = dict(constants or {})
         settings = {**SETTINGS, **changes.pop("settings", {})}
-        self.config = {
-            "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery_address, "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": endpoint_list(41, endpoint_entry("s-1"), endpoint_entry("s-2"), full=True),
-            "settings": settings, **changes,
-        }  # fmt: skip
+        known = endpoint_list(41, endpoint_entry("s-1"), endpoint_entry("s-2"), full=True)
+        self.config: JsonObject = {
+            **manager_file("127.0.0.1:0", discovery_address, known, settings),
+            **changes,
+        }
         self.port = 0
         self._log = ProcessLog()
         self.lines = self._log.lines
--- a/tests/weight_advice/test_servers.py
+++ b/tests/weight_advice/test_servers.py
@@ -12,7 +12,7 @@
 
 from cottonladder.planning.advertised_weights import MAX_WEIGHT
 from cottonladder.testbed.advisors import read_dfp_reports, weights_by_label
-from cottonladder.testbed.fleet import SETTINGS
+from cottonladder.testbed.configuration_files import SETTINGS
 from cottonladder.weight_advice import dfp, sasp
 from cottonladder.weight_advice.sasp import MessageType, ResponseCode
 from tests.weight_advice.certificates import write_certificate
