--- a/cottonladder/cli/plugin.py
+++ b/cottonladder/cli/plugin.py
@@ -7,7 +7,7 @@
 
 import json
 from dataclasses import asdict
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import click
 
@@ -57,13 +57,12 @@
     print_table([REPLAY_COLUMNS, *((request.request, _changes(request)) for request in replayed)])
 
 
-def _json_row(replayed: ReplayedRequest) -> dict[str, Any]:
-    return {"req": replayed.request, "fault": replayed.fault, **replayed.answer}
+def _json_row(replayed: ReplayedRequest) -> dict[str, object]:
+    return {"req": replayed.request, **replayed.outcome()}
 
 
 def _changes(replayed: ReplayedRequest) -> str:
-    outcome = {"fault": replayed.fault, **replayed.answer}
-    changes = [f"{name}={value}" for name, value in outcome.items() if value]
+    changes = [f"{name}={value}" for name, value in replayed.outcome().items() if value]
     return ", ".join(changes) or "nothing"
 
 
--- a/cottonladder/cli/plugin_trial.py
+++ b/cottonladder/cli/plugin_trial.py
@@ -13,6 +13,7 @@
 
 from ..config.operator_config import PluginConfig
 from ..config.operator_file import read_operator_config
+from ..plugins.abi import Answer
 from ..plugins.chain import request_record
 from ..plugins.errors import PluginFault, PluginLoadError
 from ..plugins.host import Plugin
@@ -30,9 +31,14 @@
     """One recorded request and what the plug-in answered to it."""
 
     request: str  # method and path
-    answer: dict[str, Any]  # the fields of the answer, by name; empty after a fault
+    answer: Answer | None  # None after a fault
     fault: str = ""
 
+    def outcome(self) -> dict[str, object]:
+        """The fault, and the contents of the answer, under the names that the command prints."""
+        contents = self.answer.interface_fields() if self.answer is not None else {}
+        return {"fault": self.fault, **contents}
+
 
 @dataclass(frozen=True, slots=True)
 class CallTimings:
@@ -81,7 +87,8 @@
     return replayed
 
 
-def _route_record(request: dict[str, Any]) -> bytes:
+def _route_record(request: Any) -> bytes:
+    """Encodes a decoded line; raises KeyError, TypeError or ValueError for one that is not a request."""
     return request_record(
         "route",
         str(request["method"]),
@@ -95,8 +102,8 @@
     try:
         answer = plugin.call(hook, record)
     except PluginFault as exc:
-        return ReplayedRequest(request, {}, f"{exc.kind}: {exc}")
-    return ReplayedRequest(request, answer.interface_fields())
+        return ReplayedRequest(request, None, f"{exc.kind}: {exc}")
+    return ReplayedRequest(request, answer)
 
 
 def measure_calls(plugin: Plugin, call_count: int) -> CallTimings:
--- a/cottonladder/config/deployment.py
+++ b/cottonladder/config/deployment.py
@@ -10,7 +10,7 @@
 
 from ..model.parameters import DeploymentParameters, RequestClass
 from .errors import UnknownNameError
-from .fields import bounded_seconds, field, integer, names, number
+from .fields import JsonObject, bounded_seconds, field, integer, names, number
 
 MIN_DIVISOR = 1e-3  # least value of a setting that others are divided by, in the setting's unit
 
@@ -38,7 +38,7 @@
         return self.classes[name]
 
 
-def read_settings(info: dict[str, Any], seed: int, where: str) -> DeploymentSettings:
+def read_settings(info: JsonObject, seed: int, where: str) -> DeploymentSettings:
     """Reads the settings object `info`; raises ConfigError, with a text that begins with `where`.
 
     `seed` starts the random choices of the policy.
@@ -72,7 +72,7 @@
 
 
 def _deployment_parameters(
-    info: dict[str, Any], profiles: list[Any], zone_count: int, seed: int, where: str
+    info: JsonObject, profiles: list[Any], zone_count: int, seed: int, where: str
 ) -> DeploymentParameters:
     family = field(info, "FamilyInfo", dict, where)
     rules = field(info, "Rules", dict, where)
--- a/cottonladder/config/fields.py
+++ b/cottonladder/config/fields.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from typing import Any
 
 from .errors import (
@@ -18,6 +19,7 @@
 
 NUMBER = (int, float)
 HostPort = tuple[str, int]
+JsonObject = Mapping[str, object]  # decoded, its fields not yet checked
 MS_PER_S = 1000.0
 MAX_FIGURE = 1e12  # of any setting, so that products of settings stay finite
 MAX_PORT = 65535
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -10,7 +10,7 @@
 
 from .deployment import DeploymentSettings, read_settings
 from .errors import ConfigError, ConfigFileError, FieldValueError
-from .fields import HostPort, address, field, number
+from .fields import HostPort, JsonObject, address, field, number
 
 WHERE = "configuration"  # what messages call the file
 MIN_SOCKETS = 64  # with fewer no proxy could connect beside what the program itself holds open
@@ -65,9 +65,9 @@
             raise FieldValueError(f"{WHERE}: settings", "KeyRanges", "0, and this protocol has no slices")
         return settings
 
-    def known_list(self) -> dict[str, Any]:
-        """The endpoint list as it was last known, undecoded."""
-        body: dict[str, Any] = field(self.body, "known", dict, WHERE)
+    def known_list(self) -> JsonObject:
+        """The endpoint list as it was last known, its fields not yet checked."""
+        body: JsonObject = field(self.body, "known", dict, WHERE)
         return body
 
     def read_manager_config(self, settings: DeploymentSettings) -> ManagerConfig:
