--- a/cottonladder/forwarder/connection_drainer.py
+++ b/cottonladder/forwarder/connection_drainer.py
@@ -1,8 +1,9 @@
 """Decides when a forwarder migrates or closes its connections at a worker that is leaving.
 
-Pure: no clock, no I/O.  A manager that speaks the extension paces the drain across all its forwarders.  If no
-order arrives in time, or the manager's stream is lost, the forwarder does not wait: it spreads its own
-connections over the rest of the grace period, as every connection has to leave by its end.
+Pure: no clock, no I/O.  A manager that speaks the extension paces the drain across all its forwarders.  The
+forwarder paces a drain itself if no order arrives in time, or if the stream of the manager that led the drain
+is lost: it spreads its own connections over the rest of the grace period, as every connection has to leave by
+its end.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 ORDER_WAIT_FRACTION = 0.2  # of the grace period, for a manager to send its first or its next order
 FINAL_PHASE_FRACTION = 0.1  # of the grace period, at its end: every idle connection leaves, ordered or not
-CUT_PHASE_FRACTION = 0.05  # of the grace period, at its end: every connection is closed
+FORCED_CLOSE_FRACTION = 0.05  # of the grace period, at its end: every connection is closed
 
 
 class DrainState(Enum):
@@ -34,7 +35,7 @@
 
     EXCLUDED = "excluded"
     ORDERED = "ordered"
-    NO_ORDER_IN_TIME = "unheard"
+    ORDERS_MISSING = "unheard"  # no order in time, or the stream that brought the orders is lost
     ENDING = "ending"
     READMITTED = "readmitted"
 
@@ -45,8 +46,8 @@
     (DrainState.NOT_DRAINING, DrainEvent.ORDERED): DrainState.ORDERED,
     (DrainState.AWAITING_ORDERS, DrainEvent.ORDERED): DrainState.ORDERED,
     (DrainState.SELF_PACED, DrainEvent.ORDERED): DrainState.ORDERED,
-    (DrainState.AWAITING_ORDERS, DrainEvent.NO_ORDER_IN_TIME): DrainState.SELF_PACED,
-    (DrainState.ORDERED, DrainEvent.NO_ORDER_IN_TIME): DrainState.SELF_PACED,
+    (DrainState.AWAITING_ORDERS, DrainEvent.ORDERS_MISSING): DrainState.SELF_PACED,
+    (DrainState.ORDERED, DrainEvent.ORDERS_MISSING): DrainState.SELF_PACED,
     (DrainState.AWAITING_ORDERS, DrainEvent.ENDING): DrainState.FINAL,
     (DrainState.ORDERED, DrainEvent.ENDING): DrainState.FINAL,
     (DrainState.SELF_PACED, DrainEvent.ENDING): DrainState.FINAL,
@@ -82,8 +83,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CutConnections:
-    """The grace period is over: every connection at the worker is to be closed."""
+class CloseAllConnections:
+    """The last `FORCED_CLOSE_FRACTION` of the grace period has begun: every connection is to be closed."""
 
     worker_id: str
 
@@ -180,11 +181,14 @@
             self._drains[worker_id].last_order_at = now
 
     def stream_lost(self) -> None:
-        """Drops the orders and results of a stream that has ended: the next manager does not know them."""
+        """Drops the orders and results of a stream that has ended, and paces the drains that it led.
+
+        The next manager does not know the orders.  A drain that still awaits its first order goes on waiting.
+        """
         for worker_id, drain in self._drains.items():
             drain.orders.clear()
             if drain.state is DrainState.ORDERED:
-                self._step(worker_id, DrainEvent.NO_ORDER_IN_TIME)
+                self._step(worker_id, DrainEvent.ORDERS_MISSING)
         self.results.clear()
 
     def connection_settled(self, worker_id: str, number: int, succeeded: bool) -> None:
@@ -204,13 +208,13 @@
 
     def due_actions(
         self, now: float, idle: Mapping[str, int], connections: Mapping[str, int]
-    ) -> list[StartMove | CutConnections]:
+    ) -> list[StartMove | CloseAllConnections]:
         """The actions to carry out now.
 
         `idle` has the number of connections by worker that may leave at once, and `connections` the number of
         all at that worker.
         """
-        actions: list[StartMove | CutConnections] = []
+        actions: list[StartMove | CloseAllConnections] = []
         for worker_id, drain in self._drains.items():
             count = connections.get(worker_id, 0)
             if drain.orders or count:  # a drain with nothing left to do changes no state
@@ -219,12 +223,12 @@
 
     def _due_at_worker(
         self, now: float, worker_id: str, drain: Drain, idle: int, count: int
-    ) -> list[StartMove | CutConnections]:
+    ) -> list[StartMove | CloseAllConnections]:
         self._advance(now, worker_id, drain)
-        if now >= drain.ends_at - CUT_PHASE_FRACTION * self.grace_s:
+        if now >= drain.ends_at - FORCED_CLOSE_FRACTION * self.grace_s:
             self._cancel_orders(drain)
-            return [CutConnections(worker_id)] if count else []
-        actions: list[StartMove | CutConnections] = []
+            return [CloseAllConnections(worker_id)] if count else []
+        actions: list[StartMove | CloseAllConnections] = []
         for order in list(drain.orders):
             moves = self._due_of_order(now, worker_id, order, idle)
             idle -= len(moves)
@@ -242,7 +246,7 @@
             return
         awaits_order = drain.state in (DrainState.AWAITING_ORDERS, DrainState.ORDERED) and not drain.orders
         if awaits_order and now - drain.last_order_at > ORDER_WAIT_FRACTION * self.grace_s:
-            self._step(worker_id, DrainEvent.NO_ORDER_IN_TIME)
+            self._step(worker_id, DrainEvent.ORDERS_MISSING)
 
     @staticmethod
     def _due_of_order(now: float, worker_id: str, order: DrainOrder, idle: int) -> list[StartMove]:
--- a/cottonladder/forwarder/drain_orders.py
+++ b/cottonladder/forwarder/drain_orders.py
@@ -51,7 +51,7 @@
     received_at: float
     duration_s: float
     started: int = 0
-    settled: int = 0
+    settled: int = 0  # connections that have left the worker or have failed to, so it includes `failed`
     failed: int = 0
 
     @classmethod
--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -9,7 +9,7 @@
 import structlog
 
 from .client_listener import ClientListener
-from .connection_drainer import ConnectionDrainer, CutConnections, StartMove
+from .connection_drainer import CloseAllConnections, ConnectionDrainer, StartMove
 from .connection_registry import ConnectionRegistry
 from .drain_orders import NO_ORDER
 from .final_answers import OUTCOME_UNKNOWN
@@ -101,8 +101,8 @@
         idle_counts = {worker_id: len(tunnels) for worker_id, tunnels in idle.items()}
         counts = {worker_id: self.registry.count(worker_id) for worker_id in draining}
         for action in self._drainer.due_actions(now, idle_counts, counts):
-            if isinstance(action, CutConnections):
-                self._cut(action.worker_id, now)
+            if isinstance(action, CloseAllConnections):
+                self._close_all(action.worker_id, now)
             elif not self._start_move(action, idle[action.worker_id].pop(0), now):
                 break
         self._log_state_changes()
@@ -179,8 +179,8 @@
         task.add_done_callback(self._handshakes.discard)
         return task
 
-    def _cut(self, worker_id: str, now: float) -> None:
-        """Closes whatever is still open at a worker whose grace period has ended.
+    def _close_all(self, worker_id: str, now: float) -> None:
+        """Closes whatever is still open at a worker in the last phase of its grace period.
 
         A client with an unanswered request is notified that the outcome is unknown; the request is not sent
         to another worker.
--- a/tests/forwarder/test_connection_drainer.py
+++ b/tests/forwarder/test_connection_drainer.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 
 from cottonladder.forwarder.connection_drainer import (
-    CUT_PHASE_FRACTION,
+    FORCED_CLOSE_FRACTION,
     ORDER_WAIT_FRACTION,
+    CloseAllConnections,
     ConnectionDrainer,
-    CutConnections,
     DrainState,
     StartMove,
 )
@@ -27,7 +27,7 @@
 @dataclass(frozen=True, slots=True)
 class TimedAction:
     at_s: float
-    action: StartMove | CutConnections
+    action: StartMove | CloseAllConnections
 
 
 class ConnectionDrainerPlans(unittest.TestCase):
@@ -41,7 +41,7 @@
         for tick in range(round(start_s / TICK_INTERVAL_S), round(until_s / TICK_INTERVAL_S)):
             now = tick * TICK_INTERVAL_S
             for action in self.drainer.due_actions(now, connections, connections):
-                if isinstance(action, CutConnections):
+                if isinstance(action, CloseAllConnections):
                     connections.pop(action.worker_id, None)
                     continue
                 connections[action.worker_id] -= 1
@@ -54,7 +54,7 @@
         started_at = self.play(Counter({"s-1": 100}), GRACE_S)
         self.assertEqual(len(started_at), 100)
         self.assertGreater(min(started_at), GRACE_S * ORDER_WAIT_FRACTION - TICK_INTERVAL_S)
-        self.assertLess(max(started_at), GRACE_S * (1 - CUT_PHASE_FRACTION))
+        self.assertLess(max(started_at), GRACE_S * (1 - FORCED_CLOSE_FRACTION))
         self.assertLessEqual(max(Counter(started_at).values()), 3)
 
     def test_ordered_connections_leave_evenly_and_their_result_is_reported(self) -> None:
@@ -77,8 +77,8 @@
             now = tick * TICK_INTERVAL_S
             actions += [TimedAction(now, action) for action in self.drainer.due_actions(now, {}, {"s-1": 2})]
         self.assertEqual(self.drainer.results[0], DrainOrderResult(7, 0, 0))
-        self.assertTrue(all(isinstance(timed.action, CutConnections) for timed in actions))
-        self.assertGreaterEqual(actions[0].at_s, GRACE_S * (1 - CUT_PHASE_FRACTION) - 1e-6)
+        self.assertTrue(all(isinstance(timed.action, CloseAllConnections) for timed in actions))
+        self.assertGreaterEqual(actions[0].at_s, GRACE_S * (1 - FORCED_CLOSE_FRACTION) - 1e-6)
 
     def test_the_end_of_the_grace_only_comes_nearer(self) -> None:
         self.drainer.add_order(4.0, "s-1", order(1, {}, 1))  # from a manager that learned of the drain late
