--- a/cottonladder/forwarder/admission_pacer.py
+++ b/cottonladder/forwarder/admission_pacer.py
@@ -13,8 +13,8 @@
     """A token bucket and reserved slots for each worker.
 
     `arrival_rate` is the number of new connections a second that an average worker accepts from all
-    forwarders, and `share` the part of them that this forwarder may bring.  Reserved slots are exempt, as the
-    manager that ordered them has counted them.
+    forwarders, and `share` the part of them that this forwarder may bring.  Reserved slots are exempt: a
+    manager has counted them, or the clients held them before a restart.
     """
 
     RESERVATION_TTL_S = 15.0  # time that a reserved slot is kept for the client that reconnects
@@ -62,7 +62,7 @@
             return 0.0
         return bucket.time_to_token_s(rate)
 
-    def retain_workers(self, listed: set[str]) -> None:
-        """Forgets the pace of workers that are not listed any more."""
-        for worker_id in set(self._buckets) - listed:
+    def retain_workers(self, known: set[str]) -> None:
+        """Forgets the token buckets of workers that are not known any more."""
+        for worker_id in set(self._buckets) - known:
             del self._buckets[worker_id]
--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -85,7 +85,7 @@
             forwarder.pacer,
             forwarder.workers.is_known,
         )
-        forwarder.stream.is_cold = not forwarder.router.has_ordered_table
+        forwarder.stream.needs_table = not forwarder.router.has_table
         shown_age_s = round(min(age_s, MAX_LOGGED_AGE_S), 1)
         forwarder.log.info("snapshot_restored", restored=restored, age_s=shown_age_s)
 
--- a/cottonladder/forwarder/endpoint_follower.py
+++ b/cottonladder/forwarder/endpoint_follower.py
@@ -12,8 +12,8 @@
 from .worker_list import WorkerList
 from .worker_removal import WorkerRemoval
 
-MIN_LIST_RETRY_DELAY_S = 0.3  # before a failed call is repeated, at the lower end of the jitter
-MAX_LIST_RETRY_DELAY_S = 1.0  # before a failed call is repeated, at the upper end of the jitter
+MIN_LIST_RETRY_DELAY_S = 0.3  # before the watch is started again after a failed call, the jitter's lower end
+MAX_LIST_RETRY_DELAY_S = 1.0  # before the watch is started again after a failed call, the jitter's upper end
 # The backoff multiplies the delay by up to this factor, as the calls of a whole fleet could overload a
 # discovery service that is recovering.
 MAX_BACKOFF_FACTOR = 8.0
@@ -21,7 +21,7 @@
 
 
 class EndpointFollower:
-    """Passes the endpoint list on to the workers' list, and repeats failed calls to discovery.
+    """Passes the endpoint list on to the workers' list, and starts the watch again after a failed call.
 
     `record_labels` is called with each entry of the list as it was decoded.
     """
@@ -50,7 +50,7 @@
         self._watch()
 
     def stop_timers(self) -> None:
-        """Cancels the repetition of a failed call."""
+        """Cancels the pending start of a watch."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
 
--- a/cottonladder/forwarder/errors.py
+++ b/cottonladder/forwarder/errors.py
@@ -63,8 +63,8 @@
 class AttemptError(ForwarderError):
     """An attempt without an answer from the worker.
 
-    `may_have_run`: it is not proved that the worker did not process the request.
-    `timed_out`: the worker received the request and did not answer in time.
+    `may_have_run`: the worker may have processed the request.
+    `timed_out`: no answer came in time; only `WorkerError` sets it.
     """
 
     def __init__(self, reason: str, may_have_run: bool, timed_out: bool = False) -> None:
--- a/cottonladder/forwarder/load_recorder.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class ClassCounts:
-    """The requests of one class; `failures` counts those that were admitted but not served."""
+    """The requests of one class; `failures` are those that no worker answered or that a plug-in rejected."""
 
     arrivals: int = 0
     failures: int = 0
@@ -64,7 +64,7 @@
         self._by_class.setdefault(request_class, ClassCounts()).arrivals += 1
 
     def record_failure(self, request_class: str) -> None:
-        """Counts a request that was admitted but not served."""
+        """Counts a request that no worker answered or that a plug-in rejected."""
         self._by_class.setdefault(request_class, ClassCounts()).failures += 1
 
     def report(self, now: float) -> LoadReports:
--- a/cottonladder/forwarder/manager_reports.py
+++ b/cottonladder/forwarder/manager_reports.py
@@ -14,7 +14,7 @@
 class ManagerReports:
     """Sends what the forwarder has counted.
 
-    `load_reporter` is None where another forwarder of the zone reports the load.
+    `load_reporter` is None unless this forwarder is a collector; its attempts are then not reported.
     """
 
     def __init__(
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -22,9 +22,9 @@
 from .order_handling import ManagerMessageReader, OrderHandler
 
 CONNECT_TIMEOUT_S = 1.0  # for a connection to a manager
-MIN_RECONNECT_DELAY_S = 0.1  # the backoff's first delay, which doubles each time
+MIN_RECONNECT_DELAY_S = 0.1  # after a stream that brought orders; it doubles with each one that did not
 MAX_RECONNECT_DELAY_S = 2.0  # the backoff's longest delay
-MIN_DELAY_FACTOR = 0.5  # jitter shortens a delay to this part of it at the most
+MIN_DELAY_FACTOR = 0.5  # lower end of the random factor on a delay, whose upper end is 1
 PING_INTERVAL_S = 1.0  # without a message, after which the forwarder sends a PING
 # Without a message, after which the forwarder leaves the manager.  TCP keep-alive would notice a machine that
 # was cut off much later.
@@ -41,17 +41,17 @@
     zone: str
     arrival_rate: float
 
-    def encode(self, is_cold: bool) -> bytes:
-        """The SUBSCRIBE message; `is_cold` tells that the forwarder has no routing table yet."""
+    def encode(self, needs_table: bool) -> bytes:
+        """The SUBSCRIBE message; `needs_table` tells that the forwarder has no routing table yet."""
         text = f"SUBSCRIBE node {self.node} locality {self.zone} w {self.arrival_rate!r}"
-        text += f" cold {int(is_cold)}"
+        text += f" cold {int(needs_table)}"
         return resp.encode(text.encode().split())
 
 
 class ManagerStream:
     """Owns the connection to the present manager and the task that connects to one after the other.
 
-    `is_cold`: no routing table has been ordered or restored yet.
+    `needs_table`: no routing table has been ordered or restored yet.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         uniform: Callable[[float, float], float],
         uses_extension: bool,
     ) -> None:
-        self.is_cold = True
+        self.needs_table = True
         self._subscription = subscription
         self._managers = managers
         self._uniform = uniform
@@ -120,7 +120,7 @@
         self._writer = writer
         self._messages = messages
         try:
-            self.send_message(self._subscription.encode(self.is_cold))
+            self.send_message(self._subscription.encode(self.needs_table))
             if self._uses_extension:
                 self.send_message(upgrades.encode_announcement(self._subscription.node))
             self.log.info("stream_opened", manager=f"{host}:{port}")
@@ -157,7 +157,7 @@
             for fields in decoder.feed(data):
                 await messages.handle(fields)
                 if messages.has_table:
-                    self.is_cold = False
+                    self.needs_table = False
 
     # Messages to the manager.
 
--- a/cottonladder/forwarder/request_body.py
+++ b/cottonladder/forwarder/request_body.py
@@ -1,4 +1,4 @@
-"""The body of a request: a small one is buffered for a retry, a larger one is streamed to the worker."""
+"""The body of a request: a small one of known length is buffered for a retry, any other is streamed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 async def body_pieces(request: web.BaseRequest, max_bytes: int) -> AsyncIterator[bytes]:
-    """Yields the body in pieces as the client sends it.  Raises BodyTooLargeError."""
+    """Yields the body in pieces as the client sends it.
+
+    Raises BodyTooLargeError, or TimeoutError if the client sends nothing for `STALL_TIMEOUT_S`.
+    """
     read_bytes = 0
     while True:
         piece = await asyncio.wait_for(request.content.readany(), STALL_TIMEOUT_S)
@@ -83,7 +86,10 @@
 
 
 async def read_body(request: web.BaseRequest, max_bytes: int) -> RequestBody:
-    """Reads a small body, or prepares a larger one to be streamed.  Raises BodyTooLargeError."""
+    """Buffers a body stated to be small, and prepares any other to be streamed.
+
+    Raises the same errors as `body_pieces`.
+    """
     if not request.body_exists:
         return RequestBody()
     length = request.content_length
--- a/cottonladder/forwarder/responses.py
+++ b/cottonladder/forwarder/responses.py
@@ -14,14 +14,20 @@
 
 
 class ResponseBuilder:
-    """Builds responses; once `stopping` is set, each response also closes its connection."""
+    """Builds responses.
+
+    Once `stopping` is set, a response that `build` gives a Retry-After header also closes its connection.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self.stopping = False
 
     def build(self, answer: FinalAnswer, delay_s: float = DEFAULT_RETRY_DELAY_S) -> web.Response:
-        """Builds a response; if the answer has a Retry-After header, its value is at least `delay_s`."""
+        """Builds a response.
+
+        If the answer has a Retry-After header, its value is at least `delay_s`, up to `MAX_RETRY_AFTER_S`.
+        """
         text = answer.text + "\n"
         if not answer.may_come_again:
             return web.Response(status=answer.status, text=text)
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -21,7 +21,7 @@
 ) -> ForwarderSnapshot:
     """The state to keep; `now` is on the router's clock, and the snapshot holds times relative to it."""
     tables: dict[str, TableSnapshot] = {}
-    if router.has_ordered_table:
+    if router.has_table:
         for name, table in router.tables.items():
             tables[name] = TableSnapshot(dict(table.weights), table.admission, int(table.retry_policy))
     avoided = {worker_id: until - now for worker_id, until in router.avoided_until().items() if until > now}
@@ -40,14 +40,14 @@
     """Restores the state from before a restart; returns a text for the log on what was restored.
 
     Exclusions are restored at any age, as only the manager that ordered them lifts them.  Routing tables are
-    valid for a limited time, and only with workers that are still listed.  Workers that had failed are
-    avoided for the rest of their time.  Clients that reconnect find slots at the workers where they were.
+    valid for a limited time, and only with workers that are still known.  Up to another age, workers that had
+    failed are avoided for the rest of their time, and slots are reserved for clients at the workers where
+    they were.
     """
     restored: list[str] = []
     router.excluded |= {worker_id for worker_id in snapshot.excluded if is_known(worker_id)}
-    if (
-        age_s <= ageing.MAX_TABLE_AGE_S and not router.has_ordered_table
-    ):  # what was ordered meanwhile is newer
+    # A table that was ordered in the meantime is newer.
+    if age_s <= ageing.MAX_TABLE_AGE_S and not router.has_table:
         restored += _restore_tables(snapshot, router, is_known)
     if age_s <= ageing.MAX_SUSPICION_AGE_S:
         restored += _restore_avoided(snapshot, age_s, now, router, is_known)
@@ -75,17 +75,18 @@
 def _restore_avoided(
     snapshot: ForwarderSnapshot, age_s: float, now: float, router: Router, is_known: Callable[[str], bool]
 ) -> list[str]:
-    """Avoids workers that had failed, unless they are most of the fleet.
+    """Avoids workers that had failed, unless they are too many.
 
-    In that case the forwarder itself was probably cut off from the workers.
+    If they are more than `MAX_EJECTED_RATIO` of the workers in the tables, the forwarder itself was probably
+    cut off from the workers.
     """
-    listed = {worker_id for table in router.tables.values() for worker_id in table.weights}
+    in_tables = {worker_id for table in router.tables.values() for worker_id in table.weights}
     avoided = {
         worker_id: left_s - age_s
         for worker_id, left_s in snapshot.avoid_for_s.items()
         if left_s > age_s and is_known(worker_id)
     }
-    if len(avoided) > len(listed) * ageing.MAX_EJECTED_RATIO:
+    if len(avoided) > len(in_tables) * ageing.MAX_EJECTED_RATIO:
         return []
     router.avoid(now, avoided)
     return [f"{len(avoided)} avoided"]
--- a/cottonladder/forwarder/retries.py
+++ b/cottonladder/forwarder/retries.py
@@ -39,8 +39,8 @@
 def should_retry(request_class: RequestClass, policy: RetryPolicy, attempts: int, may_have_run: bool) -> bool:
     """Whether a request that has failed `attempts` times may be sent to another worker.
 
-    `may_have_run` tells that it is not proved that every attempt failed before the worker processed the
-    request.  Such a request is sent again only if its class is repeatable, whatever managers have ordered.
+    `may_have_run` tells that a worker may have processed an earlier attempt.  Such a request is sent again
+    only if its class is idempotent, whatever managers have ordered.
     """
     rule = RETRY_RULES[policy, request_class.is_repeatable]
     if may_have_run and rule.only_if_not_processed:
--- a/cottonladder/forwarder/retry_after.py
+++ b/cottonladder/forwarder/retry_after.py
@@ -9,8 +9,9 @@
 
 
 def retry_after(delay_s: float, jitter: float) -> int:
-    """The value of a Retry-After header in whole seconds, at least `delay_s`.
+    """The value of a Retry-After header in whole seconds.
 
+    It is at least `delay_s`, but from `MIN_RETRY_AFTER_S` to `MAX_RETRY_AFTER_S`.
     `jitter`, a random number from 0 to 1, adds up to the same time again, so that clients that were rejected
     together do not return together.
     """
--- a/cottonladder/forwarder/router.py
+++ b/cottonladder/forwarder/router.py
@@ -22,7 +22,7 @@
 MIN_AVOIDANCE_FACTOR = 0.75  # of AVOIDANCE_TIME_S; jitter keeps forwarders from returning all at once
 AVOIDANCE_JITTER_FACTOR = 0.5  # of AVOIDANCE_TIME_S, the largest random addition to the minimum
 MAX_RESTORED_AVOIDANCE_S = 2.0 * AVOIDANCE_TIME_S  # that a snapshot may keep a worker avoided
-DEFAULT_TABLE_WORKERS = 5  # workers of the own zone that are used until a table is ordered
+DEFAULT_TABLE_WORKERS = 5  # of the own zone if it has any; they are used until there is a table
 
 
 class AdmissionMode(Enum):
@@ -59,7 +59,8 @@
     """The routing tables by class, the excluded workers, and the workers that are avoided after failures.
 
     `excluded` holds the workers that managers have excluded, which outlives their streams; `leaving` holds
-    those that the endpoint list has as draining or gone.
+    those that the endpoint list has as draining or gone.  `has_table` tells whether a routing table has been
+    ordered or restored; until then the default table is in use.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         self.tables = {name: ClassTable() for name in self.classes}
         self.excluded: set[str] = set()
         self.leaving: set[str] = set()
-        self.has_ordered_table = False
+        self.has_table = False
         self._admission_mode = admission_mode
         self._random = random
         self._consecutive_failures: dict[str, int] = {}
@@ -103,7 +104,7 @@
     def _apply_to_table(self, table: ClassTable, part: ConfigPart) -> None:
         if part.replace:
             table.clear()
-            self.has_ordered_table = True
+            self.has_table = True
         for worker_id, weight in part.weights:
             table.set_weight(worker_id, weight)
         if part.admission is not None:
@@ -111,8 +112,8 @@
             table.retry_policy = part.admission.retry_policy
 
     def use_default_table(self, listed: Iterable[str]) -> None:
-        """Spreads requests evenly over a few listed workers until a table is ordered."""
-        if self.has_ordered_table:
+        """Spreads requests evenly over a few listed workers until a table is ordered or restored."""
+        if self.has_table:
             return
         workers = list(listed)[:DEFAULT_TABLE_WORKERS]
         for table in self.tables.values():
@@ -125,7 +126,7 @@
         is_known = retry_policy in tuple(RetryPolicy)
         policy = RetryPolicy(retry_policy) if is_known else RetryPolicy.ONCE_IF_NOT_PROCESSED
         self.tables[request_class] = ClassTable(dict(weights), admission, policy)
-        self.has_ordered_table = True
+        self.has_table = True
 
     # Workers that have failed.
 
@@ -152,9 +153,9 @@
         factor = MIN_AVOIDANCE_FACTOR + AVOIDANCE_JITTER_FACTOR * self._random()
         self._avoided_until[worker_id] = now + AVOIDANCE_TIME_S * factor
 
-    def retain_workers(self, listed: set[str]) -> None:
-        """Forgets the workers that are neither listed nor in a table."""
-        retained = listed | {worker_id for table in self.tables.values() for worker_id in table.weights}
+    def retain_workers(self, known: set[str]) -> None:
+        """Forgets the workers that are neither known nor in a table."""
+        retained = known | {worker_id for table in self.tables.values() for worker_id in table.weights}
         self.excluded &= retained
         self.leaving &= retained
         for worker_id in set(self._consecutive_failures) - retained:
