--- a/benchmarks/migration_plans.py
+++ b/benchmarks/migration_plans.py
@@ -8,6 +8,7 @@
 from collections import Counter
 
 from benchmarks.harness import MILLISECONDS_PER_S
+from cottonladder.model.connection_counts import ConnectionCounts
 from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning import connection_migration as migration
 from cottonladder.planning import migration_orders
@@ -25,9 +26,7 @@
     for forwarder in range(forwarders):
         planner.add_forwarder(forwarder, forwarder % PLAN_ZONES)
         counts = Counter(chance.randrange(workers) for _ in range(round(connections / forwarders)))
-        counts_by_worker = {
-            worker: migration_orders.HeldConnectionCounts(count) for worker, count in counts.items()
-        }
+        counts_by_worker = {worker: ConnectionCounts(count) for worker, count in counts.items()}
         planner.update_connections(forwarder, True, counts_by_worker)
     return planner
 
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -14,6 +14,7 @@
 
 from ..config.deployment import DeploymentSettings
 from ..config.operator_config import UpgradesConfig
+from ..model.connection_counts import ConnectionCounts
 from ..model.inputs import ExtraLinesWritten, HeldLoad, Input, ProxyConnected, ProxyDisconnected
 from ..model.views import WorkerCapacityView
 from ..planning.connection_migration import MigrationPlanner
@@ -21,7 +22,6 @@
 from ..planning.migration_orders import (
     PLAN_INTERVAL_S,
     AdmitForwarder,
-    HeldConnectionCounts,
     MigrateConnections,
     MigrationOrder,
     MigrationParameters,
@@ -115,13 +115,13 @@
         self._announced.add(proxy)
         self._next_plan_at = 0.0  # the forwarder is answered in this step
 
-    def _counts_by_index(self, body: wire.HeldConnections) -> dict[int, HeldConnectionCounts]:
+    def _counts_by_index(self, body: wire.HeldConnections) -> dict[int, ConnectionCounts]:
         """The reported counts of the known workers, by worker index."""
-        counts: dict[int, HeldConnectionCounts] = {}
+        counts: dict[int, ConnectionCounts] = {}
         for worker_id, row in body.counts_by_worker.items():
             worker_index = self._workers.find_index(worker_id)
             if worker_index is not None:
-                counts[worker_index] = HeldConnectionCounts(*row)
+                counts[worker_index] = row
         return counts
 
     def collect_inputs(self, now: float) -> list[Input]:
@@ -190,7 +190,7 @@
         self._log_started_drains(totals, draining)
         self._log_ended_drains(totals, draining)
 
-    def _log_started_drains(self, totals: dict[int, HeldConnectionCounts], draining: set[int]) -> None:
+    def _log_started_drains(self, totals: dict[int, ConnectionCounts], draining: set[int]) -> None:
         for index in totals.keys() & draining - self._logged_drains.keys():
             drain = _LoggedDrain(self._workers.ids[index].decode(), totals[index].open)
             self._logged_drains[index] = drain
@@ -200,7 +200,7 @@
                 open_count=drain.open_count_at_start,
             )
 
-    def _log_ended_drains(self, totals: dict[int, HeldConnectionCounts], draining: set[int]) -> None:
+    def _log_ended_drains(self, totals: dict[int, ConnectionCounts], draining: set[int]) -> None:
         for index in list(self._logged_drains):
             if index in draining and index in totals:
                 continue
--- a/cottonladder/forwarder/connection_registry.py
+++ b/cottonladder/forwarder/connection_registry.py
@@ -11,6 +11,8 @@
 from dataclasses import dataclass
 from typing import Generic, Protocol, TypeVar
 
+from ..model.connection_counts import ConnectionCounts
+
 MAX_WORKERS_PER_MESSAGE = 2000  # some 60 KB, well below the protocol's limit of 1 MB
 
 
@@ -18,7 +20,7 @@
     """The parts of a connection that the registry reads."""
 
     @property
-    def is_open(self) -> bool:
+    def is_steady(self) -> bool:
         """Whether the connection is neither migrating nor closing."""
         ...
 
@@ -35,16 +37,7 @@
 T = TypeVar("T", bound=RegisteredConnection)
 
 
-@dataclass(frozen=True, slots=True)
-class WorkerConnectionCounts:
-    """The connections at one worker: all of them, the busy ones and the resumable ones."""
-
-    open: int
-    busy: int
-    resumable: int
-
-
-NO_CONNECTIONS = WorkerConnectionCounts(open=0, busy=0, resumable=0)
+NO_CONNECTIONS = ConnectionCounts(open=0, busy=0, resumable=0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +48,7 @@
     """
 
     starts_full_report: bool
-    counts: dict[str, WorkerConnectionCounts]
+    counts: dict[str, ConnectionCounts]
 
 
 class ConnectionRegistry(Generic[T]):
@@ -63,7 +56,7 @@
 
     def __init__(self) -> None:
         self._by_worker: dict[str, dict[T, None]] = {}
-        self._reported: dict[str, WorkerConnectionCounts] = {}
+        self._reported: dict[str, ConnectionCounts] = {}
 
     def add(self, worker_id: str, connection: T) -> None:
         """Adds a connection at a worker."""
@@ -102,13 +95,13 @@
         return [
             connection
             for connection in self.connections_of(worker_id)
-            if connection.is_open and not connection.is_busy(now)
+            if connection.is_steady and not connection.is_busy(now)
         ]
 
-    def counts(self, now: float) -> dict[str, WorkerConnectionCounts]:
+    def counts(self, now: float) -> dict[str, ConnectionCounts]:
         """The present counts by worker."""
         return {
-            worker_id: WorkerConnectionCounts(
+            worker_id: ConnectionCounts(
                 open=len(connections),
                 busy=sum(connection.is_busy(now) for connection in connections),
                 resumable=sum(connection.is_resumable for connection in connections),
@@ -136,7 +129,7 @@
             part_counts = {worker_id: changed[worker_id] for worker_id in part}
             yield ConnectionCountReport(is_full and start == 0, part_counts)
 
-    def _changed(self, counts: dict[str, WorkerConnectionCounts]) -> dict[str, WorkerConnectionCounts]:
+    def _changed(self, counts: dict[str, ConnectionCounts]) -> dict[str, ConnectionCounts]:
         """The counts that differ from those reported last."""
         emptied = {worker_id: NO_CONNECTIONS for worker_id in self._reported if worker_id not in counts}
         return {
--- a/cottonladder/forwarder/manager_reports.py
+++ b/cottonladder/forwarder/manager_reports.py
@@ -42,11 +42,7 @@
     def report_connections(self, now: float, is_full: bool) -> None:
         """Reports the upgraded connections by worker: all, or what has changed since the last report."""
         for report in self._registry.reports(now, is_full):
-            counts = {
-                worker_id: upgrades.ConnectionCounts(count.open, count.busy, count.resumable)
-                for worker_id, count in report.counts.items()
-            }
-            message = upgrades.encode_held_connections(self._node, report.starts_full_report, counts)
+            message = upgrades.encode_held_connections(self._node, report.starts_full_report, report.counts)
             self._stream.send_extension(message)
 
     def report_migration(self, result: DrainOrderResult) -> None:
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -7,18 +7,16 @@
 
 from collections.abc import Callable, Mapping
 
+from ..model.connection_counts import ConnectionCounts
 from ..planning import snapshot_staleness as ageing
 from ..snapshots.sections import ForwarderSnapshot, TableSnapshot
 from .admission_pacer import AdmissionPacer
-from .connection_registry import WorkerConnectionCounts
 from .router import Router
 
 MAX_RESERVED_SLOTS = 10_000  # at one worker, whatever a snapshot says
 
 
-def snapshot_of(
-    router: Router, connections: Mapping[str, WorkerConnectionCounts], now: float
-) -> ForwarderSnapshot:
+def snapshot_of(router: Router, connections: Mapping[str, ConnectionCounts], now: float) -> ForwarderSnapshot:
     """The state to keep; `now` is on the router's clock, and the snapshot holds times relative to it."""
     tables: dict[str, TableSnapshot] = {}
     if router.has_table:
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -129,7 +129,7 @@
         return self.migration.is_possible
 
     @property
-    def is_open(self) -> bool:
+    def is_steady(self) -> bool:
         """Whether the tunnel is neither migrating nor closing."""
         return self.state is TunnelState.OPEN
 
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -18,13 +18,13 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
+from ..model.connection_counts import ConnectionCounts
 from ..model.views import WorkerCapacityView
 from .held_connections import HeldConnections
 from .migration_capacity import ConnectionIntake
 from .migration_orders import (
     PLAN_INTERVAL_S,
     AdmitForwarder,
-    HeldConnectionCounts,
     MigrateConnections,
     MigrationOrder,
     MigrationParameters,
@@ -80,7 +80,7 @@
         self._drop_pending(lambda pending: pending.forwarder == forwarder)
 
     def update_connections(
-        self, forwarder: int, is_complete: bool, rows: Mapping[int, HeldConnectionCounts]
+        self, forwarder: int, is_complete: bool, rows: Mapping[int, ConnectionCounts]
     ) -> None:
         """Takes over a forwarder's counts by worker; `is_complete` means that it holds no others."""
         self._connections.update(forwarder, is_complete, rows)
@@ -91,7 +91,7 @@
         if pending is not None and pending.forwarder == forwarder:
             del self._pending[number]
 
-    def connections_by_worker(self) -> dict[int, HeldConnectionCounts]:
+    def connections_by_worker(self) -> dict[int, ConnectionCounts]:
         """Counts by worker index, over all forwarders."""
         return self._connections.by_worker()
 
@@ -154,7 +154,7 @@
         self,
         now: float,
         views: Mapping[int, WorkerCapacityView],
-        connections: Mapping[int, HeldConnectionCounts],
+        connections: Mapping[int, ConnectionCounts],
     ) -> dict[int, float]:
         """When the grace period of each worker ends that holds connections and drains or is gone.
 
--- a/cottonladder/planning/held_connections.py
+++ b/cottonladder/planning/held_connections.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from .migration_orders import HeldConnectionCounts
+from ..model.connection_counts import ConnectionCounts
 
 
 @dataclass(slots=True)
@@ -14,7 +14,7 @@
     """A forwarder's zone, its connections by worker, and its fraction of the arrivals as last sent."""
 
     zone: int
-    connections: dict[int, HeldConnectionCounts] = field(default_factory=dict)
+    connections: dict[int, ConnectionCounts] = field(default_factory=dict)
     announced_fraction: float = 0.0
 
 
@@ -32,7 +32,7 @@
         """Removes a forwarder with its connections."""
         self.forwarders.pop(forwarder, None)
 
-    def update(self, forwarder: int, is_complete: bool, rows: Mapping[int, HeldConnectionCounts]) -> None:
+    def update(self, forwarder: int, is_complete: bool, rows: Mapping[int, ConnectionCounts]) -> None:
         """Replaces a forwarder's counts for these workers, or for all workers if `is_complete`.
 
         The counts are absolute, so a row that is received twice does no harm.  A forwarder that is not
@@ -48,7 +48,7 @@
         for worker in empty:
             del holdings.connections[worker]
 
-    def by_worker(self) -> dict[int, HeldConnectionCounts]:
+    def by_worker(self) -> dict[int, ConnectionCounts]:
         """Sums the counts over all forwarders, by worker index."""
         open_counts: Counter[int] = Counter()
         busy_counts: Counter[int] = Counter()
@@ -59,6 +59,6 @@
                 busy_counts[worker] += counts.busy
                 resumable_counts[worker] += counts.resumable
         return {
-            worker: HeldConnectionCounts(open_count, busy_counts[worker], resumable_counts[worker])
+            worker: ConnectionCounts(open_count, busy_counts[worker], resumable_counts[worker])
             for worker, open_count in open_counts.items()
         }
--- a/cottonladder/planning/migration_capacity.py
+++ b/cottonladder/planning/migration_capacity.py
@@ -9,8 +9,9 @@
 import math
 from collections.abc import Mapping
 
+from ..model.connection_counts import ConnectionCounts
 from ..model.views import WorkerCapacityView
-from .migration_orders import PLAN_INTERVAL_S, HeldConnectionCounts, MigrationParameters
+from .migration_orders import PLAN_INTERVAL_S, MigrationParameters
 
 # Part over its share that a worker may be filled to; the last connections of a drain need it to find a place.
 CAPACITY_SLACK_RATIO = 0.1
@@ -32,7 +33,7 @@
         self,
         now: float,
         live: Mapping[int, WorkerCapacityView],
-        connections: Mapping[int, HeldConnectionCounts],
+        connections: Mapping[int, ConnectionCounts],
         incoming: Mapping[int, int],
     ) -> dict[int, int]:
         """Refills the buckets and gives the connections that each live worker may be given.
--- a/cottonladder/planning/migration_orders.py
+++ b/cottonladder/planning/migration_orders.py
@@ -27,15 +27,6 @@
     message_header_lines: int
 
 
-@dataclass(frozen=True, slots=True)
-class HeldConnectionCounts:
-    """Connections at one worker: all that are open, those with data in transit, those that can resume."""
-
-    open: int
-    busy: int = 0
-    resumable: int = 0
-
-
 @dataclass(frozen=True, slots=True)
 class MigrateConnections:
     """An order to a forwarder to move `count` connections away from `source` within `within_s` seconds.
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -19,9 +19,9 @@
 import math
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import NamedTuple
 
 from ..config.fields import MS_PER_S
+from ..model.connection_counts import ConnectionCounts
 from . import resp
 from .errors import FieldError, MessageError, UnencodableNumberError
 from .message_fields import MessageFields
@@ -56,14 +56,6 @@
     worker_arrivals_per_s: float  # new connections that an average worker accepts
 
 
-class ConnectionCounts(NamedTuple):
-    """How many connections a forwarder has to one worker; `open` includes the busy and resumable ones."""
-
-    open: int
-    busy: int
-    resumable: int
-
-
 @dataclass(frozen=True, slots=True)
 class HeldConnections:
     """HELD: the connections of a forwarder by worker id; with `is_complete`, it has none to other workers."""
@@ -229,7 +221,8 @@
 ) -> bytes:
     """Encodes HELD."""
     entries = [
-        b"%b:%d:%d:%d" % (worker_id.encode(), *counts) for worker_id, counts in counts_by_worker.items()
+        b"%b:%d:%d:%d" % (worker_id.encode(), counts.open, counts.busy, counts.resumable)
+        for worker_id, counts in counts_by_worker.items()
     ]
     arguments = [HELD, b"node", b"%d" % proxy, b"whole", b"%d" % is_complete, b"holds", b",".join(entries)]
     return resp.encode(arguments)
--- a/tests/control/test_connection_migrator.py
+++ b/tests/control/test_connection_migrator.py
@@ -12,6 +12,7 @@
 from cottonladder.config.operator_config import UpgradesConfig
 from cottonladder.control import connection_migrator
 from cottonladder.control.connection_migrator import ConnectionMigrator
+from cottonladder.model.connection_counts import ConnectionCounts
 from cottonladder.model.inputs import ProxyConnected
 from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning.migration_orders import PLAN_INTERVAL_S
@@ -19,7 +20,6 @@
 from cottonladder.protocol.messages import ExtensionMessage, MessageReader
 from cottonladder.protocol.upgrade_extension import (
     VERSION,
-    ConnectionCounts,
     ForwarderAnnounced,
     HeldConnections,
 )
--- a/tests/forwarder/test_connection_registry.py
+++ b/tests/forwarder/test_connection_registry.py
@@ -7,15 +7,15 @@
 from cottonladder.forwarder.connection_registry import (
     ConnectionCountReport,
     ConnectionRegistry,
-    WorkerConnectionCounts,
 )
+from cottonladder.model.connection_counts import ConnectionCounts
 
 
 class StandInConnection:
     """A connection whose state the test sets."""
 
     def __init__(self, resumable: bool = False) -> None:
-        self.is_open = True
+        self.is_steady = True
         self.is_resumable = resumable
         self.busy = False
 
@@ -30,23 +30,23 @@
         resumable = StandInConnection(resumable=True)
         registry.add("s-1", plain)
         registry.add("s-1", resumable)
-        full_report = ConnectionCountReport(True, {"s-1": WorkerConnectionCounts(2, 0, 1)})
+        full_report = ConnectionCountReport(True, {"s-1": ConnectionCounts(2, 0, 1)})
         self.assertEqual(list(registry.reports(0.0, True)), [full_report])
         self.assertEqual(list(registry.reports(0.0, False)), [])
         plain.busy = True
         registry.move("s-1", "s-2", resumable)
-        changes = {"s-1": WorkerConnectionCounts(1, 1, 0), "s-2": WorkerConnectionCounts(1, 0, 1)}
+        changes = {"s-1": ConnectionCounts(1, 1, 0), "s-2": ConnectionCounts(1, 0, 1)}
         self.assertEqual(list(registry.reports(0.0, False)), [ConnectionCountReport(False, changes)])
         self.assertEqual(registry.idle_connections("s-1", 0.0), [])
         self.assertEqual(registry.count("s-1"), 1)
         registry.remove("s-1", plain)
-        emptied = {"s-1": WorkerConnectionCounts(0, 0, 0)}
+        emptied = {"s-1": ConnectionCounts(0, 0, 0)}
         self.assertEqual(list(registry.reports(0.0, False)), [ConnectionCountReport(False, emptied)])
         registry.remove("s-2", resumable)
         registry.reset_reported()
         self.assertEqual(list(registry.reports(0.0, True)), [ConnectionCountReport(True, {})])
 
-    def test_only_open_connections_that_are_not_busy_are_idle(self) -> None:
+    def test_only_steady_connections_that_are_not_busy_are_idle(self) -> None:
         registry: ConnectionRegistry[StandInConnection] = ConnectionRegistry()
         idle = StandInConnection()
         busy = StandInConnection()
@@ -54,7 +54,7 @@
         for connection in (idle, busy, migrating):
             registry.add("s-1", connection)
         busy.busy = True
-        migrating.is_open = False
+        migrating.is_steady = False
         self.assertEqual(registry.idle_connections("s-1", 0.0), [idle])
 
 
--- a/tests/forwarder/test_manager_messages.py
+++ b/tests/forwarder/test_manager_messages.py
@@ -9,6 +9,7 @@
 from cottonladder.config.errors import InputError
 from cottonladder.forwarder.config_parts import read_part
 from cottonladder.forwarder.routing_orders import AdmissionOrder, ReceivedConfigPart
+from cottonladder.model.connection_counts import ConnectionCounts
 from cottonladder.model.orders import RetryPolicy
 from cottonladder.protocol import upgrade_extension as upgrades
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader
@@ -62,7 +63,7 @@
             self.assertEqual(case.read(arguments(case.data)), case.message)
 
     def test_connection_counts_are_read_as_they_were_written(self) -> None:
-        counts = {"s-1": upgrades.ConnectionCounts(3, 1, 2), "a:b": upgrades.ConnectionCounts(1, 0, 0)}
+        counts = {"s-1": ConnectionCounts(3, 1, 2), "a:b": ConnectionCounts(1, 0, 0)}
         report = FOR_MANAGER(arguments(upgrades.encode_held_connections(7, True, counts)))
         expected = {worker_id.encode(): count for worker_id, count in counts.items()}
         self.assertEqual(report, upgrades.HeldConnections(7, True, expected))
--- a/tests/planning/test_connection_migration.py
+++ b/tests/planning/test_connection_migration.py
@@ -8,13 +8,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from cottonladder.model.connection_counts import ConnectionCounts
 from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning.connection_migration import CHANNEL_FRACTION, MigrationPlanner
 from cottonladder.planning.migration_capacity import CAPACITY_SLACK_RATIO
 from cottonladder.planning.migration_orders import (
     PLAN_INTERVAL_S,
     AdmitForwarder,
-    HeldConnectionCounts,
     MigrateConnections,
     MigrationOrder,
     MigrationParameters,
@@ -74,7 +74,7 @@
     def report_connections(self) -> None:
         for forwarder in self.zones:
             rows = {
-                worker: HeldConnectionCounts(count)
+                worker: ConnectionCounts(count)
                 for worker, count in self.connections[forwarder].items()
                 if count
             }
@@ -273,7 +273,7 @@
         fleet.step(is_executed=False)
         fleet.planner.remove_forwarder(0)
         self.assertEqual(fleet.planner.connections_by_worker(), {})
-        fleet.planner.update_connections(0, False, {0: HeldConnectionCounts(5)})  # a late report
+        fleet.planner.update_connections(0, False, {0: ConnectionCounts(5)})  # a late report
         self.assertEqual(fleet.planner.connections_by_worker(), {})
         fleet.planner.add_forwarder(0, 0)
         orders = migrations(fleet.step(is_executed=False))
@@ -290,9 +290,9 @@
     def test_reported_counts_replace_earlier_ones(self) -> None:
         planner = MigrationPlanner(PARAMETERS)
         planner.add_forwarder(7, 0)
-        planner.update_connections(7, True, {1: HeldConnectionCounts(5, 1, 2), 2: HeldConnectionCounts(3)})
-        planner.update_connections(7, False, {1: HeldConnectionCounts(4), 2: HeldConnectionCounts(0)})
-        self.assertEqual(planner.connections_by_worker(), {1: HeldConnectionCounts(4)})
+        planner.update_connections(7, True, {1: ConnectionCounts(5, 1, 2), 2: ConnectionCounts(3)})
+        planner.update_connections(7, False, {1: ConnectionCounts(4), 2: ConnectionCounts(0)})
+        self.assertEqual(planner.connections_by_worker(), {1: ConnectionCounts(4)})
         self.assertEqual(planner.load_by_worker(), {1: 0.2})
         planner.update_connections(7, True, {})
         self.assertEqual(planner.connections_by_worker(), {})
--- a/tests/support/wire_manager.py
+++ b/tests/support/wire_manager.py
@@ -29,6 +29,7 @@
 from cottonladder.control.snapshot_manager import SnapshotManager
 from cottonladder.control.startup_config import StartupConfig, read_startup_config
 from cottonladder.control.state_change_log import StateChangeLog
+from cottonladder.model.connection_counts import ConnectionCounts
 from cottonladder.model.inputs import (
     AdvisedFactor,
     EndpointList,
@@ -42,7 +43,6 @@
 from cottonladder.policy.controller import RoutingController
 from cottonladder.protocol.endpoint_list import read_endpoint_list
 from cottonladder.protocol.messages import ExtensionMessage, MessageReader
-from cottonladder.protocol.upgrade_extension import ConnectionCounts
 from cottonladder.state.order_dispatcher import OrderDispatcher
 from cottonladder.state.proxy_sessions import ProxySessions
 from tests.support.control_loop_doubles import (
