--- a/cottonladder/forwarder/admission_pacer.py
+++ b/cottonladder/forwarder/admission_pacer.py
@@ -13,15 +13,15 @@
     """A token bucket and reserved slots for each worker.
 
     `arrival_rate` is the number of new connections a second that an average worker accepts from all
-    forwarders, and `share` the part of them that this forwarder may bring.  Reserved slots are exempt: a
-    manager has counted them, or the clients held them before a restart.
+    forwarders, and `arrival_share` the part of them that this forwarder may bring.  Reserved slots are
+    exempt: a manager has counted them, or the clients held them before a restart.
     """
 
     RESERVATION_TTL_S = 15.0  # time that a reserved slot is kept for the client that reconnects
 
-    def __init__(self, arrival_rate: float, share: float) -> None:
+    def __init__(self, arrival_rate: float, arrival_share: float) -> None:
         self.arrival_rate = arrival_rate
-        self.share = share
+        self.arrival_share = arrival_share
         self._buckets: dict[str, TokenBucket] = {}
         self._reserved_until: dict[str, list[float]] = {}  # by worker, the expiry of each reserved slot
 
@@ -53,7 +53,7 @@
     def worker_rate(self, weight: float, mean_weight: float) -> float:
         """How many new connections a second this forwarder may bring to a worker of this weight."""
         relative_weight = weight / mean_weight if mean_weight > 0 else 1.0
-        return self.arrival_rate * self.share * min(1.0, relative_weight)
+        return self.arrival_rate * self.arrival_share * min(1.0, relative_weight)
 
     def acquire(self, now: float, worker_id: str, rate: float) -> float:
         """Counts a new connection and returns 0, or returns the time in seconds until one is allowed."""
--- a/cottonladder/forwarder/extension_orders.py
+++ b/cottonladder/forwarder/extension_orders.py
@@ -41,7 +41,7 @@
     def apply(self, message: upgrades.FromManager) -> None:
         """Carries out a message of the extension.  Raises OrderRejectedError."""
         if isinstance(message, upgrades.AnnouncementAccepted):
-            self._pacer.share = message.arrival_share
+            self._pacer.arrival_share = message.arrival_share
             self._pacer.arrival_rate = message.worker_arrivals_per_s
         elif isinstance(message, upgrades.MigrationStopped):
             self._drainer.orders_stopped(self._now(), message.source)
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -51,7 +51,7 @@
         recorder = LoadRecorder(config.zone, config.node, self.loop.time())
         self.router = Router(classes, AdmissionMode(config.admission_mode), rng.random)
         self.drainer = ConnectionDrainer(drain_grace_s(operator))
-        self.pacer = AdmissionPacer(worker_arrivals_per_s(operator, config), share=1.0)
+        self.pacer = AdmissionPacer(worker_arrivals_per_s(operator, config), arrival_share=1.0)
         self.workers = _worker_list(config, self.router, rng)
         services = RequestServices(
             self.router, self.pacer, config.limits, self.workers.address_of, recorder, rng
--- a/tests/forwarder/test_resource_limits.py
+++ b/tests/forwarder/test_resource_limits.py
@@ -41,7 +41,7 @@
 
 class AdmissionPace(unittest.TestCase):
     def setUp(self) -> None:
-        self.pacer = AdmissionPacer(arrival_rate=20.0, share=0.5)
+        self.pacer = AdmissionPacer(arrival_rate=20.0, arrival_share=0.5)
 
     def test_a_rush_is_paced(self) -> None:
         rate = self.pacer.worker_rate(1.0, 1.0)
