--- a/cottonladder/forwarder/final_answers.py
+++ b/cottonladder/forwarder/final_answers.py
@@ -13,28 +13,28 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalAnswer:
-    """The outcome of a request.
+    """An answer that the forwarder gives in place of a worker.
 
-    `may_come_again` adds a Retry-After header; `is_outcome_unknown` adds the header by which a client learns
+    `has_retry_after` adds a Retry-After header; `is_outcome_unknown` adds the header by which a client learns
     that the request may have run.
     """
 
     status: int
     text: str
-    may_come_again: bool = False
+    has_retry_after: bool = False
     is_outcome_unknown: bool = False
 
 
 NO_REQUEST_CLASS = FinalAnswer(404, "no request kind")
-STOPPING = FinalAnswer(503, "this forwarder stops", may_come_again=True)
-OVERLOADED = FinalAnswer(503, "denied: overload", may_come_again=True)
+STOPPING = FinalAnswer(503, "this forwarder stops", has_retry_after=True)
+OVERLOADED = FinalAnswer(503, "denied: overload", has_retry_after=True)
 BODY_TOO_LARGE = FinalAnswer(413, "body over its size")
-NO_MATCHING_WORKER = FinalAnswer(503, "no worker with what is needed", may_come_again=True)
-NO_WORKER = FinalAnswer(503, "no worker to pick", may_come_again=True)
-NO_WORKER_ANSWERED = FinalAnswer(503, "no worker answered", may_come_again=True)
-NO_SLOT = FinalAnswer(503, "no place at a worker", may_come_again=True)
-MAY_HAVE_RUN = FinalAnswer(502, OUTCOME_UNKNOWN, may_come_again=True, is_outcome_unknown=True)
-MAY_HAVE_RUN_TIMED_OUT = FinalAnswer(504, OUTCOME_UNKNOWN, may_come_again=True, is_outcome_unknown=True)
+NO_MATCHING_WORKER = FinalAnswer(503, "no worker with what is needed", has_retry_after=True)
+NO_WORKER = FinalAnswer(503, "no worker to pick", has_retry_after=True)
+NO_WORKER_ANSWERED = FinalAnswer(503, "no worker answered", has_retry_after=True)
+NO_SLOT = FinalAnswer(503, "no place at a worker", has_retry_after=True)
+MAY_HAVE_RUN = FinalAnswer(502, OUTCOME_UNKNOWN, has_retry_after=True, is_outcome_unknown=True)
+MAY_HAVE_RUN_TIMED_OUT = FinalAnswer(504, OUTCOME_UNKNOWN, has_retry_after=True, is_outcome_unknown=True)
 UPGRADE_WITH_BODY = FinalAnswer(400, "an upgrade with a body")
 UPGRADE_NOT_GET = FinalAnswer(400, "a bad upgrade: GET of HTTP/1.1 expected")
 UPGRADE_WITHOUT_KEY = FinalAnswer(400, "a bad upgrade: no Sec-WebSocket-Key")
--- a/cottonladder/forwarder/plain_requests.py
+++ b/cottonladder/forwarder/plain_requests.py
@@ -71,7 +71,7 @@
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     async def _attempt_workers(self, context: RequestContext, body: RequestBody) -> web.StreamResponse:
-        deadline = self._services.now() + (context.request_class.timeout_s or math.inf)
+        deadline = self._services.now() + (context.request_class.deadline_s or math.inf)
         failed = FailedAttempts()
         while True:
             worker = self._select_worker(context, failed)
@@ -119,7 +119,7 @@
         policy = self._services.retry_policy(request_class.name)
         if not should_retry(request_class, policy, failed.count, failed.may_have_run):
             return False
-        if self._services.now() >= deadline or not body.is_repeatable:
+        if self._services.now() >= deadline or not body.can_resend:
             return False
         return not self._verdicts.forbids_retry(context, failed)
 
--- a/cottonladder/forwarder/plugin_verdicts.py
+++ b/cottonladder/forwarder/plugin_verdicts.py
@@ -75,14 +75,14 @@
         return chain.request_record(hook, request.method, request.raw_path, name, request.headers, fields)
 
     def _with_class(self, chain: PluginChain, context: RequestContext, verdict: Answer) -> RequestContext:
-        """Changes the class, and with it table and deadline, but never makes a request repeatable."""
+        """Changes the class, and with it table and deadline, but never makes a request idempotent."""
         if verdict.request_class is None:
             return context
         other = self._classes.get(verdict.request_class)
         if other is None:
             chain.record_clipped()
             return context
-        if not context.request_class.is_repeatable:
+        if not context.request_class.is_idempotent:
             other = replace(other, idempotency=context.request_class.idempotency)
         return replace(context, request_class=other)
 
--- a/cottonladder/forwarder/request_body.py
+++ b/cottonladder/forwarder/request_body.py
@@ -31,7 +31,7 @@
     """The body of a request without one, and the base of the other kinds of body."""
 
     @property
-    def is_repeatable(self) -> bool:
+    def can_resend(self) -> bool:
         """Whether another attempt can send the same bytes."""
         return True
 
@@ -65,7 +65,7 @@
         self._is_too_large = False
 
     @property
-    def is_repeatable(self) -> bool:
+    def can_resend(self) -> bool:
         """Whether nothing has been read from the client yet."""
         return not self._is_started
 
--- a/cottonladder/forwarder/request_classes.py
+++ b/cottonladder/forwarder/request_classes.py
@@ -1,4 +1,4 @@
-"""Request classes: which class a request belongs to, and whether it may be repeated.
+"""Request classes: which class a request belongs to, and whether it is idempotent.
 
 Pure: no clock, no I/O.
 """
@@ -38,15 +38,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests; `timeout_s` is its clients' deadline, 0 if none is stated."""
+    """A class of requests.
+
+    `deadline_s` is the time from a request's arrival to the clients' deadline; 0 if none is stated.
+    """
 
     name: str
     rules: tuple[MatchRule, ...] = ()
     idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
-    timeout_s: float = 0.0
+    deadline_s: float = 0.0
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request that may have run already may be sent again."""
         return self.idempotency is not Idempotency.NOT_IDEMPOTENT
 
--- a/cottonladder/forwarder/request_services.py
+++ b/cottonladder/forwarder/request_services.py
@@ -12,6 +12,8 @@
 from .load_recorder import LoadRecorder
 from .router import Router
 
+FIRST_SERVER_ERROR_STATUS = 500  # statuses from here on count as a failure of the worker
+
 
 class RequestServices:
     """The routing state, the limits, the workers' addresses, and the record of attempts.
--- a/cottonladder/forwarder/response_relay.py
+++ b/cottonladder/forwarder/response_relay.py
@@ -9,12 +9,11 @@
 
 from ..protocol.fault_log import RateLimitedFaultLog
 from .request_context import RequestContext
-from .request_services import RequestServices
+from .request_services import FIRST_SERVER_ERROR_STATUS, RequestServices
 from .resource_limits import STALL_TIMEOUT_S
 from .worker_connections import forwarded_headers
 
 STATUSES_WITHOUT_BODY = (204, 304)
-FIRST_SERVER_ERROR_STATUS = 500  # statuses from here on count as a failure of the worker
 
 
 class ResponseRelay:
--- a/cottonladder/forwarder/responses.py
+++ b/cottonladder/forwarder/responses.py
@@ -29,7 +29,7 @@
         If the answer has a Retry-After header, its value is at least `delay_s`, up to `MAX_RETRY_AFTER_S`.
         """
         text = answer.text + "\n"
-        if not answer.may_come_again:
+        if not answer.has_retry_after:
             return web.Response(status=answer.status, text=text)
         headers = {"Retry-After": str(retry_after(delay_s, self._rng.random()))}
         response = web.Response(status=answer.status, text=text, headers=headers)
@@ -39,7 +39,7 @@
             response.force_close()  # otherwise the client's next request could meet the closing connection
         return response
 
-    def upgrade_refused(self, status: int, retry_after_header: str) -> web.Response:
+    def upgrade_rejected(self, status: int, retry_after_header: str) -> web.Response:
         """Builds the response to a handshake that a worker has answered without accepting it."""
         headers = {"Retry-After": retry_after_header} if retry_after_header else {}
         return web.Response(status=status, headers=headers, text="the worker didn't agree\n")
--- a/cottonladder/forwarder/retries.py
+++ b/cottonladder/forwarder/retries.py
@@ -23,7 +23,7 @@
     only_if_not_processed: bool
 
 
-# The rule by policy and by whether the request is repeatable.
+# The rule by policy and by whether the request is idempotent.
 RETRY_RULES: dict[tuple[RetryPolicy, bool], RetryRule] = {
     (RetryPolicy.NEVER, True): RetryRule(max_retries=0, only_if_not_processed=True),
     (RetryPolicy.NEVER, False): RetryRule(max_retries=0, only_if_not_processed=True),
@@ -42,7 +42,7 @@
     `may_have_run` tells that a worker may have processed an earlier attempt.  Such a request is sent again
     only if its class is idempotent, whatever managers have ordered.
     """
-    rule = RETRY_RULES[policy, request_class.is_repeatable]
+    rule = RETRY_RULES[policy, request_class.is_idempotent]
     if may_have_run and rule.only_if_not_processed:
         return False
     return attempts <= rule.max_retries
--- a/cottonladder/forwarder/upgrade_requests.py
+++ b/cottonladder/forwarder/upgrade_requests.py
@@ -13,7 +13,7 @@
 from .final_answers import NO_SLOT, NO_WORKER_ANSWERED, FinalAnswer, failure_answer
 from .handshake_reply import SWITCHING_PROTOCOLS
 from .request_context import RequestContext
-from .request_services import RequestServices
+from .request_services import FIRST_SERVER_ERROR_STATUS, RequestServices
 from .responses import DEFAULT_RETRY_DELAY_S, NO_SLOT_RETRY_DELAY_S, ResponseBuilder
 from .retries import FailedAttempts, should_retry
 from .tunnel import Tunnel, TunnelOptions
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Handshake:
+class HandshakeOffer:
     """A handshake as it is offered to workers; `deadline` is on the loop's clock."""
 
     head: bytes
@@ -59,8 +59,8 @@
             return self._responses.build(rejected.answer)
         request_class = context.request_class
         policy = self._policies[request_class.name]
-        timeout_s = request_class.timeout_s or self._services.limits.first_byte_timeout_s
-        offer = Handshake(handshake_head(context, policy), policy, self._services.now() + timeout_s)
+        timeout_s = request_class.deadline_s or self._services.limits.first_byte_timeout_s
+        offer = HandshakeOffer(handshake_head(context, policy), policy, self._services.now() + timeout_s)
         failed = FailedAttempts()
         for _ in range(MAX_HANDSHAKE_ATTEMPTS):
             selection = self._tunnels.slots.select(request_class.name, failed.workers, context.preferred)
@@ -100,19 +100,21 @@
         return self._responses.build(answer, delay_s)
 
     def _answered(
-        self, context: RequestContext, worker_end: WorkerEnd, offer: Handshake, started_at: float
+        self, context: RequestContext, worker_end: WorkerEnd, offer: HandshakeOffer, started_at: float
     ) -> web.StreamResponse:
         """Opens a tunnel if the worker has answered 101, and otherwise passes the worker's status on."""
         reply = worker_end.reply
         assert reply is not None
-        self._services.record_attempt(worker_end.worker_id, reply.status < 500, started_at)
+        self._services.record_attempt(
+            worker_end.worker_id, reply.status < FIRST_SERVER_ERROR_STATUS, started_at
+        )
         if reply.status != SWITCHING_PROTOCOLS:
             worker_end.abort()
-            return self._responses.upgrade_refused(reply.status, reply.header("Retry-After"))
+            return self._responses.upgrade_rejected(reply.status, reply.header("Retry-After"))
         return self._open_tunnel(context, worker_end, offer)
 
     def _open_tunnel(
-        self, context: RequestContext, worker_end: WorkerEnd, offer: Handshake
+        self, context: RequestContext, worker_end: WorkerEnd, offer: HandshakeOffer
     ) -> web.StreamResponse:
         """Detaches the client's connection from the listener and joins it to the worker's."""
         assert worker_end.reply is not None
