--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -21,9 +21,9 @@
 
 SWEEP_INTERVAL_S = 0.5  # between two searches for connections without a request head
 STOP_TIMEOUT_S = 5.0  # for plain requests in flight at the stop
-SHUTDOWN_MARGIN_S = 1.0  # more for aiohttp to end them
+SHUTDOWN_MARGIN_S = 1.0  # added to STOP_TIMEOUT_S, in which aiohttp closes the connections
 LINGERING_TIME_S = 0.5  # for reading the rest of a body that is not needed
-MAX_PENDING_CONNECTIONS = 1024  # that the operating system keeps until they are accepted
+MAX_PENDING_CONNECTIONS = 1024  # the operating system's queue of connections to accept
 CONNECTION_LIMIT_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -32,9 +32,9 @@
 from .worker_list import WorkerList, Zones
 from .worker_removal import WorkerRemoval
 
-MAX_STOP_TIME_S = 10.0  # for connections to end at the stop, or the grace period if that is shorter
-STOP_CLOSE_FRACTION = 0.8  # of the stop time, over which connections are closed evenly
-STOP_BUSY_TIME_S = 2.0  # more for the connections that were closed last
+MAX_STOP_TIME_S = 10.0  # limit of the stop time, which is otherwise the grace period
+STOP_CLOSE_FRACTION = 0.8  # part of the stop time over which the closes are spread evenly
+STOP_BUSY_TIME_S = 2.0  # added to that part, for the connections closed last
 
 
 class Forwarder:
--- a/cottonladder/forwarder/load_recorder.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -7,7 +7,7 @@
 from ..protocol import resp
 
 REPORT_INTERVAL_S = 1.0  # between two reports, shorter than the managers' interval between solutions
-MIN_INTERVAL_MS = 1.0  # that a report states as its own length
+MIN_INTERVAL_MS = 1.0  # shortest interval that a report states
 
 
 @dataclass(slots=True)
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -25,12 +25,12 @@
 MIN_RECONNECT_DELAY_S = 0.1  # after a stream that brought orders; it doubles with each one that did not
 MAX_RECONNECT_DELAY_S = 2.0  # the backoff's longest delay
 MIN_DELAY_FACTOR = 0.5  # lower end of the random factor on a delay, whose upper end is 1
-PING_INTERVAL_S = 1.0  # without a message, after which the forwarder sends a PING
-# Without a message, after which the forwarder leaves the manager.  TCP keep-alive would notice a machine that
-# was cut off much later.
+PING_INTERVAL_S = 1.0  # time without a message after which a PING is sent
+# Time without a message after which the forwarder leaves the manager.  TCP keep-alive would notice much later
+# that a machine is cut off.
 SILENCE_TIMEOUT_S = 3.0
-MAX_READ_BYTES = 65_536  # in one read
-MAX_UNREAD_BYTES = 131_072  # that a manager may leave unread
+MAX_READ_BYTES = 65_536  # read at a time
+MAX_UNREAD_BYTES = 131_072  # most bytes that wait for the manager to read them
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,7 +140,8 @@
         is_ping_sent = False
         while True:
             try:
-                # Not `wait_for`: it drops a cancellation that comes in the same turn as data.
+                # Not `wait_for`: it drops a cancellation that comes in the same iteration of the event loop
+                # as data.
                 async with asyncio.timeout(PING_INTERVAL_S):
                     data = await reader.read(MAX_READ_BYTES)
             except TimeoutError:
--- a/cottonladder/forwarder/order_handling.py
+++ b/cottonladder/forwarder/order_handling.py
@@ -15,7 +15,7 @@
 from .routing_orders import ReceivedConfigPart
 
 MAX_PARTS = 64  # of one message, by the protocol
-LIST_TIMEOUT_S = 2.0  # that an order for an unknown worker waits for the endpoint list
+LIST_TIMEOUT_S = 2.0  # longest wait of an order for an unknown worker until the endpoint list arrives
 LIST_CHECK_INTERVAL_S = 0.1  # between two checks whether the list has arrived
 MAX_NAME_IN_ERROR_BYTES = 32  # of the name of an unknown message
 IGNORED_MESSAGES = (b"PONG", b"NACK")
--- a/cottonladder/forwarder/router.py
+++ b/cottonladder/forwarder/router.py
@@ -17,11 +17,11 @@
 from .routing_orders import ReceivedConfigPart
 from .token_bucket import TokenBucket
 
-MAX_CONSECUTIVE_FAILURES = 3  # attempts at a worker, after which the worker is avoided
-AVOIDANCE_TIME_S = 4.0  # that a worker is avoided on average
+MAX_CONSECUTIVE_FAILURES = 3  # failed attempts in a row after which a worker is avoided
+AVOIDANCE_TIME_S = 4.0  # mean time for which a worker is avoided
 MIN_AVOIDANCE_FACTOR = 0.75  # of AVOIDANCE_TIME_S; jitter keeps forwarders from returning all at once
 AVOIDANCE_JITTER_FACTOR = 0.5  # of AVOIDANCE_TIME_S, the largest random addition to the minimum
-MAX_RESTORED_AVOIDANCE_S = 2.0 * AVOIDANCE_TIME_S  # that a snapshot may keep a worker avoided
+MAX_RESTORED_AVOIDANCE_S = 2.0 * AVOIDANCE_TIME_S  # longest avoidance that is restored from a snapshot
 DEFAULT_TABLE_WORKERS = 5  # of the own zone if it has any; they are used until there is a table
 
 
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -1,4 +1,4 @@
-"""One upgraded connection: relays bytes between a client and a worker, and is migrated or closed in order.
+"""One upgraded connection: relays bytes between a client and a worker, and is migrated or closed gracefully.
 
 The `Tunnel` owns both transports and closes them at its end; a migration closes the worker connection that it
 replaces.  Migration and close are steps of their own (`tunnel_migration`, `tunnel_close`) that act on the
@@ -23,8 +23,8 @@
 from .tunnel_states import TRANSITIONS, TunnelEvent, TunnelState
 from .upgrade_policy import UpgradePolicy
 
-CLOSE_TIMEOUT_S = 2.0  # for the client to answer a close and the worker to end, before both are cut
-FAULT_LINGER_S = 0.2  # more for a client to read the reason of a close that its own fault caused
+CLOSE_TIMEOUT_S = 2.0  # for the client to answer a close and the worker to end, before both are aborted
+FAULT_LINGER_S = 0.2  # added to CLOSE_TIMEOUT_S, so that a client can read why it was closed
 STALLED = "left bytes unread"  # the reason of an end after which nothing more can be delivered
 
 
@@ -273,7 +273,10 @@
         self._observer.tunnel_stayed(self, order, reason)
 
     def close(self, order: int, code: int, message: str, reason: str, timeout_s: float) -> None:
-        """Closes the tunnel in order within `timeout_s`; see `TunnelClose.start` for the other arguments."""
+        """Closes the tunnel gracefully, at the latest after `timeout_s`.
+
+        `order` is the manager's order that is carried out; `TunnelClose.start` explains the rest.
+        """
         if self.is_closing:
             return
         self.order = order
--- a/cottonladder/forwarder/tunnel_close.py
+++ b/cottonladder/forwarder/tunnel_close.py
@@ -1,4 +1,4 @@
-"""Closes one tunnel in order: sends close frames on WebSocket connections, then waits a bounded time."""
+"""Closes one tunnel gracefully: sends close frames on WebSocket connections, then waits a bounded time."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
             tunnel.worker_end.write(encode_close_frame(self._code, "", True))
 
     def data_from_client(self, data: bytes) -> None:
-        """Ends the tunnel once the client has answered the close."""
+        """Drops the data; ends the tunnel once the client has sent a close frame."""
         frames = self._tunnel.frames
         if frames is None or not self._code:
             return
--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -1,4 +1,4 @@
-"""Owns every tunnel of one forwarder: counts them by worker, carries out drains, and closes them in order."""
+"""Owns every tunnel of a forwarder: counts them by worker, carries out drains, and closes them gracefully."""
 
 from __future__ import annotations
 
--- a/cottonladder/forwarder/tunnel_migration.py
+++ b/cottonladder/forwarder/tunnel_migration.py
@@ -21,6 +21,7 @@
 
 HANDOVER_TIMEOUT_S = 1.0  # for the old worker's last frames once the new worker has accepted
 MAX_KEPT_HEAD_BYTES = 8192  # of a handshake that is kept in order to repeat it at another worker
+CRLF = b"\r\n"
 
 # Reasons for a tunnel to stay at its worker, as they appear in the log.
 RESUMPTION_REJECTED = "not taken over"
@@ -102,8 +103,9 @@
         tunnel.enter(TunnelEvent.MIGRATION_STARTED)
         tunnel.order = order
         tunnel.client_end.pause_reading()
-        ticket_line = f"{tunnel.policy.ticket_header}: {self._ticket}\r\n\r\n"
-        head = self._handshake_head[:-2] + ticket_line.encode("latin-1")
+        ticket_line = f"{tunnel.policy.ticket_header}: {self._ticket}".encode("latin-1")
+        # The ticket goes before the empty line that ends the head.
+        head = self._handshake_head.removesuffix(CRLF) + ticket_line + CRLF + CRLF
         connect(head).add_done_callback(self._on_connected)
 
     def _on_connected(self, task: asyncio.Future[WorkerEnd]) -> None:
@@ -135,6 +137,8 @@
         policy = self._tunnel.policy
         if not new_end.reply.header(policy.ticket_header):
             return RESUMPTION_REJECTED
+        # The quiet time counts as passed, as the client is not read: only an incomplete request or message
+        # is a reason to stay.
         if self._tunnel.is_busy(self._tunnel.active_at + policy.quiet_time_s):
             return BUSY_AGAIN
         return ""
--- a/cottonladder/forwarder/tunnel_states.py
+++ b/cottonladder/forwarder/tunnel_states.py
@@ -11,7 +11,7 @@
     OPEN = "open"  # bytes are relayed in both directions
     CONNECTING = "connecting"  # a handshake with another worker is under way; the client is not read
     HANDING_OVER = "handing over"  # the new worker has accepted; the old one sends its last frames
-    CLOSING = "closing"  # both peers have been sent a close and have a bounded time to end
+    CLOSING = "closing"  # a close has begun, and the peers have a bounded time to end
     CLOSED = "closed"  # both transports are closed
 
 
--- a/cottonladder/forwarder/worker_connections.py
+++ b/cottonladder/forwarder/worker_connections.py
@@ -14,7 +14,7 @@
 from .errors import WorkerError
 from .resource_limits import RELAY_BUFFER_BYTES
 
-KEEPALIVE_TIMEOUT_S = 15.0  # that a pooled connection is kept without a request
+KEEPALIVE_TIMEOUT_S = 15.0  # time for which an idle pooled connection is kept
 
 # Headers that concern a connection and not the request (RFC 9110, section 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
