--- a/cottonladder/forwarder/errors.py
+++ b/cottonladder/forwarder/errors.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
+from ..protocol.message_fields import MAX_SHOWN_LENGTH
 from .final_answers import FinalAnswer
 
-MAX_NAME_IN_ERROR_CHARACTERS = 32  # of a name that a manager has sent
-
 
 class ForwarderError(Exception):
     """Base class of every error that the forwarder itself raises."""
@@ -19,7 +18,7 @@
     """An order for a request class that the operators' file does not name."""
 
     def __init__(self, class_name: str) -> None:
-        super().__init__(f"CONFIG: unknown class {class_name[:MAX_NAME_IN_ERROR_CHARACTERS]!r}")
+        super().__init__(f"CONFIG: unknown class {class_name[:MAX_SHOWN_LENGTH]!r}")
         self.class_name = class_name
 
 
@@ -27,7 +26,7 @@
     """An order for a worker that discovery has never listed."""
 
     def __init__(self, message_type: str, worker_id: str) -> None:
-        shown = worker_id[:MAX_NAME_IN_ERROR_CHARACTERS]
+        shown = worker_id[:MAX_SHOWN_LENGTH]
         super().__init__(f"{message_type}: worker {shown!r} was never listed")
         self.message_type = message_type
         self.worker_id = worker_id
--- a/cottonladder/forwarder/load_recorder.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass, field
 
+from ..config.fields import MS_PER_S
 from ..protocol import resp
 
 REPORT_INTERVAL_S = 1.0  # between two reports, shorter than the managers' interval between solutions
@@ -21,7 +22,7 @@
     @property
     def mean_duration_ms(self) -> float:
         """The mean duration of the attempts that succeeded."""
-        return self.duration_s * 1000.0 / max(1, self.attempts - self.failures)
+        return self.duration_s * MS_PER_S / max(1, self.attempts - self.failures)
 
 
 @dataclass(slots=True)
@@ -69,7 +70,7 @@
 
     def report(self, now: float) -> LoadReports:
         """Returns the messages for what was counted, and resets the counts."""
-        interval_ms = max(MIN_INTERVAL_MS, (now - self.started_at) * 1000.0)
+        interval_ms = max(MIN_INTERVAL_MS, (now - self.started_at) * MS_PER_S)
         loads = [self._encode_load(worker, counts, interval_ms) for worker, counts in self._by_worker.items()]
         rates = [self._encode_rate(name, counts, interval_ms) for name, counts in self._by_class.items()]
         self._by_worker = {}
--- a/cottonladder/forwarder/order_handling.py
+++ b/cottonladder/forwarder/order_handling.py
@@ -8,8 +8,10 @@
 from typing import Protocol
 
 from ..config.errors import InputError
+from ..config.fields import MS_PER_S
 from ..protocol import resp
 from ..protocol import upgrade_extension as upgrades
+from ..protocol.message_fields import printable
 from .config_parts import read_part
 from .errors import OrderRejectedError
 from .routing_orders import ReceivedConfigPart
@@ -17,7 +19,6 @@
 MAX_PARTS = 64  # of one message, by the protocol
 LIST_TIMEOUT_S = 2.0  # longest wait of an order for an unknown worker until the endpoint list arrives
 LIST_CHECK_INTERVAL_S = 0.1  # between two checks whether the list has arrived
-MAX_NAME_IN_ERROR_BYTES = 32  # of the name of an unknown message
 IGNORED_MESSAGES = (b"PONG", b"NACK")
 
 
@@ -74,8 +75,7 @@
         elif self._uses_extension and name in upgrades.TO_FORWARDER:
             self._handle_extension(fields)
         else:
-            shown = name[:MAX_NAME_IN_ERROR_BYTES].decode("ascii", "replace") or "message"
-            raise InputError(f"{shown}: unknown kind of order")
+            raise InputError(f"{printable(name) or 'message'}: unknown kind of order")
 
     async def _handle_config(self, fields: list[bytes]) -> None:
         """Collects the parts of a message and carries them out together."""
@@ -111,7 +111,7 @@
 
     def _apply(self, parts: list[ReceivedConfigPart], received_at: float) -> None:
         for checkpoint in self._orders.apply(parts):
-            duration_ms = (time.monotonic() - received_at) * 1000.0
+            duration_ms = (time.monotonic() - received_at) * MS_PER_S
             text = f"ACK node {self._node} nonce {checkpoint} latency {duration_ms:.3f}"
             self._write(resp.encode(text.encode().split()))
         self.has_orders = True
--- a/cottonladder/forwarder/plugin_verdicts.py
+++ b/cottonladder/forwarder/plugin_verdicts.py
@@ -20,10 +20,10 @@
     from ..plugins.abi import Answer
     from ..plugins.chain import PluginChain
 
-
+# The hooks' names as in `plugins.abi`, which is imported only if plug-ins are configured.
 ROUTE_HOOK = "route"
 UPGRADE_HOOK = "upgrade"
-RETRY_HOOK = "further"  # the hook's name in the plug-in interface
+RETRY_HOOK = "further"
 
 
 class PluginVerdicts:
@@ -46,6 +46,8 @@
         """The request with the changes of the plug-ins.  Raises RequestRejectedError."""
         if self.chain is None:
             return context
+        # Plug-ins see every request with `Upgrade` at this hook, even one without `Connection: upgrade`,
+        # which is forwarded as a plain request.
         hook = UPGRADE_HOOK if "Upgrade" in context.request.headers else ROUTE_HOOK
         if not self.chain.has_hook(hook):
             return context
