--- a/cottonladder/forwarder/connection_registry.py
+++ b/cottonladder/forwarder/connection_registry.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import Generic, Protocol, TypeVar
 
@@ -113,21 +112,24 @@
         """Forgets what has been reported, as another manager receives the reports from now on."""
         self._reported.clear()
 
-    def reports(self, now: float, is_full: bool) -> Iterator[ConnectionCountReport]:
+    def take_reports(self, now: float, is_full: bool) -> list[ConnectionCountReport]:
         """A full report, or what has changed since the last report, in parts of bounded size.
 
-        A worker that has lost its last connection is reported with zeros.
+        A worker that has lost its last connection is reported with zeros.  The counts taken are those that
+        the next call compares with.
         """
         counts = self.counts(now)
         changed = counts if is_full else self._changed(counts)
         self._reported = counts
         workers = list(changed)
         if is_full and not workers:
-            yield ConnectionCountReport(True, {})
+            return [ConnectionCountReport(True, {})]
+        reports: list[ConnectionCountReport] = []
         for start in range(0, len(workers), MAX_WORKERS_PER_MESSAGE):
             part = workers[start : start + MAX_WORKERS_PER_MESSAGE]
             part_counts = {worker_id: changed[worker_id] for worker_id in part}
-            yield ConnectionCountReport(is_full and start == 0, part_counts)
+            reports.append(ConnectionCountReport(is_full and start == 0, part_counts))
+        return reports
 
     def _changed(self, counts: dict[str, ConnectionCounts]) -> dict[str, ConnectionCounts]:
         """The counts that differ from those reported last."""
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -100,15 +100,20 @@
         self.handler.listener.stop_listening()
         tunnels = self.handler.tunnels
         ends_at = self.loop.time() + min(MAX_STOP_TIME_S, self.drainer.grace_s) * STOP_CLOSE_FRACTION
-        while tunnels.registry.total() or self.handler.in_flight:
-            if not tunnels.registry.total() and self.loop.time() > ends_at:
-                return  # the handler's close answers the requests that are still in flight
+        while not self._is_drained(ends_at):
             time_left_s = max(TICK_INTERVAL_S, ends_at - self.loop.time())
             open_count = tunnels.close_fraction(min(1.0, TICK_INTERVAL_S / time_left_s))
             if not open_count and self.loop.time() > ends_at + STOP_BUSY_TIME_S:
                 return
             await asyncio.sleep(TICK_INTERVAL_S)
 
+    def _is_drained(self, ends_at: float) -> bool:
+        """Whether every tunnel has ended, and every request in flight too unless `ends_at` has passed."""
+        if self.handler.tunnels.registry.total():
+            return False
+        # The handler's close answers the requests that are still in flight after `ends_at`.
+        return not self.handler.in_flight or self.loop.time() > ends_at
+
 
 def _worker_list(config: ForwarderConfig, router: Router, rng: random.Random) -> WorkerList:
     zones = Zones(config.zones)
--- a/cottonladder/forwarder/periodic_work.py
+++ b/cottonladder/forwarder/periodic_work.py
@@ -52,14 +52,14 @@
             self._reports.report_connections(now, is_full=False)
         if now >= self._load_report_due_at:
             self._load_report_due_at = now + REPORT_INTERVAL_S
-            self._report_load(now)
+            self._report_and_log(now)
 
     def _report_migrations(self) -> None:
         for result in self._drainer.results:
             self._reports.report_migration(result)
         self._drainer.results.clear()
 
-    def _report_load(self, now: float) -> None:
+    def _report_and_log(self, now: float) -> None:
         """Reports the load to managers, and logs what has ended since the last report."""
         self._reports.report_load(now)
         self._handler.tunnels.log_ended_connections()
--- a/cottonladder/forwarder/request_body.py
+++ b/cottonladder/forwarder/request_body.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from abc import ABC, abstractmethod
 from collections.abc import AsyncIterator
 
 from aiohttp import web
@@ -27,8 +28,8 @@
         yield piece
 
 
-class RequestBody:
-    """The body of a request without one, and the base of the other kinds of body."""
+class RequestBody(ABC):
+    """The body of a request; by default it can be sent again and is within the limit."""
 
     @property
     def can_resend(self) -> bool:
@@ -40,9 +41,16 @@
         """Whether the body has proved to be over the limit while it was sent."""
         return False
 
+    @abstractmethod
     def data(self) -> bytes | AsyncIterator[bytes] | None:
         """The bytes to send with one attempt; None if the request has no body."""
-        return None
+
+
+class EmptyBody(RequestBody):
+    """The body of a request without one."""
+
+    def data(self) -> None:
+        """None, as there is nothing to send."""
 
 
 class BufferedBody(RequestBody):
@@ -91,7 +99,7 @@
     Raises the same errors as `body_pieces`.
     """
     if not request.body_exists:
-        return RequestBody()
+        return EmptyBody()
     length = request.content_length
     pieces = body_pieces(request, max_bytes)
     if length is not None and length <= MAX_BUFFERED_BODY_BYTES:
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -23,7 +23,7 @@
 from .tunnel_states import TRANSITIONS, TunnelEvent, TunnelState
 from .upgrade_policy import UpgradePolicy
 
-CLOSE_TIMEOUT_S = 2.0  # for the client to answer a close and the worker to end, before both are aborted
+CLOSE_TIMEOUT_S = 2.0  # for the client to answer a close and the worker to end, before both are closed
 FAULT_LINGER_S = 0.2  # added to CLOSE_TIMEOUT_S, so that a client can read why it was closed
 STALLED = "left bytes unread"  # the reason of an end after which nothing more can be delivered
 
--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -83,6 +83,14 @@
 
     def update(self, update: EndpointList, now: float) -> None:
         """Takes over a complete list or a change of it, whose workers are registered."""
+        self._apply(update, now)
+        ready = [index for index, worker in self._workers.items() if worker.state == EndpointState.READY]
+        if ready:
+            self._restore()
+        self._use_default_table(ready)
+
+    def _apply(self, update: EndpointList, now: float) -> None:
+        """Sets the states of the listed workers, and of those that a complete list no longer names."""
         if update.kind == ListUpdateKind.FULL:
             named = {endpoint.worker_index for endpoint in update.endpoints}
             for worker_index in self._workers.keys() - named:
@@ -93,11 +101,11 @@
             )
             worker.zone = endpoint.zone
             self._set_state(endpoint.worker_index, endpoint.state, now)
-        ready = [index for index, worker in self._workers.items() if worker.state == EndpointState.READY]
+
+    def _use_default_table(self, ready: list[int]) -> None:
+        """Gives the router ready workers in random order, those of the own zone if there are any."""
         nearby = [index for index in ready if self._workers[index].zone == self._home_zone] or ready
         self._rng.shuffle(nearby)
-        if ready:
-            self._restore()
         self._router.use_default_table(self._worker_id(index) for index in nearby)
 
     def _worker_id(self, worker_index: int) -> str:
--- a/tests/forwarder/test_connection_registry.py
+++ b/tests/forwarder/test_connection_registry.py
@@ -31,20 +31,20 @@
         registry.add("s-1", plain)
         registry.add("s-1", resumable)
         full_report = ConnectionCountReport(True, {"s-1": ConnectionCounts(2, 0, 1)})
-        self.assertEqual(list(registry.reports(0.0, True)), [full_report])
-        self.assertEqual(list(registry.reports(0.0, False)), [])
+        self.assertEqual(registry.take_reports(0.0, True), [full_report])
+        self.assertEqual(registry.take_reports(0.0, False), [])
         plain.busy = True
         registry.move("s-1", "s-2", resumable)
         changes = {"s-1": ConnectionCounts(1, 1, 0), "s-2": ConnectionCounts(1, 0, 1)}
-        self.assertEqual(list(registry.reports(0.0, False)), [ConnectionCountReport(False, changes)])
+        self.assertEqual(registry.take_reports(0.0, False), [ConnectionCountReport(False, changes)])
         self.assertEqual(registry.idle_connections("s-1", 0.0), [])
         self.assertEqual(registry.count("s-1"), 1)
         registry.remove("s-1", plain)
         emptied = {"s-1": ConnectionCounts(0, 0, 0)}
-        self.assertEqual(list(registry.reports(0.0, False)), [ConnectionCountReport(False, emptied)])
+        self.assertEqual(registry.take_reports(0.0, False), [ConnectionCountReport(False, emptied)])
         registry.remove("s-2", resumable)
         registry.reset_reported()
-        self.assertEqual(list(registry.reports(0.0, True)), [ConnectionCountReport(True, {})])
+        self.assertEqual(registry.take_reports(0.0, True), [ConnectionCountReport(True, {})])
 
     def test_only_steady_connections_that_are_not_busy_are_idle(self) -> None:
         registry: ConnectionRegistry[StandInConnection] = ConnectionRegistry()
