--- a/tests/forwarder/test_connection_drainer.py
+++ b/tests/forwarder/test_connection_drainer.py
@@ -1,4 +1,4 @@
-"""When connections at a worker that is leaving are migrated, closed or cut."""
+"""When connections at a worker that is leaving are migrated or closed."""
 
 from __future__ import annotations
 
