--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -33,21 +33,18 @@
 
 @dataclass(frozen=True, slots=True)
 class UnusableFile:
-    """Something in the folder that is no valid snapshot, and what the log says of it."""
+    """Something that is no valid snapshot, made at a path, and what the log says of it after its name."""
 
     create: Callable[[Path], object]
-    logged: str
+    reason: str
 
 
 UNUSABLE_FILES = (
-    UnusableFile(lambda folder: folder.mkdir(), "snapshot_missing"),
-    UnusableFile(lambda folder: (folder / "state-3.clm").write_bytes(b"what"), "state-3.clm: cut short"),
-    UnusableFile(lambda folder: (folder / "state-9.clm").mkdir(), "state-9.clm"),
+    UnusableFile(lambda path: path.write_bytes(b"what"), "cut short"),
+    UnusableFile(lambda path: path.mkdir(), "Is a directory"),
     UnusableFile(
-        lambda folder: (folder / "state-12.clm").write_bytes(
-            file_format.encode_file(SECTIONS, written_at=1.0, format_version=9)
-        ),
-        "newer format",
+        lambda path: path.write_bytes(file_format.encode_file(SECTIONS, written_at=1.0, format_version=9)),
+        "of a newer format",
     ),
 )
 
@@ -101,6 +98,12 @@
         except SnapshotError:
             return 0  # the folder does not exist yet
 
+    def create_as_newest(self, unusable: UnusableFile) -> str:
+        """Creates it as the newest snapshot, which the next start reads first; returns its name."""
+        path = self.manager_folder / f"state-{self.newest_generation() + 1}.clm"
+        unusable.create(path)
+        return path.name
+
     async def wait_for_generation(self, number: int) -> None:
         await self.wait_until(lambda: self.newest_generation() >= number)
 
@@ -134,16 +137,23 @@
         self.assertIn("s-0", table)
 
     async def test_unusable_files_never_prevent_a_start(self) -> None:
+        self.manager_folder.mkdir()
+        await self.check_start("snapshot_missing")
         for unusable in UNUSABLE_FILES:
-            unusable.create(self.manager_folder)
-            manager = await self.start_manager()
-            await manager.logged("event=snapshot_", unusable.logged)
-            self.assertIn("s-0", await self.read_table(manager))
-            self.assertEqual(await manager.stop(), 0)
+            name = self.create_as_newest(unusable)
+            await self.check_start(f"{name}: {unusable.reason}")
+
+    async def check_start(self, logged: str) -> None:
+        """Starts a manager, which logs this of its folder, serves its table, and stops with status 0."""
+        manager = await self.start_manager()
+        await manager.logged("event=snapshot_", logged)
+        self.assertIn("s-0", await self.read_table(manager))
+        self.assertEqual(await manager.stop(), 0)
 
     async def test_a_folder_owned_by_another_process_never_prevents_a_start(self) -> None:
+        self.manager_folder.mkdir()
         for unusable in UNUSABLE_FILES:
-            unusable.create(self.manager_folder)
+            self.create_as_newest(unusable)
         owner = SnapshotStore(str(self.manager_folder))
         owner.open()
         self.addCleanup(owner.close)
