--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -12,7 +12,7 @@
 import unittest
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Any, cast
+from typing import cast
 from unittest import mock
 
 from aiohttp import web
@@ -27,7 +27,9 @@
 )
 from cottonladder.protocol import discovery, discovery_http
 from cottonladder.state.worker_registry import WorkerRegistry
+from tests.support.control_loop_doubles import SteppedClock
 from tests.support.http_server import Handler, start_http_server
+from tests.support.json_object import JsonObject
 from tests.support.manager_program import SETTINGS
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.scripted_discovery import ScriptedDiscovery, endpoint_entry, endpoint_list
@@ -39,18 +41,21 @@
 DRAINING = endpoint_entry("s-1", "Terminating")
 CHUNK_INTERVAL_S = 0.01  # between chunks of an answer that is sent in pieces
 SHORT_LINE_TIMEOUT_S = 0.1  # in place of 5 s
-SHORT_SILENCE_TIMEOUT_S = 0.2  # in place of 3 s
+SHORT_SILENCE_TIMEOUT_S = 0.2  # in place of 3 s, where a call is never answered
+SHORT_WATCH_SILENCE_S = 1.0  # in place of 3 s; the first line of a watch must come within it
 SHORT_MAX_LIST_SIZE = 900  # bytes, in place of 8 MiB
-LINE_COUNT = 30  # whose chunks take several times `SHORT_LINE_TIMEOUT_S`
+LINE_COUNT = 30  # of which each takes `LINE_DURATION_S`
+LINE_DURATION_S = 0.9 * discovery_http.LINE_TIMEOUT_S
 CHUNK_OVERLAP = 20  # bytes by which a chunk's end stands before its line's
 ACCEPT_QUEUE_FILLERS = 8  # connections that fill a queue of length 0
 
 
-def json_line(body: dict[str, Any]) -> bytes:
+def encode_line(body: JsonObject) -> bytes:
+    """One line of a watch."""
     return json.dumps(body).encode() + b"\n"
 
 
-def respond_after(event: asyncio.Event, body: dict[str, Any]) -> Handler:
+def answer_after(event: asyncio.Event, body: JsonObject) -> Handler:
     """Sends the head of the answer at once, and the body after the event."""
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
@@ -63,10 +68,11 @@
     return handle
 
 
-def respond(body: dict[str, Any]) -> Handler:
+def answer_at_once(body: JsonObject) -> Handler:
+    """Sends the whole answer at once."""
     already_set = asyncio.Event()
     already_set.set()
-    return respond_after(already_set, body)
+    return answer_after(already_set, body)
 
 
 def stream_lines(lines: Sequence[bytes]) -> Handler:
@@ -142,7 +148,7 @@
         """The answer is written before a drain and arrives after it; the worker must stay draining."""
         body_due = asyncio.Event()
         await self.start_watching()
-        self.service.script = [respond_after(body_due, endpoint_list(42, READY, full=True))]
+        self.service.script = [answer_after(body_due, endpoint_list(42, READY, full=True))]
         self.client.fetch()
         await in_time(self.service.calls.get())
         await in_time(self.service.calls.get())
@@ -156,7 +162,7 @@
 
     async def test_a_watch_line_older_than_a_fetch_answer_is_ignored(self) -> None:
         await self.start_watching()
-        self.service.script = [respond(endpoint_list(45, DRAINING, full=True))]
+        self.service.script = [answer_at_once(endpoint_list(45, DRAINING, full=True))]
         self.client.fetch()
         await self.expect_updates((ListUpdateKind.FULL, EndpointState.DRAINING))
         await self.service.send_updates(
@@ -172,11 +178,11 @@
             reply = web.StreamResponse()
             await reply.prepare(request)
             await line_due.wait()
-            await reply.write(json_line(endpoint_list(44, READY)))
+            await reply.write(encode_line(endpoint_list(44, READY)))
             await asyncio.Event().wait()
             return reply
 
-        self.service.script = [watch, respond(endpoint_list(45, DRAINING, full=True))]
+        self.service.script = [watch, answer_at_once(endpoint_list(45, DRAINING, full=True))]
         self.client.set_watching(True)
         await in_time(self.service.calls.get())
         self.client.fetch()
@@ -188,8 +194,8 @@
     async def test_one_lower_version_is_not_accepted_as_a_new_list(self) -> None:
         """A lower version fails the call; a list of the accepted version or a later one is accepted again."""
         self.service.script = [
-            respond(endpoint_list(40, READY, full=True)),
-            respond(endpoint_list(47, DRAINING, full=True)),
+            answer_at_once(endpoint_list(40, READY, full=True)),
+            answer_at_once(endpoint_list(47, DRAINING, full=True)),
         ]
         self.client.fetch()
         await self.expect_updates((ListUpdateKind.FAILED, None))
@@ -199,7 +205,7 @@
 
     async def test_a_lower_version_is_accepted_the_second_time(self) -> None:
         for kind, state in ((ListUpdateKind.FAILED, None), (ListUpdateKind.FULL, EndpointState.READY)):
-            self.service.script = [respond(endpoint_list(1, endpoint_entry("s-7"), full=True))]
+            self.service.script = [answer_at_once(endpoint_list(1, endpoint_entry("s-7"), full=True))]
             self.client.fetch()
             await self.expect_updates((kind, state))
         self.assertEqual(self.client.version, 1)
@@ -208,7 +214,9 @@
         """A line of the former address arrives between the two lower versions of the new one."""
         await self.start_watching()
         new = await self.start_discovery()
-        new.service.script = [respond(endpoint_list(12, endpoint_entry("s-7"), full=True)) for _ in range(2)]
+        new.service.script = [
+            answer_at_once(endpoint_list(12, endpoint_entry("s-7"), full=True)) for _ in range(2)
+        ]
         self.client.change_address(new.address)
         await self.expect_updates((ListUpdateKind.FAILED, None))
         await self.service.send_updates(endpoint_list(52, DRAINING))
@@ -234,26 +242,29 @@
             await self.expect_updates((ListUpdateKind.FAILED, None))
 
     async def test_lines_split_across_chunks_are_not_late(self) -> None:
-        """Each chunk ends one line and begins the next, for longer than one line may take."""
-        lines = [json_line(endpoint_list(42 + number, READY)) for number in range(LINE_COUNT)]
+        """Each chunk ends one line and begins the next; together they take far longer than one line may."""
+        lines = [encode_line(endpoint_list(42 + number, READY)) for number in range(LINE_COUNT)]
         stream = b"".join(lines)
         line_size = len(lines[0])
+        chunks: asyncio.Queue[bytes] = asyncio.Queue()
+        clock = SteppedClock(0.0)
+        stepped_asyncio = mock.Mock()
+        stepped_asyncio.get_running_loop.return_value.time = clock.now
 
         async def send_chunks(request: web.BaseRequest) -> web.StreamResponse:
             reply = web.StreamResponse()
             await reply.prepare(request)
-            for position in range(0, len(stream), line_size):
-                chunk_start = max(0, position - CHUNK_OVERLAP)
-                await reply.write(stream[chunk_start : position + line_size - CHUNK_OVERLAP])
-                await asyncio.sleep(CHUNK_INTERVAL_S)
-            await reply.write(stream[-CHUNK_OVERLAP:])
-            await asyncio.Event().wait()
-            return reply
+            while True:
+                await reply.write(await chunks.get())
 
         self.service.script = [send_chunks]
-        with mock.patch.object(discovery_http, "LINE_TIMEOUT_S", SHORT_LINE_TIMEOUT_S):
+        with mock.patch.object(discovery_http, "asyncio", stepped_asyncio):
             self.client.set_watching(True)
-            await self.expect_updates(*[(ListUpdateKind.DELTA, EndpointState.READY)] * LINE_COUNT)
+            chunks.put_nowait(stream[: line_size - CHUNK_OVERLAP])
+            for line_end in range(line_size, len(stream) + 1, line_size):
+                clock.time_s += LINE_DURATION_S
+                chunks.put_nowait(stream[line_end - CHUNK_OVERLAP :][:line_size])
+                await self.expect_updates((ListUpdateKind.DELTA, EndpointState.READY))
 
     async def test_unusable_answers_fail_the_call_and_keep_the_list(self) -> None:
         head = b"HTTP/1.1 200 OK\r\n"
@@ -319,14 +330,14 @@
 
     async def test_a_change_of_address_survives_each_fault_of_the_list(self) -> None:
         """A worker that was reported as draining stays so until the new address has sent its list."""
-        drain_line = json_line(endpoint_list(42, DRAINING))
+        drain_line = encode_line(endpoint_list(42, DRAINING))
         faulty_lines: dict[str, tuple[bytes, ...]] = {
             "silent within a line": (drain_line[:20],),
             "empty lines, then nothing": (b"\n", b"\n"),
-            "older": (json_line(endpoint_list(40, READY, full=True)),),
+            "older": (encode_line(endpoint_list(40, READY, full=True)),),
             "repeated": (drain_line, drain_line),
             "not JSON": (b'{"version": 43, "full": nonsense}\n',),
-            "a worker without a zone": (json_line(endpoint_list(43, {"id": "s-1"})),),
+            "a worker without a zone": (encode_line(endpoint_list(43, {"id": "s-1"})),),
             "half a line": (drain_line[:50] + b"\n",),
             "too long": (b"x" * 1000,),
         }
@@ -337,17 +348,28 @@
             await self.change_address_of(respond_unavailable, ListUpdateKind.FAILED)
 
     async def change_address_of(self, watch: Handler, first_kind: ListUpdateKind) -> None:
-        """Starts a watch that this handler answers, and moves to another address after its first update."""
+        """Starts a watch that this handler answers, and moves to another address after its first update.
+
+        The new address sends its list once the fault has ended the former watch.
+        """
         former = await self.start_discovery()
         new = await self.start_discovery()
-        former.service.script = [watch]
-        new.service.script = [respond(endpoint_list(43, DRAINING, endpoint_entry("s-2"), full=True))]
+        former_watch_ended = asyncio.Event()
+
+        async def note_end(request: web.BaseRequest) -> web.StreamResponse:
+            try:
+                return await watch(request)
+            finally:
+                former_watch_ended.set()
+
+        former.service.script = [note_end]
+        new_list = endpoint_list(43, DRAINING, endpoint_entry("s-2"), full=True)
+        new.service.script = [answer_after(former_watch_ended, new_list)]
         updates: asyncio.Queue[EndpointList] = asyncio.Queue()
-        with (
-            mock.patch.object(discovery_http, "MAX_LIST_SIZE", SHORT_MAX_LIST_SIZE),
-            mock.patch.object(discovery, "SILENCE_TIMEOUT_S", SHORT_SILENCE_TIMEOUT_S),
-        ):
+        # The call for the complete list has its own, usual limit on silence.
+        with mock.patch.object(discovery, "SILENCE_TIMEOUT_S", SHORT_WATCH_SILENCE_S):
             client = self.open_client(former.address, updates)
+        with mock.patch.object(discovery_http, "MAX_LIST_SIZE", SHORT_MAX_LIST_SIZE):
             client.set_watching(True)
             received = [await in_time(updates.get())]
             self.assertEqual(received[0].kind, first_kind)
@@ -378,7 +400,7 @@
 
         async def send_updates() -> None:
             for version in range(42, 100_000):
-                await former_watch.write(json_line(endpoint_list(version, READY)))
+                await former_watch.write(encode_line(endpoint_list(version, READY)))
                 await asyncio.sleep(self.UPDATE_INTERVAL_S)
 
         new.script = [respond_unavailable, note_retry]
