--- a/tests/control/test_endpoint_updates.py
+++ b/tests/control/test_endpoint_updates.py
@@ -6,7 +6,7 @@
 import json
 import unittest
 from contextlib import suppress
-from typing import Any, cast
+from typing import cast
 
 from aiohttp import web
 
@@ -14,16 +14,20 @@
 from cottonladder.model.inputs import EndpointList, Input, ListUpdateKind
 from cottonladder.protocol.discovery import DiscoveryClient
 from tests.support.http_server import Handler, scripted_answer
+from tests.support.json_object import JsonObject
 from tests.support.manager_program import SETTINGS
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.scripted_discovery import ScriptedDiscovery, endpoint_entry, endpoint_list
 from tests.support.timeouts import in_time
 
-QUICK_POLLS: dict[str, Any] = {"Rules": {**SETTINGS["Rules"], "AskWithinMs": 100.0}}
+SHORT_RETRY_DELAY: JsonObject = {"Rules": {**SETTINGS["Rules"], "AskWithinMs": 100.0}}
 SILENCE_TIMEOUT = "cottonladder.protocol.discovery.SILENCE_TIMEOUT_S"
+FETCH_TIMEOUT = "cottonladder.protocol.discovery.FETCH_TIMEOUT_S"
+# For a call that discovery answers only once the test has seen something else.
+HELD_CALL_LIMITS = {SILENCE_TIMEOUT: 60.0, FETCH_TIMEOUT: 60.0}
 
 
-def line_answer(body: dict[str, Any]) -> Handler:
+def watch_line_answer(body: JsonObject) -> Handler:
     """One line of a watch, after which discovery ends it."""
     return scripted_answer(json.dumps(body) + "\n")
 
@@ -45,15 +49,15 @@
             "status 503": scripted_answer("", 503),
             "not JSON": scripted_answer('{"version":42,\n'),
             "cut off": scripted_answer(json.dumps(endpoint_list(44, gone))),
-            "state has an unknown value": line_answer(endpoint_list(42, gone, unknown_state)),
-            "field addr": line_answer(endpoint_list(42, gone, no_address)),
+            "state has an unknown value": watch_line_answer(endpoint_list(42, gone, unknown_state)),
+            "field addr": watch_line_answer(endpoint_list(42, gone, no_address)),
             "recursion": scripted_answer("[" * 100_000 + "\n"),
-            "float": line_answer(endpoint_list(42, infinite_weight)),
-            "ended by discovery": line_answer(endpoint_list(42)),
-            "version 40 after 42": line_answer(endpoint_list(40)),
+            "float": watch_line_answer(endpoint_list(42, infinite_weight)),
+            "ended by discovery": watch_line_answer(endpoint_list(42)),
+            "version 40 after 42": watch_line_answer(endpoint_list(40)),
         }
         self.discovery.script = [*bad_answers.values(), complete_answer(42, "s-1", "s-2")]
-        program = await self.serving(settings=QUICK_POLLS)
+        program = await self.serving(settings=SHORT_RETRY_DELAY)
         for expected_text in bad_answers:
             await program.logged("discovery_call_failed", *expected_text.split())
         self.assertFalse([line for line in program.lines if "worker_state_changed" in line])
@@ -63,7 +67,7 @@
     async def test_after_a_version_that_goes_back_the_complete_list_is_fetched(self) -> None:
         """Discovery started over; without the complete list the manager would miss its drains."""
         self.discovery.script = [
-            line_answer(endpoint_list(7, endpoint_entry("s-1", "Gone"))),
+            watch_line_answer(endpoint_list(7, endpoint_entry("s-1", "Gone"))),
             complete_answer(7, "s-2"),
         ]
         program = await self.serving()
@@ -80,7 +84,7 @@
 
     async def test_a_reload_moves_to_another_discovery_once_that_has_answered(self) -> None:
         """It is asked for the complete list; the old one counts until the new one has answered."""
-        program = await self.serving(settings=QUICK_POLLS)
+        program = await self.serving(settings=SHORT_RETRY_DELAY, constants=HELD_CALL_LIMITS)
         self.assertIn("after=41", await in_time(self.discovery.calls.get()))
         new = ScriptedDiscovery()
         may_answer = asyncio.Event()
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -12,7 +12,9 @@
 from tests.support.json_object import JsonObject
 from tests.support.timeouts import in_time
 
-KEEP_ALIVE_INTERVAL_S = 2.0  # between the empty lines that keep a watch open
+# Between the empty lines that keep a watch open.  A manager closes a watch that is silent for 3 s, which a
+# service with the 2 s of the real one would reach on a busy machine.
+KEEP_ALIVE_INTERVAL_S = 0.5
 
 
 def endpoint_entry(name: str, state: str = "Ready", **fields: Any) -> JsonObject:
@@ -56,6 +58,8 @@
     async def send_updates(self, *bodies: JsonObject) -> None:
         """Sends changes of the endpoint list on the newest watch."""
         watch = await in_time(self.watches.get())
+        while not self.watches.empty():
+            watch = self.watches.get_nowait()
         for body in bodies:
             await watch.write(json.dumps(body).encode() + b"\n")
         self.watches.put_nowait(watch)
