--- a/tests/control/test_background_scheduler.py
+++ b/tests/control/test_background_scheduler.py
@@ -1,12 +1,15 @@
-"""The background scheduler in an event loop: tasks that misbehave, and a stop in the middle of one."""
+"""The background scheduler in an event loop: tasks that misbehave, and a stop in the middle of one.
+
+The loop and the scheduler have one clock that the machine does not drive, so each rate and duration is exact.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import time
 import unittest
 from collections import Counter
-from collections.abc import Awaitable, Iterator
+from collections.abc import Awaitable, Coroutine, Iterator
+from typing import Any, cast
 from unittest import mock
 
 from structlog.testing import capture_logs
@@ -14,6 +17,7 @@
 from cottonladder.control import background_scheduler
 from cottonladder.control.background_scheduler import BackgroundScheduler
 from cottonladder.planning.priority_scheduling import TaskPlan
+from tests.support.stepped_event_loop import SteppedEventLoop
 from tests.support.timeouts import in_time
 
 Slices = Iterator[Awaitable[None] | None]
@@ -25,6 +29,11 @@
 ENDLESS_SLICE_S = 0.02
 
 
+def stepped_loop() -> SteppedEventLoop:
+    """The loop that runs the test."""
+    return cast(SteppedEventLoop, asyncio.get_running_loop())
+
+
 class MisbehavingTasks:
     """One task that behaves and three that don't; `runs` counts what each did."""
 
@@ -47,7 +56,7 @@
     def never_end(self) -> Slices:
         """Takes far longer in each slice than a slice may."""
         while True:
-            time.sleep(ENDLESS_SLICE_S)
+            stepped_loop().step(ENDLESS_SLICE_S)
             self.runs["never_end"] += 1
             yield None
 
@@ -60,8 +69,19 @@
         raise OSError("disk")
 
 
-class BackgroundSchedulerTests(unittest.IsolatedAsyncioTestCase):
-    async def test_tasks_that_misbehave_do_not_harm_others(self) -> None:
+class BackgroundSchedulerTests(unittest.TestCase):
+    def run_stepped(self, test: Coroutine[Any, Any, None]) -> None:
+        """Runs a test in a loop whose clock is also the scheduler's."""
+        with asyncio.Runner(loop_factory=SteppedEventLoop) as runner:
+            clock = mock.Mock(monotonic=runner.get_loop().time)
+            with mock.patch.object(background_scheduler, "time", clock):
+                runner.run(test)
+
+    def test_tasks_that_misbehave_do_not_harm_others(self) -> None:
+        self.run_stepped(self.observe_misbehaving_tasks())
+
+    async def observe_misbehaving_tasks(self) -> None:
+        """Runs the four tasks for `OBSERVED_S`."""
         tasks = MisbehavingTasks()
         scheduler = BackgroundScheduler(lambda: 0.0)
         for work in (tasks.succeed, tasks.fail_in_slice, tasks.never_end, tasks.fail_in_awaitable):
@@ -78,7 +98,11 @@
         self.assertLess(endless_cpu_s, OBSERVED_S * CPU_FRACTION + 0.25)  # its budget, though it never ends
         self.assertEqual((rows["succeed"]["failures"], rows["never_end"]["runs"]), (0, 0))
 
-    async def test_a_run_under_way_ends_at_the_stop_and_is_not_started_again(self) -> None:
+    def test_a_run_under_way_ends_at_the_stop_and_is_not_started_again(self) -> None:
+        self.run_stepped(self.stop_during_run())
+
+    async def stop_during_run(self) -> None:
+        """Closes the scheduler, and lets the run under way go on `RUN_AFTER_STOP_S` later."""
         is_waiting = asyncio.Event()
         may_continue = asyncio.Event()
         ended_runs: list[str] = []
@@ -95,16 +119,20 @@
         scheduler.add(TaskPlan("slow", 0.01), slow)
         scheduler.start()
         await in_time(is_waiting.wait())
-        stopping_at = time.monotonic()
+        stopping_at = stepped_loop().time()
         closing = asyncio.create_task(scheduler.close(("slow",)))
         await asyncio.sleep(RUN_AFTER_STOP_S)
         self.assertFalse(closing.done())  # it waits for the run under way
         may_continue.set()
         await in_time(closing)
         self.assertEqual(ended_runs, ["slow"])
-        self.assertLess(time.monotonic() - stopping_at, 1.0)
+        self.assertAlmostEqual(stepped_loop().time() - stopping_at, RUN_AFTER_STOP_S)
+
+    def test_work_that_does_not_end_in_time_is_cancelled_and_awaited(self) -> None:
+        self.run_stepped(self.stop_endless_run())
 
-    async def test_work_that_does_not_end_in_time_is_cancelled_and_awaited(self) -> None:
+    async def stop_endless_run(self) -> None:
+        """Closes the scheduler while a run waits for ever."""
         is_waiting = asyncio.Event()
         cancelled: list[str] = []
 
@@ -122,8 +150,10 @@
         scheduler.add(TaskPlan("endless", 0.01), endless)
         scheduler.start()
         await in_time(is_waiting.wait())
-        with mock.patch.object(background_scheduler, "STOP_TIMEOUT_S", 0.05), capture_logs() as lines:
+        stopping_at = stepped_loop().time()
+        with capture_logs() as lines:
             await in_time(scheduler.close(("endless",)))
+        self.assertAlmostEqual(stepped_loop().time() - stopping_at, background_scheduler.STOP_TIMEOUT_S)
         self.assertEqual(cancelled, ["endless"])
         self.assertEqual([line["event"] for line in lines], ["tasks_cancelled"])
         self.assertEqual(lines[0]["tasks"], "endless")
