--- a/tests/cli/test_command_output.py
+++ b/tests/cli/test_command_output.py
@@ -25,6 +25,7 @@
 from click.testing import CliRunner
 
 from cottonladder.cli.main import main
+from tests.support.json_object import JsonObject
 
 ROOT = Path(__file__).parents[2]
 RECORDED = ROOT / "tests" / "recorded" / "cli"
@@ -216,22 +217,22 @@
     return "\n".join(texts)
 
 
-def resolve(part: Any, definitions: dict[str, Any]) -> Any:
+def resolve_references(part: Any, definitions: JsonObject) -> Any:
     """A part of a schema with its references resolved, and without titles and descriptions."""
     if isinstance(part, list):
-        return [resolve(item, definitions) for item in part]
+        return [resolve_references(item, definitions) for item in part]
     if not isinstance(part, dict):
         return part
     if "$ref" in part:
-        return resolve(definitions[part["$ref"].rpartition("/")[2]], definitions)
+        return resolve_references(definitions[part["$ref"].rpartition("/")[2]], definitions)
     keys = part.keys() - {"$defs", "title", "description"}
-    return {key: resolve(part[key], definitions) for key in sorted(keys)}
+    return {key: resolve_references(part[key], definitions) for key in sorted(keys)}
 
 
 def schema() -> Any:
     """The schema of the operators' file, resolved."""
     printed = json.loads(CliRunner().invoke(main, ["schema"]).output)
-    return resolve(printed, printed["$defs"])
+    return resolve_references(printed, printed["$defs"])
 
 
 class CommandOutputTests(unittest.TestCase):
--- a/tests/config/test_deployment_independence.py
+++ b/tests/config/test_deployment_independence.py
@@ -5,8 +5,8 @@
 import re
 import unittest
 from pathlib import Path
-from typing import Any
 
+from tests.support.json_object import JsonObject
 from tests.support.recorded_inputs import RECORDED_INPUTS, RecordedRun
 
 DEPLOYMENTS = Path(__file__).parents[2] / "deploy" / "sites"
@@ -19,7 +19,7 @@
     "release": "xx",
     "audit": "fetch",
 }
-OTHER_SETTINGS: dict[str, Any] = {
+OTHER_SETTINGS: JsonObject = {
     "Profiles": [
         {"Name": "audit", "TargetMs": 300.0, "Gain": 9.0},
         {"Name": "release", "TargetMs": 4e3, "Gain": 0.1},
--- a/tests/config/test_manager_file.py
+++ b/tests/config/test_manager_file.py
@@ -21,6 +21,7 @@
     TimerFired,
 )
 from cottonladder.policy.controller import RoutingController
+from tests.support.json_object import JsonObject
 from tests.support.manager_program import ManagerProgram
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.timeouts import in_time
@@ -62,7 +63,7 @@
         yield from places_in(value, place)
 
 
-def replaced(body: dict[str, Any], place: Place, value: Any) -> dict[str, Any]:
+def with_value(body: JsonObject, place: Place, value: Any) -> JsonObject:
     """A copy of the file with another value at this place."""
     changed = copy.deepcopy(body)
     parent: Any = changed
@@ -91,7 +92,7 @@
         self.path = Path(folder) / "config.json"
         self.valid = ManagerProgram("127.0.0.1:1").config
 
-    def read(self, body: dict[str, Any]) -> StartupConfig:
+    def read(self, body: JsonObject) -> StartupConfig:
         self.path.write_text(json.dumps(body))
         return read_startup_config(str(self.path))
 
@@ -101,7 +102,7 @@
             for value in ODD_VALUES:
                 with self.subTest(place=place, value=value):
                     try:
-                        config = self.read(replaced(self.valid, place, value))
+                        config = self.read(with_value(self.valid, place, value))
                     except InputError as exc:
                         self.assertNotIn("\n", str(exc))
                         self.assertRegex(str(exc), "field|not JSON|object|zone|address|unknown")
@@ -110,15 +111,15 @@
 
     def test_faults_are_reported_in_order(self) -> None:
         """Of several faults the first is reported: of the settings, the known list, then the addresses."""
-        bad_listen = replaced(self.valid, ("listen",), 1)
+        bad_listen = with_value(self.valid, ("listen",), 1)
         with self.assertRaises(FieldTypeError) as listen_error:
             self.read(bad_listen)
         self.assertEqual(str(listen_error.exception), "configuration: field listen has the wrong type (int)")
-        bad_known = replaced(bad_listen, ("known", "servers", 0, "zone"), None)
+        bad_known = with_value(bad_listen, ("known", "servers", 0, "zone"), None)
         with self.assertRaises(MissingFieldError) as known_error:
             self.read(bad_known)
         self.assertEqual(str(known_error.exception), "configuration: known: field zone is missing")
-        bad_settings = replaced(bad_known, ("settings", "Rules"), None)
+        bad_settings = with_value(bad_known, ("settings", "Rules"), None)
         with self.assertRaises(MissingFieldError) as settings_error:
             self.read(bad_settings)
         self.assertEqual(str(settings_error.exception), "configuration: settings: field Rules is missing")
@@ -140,7 +141,7 @@
         programs: list[tuple[str, ManagerProgram]] = []
         for place, value in self.INVALID_VALUES:  # all are started first, so that they run beside each other
             program = ManagerProgram(self.discovery_address)
-            await program.start(json.dumps(replaced(program.config, place, value)))
+            await program.start(json.dumps(with_value(program.config, place, value)))
             programs.append((str(place[-1]), program))
         for field_name, program in programs:
             with self.subTest(field_name):
--- a/tests/control/test_configuration_files.py
+++ b/tests/control/test_configuration_files.py
@@ -8,11 +8,12 @@
 import unittest
 from pathlib import Path
 from tempfile import TemporaryDirectory
-from typing import Any, cast
+from typing import cast
 
 from click.testing import CliRunner
 
 from cottonladder.cli import main as cli
+from tests.support.json_object import JsonObject
 from tests.support.manager_program import SETTINGS, ManagerProgram
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.timeouts import in_time
@@ -20,7 +21,7 @@
 REQUIRED_FIELDS = ("name", "listen", "discovery", "seed", "limits", "known", "settings")
 
 
-def without(config: dict[str, Any], field: str) -> str:
+def text_without(config: JsonObject, field: str) -> str:
     """The configuration's text without one of its fields."""
     return json.dumps({name: value for name, value in config.items() if name != field})
 
@@ -28,7 +29,7 @@
 class StartTests(ManagerTestCase):
     async def test_a_faulty_file_is_one_line_on_standard_error_and_status_2(self) -> None:
         config = ManagerProgram(self.discovery_address).config
-        texts = {field: without(config, field) for field in REQUIRED_FIELDS}  # by a word of the error
+        texts = {field: text_without(config, field) for field in REQUIRED_FIELDS}  # by a word of the error
         texts["JSON"] = "{"
         texts["ColdFrom"] = json.dumps({**config, "settings": {**SETTINGS, "Rules": {}}})
         infinite_price = {**SETTINGS, "Prices": {"Probe": 10**400}}
@@ -56,7 +57,7 @@
         self.addAsyncCleanup(self.end, program)
         program.port = int((await program.logged("event=serving")).split("port=")[1])
         config_text = json.dumps(program.config)
-        without_known = without({**program.config, "discovery": "127.0.0.1:9"}, "known")
+        without_known = text_without({**program.config, "discovery": "127.0.0.1:9"}, "known")
         faulty_texts = (
             ("", "JSON"),
             (config_text[:90], "JSON"),
--- a/tests/control/test_connection_bounds.py
+++ b/tests/control/test_connection_bounds.py
@@ -15,7 +15,7 @@
 from cottonladder.state.proxy_sessions import ProxySessions
 from tests.support.manager_test_case import ManagerTestCase
 
-DESCRIPTOR_LIMIT = 128
+DESCRIPTOR_LIMIT = 128  # of the manager's process
 UNIDENTIFIED_CONNECTIONS = 400
 SUMMARY_INTERVAL = "cottonladder.protocol.fault_log.SUMMARY_INTERVAL_S"
 
@@ -67,7 +67,7 @@
             self.assertEqual(transport.abort.called, is_ended, sweep_count)
         await listener.close()
 
-    async def test_a_proxy_that_reads_nothing_is_ended_past_the_limit_of_unread_bytes(self) -> None:
+    async def test_a_proxy_that_reads_nothing_is_ended_over_the_limit_of_unread_bytes(self) -> None:
         transport = open_transport()
         limits = ConnectionLimits(
             max_connections=8, accept_batch=4, max_health_checks=4, max_unread_bytes=1000
--- a/tests/control/test_endpoint_updates.py
+++ b/tests/control/test_endpoint_updates.py
@@ -24,7 +24,7 @@
 SILENCE_TIMEOUT = "cottonladder.protocol.discovery.SILENCE_TIMEOUT_S"
 FETCH_TIMEOUT = "cottonladder.protocol.discovery.FETCH_TIMEOUT_S"
 # For a call that discovery answers only once the test has seen something else.
-HELD_CALL_LIMITS = {SILENCE_TIMEOUT: 60.0, FETCH_TIMEOUT: 60.0}
+PENDING_CALL_LIMITS = {SILENCE_TIMEOUT: 60.0, FETCH_TIMEOUT: 60.0}
 
 
 def watch_line_answer(body: JsonObject) -> Handler:
@@ -84,7 +84,7 @@
 
     async def test_a_reload_moves_to_another_discovery_once_that_has_answered(self) -> None:
         """It is asked for the complete list; the old one counts until the new one has answered."""
-        program = await self.serving(settings=SHORT_RETRY_DELAY, constants=HELD_CALL_LIMITS)
+        program = await self.serving(settings=SHORT_RETRY_DELAY, constants=PENDING_CALL_LIMITS)
         self.assertIn("after=41", await in_time(self.discovery.calls.get()))
         new = ScriptedDiscovery()
         may_answer = asyncio.Event()
--- a/tests/forwarder/test_manager_stream_close.py
+++ b/tests/forwarder/test_manager_stream_close.py
@@ -1,4 +1,4 @@
-"""A forwarder's stream ends when it is closed, whatever arrives in the same turn of the event loop."""
+"""A forwarder's stream ends when it is closed, whatever arrives in the same iteration of the event loop."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 from cottonladder.forwarder.manager_stream import ManagerStream, Subscription
 from tests.support.timeouts import in_time
 
-TURNS_BEFORE_CLOSE = range(6)  # a message takes fewer turns from its arrival to its handling
-TURNS_TO_CONNECT = 8
+# Of the event loop; a message takes fewer from its arrival to its handling.
+ITERATIONS_BEFORE_CLOSE = range(6)
+ITERATIONS_TO_CONNECT = 8  # more than a connection takes
 PONG_MESSAGE = b"*1\r\n$4\r\nPONG\r\n"
 
 
@@ -24,12 +25,12 @@
 
 class CloseTests(unittest.IsolatedAsyncioTestCase):
     async def test_a_message_that_arrives_with_the_close_does_not_keep_the_stream_open(self) -> None:
-        for turns in TURNS_BEFORE_CLOSE:
-            with self.subTest(turns=turns):
-                await self.close_after_message(turns)
+        for iterations in ITERATIONS_BEFORE_CLOSE:
+            with self.subTest(iterations=iterations):
+                await self.close_after_message(iterations)
 
-    async def close_after_message(self, turns: int) -> None:
-        """Closes a stream `turns` turns of the loop after a message has arrived."""
+    async def close_after_message(self, iterations: int) -> None:
+        """Closes a stream `iterations` iterations of the event loop after a message has arrived."""
         reader = asyncio.StreamReader()
         connect = mock.AsyncMock(return_value=(reader, mock.Mock()))
         with mock.patch.object(asyncio, "open_connection", connect):
@@ -37,11 +38,11 @@
                 Subscription(0, "a", 1.0), [("manager", 1)], lambda _low, high: high, False
             )
             stream.start(cast(Any, StoppedOrders()))
-            for _ in range(TURNS_TO_CONNECT):
+            for _ in range(ITERATIONS_TO_CONNECT):
                 await asyncio.sleep(0)
             self.assertIsNotNone(stream.manager)
             reader.feed_data(PONG_MESSAGE)
-            for _ in range(turns):
+            for _ in range(iterations):
                 await asyncio.sleep(0)
             await in_time(stream.close())
         self.assertIsNone(stream.manager)
--- a/tests/planning/test_snapshot_staleness.py
+++ b/tests/planning/test_snapshot_staleness.py
@@ -79,7 +79,7 @@
         self.assertEqual(snapshot_staleness.discount(state, math.inf).workers[1].latency_factor, 1.0)
         self.assertEqual(snapshot_staleness.discount(state, 8 * DAY_S).workers[1].base_latency_s, 0.0)
 
-    def test_no_ejection_is_restored_beyond_the_ejection_limit(self) -> None:
+    def test_no_ejection_is_restored_over_the_ejection_limit(self) -> None:
         histories = tuple(worker_history(n, was_ejected=n < 4) for n in range(8))
         self.assertEqual(snapshot_staleness.valid_suspicions(histories, 1.0), set())
         self.assertEqual(snapshot_staleness.valid_suspicions(histories[2:], 1.0), {2, 3})
--- a/tests/plugins/test_forwarder_plugins.py
+++ b/tests/plugins/test_forwarder_plugins.py
@@ -111,11 +111,11 @@
         forwarder = await self.start_forwarder(part)
         durations_s: list[float] = []
         statuses: list[int] = []
-        begun_counts = [0] * CLIENT_COUNT  # of requests, by client
+        started_counts = [0] * CLIENT_COUNT  # of requests, by client
 
         async def post_releases(client: int) -> None:
             for n in range(CLIENT_REQUEST_COUNT):
-                begun_counts[client] += 1
+                started_counts[client] += 1
                 started_at = time.monotonic()
                 data = f"r-{client}-{n}".encode()
                 async with self.session.post(f"{forwarder.url}/release", data=data) as reply:
@@ -127,7 +127,7 @@
         await self.wait_until(lambda: len(statuses) > 100)
         await self.discovery.set_state("s-1", "Terminating")
         await self.wait_for_table(forwarder, "s-0", "s-2", "s-3")
-        await self.wait_until_answered(clients, begun_counts)
+        await self.wait_until_answered(clients, started_counts)
         drained_count = sum(self.workers["s-1"].requests.values())
         await asyncio.gather(*clients)
         self.assertEqual(set(statuses), {200})
@@ -141,12 +141,12 @@
         async with self.session.get(forwarder.url) as reply:
             self.assertEqual(reply.status, 200)
 
-    async def wait_until_answered(self, clients: list[asyncio.Task[None]], begun_counts: list[int]) -> None:
+    async def wait_until_answered(self, clients: list[asyncio.Task[None]], started_counts: list[int]) -> None:
         """Waits until each request that is under way now has been answered, whichever worker has it."""
-        begun_before = list(begun_counts)
+        counts_before = list(started_counts)
 
         def has_answer(client: int) -> bool:
-            return clients[client].done() or begun_counts[client] > begun_before[client]
+            return clients[client].done() or started_counts[client] > counts_before[client]
 
         await self.wait_until(lambda: all(has_answer(client) for client in range(CLIENT_COUNT)))
 
--- a/tests/plugins/test_host.py
+++ b/tests/plugins/test_host.py
@@ -96,7 +96,7 @@
                     self.assertEqual(raised.exception.kind, hostile.fault_kind, raised.exception)
                     self.assertLess(time.process_time() - started_at_s, MAX_FAILED_CALL_S)
 
-    def test_memory_does_not_grow_beyond_its_limit(self) -> None:
+    def test_memory_does_not_grow_over_its_limit(self) -> None:
         grow = "(if (i32.ne (memory.grow (i32.const 1000)) (i32.const -1)) (then unreachable)) (i64.const 0)"
         self.load(module(grow, max_pages=60000)).call("route", b"x")
 
--- a/tests/policy/test_worker_states.py
+++ b/tests/policy/test_worker_states.py
@@ -9,8 +9,8 @@
 from cottonladder.policy.worker_states import EJECTION_JITTER, EJECTION_TIME_S, TRANSITIONS, apply_event
 from tests.support.deployment_parameters import DEFAULT_PARAMETERS
 
-WORKER_INDEX = 3
-NOW = 100.0
+WORKER_INDEX = 3  # any
+NOW = 100.0  # seconds
 
 
 def state_with_worker(worker_state: WorkerState) -> ControllerState:
--- a/tests/protocol/test_health_checks.py
+++ b/tests/protocol/test_health_checks.py
@@ -21,7 +21,7 @@
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.timeouts import EVENT_TIMEOUT_S, in_time
 
-WORKER_INDEX = 5
+WORKER_INDEX = 5  # of the checked worker; any
 MAX_OPEN_CHECKS = 4
 
 
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -11,7 +11,6 @@
 from contextlib import AsyncExitStack
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from click.testing import CliRunner
 
@@ -21,9 +20,10 @@
 from cottonladder.snapshots.store import SnapshotStore
 from cottonladder.testbed.discovery import SimulatedDiscovery
 from cottonladder.testbed.fleet import ForwarderProcess, ManagerProcess
+from tests.support.json_object import JsonObject
 from tests.support.stream_client import StreamClient
 
-SECTIONS: dict[str, Any] = {"manager": {"v": 1, "data": {"mark": 7}}}
+SECTIONS: file_format.Sections = {"manager": {"v": 1, "data": {"mark": 7}}}
 WORKER_COUNT = 4
 SNAPSHOT_INTERVAL_S = 0.2
 SNAPSHOT_TIMEOUT_S = 20.0
@@ -66,7 +66,7 @@
         for number in range(WORKER_COUNT):
             await self.discovery.put(f"s-{number}", f"127.0.0.9:{8000 + number}", "a")
 
-    async def start_manager(self, known: dict[str, Any] | None = None) -> ManagerProcess:
+    async def start_manager(self, known: JsonObject | None = None) -> ManagerProcess:
         """A manager that serves; `known` is the list of its file, by default discovery's."""
         manager = ManagerProcess(
             self.discovery_address,
@@ -154,15 +154,15 @@
         self.manager_folder.mkdir()
         for unusable in UNUSABLE_FILES:
             self.create_as_newest(unusable)
-        owner = SnapshotStore(str(self.manager_folder))
-        owner.open()
-        self.addCleanup(owner.close)
+        lock_holder = SnapshotStore(str(self.manager_folder))
+        lock_holder.open()
+        self.addCleanup(lock_holder.close)
         manager = await self.start_manager()
         await manager.logged("snapshot_unreadable", "another process owns it")
         await manager.logged("task_failed", "another process owns it")
         self.assertIn("s-0", await self.read_table(manager))
         newest = self.newest_generation()
-        owner.close()
+        lock_holder.close()
         await self.wait_for_generation(newest + 1)  # the write is retried
         await manager.stop()
 
--- a/tests/snapshots/test_store.py
+++ b/tests/snapshots/test_store.py
@@ -22,7 +22,7 @@
 from cottonladder.snapshots.errors import SnapshotError
 from cottonladder.testbed.fleet import ROOT
 
-SECTIONS: dict[str, Any] = {"manager": {"v": 1, "data": {"mark": 7}}}
+SECTIONS: file_format.Sections = {"manager": {"v": 1, "data": {"mark": 7}}}
 CRASH_COUNT = 1000
 CRASH_TEST_TIMEOUT_S = 120
 MIN_CRASHES_IN_WRITES = 20  # so that the test does interrupt writes
--- a/tests/weight_advice/test_advisor_status.py
+++ b/tests/weight_advice/test_advisor_status.py
@@ -19,7 +19,7 @@
 from cottonladder.weight_advice.client import ReportedWeight
 from tests.weight_advice.manager_case import EVENT_TIMEOUT_S, WORKER_ADDRESS, WORKER_COUNT, dfp_hosts
 
-STARTED_AT = 1000.0
+STARTED_AT = 1000.0  # seconds
 
 
 class ObservedWeightAdvisor(WeightAdvisor):
--- a/tests/weight_advice/test_registry.py
+++ b/tests/weight_advice/test_registry.py
@@ -21,7 +21,7 @@
 MEMBER_BY_ADDRESS = sasp.MemberData(6, 80, IPv4Address("10.0.0.1"), b"nobody's")
 LB_UID = b"lb-1"
 GROUP_NAME = b"workers"
-MESSAGE_ID = 9
+MESSAGE_ID = 9  # any, which the reply repeats
 
 
 @dataclass(frozen=True)
