--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -1,7 +1,7 @@
 """Plays every scenario in tests/policy/scenarios against the routing controller.
 
-Grammar, one group of words a line; `#` starts a comment.  Workers are b0, b1 .., proxies p0, p1 .., times are
-in seconds.
+Grammar, one group of fields a line; `#` starts a comment.  Workers are b0, b1 .., proxies p0, p1 .., times
+are in seconds.
 
     parameters NAME=VALUE ..       replaces default deployment parameters (below); comes first
     T list KIND ITEM ..            KIND is full, delta, cached or failed; an ITEM is bN@ZONE with, if wanted,
@@ -16,13 +16,13 @@
                                    acknowledged before each of them
     every S until T LINE           the input LINE (without its time) each S seconds
     expect table Z has|lacks bN .. | expect table Z bN < SHARE | expect table Z bN > SHARE
-    expect cordoned bN .. | expect open bN ..        excluded by proxies, or not
+    expect excluded bN .. | expect open bN ..        by proxies, or not
     expect bound pN .. (in that order) | expect unbound pN ..
-    expect level Z CLASS < SHARE | expect level Z CLASS > SHARE        the admission
+    expect admission Z CLASS < SHARE | expect admission Z CLASS > SHARE
     expect demand < RATE | expect others < RATE     requests/s, of the proxies here, of those elsewhere
     expect probes > COUNT          health checks ordered so far
-    expect words < BYTES           the longest gossip
-    expect waiting < LINES | expect flying < LINES   lines in the channel, lines not acknowledged
+    expect gossip_bytes < BYTES    of the longest gossip
+    expect waiting < LINES | expect unacknowledged < LINES         lines in the channel
     expect messages pN < COUNT     the most messages to a proxy within ten seconds
     expect retry POLICY .. | expect order TYPE | expect no TYPE | expect known bN .. | expect unknown bN ..
     expect log TEXT ..             within the text of any state change
@@ -137,35 +137,35 @@
         """Returns the orders of one type so far."""
         return [order for order in self.orders if isinstance(order, order_type)]
 
-    def play_line(self, words: list[str]) -> None:
+    def play_line(self, fields: list[str]) -> None:
         """Plays one line of a scenario."""
-        if words[0] == "parameters":
-            self._set_parameters(words[1:])
-        elif words[0] == "until":
-            self.run_until(float(words[1]), words[2:] == ["answering"])
-        elif words[0] == "every":
-            self._play_repeatedly(float(words[1]), float(words[3]), words[4:])
-        elif words[0] == "expect":
-            if not Expectations(self).hold(words[1], words[2:]):
+        if fields[0] == "parameters":
+            self._set_parameters(fields[1:])
+        elif fields[0] == "until":
+            self.run_until(float(fields[1]), fields[2:] == ["answering"])
+        elif fields[0] == "every":
+            self._play_repeatedly(float(fields[1]), float(fields[3]), fields[4:])
+        elif fields[0] == "expect":
+            if not Expectations(self).hold(fields[1], fields[2:]):
                 raise AssertionError("does not hold")
         else:
-            self.run_until(float(words[0]), False)
-            self._play_input(words[1:])
+            self.run_until(float(fields[0]), False)
+            self._play_input(fields[1:])
 
-    def _set_parameters(self, words: list[str]) -> None:
-        pairs = [word.split("=") for word in words]
+    def _set_parameters(self, fields: list[str]) -> None:
+        pairs = [field.split("=") for field in fields]
         changes = {name: type(getattr(DEFAULT_PARAMETERS, name))(_value(text)) for name, text in pairs}
         self.controller = RoutingController(replace(DEFAULT_PARAMETERS, **changes))
 
-    def _play_repeatedly(self, step_s: float, end: float, words: list[str]) -> None:
+    def _play_repeatedly(self, step_s: float, end: float, fields: list[str]) -> None:
         start = self.now
         for count in range(1, round((end - start) / step_s) + 1):
             self.run_until(start + count * step_s, True)
-            self._play_input(words)
+            self._play_input(fields)
 
-    def _play_input(self, words: list[str]) -> None:
-        verb = words[0]
-        args = words[1:]
+    def _play_input(self, fields: list[str]) -> None:
+        verb = fields[0]
+        args = fields[1:]
         if verb == "answer":
             self.acknowledge()
         elif verb == "join":
@@ -177,11 +177,11 @@
                 self.bindings.pop(parsed.proxy, None)
             self.feed(parsed)
         else:
-            raise ValueError(f"unknown word {verb}")
+            raise ValueError(f"unknown verb {verb}")
 
 
 class Expectations:
-    """Compares what a player has seen with the words of an `expect` line."""
+    """Compares what a player has seen with the fields of an `expect` line."""
 
     def __init__(self, player: ScenarioPlayer) -> None:
         self._player = player
@@ -190,7 +190,7 @@
         """Returns whether an expectation holds."""
         check: Callable[[list[str]], bool] | None = getattr(self, f"_check_{subject}", None)
         if check is None:
-            raise ValueError(f"unknown word {subject}")
+            raise ValueError(f"unknown subject {subject}")
         return check(args)
 
     def _check_table(self, args: list[str]) -> bool:
@@ -200,7 +200,7 @@
         share = table.get(_indices(args)[0], 0.0) / max(sum(table.values()), 1e-9)
         return _compare(share, args[2], args[3])
 
-    def _check_cordoned(self, args: list[str]) -> bool:
+    def _check_excluded(self, args: list[str]) -> bool:
         return all(self._is_excluded(index) for index in _indices(args))
 
     def _check_open(self, args: list[str]) -> bool:
@@ -217,7 +217,7 @@
     def _check_unbound(self, args: list[str]) -> bool:
         return not any(proxy in self._player.bindings for proxy in _indices(args))
 
-    def _check_level(self, args: list[str]) -> bool:
+    def _check_admission(self, args: list[str]) -> bool:
         admission = self._player.admissions.get((int(args[0]), int(args[1])), 1.0)
         return _compare(admission, args[2], args[3])
 
@@ -225,7 +225,7 @@
         lines = self._player.controller.channel_budget.waiting_lines
         return _compare(lines, args[0], args[1]) and lines >= 0
 
-    def _check_flying(self, args: list[str]) -> bool:
+    def _check_unacknowledged(self, args: list[str]) -> bool:
         lines = self._player.controller.channel_budget.in_flight.total
         return _compare(lines, args[0], args[1]) and lines >= 0
 
@@ -237,7 +237,7 @@
         controller = self._player.controller
         return _compare(sum(estimate_demand(controller.state, controller.gossip).others), args[0], args[1])
 
-    def _check_words(self, args: list[str]) -> bool:
+    def _check_gossip_bytes(self, args: list[str]) -> bool:
         longest = max(len(order.text) for order in self._player.ordered(SendGossip))
         return _compare(longest, args[0], args[1])
 
@@ -273,7 +273,7 @@
 
 
 def _indices(args: Sequence[str]) -> list[int]:
-    """Returns the numbers of the workers or proxies among the words."""
+    """Returns the numbers of the workers or proxies among the fields."""
     return [int(arg[1:]) for arg in args if arg[0] in "bp" and arg[1:].isdigit()]
 
 
@@ -289,11 +289,11 @@
     """Plays one scenario file; a line that does not hold or is malformed is named in the error."""
     player = ScenarioPlayer()
     for number, line in enumerate(path.read_text().splitlines(), 1):
-        words = line.split("#")[0].split()
-        if not words:
+        fields = line.split("#")[0].split()
+        if not fields:
             continue
         try:
-            player.play_line(words)
+            player.play_line(fields)
         except (AssertionError, ValueError, KeyError, IndexError, AttributeError) as exc:
             raise AssertionError(f"{path.name}:{number}: {line.strip()}: {exc}") from exc
 
@@ -306,7 +306,7 @@
             with self.subTest(path.name):
                 play(path)
 
-    def test_unknown_words_are_rejected(self) -> None:
+    def test_unknown_verbs_and_subjects_are_rejected(self) -> None:
         for line in ("0 lost p1", "expect tabel 0 has b0", "maybe"):
             player = ScenarioPlayer()
             with self.subTest(line), self.assertRaises(ValueError):
