--- a/tests/forwarder/test_manager_stream.py
+++ b/tests/forwarder/test_manager_stream.py
@@ -11,6 +11,7 @@
 from tests.support.forwarder_rig import EVENT_TIMEOUT_S, ForwarderRig
 
 LIST_ORDER_LEAD_S = 0.3  # that an order for an unlisted worker is ahead of the list
+LIST_TIMEOUT = "cottonladder.forwarder.order_handling.LIST_TIMEOUT_S"
 NO_ORDER_TIME_S = 0.5  # in which a cancelled order would go on
 SILENT_FIRST_SEED = 5  # with which a forwarder connects to the first of its two managers first
 TWO_PLANS_S = 1.2  # in which a manager plans migrations twice
@@ -139,7 +140,7 @@
             self.assertEqual(response.status, 200)
 
     async def test_an_order_waits_for_a_worker_that_the_list_names_later(self) -> None:
-        forwarder = await self.forwarder(self.stand_in_port)
+        forwarder = await self.forwarder(self.stand_in_port, constants={LIST_TIMEOUT: EVENT_TIMEOUT_S})
         stream = await self.accept_forwarder()
         self.discovery.is_down = True  # its watch ends, and the list can't be fetched when the order arrives
         stream.send("CONFIG rows s-9:1.0 stamp 4")
--- a/tests/support/forwarder_rig.py
+++ b/tests/support/forwarder_rig.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 import unittest
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Mapping
 from typing import Any
 
 import aiohttp
@@ -14,6 +14,7 @@
 from cottonladder.testbed.fleet import ForwarderProcess, ManagerProcess
 from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
+from tests.support import program_with_constants
 from tests.support.json_object import JsonObject
 
 EVENT_TIMEOUT_S = 20.0  # for any event; long enough for a slow machine
@@ -71,11 +72,18 @@
         self.addAsyncCleanup(manager.stop)
         return manager
 
-    async def forwarder(self, *ports: int, node: int = 0, **part: Any) -> ForwarderProcess:
-        """Starts a forwarder of the managers on these ports; clients are disconnected before it stops."""
+    async def forwarder(
+        self, *ports: int, node: int = 0, constants: Mapping[str, float] | None = None, **part: Any
+    ) -> ForwarderProcess:
+        """Starts a forwarder of the managers on these ports; clients are disconnected before it stops.
+
+        `constants` replace constants of the program, by their full names.
+        """
         managers = [f"127.0.0.1:{port}" for port in ports]
         upgrades = part.pop("upgrades", UPGRADES)
         forwarder = ForwarderProcess(node, self.discovery_address, managers, upgrades, **part)
+        if constants:
+            program_with_constants.run_with(forwarder, constants)
         await forwarder.serving()
         self.addAsyncCleanup(forwarder.stop)
         self.addAsyncCleanup(self.disconnect_clients)
--- a/tests/support/program_with_constants.py
+++ b/tests/support/program_with_constants.py
@@ -10,6 +10,10 @@
 import runpy
 from collections.abc import Mapping
 from importlib import import_module
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:  # the program under test does not import it
+    from cottonladder.testbed.fleet import Process
 
 CONSTANTS_VARIABLE = "TEST_CONSTANTS"
 
@@ -24,6 +28,12 @@
         setattr(module, constant, value)
 
 
+def run_with(process: Process, values: Mapping[str, float]) -> None:
+    """Lets a process that is not started yet run with these constants."""
+    process.module = "tests.support.program_with_constants"
+    process.environment = {CONSTANTS_VARIABLE: json.dumps(values)}
+
+
 if __name__ == "__main__":
     set_constants(json.loads(os.environ[CONSTANTS_VARIABLE]))
     runpy.run_module("cottonladder", run_name="__main__", alter_sys=True)
--- a/tests/weight_advice/manager_case.py
+++ b/tests/weight_advice/manager_case.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import time
 import unittest
 from collections.abc import Callable, Mapping
@@ -65,8 +64,7 @@
             self.discovery_address, self.discovery.endpoint_list(), None, advice, **settings
         )
         if constants:
-            manager.module = program_with_constants.__name__
-            manager.environment = {program_with_constants.CONSTANTS_VARIABLE: json.dumps(constants)}
+            program_with_constants.run_with(manager, constants)
         await manager.serving()
         self.addAsyncCleanup(manager.stop)
         return manager
