--- a/tests/forwarder/test_upgrades.py
+++ b/tests/forwarder/test_upgrades.py
@@ -5,8 +5,10 @@
 import asyncio
 import struct
 import unittest
+from unittest import mock
 
 import aiohttp
+from aiohttp import web
 
 from cottonladder.forwarder.frame_scanner import TEXT, encode_frame
 from cottonladder.testbed.fleet import ForwarderProcess
@@ -14,7 +16,9 @@
 from tests.support.forwarder_rig import EVENT_TIMEOUT_S, WEBSOCKET_HANDSHAKE, ForwarderRig
 
 MAX_MEMORY_GROWTH_BYTES = 4 << 20
-UNREAD_TIME_S = 1.0  # in which the worker sends far more than the buffers of the forwarder hold
+FLOOD_FRAME = "x" * 65_536
+FLOOD_FRAME_COUNT = 1024  # 64 MiB, far more than the sockets' buffers hold
+STALL_S = 0.5  # without a frame sent, after which the worker counts as stalled
 
 
 class UpgradedConnections(ForwarderRig):
@@ -58,10 +62,29 @@
         self.assertEqual(await asyncio.wait_for(reader.read(), EVENT_TIMEOUT_S), b"BYE")
 
     async def test_a_client_that_reads_nothing_holds_little(self) -> None:
-        self.only_worker.push_interval_s = 0.0001
-        await self.open_websocket(self.only_forwarder, limit_bytes=1024)
+        """The worker has to wait with what the client does not read."""
+        may_send = asyncio.Event()
+        sent_count = 0
+
+        async def flood(connection: web.WebSocketResponse) -> None:
+            nonlocal sent_count
+            await may_send.wait()
+            for _ in range(FLOOD_FRAME_COUNT):
+                await connection.send_str(FLOOD_FRAME)
+                sent_count += 1
+
+        async def has_stalled() -> bool:
+            count_before = sent_count
+            await asyncio.sleep(STALL_S)
+            return 0 < sent_count == count_before
+
+        self.only_worker.push_interval_s = 1.0  # any, so that it sends unasked
+        with mock.patch.object(self.only_worker, "_push", flood):
+            await self.open_websocket(self.only_forwarder, limit_bytes=1024)
         before = self.only_forwarder.resident_bytes()
-        await asyncio.sleep(UNREAD_TIME_S)
+        may_send.set()
+        await self.wait_until(has_stalled)
+        self.assertLess(sent_count, FLOOD_FRAME_COUNT)
         self.assertLess(self.only_forwarder.resident_bytes() - before, MAX_MEMORY_GROWTH_BYTES)
 
     async def test_a_worker_that_does_not_agree_answers_the_client(self) -> None:
