--- a/tests/forwarder/test_race_conditions.py
+++ b/tests/forwarder/test_race_conditions.py
@@ -10,7 +10,6 @@
 import socket
 import struct
 import unittest
-from contextlib import suppress
 from dataclasses import dataclass
 from typing import Any
 from unittest import mock
@@ -24,6 +23,7 @@
 from cottonladder.testbed.fleet import ForwarderProcess
 from cottonladder.testbed.workers import SimulatedWorker
 from tests.support.forwarder_rig import ForwarderRig
+from tests.support.stream_reading import read_until_closed
 
 EVENT_TIMEOUT_S = 15.0
 
@@ -140,14 +140,10 @@
         """Whatever a client receives from the worker until the worker has ended; then the client ends."""
         reader, writer = await asyncio.open_connection("127.0.0.1", forwarder.port)
         writer.write(b"GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: shout/1\r\n\r\n")
-        received = b""
         try:
-            with suppress(ConnectionError):
-                while piece := await asyncio.wait_for(reader.read(4096), EVENT_TIMEOUT_S):
-                    received += piece
+            return await read_until_closed(reader)
         finally:
             writer.close()
-        return received
 
     async def wait_until_released(self, forwarder: ForwarderProcess) -> None:
         async def has_no_connection() -> bool:
--- a/tests/support/stream_client.py
+++ b/tests/support/stream_client.py
@@ -3,13 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-from contextlib import suppress
 
 from cottonladder.protocol.resp import MAX_MESSAGE_SIZE, RespReader, encode
+from tests.support.stream_reading import READ_SIZE_BYTES, read_until_closed
 from tests.support.timeouts import in_time
 
-READ_SIZE_BYTES = 65536
-
 
 class StreamClient:
     """The client end of a connection to a manager; sends and receives RESP2 messages as words of text."""
@@ -52,9 +50,7 @@
 
     async def wait_closed(self) -> None:
         """Waits until the manager has closed or reset the connection."""
-        with suppress(ConnectionError):
-            while await in_time(self.reader.read(READ_SIZE_BYTES)):
-                pass
+        await read_until_closed(self.reader)
 
     def close(self) -> None:
         """Closes the connection."""
