--- a/cottonladder/cli/tasks.py
+++ b/cottonladder/cli/tasks.py
@@ -8,8 +8,9 @@
 
 import click
 
+from ..control.admin_socket import TASKS_QUERY
 from .errors import CommandError
-from .options import AS_JSON
+from .options import json_option
 from .output import print_rows
 
 ANSWER_TIMEOUT_S = 3.0
@@ -19,11 +20,11 @@
 
 @click.command()
 @click.argument("path", type=click.Path(exists=True), metavar="SOCKET")
-@AS_JSON
+@json_option
 def tasks(path: str, as_json: bool) -> None:
     """Show the background tasks of a running process, over its local control socket."""
     try:
-        rows = _query(path, "tasks")
+        rows = _query(path, TASKS_QUERY)
     except OSError as exc:
         raise CommandError(str(exc)) from exc
     except ValueError as exc:
--- a/cottonladder/config/deployment.py
+++ b/cottonladder/config/deployment.py
@@ -10,7 +10,7 @@
 
 from ..model.parameters import DeploymentParameters, RequestClass
 from .errors import UnknownNameError
-from .fields import bounded_seconds, field, integer, names, number
+from .fields import JsonObject, bounded_seconds, field, integer, names, number
 
 MIN_DIVISOR = 1e-3  # least value of a setting that others are divided by, in the setting's unit
 
@@ -38,7 +38,7 @@
         return self.classes[name]
 
 
-def read_settings(info: dict[str, Any], seed: int, where: str) -> DeploymentSettings:
+def read_settings(info: JsonObject, seed: int, where: str) -> DeploymentSettings:
     """Reads the settings object `info`; raises ConfigError, with a text that begins with `where`.
 
     `seed` starts the random choices of the policy.
@@ -64,8 +64,15 @@
     )
 
 
+def _slice_count(family: Any, where: str) -> int:
+    """Reads the number of slices; `SingleWriter`, on the owners of a slice, is checked and has no effect."""
+    slice_count = field(family, "KeyRanges", int, where, 0)
+    field(family, "SingleWriter", bool, where, False)
+    return int(slice_count)
+
+
 def _deployment_parameters(
-    info: dict[str, Any], profiles: list[Any], zone_count: int, seed: int, where: str
+    info: JsonObject, profiles: list[Any], zone_count: int, seed: int, where: str
 ) -> DeploymentParameters:
     family = field(info, "FamilyInfo", dict, where)
     rules = field(info, "Rules", dict, where)
@@ -83,8 +90,7 @@
         health_checks=field(limits, "Probing", bool, where, False),
         gossip=field(limits, "Peers", bool, where, False),
         admission_mode=field(family, "ThrottleBy", str, where, "none"),
-        slice_count=field(family, "KeyRanges", int, where, 0),
-        single_owner=field(family, "SingleWriter", bool, where, False),
+        slice_count=_slice_count(family, where),
         channel_lines_per_s=number(family, "EgressPerS", where, MIN_DIVISOR),
         message_header_lines=int(number(family, "Head", where)),
         max_queued_lines=number(family, "PendingMax", where),
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -1,6 +1,6 @@
 """Starts and stops one manager process.
 
-What `serve` opens, it closes in the opposite order.
+`serve` closes what it has opened in the opposite order.
 """
 
 from __future__ import annotations
@@ -25,11 +25,12 @@
 from .connection_limits import connection_limits
 from .control_loop import ControlLoop, ControlLoopObservers, Effects
 from .extensions import (
-    BackgroundWork,
+    BackgroundServices,
     Extensions,
-    connect_snapshots,
     create_extensions,
-    start_background_work,
+    restore_advisor_credits,
+    set_snapshot_sources,
+    start_background_services,
 )
 from .input_queue import InputQueue
 from .reload import ConfigReloader
@@ -46,7 +47,7 @@
 
 
 async def serve(config: StartupConfig, config_path: str, operator: OperatorConfig | None = None) -> None:
-    """Runs one manager until SIGTERM or SIGINT; a fault of the policy is raised from here."""
+    """Runs one manager until SIGTERM or SIGINT; raises what the policy raises."""
     log: structlog.stdlib.BoundLogger = structlog.get_logger()
     stop = _stop_event()
     limits = connection_limits(config.manager)
@@ -54,15 +55,17 @@
     sessions = ProxySessions(input_queue.put)
     messages = MessageReader(config.settings, config.workers.find_index)
     async with AsyncExitStack() as stack:
-        background = await start_background_work(config, operator, stack)
+        background = await start_background_services(config, operator, stack)
         known = _starting_list(config, background)
         effects = await _open_effects(config, limits, known.version, input_queue, stack)
         extensions = create_extensions(config, operator, messages)
-        for extension in extensions.in_order():
+        for extension in extensions.enabled():
             await extension.start(stack)
         control_loop = _create_control_loop(config, input_queue, sessions, effects, extensions, background)
         stack.callback(control_loop.close)
-        control_loop.step([known.endpoints])  # before it listens, so that it can decide once it answers
+        control_loop.step(
+            [known.endpoints]
+        )  # before listening, so that the policy knows the workers when proxies connect
         listener = StreamListener(messages, sessions, limits)
         stack.push_async_callback(listener.close)
         port = await listener.listen(*config.manager.listen)
@@ -73,7 +76,7 @@
         running = await stack.enter_async_context(_owned_task(control_loop.run()))
         await _wait_for_first(running, stop)
         if running.done():
-            running.result()  # raises what ended it
+            running.result()  # raises the exception that ended it
         log.info("stopping", name=config.manager.name)
 
 
@@ -86,7 +89,7 @@
     return stop
 
 
-def _starting_list(config: StartupConfig, background: BackgroundWork) -> StartingList:
+def _starting_list(config: StartupConfig, background: BackgroundServices) -> StartingList:
     """The newer of the snapshot's endpoint list and the configuration's."""
     if background.snapshots is not None:
         return background.snapshots.starting_list
@@ -100,7 +103,7 @@
     input_queue: InputQueue,
     stack: AsyncExitStack,
 ) -> Effects:
-    """Opens discovery client, health checks and gossip; their results come back through the queue."""
+    """Opens the discovery client, health checks and gossip; their results are put into the queue."""
     settings = config.settings
     workers = config.workers
     discovery = DiscoveryClient(
@@ -125,13 +128,14 @@
     sessions: ProxySessions,
     effects: Effects,
     extensions: Extensions,
-    background: BackgroundWork,
+    background: BackgroundServices,
 ) -> ControlLoop:
-    """Creates the control loop; snapshots are its first extension, as they restore the earlier state."""
+    """Creates the control loop; snapshots are its first extension, because they restore the earlier state."""
     settings = config.settings
-    loop_extensions = extensions.in_order()
+    loop_extensions = extensions.enabled()
     if background.snapshots is not None:
-        connect_snapshots(background.snapshots, extensions, effects.discovery)
+        set_snapshot_sources(background.snapshots, extensions, effects.discovery)
+        restore_advisor_credits(background.snapshots, extensions)
         loop_extensions.insert(0, background.snapshots)
     scheduler = background.scheduler
     observers = ControlLoopObservers(
@@ -159,7 +163,7 @@
 
 @asynccontextmanager
 async def _owned_task(coroutine: Coroutine[Any, Any, None]) -> AsyncIterator[asyncio.Task[None]]:
-    """Runs a task that is cancelled and awaited at the end, before what it uses is closed."""
+    """Runs a task that is cancelled and awaited when the context ends."""
     task = asyncio.create_task(coroutine)
     try:
         yield task
--- a/tests/forwarder/test_race_conditions.py
+++ b/tests/forwarder/test_race_conditions.py
@@ -17,9 +17,9 @@
 import aiohttp
 from aiohttp import web
 
+from cottonladder.config.operator_config import LimitsConfig
 from cottonladder.forwarder import client_listener
 from cottonladder.forwarder.client_listener import ClientListener, LimitedRequestHandler
-from cottonladder.forwarder.resource_limits import ResourceLimits
 from cottonladder.testbed.fleet import ForwarderProcess
 from cottonladder.testbed.workers import SimulatedWorker
 from tests.support.forwarder_rig import ForwarderRig
@@ -85,7 +85,7 @@
             self.assertEqual(response.headers["Connection"], "close")
             self.assertIn("Retry-After", response.headers)
         status = await forwarder.status(self.session)
-        self.assertIsNotNone(status["manager"])  # its orders count until the last request has ended
+        self.assertIsNotNone(status.manager)  # its orders count until the last request has ended
         self.answers_allowed.set()
         self.assertEqual(await release, Answer(200, "", b"r-1"))
         await self.session.close()  # otherwise the forwarder waits for this test's own idle connections
@@ -147,7 +147,7 @@
 
     async def wait_until_released(self, forwarder: ForwarderProcess) -> None:
         async def has_no_connection() -> bool:
-            return bool((await forwarder.status(self.session))["held"] == {})
+            return (await forwarder.status(self.session)).upgraded_connections == {}
 
         await self.wait_until(has_no_connection)
 
@@ -170,7 +170,7 @@
     """A listener that announces when it has accepted two connections."""
 
     def __init__(self) -> None:
-        super().__init__(ResourceLimits(), self.respond)
+        super().__init__(LimitsConfig(), self.respond)
         self.two_accepted = asyncio.Event()
 
     async def respond(self, _request: web.BaseRequest) -> web.StreamResponse:
