--- a/tests/plugins/test_host.py
+++ b/tests/plugins/test_host.py
@@ -90,11 +90,11 @@
             with self.subTest(name):
                 plugin = self.load(hostile.text)
                 for _ in range(2):
-                    started_at_s = time.process_time()  # a call takes CPU alone, and the machine may be busy
+                    started_at = time.perf_counter()
                     with self.assertRaises(PluginFault) as raised:
                         plugin.call("route", b"x")
                     self.assertEqual(raised.exception.kind, hostile.fault_kind, raised.exception)
-                    self.assertLess(time.process_time() - started_at_s, MAX_FAILED_CALL_S)
+                    self.assertLess(time.perf_counter() - started_at, MAX_FAILED_CALL_S)
 
     def test_memory_does_not_grow_over_its_limit(self) -> None:
         grow = "(if (i32.ne (memory.grow (i32.const 1000)) (i32.const -1)) (then unreachable)) (i64.const 0)"
--- a/tests/weight_advice/test_servers.py
+++ b/tests/weight_advice/test_servers.py
@@ -6,7 +6,6 @@
 import ssl
 import time
 import unittest
-from contextlib import suppress
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
@@ -15,6 +14,7 @@
 from cottonladder.testbed.configuration_files import SETTINGS
 from cottonladder.weight_advice import dfp, sasp
 from cottonladder.weight_advice.sasp import MessageType, ResponseCode
+from tests.support.stream_reading import read_until_closed
 from tests.weight_advice.certificates import write_certificate
 from tests.weight_advice.manager_case import (
     EVENT_TIMEOUT_S,
@@ -29,15 +29,6 @@
 MAX_MEMORY_GROWTH_BYTES = 8 << 20
 
 
-async def wait_closed(reader: asyncio.StreamReader) -> None:
-    """Reads until the manager has closed the connection."""
-    try:
-        while await asyncio.wait_for(reader.read(65_536), EVENT_TIMEOUT_S):
-            pass
-    except ConnectionError:
-        pass
-
-
 class SaspServerTest(ManagerTestCase):
     async def test_load_balancers_ask_for_weights_and_are_pushed_changes(self) -> None:
         manager = await self.start_manager({"protocol": "sasp"})
@@ -137,16 +128,12 @@
         """
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         parameters = dfp.Message(dfp.MessageType.DFP_PARAMETERS, keep_alive_s=2)
-        received = b""
         try:
             writer.write(dfp.encode_message(parameters, (7, b"wrong")))
             writer.write(dfp.encode_message(dfp.Message(dfp.MessageType.BIND_ID_REQUEST), (7, b"wrong")))
-            with suppress(ConnectionError):
-                while data := await asyncio.wait_for(reader.read(65536), EVENT_TIMEOUT_S):
-                    received += data
+            return await read_until_closed(reader)
         finally:
             writer.close()
-        return received
 
 
 class HostileClientTest(ManagerTestCase):
@@ -165,7 +152,7 @@
         self.assertGreater(len(connected), 3900)
         self.assertEqual((await balancer.weights(b"g"))[b"s-1"].weight, MAX_WEIGHT)
         for reader, _ in connected:
-            await wait_closed(reader)
+            await read_until_closed(reader)
         for _, writer in connected:
             writer.close()
         self.assertLess(manager.resident_bytes() - before, MAX_MEMORY_GROWTH_BYTES)
@@ -188,7 +175,7 @@
         ):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(invalid)
-            await wait_closed(reader)
+            await read_until_closed(reader)
             writer.close()
 
     async def test_a_client_that_never_reads_is_ended(self) -> None:
