--- a/cottonladder/membership/checker.py
+++ b/cottonladder/membership/checker.py
@@ -2,9 +2,9 @@
 
     python -m cottonladder.membership.checker --managers 2 --depth 10
 
-The search runs the program's own transition functions (`planning.fencing`) to a bounded depth.  Any message
-in flight may arrive next, arrive several times, or never, so that reordering, duplication and loss need no
-steps of their own.
+The search runs the transition functions of `planning.fencing` to a bounded depth.  Any message in flight may
+arrive next, arrive several times, or never, so that reordering, duplication and loss need no steps of their
+own.
 """
 
 from __future__ import annotations
@@ -18,6 +18,17 @@
 
 from ..planning import fencing
 
+# Description in the help of the command line, whose text stays as it is.
+DESCRIPTION = """\
+Explores the fencing protocol: every interleaving of lease requests, orders, losses, duplicates and pauses.
+
+    python -m cottonladder.membership.checker --managers 2 --depth 10
+
+The search runs the program's own transition functions (`planning.fencing`) to a bounded depth.  Any message
+in flight may arrive next, arrive several times, or never, so that reordering, duplication and loss need no
+steps of their own.
+"""
+
 
 class Violation(StrEnum):
     """How an invariant of the protocol can be broken; the values are printed."""
@@ -294,7 +305,7 @@
 
 def main() -> None:
     """Explores with the options of the command line, and prints the result."""
-    parser = argparse.ArgumentParser(description=__doc__)
+    parser = argparse.ArgumentParser(description=DESCRIPTION)
     parser.add_argument("--managers", type=int, default=2)
     parser.add_argument("--depth", type=int, default=9)
     arguments = parser.parse_args()
--- a/cottonladder/planning/fencing.py
+++ b/cottonladder/planning/fencing.py
@@ -1,8 +1,10 @@
 """Leases of managers on forwarders, fenced by epochs: whose orders a forwarder carries out.
 
-Pure: no clock, no I/O; the model checker (`membership/checker.py`) explores the functions that the program
-runs.  The protocol needs neither agreement among managers nor synchronized clocks: a manager requests a lease
-on a forwarder with an epoch, the forwarder decides, and state that must not go back carries a version.
+Pure: no clock, no I/O.  No manager or forwarder uses this protocol yet: only the model checker
+(`membership/checker.py`) runs these functions.
+
+The protocol needs neither agreement among managers nor synchronized clocks: a manager requests a lease on a
+forwarder with an epoch, the forwarder decides, and state that must not go back carries a version.
 
 - A forwarder carries out the orders of the highest epoch that it granted, and answers a lower one with that
 epoch. - An exclusion carries the version of the endpoint list that it is based on; only a newer version
