--- a/cottonladder/protocol/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -28,10 +28,10 @@
 
 
 class DiscoveryClient:
-    """Owns an HTTP session with at most one watch and one fetch of the list under way.
+    """Owns an HTTP session, a watch and a fetch of the list, and after a change of address the former watch.
 
-    After a change of address the watch at the former address stays in use until the new one has answered, so
-    that no update is lost in between.
+    The former watch stays in use until the one at the new address has answered, so that no update is lost in
+    between.
 
     The answer to a fetch and the lines of a watch may overtake each other.  A version older than the accepted
     one is ignored.  A version below the one that was accepted when the call was made means that discovery may
@@ -93,10 +93,11 @@
             self._fetch_task = asyncio.create_task(self._run(self._fetch_list(self._origin)))
 
     def change_address(self, address: HostPort) -> None:
-        """Moves to another address of discovery, and fetches the complete list from it at once.
+        """Moves to another address of discovery.
 
-        The new address may count versions differently from the old one, so changes after the accepted version
-        would not be enough.
+        If there is a watch, one is started there, which fetches the complete list first.  The new address may
+        count versions differently from the old one, so changes after the accepted version would not be
+        enough.
         """
         if self._is_closed:
             return
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of workers over HTTP; a check's duration is measured from the sending of its request."""
+"""Health checks of workers over HTTP; a check's duration includes the time to connect."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
     async def _check(self, worker_index: int, address: str) -> None:
         async with self._slots:
-            sent_at = time.monotonic()
+            started_at = time.monotonic()
             succeeded = False
             report: dict[str, float] = {}
             try:
@@ -78,7 +78,7 @@
                 pass
             if self._address_of(worker_index) != address:
                 return  # the worker has another address by now, so the answer came from another process
-            duration_s = time.monotonic() - sent_at
+            duration_s = time.monotonic() - started_at
             self._input_received(HealthCheckResult(worker_index, succeeded, duration_s, report))
 
     async def close(self) -> None:
--- a/cottonladder/protocol/protocol_connection.py
+++ b/cottonladder/protocol/protocol_connection.py
@@ -44,7 +44,7 @@
         """A connection has said which proxy it belongs to."""
 
     def connection_ended(self, connection: ProtocolConnection) -> None:
-        """A proxy's connection is closed."""
+        """A proxy's connection that no newer one has superseded is closed."""
 
     def input_received(self, item: Input | ExtensionMessage) -> None:
         """A report, an acknowledgement or a message of an extension has arrived."""
@@ -103,8 +103,8 @@
         """Called by asyncio for bytes that arrived.
 
         A framing error ends the connection, as does any fault before the peer has identified itself.  After
-        that an invalid message is logged and ignored: the time limits of a proxy run on while it
-        reconnects.  A peer that sends nothing valid therefore stays connected; only the log shows it.
+        that an invalid message is logged and ignored; for the reason see `abort`.  A peer that sends nothing
+        valid therefore stays connected; only the log shows it.
         """
         self.last_received_at = time.monotonic()
         try:
@@ -153,7 +153,7 @@
     def abort(self, reason: str) -> None:
         """Ends the connection at once and drops what is buffered; `reason` is logged.
 
-        This is the last resort: the time limits of a proxy run on while it reconnects.
+        This is the last resort: a proxy receives no orders while it reconnects.
         """
         transport = self._transport
         if transport is not None and not transport.is_closing():
--- a/cottonladder/protocol/resp.py
+++ b/cottonladder/protocol/resp.py
@@ -8,7 +8,7 @@
 
 MAX_MESSAGE_SIZE = 1 << 20  # bytes of one message: the protocol's limit
 MAX_ARGUMENTS = 64  # of one message; the protocol's longest message to a manager has 15
-MAX_HEADER_LENGTH = 9  # bytes: the sign, and the digits of the largest count or length allowed above
+MAX_HEADER_LENGTH = 9  # bytes: the sign and 8 digits, one more than the largest count or length above
 LINE_END = b"\r\n"
 
 
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -3,7 +3,7 @@
 A forwarder announces the extension after its SUBSCRIBE; a manager that has it accepts, and only then does
 either side send its other messages.  A manager without the extension rejects the announcement, and a proxy
 without it never receives any of these messages.  Times on the wire are in milliseconds; `node` is the proxy's
-index, and `done` the number of connections that were migrated.
+index, and `done` the number of connections that left the worker, migrated or closed.
 
     UPGRADES node 17 version 1                            forwarder: announces the extension
     UPGRADES version 1 part 0.25 arrivals 50.0            manager: accepts; the forwarder's share of arrivals
@@ -77,7 +77,8 @@
 class MigrationOrdered:
     """MOVE: `count` connections are to leave the worker `source`.
 
-    `destinations` has, by worker id, how many of them go where; the forwarder selects workers for the rest.
+    `destinations` has, by worker id, how many of them go where; the rest are closed, and their clients
+    asked to reconnect.
     """
 
     number: int  # identifies the migration in its result
@@ -97,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrationDone:
-    """MOVED: how many connections of a migration were migrated, and how many could not be."""
+    """MOVED: how many connections of a migration left the worker, migrated or closed, and how many not."""
 
     proxy: int
     number: int  # of the migration
