--- a/cottonladder/plugins/abi.py
+++ b/cottonladder/plugins/abi.py
@@ -2,9 +2,9 @@
 
 A module exports its memory, `interface` (returns the version), `input` (the address at which a record is
 written) and `capacity` (the bytes that fit there), and any of the hooks.  A hook gets the length of the
-record, and returns its answer as `address * 2**32 + length`, or 0 for no answer.  Records and answers are
-lines of `name=value` in UTF-8; a name may occur several times in a record.  A module may import `log(address,
-length)` and, if it is granted, `random() -> i64` from `cottonladder`.
+record, and returns its answer as `address * 2**32 + length`, or 0 for an empty answer.  Records and answers
+are lines of `name=value` in UTF-8; a name may occur several times in a record.  A module may import
+`log(address, length)` and, if it is granted, `random() -> i64` from `cottonladder`.
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
         return self is EMPTY_ANSWER or self == EMPTY_ANSWER
 
     def interface_fields(self) -> dict[str, object]:
-        """The contents by the names that the plug-in interface and the command line use."""
+        """The contents by the keys of the command line's output."""
         return {
             "need": self.required_labels,
             "prefer": self.preferred_labels,
--- a/cottonladder/plugins/chain.py
+++ b/cottonladder/plugins/chain.py
@@ -25,7 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PluginSpec:
-    """A plug-in as configured; if it `fails_closed`, a request is rejected when it gives no answer."""
+    """A plug-in as configured.
+
+    If it `fails_closed`, a request is rejected when the call fails or is not allowed.
+    """
 
     name: str
     path: str
@@ -134,7 +137,10 @@
         return any(hook in loaded.plugin.hooks for loaded in self._plugins)
 
     def record_clipped(self) -> None:
-        """Counts an answer that asked for more than is allowed."""
+        """Adds one to `clipped` of every plug-in.
+
+        The combined answer does not tell which of them asked for more than is allowed.
+        """
         for loaded in self._plugins:
             loaded.plugin.counts.clipped += 1
 
@@ -155,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _GivenAnswer:
-    """A plug-in's answer, or None if it gave none."""
+    """A plug-in's answer, or None if the call failed or was not allowed."""
 
     spec: PluginSpec
     answer: Answer | None
--- a/cottonladder/plugins/host.py
+++ b/cottonladder/plugins/host.py
@@ -64,8 +64,8 @@
 class CallCounts:
     """Totals of a plug-in's calls.
 
-    `clipped` counts answers that asked for more than is allowed, `skipped` the calls that the circuit breaker
-    or the CPU budget prevented.
+    `clipped` counts requests of any plug-in of the chain for more than is allowed, `skipped` the calls that
+    the circuit breaker or the CPU budget prevented.
     """
 
     calls: int = 0
@@ -254,6 +254,7 @@
         assert store is not None
         self._host_calls = 0
         self._has_logged = False
+        # The plug-in's buffer may be smaller than a record, whose last line is then cut.
         packed = self._run(store, hook, data[: self._input_capacity])
         address = (packed >> ADDRESS_SHIFT_BITS) & LENGTH_MASK
         size = packed & LENGTH_MASK
