--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -28,7 +28,8 @@
 class AdvertisedWeight:
     """One worker's weight, 0 (no new requests) to `MAX_WEIGHT`.
 
-    `is_reachable` tells whether it answers as far as is known, `is_leaving` whether it drains or is gone.
+    `is_reachable` tells whether it has capacity or is quiesced, and is sent as SASP's contact flag;
+    `is_leaving` tells whether it drains or is gone.
     """
 
     weight: int
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -168,14 +168,14 @@
                 ends[worker] = views[worker].draining_since + self.parameters.grace_s
         return ends
 
-    def _stop_orders(self, leaving: Mapping[int, float]) -> list[StopMigration]:
-        """Cancels the pending orders at workers that are ready again during their drain."""
+    def _stop_orders(self, grace_ends: Mapping[int, float]) -> list[StopMigration]:
+        """Cancels the pending orders at workers that no longer drain or hold no more connections."""
         cancelled = {
             (pending.forwarder, pending.source): None
             for pending in self._pending.values()
-            if pending.source not in leaving
+            if pending.source not in grace_ends
         }
-        self._drop_pending(lambda pending: pending.source not in leaving)
+        self._drop_pending(lambda pending: pending.source not in grace_ends)
         return [StopMigration(forwarder, source) for forwarder, source in cancelled]
 
     def _migrations(
--- a/cottonladder/planning/migration_slices.py
+++ b/cottonladder/planning/migration_slices.py
@@ -76,11 +76,13 @@
     """Divides a slice among the forwarders, the one with most connections first.
 
     If there are many forwarders, some get a larger order now and others a later one: a message header takes
-    as much of the channel as ten lines, so an order of one connection for each would fill it.
+    several lines of the channel (`message_header_lines`), so an order of one connection for each would fill
+    it.
     """
-    slices_left = max(1.0, drain.grace_left_s / PLAN_INTERVAL_S * (1.0 - GRACE_MARGIN_RATIO))
+    # Approximate: the margin is taken of the time left, not of the whole grace period.
+    estimated_slices_left = max(1.0, drain.grace_left_s / PLAN_INTERVAL_S * (1.0 - GRACE_MARGIN_RATIO))
     unordered_sum = sum(drain.unordered.values())
-    min_order_size = math.ceil(unordered_sum / max(1.0, max_orders * slices_left))
+    min_order_size = math.ceil(unordered_sum / max(1.0, max_orders * estimated_slices_left))
     shares: dict[int, int] = {}
     remaining = drain.slice_size
     for forwarder in sorted(drain.unordered, key=lambda number: (-drain.unordered[number], number)):
--- a/cottonladder/planning/snapshot_staleness.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -50,8 +50,9 @@
 def valid_suspicions(histories: Iterable[WorkerHistory], age_s: float) -> set[int]:
     """Indices of the workers whose ejection is restored.
 
-    There are none past `MAX_SUSPICION_AGE_S`, and none if more were ejected than the policy allows at a time:
-    a manager that lost its network may have ejected all workers.
+    There are none past `MAX_SUSPICION_AGE_S`, and none if more than `MAX_EJECTED_RATIO` of the workers that
+    stay were ejected (the policy applies the same ratio to weights): a manager that lost its network may have
+    ejected all workers.
     """
     histories = list(histories)
     suspected = [
--- a/cottonladder/snapshots/store.py
+++ b/cottonladder/snapshots/store.py
@@ -1,8 +1,8 @@
 """A folder of snapshot generations, each a file of named sections that is either complete or absent.
 
 A generation is written to a new file, synced, and renamed, and then its folder is synced.  A few older ones
-are kept to fall back on.  A file that can't be read is quarantined: renamed and never overwritten.  One
-process owns the folder, by a lock that the system releases when the process ends.
+are kept to fall back on.  A file that can't be read is quarantined under another name; the newest few of them
+are kept.  One process owns the folder, by a lock that the system releases when the process ends.
 """
 
 from __future__ import annotations
@@ -45,7 +45,8 @@
 class SnapshotStore:
     """Reads and writes the generations of a folder, which it owns from `open` to `close`.
 
-    Each method raises SnapshotError if the folder or a file can't be used.
+    Each method raises SnapshotError if the folder or a file can't be used; `remove_old_generations` and
+    `write` may also raise OSError if the folder can't be listed.
     """
 
     def __init__(self, folder: str) -> None:
