--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -16,7 +16,7 @@
 
 import structlog
 
-from ..planning.priority_scheduling import PriorityScheduler, ScheduledSlice, TaskPlan
+from ..planning.priority_scheduling import PriorityScheduler, ScheduledTask, TaskPlan
 
 # Begins a run of a task; each step of the iterator is one slice.
 Work = Callable[[], Iterator[Awaitable[Any] | None]]
@@ -189,7 +189,7 @@
     return count > 0 and count & (count - 1) == 0
 
 
-def _status_row(task: ScheduledSlice, now: float) -> dict[str, object]:
+def _status_row(task: ScheduledTask, now: float) -> dict[str, object]:
     return {
         "task": task.plan.name,
         "priority": task.plan.priority,
--- a/cottonladder/planning/priority_scheduling.py
+++ b/cottonladder/planning/priority_scheduling.py
@@ -48,8 +48,8 @@
 
 
 @dataclass(slots=True)
-class ScheduledSlice:
-    """A task's next slice, its budget, and counts of its earlier slices and runs.
+class ScheduledTask:
+    """A task's plan, its budget, when its next slice is due, and counts of its earlier slices and runs.
 
     A run may take several slices; `is_running` tells whether one has started and not ended.
     """
@@ -74,11 +74,11 @@
     """Chooses the next task and accounts for CPU time; `now` is in seconds of the caller's clock."""
 
     def __init__(self) -> None:
-        self.tasks: dict[str, ScheduledSlice] = {}
+        self.tasks: dict[str, ScheduledTask] = {}
 
     def add(self, now: float, plan: TaskPlan, phase: float) -> None:
         """Adds a task that is first due after `phase`, from 0 to 1, of a period."""
-        self.tasks[plan.name] = ScheduledSlice(
+        self.tasks[plan.name] = ScheduledTask(
             plan, due_at=now + plan.period_s * phase, budget_s=plan.cpu_fraction, refilled_at=now
         )
 
@@ -135,7 +135,7 @@
         task.due_at = min(task.due_at, now)
 
 
-def _refill(task: ScheduledSlice, now: float) -> float:
+def _refill(task: ScheduledTask, now: float) -> float:
     """Adds the budget of the time since the last refill; returns the budget in seconds."""
     refill = (now - task.refilled_at) * task.plan.cpu_fraction
     task.budget_s = min(task.plan.cpu_fraction, task.budget_s + refill)
@@ -143,11 +143,11 @@
     return task.budget_s
 
 
-def _is_starved(task: ScheduledSlice, now: float) -> bool:
+def _is_starved(task: ScheduledTask, now: float) -> bool:
     return now - task.due_at > max(MIN_STARVATION_WAIT_S, STARVATION_PERIODS * task.plan.period_s)
 
 
-def _wait(task: ScheduledSlice, now: float) -> float:
+def _wait(task: ScheduledTask, now: float) -> float:
     """Seconds until a task is due and has budget."""
     until_due = task.due_at - now
     until_budget = 0.0
@@ -156,7 +156,7 @@
     return max(until_due, until_budget)
 
 
-def _finish_run(task: ScheduledSlice, now: float, failed: bool, jitter: float) -> None:
+def _finish_run(task: ScheduledTask, now: float, failed: bool, jitter: float) -> None:
     """Counts a run that ended, and sets when the next one is due."""
     task.is_running = False
     task.runs += 1
