--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -20,11 +20,11 @@
 from ..planning.controller_views import capacity_views
 from ..planning.migration_orders import (
     PLAN_INTERVAL_S,
-    AdmitForwarder,
     HeldConnectionCounts,
     MigrateConnections,
     MigrationOrder,
     MigrationParameters,
+    SetArrivalShare,
     StopMigration,
 )
 from ..policy.controller import RoutingController
@@ -158,8 +158,8 @@
 
     def _encode(self, order: MigrationOrder) -> bytes | None:
         """The order's message, or None if the source worker has been removed."""
-        if isinstance(order, AdmitForwarder):
-            return wire.encode_acceptance(order.arrival_fraction, self._arrivals_per_s)
+        if isinstance(order, SetArrivalShare):
+            return wire.encode_acceptance(order.arrival_share, self._arrivals_per_s)
         source_id = self._workers.ids.get(order.source)
         if source_id is None:
             return None
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -23,22 +23,22 @@
 from .migration_capacity import ConnectionIntake
 from .migration_orders import (
     PLAN_INTERVAL_S,
-    AdmitForwarder,
     HeldConnectionCounts,
     MigrateConnections,
     MigrationOrder,
     MigrationParameters,
+    SetArrivalShare,
     StopMigration,
 )
 from .migration_placement import Placement
-from .migration_slices import WorkerDrain, due_drains, share_slice
+from .migration_slices import WorkerDrain, active_drains, share_slice
 
 # Part of the channel's lines that migrations may take; the routing policy's orders need the rest.
 CHANNEL_FRACTION = 0.1
 # Slices after which an order without an answer counts as lost.
 ORDER_TIMEOUT_SLICES = 4.0
-# Relative change of a forwarder's fraction of the arrivals from which it is sent again.
-MIN_ADMISSION_CHANGE_RATIO = 0.25
+# Relative change of a forwarder's share of the arrivals from which it is sent again.
+MIN_SHARE_CHANGE_RATIO = 0.25
 # Workers that forwarders may hold connections at without the routing controller knowing them.
 MAX_MISSING_WORKERS = 4096
 # Order numbers wrap around here, because the wire's field is a signed 32-bit integer.
@@ -114,12 +114,12 @@
             worker: view for worker, view in views.items() if view.capacity > 0 and worker not in grace_ends
         }
         acceptable = self._intake.acceptable_connections(now, live, connections, self._incoming_connections())
-        drains = due_drains(
+        drains = active_drains(
             now, grace_ends, self._connections.forwarders, self._ordered_connections(), self.parameters
         )
         if drains:
             orders += self._migrations(now, drains, acceptable, views, max(1, line_budget - spent_lines))
-        return orders + self._admission_orders(line_budget - self.channel_lines(orders))
+        return orders + self._arrival_share_orders(line_budget - self.channel_lines(orders))
 
     def channel_lines(self, orders: Iterable[MigrationOrder]) -> int:
         """Lines of the channel that the orders take."""
@@ -243,17 +243,17 @@
         )
         self._intake.take(destinations)
 
-    def _admission_orders(self, line_budget: int) -> list[MigrationOrder]:
-        """Sends forwarders their fraction of the arrivals if it changed far enough, as lines allow."""
-        fraction = 1.0 / max(1, len(self._connections.forwarders))
+    def _arrival_share_orders(self, line_budget: int) -> list[MigrationOrder]:
+        """Sends forwarders their share of the arrivals if it changed far enough, as lines allow."""
+        share = 1.0 / max(1, len(self._connections.forwarders))
         orders: list[MigrationOrder] = []
         for forwarder, holdings in self._connections.forwarders.items():
-            announced = holdings.announced_fraction
-            if abs(fraction - announced) <= MIN_ADMISSION_CHANGE_RATIO * announced:
+            announced = holdings.announced_share
+            if abs(share - announced) <= MIN_SHARE_CHANGE_RATIO * announced:
                 continue
             line_budget -= self.parameters.message_header_lines + 1
             if line_budget < 0:
                 break
-            holdings.announced_fraction = fraction
-            orders.append(AdmitForwarder(forwarder, fraction))
+            holdings.announced_share = share
+            orders.append(SetArrivalShare(forwarder, share))
         return orders
--- a/cottonladder/planning/held_connections.py
+++ b/cottonladder/planning/held_connections.py
@@ -11,11 +11,11 @@
 
 @dataclass(slots=True)
 class ForwarderHoldings:
-    """A forwarder's zone, its connections by worker, and its fraction of the arrivals as last sent."""
+    """A forwarder's zone, its connections by worker, and its share of the arrivals as last sent."""
 
     zone: int
     connections: dict[int, HeldConnectionCounts] = field(default_factory=dict)
-    announced_fraction: float = 0.0
+    announced_share: float = 0.0
 
 
 class HeldConnections:
--- a/cottonladder/planning/migration_orders.py
+++ b/cottonladder/planning/migration_orders.py
@@ -62,11 +62,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AdmitForwarder:
-    """A forwarder's fraction of the new connections that each worker accepts."""
+class SetArrivalShare:
+    """An order that sets a forwarder's share of the new connections that each worker accepts."""
 
     forwarder: int
-    arrival_fraction: float
+    arrival_share: float
 
 
-MigrationOrder = MigrateConnections | StopMigration | AdmitForwarder
+MigrationOrder = MigrateConnections | StopMigration | SetArrivalShare
--- a/cottonladder/planning/migration_slices.py
+++ b/cottonladder/planning/migration_slices.py
@@ -28,7 +28,7 @@
     is_last_slice: bool
 
 
-def due_drains(
+def active_drains(
     now: float,
     grace_ends: Mapping[int, float],
     forwarders: Mapping[int, ForwarderHoldings],
--- a/tests/planning/test_connection_migration.py
+++ b/tests/planning/test_connection_migration.py
@@ -13,11 +13,11 @@
 from cottonladder.planning.migration_capacity import CAPACITY_SLACK_RATIO
 from cottonladder.planning.migration_orders import (
     PLAN_INTERVAL_S,
-    AdmitForwarder,
     HeldConnectionCounts,
     MigrateConnections,
     MigrationOrder,
     MigrationParameters,
+    SetArrivalShare,
     StopMigration,
 )
 from cottonladder.planning.migration_placement import apportion
@@ -52,7 +52,7 @@
 
 def arrival_fractions(orders: list[MigrationOrder]) -> dict[int, float]:
     """The fractions of the arrivals that were sent, by forwarder."""
-    return {order.forwarder: order.arrival_fraction for order in orders if isinstance(order, AdmitForwarder)}
+    return {order.forwarder: order.arrival_share for order in orders if isinstance(order, SetArrivalShare)}
 
 
 class SimulatedForwarders:
