--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -38,8 +38,8 @@
 CREDIT_GAIN_RATIO = 0.03
 # Largest part of the credit that is lost in an interval if latencies contradict the weights.
 CREDIT_LOSS_RATIO = 0.5
-# Correlation of weights and latencies up to which it says nothing about an advisor.
-CORRELATION_TOLERANCE = 0.08
+# Natural logarithm: bias towards slow or fast workers up to which it says nothing about an advisor.
+BIAS_TOLERANCE_LOG = 0.08
 # Multiple of the tolerance from which a contradiction costs the full loss.
 FULL_LOSS_MULTIPLIER = 4.0
 # Mean change of the logarithms of an advisor's weights in an interval from which they flap.
@@ -105,7 +105,7 @@
 
     def __init__(self) -> None:
         self._advisors: dict[str, _Advisor] = {}
-        self._factors: dict[int, float] = {}  # logarithms, by worker index
+        self._log_factors: dict[int, float] = {}  # by worker index
 
     def advisor_connected(self, advisor: str, trust: float = DEFAULT_TRUST) -> None:
         """Sets the trust of an advisor that connected; its credit stays as it was before."""
@@ -153,25 +153,27 @@
     def update_factors(self, now: float, views: Mapping[int, WorkerCapacityView]) -> dict[int, float]:
         """Moves each factor by one step and gives those that are not 1, by worker index."""
         self.drop_missing_workers(views)
-        votes = self._collect_votes(now, views)
+        votes = self._update_credits_and_collect_votes(now, views)
         logs: dict[int, float] = {}
-        for worker in self._factors.keys() | votes.keys():
+        for worker in self._log_factors.keys() | votes.keys():
             if worker not in views:
                 continue
             target = _combine(votes.get(worker, []))
-            current = self._factors.get(worker, 0.0)
+            current = self._log_factors.get(worker, 0.0)
             log = current + min(MAX_LOG_STEP, max(-MAX_LOG_STEP, target - current))
             if views[worker].warming_up:
                 log = min(0.0, log)
             if abs(log) > NEUTRAL_LOG:
                 logs[worker] = log
-        self._factors = logs
+        self._log_factors = logs
         return {worker: math.exp(log) for worker, log in logs.items()}
 
-    def _collect_votes(self, now: float, views: Mapping[int, WorkerCapacityView]) -> dict[int, list[_Vote]]:
+    def _update_credits_and_collect_votes(
+        self, now: float, views: Mapping[int, WorkerCapacityView]
+    ) -> dict[int, list[_Vote]]:
         """Updates the advisors' credit and gives their votes by worker."""
         plain_capacities = {
-            worker: view.capacity / math.exp(self._factors.get(worker, 0.0))
+            worker: view.capacity / math.exp(self._log_factors.get(worker, 0.0))
             for worker, view in views.items()
             if view.capacity > 0
         }
@@ -247,32 +249,31 @@
     if changes and sum(changes) / len(changes) > FLAP_THRESHOLD_LOG:
         state.credit -= FLAP_LOSS_RATIO * state.credit
     else:
-        correlation = _latency_correlation(centred, views)
-        if correlation is None:
+        bias = _latency_bias(centred, views)
+        if bias is None:
             return
-        if correlation > CORRELATION_TOLERANCE:
-            severity = min(1.0, correlation / (FULL_LOSS_MULTIPLIER * CORRELATION_TOLERANCE))
+        if bias > BIAS_TOLERANCE_LOG:
+            severity = min(1.0, bias / (FULL_LOSS_MULTIPLIER * BIAS_TOLERANCE_LOG))
             state.credit -= CREDIT_LOSS_RATIO * state.credit * severity
-        elif correlation < -CORRELATION_TOLERANCE:
+        elif bias < -BIAS_TOLERANCE_LOG:
             state.credit += CREDIT_GAIN_RATIO * (1.0 - state.credit)
     state.credit = max(MIN_CREDIT, state.credit)
 
 
-def _latency_correlation(
-    centred: Mapping[int, float], views: Mapping[int, WorkerCapacityView]
-) -> float | None:
-    """How far the centred logarithms of weights correlate with the logarithms of latencies.
+def _latency_bias(centred: Mapping[int, float], views: Mapping[int, WorkerCapacityView]) -> float | None:
+    """The mean deviation of the logarithms of latencies, weighted by the centred logarithms of weights.
 
     A value above 0 means that slow workers are ranked high.  It is None if too few latencies are known or the
     weights rank no worker over another.
     """
-    times = {
+    latencies = {
         worker: views[worker].latency_s
         for worker in centred
         if views[worker].latency_s > 0 and not views[worker].warming_up
     }
-    dispersion = sum(abs(centred[worker]) for worker in times)
-    if len(times) < MIN_COMPARED_WORKERS or dispersion < MIN_DISPERSION_LOG * len(times):
+    dispersion = sum(abs(centred[worker]) for worker in latencies)
+    if len(latencies) < MIN_COMPARED_WORKERS or dispersion < MIN_DISPERSION_LOG * len(latencies):
         return None
-    mean_log = sum(math.log(time) for time in times.values()) / len(times)
-    return sum(centred[worker] * (math.log(time) - mean_log) for worker, time in times.items()) / dispersion
+    logs = {worker: math.log(latency) for worker, latency in latencies.items()}
+    mean_log = sum(logs.values()) / len(logs)
+    return sum(centred[worker] * (log - mean_log) for worker, log in logs.items()) / dispersion
