--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -49,7 +49,7 @@
         age_s <= ageing.MAX_TABLE_AGE_S and not router.has_ordered_table
     ):  # what was ordered meanwhile is newer
         restored += _restore_tables(snapshot, router, is_known)
-    if age_s <= ageing.MAX_SUSPICION_AGE_S:
+    if age_s <= ageing.MAX_EJECTION_AGE_S:
         restored += _restore_avoided(snapshot, age_s, now, router, is_known)
         _reserve_slots(snapshot, now, router, pacer, is_known)
     return ", ".join(restored) or "nothing"
--- a/cottonladder/planning/snapshot_staleness.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -1,7 +1,7 @@
 """Discounts by their age the figures of an earlier incarnation that are restored from a snapshot.
 
 Pure: no clock, no I/O.  Each kind of figure has its own limit of age or half-life.  If the clock went back,
-the age is unknown and counts as infinite.  An ejection is restored up to `MAX_SUSPICION_AGE_S`.  A drain
+the age is unknown and counts as infinite.  An ejection is restored up to `MAX_EJECTION_AGE_S`.  A drain
 stands until discovery reports the worker as ready.  A worker that was started since is a new one, which the
 routing controller recognizes by its start time.
 """
@@ -15,16 +15,16 @@
 from ..model.inputs import RestoredState, WorkerHistory
 from ..policy.outlier_ejection import MAX_EJECTED_RATIO as MAX_EJECTED_RATIO
 
-# Age up to which an ejection is restored; the policy ends most ejections sooner.
-MAX_SUSPICION_AGE_S = 20.0
+# Age up to which an ejection, or a forwarder's avoidance of a worker, is restored; most of them end sooner.
+MAX_EJECTION_AGE_S = 20.0
 # Time in which a latency factor's distance from 1 halves.
-LATENCY_FACTOR_DECAY_S = 30.0
+LATENCY_FACTOR_HALF_LIFE_S = 30.0
 # Age up to which a base latency is restored: a week, in which machines may be replaced.
 MAX_BASE_LATENCY_AGE_S = 7 * 86_400.0
 # Age up to which a proxy's request rate is restored; rates follow the time of day.
 MAX_PROXY_RATE_AGE_S = 3_600.0
 # Time in which the distance of an advisor's credit from that of a new advisor halves.
-CREDIT_DECAY_S = 86_400.0
+CREDIT_HALF_LIFE_S = 86_400.0
 # Age up to which a forwarder restores its routing tables; the endpoint list removes workers that left since.
 MAX_TABLE_AGE_S = 3_600.0
 # How far a snapshot's time may lie ahead of the clock; a larger lead means that the clock was set back.
@@ -39,40 +39,40 @@
 
 def discounted_latency_factor(value: float, age_s: float) -> float:
     """The factor, at most 1, at this age: it fades to 1."""
-    return 1.0 + (min(1.0, max(0.0, value)) - 1.0) * float(2.0 ** (-age_s / LATENCY_FACTOR_DECAY_S))
+    return 1.0 + (min(1.0, max(0.0, value)) - 1.0) * float(2.0 ** (-age_s / LATENCY_FACTOR_HALF_LIFE_S))
 
 
 def discounted_credit(value: float, initial: float, age_s: float) -> float:
     """The credit at this age: it fades to `initial`, that of a new advisor."""
-    return initial + (value - initial) * float(2.0 ** (-age_s / CREDIT_DECAY_S))
+    return initial + (value - initial) * float(2.0 ** (-age_s / CREDIT_HALF_LIFE_S))
 
 
-def valid_suspicions(histories: Iterable[WorkerHistory], age_s: float) -> set[int]:
+def restorable_ejections(histories: Iterable[WorkerHistory], age_s: float) -> set[int]:
     """Indices of the workers whose ejection is restored.
 
-    There are none past `MAX_SUSPICION_AGE_S`, and none if more than `MAX_EJECTED_RATIO` of the workers that
+    There are none past `MAX_EJECTION_AGE_S`, and none if more than `MAX_EJECTED_RATIO` of the workers that
     stay were ejected (the policy applies the same ratio to weights): a manager that lost its network may have
     ejected all workers.
     """
     histories = list(histories)
-    suspected = [
+    ejected = [
         history.worker_index for history in histories if history.was_ejected and not history.was_draining
     ]
     staying = sum(not history.was_draining for history in histories)
-    if age_s > MAX_SUSPICION_AGE_S or len(suspected) > MAX_EJECTED_RATIO * staying:
+    if age_s > MAX_EJECTION_AGE_S or len(ejected) > MAX_EJECTED_RATIO * staying:
         return set()
-    return set(suspected)
+    return set(ejected)
 
 
 def discount(restored: RestoredState, age_s: float) -> RestoredState:
     """Discounts an earlier incarnation's state by its age, for the routing controller."""
-    suspected = valid_suspicions(restored.workers, age_s)
+    ejected = restorable_ejections(restored.workers, age_s)
     histories = tuple(
         replace(
             history,
             base_latency_s=_valid_base_latency(history.base_latency_s, age_s),
             latency_factor=discounted_latency_factor(history.latency_factor, age_s),
-            was_ejected=history.worker_index in suspected,
+            was_ejected=history.worker_index in ejected,
         )
         for history in restored.workers
     )
--- a/tests/planning/test_snapshot_staleness.py
+++ b/tests/planning/test_snapshot_staleness.py
@@ -81,8 +81,8 @@
 
     def test_no_ejection_is_restored_beyond_the_ejection_limit(self) -> None:
         histories = tuple(worker_history(n, was_ejected=n < 4) for n in range(8))
-        self.assertEqual(snapshot_staleness.valid_suspicions(histories, 1.0), set())
-        self.assertEqual(snapshot_staleness.valid_suspicions(histories[2:], 1.0), {2, 3})
+        self.assertEqual(snapshot_staleness.restorable_ejections(histories, 1.0), set())
+        self.assertEqual(snapshot_staleness.restorable_ejections(histories[2:], 1.0), {2, 3})
 
     def test_a_clock_that_was_set_back_makes_a_snapshot_infinitely_old(self) -> None:
         self.assertEqual(snapshot_staleness.snapshot_age(1000.0, 999.0), 0.0)
