--- a/cottonladder/planning/plugin_bounds.py
+++ b/cottonladder/planning/plugin_bounds.py
@@ -21,7 +21,7 @@
 MAX_FAULTS = 5
 # Time for which a fault counts.
 FAULT_WINDOW_S = 10.0
-# Time that a circuit breaker first stays open; it doubles each time the call that half-opens it fails.
+# Time that a circuit breaker first stays open; it doubles each time the trial call fails.
 MIN_OPEN_DURATION_S = 2.0
 # Longest time that a circuit breaker stays open.
 MAX_OPEN_DURATION_S = 120.0
@@ -141,15 +141,18 @@
     open_duration_s: float = MIN_OPEN_DURATION_S
     open_count: int = 0
 
-    def allows(self, now: float) -> bool:
-        """Whether the plug-in may be called now; once the open time has passed, one call is allowed."""
+    def try_acquire(self, now: float) -> bool:
+        """Tells whether the plug-in may be called now; after the open time, allows one trial call."""
         if self.state == BreakerState.OPEN and now >= self.open_until:
             self.state = BreakerState.HALF_OPEN
             return True
         return self.state == BreakerState.CLOSED
 
     def record_success(self, now: float) -> None:
-        """Records a call that succeeded; closes a half-open breaker."""
+        """Records a call that succeeded.
+
+        It closes a half-open breaker, or resets the open duration after a long time without a fault.
+        """
         if self.state == BreakerState.HALF_OPEN:
             self.state = BreakerState.CLOSED
             self.fault_times = []
--- a/cottonladder/plugins/chain.py
+++ b/cottonladder/plugins/chain.py
@@ -88,7 +88,7 @@
         now = time.monotonic()
         plugin = loaded.plugin
         breaker = loaded.breaker
-        if not self._budget.allows(now) or not breaker.allows(now):
+        if not self._budget.allows(now) or not breaker.try_acquire(now):
             plugin.counts.skipped += 1
             return None
         started_at = time.perf_counter()
