--- a/cottonladder/protocol/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -18,7 +18,7 @@
 from ..model.inputs import EndpointList, Input, ListUpdateKind
 from .discovery_http import check_status, read_body, read_lines
 from .endpoint_list import RegisterWorker, ZoneIndex, read_endpoint_list
-from .endpoint_watch import EndpointWatch, ListVersion
+from .endpoint_watch import DiscoverySource, EndpointWatch
 from .errors import EndpointListError
 from .fault_log import RateLimitedFaultLog
 
@@ -34,8 +34,8 @@
     between.
 
     The answer to a fetch and the lines of a watch may overtake each other.  A version older than the accepted
-    one is ignored.  A version below the one that was accepted when the call was made means that discovery may
-    have started over; it is accepted the second time.
+    one is ignored.  A version below that of the watch's previous line, or below the one that was accepted
+    when the call was made, means that discovery may have started over; it is accepted the second time.
 
     `entry_received` is called with each decoded entry, for fields that the protocol does not define.
     """
@@ -50,7 +50,7 @@
         entry_received: Callable[[dict[str, Any]], None] | None = None,
     ) -> None:
         self._entry_received = entry_received
-        self._origin = ListVersion(_url(address), version)
+        self._source = DiscoverySource(_url(address), version)
         self._zones = zones
         self._register = register
         self._input_received = input_received
@@ -69,7 +69,7 @@
     @property
     def version(self) -> int:
         """The version of the last accepted list."""
-        return self._origin.version
+        return self._source.version
 
     def set_watching(self, enabled: bool) -> None:
         """Starts a watch, in place of the present one if it has been answered; or ends it."""
@@ -90,7 +90,7 @@
         if self._is_closed:
             return
         if self._fetch_task is None or self._fetch_task.done():
-            self._fetch_task = asyncio.create_task(self._run(self._fetch_list(self._origin)))
+            self._fetch_task = asyncio.create_task(self._run(self._fetch_list(self._source)))
 
     def change_address(self, address: HostPort) -> None:
         """Moves to another address of discovery.
@@ -101,7 +101,7 @@
         """
         if self._is_closed:
             return
-        self._origin = ListVersion(_url(address), self.version, fetch_first=True)
+        self._source = DiscoverySource(_url(address), self.version, fetch_first=True)
         if self._fetch_task is not None:
             self._fetch_task.cancel()
         if self._watch is not None:
@@ -121,7 +121,7 @@
             self._former_watch = None
 
     def _start_watch(self) -> EndpointWatch:
-        watch = EndpointWatch(self._origin)
+        watch = EndpointWatch(self._source)
         watch.task = asyncio.create_task(self._run(self._follow(watch), watch))
         return watch
 
@@ -142,29 +142,29 @@
         else:
             self._input_received(EndpointList(ListUpdateKind.FAILED, ()))
 
-    async def _fetch_list(self, origin: ListVersion) -> None:
+    async def _fetch_list(self, source: DiscoverySource) -> None:
         timeout = aiohttp.ClientTimeout(
             total=FETCH_TIMEOUT_S, sock_connect=SILENCE_TIMEOUT_S, sock_read=SILENCE_TIMEOUT_S
         )
-        version_before = origin.version
-        async with self._session.get(origin.url, timeout=timeout) as reply:
+        version_before = source.version
+        async with self._session.get(source.url, timeout=timeout) as reply:
             check_status(reply)
             text = await read_body(reply)
-            self._process(text, origin, version_before)
+            self._process(text, source, version_before)
 
     async def _follow(self, watch: EndpointWatch) -> None:
-        origin = watch.origin
-        if origin.fetch_first:
-            await self._fetch_list(origin)
-            origin.fetch_first = False
+        source = watch.source
+        if source.fetch_first:
+            await self._fetch_list(source)
+            source.fetch_first = False
             self._mark_answered(watch)
-        watch.last_version = origin.version
-        query = {"watch": "1", "after": str(origin.version)}
-        async with self._session.get(origin.url, params=query) as reply:
+        watch.last_version = source.version
+        query = {"watch": "1", "after": str(source.version)}
+        async with self._session.get(source.url, params=query) as reply:
             check_status(reply)
             async for line in read_lines(reply):
                 if line.strip():
-                    watch.last_version = self._process(line, origin, watch.last_version, watch)
+                    watch.last_version = self._process(line, source, watch.last_version, watch)
                 elif not watch.is_answered:
                     self._report_no_change()
                 self._mark_answered(watch)
@@ -180,18 +180,18 @@
         self._input_received(EndpointList(ListUpdateKind.DELTA, ()))
 
     def _process(
-        self, text: bytes, origin: ListVersion, lowest_version: int, watch: EndpointWatch | None = None
+        self, text: bytes, source: DiscoverySource, previous_version: int, watch: EndpointWatch | None = None
     ) -> int:
         """Accepts or ignores a list or an update, and returns its version.
 
-        `lowest_version` is the version that was accepted when the call was made.
+        `previous_version` is that of the watch's previous line, or the one accepted when the call was made.
         """
         try:
             body = json.loads(text)
             version: int = field(body, "version", int, "list")
-            if version < lowest_version:
-                origin.check_restart(version, lowest_version, is_full_list=watch is None)
-            elif version < origin.version:
+            if version < previous_version:
+                source.check_restart(version, previous_version, is_full_list=watch is None)
+            elif version < source.version:
                 # A newer version has overtaken it, which includes all of its changes.
                 if watch is not None and not watch.is_answered:
                     self._report_no_change()
@@ -201,8 +201,8 @@
             raise EndpointListError("list", str(exc)) from None
         except json.JSONDecodeError:
             raise EndpointListError("list", "not JSON") from None
-        origin.version = version
-        origin.went_back = False
+        source.version = version
+        source.went_back = False
         if self._entry_received is not None:
             for entry in body["servers"]:
                 self._entry_received(entry)
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -281,7 +281,7 @@
             writer.close()
 
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
-        self.client._origin.url = discovery._url(server.sockets[0].getsockname()[:2])
+        self.client._source.url = discovery._url(server.sockets[0].getsockname()[:2])
         self.client.set_watching(True)
         await self.expect_updates((ListUpdateKind.FAILED, None))
         server.close()
