--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -14,20 +14,20 @@
 from .message_fields import parse_number
 
 CHECK_TIMEOUT_S = 0.5  # for connection and answer together; checks of one worker are at least 1 s apart
-MAX_BODY_SIZE = 4096  # bytes of a load report, which is one line of a few numbers
-REPORT_PREFIX = "TEXT"
-MAX_NAME_LENGTH = 32  # characters of a report's field name that an error shows
+MAX_BODY_SIZE = 4096  # bytes of an answer, which is one line of a few numbers
+METRICS_PREFIX = "TEXT"
+MAX_NAME_LENGTH = 32  # characters of a metric's name that an error shows
 
 
-def read_load_report(text: str) -> dict[str, float]:
-    """Parses a worker's load report, such as `TEXT inflight=7, queue=2`, into numbers by name."""
-    report: dict[str, float] = {}
-    for pair in text.removeprefix(REPORT_PREFIX).split(","):
+def read_health_metrics(text: str) -> dict[str, float]:
+    """Parses the metrics in a health check's answer, such as `TEXT inflight=7, queue=2`, by name."""
+    metrics: dict[str, float] = {}
+    for pair in text.removeprefix(METRICS_PREFIX).split(","):
         name, sign, value = pair.strip().partition("=")
         if sign:
             where = f"load report: field {name[:MAX_NAME_LENGTH]}"
-            report[name] = parse_number(value.strip().encode(), where)
-    return report
+            metrics[name] = parse_number(value.strip().encode(), where)
+    return metrics
 
 
 class HealthChecker:
@@ -66,20 +66,20 @@
         async with self._slots:
             started_at = time.monotonic()
             succeeded = False
-            report: dict[str, float] = {}
+            metrics: dict[str, float] = {}
             try:
                 async with self._session.get(f"http://{address}{self._path}") as reply:
                     body = await reply.content.read(MAX_BODY_SIZE)
                     succeeded = reply.status == HTTPStatus.OK
                     if succeeded:
-                        report = read_load_report(body.decode())
+                        metrics = read_health_metrics(body.decode())
             except (aiohttp.ClientError, TimeoutError, OSError, UnicodeDecodeError, InputError):
-                # Without an answer in time the check has failed; an unreadable report is ignored.
+                # Without an answer in time the check has failed; unreadable metrics are ignored.
                 pass
             if self._address_of(worker_index) != address:
                 return  # the worker has another address by now, so the answer came from another process
             duration_s = time.monotonic() - started_at
-            self._input_received(HealthCheckResult(worker_index, succeeded, duration_s, report))
+            self._input_received(HealthCheckResult(worker_index, succeeded, duration_s, metrics))
 
     async def close(self) -> None:
         """Cancels the checks under way and closes the session."""
