--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -5,10 +5,11 @@
 agrees with the estimates changes nothing, whatever its scale.  Invariants:
 
 - a factor stays between `1 / MAX_FACTOR` and `MAX_FACTOR`, changes by one step an interval at most, and fades
-to 1 as its weights age, so that nothing jumps when an advisor falls silent; - each advisor has a credit, by
-which its advice counts.  The credit falls if the workers that the advice favours are the slow ones or if its
-weights flap, and rises slowly if they are the fast ones; - a warming-up worker is never favoured, no worker
-gets 0, and no advice undoes a drain (the routing controller handles drains before any factor).
+  to 1 as its weights age, so that nothing jumps when an advisor falls silent;
+- each advisor has a credit, by which its advice counts.  The credit falls if the workers that the advice
+  favours are the slow ones or if its weights flap, and rises slowly if they are the fast ones;
+- a warming-up worker is never favoured, no worker gets 0, and no advice undoes a drain (the routing
+  controller handles drains before any factor).
 """
 
 from __future__ import annotations
--- a/cottonladder/planning/fencing.py
+++ b/cottonladder/planning/fencing.py
@@ -7,11 +7,12 @@
 forwarder with an epoch, the forwarder decides, and state that must not go back carries a version.
 
 - A forwarder carries out the orders of the highest epoch that it granted, and answers a lower one with that
-epoch. - An exclusion carries the version of the endpoint list that it is based on; only a newer version
-readmits the worker. - A retry of a request is fenced by its idempotency key: it is sent at most once,
-whichever managers order it. - A manager whose request was rejected, or that was paused, sends no orders until
-it is granted a lease again.  The grant carries the forwarder's exclusions with their versions, which the
-manager may not know.
+  epoch.
+- An exclusion carries the version of the endpoint list that it is based on; only a newer version readmits the
+  worker.
+- A retry of a request is fenced by its idempotency key: it is sent at most once, whichever managers order it.
+- A manager whose request was rejected, or that was paused, sends no orders until it is granted a lease again.
+  The grant carries the forwarder's exclusions with their versions, which the manager may not know.
 """
 
 from __future__ import annotations
@@ -33,7 +34,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Guards:
-    """The guards of the protocol; the model checker is tested with each of them left out."""
+    """The guards of the protocol; the model checker is tested with each of them left out.
+
+    - `epochs`: orders of another epoch are rejected, and so are lease requests of a lower one.
+    - `versions`: only a newer list version readmits or excludes.
+    - `keys`: a key is retried once.
+    - `hand_over`: a grant's exclusions are taken over.
+    """
 
     epochs: bool = True
     versions: bool = True
