--- a/cottonladder/plugins/chain.py
+++ b/cottonladder/plugins/chain.py
@@ -10,6 +10,7 @@
 
 import structlog
 
+from ..config.fields import MS_PER_S
 from ..planning.plugin_bounds import CircuitBreaker, CpuBudget
 from .abi import EMPTY_ANSWER, Answer, encode_record
 from .errors import PluginFault, PluginLoadError
@@ -19,7 +20,6 @@
 MAX_HEADERS = 48
 # Time between two log lines on the state of the plug-ins.
 STATUS_INTERVAL_S = 10.0
-MS_PER_S = 1000.0
 Pairs = Iterable[tuple[str, str]]
 
 
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -11,12 +11,11 @@
 
 from ..config.errors import InputError
 from ..model.inputs import HealthCheckResult, Input
-from .message_fields import parse_number
+from .message_fields import MAX_SHOWN_LENGTH, parse_number
 
 CHECK_TIMEOUT_S = 0.5  # for connection and answer together; checks of one worker are at least 1 s apart
 MAX_BODY_SIZE = 4096  # bytes of an answer, which is one line of a few numbers
 METRICS_PREFIX = "TEXT"
-MAX_NAME_LENGTH = 32  # characters of a metric's name that an error shows
 
 
 def read_health_metrics(text: str) -> dict[str, float]:
@@ -25,7 +24,7 @@
     for pair in text.removeprefix(METRICS_PREFIX).split(","):
         name, sign, value = pair.strip().partition("=")
         if sign:
-            where = f"load report: field {name[:MAX_NAME_LENGTH]}"
+            where = f"load report: field {name[:MAX_SHOWN_LENGTH]}"
             metrics[name] = parse_number(value.strip().encode(), where)
     return metrics
 
--- a/cottonladder/snapshots/file_format.py
+++ b/cottonladder/snapshots/file_format.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from ..config.fields import MS_PER_S
 from .errors import SnapshotFormatError, SnapshotTooLargeError
 
 MAGIC = b"CTNLMEM\0"
@@ -24,7 +25,6 @@
 DIGEST_SIZE = 16  # bytes
 MAX_UNCOMPRESSED_SIZE = 64 << 20  # bytes of all sections: some hundred thousand workers and proxies
 COMPRESSION_LEVEL = 1  # of zlib, the fastest: the file is small, and the machine may have one core
-MS_PER_S = 1000.0
 
 Sections = dict[str, Any]
 
