--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -25,7 +25,7 @@
     """Bounds of a manager's connections, computed from its configuration and the limits of the process."""
 
     max_connections: int  # accepted and open at the same time
-    accept_batch: int  # connections accepted in one turn of the loop
+    accept_batch: int  # connections accepted in one iteration of the event loop
     max_health_checks: int  # under way at the same time
     max_unread_bytes: int  # buffered for one proxy that does not read
     accept_queue_length: int = ACCEPT_QUEUE_LENGTH  # connections that the kernel queues
@@ -66,7 +66,8 @@
         """Starts to accept connections; returns the port.
 
         asyncio uses its `backlog` both as the length of the kernel's queue and as the number of connections
-        accepted in one turn of the loop.  It is given the latter, and the queue is lengthened afterwards.
+        accepted in one iteration of the event loop.  It is given the latter, and the queue is lengthened
+        afterwards.
         """
         listening_socket = socket.create_server((host, port))
         self._server = await asyncio.get_running_loop().create_server(
@@ -105,7 +106,8 @@
         self._unidentified[connection] = asyncio.get_running_loop().time()
         if len(self._open) > self.limits.max_connections:
             expendable = self._expendable_connection(connection)
-            self._forget(expendable)  # now, as asyncio reports its end only in the next turn of the loop
+            # Now, as asyncio reports its end only in the next iteration of the event loop.
+            self._forget(expendable)
             expendable.abort("too many connections")
 
     def _expendable_connection(self, newest: ProtocolConnection) -> ProtocolConnection:
