--- a/cottonladder/planning/plugin_bounds.py
+++ b/cottonladder/planning/plugin_bounds.py
@@ -21,7 +21,7 @@
 MAX_FAULTS = 5
 # Time for which a fault counts.
 FAULT_WINDOW_S = 10.0
-# Time that a circuit breaker first stays open; it doubles each time the trial call fails.
+# Time that a circuit breaker first stays open; it doubles each time a call fails while half-open.
 MIN_OPEN_DURATION_S = 2.0
 # Longest time that a circuit breaker stays open.
 MAX_OPEN_DURATION_S = 120.0
@@ -142,7 +142,7 @@
     open_count: int = 0
 
     def try_acquire(self, now: float) -> bool:
-        """Tells whether the plug-in may be called now; after the open time, allows one trial call."""
+        """Tells whether the plug-in may be called now; after the open time, one call is allowed."""
         if self.state == BreakerState.OPEN and now >= self.open_until:
             self.state = BreakerState.HALF_OPEN
             return True
--- a/cottonladder/planning/snapshot_staleness.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -18,13 +18,13 @@
 # Age up to which an ejection, or a forwarder's avoidance of a worker, is restored; most of them end sooner.
 MAX_EJECTION_AGE_S = 20.0
 # Time in which a latency factor's distance from 1 halves.
-LATENCY_FACTOR_HALF_LIFE_S = 30.0
+LATENCY_FACTOR_HALVING_TIME_S = 30.0
 # Age up to which a base latency is restored: a week, in which machines may be replaced.
 MAX_BASE_LATENCY_AGE_S = 7 * 86_400.0
 # Age up to which a proxy's request rate is restored; rates follow the time of day.
 MAX_PROXY_RATE_AGE_S = 3_600.0
 # Time in which the distance of an advisor's credit from that of a new advisor halves.
-CREDIT_HALF_LIFE_S = 86_400.0
+CREDIT_HALVING_TIME_S = 86_400.0
 # Age up to which a forwarder restores its routing tables; the endpoint list removes workers that left since.
 MAX_TABLE_AGE_S = 3_600.0
 # How far a snapshot's time may lie ahead of the clock; a larger lead means that the clock was set back.
@@ -39,12 +39,12 @@
 
 def discounted_latency_factor(value: float, age_s: float) -> float:
     """The factor, at most 1, at this age: it fades to 1."""
-    return 1.0 + (min(1.0, max(0.0, value)) - 1.0) * float(2.0 ** (-age_s / LATENCY_FACTOR_HALF_LIFE_S))
+    return 1.0 + (min(1.0, max(0.0, value)) - 1.0) * float(2.0 ** (-age_s / LATENCY_FACTOR_HALVING_TIME_S))
 
 
 def discounted_credit(value: float, initial: float, age_s: float) -> float:
     """The credit at this age: it fades to `initial`, that of a new advisor."""
-    return initial + (value - initial) * float(2.0 ** (-age_s / CREDIT_HALF_LIFE_S))
+    return initial + (value - initial) * float(2.0 ** (-age_s / CREDIT_HALVING_TIME_S))
 
 
 def restorable_ejections(histories: Iterable[WorkerHistory], age_s: float) -> set[int]:
