--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -16,6 +16,7 @@
 
 import structlog
 
+from ..config.fields import MS_PER_S
 from ..planning.priority_scheduling import PriorityScheduler, ScheduledTask, TaskPlan
 
 # Begins a run of a task; each step of the iterator is one slice.
@@ -167,7 +168,7 @@
             self.log.info(
                 "task_overran",
                 task=name,
-                duration_ms=round(duration_s * 1000, 1),
+                duration_ms=round(duration_s * MS_PER_S, 1),
                 overrun_count=overrun_count,
             )
 
@@ -201,5 +202,5 @@
         "failures": task.failures,
         "missed": task.missed_deadlines,
         "cpu_s": round(task.cpu_s, 4),
-        "longest_ms": round(task.longest_slice_s * 1000.0, 2),
+        "longest_ms": round(task.longest_slice_s * MS_PER_S, 2),
     }
--- a/cottonladder/control/loop_lag.py
+++ b/cottonladder/control/loop_lag.py
@@ -6,6 +6,8 @@
 
 import structlog
 
+from ..config.fields import MS_PER_S
+
 MIN_LOOP_LAG_S = 0.01  # the policy's tick is 25 times as long, so a shorter lag changes no decision
 LAG_LOG_GROWTH = 1.5  # a lag is logged if it exceeds the longest one so far by this factor
 
@@ -26,4 +28,4 @@
             self._on_lag()
         if lag_s > LAG_LOG_GROWTH * self._longest_lag_s.get(source, 0.0):
             self._longest_lag_s[source] = lag_s
-            self.log.info("loop_lag", source=source, duration_ms=round(lag_s * 1000, 1))
+            self.log.info("loop_lag", source=source, duration_ms=round(lag_s * MS_PER_S, 1))
--- a/cottonladder/control/plugin_records.py
+++ b/cottonladder/control/plugin_records.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Iterable, Mapping
 
+from ..config.fields import MS_PER_S
 from ..model.views import WorkerCapacityView
 from ..planning.migration_orders import MigrateConnections
 from ..plugins.abi import EVENT, MOVE, WORKER, encode_record
 
 UNKNOWN_WORKER_ID = b"?"  # of a worker that has been removed
-MS_PER_S = 1000.0
 
 
 def worker_record(worker_id: str, view: WorkerCapacityView, labels: Iterable[str]) -> bytes:
--- a/cottonladder/control/snapshot_folder.py
+++ b/cottonladder/control/snapshot_folder.py
@@ -9,6 +9,7 @@
 
 import structlog
 
+from ..config.fields import MS_PER_S
 from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 
 SNAPSHOT_TASK = "snapshot"  # name of the background task that writes
@@ -48,7 +49,7 @@
             generation=found.number,
             age_s=round(time.time() - found.written_at, 1),
             quarantined=quarantined,
-            duration_ms=round((time.monotonic() - started_at) * 1000, 1),
+            duration_ms=round((time.monotonic() - started_at) * MS_PER_S, 1),
         )
         return found
 
--- a/cottonladder/control/state_change_log.py
+++ b/cottonladder/control/state_change_log.py
@@ -6,6 +6,7 @@
 
 import structlog
 
+from ..config.fields import MS_PER_S
 from ..model.state_changes import (
     AdmissionChanged,
     EndpointEvidence,
@@ -66,6 +67,6 @@
                 "lost_check_count": lost_check_count,
             }
         case HealthCheckEvidence(duration_s):
-            return {"duration_ms": round(duration_s * 1000)}
+            return {"duration_ms": round(duration_s * MS_PER_S)}
         case None:
             return {}
