--- a/tests/config/test_manager_file.py
+++ b/tests/config/test_manager_file.py
@@ -21,6 +21,7 @@
     TimerFired,
 )
 from cottonladder.policy.controller import RoutingController
+from tests.support.json_object import JsonObject
 from tests.support.manager_program import ManagerProgram
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.timeouts import in_time
@@ -68,7 +69,7 @@
         yield from json_paths(value, path)
 
 
-def with_value_at(body: dict[str, Any], path: JsonPath, value: Any) -> dict[str, Any]:
+def with_value_at(body: JsonObject, path: JsonPath, value: Any) -> JsonObject:
     """A copy of the file with another value at this path."""
     changed = copy.deepcopy(body)
     parent: Any = changed
@@ -78,7 +79,7 @@
     return changed
 
 
-def default_manager_config(discovery_address: str) -> dict[str, Any]:
+def default_manager_config(discovery_address: str) -> JsonObject:
     """A valid file's content."""
     return ManagerProgram(discovery_address).config
 
@@ -103,7 +104,7 @@
         self.path = Path(folder) / "config.json"
         self.valid = default_manager_config(UNREACHABLE_ADDRESS)
 
-    def read(self, body: dict[str, Any]) -> StartupConfig:
+    def read(self, body: JsonObject) -> StartupConfig:
         self.path.write_text(json.dumps(body))
         return read_startup_config(str(self.path))
 
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -11,7 +11,6 @@
 from contextlib import AsyncExitStack
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from click.testing import CliRunner
 
@@ -23,7 +22,7 @@
 from cottonladder.testbed.fleet import ForwarderProcess, ManagerProcess
 from tests.support.stream_client import StreamClient
 
-SECTIONS: dict[str, Any] = {"manager": {"v": 1, "data": {"mark": 7}}}
+SECTIONS: file_format.Sections = {"manager": {"v": 1, "data": {"mark": 7}}}
 WORKER_COUNT = 4
 SNAPSHOT_INTERVAL_S = 0.2
 SNAPSHOT_TIMEOUT_S = 20.0
@@ -33,21 +32,18 @@
 
 @dataclass(frozen=True, slots=True)
 class UnusableFile:
-    """Something in the folder that is no valid snapshot, and what the log says of it."""
+    """Something that is no valid snapshot, made at a path, and what the log says of it after its name."""
 
     create: Callable[[Path], object]
-    logged: str
+    reason: str
 
 
 UNUSABLE_FILES = (
-    UnusableFile(lambda folder: folder.mkdir(), "snapshot_missing"),
-    UnusableFile(lambda folder: (folder / "state-3.clm").write_bytes(b"what"), "state-3.clm: cut short"),
-    UnusableFile(lambda folder: (folder / "state-9.clm").mkdir(), "state-9.clm"),
+    UnusableFile(lambda path: path.write_bytes(b"what"), "cut short"),
+    UnusableFile(lambda path: path.mkdir(), "Is a directory"),
     UnusableFile(
-        lambda folder: (folder / "state-12.clm").write_bytes(
-            file_format.encode_file(SECTIONS, written_at=1.0, format_version=9)
-        ),
-        "newer format",
+        lambda path: path.write_bytes(file_format.encode_file(SECTIONS, written_at=1.0, format_version=9)),
+        "of a newer format",
     ),
 )
 
@@ -101,6 +97,12 @@
         except SnapshotError:
             return 0  # the folder does not exist yet
 
+    def create_as_newest(self, unusable: UnusableFile) -> str:
+        """Creates it as the newest snapshot, which the next start reads first; returns its name."""
+        path = self.manager_folder / f"state-{self.newest_generation() + 1}.clm"
+        unusable.create(path)
+        return path.name
+
     async def wait_for_generation(self, number: int) -> None:
         await self.wait_until(lambda: self.newest_generation() >= number)
 
@@ -134,25 +136,32 @@
         self.assertIn("s-0", table)
 
     async def test_unusable_files_never_prevent_a_start(self) -> None:
+        self.manager_folder.mkdir()
+        await self.check_start("snapshot_missing")
         for unusable in UNUSABLE_FILES:
-            unusable.create(self.manager_folder)
-            manager = await self.start_manager()
-            await manager.logged("event=snapshot_", unusable.logged)
-            self.assertIn("s-0", await self.read_table(manager))
-            self.assertEqual(await manager.stop(), 0)
+            name = self.create_as_newest(unusable)
+            await self.check_start(f"{name}: {unusable.reason}")
+
+    async def check_start(self, logged: str) -> None:
+        """Starts a manager, which logs this of its folder, serves its table, and stops with status 0."""
+        manager = await self.start_manager()
+        await manager.logged("event=snapshot_", logged)
+        self.assertIn("s-0", await self.read_table(manager))
+        self.assertEqual(await manager.stop(), 0)
 
     async def test_a_folder_owned_by_another_process_never_prevents_a_start(self) -> None:
+        self.manager_folder.mkdir()
         for unusable in UNUSABLE_FILES:
-            unusable.create(self.manager_folder)
-        owner = SnapshotStore(str(self.manager_folder))
-        owner.open()
-        self.addCleanup(owner.close)
+            self.create_as_newest(unusable)
+        lock_holder = SnapshotStore(str(self.manager_folder))
+        lock_holder.open()
+        self.addCleanup(lock_holder.close)
         manager = await self.start_manager()
         await manager.logged("snapshot_unreadable", "another process owns it")
         await manager.logged("task_failed", "another process owns it")
         self.assertIn("s-0", await self.read_table(manager))
         newest = self.newest_generation()
-        owner.close()
+        lock_holder.close()
         await self.wait_for_generation(newest + 1)  # the write is retried
         await manager.stop()
 
