--- a/cottonladder/forwarder/router.py
+++ b/cottonladder/forwarder/router.py
@@ -169,10 +169,19 @@
         """Whether no request may go to a worker, by a manager's order or by the endpoint list."""
         return worker_id in self.excluded or worker_id in self.leaving
 
-    def candidates(self, request_class: str) -> dict[str, float]:
-        """The workers that requests of a class may go to, with their weights."""
-        weights = self.tables[request_class].weights
-        return {worker_id: weight for worker_id, weight in weights.items() if not self.is_excluded(worker_id)}
+    def candidates(
+        self, request_class: str, preferred: Mapping[str, float] | None = None
+    ) -> dict[str, float]:
+        """The workers that requests of a class may go to, with their weights.
+
+        `preferred` are the weights chosen for one request, which replace those of the table; those of workers
+        that the table does not have, or that are excluded, are ignored.
+        """
+        table = self.tables[request_class].weights
+        candidates = {worker: weight for worker, weight in table.items() if not self.is_excluded(worker)}
+        if preferred is None:
+            return candidates
+        return {worker: weight for worker, weight in preferred.items() if worker in candidates}
 
     def select_worker(
         self,
@@ -183,12 +192,10 @@
     ) -> str | None:
         """Selects a worker by weight, among those that are not avoided if there are any.
 
-        `attempted` are workers that have failed this request, which are left out.  `preferred` are the
-        weights chosen for this request; those of workers that are no candidates are ignored.
+        `attempted` are workers that have failed this request, which are left out.  For `preferred` see
+        `candidates`.
         """
-        candidates = self.candidates(request_class)
-        if preferred is not None:
-            candidates = {worker: weight for worker, weight in preferred.items() if worker in candidates}
+        candidates = self.candidates(request_class, preferred)
         usable = {worker: weight for worker, weight in candidates.items() if worker not in attempted}
         healthy = {
             worker: weight for worker, weight in usable.items() if self._avoided_until.get(worker, 0.0) <= now
--- a/cottonladder/forwarder/worker_slots.py
+++ b/cottonladder/forwarder/worker_slots.py
@@ -34,9 +34,7 @@
         `attempted` are workers to leave out; `preferred` are weights that replace those of the table.
         """
         now = self._services.now()
-        candidates = self._services.router.candidates(request_class)
-        if preferred is not None:
-            candidates = {worker: weight for worker, weight in preferred.items() if worker in candidates}
+        candidates = self._services.router.candidates(request_class, preferred)
         reserved = self._take_reservation(now, candidates, attempted)
         if reserved is not None:
             return SlotSelection(reserved)
