--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -4,7 +4,8 @@
 groups give the flow, in which a request to another zone costs more than one to the own zone; a zone's share
 of each worker follows from it. Groups are filled to little more than the fleet's mean utilization and not
 to their full capacity, which protects against capacities that are estimated too high. Slow links to other
-zones carry nothing, and what the flow cannot place goes to the nearest group.
+zones carry nothing. Demand that the flow cannot place goes to the own group if it has warm workers, or else
+to the nearest group that has.
 """
 
 import math
@@ -105,12 +106,13 @@
         return CROSS_ZONE_COST * (zone != group)
 
     def _overflow_group(self, zone: int, groups: ZoneGroups, latencies: list[float]) -> int:
-        """Returns the group that takes what finds no capacity: the own, or else the nearest with workers."""
+        """Returns the group that takes the demand that the flow could not place.
+
+        Candidates are the groups with warm workers, or all groups if there are none.  The own group is
+        preferred, then the one with the lowest latency.
+        """
         candidates = [group for group in self._state.zones if groups.has_warm(group)]
-        return min(
-            candidates or self._state.zones,
-            key=lambda group: (group != zone, not groups.workers[group], latencies[group]),
-        )
+        return min(candidates or self._state.zones, key=lambda group: (group != zone, latencies[group]))
 
     def _weights(
         self, flow: list[float], overflow_group: int, demand: float, groups: ZoneGroups
