--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -32,7 +32,7 @@
 from .zone_flow import FlowPlanner
 from .zone_reachability import ZoneReachability
 
-DRAIN_HOLD_RATIO = 0.4  # of the drain grace, for which removals wait while there are proxies to bind
+DRAIN_HOLD_RATIO = 0.4  # of the drain grace: older departures and unbound proxies are overdue
 
 
 class RoutingController:
@@ -82,10 +82,11 @@
         return self._discovery.has_endpoint_list
 
     def decide(self, now: float, arrived: Iterable[inputs.Input]) -> list[orders.Order]:
-        """Returns the orders that follow from these inputs.  Most inputs wait for the next tick."""
+        """Applies the inputs, and returns the orders that follow; most follow at a later tick only."""
         self.state.now = now
         self._is_send_due = False
         if self.tick == 0:
+            # The first call starts the first tick, because no timer runs yet.
             arrived = [inputs.TimerFired(0), *arrived]
         for item in arrived:
             if type(item) in self._handlers:
@@ -159,10 +160,10 @@
         self.channel_budget.advance(state.now, MAX_CHANNEL_SLOWDOWN)
         self._deltas.class_admissions = self._shedding.class_admissions()
         send_exclusions(state, self.channel_budget)
-        hold_until = state.now - DRAIN_HOLD_RATIO * state.parameters.drain_grace_s
+        overdue_before = state.now - DRAIN_HOLD_RATIO * state.parameters.drain_grace_s
         if not state.parameters.slice_count:
-            self._binding.bind_proxies(hold_until)
-        self._send_removals(hold_until)
+            self._binding.bind_proxies(overdue_before)
+        self._send_removals(overdue_before)
         overweight = overweight_workers(state)
         for table in state.tables.all:
             self._deltas.send_update(table, overweight)
@@ -170,13 +171,13 @@
         state.pending.extend(written)
         state.tables.mark_written(self.channel_budget.last_checkpoint, state.now, lines_by_proxy)
 
-    def _send_removals(self, hold_until: float) -> None:
-        """Takes departed workers out of the tables, those that left first at first.
+    def _send_removals(self, overdue_before: float) -> None:
+        """Takes departed workers out of the tables, first from the table with the earliest departure.
 
-        While there are proxies to bind, only workers are taken out that departed by `hold_until`.
+        While there are proxies to bind, a table is left alone until its earliest departure is overdue.
         """
         state = self.state
         if all(proxy.table for proxy in state.proxies.by_number.values()):
-            hold_until = math.inf
+            overdue_before = math.inf
         for table in sorted(state.tables.all, key=lambda table: first_departure(state, table)):
-            self._deltas.send_removals(table, due_removals(state, table, hold_until))
+            self._deltas.send_removals(table, due_removals(state, table, overdue_before))
--- a/cottonladder/policy/proxy_binding.py
+++ b/cottonladder/policy/proxy_binding.py
@@ -22,20 +22,20 @@
         self._budget = budget
         self._deltas = deltas
 
-    def bind_proxies(self, connected_until: float) -> None:
-        """Binds unbound proxies; those that connected by the given time go first."""
+    def bind_proxies(self, overdue_before: float) -> None:
+        """Binds unbound proxies: first those that connected up to `overdue_before`, then the busiest."""
         unbound = {n: proxy for n, proxy in self._state.proxies.by_number.items() if proxy.table is None}
         ranks = {
-            number: (proxy.connected_at > connected_until, -proxy.joining_rate, number)
+            number: (proxy.connected_at > overdue_before, -proxy.joining_rate, number)
             for number, proxy in unbound.items()
         }
         for number in sorted(unbound, key=ranks.__getitem__):
-            if not self._bind_if_affordable(number, unbound[number], connected_until):
+            if not self._bind_if_affordable(number, unbound[number], overdue_before):
                 break
 
-    def _bind_if_affordable(self, number: int, proxy: ProxyRecord, connected_until: float) -> bool:
+    def _bind_if_affordable(self, number: int, proxy: ProxyRecord, overdue_before: float) -> bool:
         """Returns whether the budget may allow further binds."""
-        limit = BIND_LIMIT if proxy.connected_at > connected_until else RULE_LIMIT
+        limit = BIND_LIMIT if proxy.connected_at > overdue_before else RULE_LIMIT
         if self._budget.available_lines([number], limit) <= 0:
             return False
         table = self._select_table(proxy.zone)
--- a/cottonladder/policy/worker_removal.py
+++ b/cottonladder/policy/worker_removal.py
@@ -26,11 +26,11 @@
     return min([workers[index].due_at for index in removed_workers(state, table)], default=math.inf)
 
 
-def due_removals(state: ControllerState, table: RoutingTable, departed_until: float) -> list[int]:
-    """Returns the departed workers that a table still names, if the first of them left by the given time."""
+def due_removals(state: ControllerState, table: RoutingTable, overdue_before: float) -> list[int]:
+    """Returns all departed workers that a table still names, if the first left by `overdue_before`."""
     removed = removed_workers(state, table)
     workers = state.workers.by_index
-    if removed and min([workers[index].due_at for index in removed]) > departed_until:
+    if removed and min([workers[index].due_at for index in removed]) > overdue_before:
         return []
     return removed
 
@@ -44,5 +44,6 @@
         is_old = state.now - worker.due_at > REMOVED_TTL_S
         if is_old and index not in named and not worker.connection_load:
             del state.workers.by_index[index]
+            # No table names the worker, so this costs no lines and needs no budget.
             state.pending.add(orders.ExcludeWorker(index, False))
             state.pending.add(orders.RemoveWorker(index))
