--- a/cottonladder/policy/zone_reachability.py
+++ b/cottonladder/policy/zone_reachability.py
@@ -1,9 +1,9 @@
 """Which zones count as unreachable, so that lost health checks there are no sign against a worker.
 
-A zone is silent if most of its workers lost their last health check. A silent zone counts as unreachable
-unless its proxies were heard after its workers last answered anybody, while other zones still answer: then
-the network works and the workers do not. This is judged at each tick, and it protects the workers of a zone
-from ejection when only the way from this manager to the zone is interrupted.
+A zone is unresponsive if the median number of health checks that its workers lost in a row is at least one.
+It counts as unreachable, unless other zones respond and its proxies were heard after its workers last
+answered: then the network works and the workers do not. This is judged at each tick, and it protects the
+workers of a zone from ejection when only the network path from this manager to the zone is interrupted.
 """
 
 import math
@@ -29,16 +29,19 @@
         self._worker_answered_at[zone] = self._state.now
 
     def unreachable_zones(self, checked: list[WorkerRecord]) -> list[bool]:
-        """Returns by zone whether it is unreachable, given the workers that are health-checked."""
-        is_silent = [self._is_silent(zone, checked) for zone in self._state.zones]
+        """Returns by zone whether it is unreachable; zones that respond are recorded as answering.
+
+        `checked` are the workers that are health-checked.
+        """
+        is_unresponsive = [self._is_unresponsive(zone, checked) for zone in self._state.zones]
         for zone in self._state.zones:
-            if not is_silent[zone]:
+            if not is_unresponsive[zone]:
                 self.record_worker_answer(zone)
-        if all(is_silent):
-            return is_silent
-        return [is_silent[zone] and not self._proxies_are_heard(zone) for zone in self._state.zones]
+        if all(is_unresponsive):
+            return is_unresponsive
+        return [is_unresponsive[zone] and not self._proxies_are_heard(zone) for zone in self._state.zones]
 
-    def _is_silent(self, zone: int, checked: list[WorkerRecord]) -> bool:
+    def _is_unresponsive(self, zone: int, checked: list[WorkerRecord]) -> bool:
         return median_or_zero(worker.lost_checks for worker in checked if worker.zone == zone) >= 1
 
     def _proxies_are_heard(self, zone: int) -> bool:
