--- a/cottonladder/model/controller_state.py
+++ b/cottonladder/model/controller_state.py
@@ -27,4 +27,5 @@
         self.proxies = Proxies(parameters.zone_count, len(parameters.request_classes))
         self.tables = RoutingTables(parameters.zone_count)
         self.pending = PendingOrders()
-        self.needs_solution = False  # The workers changed since the flow was last solved.
+        # Whether a worker's state changed, or an overload began, since the flow was last solved.
+        self.needs_solution = False
--- a/cottonladder/policy/channel_budget.py
+++ b/cottonladder/policy/channel_budget.py
@@ -19,7 +19,7 @@
 
 
 class ChannelBudget(LineAccount):
-    """The only way for orders to proxies."""
+    """Reserves lines for orders to proxies, if they fit into the limits."""
 
     def available_lines(self, proxies: Iterable[int], limit: LineLimit) -> int:
         """Returns how many lines may still be ordered for these proxies, beside headers and checkpoints."""
@@ -41,7 +41,8 @@
     def _may_write(self, proxy: int, limit: LineLimit) -> bool:
         """Returns whether a proxy may be sent a message now.
 
-        Deltas leave a third of the messages to other orders, which keep an even distance in time.
+        Deltas use at most two thirds of the messages of a window.  Other orders may use the rest too, at an
+        even distance.
         """
         times = self.message_times(proxy)
         allowed = self.parameters.max_messages
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -2,9 +2,10 @@
 
 A worker is ejected if nearly all its attempts fail while the others' succeed, or if its health checks are
 lost while its zone can be reached. Each worker is judged at each tick; an ejected one returns by slow start
-after the ejection time, once a health check succeeds or where no health check can tell. Ejected workers
-never hold more than a third of the fleet's weight, which protects against a fault of the network or of the
-reports that makes many workers look unresponsive at once.
+after the ejection time, once a health check succeeds or where no health check can tell. No worker is
+ejected if the ejected ones would then hold over 34% of the fleet's weight, which protects against a fault
+of the network or of the reports that makes many workers look unresponsive at once. Ejections restored from
+a snapshot are not limited here.
 """
 
 from ..model import (
--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -1,9 +1,9 @@
 """How reports are added to the records of workers and proxies.
 
 Load reports, arrival reports, health check results, held connections, advised factors, and the coming and
-going of proxies are applied to the records as they arrive, and no order follows before the next tick. What
-is known of a worker or a proxy that is not on record is dropped. `report_plausibility` says which figures
-are believed; this protects the estimates from corrupted reports and from late reports on forgotten workers.
+going of proxies are applied to the records as they arrive; no order for a proxy follows at once. Reports on
+an unknown worker or proxy are dropped. `report_plausibility` says which figures are believed; this protects
+the estimates from corrupted reports and from late reports on forgotten workers.
 """
 
 from ..model import ControllerState, LinkLatencies, inputs
--- a/cottonladder/policy/worker_exclusion.py
+++ b/cottonladder/policy/worker_exclusion.py
@@ -1,9 +1,10 @@
 """Worker exclusion: when proxies must leave a departed worker out of every table that they hold.
 
-Usually a departed worker loses its line in the tables, and no exclusion is needed. Where a proxy cannot be
-given a table, because its zone has none to give or because slices are deployed, it is ordered to exclude
-the worker instead, and to lift that when the worker is back. This is looked at on each tick. It protects
-against requests to a departed worker by a table that the proxy brought along from another manager.
+Usually a departed worker loses its line in the tables, and no exclusion is needed. As long as any connected
+proxy cannot be given a table, because its zone has none or because slices are deployed, every proxy that
+may know the worker is ordered to exclude it, and to readmit it once it is back. Exclusions are checked at
+each tick. They protect against requests to a departed worker through a table that the proxy received from
+another manager.
 """
 
 from ..model import ControllerState, WorkerState, orders
@@ -14,12 +15,12 @@
     """Orders the exclusions that are due, as far as the channel budget allows."""
     cannot_give_tables = _cannot_give_tables(state)
     for index, worker in state.workers.by_index.items():
-        exclude = worker.state == WorkerState.REMOVED
-        if worker.is_excluded == exclude or (exclude and not cannot_give_tables):
+        is_departed = worker.state == WorkerState.REMOVED
+        if worker.is_excluded == is_departed or (is_departed and not cannot_give_tables):
             continue
         cost = dict.fromkeys(_holders(state, index), 1)
-        if budget.reserve([orders.ExcludeWorker(index, exclude)], cost, RULE_LIMIT):
-            worker.is_excluded = exclude
+        if budget.reserve([orders.ExcludeWorker(index, is_departed)], cost, RULE_LIMIT):
+            worker.is_excluded = is_departed
 
 
 def _cannot_give_tables(state: ControllerState) -> bool:
--- a/cottonladder/policy/worker_states.py
+++ b/cottonladder/policy/worker_states.py
@@ -2,8 +2,9 @@
 
 Each event moves a worker out of some states into one other state, and workers in other states ignore it.
 The events come from the endpoint list, from outlier ejection, from health checks, from slow start and from
-a snapshot, at the moment that they are noticed. Every transition is reported as an order for the log. A
-single table protects against two parts of the policy that disagree on what may follow a state.
+a snapshot, at the moment that they are noticed. A change of state is reported as an order for the log,
+except a worker's first state and a restart during slow start. A single table protects against two parts of
+the policy that disagree on what may follow a state.
 """
 
 from dataclasses import dataclass
@@ -73,7 +74,11 @@
 
 
 def _enter_slow_start(worker: WorkerRecord, now: float) -> None:
-    """Drops the measurements of the worker, which may have been replaced or repaired since."""
+    """Starts slow start.
+
+    The latency factor, the queue, lost checks and counts are reset, because the worker may have been replaced
+    or repaired since.  Base latency, capacity samples and utilization stay.
+    """
     worker.entered_at = now
     worker.due_at = 0.0
     worker.latency_factor = 1.0
@@ -84,6 +89,6 @@
 
 
 def _leave_service(worker: WorkerRecord, due_at: float) -> None:
-    """Takes the planned load off the worker."""
+    """Sets when the worker may return or when it departed, and drops its planned rate."""
     worker.due_at = due_at
     worker.planned_rate = 0.0
