--- a/cottonladder/state/proxy_view.py
+++ b/cottonladder/state/proxy_view.py
@@ -31,7 +31,7 @@
             return self.exclusions[worker_index]
         if workers.was_removed_before(worker_index):
             return None
-        if not self.is_authoritative and workers.has_restarted(worker_index):
+        if not self.is_authoritative and workers.has_listed_start(worker_index):
             return None
         return False
 
@@ -50,7 +50,7 @@
             for index in worker_indices
             if index not in self.exclusions
             and not workers.was_removed_before(index)
-            and workers.has_restarted(index)
+            and workers.has_listed_start(index)
         }
         admitted = sum(self.is_excluded(index, workers) is False for index in worker_indices)
         if admitted >= max(1.0, MIN_ADMITTED_SHARE * len(worker_indices)):
--- a/cottonladder/state/worker_registry.py
+++ b/cottonladder/state/worker_registry.py
@@ -1,4 +1,4 @@
-"""Worker ids and their small indices; what the endpoint list says of each worker's address and start."""
+"""Assigns indices to worker ids, and keeps each worker's address and whether a start of it was listed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ..config.errors import InputError
 
 MAX_WORKERS = 65536  # ids known at once; some 20 MB, and far more than a list names
-REMOVED_FILTER_BITS = 1 << 16  # for ids that were removed: 8 KiB, full after tens of thousands of them
+REMOVED_FILTER_BITS = 1 << 16  # of the filter of removed ids: 8 KiB, full after tens of thousands of ids
 
 
 class TooManyWorkersError(InputError):
@@ -25,15 +25,15 @@
 
     address: str
     was_removed_before: bool  # so that proxies may still exclude it
-    has_restarted: bool = False
+    has_listed_start: bool = False
 
 
 class WorkerRegistry:
     """Gives each listed worker a small index, until the controller removes the worker.
 
-    Indices are never used again, so a late report on a removed worker affects nobody.  Of removed ids one bit
-    of a hash is kept: a worker that returns, or hits another's bit, costs a line that readmits it at each
-    proxy, and no more.
+    Indices are never used again, so a late report on a removed worker affects nobody.  Removed ids are kept
+    in a Bloom filter with one hash function: a worker that returns, or hits another's bit, costs a line that
+    readmits it at each proxy, and no more.
     """
 
     def __init__(self) -> None:
@@ -44,14 +44,14 @@
         self._removed_filter = bytearray(REMOVED_FILTER_BITS // 8)
 
     def register(self, worker_id: str, address: str, started_at: float) -> int:
-        """The index of a listed worker, new or known; `started_at` is 0 for a start of long ago."""
+        """Adds or updates a listed worker, and returns its index; `started_at` is 0 for a start long ago."""
         key = worker_id.encode()
         worker_index = self._indices.get(key)
         if worker_index is None:
             worker_index = self._add(key, address)
         worker = self._workers[worker_index]
         worker.address = address
-        worker.has_restarted |= started_at > 0
+        worker.has_listed_start |= started_at > 0
         return worker_index
 
     def _add(self, worker_id: bytes, address: str) -> int:
@@ -81,9 +81,9 @@
         """Whether the worker is registered and not removed."""
         return worker_index in self.ids
 
-    def has_restarted(self, worker_index: int) -> bool:
-        """Since it is known, as far as the list says: a start of long ago is listed as none."""
-        return self._workers[worker_index].has_restarted
+    def has_listed_start(self, worker_index: int) -> bool:
+        """Whether the list has ever given a start time for it, which it does not for a start long ago."""
+        return self._workers[worker_index].has_listed_start
 
     def was_removed_before(self, worker_index: int) -> bool:
         """Whether this id, or one with the same hash, was known and removed earlier."""
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -118,7 +118,7 @@
         return inputs
 
     def exclusions_of_other_manager(self) -> set[bytes]:
-        restarted = [index for index in self.workers.ids if self.workers.has_restarted(index)]
+        restarted = [index for index in self.workers.ids if self.workers.has_listed_start(index)]
         excluded = self.random.sample(restarted, min(3, len(restarted)))
         return {self.workers.ids[index] for index in excluded}
 
