--- a/cottonladder/model/inputs.py
+++ b/cottonladder/model/inputs.py
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyConnected:
-    """A proxy connected; `is_fresh` means that it has no table of another manager."""
+    """A proxy connected; `is_fresh` means that it holds no manager's table yet."""
 
     proxy: int
     zone: int
