--- a/cottonladder/state/admission_settings.py
+++ b/cottonladder/state/admission_settings.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from .line_operations import AdmissionSetting, LineOperation, set_admission
+from .line_operations import AdmissionSetting, LineOperation, admission_line
 
 
 class AdmissionSettings:
@@ -43,7 +43,7 @@
             setting = self._in_force(tables[class_index], class_index)
             if setting is not None:
                 masks[setting] = masks.get(setting, 0) | 1 << class_index
-        return [set_admission(mask, setting) for setting, mask in masks.items()]
+        return [admission_line(mask, setting) for setting, mask in masks.items()]
 
     def _in_force(self, table: int | None, class_index: int) -> AdmissionSetting | None:
         """The lower of the table's admission and that for all proxies, with the table's retry policy."""
--- a/cottonladder/state/exclusions.py
+++ b/cottonladder/state/exclusions.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from .line_operations import LineOperation, set_excluded
+from .line_operations import LineOperation, exclusion_line
 from .proxy_view import ProxyView
 from .worker_registry import WorkerRegistry
 
@@ -26,7 +26,10 @@
         self._views: dict[int, ProxyView] = {}  # by proxy, connected or not
 
     def connect_proxy(self, proxy: int, is_fresh: bool) -> None:
-        """Begins a new connection of a proxy; a fresh one has just started, so it excludes no worker yet."""
+        """Begins a new connection of a proxy.
+
+        `is_fresh`: it holds no manager's table yet, and counts as sent nothing by other managers.
+        """
         known = self._views.get(proxy)
         if known is None:
             self._views[proxy] = ProxyView(is_authoritative=is_fresh)
@@ -52,7 +55,7 @@
         """The line that has the proxy exclude a worker where this manager does, and readmit it otherwise."""
         excluded = worker_index in self._excluded
         self._views[proxy].exclusions[worker_index] = excluded
-        return set_excluded(worker_index, excluded)
+        return exclusion_line(worker_index, excluded)
 
     def worker_lines(self, proxy: int, worker_index: int) -> list[LineOperation]:
         """The same line, or none if the proxy already does as this manager."""
--- a/cottonladder/state/line_operations.py
+++ b/cottonladder/state/line_operations.py
@@ -39,29 +39,29 @@
     retry_policy: int
 
 
-def set_weight(class_mask: int, worker_index: int, weight: float) -> LineOperation:
-    """A worker's weight in the table of these classes; 0 takes it out."""
+def weight_line(class_mask: int, worker_index: int, weight: float) -> LineOperation:
+    """Returns the line that sets a worker's weight in the table of these classes; weight 0 removes it."""
     return LineOperation(LineKind.SET_WEIGHT, class_mask, worker_index, weight)
 
 
-def replace_table(class_mask: int) -> LineOperation:
-    """Empties the table of these classes."""
+def replacement_line(class_mask: int) -> LineOperation:
+    """Returns the line that empties the table of these classes."""
     return LineOperation(LineKind.REPLACE_TABLE, class_mask)
 
 
-def set_admission(class_mask: int, setting: AdmissionSetting) -> LineOperation:
-    """The admission and the retry policy of these classes."""
+def admission_line(class_mask: int, setting: AdmissionSetting) -> LineOperation:
+    """Returns the line that sets the admission and the retry policy of these classes."""
     return LineOperation(
         LineKind.SET_ADMISSION, class_mask, value=setting.admission, retry_policy=setting.retry_policy
     )
 
 
-def set_excluded(worker_index: int, excluded: bool) -> LineOperation:
-    """Excludes a worker from every table of the proxy, or readmits it."""
+def exclusion_line(worker_index: int, excluded: bool) -> LineOperation:
+    """Returns the line that excludes a worker from every table of the proxy, or readmits it."""
     kind = LineKind.EXCLUDE_WORKER if excluded else LineKind.READMIT_WORKER
     return LineOperation(kind, worker_index=worker_index)
 
 
-def checkpoint(number: int) -> LineOperation:
-    """A number that the proxy acknowledges once it has applied all that came before."""
+def checkpoint_line(number: int) -> LineOperation:
+    """Returns the line with a number that the proxy acknowledges once it has applied all lines before it."""
     return LineOperation(LineKind.CHECKPOINT, checkpoint=number)
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -25,7 +25,7 @@
 from .admission_settings import AdmissionSettings
 from .config_encoder import ConfigEncoder
 from .exclusions import Exclusions
-from .line_operations import AdmissionSetting, LineOperation, checkpoint, replace_table, set_weight
+from .line_operations import AdmissionSetting, LineOperation, checkpoint_line, replacement_line, weight_line
 from .order_checks import OrderChecker
 from .pending_messages import PendingMessages
 from .proxy_bindings import ProxyBindings
@@ -70,7 +70,7 @@
     def connect_proxy(self, proxy: int, is_fresh: bool) -> None:
         """Adds a proxy with a new connection; until it is bound it reads another manager's tables.
 
-        `is_fresh`: the proxy has just started, so it excludes no worker yet.
+        `is_fresh`: it holds no manager's table yet, and counts as sent nothing by other managers.
         """
         self.disconnect_proxy(proxy)
         self._bindings.connect(proxy)
@@ -120,7 +120,7 @@
         for proxy in self._bindings.readers(order.table):
             class_mask = self._bindings.classes_reading(proxy, order.table)
             if class_mask not in lines_by_mask:
-                lines_by_mask[class_mask] = set_weight(class_mask, order.worker_index, order.weight)
+                lines_by_mask[class_mask] = weight_line(class_mask, order.worker_index, order.weight)
             lines = self._exclusions.worker_lines(proxy, order.worker_index) if order.weight > 0 else []
             lines.append(lines_by_mask[class_mask])
             self._pending.add(proxy, lines)
@@ -130,7 +130,7 @@
         self._admission.clear_table(order.table)
         for proxy in self._bindings.readers(order.table):
             class_mask = self._bindings.classes_reading(proxy, order.table)
-            self._pending.add(proxy, [replace_table(class_mask)])
+            self._pending.add(proxy, [replacement_line(class_mask)])
 
     def _bind_proxy(self, order: BindProxy) -> None:
         if order.proxy not in self._bindings:
@@ -140,8 +140,8 @@
         class_indices = self._classes_in(class_mask)
         self._bindings.bind(order.proxy, order.table, class_indices)
         tables = self._bindings.tables_of(order.proxy)
-        lines = [replace_table(class_mask)]
-        lines += [set_weight(class_mask, index, weight) for index, weight in weights.items()]
+        lines = [replacement_line(class_mask)]
+        lines += [weight_line(class_mask, index, weight) for index, weight in weights.items()]
         for class_index in class_indices:
             lines += self._admission.lines(tables, [class_index])
         lines += self._exclusions.table_lines(order.proxy, weights)
@@ -183,4 +183,4 @@
     def _add_checkpoint(self, order: Checkpoint) -> None:
         proxies = self._bindings if order.to_all_proxies else self._pending.proxies()
         for proxy in proxies:
-            self._pending.add(proxy, [checkpoint(order.number)])
+            self._pending.add(proxy, [checkpoint_line(order.number)])
