--- a/cottonladder/policy/proxy_binding.py
+++ b/cottonladder/policy/proxy_binding.py
@@ -42,7 +42,8 @@
         # Otherwise the new reader would be sent the lines of departed workers, and then their removal.
         self._deltas.send_removals(table, removed_workers(self._state, table))
         if not table.readers:
-            self._budget.add(self._deltas.draft_complete(table), {})
+            # Without readers these orders cost no lines.
+            self._budget.add(self._deltas.draft_all_changes(table), {})
         excluded = {i for i in table.sent if self._state.workers.by_index[i].is_excluded}
         cost = self._budget.bind_cost(number, table, excluded)
         bind = orders.BindProxy(number, table.number, ALL_CLASSES)
--- a/cottonladder/policy/table_deltas.py
+++ b/cottonladder/policy/table_deltas.py
@@ -2,8 +2,8 @@
 
 Each tick, a table's sent weights and admission are compared with the wanted ones, and the largest changes
 that the channel budget allows are sent. A delta waits until most readers have acknowledged the former one,
-or for a timeout. Lines of departed workers and lines that give a warming-up worker too much wait for
-nobody, and as many other changes as fit go with them, so that the remaining workers take over in
+or for a timeout. Lines of departed workers and lines that give a warming-up worker too much do not wait for
+acknowledgements, and as many other changes as fit go with them, so that the remaining workers take over in
 proportion. This protects the channel from many small changes, and the remaining workers from sudden load.
 """
 
@@ -13,8 +13,10 @@
 from .channel_budget import BIND_LIMIT, DELTA_LIMIT, RULE_LIMIT, ChannelBudget
 from .warm_up import is_warming_up
 
-MIN_WEIGHT_CHANGE = 0.1  # of the sent weight or share; a smaller change is not sent
-MAX_TABLE_ORDERS = 65536  # enough for a complete table
+# Of the sent weight, or for admission of all requests of the class.  Smaller changes are not sent, except the
+# end of shedding.
+MIN_WEIGHT_CHANGE = 0.1
+MAX_TABLE_ORDERS = 65536  # as many as a manager keeps workers
 ACK_TIMEOUT_S = 3.0
 ACK_QUORUM = 0.5  # of a table's readers; once more have acknowledged, its next delta may be sent
 RETRY_POLICY = orders.RetryPolicy.ONCE_IF_NOT_PROCESSED  # a failed attempt may still be processed
@@ -40,7 +42,7 @@
         self._expire_acknowledgement(table)
         urgent = self._not_excluded(removed_workers)
         if urgent and table.readers and table.wanted:
-            self._send(table, urgent, RULE_LIMIT, self._keeps_lasting_line(table, urgent))
+            self._send(table, urgent, RULE_LIMIT, self._keeps_usable_worker(table, urgent))
 
     def send_update(self, table: RoutingTable, overweight: Collection[int]) -> None:
         """Brings a table closer to what is wanted; lines of `overweight` workers go first and do not wait."""
@@ -48,16 +50,16 @@
         if not table.readers or not table.wanted:
             return
         urgent = self._not_excluded([index for index in table.sent if index in overweight])
-        keeps_lasting_line = self._keeps_lasting_line(table, urgent)
-        if table.awaits_acknowledgement and keeps_lasting_line and not urgent:
+        keeps_usable_worker = self._keeps_usable_worker(table, urgent)
+        if table.awaits_acknowledgement and keeps_usable_worker and not urgent:
             return
         limit = BIND_LIMIT if urgent else DELTA_LIMIT
-        if not keeps_lasting_line:
+        if not keeps_usable_worker:
             limit = RULE_LIMIT
-        self._send(table, urgent, limit, keeps_lasting_line)
+        self._send(table, urgent, limit, keeps_usable_worker)
 
-    def draft_complete(self, table: RoutingTable) -> list[orders.Order]:
-        """Returns orders for all wanted lines of a table that no proxy reads; they count as sent."""
+    def draft_all_changes(self, table: RoutingTable) -> list[orders.Order]:
+        """Returns orders that bring a table without readers fully to what is wanted; they count as sent."""
         return self._draft(table, 0.0, MAX_TABLE_ORDERS, [])
 
     def _expire_acknowledgement(self, table: RoutingTable) -> None:
@@ -68,25 +70,25 @@
         workers = self._state.workers.by_index
         return [index for index in worker_indices if not workers[index].is_excluded]
 
-    def _keeps_lasting_line(self, table: RoutingTable, urgent: list[int]) -> bool:
-        """Returns whether readers keep a worker to send to once the urgent lines are changed.
+    def _keeps_usable_worker(self, table: RoutingTable, urgent: list[int]) -> bool:
+        """Returns whether readers still have a wanted worker that is not urgent.
 
-        Workers that warm up count only where no other worker is wanted.
+        A warming-up worker counts only if all wanted ones are warming up.
         """
         workers = self._state.workers.by_index
         warm = {index for index in table.wanted if not is_warming_up(self._state, workers[index])}
-        lasting = warm or table.wanted.keys()
-        return any(index in lasting and index not in urgent for index in table.sent)
+        usable = warm or table.wanted.keys()
+        return any(index in usable and index not in urgent for index in table.sent)
 
     def _send(
-        self, table: RoutingTable, urgent: list[int], limit: LineLimit, keeps_lasting_line: bool
+        self, table: RoutingTable, urgent: list[int], limit: LineLimit, keeps_usable_worker: bool
     ) -> None:
-        """Sends as many changes as the budget allows; without a lasting line, new lines go before others."""
+        """Sends as many changes as the budget allows; urgent ones go first if a usable worker remains."""
         max_orders = self._available_orders(table, limit)
-        if urgent and keeps_lasting_line:
+        if urgent and keeps_usable_worker:
             max_orders = min(max_orders, max(len(urgent), self._available_orders(table, DELTA_LIMIT)))
         former = table.copy_sent()
-        changes = self._draft(table, MIN_WEIGHT_CHANGE, max_orders, urgent if keeps_lasting_line else [])
+        changes = self._draft(table, MIN_WEIGHT_CHANGE, max_orders, urgent if keeps_usable_worker else [])
         if not self._budget.reserve(changes, self._budget.delta_cost(changes, table.readers), limit):
             table.restore_sent(former)
 
@@ -107,10 +109,14 @@
         workers = self._state.workers.by_index
 
         def sort_key(index: int) -> tuple[bool, bool, float]:
-            """Urgent workers come first, then the largest changes; excluded workers come last."""
+            """Sorts urgent workers first, then the largest changes; excluded workers come last.
+
+            If no sent line is wanted any more, removals come after the new lines, so that readers are not
+            left with an empty table.
+            """
             change = weight_changes[index]
-            is_late_removal = names_no_wanted_worker and change < 0
-            return index not in urgent, is_late_removal, -abs(change) * (not workers[index].is_excluded)
+            is_deferred_removal = names_no_wanted_worker and change < 0
+            return index not in urgent, is_deferred_removal, -abs(change) * (not workers[index].is_excluded)
 
         ranked = sorted(weight_changes, key=sort_key)[: max(0, max_orders - len(admissions))]
         return admissions + [table.take_weight(index) for index in ranked]
--- a/cottonladder/policy/table_partition.py
+++ b/cottonladder/policy/table_partition.py
@@ -1,17 +1,16 @@
 """How a zone's workers are divided among its tables.
 
-A zone has one table with all its workers where that is short enough, and otherwise several tables with a
-few workers each. The number follows from the deployment's channel and drain grace, so that all proxies can
-be bound in time; the parts follow from the demand of each table's readers, at each solution. Short tables
-protect against a channel that is filled for seconds by binding proxies, while departed workers wait to be
-taken out.
+A zone has one table with all its workers where that is short enough, and otherwise several tables, which
+from three on have only a part of the workers each. The number follows from the deployment's channel and
+drain grace, so that all proxies can be bound in time; the parts follow from the demand of each table's
+readers, at each solution. Short tables protect against a channel that is filled for seconds by binding
+proxies, while departed workers wait to be taken out.
 """
 
 import math
 from collections.abc import Collection
 
 from ..model import ControllerState, RoutingTable, arcs, cut
-from .table_deltas import MIN_WEIGHT_CHANGE
 
 BIND_TIME_RATIO = 0.5  # of the drain grace, within which all proxies could be bound
 MIN_TABLE_LINES = 8  # a table is not made shorter
@@ -20,6 +19,9 @@
 UNBOUND_RATE_RATIO = 0.5  # of the mean table's demand, which each table is taken to have at least
 MIN_PARTITIONED_TABLES = 3  # fewer tables all have the whole zone's weights
 MIN_MEAN_RATE = 1e-9  # requests/s
+MIN_ARC_PART = 0.1  # of a worker's weight; a smaller part on a table's arc is left out
+TABLES_PER_WORKER = 2  # of a partitioned zone: about so many tables name each worker
+MAX_TABLE_GROWTH = 2  # times the present number of tables, up to which tables with readers are kept
 
 
 class TablePartition:
@@ -31,9 +33,10 @@
     def update_wanted(self, zone: int, weights: dict[int, float], warm: Collection[int]) -> None:
         """Divides a zone's weights among its tables.
 
-        The workers lie on a ring by weight.  Each table is an arc that begins where its readers' part of the
-        demand begins, and reaches to the end of it or further, so that all tables together have the zone's
-        weights.  No table has only workers that warm up, if there are `warm` ones.
+        Fewer than MIN_PARTITIONED_TABLES tables all get all weights.  Otherwise each worker takes a part of a
+        ring as long as its weight, and each table gets an arc that begins where its readers' part of the
+        demand begins and ends no earlier than that part, so that the tables together have all weights.  No
+        table has only workers that warm up, if there are `warm` ones.
         """
         max_lines = self._max_lines()
         line_count = self._line_count(zone, weights)
@@ -43,10 +46,10 @@
         for table, (start, end) in zip(tables, arcs(self._loads(tables), overlap), strict=True):
             table.wanted = weights
             if len(tables) >= MIN_PARTITIONED_TABLES:
-                table.wanted = cut(ring, start, end, MIN_WEIGHT_CHANGE)
+                table.wanted = cut(ring, start, end, MIN_ARC_PART)
             if warm and not any(index in warm for index in table.wanted):
                 warm_ring = {index: weight for index, weight in ring.items() if index in warm}
-                table.wanted = cut(warm_ring, start, end, MIN_WEIGHT_CHANGE)
+                table.wanted = cut(warm_ring, start, end, MIN_ARC_PART)
 
     def _max_lines(self) -> int:
         """Returns how long a table may be, so that binding all proxies takes part of the drain grace."""
@@ -56,16 +59,17 @@
         return max(MIN_TABLE_LINES, int(lines_each) - parameters.message_header_lines - BIND_LINES)
 
     def _line_count(self, zone: int, weights: dict[int, float]) -> int:
-        """Returns how many lines a table of all workers of the zone has."""
+        """Returns how many of these workers run in the zone, or the number of all of them if none does."""
         workers = self._state.workers.by_index
         return sum(workers[index].zone == zone for index in weights) or len(weights)
 
     def _partitioned(self, zone: int, line_count: int, max_lines: int) -> list[RoutingTable]:
-        """Returns the zone's tables, which are replaced if they are far too few or nobody reads them."""
-        count = 1 if line_count <= max_lines else math.ceil(2 * line_count / max_lines)
+        """Returns the zone's tables, replaced if far too few, or if unread and not of the right number."""
+        count = 1 if line_count <= max_lines else math.ceil(TABLES_PER_WORKER * line_count / max_lines)
         tables = self._state.tables.in_zone(zone)
         is_read = any(table.readers for table in tables)
-        if count > 2 * len(tables) or (count != len(tables) and not is_read):
+        is_far_too_few = count > MAX_TABLE_GROWTH * len(tables)
+        if is_far_too_few or (count != len(tables) and not is_read):
             return self._state.tables.replace(zone, count, self._state.proxies)
         return tables
 
