--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from ..model.views import WorkerCapacityView
-from ..policy.warm_up import MAX_WARM_UP_WEIGHT
+from ..policy.warm_up import MAX_WARM_UP_RATIO
 
 # Weight of the heaviest member; a unit of weight is a hundredth of a percent of it.
 MAX_WEIGHT = 10_000
@@ -76,7 +76,7 @@
     for worker, capacity in live.items():
         if worker not in warm:
             group_share = capacity / (warm_capacity + capacity)
-            share = min(group_share, MAX_WARM_UP_WEIGHT * capacity / fleet_capacity, MAX_WARMING_UP_SHARE)
+            share = min(group_share, MAX_WARM_UP_RATIO * capacity / fleet_capacity, MAX_WARMING_UP_SHARE)
             shares[worker] = warm_capacity * share / (1.0 - share)
     return shares
 
--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -115,12 +115,12 @@
         return min(candidates or self._state.zones, key=lambda group: (group != zone, latencies[group]))
 
     def _weights(
-        self, flow: list[float], overflow_group: int, demand: float, groups: ZoneGroups
+        self, flow: list[float], overflow_group: int, fleet_demand: float, groups: ZoneGroups
     ) -> dict[int, float]:
         """Returns the weights of workers that a zone's tables should have together."""
-        total = sum(flow)
-        if total > 0:
-            shares = [part / total for part in flow]
+        zone_flow = sum(flow)
+        if zone_flow > 0:
+            shares = [part / zone_flow for part in flow]
         else:
             shares = [float(group == overflow_group) for group in range(len(flow))]
         weights: dict[int, float] = {}
@@ -129,8 +129,8 @@
                 weights |= groups.split(group, share)
         if groups.warm and not any(index in groups.warm for index in weights):
             weights = groups.warm_shares()
-        nominal = max(self._capacity.nominal_total * total, MIN_NOMINAL_CAPACITY)
-        limit = weight_limit(self._overload, demand, nominal)
+        scaled_capacity = max(self._capacity.nominal_total * zone_flow, MIN_NOMINAL_CAPACITY)
+        limit = weight_limit(self._overload, fleet_demand, scaled_capacity)
         return {
             index: weight if index in groups.warm else min(weight, limit * groups.capacities[index])
             for index, weight in weights.items()
--- a/tests/planning/test_advertised_weights.py
+++ b/tests/planning/test_advertised_weights.py
@@ -11,7 +11,7 @@
 
 from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning.advertised_weights import AdvertisedWeight, advertise_weights, has_changed
-from cottonladder.policy.warm_up import MAX_WARM_UP_WEIGHT
+from cottonladder.policy.warm_up import MAX_WARM_UP_RATIO
 from tests.support.capacity_views import NOT_DRAINING, capacity_view
 
 
@@ -64,7 +64,7 @@
             if view.draining_since >= 0:
                 self.assertEqual((weight.weight, weight.is_leaving), (0, True))
             elif view.warming_up and has_warm:
-                max_share = MAX_WARM_UP_WEIGHT * view.capacity / fleet_capacity
+                max_share = MAX_WARM_UP_RATIO * view.capacity / fleet_capacity
                 self.assertLessEqual(weight.weight / total, max_share + 1.0 / total)
 
     def test_small_changes_do_not_count(self) -> None:
