--- a/cottonladder/model/records.py
+++ b/cottonladder/model/records.py
@@ -126,8 +126,9 @@
         self.zone = 0
         self.weight = 1.0
         self.started_at = 0.0
-        self.entered_at = 0.0  # when slow start began
-        self.due_at = 0.0  # when an ejected worker may return, or when a removed worker left
+        self.slow_start_began_at = 0.0
+        self.ejected_until = 0.0  # when the worker may return, if it is ejected
+        self.departed_at = 0.0  # when the worker left, if it is removed
         self.is_excluded = False
         self.attempts = 0.0
         self.failed = 0.0
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -40,7 +40,7 @@
         zone=worker.zone,
         capacity=controller.capacities.get(index, 0.0) if worker.state in IN_SERVICE else 0.0,
         warming_up=is_warming_up(controller.state, worker),
-        draining_since=worker.due_at if worker.state == WorkerState.REMOVED else -1.0,
+        draining_since=worker.departed_at if worker.state == WorkerState.REMOVED else -1.0,
         latency_s=math.sqrt(worker.base_latency_s * worker.latency.mean()),
     )
 
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -74,7 +74,7 @@
 
     def _return_if_expired(self, index: int, worker: WorkerRecord) -> None:
         """Ends an ejection by time alone where no health check can tell whether the worker is well."""
-        if self._state.now < worker.due_at:
+        if self._state.now < worker.ejected_until:
             return
         if self._unreachable[worker.zone] or not self._state.parameters.health_checks:
             apply_event(self._state, index, WorkerEvent.EJECTION_EXPIRED)
@@ -84,6 +84,6 @@
     state: ControllerState, worker: WorkerRecord, result: inputs.HealthCheckResult
 ) -> None:
     """Lets an ejected worker return if its ejection time is over and the health check succeeded."""
-    if result.succeeded and state.now >= worker.due_at:
+    if result.succeeded and state.now >= worker.ejected_until:
         evidence = HealthCheckEvidence(result.duration_s)
         apply_event(state, result.worker_index, WorkerEvent.HEALTH_CHECK_SUCCEEDED, evidence)
--- a/cottonladder/policy/slow_start.py
+++ b/cottonladder/policy/slow_start.py
@@ -17,7 +17,7 @@
 
 def slow_start_share(state: ControllerState, worker: WorkerRecord) -> float:
     """Returns the share of an average worker's capacity that the worker may use at most."""
-    intervals = max(0.0, state.now - worker.entered_at) // SOLVE_INTERVAL_S
+    intervals = max(0.0, state.now - worker.slow_start_began_at) // SOLVE_INTERVAL_S
     return float(INITIAL_SHARE * 2.0 ** min(MAX_DOUBLINGS, intervals))
 
 
--- a/cottonladder/policy/worker_removal.py
+++ b/cottonladder/policy/worker_removal.py
@@ -23,14 +23,14 @@
 def first_departure(state: ControllerState, table: RoutingTable) -> float:
     """Returns when the first departed worker that a table still names left; infinite if there is none."""
     workers = state.workers.by_index
-    return min([workers[index].due_at for index in removed_workers(state, table)], default=math.inf)
+    return min([workers[index].departed_at for index in removed_workers(state, table)], default=math.inf)
 
 
 def due_removals(state: ControllerState, table: RoutingTable, overdue_before: float) -> list[int]:
     """Returns all departed workers that a table still names, if the first left by `overdue_before`."""
     removed = removed_workers(state, table)
     workers = state.workers.by_index
-    if removed and min([workers[index].due_at for index in removed]) > overdue_before:
+    if removed and min([workers[index].departed_at for index in removed]) > overdue_before:
         return []
     return removed
 
@@ -41,7 +41,7 @@
         return
     named = {index for table in state.tables.all for index in table.sent}
     for index, worker in state.workers.in_state(WorkerState.REMOVED).items():
-        is_old = state.now - worker.due_at > REMOVED_TTL_S
+        is_old = state.now - worker.departed_at > REMOVED_TTL_S
         if is_old and index not in named and not worker.connection_load:
             del state.workers.by_index[index]
             # No table names the worker, so this costs no lines and needs no budget.
--- a/cottonladder/policy/worker_states.py
+++ b/cottonladder/policy/worker_states.py
@@ -67,9 +67,11 @@
         _enter_slow_start(worker, state.now)
     elif target == WorkerState.EJECTED:
         ejection_s = EJECTION_TIME_S * state.random.uniform(*EJECTION_JITTER)
-        _leave_service(worker, state.now + ejection_s)
+        worker.ejected_until = state.now + ejection_s
+        worker.planned_rate = 0.0
     elif target == WorkerState.REMOVED:
-        _leave_service(worker, state.now)
+        worker.departed_at = state.now
+        worker.planned_rate = 0.0
     state.needs_solution = True
 
 
@@ -79,16 +81,9 @@
     The latency factor, the queue, lost checks and counts are reset, because the worker may have been replaced
     or repaired since.  Base latency, capacity samples and utilization stay.
     """
-    worker.entered_at = now
-    worker.due_at = 0.0
+    worker.slow_start_began_at = now
     worker.latency_factor = 1.0
     worker.smoothed_in_flight = -1.0
     worker.in_flight = -1.0
     worker.lost_checks = 0
     worker.decay(0.0)
-
-
-def _leave_service(worker: WorkerRecord, due_at: float) -> None:
-    """Sets when the worker may return or when it departed, and drops its planned rate."""
-    worker.due_at = due_at
-    worker.planned_rate = 0.0
--- a/tests/policy/test_worker_states.py
+++ b/tests/policy/test_worker_states.py
@@ -56,15 +56,15 @@
         apply_event(state, WORKER_INDEX, WorkerEvent.HIGH_FAILURE_RATIO)
         worker = state.workers.by_index[WORKER_INDEX]
         shortest, longest = EJECTION_JITTER
-        self.assertGreaterEqual(worker.due_at, NOW + EJECTION_TIME_S * shortest)
-        self.assertLessEqual(worker.due_at, NOW + EJECTION_TIME_S * longest)
+        self.assertGreaterEqual(worker.ejected_until, NOW + EJECTION_TIME_S * shortest)
+        self.assertLessEqual(worker.ejected_until, NOW + EJECTION_TIME_S * longest)
         self.assertEqual(worker.planned_rate, 0.0)
 
     def test_slow_start_drops_former_measurements(self) -> None:
         state = state_with_worker(WorkerState.EJECTED)
         apply_event(state, WORKER_INDEX, WorkerEvent.HEALTH_CHECK_SUCCEEDED)
         worker = state.workers.by_index[WORKER_INDEX]
-        self.assertEqual(worker.entered_at, NOW)
+        self.assertEqual(worker.slow_start_began_at, NOW)
         self.assertEqual(worker.attempts, 0.0)
         self.assertEqual(worker.lost_checks, 0)
 
