--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -40,8 +40,8 @@
         worker = state.workers.by_index.get(report.worker_index)
         if worker is None or report.attempts <= 0:
             return
-        usual_rate = state.proxies.highest_joining_rate
-        if not report_plausibility.is_believed(report.attempts, report.interval_s, usual_rate):
+        reference_rate = state.proxies.highest_joining_rate
+        if not report_plausibility.is_believed(report.attempts, report.interval_s, reference_rate):
             return
         worker.add_load_report(report, report_plausibility.MAX_UTILIZATION)
         is_believed = report_plausibility.is_latency_believed(report.duration_s, state.tightest_objective_s)
@@ -63,8 +63,8 @@
         worker = self._state.workers.by_index.get(result.worker_index)
         if worker is None:
             return
-        usual_rate = self._state.proxies.highest_joining_rate
-        worker.add_health_check(result, report_plausibility.max_in_flight(usual_rate))
+        reference_rate = self._state.proxies.highest_joining_rate
+        worker.add_health_check(result, report_plausibility.max_in_flight(reference_rate))
         return_after_health_check(self._state, worker, result)
 
     def set_held_load(self, load: inputs.HeldLoad) -> None:
--- a/cottonladder/policy/report_plausibility.py
+++ b/cottonladder/policy/report_plausibility.py
@@ -1,31 +1,34 @@
 """Which figures of a report are believed.
 
-Reports, health checks and proxies state counts, latencies and rates, and each is compared on arrival with
-what is usual or possible. A load report or an arrival report that covers too long a time or states too many
-requests is dropped, and a latency far over the latency objective is not counted. Other figures are cut to
-the highest believed value. This protects against corrupted reports, whose figures would count for minutes.
+Reports, health checks and proxies state counts, latencies and rates, and each is compared on arrival with a
+reference. A load report or an arrival report that covers too long a time or states too many requests is
+dropped, and a latency far over the latency objective is not counted. Other figures are cut to the highest
+believed value. This protects against corrupted reports, whose figures would count for minutes.
 """
 
-MAX_REPORT_RATIO = 8.0  # of a reported figure to the usual one
+MAX_REPORT_RATIO = 8.0  # of a reported figure to the reference
 MAX_REPORT_INTERVAL_S = 120.0
 MAX_UTILIZATION = MAX_REPORT_RATIO  # of a worker, where 1 is full load
 MAX_REQUEST_RATE = 1e5  # requests/s of one proxy or worker
 
 
-def is_believed(count: int, interval_s: float, usual_rate: float) -> bool:
-    """Returns whether so many requests in a report's interval are possible, at a usual rate in requests/s."""
-    max_count = MAX_REPORT_RATIO * (1.0 + usual_rate) * (1.0 + interval_s)
+def is_believed(count: int, interval_s: float, reference_rate: float) -> bool:
+    """Returns whether so many requests in a report's interval are possible.
+
+    `reference_rate` is the requests/s that the proxies concerned connected with.
+    """
+    max_count = MAX_REPORT_RATIO * (1.0 + reference_rate) * (1.0 + interval_s)
     return interval_s <= MAX_REPORT_INTERVAL_S and count <= max_count
 
 
-def is_latency_believed(latency_s: float, objective_s: float) -> bool:
-    """Returns whether a latency is positive and not far over the latency objective."""
-    return 0 < latency_s < MAX_REPORT_RATIO * objective_s
+def is_latency_believed(latency_s: float, tightest_objective_s: float) -> bool:
+    """Returns whether a latency is positive and not far over the tightest latency objective."""
+    return 0 < latency_s < MAX_REPORT_RATIO * tightest_objective_s
 
 
-def max_in_flight(usual_rate: float) -> float:
-    """Returns the highest believed number of requests in flight, at a usual rate in requests/s."""
-    return MAX_REPORT_RATIO * (1.0 + usual_rate)
+def max_in_flight(reference_rate: float) -> float:
+    """Returns the highest believed number of requests in flight, at a reference rate in requests/s."""
+    return MAX_REPORT_RATIO * (1.0 + reference_rate)
 
 
 def believed_rate(requests_per_s: float) -> float:
