--- a/cottonladder/policy/health_check_schedule.py
+++ b/cottonladder/policy/health_check_schedule.py
@@ -9,11 +9,11 @@
 import math
 
 from ..model import IN_SERVICE, ControllerState, WorkerState, orders
-from .outlier_ejection import MAX_LOST_CHECKS
+from .outlier_ejection import LOST_CHECKS_TO_EJECT
 
 MIN_CHECK_INTERVAL_S = 1.0
 CHECK_JITTER = (-0.1, 0.1)  # of MIN_CHECK_INTERVAL_S, so that managers do not check at the same moment
-MAX_CHECK_PRICE_RATIO = 0.003  # of the requests' value that health checks may cost
+MAX_CHECK_PRICE_RATIO = 0.003  # of the requests' priority weight, that health checks may cost
 
 
 class HealthCheckSchedule:
@@ -21,7 +21,7 @@
 
     def __init__(self, state: ControllerState) -> None:
         self._state = state
-        self._last_checked_at = -math.inf
+        self._interval_began_at = -math.inf
 
     def order_due_checks(self, joining_rate: float) -> None:
         """Orders the checks that are due; `joining_rate` is the requests/s that proxies connected with."""
@@ -29,12 +29,12 @@
         checked = state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE)
         cost = len(checked) * state.parameters.health_check_cost
         request_rate = state.proxies.request_rate(state.proxies.by_number)
-        price = cost / max(1.0, joining_rate, request_rate)
-        interval_s = max(MIN_CHECK_INTERVAL_S, price / MAX_CHECK_PRICE_RATIO)
-        is_due = state.now >= self._last_checked_at + interval_s
+        price_ratio_s = cost / max(1.0, joining_rate, request_rate)
+        interval_s = max(MIN_CHECK_INTERVAL_S, price_ratio_s / MAX_CHECK_PRICE_RATIO)
+        is_due = state.now >= self._interval_began_at + interval_s
         if is_due:
             jitter_s = MIN_CHECK_INTERVAL_S * state.random.uniform(*CHECK_JITTER)
-            self._last_checked_at = state.now + jitter_s
+            self._interval_began_at = state.now + jitter_s
         for index, worker in checked.items():
-            if is_due or 0 < worker.lost_checks < MAX_LOST_CHECKS:
+            if is_due or 0 < worker.lost_checks < LOST_CHECKS_TO_EJECT:
                 state.pending.add(orders.HealthCheck(index))
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -24,12 +24,12 @@
 OUTLIER_FAILED_RATIO = 0.85  # failed part of attempts; an unresponsive worker fails nearly all
 MAX_OTHERS_FAILED_RATIO = 0.2  # failed part of the others' attempts; over it the fault is not the worker's
 MIN_OUTLIER_ATTEMPTS = 4.0  # attempts to judge by
-MAX_LOST_CHECKS = 2  # consecutive health checks
+LOST_CHECKS_TO_EJECT = 2  # consecutive lost health checks that eject a worker
 MAX_EJECTED_RATIO = 0.34  # of the fleet's weight
 
 
 class OutlierDetector:
-    """Judges each worker once, by sums over the fleet that are taken at the beginning."""
+    """Judges each worker for one tick, by sums over the fleet that are taken at the beginning."""
 
     def __init__(self, state: ControllerState, checked: list[WorkerRecord], unreachable: list[bool]) -> None:
         self._state = state
@@ -51,7 +51,7 @@
     def _eject_if_outlier(self, index: int, worker: WorkerRecord) -> bool:
         """Ejects a worker that is an outlier, as far as the limit on ejected weight allows."""
         others_failed_ratio = self._others_failed_ratio(worker)
-        has_lost_checks = worker.lost_checks >= MAX_LOST_CHECKS and not self._unreachable[worker.zone]
+        has_lost_checks = worker.lost_checks >= LOST_CHECKS_TO_EJECT and not self._unreachable[worker.zone]
         if not has_lost_checks and not self._fails_alone(worker, others_failed_ratio):
             return False
         if self._ejected_weight + worker.weight > self._max_ejected_weight:
@@ -73,7 +73,7 @@
         return worker.failed >= OUTLIER_FAILED_RATIO * worker.attempts
 
     def _return_if_expired(self, index: int, worker: WorkerRecord) -> None:
-        """Ends an ejection by time alone where no health check can tell whether the worker is well."""
+        """Ends an ejection by time alone where no health check can tell whether the worker is healthy."""
         if self._state.now < worker.ejected_until:
             return
         if self._unreachable[worker.zone] or not self._state.parameters.health_checks:
