--- a/cottonladder/policy/capacity.py
+++ b/cottonladder/policy/capacity.py
@@ -76,10 +76,10 @@
         }
         unit = median_or_zero(sampled.values()) or 1.0
         bases_s = [worker.base_latency_s for worker in workers.values()]
-        usual_base_s = median_or_zero(base_s for base_s in bases_s if base_s > 0)
+        median_base_s = median_or_zero(base_s for base_s in bases_s if base_s > 0)
         capacities = {}
         for index, worker in workers.items():
-            speed = usual_base_s / worker.base_latency_s if worker.base_latency_s > 0 else 1.0
+            speed = median_base_s / worker.base_latency_s if worker.base_latency_s > 0 else 1.0
             if index in sampled:
                 speed = sampled[index] / unit
             speed = min(MAX_SPEED_RATIO, max(1 / MAX_SPEED_RATIO, speed))
--- a/cottonladder/policy/latency_factor.py
+++ b/cottonladder/policy/latency_factor.py
@@ -17,13 +17,13 @@
 COUNT_DECAY = 0.5  # part of all counts that is kept at the end of each interval
 BASE_LATENCY_FALL = 0.8  # step of a base latency towards a lower mean, in each interval
 BASE_LATENCY_RISE = 0.01  # step towards a higher mean, which may be a fault
-MAX_SLOWDOWN = 2.0  # times the fleet's slowdown or queue that does not cut a factor yet
+SLOWDOWN_TOLERANCE = 2.0  # times the fleet's median slowdown or queue, up to which a factor is not cut
 SUCCESS_EXPONENT = 3.0  # of the succeeded part of attempts, relative to the fleet's
-MIN_USUAL_SUCCESS = 0.1  # succeeded part of the fleet's attempts to compare with, at least
+MIN_MEDIAN_SUCCESS = 0.1  # lower bound of the fleet's succeeded part of attempts, as a divisor
 MIN_LATENCY_FACTOR = 0.03
 FACTOR_FALL = 0.8  # step of a factor towards a lower target, in each interval
 FACTOR_RISE = 0.5  # step towards a higher target
-MIN_SLOWDOWN = 1e-9  # stands for 0 in divisors
+MIN_SLOWDOWN_DIVISOR = 1e-9  # instead of 0
 ZONE_FACTOR_STEP = 0.25  # step of a zone's mean factor, in each interval
 
 
@@ -31,7 +31,8 @@
     """Updates the factors of workers and zones once an interval."""
 
     def __init__(self, state: ControllerState, overload: OverloadSignal) -> None:
-        self.zone_correction = [1.0 for _ in state.zones]  # a zone's followed factor over its present mean
+        # By zone: the smoothed mean factor over the present mean factor.
+        self.zone_correction = [1.0 for _ in state.zones]
         self._state = state
         self._overload = overload
         self._zone_factor = [1.0 for _ in state.zones]
@@ -39,20 +40,21 @@
     def update(self, uses_queues: bool) -> None:
         """Updates base latencies, then factors; requests in flight count only if `uses_queues`."""
         in_service = self._state.workers.in_state(*IN_SERVICE)
+        # Requests in flight for each unit of listed weight.
         queues = {
             index: uses_queues * worker.smoothed_in_flight / worker.weight
             for index, worker in in_service.items()
         }
-        usual_queue = max(1.0, median_or_zero(queues.values()))
-        self._update_base_latencies(queues, usual_queue)
-        queue_ratios = {index: queue / usual_queue for index, queue in queues.items()}
+        median_queue = max(1.0, median_or_zero(queues.values()))
+        self._update_base_latencies(queues, median_queue)
+        queue_ratios = {index: queue / median_queue for index, queue in queues.items()}
         self._update_worker_factors(in_service, queue_ratios)
         self._update_zone_factors(in_service)
 
-    def _update_base_latencies(self, queues: dict[int, float], usual_queue: float) -> None:
-        """A worker's first base latency is not taken while its queue is long."""
+    def _update_base_latencies(self, queues: dict[int, float], median_queue: float) -> None:
+        """Follows each worker's mean latency; a first base latency is not taken while its queue is long."""
         for index, worker in self._state.workers.by_index.items():
-            if worker.base_latency_s or queues.get(index, 0.0) < MAX_SLOWDOWN * usual_queue:
+            if worker.base_latency_s or queues.get(index, 0.0) < SLOWDOWN_TOLERANCE * median_queue:
                 worker.follow_base_latency(BASE_LATENCY_FALL, BASE_LATENCY_RISE)
 
     def _update_worker_factors(
@@ -66,13 +68,15 @@
         failed_ratios = {
             index: worker.failed_ratio() for index, worker in in_service.items() if worker.attempts >= 1.0
         }
-        usual_slowdown = max(median_or_zero(slowdowns.values()), MIN_SLOWDOWN)
-        usual_success = max(MIN_USUAL_SUCCESS, 1.0 - median_or_zero(failed_ratios.values()))
-        overload = max(1.0, self._overload.value)  # under overload the latencies of well workers differ too
+        median_slowdown = max(median_or_zero(slowdowns.values()), MIN_SLOWDOWN_DIVISOR)
+        median_success = max(MIN_MEDIAN_SUCCESS, 1.0 - median_or_zero(failed_ratios.values()))
+        # Under overload the latencies of healthy workers differ too.
+        overload = max(1.0, self._overload.value)
         for index, worker in in_service.items():
-            slowdown = max(slowdowns.get(index, 0.0) / usual_slowdown, queue_ratios[index], MIN_SLOWDOWN)
-            success = (1.0 - failed_ratios.get(index, 0.0)) / usual_success
-            target = min(1.0, overload * MAX_SLOWDOWN / slowdown)
+            latency_slowdown = slowdowns.get(index, 0.0) / median_slowdown
+            slowdown = max(latency_slowdown, queue_ratios[index], MIN_SLOWDOWN_DIVISOR)
+            success = (1.0 - failed_ratios.get(index, 0.0)) / median_success
+            target = min(1.0, overload * SLOWDOWN_TOLERANCE / slowdown)
             target *= min(1.0, success) ** (SUCCESS_EXPONENT / overload)
             worker.follow_latency_factor(target, FACTOR_FALL, FACTOR_RISE, MIN_LATENCY_FACTOR)
             worker.decay(COUNT_DECAY)
--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -88,8 +88,8 @@
 
     def _link_costs(self, latencies: list[list[float]], groups: ZoneGroups) -> list[list[float | None]]:
         """Returns costs by proxy zone and group; None means that the link is cut or leads to no worker."""
-        usual_s = median_or_zero(latency for row in latencies for latency in row if latency < math.inf)
-        max_latency_s = MAX_LINK_RATIO * usual_s
+        median_s = median_or_zero(latency for row in latencies for latency in row if latency < math.inf)
+        max_latency_s = MAX_LINK_RATIO * median_s
         zones = self._state.zones
         return [
             [self._link_cost(zone, group, groups, latencies[zone][group], max_latency_s) for group in zones]
