--- a/cottonladder/state/config_encoder.py
+++ b/cottonladder/state/config_encoder.py
@@ -25,7 +25,7 @@
 
     def encode(self, operations: Iterable[LineOperation]) -> bytes:
         """Encodes all operations in order, in as few parts and messages as the protocol allows."""
-        packer = _PartPacker(self._names_of)
+        packer = _PartPacker(self._wire_names)
         for operation in operations:
             worker_id = b""
             if operation.kind in WORKER_LINES:
@@ -35,7 +35,7 @@
         messages = [parts[first : first + MAX_PARTS] for first in range(0, len(parts), MAX_PARTS)]
         return b"".join(encode_parts(message) for message in messages)
 
-    def _names_of(self, class_mask: int) -> bytes:
+    def _wire_names(self, class_mask: int) -> bytes:
         """The names of these classes in the protocol's form, which is empty where it means all of them."""
         if class_mask == self._all_classes:
             return b""
@@ -46,9 +46,9 @@
 class _PartPacker:
     """Puts operations into parts, and starts another part where the last one can't take an operation."""
 
-    def __init__(self, names_of: Callable[[int], bytes]) -> None:
+    def __init__(self, wire_names: Callable[[int], bytes]) -> None:
         self.parts = [ConfigPart()]
-        self._names_of = names_of
+        self._wire_names = wire_names
         self._class_mask = 0  # classes that the last part's table fields stand for; 0 while it has none
         self._size_bytes = 0  # bytes of the last part's lines, at most
 
@@ -63,7 +63,7 @@
         part = self.parts[-1]
         if operation.class_mask:
             self._class_mask = operation.class_mask
-            part.classes = self._names_of(operation.class_mask)
+            part.classes = self._wire_names(operation.class_mask)
         _write(part, operation, worker_id)
 
     def _needs_new_part(self, operation: LineOperation, worker_id: bytes) -> bool:
@@ -89,32 +89,33 @@
         part.readmitted.append(worker_id)
 
 
-def _table_is_written(part: ConfigPart, _worker_id: bytes) -> bool:
+def _conflicts_with_replacement(part: ConfigPart, _worker_id: bytes) -> bool:
     return part.replaces_table or bool(part.weights) or part.admission is not None
 
 
-def _weight_is_written(part: ConfigPart, worker_id: bytes) -> bool:
+def _conflicts_with_weight(part: ConfigPart, worker_id: bytes) -> bool:
     return worker_id in part.weights or part.admission is not None
 
 
-def _admission_is_written(part: ConfigPart, _worker_id: bytes) -> bool:
+def _conflicts_with_admission(part: ConfigPart, _worker_id: bytes) -> bool:
     return part.admission is not None
 
 
-def _exclusion_is_written(part: ConfigPart, worker_id: bytes) -> bool:
+def _conflicts_with_exclusion(part: ConfigPart, worker_id: bytes) -> bool:
     return worker_id in part.excluded or worker_id in part.readmitted
 
 
-def _checkpoint_is_written(part: ConfigPart, _worker_id: bytes) -> bool:
+def _conflicts_with_checkpoint(part: ConfigPart, _worker_id: bytes) -> bool:
     return part.checkpoint is not None
 
 
-# Whether a part already has a line that rules out a further one of this kind, for this worker.
+# Whether a part has a line that rules out a further one of this kind, for this worker.  A part encodes its
+# fields in a fixed order, and each once, so an operation that needs another order starts a new part.
 CONFLICTS: dict[LineKind, Callable[[ConfigPart, bytes], bool]] = {
-    LineKind.SET_WEIGHT: _weight_is_written,
-    LineKind.REPLACE_TABLE: _table_is_written,
-    LineKind.SET_ADMISSION: _admission_is_written,
-    LineKind.EXCLUDE_WORKER: _exclusion_is_written,
-    LineKind.READMIT_WORKER: _exclusion_is_written,
-    LineKind.CHECKPOINT: _checkpoint_is_written,
+    LineKind.SET_WEIGHT: _conflicts_with_weight,
+    LineKind.REPLACE_TABLE: _conflicts_with_replacement,
+    LineKind.SET_ADMISSION: _conflicts_with_admission,
+    LineKind.EXCLUDE_WORKER: _conflicts_with_exclusion,
+    LineKind.READMIT_WORKER: _conflicts_with_exclusion,
+    LineKind.CHECKPOINT: _conflicts_with_checkpoint,
 }
--- a/cottonladder/state/order_checks.py
+++ b/cottonladder/state/order_checks.py
@@ -23,7 +23,7 @@
             worker_id = self._workers.ids.get(order.worker_index, b"").decode()
             raise InvalidWeightError(order, worker_id)
         if isinstance(order, SetAdmission) and not _is_valid_figure(order.admission):
-            raise InvalidAdmissionError(order, self._names_of(order.class_mask))
+            raise InvalidAdmissionError(order, self._class_names_for_log(order.class_mask))
         if isinstance(order, (SetWeight, ExcludeWorker, RemoveWorker)):
             self._check_worker(order)
 
@@ -31,7 +31,7 @@
         if not self._workers.is_known(order.worker_index):
             raise UnknownWorkerError(order)
 
-    def _names_of(self, class_mask: int) -> list[str]:
+    def _class_names_for_log(self, class_mask: int) -> list[str]:
         """The names of the request classes in a mask, of which 0 stands for all."""
         return [
             name
