--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -89,7 +89,7 @@
         self._state_change_log = state_change_log
         self._extensions = list(extensions)
         self._observers = observers
-        controller.channel_budget.extra_lines = dispatcher.count_added_lines
+        controller.channel_budget.count_readmissions = dispatcher.count_readmissions
         self._clock = Clock()
         self._lag_monitor = LoopLagMonitor(observers.on_loop_lag)
         self._timers = PolicyTimers(input_queue.put, self._lag_monitor)
--- a/cottonladder/model/line_account.py
+++ b/cottonladder/model/line_account.py
@@ -14,21 +14,25 @@
 
 CHECKPOINT_NUMBERS = 65536  # checkpoint numbers start again at 0 after so many
 
-# Lines that the order dispatcher adds for a proxy when weights of these workers are sent to it; the last
-# argument says whether the proxy is bound to a table.
-ExtraLines = Callable[[int, Iterable[int], bool], int]
+# Returns how many lines that readmit workers the order dispatcher adds for a proxy when weights of these
+# workers are sent to it; the last argument says whether the proxy is bound to a table.
+ReadmissionCounter = Callable[[int, Iterable[int], bool], int]
 
 
-def _no_extra_lines(_proxy: int, _worker_indices: Iterable[int], _binds_table: bool) -> int:
+def _no_readmissions(_proxy: int, _worker_indices: Iterable[int], _binds_table: bool) -> int:
     return 0
 
 
 @dataclass(frozen=True, slots=True)
 class LineLimit:
-    """How many lines may wait: a part of the queue's limit, and seconds of the channel's deployed pace."""
+    """How many lines may wait: a part of the queue's limit, and seconds of the channel's deployed rate.
+
+    Orders that are deferrable count all lines that are not acknowledged, other orders those that still wait.
+    """
 
     queue_ratio: float
     channel_s: float
+    is_deferrable: bool
 
 
 class LineAccount:
@@ -44,7 +48,7 @@
         self.orders: list[Order] = []
         self.reserved_lines: dict[int, int] = {}  # of these orders, by proxy
         self.reserved_total = 0
-        self.extra_lines: ExtraLines = _no_extra_lines
+        self.count_readmissions: ReadmissionCounter = _no_readmissions
 
     def advance(self, now: float, slowdown: float) -> None:
         """Subtracts the lines that have left since, on a channel `slowdown` times slower than deployed."""
@@ -85,13 +89,13 @@
         if not changes:
             return {}
         weighted = [c.worker_index for c in changes if isinstance(c, SetWeight) and c.weight > 0]
-        return {proxy: len(changes) + self.extra_lines(proxy, weighted, False) for proxy in readers}
+        return {proxy: len(changes) + self.count_readmissions(proxy, weighted, False) for proxy in readers}
 
     def bind_cost(self, proxy: int, table: RoutingTable, excluded: Collection[int]) -> dict[int, int]:
         """Returns the lines of binding a proxy to a table; `excluded` workers in it take one line more."""
         included = [index for index in table.sent if index not in excluded]
         lines = 1 + 2 * len(table.sent) - len(included) + len(table.admission)
-        return {proxy: lines + self.extra_lines(proxy, included, True)}
+        return {proxy: lines + self.count_readmissions(proxy, included, True)}
 
     def record_written(self, written: dict[int, int]) -> None:
         """Replaces the reserved lines by those written, by proxy and without headers."""
--- a/cottonladder/policy/channel_budget.py
+++ b/cottonladder/policy/channel_budget.py
@@ -1,9 +1,10 @@
 """The channel budget: how many lines may be written to proxies, and when.
 
-Lines that were written wait in a channel of limited pace, and proxies take a limited number of messages in
-a window of time. Each order for proxies reserves its lines here at the tick that sends it. Orders that a
-rule demands count the lines that wait by time, other deltas the lines that are not acknowledged, under a
-lower limit. This keeps the queue short, so that a drain never waits behind changes that could have waited.
+Lines that were written wait in a channel of limited rate, and proxies take a limited number of messages in
+a window of time. Each order for proxies reserves its lines here at the tick that sends it. Removals,
+exclusions, binds and other urgent orders count the lines that still wait in the channel by its assumed
+rate. Other deltas count all lines that are not acknowledged, under a lower limit. This keeps the queue
+short, so that a drain never waits behind changes that could have waited.
 """
 
 import math
@@ -11,11 +12,15 @@
 
 from ..model import LineAccount, LineLimit, orders
 
-MAX_CHANNEL_SLOWDOWN = 16.0  # times slower than deployed that a channel may be before acknowledgements tell
+MAX_CHANNEL_SLOWDOWN = 16.0  # times slower than deployed: the channel's assumed rate until acknowledgements
 MAX_CHECKPOINTS = 256  # without acknowledgement; when there are more, the oldest counts as lost
-RULE_LIMIT = LineLimit(queue_ratio=0.9, channel_s=math.inf)  # for removals, exclusions and overdue binds
-BIND_LIMIT = LineLimit(queue_ratio=0.9, channel_s=2.5)
-DELTA_LIMIT = LineLimit(queue_ratio=0.45, channel_s=1.5)
+
+# For removals, exclusions, overdue binds, and tables whose readers have no usable worker.
+CRITICAL_LIMIT = LineLimit(queue_ratio=0.9, channel_s=math.inf, is_deferrable=False)
+# For binds that are not overdue, and lines of overweight workers.
+URGENT_LIMIT = LineLimit(queue_ratio=0.9, channel_s=2.5, is_deferrable=False)
+# For all other changes of tables.
+DELTA_LIMIT = LineLimit(queue_ratio=0.45, channel_s=1.5, is_deferrable=True)
 
 
 class ChannelBudget(LineAccount):
@@ -23,7 +28,7 @@
 
     def available_lines(self, proxies: Iterable[int], limit: LineLimit) -> int:
         """Returns how many lines may still be ordered for these proxies, beside headers and checkpoints."""
-        waiting = self.in_flight.total if limit is DELTA_LIMIT else self.waiting_lines
+        waiting = self.in_flight.total if limit.is_deferrable else self.waiting_lines
         queue_lines = self.parameters.max_queued_lines * limit.queue_ratio
         channel_lines = self.parameters.channel_lines_per_s * limit.channel_s
         used_lines = waiting + self.reserved_total
@@ -41,13 +46,13 @@
     def _may_write(self, proxy: int, limit: LineLimit) -> bool:
         """Returns whether a proxy may be sent a message now.
 
-        Deltas use at most two thirds of the messages of a window.  Other orders may use the rest too, at an
-        even distance.
+        Deferrable orders use at most two thirds of the messages of a window.  Other orders may use the rest
+        too, at an even distance.
         """
         times = self.message_times(proxy)
         allowed = self.parameters.max_messages
         if allowed <= 0:
             return True
-        if limit is not DELTA_LIMIT and self.quiet_s(times) >= self.parameters.message_window_s / allowed:
+        if not limit.is_deferrable and self.quiet_s(times) >= self.parameters.message_window_s / allowed:
             return len(times) < allowed
         return len(times) < allowed * 2 // 3
--- a/cottonladder/policy/proxy_binding.py
+++ b/cottonladder/policy/proxy_binding.py
@@ -7,7 +7,7 @@
 """
 
 from ..model import ControllerState, ProxyRecord, RoutingTable, orders
-from .channel_budget import BIND_LIMIT, RULE_LIMIT, ChannelBudget
+from .channel_budget import CRITICAL_LIMIT, URGENT_LIMIT, ChannelBudget
 from .table_deltas import TableDeltas
 from .worker_removal import removed_workers
 
@@ -35,7 +35,7 @@
 
     def _bind_if_affordable(self, number: int, proxy: ProxyRecord, overdue_before: float) -> bool:
         """Returns whether the budget may allow further binds."""
-        limit = BIND_LIMIT if proxy.connected_at > overdue_before else RULE_LIMIT
+        limit = URGENT_LIMIT if proxy.connected_at > overdue_before else CRITICAL_LIMIT
         if self._budget.available_lines([number], limit) <= 0:
             return False
         table = self._select_table(proxy.zone)
--- a/cottonladder/policy/table_deltas.py
+++ b/cottonladder/policy/table_deltas.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection
 
 from ..model import ClassAdmission, ControllerState, LineLimit, RoutingTable, inputs, orders
-from .channel_budget import BIND_LIMIT, DELTA_LIMIT, RULE_LIMIT, ChannelBudget
+from .channel_budget import CRITICAL_LIMIT, DELTA_LIMIT, URGENT_LIMIT, ChannelBudget
 from .warm_up import is_warming_up
 
 # Of the sent weight, or for admission of all requests of the class.  Smaller changes are not sent, except the
@@ -42,7 +42,7 @@
         self._expire_acknowledgement(table)
         urgent = self._not_excluded(removed_workers)
         if urgent and table.readers and table.wanted:
-            self._send(table, urgent, RULE_LIMIT, self._keeps_usable_worker(table, urgent))
+            self._send(table, urgent, CRITICAL_LIMIT, self._keeps_usable_worker(table, urgent))
 
     def send_update(self, table: RoutingTable, overweight: Collection[int]) -> None:
         """Brings a table closer to what is wanted; lines of `overweight` workers go first and do not wait."""
@@ -53,9 +53,9 @@
         keeps_usable_worker = self._keeps_usable_worker(table, urgent)
         if table.awaits_acknowledgement and keeps_usable_worker and not urgent:
             return
-        limit = BIND_LIMIT if urgent else DELTA_LIMIT
+        limit = URGENT_LIMIT if urgent else DELTA_LIMIT
         if not keeps_usable_worker:
-            limit = RULE_LIMIT
+            limit = CRITICAL_LIMIT
         self._send(table, urgent, limit, keeps_usable_worker)
 
     def draft_all_changes(self, table: RoutingTable) -> list[orders.Order]:
--- a/cottonladder/policy/worker_exclusion.py
+++ b/cottonladder/policy/worker_exclusion.py
@@ -8,7 +8,7 @@
 """
 
 from ..model import ControllerState, WorkerState, orders
-from .channel_budget import RULE_LIMIT, ChannelBudget
+from .channel_budget import CRITICAL_LIMIT, ChannelBudget
 
 
 def send_exclusions(state: ControllerState, budget: ChannelBudget) -> None:
@@ -19,7 +19,7 @@
         if worker.is_excluded == is_departed or (is_departed and not cannot_give_tables):
             continue
         cost = dict.fromkeys(_holders(state, index), 1)
-        if budget.reserve([orders.ExcludeWorker(index, is_departed)], cost, RULE_LIMIT):
+        if budget.reserve([orders.ExcludeWorker(index, is_departed)], cost, CRITICAL_LIMIT):
             worker.is_excluded = is_departed
 
 
--- a/cottonladder/state/exclusions.py
+++ b/cottonladder/state/exclusions.py
@@ -37,8 +37,11 @@
             was_authoritative = self._is_only_manager and known.is_authoritative
             self._views[proxy] = known.reconnected(is_fresh or was_authoritative)
 
-    def count_added_lines(self, proxy: int, worker_indices: Iterable[int], binds_table: bool) -> int:
-        """Lines at this proxy that readmit these workers, on top of their own; see `ProxyView`."""
+    def count_readmissions(self, proxy: int, worker_indices: Iterable[int], binds_table: bool) -> int:
+        """Returns how many readmission lines the proxy gets beside the lines of these workers.
+
+        `binds_table`: the workers are those of a table that the proxy is about to be bound to.
+        """
         view = self._views.get(proxy)
         if view is None:
             return 0
@@ -51,29 +54,30 @@
         else:
             self._excluded.pop(worker_index, None)
 
-    def order_line(self, proxy: int, worker_index: int) -> LineOperation:
-        """The line that has the proxy exclude a worker where this manager does, and readmit it otherwise."""
+    def take_line(self, proxy: int, worker_index: int) -> LineOperation:
+        """Returns the line that makes the proxy exclude a worker if this manager does, or else readmit it."""
         excluded = worker_index in self._excluded
         self._views[proxy].exclusions[worker_index] = excluded
         return exclusion_line(worker_index, excluded)
 
-    def worker_lines(self, proxy: int, worker_index: int) -> list[LineOperation]:
-        """The same line, or none if the proxy already does as this manager."""
+    def take_line_if_needed(self, proxy: int, worker_index: int) -> list[LineOperation]:
+        """Returns the same line, or none if the proxy's exclusion of the worker is already this manager's."""
         is_excluded = self._views[proxy].is_excluded(worker_index, self._workers)
         if is_excluded == (worker_index in self._excluded):
             return []
-        return [self.order_line(proxy, worker_index)]
+        return [self.take_line(proxy, worker_index)]
 
-    def table_lines(self, proxy: int, weights: Mapping[int, float]) -> list[LineOperation]:
-        """Lines for the exclusions of a table's workers, all of which are counted in the cost of a bind."""
+    def take_table_lines(self, proxy: int, weights: Mapping[int, float]) -> list[LineOperation]:
+        """Returns the lines for the exclusions of a table's workers, which the cost of a bind counts."""
         view = self._views[proxy]
         excluded = self._excluded.keys() & weights.keys()
+        # Marked as unknown, so that each excluded worker gets a line: the cost of a bind counts one.
         view.exclusions.update(dict.fromkeys(excluded))
         deferred = view.deferrable_readmissions(weights.keys() - excluded, self._workers)
         lines: list[LineOperation] = []
         for worker_index in weights:
             if worker_index not in deferred:
-                lines += self.worker_lines(proxy, worker_index)
+                lines += self.take_line_if_needed(proxy, worker_index)
         return lines
 
     def remove_worker(self, worker_index: int) -> None:
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -103,9 +103,12 @@
         """Lines pending for each proxy."""
         return self._pending.line_counts()
 
-    def count_added_lines(self, proxy: int, worker_indices: Iterable[int], binds_table: bool) -> int:
-        """Lines at this proxy that readmit these workers, on top of their own; see `ProxyView`."""
-        return self._exclusions.count_added_lines(proxy, worker_indices, binds_table)
+    def count_readmissions(self, proxy: int, worker_indices: Iterable[int], binds_table: bool) -> int:
+        """Returns how many readmission lines the proxy gets beside the lines of these workers.
+
+        `binds_table`: the workers are those of a table that the proxy is about to be bound to.
+        """
+        return self._exclusions.count_readmissions(proxy, worker_indices, binds_table)
 
     def _classes_in(self, class_mask: int) -> list[int]:
         return [index for index in range(self._class_count) if class_mask >> index & 1]
@@ -118,10 +121,12 @@
             weights.pop(order.worker_index, None)
         lines_by_mask: dict[int, LineOperation] = {}  # shared, as most proxies bind all classes to one table
         for proxy in self._bindings.readers(order.table):
-            class_mask = self._bindings.classes_reading(proxy, order.table)
+            class_mask = self._bindings.reading_class_mask(proxy, order.table)
             if class_mask not in lines_by_mask:
                 lines_by_mask[class_mask] = weight_line(class_mask, order.worker_index, order.weight)
-            lines = self._exclusions.worker_lines(proxy, order.worker_index) if order.weight > 0 else []
+            lines = (
+                self._exclusions.take_line_if_needed(proxy, order.worker_index) if order.weight > 0 else []
+            )
             lines.append(lines_by_mask[class_mask])
             self._pending.add(proxy, lines)
 
@@ -129,7 +134,7 @@
         self._weights[order.table] = {}
         self._admission.clear_table(order.table)
         for proxy in self._bindings.readers(order.table):
-            class_mask = self._bindings.classes_reading(proxy, order.table)
+            class_mask = self._bindings.reading_class_mask(proxy, order.table)
             self._pending.add(proxy, [replacement_line(class_mask)])
 
     def _bind_proxy(self, order: BindProxy) -> None:
@@ -144,7 +149,7 @@
         lines += [weight_line(class_mask, index, weight) for index, weight in weights.items()]
         for class_index in class_indices:
             lines += self._admission.lines(tables, [class_index])
-        lines += self._exclusions.table_lines(order.proxy, weights)
+        lines += self._exclusions.take_table_lines(order.proxy, weights)
         self._pending.add(order.proxy, lines)
 
     def _exclude_worker(self, order: ExcludeWorker) -> None:
@@ -153,7 +158,7 @@
         for proxy in self._bindings:
             tables = self._bindings.tables_of(proxy)
             if any(self._may_hold(table, order.worker_index) for table in tables):
-                self._pending.add(proxy, [self._exclusions.order_line(proxy, order.worker_index)])
+                self._pending.add(proxy, [self._exclusions.take_line(proxy, order.worker_index)])
 
     def _may_hold(self, table: int | None, worker_index: int) -> bool:
         return table is None or worker_index in self._weights[table]
--- a/cottonladder/state/proxy_bindings.py
+++ b/cottonladder/state/proxy_bindings.py
@@ -49,7 +49,7 @@
         """A connected proxy's table for each request class."""
         return self._tables[proxy]
 
-    def classes_reading(self, proxy: int, table: int) -> int:
+    def reading_class_mask(self, proxy: int, table: int) -> int:
         """Mask of the request classes that read this table at this proxy."""
         tables = self._tables[proxy]
         return sum(1 << class_index for class_index, read in enumerate(tables) if read == table)
--- a/cottonladder/state/proxy_view.py
+++ b/cottonladder/state/proxy_view.py
@@ -7,7 +7,9 @@
 
 from .worker_registry import WorkerRegistry
 
-MIN_ADMITTED_SHARE = 0.25  # of a table's workers; with fewer surely admitted, all are readmitted at once
+MIN_ADMITTED_SHARE = (
+    0.25  # of a table's workers; with fewer certain to be admitted, all are readmitted at once
+)
 
 
 @dataclass(slots=True)
@@ -60,9 +62,10 @@
     def count_readmissions(
         self, worker_indices: Iterable[int], workers: WorkerRegistry, binds_table: bool
     ) -> int:
-        """Lines that readmit these workers, none of which this manager excludes, on top of their own lines.
+        """Returns how many readmission lines the proxy gets beside the lines of these workers.
 
-        `binds_table`: they are the workers of a table that the proxy is about to be bound to.
+        This manager excludes none of them.  `binds_table`: they are the workers of a table that the proxy is
+        about to be bound to.
         """
         affected = set(worker_indices)
         if binds_table:
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -175,7 +175,7 @@
         self.workers = WorkerRegistry()
         self.controller = RoutingController(parameters)
         self.dispatcher = OrderDispatcher(list(REQUEST_CLASSES), parameters.manager_count, self.workers)
-        self.controller.channel_budget.extra_lines = self.dispatcher.count_added_lines
+        self.controller.channel_budget.count_readmissions = self.dispatcher.count_readmissions
         self.proxies: dict[int, SimulatedProxy] = {}
         self.channel: deque[QueuedMessage] = deque()  # the oldest first
         self.credit_lines = 0.0  # what the channel may send now
--- a/tests/support/recorded_inputs.py
+++ b/tests/support/recorded_inputs.py
@@ -69,7 +69,7 @@
         self._controller = RoutingController(parameters)
         class_names = list(self._settings.classes)
         self._dispatcher = OrderDispatcher(class_names, parameters.manager_count, self._workers)
-        self._controller.channel_budget.extra_lines = self._dispatcher.count_added_lines
+        self._controller.channel_budget.count_readmissions = self._dispatcher.count_readmissions
         self._timer = DueTimer(START_TIME_S, 0)
         self._acknowledgements: list[Input] = []
         self.output: list[str] = []
