--- a/cottonladder/policy/capacity.py
+++ b/cottonladder/policy/capacity.py
@@ -1,10 +1,10 @@
 """Capacity: how many requests each worker can take.
 
 A worker's capacity is its listed weight, times a speed from its load reports or else from its base latency,
-times its latency factor, times outside advice. Samples are taken once an interval from the load reports,
-and the estimate is made at each solution. Few or distorted samples are left out, speeds and advice are
-bounded, and `warm_up` bounds workers that have just started: a wrong estimate would overload a worker for
-minutes.
+times its latency factor, times its zone's correction, times outside advice. Samples are taken once an
+interval from the load reports, and the estimate is made at each solution. Few or distorted samples are left
+out, speeds and advice are bounded, and `warm_up` bounds workers that have just started: a wrong estimate
+would overload a worker for minutes.
 """
 
 from ..model import IN_SERVICE, ControllerState, WorkerRecord, WorkerState, median_or_zero
@@ -25,7 +25,7 @@
 
     def __init__(self, state: ControllerState, overload: OverloadSignal, shedding: LoadShedding) -> None:
         self.own_share = [1.0 for _ in state.zones]  # this manager's part of the attempts at a zone's workers
-        self.nominal_total = 1.0  # of all workers, before latency factors, advice and warm-up
+        self.nominal_total = 1.0  # of all usable workers, before latency factors, advice and warm-up
         self._state = state
         self._warm_up_shares = warm_up.WarmUpShares(state, overload, shedding)
         self._latency_factors = LatencyFactors(state, overload)
@@ -40,8 +40,12 @@
         self._latency_factors.update(uses_queues=not self._warm_up_shares.proxies_eject)
 
     def estimate(self, tick: int) -> dict[int, float]:
-        """Returns the capacity by worker, in requests/s where utilization is reported, or else in weights."""
+        """Returns the capacity by worker, in requests/s where utilization is reported, or else in weights.
+
+        If the bounds leave nobody any capacity, all have the same.
+        """
         workers = self._state.workers
+        # With nobody in service, ejected workers are better than none.
         usable = workers.in_state(*IN_SERVICE) or workers.in_state(WorkerState.EJECTED)
         nominal = self._nominal_capacities(usable)
         self.nominal_total = sum(nominal.values())
@@ -68,20 +72,20 @@
         return capacity
 
     def _nominal_capacities(self, workers: dict[int, WorkerRecord]) -> dict[int, float]:
-        """Returns weight times speed, by samples or else by base latency, in the unit of the fleet."""
-        sampled = {
+        """Returns weight times relative speed, times the fleet's median capacity for each unit of weight."""
+        capacity_per_weight = {
             index: worker.measured_capacity() / worker.weight
             for index, worker in workers.items()
             if worker.capacity_samples
         }
-        unit = median_or_zero(sampled.values()) or 1.0
+        median_capacity_per_weight = median_or_zero(capacity_per_weight.values()) or 1.0
         bases_s = [worker.base_latency_s for worker in workers.values()]
         median_base_s = median_or_zero(base_s for base_s in bases_s if base_s > 0)
         capacities = {}
         for index, worker in workers.items():
             speed = median_base_s / worker.base_latency_s if worker.base_latency_s > 0 else 1.0
-            if index in sampled:
-                speed = sampled[index] / unit
+            if index in capacity_per_weight:
+                speed = capacity_per_weight[index] / median_capacity_per_weight
             speed = min(MAX_SPEED_RATIO, max(1 / MAX_SPEED_RATIO, speed))
-            capacities[index] = worker.weight * unit * speed
+            capacities[index] = worker.weight * median_capacity_per_weight * speed
         return capacities
