--- a/cottonladder/policy/worker_discovery.py
+++ b/cottonladder/policy/worker_discovery.py
@@ -36,7 +36,7 @@
         self._next_watch_at = 0.0
 
     def order_watch_if_due(self) -> None:
-        """Orders a watch on the list if the last call failed or was not answered."""
+        """Orders the watch at the start, and again after a failed or unanswered call."""
         state = self._state
         if state.parameters.watches_endpoints and state.now >= self._next_watch_at:
             state.pending.add(orders.WatchEndpoints(True))
@@ -65,7 +65,7 @@
                 apply_event(self._state, history.worker_index, WorkerEvent.RESTORED_AS_EJECTED)
 
     def _schedule_watch(self, kind: inputs.ListUpdateKind) -> None:
-        """Sets the time of the next watch: after a delay if the call failed, never while it is answered."""
+        """Sets when the watch is ordered again: after a delay if the call failed, otherwise not at all."""
         if kind in (inputs.ListUpdateKind.CACHED, inputs.ListUpdateKind.SUPERSEDED):
             return
         state = self._state
@@ -95,18 +95,19 @@
         apply_event(self._state, endpoint.worker_index, event, evidence)
 
     def _update_record(self, endpoint: inputs.Endpoint) -> bool:
-        """Updates a worker from its list entry, and returns whether it was started lately."""
+        """Updates a worker's record, and returns whether a new start is listed, within the warm-up time."""
         state = self._state
         worker = state.workers.by_index.get(endpoint.worker_index)
         if worker is None:
             worker = self._new_record()
             state.workers.by_index[endpoint.worker_index] = worker
         warm_up_began_after = state.now - state.parameters.warm_up_s
-        has_started = worker.started_at < endpoint.started_at > warm_up_began_after
+        is_newer = endpoint.started_at > worker.started_at
+        is_recent = endpoint.started_at > warm_up_began_after
         worker.zone = endpoint.zone
         worker.weight = max(endpoint.weight, MIN_WEIGHT)
         worker.started_at = endpoint.started_at
-        return has_started
+        return is_newer and is_recent
 
     def _new_record(self) -> WorkerRecord:
         min_latency_s = self._state.tightest_objective_s * MIN_LATENCY_RATIO
