--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -126,6 +126,7 @@
 
     def _on_proxy_connected(self, connected: inputs.ProxyConnected) -> None:
         self._reports.connect_proxy(connected)
+        # Messages on the former connection do not count against the new one.
         self.channel_budget.written_at.pop(connected.proxy, None)
         self._next_solve_at = self.state.now
 
@@ -137,7 +138,7 @@
             self._is_send_due |= self._deltas.acknowledge(acknowledged)
 
     def _solve(self) -> None:
-        """Estimates capacities and demand, and solves the flow; once an interval it measures before."""
+        """Estimates capacities and demand and solves the flow.  Once an interval, it measures first."""
         now = self.state.now
         is_new_interval = now >= self._next_measure_at
         if is_new_interval:
@@ -152,7 +153,9 @@
         demand = estimate_demand(self.state, self.gossip)
         if is_new_interval and self.state.parameters.gossip:
             self.gossip.send(demand.own)
-        self._flow.plan(demand, self.capacities, is_new_interval)
+        plan = self._flow.plan(demand, self.capacities, is_new_interval)
+        self._overload.planned_utilization = plan.utilization
+        self.capacity.own_share = plan.own_shares
 
     def _send(self) -> None:
         """Sends exclusions, binds, removals, then other deltas, as far as the channel budget allows."""
--- a/cottonladder/policy/overload_signal.py
+++ b/cottonladder/policy/overload_signal.py
@@ -1,9 +1,9 @@
 """The overload signal: how far the fleet as a whole is overloaded.
 
-The signal is 1 where overload begins, and it follows the middle one of the workers in service, by requests
-in flight or latency, by utilization, and by failures. It is measured at each tick, from load reports,
-health checks and the last solution. A median protects against a few faulty workers that look like overload
-of all; failures alone count little, because clients and networks fail too.
+The signal is 1 where overload begins. It is the highest of three medians over the workers in service:
+latency (from requests in flight, or as reported), utilization, and failures. It is measured at each tick,
+from load reports, health checks and the last solution. A median protects against a few faulty workers that
+look like overload of all; failures alone are limited, because clients and networks fail too.
 """
 
 from ..model import IN_SERVICE, ControllerState, WorkerRecord, median_or_zero
@@ -11,8 +11,8 @@
 OVERLOAD_FAILED_RATIO = 0.1  # failed part of attempts at which overload begins
 OVERLOAD_LATENCY_RATIO = 0.35  # latency over the tightest latency objective at which overload begins
 OVERLOAD_UTILIZATION = 0.92  # utilization at which overload begins
-MAX_FAILED_WEIGHT = 2.0  # times the signal without failures that failures may count
-MAX_DEMAND_RATIO = 1.4  # times the reported utilization that demand over capacity may count
+MAX_FAILED_WEIGHT = 2.0  # times the signal without failures, up to which failures raise it
+MAX_DEMAND_RATIO = 1.4  # times the reported utilization, up to which demand over capacity raises it
 
 
 class OverloadSignal:
@@ -21,7 +21,7 @@
     def __init__(self, state: ControllerState) -> None:
         self.failed_ratio = 0.0  # of all attempts
         self.value = 0.0  # 1 where overload begins
-        self.utilization = 0.0  # demand over capacity as last solved; 0 where capacities are relative
+        self.planned_utilization = 0.0  # demand over capacity as last solved; 0 where capacities are relative
         self._state = state
 
     def update(self) -> None:
@@ -34,15 +34,15 @@
         self._state.needs_solution |= former < 1.0 <= self.value
 
     def _measure(self, in_service: list[WorkerRecord]) -> float:
-        lateness = self._latency_s(in_service) / self._state.tightest_objective_s
+        latency_ratio = self._latency_s(in_service) / self._state.tightest_objective_s
         load = self._load(in_service)
-        signal = max(lateness / OVERLOAD_LATENCY_RATIO, load / OVERLOAD_UTILIZATION)
+        signal = max(latency_ratio / OVERLOAD_LATENCY_RATIO, load / OVERLOAD_UTILIZATION)
         failed = median_or_zero(worker.failed_ratio() for worker in in_service if worker.attempts >= 1.0)
         return max(signal, min(failed / OVERLOAD_FAILED_RATIO, MAX_FAILED_WEIGHT * signal))
 
     def _latency_s(self, in_service: list[WorkerRecord]) -> float:
         """Returns the median latency: by Little's law from requests in flight, or else as reported."""
-        planned = [worker for worker in in_service if worker.in_flight >= 0 < worker.planned_rate]
+        planned = [worker for worker in in_service if worker.in_flight >= 0 and worker.planned_rate > 0]
         queue_s = median_or_zero(
             worker.in_flight / max(worker.previous_planned_rate, worker.planned_rate) for worker in planned
         )
@@ -54,4 +54,4 @@
     def _load(self, in_service: list[WorkerRecord]) -> float:
         """Returns the median reported utilization, or demand over capacity if that is higher."""
         load = median_or_zero(worker.utilization for worker in in_service if worker.utilization >= 0)
-        return max(load, min(self.utilization, MAX_DEMAND_RATIO * load))
+        return max(load, min(self.planned_utilization, MAX_DEMAND_RATIO * load))
--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -9,6 +9,7 @@
 """
 
 import math
+from dataclasses import dataclass
 
 from ..model import ControllerState, Demand, LinkLatencies, ZoneGroups, median_or_zero, min_cost_flow
 from .capacity import CapacityEstimator
@@ -27,6 +28,14 @@
 MIN_NOMINAL_CAPACITY = 1e-9
 
 
+@dataclass(frozen=True, slots=True)
+class FlowPlan:
+    """What other parts of the policy use of a solved flow."""
+
+    utilization: float  # admitted demand over capacity; 0 where capacities are relative
+    own_shares: list[float]  # this manager's part of the attempts at the workers of each zone
+
+
 class FlowPlanner:
     """Solves the flow, and gives each zone's tables their wanted weights."""
 
@@ -45,42 +54,42 @@
         self._shedding = shedding
         self._tables = tables
 
-    def plan(self, zone_demand: Demand, capacities: dict[int, float], is_new_interval: bool) -> None:
-        """Solves the flow for this demand, and updates the wanted tables and the planned rates."""
+    def plan(self, demand: Demand, capacities: dict[int, float], is_new_interval: bool) -> FlowPlan:
+        """Solves the flow, and updates the wanted tables and the planned rates."""
         state = self._state
         # Other managers see the same overload, so their demand is taken to be shed as much.
-        demand = [rate * self._shedding.admission_ratio for rate in zone_demand.total()]
-        groups = self._group_workers(capacities, sum(demand))
-        utilization = sum(demand) / sum(groups.totals) if sum(groups.totals) > 0 else 0.0
-        has_unit = any(worker.capacity_samples for worker in state.workers.by_index.values())
-        self._overload.utilization = utilization if has_unit else 0.0
+        admitted = [rate * self._shedding.admission_ratio for rate in demand.total()]
+        fleet_demand = sum(admitted)
+        groups = self._group_workers(capacities, fleet_demand)
+        utilization = fleet_demand / sum(groups.totals) if sum(groups.totals) > 0 else 0.0
         slack = SLACK_PER_CROSS_ZONE_COST * state.parameters.cross_zone_cost
-        fill = utilization * (1.0 + CAPACITY_SLACK + slack)
+        fill_ratio = utilization * (1.0 + CAPACITY_SLACK + slack)
         latencies = self.links.least()
-        limits = [total * fill for total in groups.totals]
-        flow = min_cost_flow(demand, limits, self._link_costs(latencies, groups))
+        limits = [total * fill_ratio for total in groups.totals]
+        flow = min_cost_flow(admitted, limits, self._link_costs(latencies, groups))
         for zone in state.zones:
             overflow_group = self._overflow_group(zone, groups, latencies[zone])
-            flow[zone][overflow_group] += max(0.0, demand[zone] - sum(flow[zone]))
-            weights = self._weights(flow[zone], overflow_group, sum(demand), groups)
+            flow[zone][overflow_group] += max(0.0, admitted[zone] - sum(flow[zone]))
+            weights = self._weights(flow[zone], overflow_group, fleet_demand, groups)
             self._tables.update_wanted(zone, weights, groups.warm)
         groups.record_plan(flow, is_new_interval)
-        self._capacity.own_share = zone_demand.own_shares(flow)
+        has_measured_capacity = any(worker.capacity_samples for worker in state.workers.by_index.values())
+        return FlowPlan(utilization if has_measured_capacity else 0.0, demand.own_shares(flow))
 
-    def _group_workers(self, capacities: dict[int, float], demand: float) -> ZoneGroups:
+    def _group_workers(self, capacities: dict[int, float], fleet_demand: float) -> ZoneGroups:
         workers = self._state.workers.by_index
         warming_up = {index for index in capacities if is_warming_up(self._state, workers[index])}
-        free = self._free_capacities(capacities, demand)
+        free = self._free_capacities(capacities, fleet_demand)
         return ZoneGroups(workers, self._state.zones, free, warming_up)
 
-    def _free_capacities(self, capacities: dict[int, float], demand: float) -> dict[int, float]:
+    def _free_capacities(self, capacities: dict[int, float], fleet_demand: float) -> dict[int, float]:
         """Returns what the workers' held connections leave of their capacities for requests."""
         workers = self._state.workers.by_index
         connection_loads = {index: workers[index].connection_load for index in capacities}
         if not sum(connection_loads.values()):
             return capacities
         # Held connections are in requests/s and capacities may be relative, hence the conversion.
-        unit = sum(capacities.values()) / (demand + sum(connection_loads.values()))
+        unit = sum(capacities.values()) / (fleet_demand + sum(connection_loads.values()))
         return {
             index: max(MIN_FREE_RATIO * capacity, capacity - unit * connection_loads[index])
             for index, capacity in capacities.items()
@@ -99,7 +108,10 @@
     def _link_cost(
         self, zone: int, group: int, groups: ZoneGroups, latency_s: float, max_latency_s: float
     ) -> float | None:
-        """A zone's link to its own group is never cut, because its workers and not the way make it slow."""
+        """Returns the cost, or None.
+
+        A slow link to the own group is not cut: its workers, not the network, make it slow.
+        """
         is_slow = max_latency_s <= latency_s < math.inf
         if not groups.workers[group] or (is_slow and zone != group):
             return None
