--- a/cottonladder/policy/proxy_binding.py
+++ b/cottonladder/policy/proxy_binding.py
@@ -1,9 +1,9 @@
 """Which proxies are bound to a table first, and to which table.
 
 At each tick the proxies that read no table are bound, as many as the channel budget allows: first those
-that have waited for a part of the drain grace, then the busiest. Each gets the table of its zone that names
-no departed workers and whose readers have the lowest demand. The order protects most requests from a table
-of another manager that is out of date, and keeps a quiet proxy from waiting for ever.
+that have waited over DRAIN_HOLD_RATIO of the drain grace, then the busiest. Each gets the table of its zone
+that names no departed workers and whose readers have the lowest demand. The order protects most requests
+from a table of another manager that is out of date, and keeps a quiet proxy from waiting indefinitely.
 """
 
 from ..model import ControllerState, ProxyRecord, RoutingTable, orders
@@ -30,11 +30,14 @@
             for number, proxy in unbound.items()
         }
         for number in sorted(unbound, key=ranks.__getitem__):
-            if not self._bind_if_affordable(number, unbound[number], overdue_before):
+            if not self._try_bind(number, unbound[number], overdue_before):
                 break
 
-    def _bind_if_affordable(self, number: int, proxy: ProxyRecord, overdue_before: float) -> bool:
-        """Returns whether the budget may allow further binds."""
+    def _try_bind(self, number: int, proxy: ProxyRecord, overdue_before: float) -> bool:
+        """Binds a proxy if its lines fit, and returns False only if no lines are left at all.
+
+        Before, departed workers are taken out of the table, and a table without readers is completed.
+        """
         limit = URGENT_LIMIT if proxy.connected_at > overdue_before else CRITICAL_LIMIT
         if self._budget.available_lines([number], limit) <= 0:
             return False
--- a/cottonladder/policy/slow_start.py
+++ b/cottonladder/policy/slow_start.py
@@ -1,9 +1,9 @@
 """Slow start: how fast the load of a new or returned worker grows, and when it counts as healthy.
 
-From the time that a worker entered slow start follows its share of an average worker's load, which doubles
-at each interval. The worker is healthy once that share is well over one, and this is looked at on each
-tick. Slow start protects a worker with empty caches or an unknown fault from a full load in its first
-seconds.
+A worker's load is limited to a share of an average worker's. The share starts when the worker enters slow
+start and doubles at each interval. The worker is healthy once the share reaches FINAL_SHARE, which is
+checked at each tick. Slow start protects a worker with empty caches or an unknown fault from a full load in
+its first seconds.
 """
 
 from ..model import ControllerState, WorkerEvent, WorkerRecord, WorkerState
