--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -87,9 +87,10 @@
         self._handlers[type(order)](order)
 
     def take_messages(self) -> Iterator[tuple[int, bytes]]:
-        """Yields each proxy with pending operations and its encoded message; none are pending afterwards.
+        """Yields each proxy with pending operations and its encoded message; must be consumed to the end.
 
-        Every message repeats the admission that is set for all proxies.
+        Removed workers are freed afterwards.  Every message repeats the admission that is set for all
+        proxies.
         """
         for proxy in self._pending.proxies():
             lines = self._admission.global_lines(self._bindings.tables_of(proxy))
@@ -141,12 +142,15 @@
         if order.proxy not in self._bindings:
             return
         weights = self._weights.setdefault(order.table, {})
-        class_mask = order.class_mask & self._all_classes or self._all_classes
+        class_mask = order.class_mask & self._all_classes
+        if class_mask == 0:
+            class_mask = self._all_classes
         class_indices = self._classes_in(class_mask)
         self._bindings.bind(order.proxy, order.table, class_indices)
         tables = self._bindings.tables_of(order.proxy)
         lines = [replacement_line(class_mask)]
         lines += [weight_line(class_mask, index, weight) for index, weight in weights.items()]
+        # One line a class, not one for equal settings: the channel budget counts a line for each class.
         for class_index in class_indices:
             lines += self._admission.lines(tables, [class_index])
         lines += self._exclusions.take_table_lines(order.proxy, weights)
