--- a/cottonladder/model/__init__.py
+++ b/cottonladder/model/__init__.py
@@ -9,6 +9,7 @@
 from .min_cost_flow import min_cost_flow
 from .parameters import DeploymentParameters
 from .peer_demand import PeerDemand
+from .proxies import ProxyDemand
 from .records import IN_SERVICE, ProxyRecord, RoutingTable, WorkerRecord
 from .state_changes import (
     AdmissionChanged,
@@ -40,6 +41,7 @@
     "LinkLatencies",
     "OutlierEvidence",
     "PeerDemand",
+    "ProxyDemand",
     "ProxyRecord",
     "RoutingTable",
     "WorkerEvent",
--- a/cottonladder/model/peer_demand.py
+++ b/cottonladder/model/peer_demand.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from .gossip_text import ZoneFigures
+from .proxies import ProxyDemand
 
 
 class PeerDemand:
@@ -10,7 +11,9 @@
 
     def __init__(self, zone_count: int) -> None:
         self._zone_count = zone_count
-        self._by_sender: dict[int, tuple[float, list[float]]] = {}
+        self._by_sender: dict[
+            int, tuple[float, list[float]]
+        ] = {}  # time, and count and requests/s of each zone
 
     def update(self, sender: int, now: float, received: ZoneFigures) -> None:
         """Replaces the sender's figures for the zones that the gossip covers."""
@@ -19,15 +22,10 @@
         figures[start : start + len(received.figures)] = received.figures
         self._by_sender[sender] = (now, figures)
 
-    def add_recent(self, proxy_counts: list[float], now: float, ttl_s: float) -> list[float]:
-        """Returns the requests/s by zone of all senders heard within the time to live.
-
-        Their proxies are added to `proxy_counts`, which is by zone.
-        """
-        demand = [0.0 for _ in range(self._zone_count)]
-        for received_at, figures in self._by_sender.values():
-            if now - received_at < ttl_s:
-                for zone in range(self._zone_count):
-                    proxy_counts[zone] += figures[2 * zone]
-                    demand[zone] += figures[2 * zone + 1]
-        return demand
+    def recent(self, now: float, ttl_s: float) -> list[ProxyDemand]:
+        """Returns the figures of each sender heard within the time to live."""
+        return [
+            ProxyDemand(request_rates=figures[1::2], proxy_counts=figures[0::2])
+            for received_at, figures in self._by_sender.values()
+            if now - received_at < ttl_s
+        ]
--- a/cottonladder/model/proxies.py
+++ b/cottonladder/model/proxies.py
@@ -9,8 +9,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnDemand:
-    """Demand and number of the proxies that are connected to this manager, by zone."""
+class ProxyDemand:
+    """Demand and number of the proxies that are connected to one manager, by zone."""
 
     request_rates: list[float]  # requests/s
     proxy_counts: list[float]
@@ -51,14 +51,14 @@
         """Returns the requests/s of all proxies by class."""
         return [sum(proxy.class_rate(k) for proxy in self.by_number.values()) for k in self._classes]
 
-    def own_demand(self) -> OwnDemand:
+    def own_demand(self) -> ProxyDemand:
         """Returns the demand and the number of the connected proxies by zone."""
         request_rates = [0.0 for _ in self._zones]
         proxy_counts = [0.0 for _ in self._zones]
         for proxy in self.by_number.values():
             request_rates[proxy.zone] += proxy.request_rate()
             proxy_counts[proxy.zone] += 1
-        return OwnDemand(request_rates, proxy_counts)
+        return ProxyDemand(request_rates, proxy_counts)
 
     def zone_counts(self) -> list[int]:
         """Returns the number of connected proxies by zone."""
--- a/cottonladder/policy/demand.py
+++ b/cottonladder/policy/demand.py
@@ -1,7 +1,7 @@
 """Demand: how many requests arrive in each zone, at the proxies here and at those of other managers.
 
-Own demand comes from arrival reports. Others' demand comes from gossip, and is guessed for the proxies that
-neither are connected here nor appear in gossip, in the zones that lack them. It is estimated at each
+Own demand comes from arrival reports. Others' demand comes from gossip, and is estimated for the proxies
+that are neither connected here nor in gossip, in the zones that lack proxies. This happens at each
 solution. Where more proxies are counted than deployed, the others' demand shrinks in proportion, which
 protects against counting a proxy twice that has just changed its manager.
 """
@@ -11,15 +11,16 @@
 from ..model import ControllerState, Demand
 from .gossip_exchange import GossipExchange
 
-DEMAND_WINDOW_S = 4.0  # that the counts of arrivals cover at most
-
 
 def estimate_demand(state: ControllerState, gossip: GossipExchange) -> Demand:
     """Returns the requests/s by zone, own and others'."""
     parameters = state.parameters
     own = state.proxies.own_demand()
     proxy_counts = own.proxy_counts
-    others = gossip.add_recent(proxy_counts)
+    others = [0.0 for _ in state.zones]
+    for peer in gossip.recent():
+        proxy_counts = _add_by_zone(proxy_counts, peer.proxy_counts)
+        others = _add_by_zone(others, peer.request_rates)
     missing_count = parameters.proxy_count - sum(proxy_counts)
     if missing_count < 0:
         peer_count = max(1.0, sum(proxy_counts) - len(state.proxies.by_number))
@@ -32,3 +33,7 @@
             rate + missing_count * mean_rate * gap / sum(gaps) for rate, gap in zip(others, gaps, strict=True)
         ]
     return Demand(own.request_rates, others)
+
+
+def _add_by_zone(figures: list[float], added: list[float]) -> list[float]:
+    return [figure + other for figure, other in zip(figures, added, strict=True)]
--- a/cottonladder/policy/gossip_exchange.py
+++ b/cottonladder/policy/gossip_exchange.py
@@ -1,12 +1,20 @@
-"""What managers tell each other of their proxies, and how long it counts.
+"""Gossip between managers: what they send about their proxies, and how long it is valid.
 
 Once an interval each manager sends the number of its proxies and their demand by zone to all others, where
-the deployment allows gossip. What another manager sent replaces its former figures and counts for three
+the deployment allows gossip. What another manager sent replaces its former figures and is valid for three
 intervals. A datagram that does not have the right number of figures is dropped, which protects the demand
-estimate from corrupted datagrams; a lost one costs no more than a guess in its place.
+estimate from corrupted datagrams; a lost one is replaced by an estimate.
 """
 
-from ..model import ControllerState, PeerDemand, decode_zone_figures, encode_zone_figures, inputs, orders
+from ..model import (
+    ControllerState,
+    PeerDemand,
+    ProxyDemand,
+    decode_zone_figures,
+    encode_zone_figures,
+    inputs,
+    orders,
+)
 from .cadence import SOLVE_INTERVAL_S
 
 MAX_GOSSIP_ZONES = 18  # that one datagram holds
@@ -33,6 +41,6 @@
         texts = encode_zone_figures(counts, request_rates, MAX_GOSSIP_ZONES)
         self._state.pending.extend(orders.SendGossip(ALL_PEERS, text) for text in texts)
 
-    def add_recent(self, proxy_counts: list[float]) -> list[float]:
-        """Returns the others' requests/s by zone, and adds the numbers of their proxies to `proxy_counts`."""
-        return self._peers.add_recent(proxy_counts, self._state.now, PEER_DEMAND_TTL_S)
+    def recent(self) -> list[ProxyDemand]:
+        """Returns the demand and the proxies of each other manager whose figures are valid."""
+        return self._peers.recent(self._state.now, PEER_DEMAND_TTL_S)
--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -9,10 +9,11 @@
 from ..model import ControllerState, LinkLatencies, inputs
 from . import report_plausibility
 from .capacity import MAX_ADVISED_FACTOR
-from .demand import DEMAND_WINDOW_S
 from .outlier_ejection import return_after_health_check
 from .zone_reachability import ZoneReachability
 
+DEMAND_WINDOW_S = 4.0  # that the counts of arrivals cover at most
+
 
 class ReportIntake:
     """Applies reports to the records."""
