--- a/cottonladder/config/deployment.py
+++ b/cottonladder/config/deployment.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..model.parameters import DeploymentParameters, RequestClass
+from ..model.parameters import AdmissionMode, DeploymentParameters, RequestClass
 from .errors import UnknownNameError
 from .fields import JsonObject, bounded_seconds, field, integer, names, number
 
@@ -64,6 +64,14 @@
     )
 
 
+def _admission_mode(family: JsonObject, where: str) -> AdmissionMode:
+    """Reads the setting; a value that is not known means a rate."""
+    text = field(family, "ThrottleBy", str, where, "none")
+    if text in (AdmissionMode.NONE, AdmissionMode.RATIO):
+        return AdmissionMode(text)
+    return AdmissionMode.RATE
+
+
 def _slice_count(family: Any, where: str) -> int:
     """Reads the number of slices; `SingleWriter`, on the owners of a slice, is checked and has no effect."""
     slice_count = field(family, "KeyRanges", int, where, 0)
@@ -89,7 +97,7 @@
         poll_within_s=bounded_seconds(rules, "AskWithinMs", where, default=0.0),
         health_checks=field(limits, "Probing", bool, where, False),
         gossip=field(limits, "Peers", bool, where, False),
-        admission_mode=field(family, "ThrottleBy", str, where, "none"),
+        admission_mode=_admission_mode(family, where),
         slice_count=_slice_count(family, where),
         channel_lines_per_s=number(family, "EgressPerS", where, MIN_DIVISOR),
         message_header_lines=int(number(family, "Head", where)),
--- a/cottonladder/model/__init__.py
+++ b/cottonladder/model/__init__.py
@@ -7,7 +7,7 @@
 from .latency import LatencyHistogram, LinkLatencies
 from .line_account import LineAccount, LineLimit
 from .min_cost_flow import min_cost_flow
-from .parameters import DeploymentParameters
+from .parameters import AdmissionMode, DeploymentParameters
 from .peer_demand import PeerDemand
 from .proxies import ProxyDemand
 from .records import IN_SERVICE, ProxyRecord, RoutingTable, WorkerRecord
@@ -28,6 +28,7 @@
 __all__ = [
     "IN_SERVICE",
     "AdmissionChanged",
+    "AdmissionMode",
     "ClassAdmission",
     "ControllerState",
     "Demand",
--- a/cottonladder/model/parameters.py
+++ b/cottonladder/model/parameters.py
@@ -6,6 +6,15 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
+
+
+class AdmissionMode(StrEnum):
+    """What the figure of an admission order means at the proxies; the values are those of the setting."""
+
+    NONE = "none"  # admission is not ordered
+    RATIO = "ratio"  # the part of the requests that is admitted
+    RATE = "rps"  # the number of requests a second that each proxy admits
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +38,7 @@
     poll_within_s: float
     health_checks: bool
     gossip: bool
-    admission_mode: str
+    admission_mode: AdmissionMode
     slice_count: int
     channel_lines_per_s: float
     message_header_lines: int
--- a/cottonladder/policy/load_shedding.py
+++ b/cottonladder/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: what part of the requests is admitted while the fleet is overloaded, and which classes lose.
+"""Load shedding: what part of the requests is admitted under overload, and which classes are shed first.
 
 The admission ratio falls once an interval while the overload signal is over 1, and rises while it is well
 under 1. What has to be shed is taken first from the class with the lowest priority weight for its latency
@@ -7,7 +7,14 @@
 asks for.
 """
 
-from ..model import AdmissionChanged, ClassAdmission, ControllerState, common_limit, shed_in_order
+from ..model import (
+    AdmissionChanged,
+    AdmissionMode,
+    ClassAdmission,
+    ControllerState,
+    common_limit,
+    shed_in_order,
+)
 from .overload_signal import OverloadSignal
 
 ADMISSION_STEP = 0.5  # of the distance between the signal and its setpoint, in each interval
@@ -39,23 +46,23 @@
             self._state.pending.add(AdmissionChanged(former, self.admission_ratio, signal))
 
     def class_admissions(self) -> dict[int, ClassAdmission]:
-        """Returns what is admitted of each class, in the order in which classes are shed."""
+        """Returns what is admitted of each class, in the order of shedding; empty where it is not ordered."""
         if not self._is_enabled():
             return {}
-        classes = self._state.parameters.request_classes
-        values = [item.priority_weight / item.latency_objective_s for item in classes]
+        request_classes = self._state.parameters.request_classes
+        weights_by_latency = [item.priority_weight / item.latency_objective_s for item in request_classes]
         arrivals = self._state.proxies.class_rates()
         shed = (1.0 - self.admission_ratio) * sum(arrivals)
-        order = sorted(self._state.classes, key=values.__getitem__)
+        order = sorted(self._state.classes, key=weights_by_latency.__getitem__)
         shares = shed_in_order(arrivals, order, shed, MIN_CLASS_ADMISSION_RATIO)
         return {k: ClassAdmission(share, self._ordered_admission(k, share)) for k, share in shares.items()}
 
     def _is_enabled(self) -> bool:
-        return self._state.parameters.admission_mode != "none"
+        return self._state.parameters.admission_mode is not AdmissionMode.NONE
 
     def _ordered_admission(self, class_index: int, share: float) -> float:
         """Returns the share, or the rate limit for each proxy that admits this share of the class."""
-        if self._state.parameters.admission_mode == "ratio":
+        if self._state.parameters.admission_mode is AdmissionMode.RATIO:
             return share
         rates = [proxy.class_rate(class_index) for proxy in self._state.proxies.by_number.values()]
         limit = common_limit(rates, share)
--- a/cottonladder/testbed/deployment_parameters.py
+++ b/cottonladder/testbed/deployment_parameters.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..model.parameters import DeploymentParameters, RequestClass
+from ..model.parameters import AdmissionMode, DeploymentParameters, RequestClass
 
 BASE_PARAMETERS = DeploymentParameters(
     seed=7,
@@ -14,7 +14,7 @@
     poll_within_s=10.0,
     health_checks=False,
     gossip=False,
-    admission_mode="ratio",
+    admission_mode=AdmissionMode.RATIO,
     slice_count=0,
     channel_lines_per_s=3000.0,
     message_header_lines=10,
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -30,7 +30,7 @@
     TimerFired,
 )
 from ..model.orders import BindProxy, Checkpoint, ClearTable, ExcludeWorker, Order, SetWeight, StartTimer
-from ..model.parameters import RequestClass
+from ..model.parameters import AdmissionMode, RequestClass
 from ..model.views import WorkerCapacityView
 from ..planning.advice_weighting import UPDATE_INTERVAL_S, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views, collect_state
@@ -64,7 +64,7 @@
     request_classes=(RequestClass(LATENCY_OBJECTIVE_S, 1.0),),
     proxy_count=PROXY_COUNT,
     poll_within_s=1.0,
-    admission_mode="none",
+    admission_mode=AdmissionMode.NONE,
     max_queued_lines=6000.0,
     message_window_s=0.0,
 )
