--- a/cottonladder/model/__init__.py
+++ b/cottonladder/model/__init__.py
@@ -10,7 +10,8 @@
 from .parameters import AdmissionMode, DeploymentParameters
 from .peer_demand import PeerDemand
 from .proxies import ProxyDemand
-from .records import IN_SERVICE, ProxyRecord, RoutingTable, WorkerRecord
+from .proxy_record import ProxyRecord
+from .routing_table import RoutingTable
 from .state_changes import (
     AdmissionChanged,
     EndpointEvidence,
@@ -23,6 +24,7 @@
 )
 from .statistics import median_or_zero
 from .weight_ring import arcs, cut
+from .worker_record import IN_SERVICE, WorkerRecord
 from .zone_groups import ZoneGroups
 
 __all__ = [
--- a/cottonladder/model/line_account.py
+++ b/cottonladder/model/line_account.py
@@ -10,7 +10,7 @@
 from .inputs import ExtraLinesWritten
 from .orders import Checkpoint, Order, SetWeight
 from .parameters import DeploymentParameters
-from .records import RoutingTable
+from .routing_table import RoutingTable
 
 CHECKPOINT_NUMBERS = 65536  # checkpoint numbers start again at 0 after so many
 
--- a/cottonladder/model/peer_demand.py
+++ b/cottonladder/model/peer_demand.py
@@ -2,30 +2,40 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from .gossip_text import ZoneFigures
 from .proxies import ProxyDemand
 
 
+@dataclass(slots=True)
+class _PeerFigures:
+    """The last figures of one manager: proxy count and requests/s of each zone in turn."""
+
+    received_at: float
+    figures: list[float]
+
+
 class PeerDemand:
     """The last figures by sender.  Zones that a datagram leaves out keep their former figures."""
 
     def __init__(self, zone_count: int) -> None:
         self._zone_count = zone_count
-        self._by_sender: dict[
-            int, tuple[float, list[float]]
-        ] = {}  # time, and count and requests/s of each zone
+        self._by_sender: dict[int, _PeerFigures] = {}
 
     def update(self, sender: int, now: float, received: ZoneFigures) -> None:
         """Replaces the sender's figures for the zones that the gossip covers."""
-        _, figures = self._by_sender.get(sender, (0.0, [0.0] * 2 * self._zone_count))
+        if sender not in self._by_sender:
+            self._by_sender[sender] = _PeerFigures(now, [0.0] * 2 * self._zone_count)
+        peer = self._by_sender[sender]
         start = 2 * received.first_zone
-        figures[start : start + len(received.figures)] = received.figures
-        self._by_sender[sender] = (now, figures)
+        peer.figures[start : start + len(received.figures)] = received.figures
+        peer.received_at = now
 
     def recent(self, now: float, ttl_s: float) -> list[ProxyDemand]:
         """Returns the figures of each sender heard within the time to live."""
         return [
-            ProxyDemand(request_rates=figures[1::2], proxy_counts=figures[0::2])
-            for received_at, figures in self._by_sender.values()
-            if now - received_at < ttl_s
+            ProxyDemand(request_rates=peer.figures[1::2], proxy_counts=peer.figures[0::2])
+            for peer in self._by_sender.values()
+            if now - peer.received_at < ttl_s
         ]
--- a/cottonladder/model/proxies.py
+++ b/cottonladder/model/proxies.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from .records import ProxyRecord
+from .proxy_record import ProxyRecord
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/cottonladder/model/routing_table.py
@@ -0,0 +1,91 @@
+"""One routing table: what its readers were sent, and what they should have."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .admission_shares import ClassAdmission
+from .orders import Order, RetryPolicy, SetAdmission, SetWeight
+
+
+@dataclass(frozen=True, slots=True)
+class SentLines:
+    """A copy of what a table's readers were sent: weights by worker, and admitted shares by class."""
+
+    weights: dict[int, float]
+    admission: dict[int, float]
+
+
+class RoutingTable:
+    """Weights of workers for proxies of one zone, as sent and as wanted.
+
+    The table also counts which of its readers have acknowledged the last checkpoint.
+    """
+
+    def __init__(self, number: int, zone: int) -> None:
+        self.number = number
+        self.zone = zone
+        self.request_rate = 0.0  # requests/s of its readers
+        self.sent: dict[int, float] = {}  # weight by worker index
+        self.wanted: dict[int, float] = {}
+        self.admission: dict[int, float] = {}  # share by class, as sent
+        self.readers: dict[int, None] = {}  # proxies bound to it, in the order of binding
+        self.awaits_acknowledgement = False
+        self.checkpoint = -1
+        self.written_at = 0.0
+        self.acknowledged = 0
+        self.awaited = 0
+
+    def take_admission(
+        self, admissions: dict[int, ClassAdmission], threshold: float, retry: RetryPolicy
+    ) -> list[Order]:
+        """Returns orders for the classes whose admission changed, and records them as sent.
+
+        A class counts as changed if its share moved by over `threshold`, or if shedding it ended.
+        """
+        changes: list[Order] = []
+        for k, admission in admissions.items():
+            share = admission.share
+            ends_shedding = share >= 1.0 > self.admission.get(k, 1.0)
+            if ends_shedding or abs(share - self.admission.get(k, -1.0)) > threshold:
+                self.admission[k] = share
+                changes.append(SetAdmission(self.number, admission.ordered_admission, 1 << k, retry))
+        return changes
+
+    def take_weight(self, worker_index: int) -> SetWeight:
+        """Returns the order for a worker's wanted weight, and records the weight as sent."""
+        self.sent.pop(worker_index, None)
+        weight = self.wanted.get(worker_index, 0.0)
+        if worker_index in self.wanted:
+            self.sent[worker_index] = weight
+        return SetWeight(self.number, worker_index, weight)
+
+    def copy_sent(self) -> SentLines:
+        """Returns a copy of the sent weights and of the sent shares by class."""
+        return SentLines(dict(self.sent), dict(self.admission))
+
+    def restore_sent(self, copy: SentLines) -> None:
+        """Restores the sent weights and shares from a copy."""
+        self.sent = copy.weights
+        self.admission = copy.admission
+
+    def weight_changes(self, threshold: float) -> dict[int, float]:
+        """Returns wanted minus sent weight by worker, where that is over `threshold` of the sent weight."""
+        changes = {i: self.wanted.get(i, 0.0) - self.sent.get(i, 0.0) for i in self.wanted | self.sent}
+        return {i: change for i, change in changes.items() if abs(change) > threshold * self.sent.get(i, 0.0)}
+
+    def mark_written(self, checkpoint: int, now: float, awaited: int) -> None:
+        """Records that `awaited` of the readers were sent a message that ends with this checkpoint."""
+        self.checkpoint = checkpoint
+        self.written_at = now
+        self.acknowledged = 0
+        self.awaited = awaited
+        self.awaits_acknowledgement = True
+
+    def acknowledge(self, quorum: float) -> bool:
+        """Counts an acknowledgement, and returns whether it is the one that exceeds the quorum."""
+        self.acknowledged += 1
+        if not self.awaits_acknowledgement or self.acknowledged <= self.awaited * quorum:
+            return False
+        self.awaits_acknowledgement = False
+        return True
--- a/cottonladder/model/routing_tables.py
+++ b/cottonladder/model/routing_tables.py
@@ -4,7 +4,7 @@
 
 from .orders import ALL_TABLES
 from .proxies import Proxies
-from .records import RoutingTable
+from .routing_table import RoutingTable
 
 
 class RoutingTables:
@@ -25,7 +25,7 @@
     def replace(self, zone: int, count: int, proxies: Proxies) -> list[RoutingTable]:
         """Puts new, empty tables in place of a zone's tables, whose readers are unbound.
 
-        The new tables get numbers that were not used lately.
+        The new tables get numbers that were not used recently.
         """
         for table in self.in_zone(zone):
             for number in table.readers:
--- a/cottonladder/model/workers.py
+++ b/cottonladder/model/workers.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
-from .records import WorkerRecord
 from .state_changes import WorkerState
+from .worker_record import WorkerRecord
 
 
 class Workers:
--- a/cottonladder/model/zone_groups.py
+++ b/cottonladder/model/zone_groups.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-from .records import WorkerRecord
+from .worker_record import WorkerRecord
 
 
 class ZoneGroups:
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterable
 
 from ..model.inputs import RestoredState, WorkerHistory
-from ..model.records import IN_SERVICE, WorkerRecord
 from ..model.state_changes import WorkerState
 from ..model.views import WorkerCapacityView
+from ..model.worker_record import IN_SERVICE, WorkerRecord
 from ..policy.controller import RoutingController
 from ..policy.warm_up import is_warming_up
 
