--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -14,7 +14,7 @@
 
 from ..config.deployment import DeploymentSettings
 from ..config.operator_config import UpgradesConfig
-from ..model.inputs import ExtraLinesWritten, HeldLoad, Input, ProxyConnected, ProxyDisconnected
+from ..model.inputs import ConnectionLoad, ExtraLinesWritten, Input, ProxyConnected, ProxyDisconnected
 from ..model.views import WorkerCapacityView
 from ..planning.connection_migration import MigrationPlanner
 from ..planning.controller_views import capacity_views
@@ -134,12 +134,14 @@
             inputs += self._changed_loads()
         return inputs
 
-    def _changed_loads(self) -> list[HeldLoad]:
+    def _changed_loads(self) -> list[ConnectionLoad]:
         loads = self._planner.load_by_worker()
         previous = self._loads
         self._loads = loads
-        ended = [HeldLoad(index, 0.0) for index in previous if index not in loads]
-        changed = [HeldLoad(index, load) for index, load in loads.items() if previous.get(index) != load]
+        ended = [ConnectionLoad(index, 0.0) for index in previous if index not in loads]
+        changed = [
+            ConnectionLoad(index, load) for index, load in loads.items() if previous.get(index) != load
+        ]
         return [*ended, *changed]
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -9,7 +9,7 @@
 from contextlib import AsyncExitStack
 
 from ..config.operator_config import ManagerPluginsConfig
-from ..model.inputs import NEUTRAL_FACTOR, PLUGIN_FACTORS, AdvisedFactor, EndpointList, Input
+from ..model.inputs import NEUTRAL_FACTOR, AdviceSource, AdvisedFactor, EndpointList, Input
 from ..model.state_change_text import state_change_text
 from ..model.state_changes import StateChange
 from ..model.views import WorkerCapacityView
@@ -124,7 +124,7 @@
             factor = self._call_for_factor(worker_index, view)
             if factor != self._factors.get(worker_index, NEUTRAL_FACTOR):
                 self._factors[worker_index] = factor
-                yield AdvisedFactor(worker_index, factor, PLUGIN_FACTORS)
+                yield AdvisedFactor(worker_index, factor, AdviceSource.PLUGINS)
 
     def _call_for_factor(self, worker_index: int, view: WorkerCapacityView) -> float:
         worker_id = self._workers.ids[worker_index].decode()
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -15,7 +15,7 @@
 import structlog
 
 from ..config.operator_config import AdviceConfig, host_port
-from ..model.inputs import ADVISOR_FACTORS, NEUTRAL_FACTOR, AdvisedFactor, EndpointList, Input
+from ..model.inputs import NEUTRAL_FACTOR, AdviceSource, AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
 from ..planning.advice_weighting import UPDATE_INTERVAL_S, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views
@@ -141,10 +141,10 @@
         previous = self._factors
         self._factors = factors
         for worker_index in previous.keys() - factors.keys():
-            yield AdvisedFactor(worker_index, NEUTRAL_FACTOR, ADVISOR_FACTORS)
+            yield AdvisedFactor(worker_index, NEUTRAL_FACTOR, AdviceSource.ADVISORS)
         for worker_index, factor in factors.items():
             if previous.get(worker_index) != factor:
-                yield AdvisedFactor(worker_index, factor, ADVISOR_FACTORS)
+                yield AdvisedFactor(worker_index, factor, AdviceSource.ADVISORS)
 
     def _update_advertised(self, controller: RoutingController) -> None:
         self._capacities = capacity_views(controller)
--- a/cottonladder/model/inputs.py
+++ b/cottonladder/model/inputs.py
@@ -155,7 +155,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldLoad:
+class ConnectionLoad:
     """The load of a worker's held connections in requests/s; each input replaces the former one."""
 
     worker_index: int
@@ -163,9 +163,13 @@
 
 
 NEUTRAL_FACTOR = 1.0  # advised factor of a worker for which a source has no advice
-# Sources of advised factors: outside advisors and plug-ins.
-ADVISOR_FACTORS = 0
-PLUGIN_FACTORS = 1
+
+
+class AdviceSource(IntEnum):
+    """What advises a factor on a worker's capacity."""
+
+    ADVISORS = 0
+    PLUGINS = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -174,7 +178,7 @@
 
     worker_index: int
     factor: float
-    source: int = ADVISOR_FACTORS
+    source: AdviceSource = AdviceSource.ADVISORS
 
 
 @dataclass(frozen=True, slots=True)
@@ -221,7 +225,7 @@
     | SliceAssigned
     | StoredWeight
     | Acknowledged
-    | HeldLoad
+    | ConnectionLoad
     | AdvisedFactor
     | ExtraLinesWritten
     | RestoredState
--- a/cottonladder/model/worker_record.py
+++ b/cottonladder/model/worker_record.py
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from .inputs import HealthCheckResult, LoadReport
+from .inputs import AdviceSource, HealthCheckResult, LoadReport
 from .latency import LatencyHistogram
 from .state_changes import WorkerState
 
@@ -54,7 +54,7 @@
         self.smoothed_in_flight = -1.0
         self.connection_load = 0.0  # requests/s that stand for its held connections
         self.advised_factor = 1.0
-        self.advised_factors: dict[int, float] = {}  # by advisor
+        self.advised_factors: dict[AdviceSource, float] = {}
 
     def add_load_report(self, report: LoadReport, max_utilization: float) -> None:
         """Adds the attempts, the failures and the reported utilization, but not the latency."""
@@ -76,8 +76,8 @@
         else:
             self.smoothed_in_flight = (self.smoothed_in_flight + self.in_flight) / 2
 
-    def advise(self, source: int, factor: float, max_factor: float) -> None:
-        """Records one advisor's factor; the product of all stays within `max_factor` and its inverse."""
+    def advise(self, source: AdviceSource, factor: float, max_factor: float) -> None:
+        """Records one source's factor; the product of all stays within `max_factor` and its inverse."""
         self.advised_factors[source] = factor
         product = math.prod(self.advised_factors.values())
         self.advised_factor = min(max_factor, max(1.0 / max_factor, product))
--- a/cottonladder/policy/capacity.py
+++ b/cottonladder/policy/capacity.py
@@ -17,7 +17,7 @@
 MIN_UTILIZATION = 0.1  # of a sample; a lower one counts as this
 MIN_OWN_SHARE = 0.25  # of a zone's attempts: under it a sample depends on chance
 MAX_SPEED_RATIO = 2.5  # between workers of the same listed weight, either way
-MAX_ADVISED_FACTOR = 2.0  # of all advisors together; its inverse is the lowest
+MAX_ADVISED_FACTOR = 2.0  # of all sources together; its inverse is the lowest
 
 
 class CapacityEstimator:
--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -69,7 +69,7 @@
             inputs.LoadReport: self._reports.add_load_report,
             inputs.ArrivalReport: self._reports.add_arrivals,
             inputs.HealthCheckResult: self._reports.add_health_check,
-            inputs.HeldLoad: self._reports.set_held_load,
+            inputs.ConnectionLoad: self._reports.set_connection_load,
             inputs.AdvisedFactor: self._reports.set_advised_factor,
             inputs.GossipReceived: self.gossip.receive,
             inputs.ExtraLinesWritten: self.channel_budget.add_extra,
--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -68,14 +68,14 @@
         worker.add_health_check(result, report_plausibility.max_in_flight(reference_rate))
         return_after_health_check(self._state, worker, result)
 
-    def set_held_load(self, load: inputs.HeldLoad) -> None:
+    def set_connection_load(self, load: inputs.ConnectionLoad) -> None:
         """Records the load of a worker's held connections, in requests/s."""
         worker = self._state.workers.by_index.get(load.worker_index)
         if worker is not None:
             worker.connection_load = report_plausibility.believed_rate(load.requests_per_s)
 
     def set_advised_factor(self, advised: inputs.AdvisedFactor) -> None:
-        """Records one advisor's factor for a worker."""
+        """Records one source's factor for a worker."""
         worker = self._state.workers.by_index.get(advised.worker_index)
         if worker is not None:
             worker.advise(advised.source, advised.factor, MAX_ADVISED_FACTOR)
--- a/tests/support/wire_manager.py
+++ b/tests/support/wire_manager.py
@@ -30,6 +30,7 @@
 from cottonladder.control.startup_config import StartupConfig, read_startup_config
 from cottonladder.control.state_change_log import StateChangeLog
 from cottonladder.model.inputs import (
+    AdviceSource,
     AdvisedFactor,
     EndpointList,
     GossipReceived,
@@ -232,7 +233,8 @@
     def _send_advice(self) -> None:
         for worker_index in list(self._workers.ids)[::2]:
             factor = self._random.choice([0.4, 0.8, 1.0, 1.5, 3.0])
-            self._batch.append(AdvisedFactor(worker_index, factor, self._random.randrange(2)))
+            source = AdviceSource(self._random.randrange(2))
+            self._batch.append(AdvisedFactor(worker_index, factor, source))
 
     def _play_incidents(self, second: int) -> None:
         if second == 5:
