--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -16,7 +16,8 @@
 
 import structlog
 
-from ..planning.priority_scheduling import PriorityScheduler, ScheduledSlice, TaskPlan
+from ..config.fields import MS_PER_S
+from ..planning.priority_scheduling import PriorityScheduler, ScheduledTask, TaskPlan
 
 # Begins a run of a task; each step of the iterator is one slice.
 Work = Callable[[], Iterator[Awaitable[Any] | None]]
@@ -167,7 +168,7 @@
             self.log.info(
                 "task_overran",
                 task=name,
-                duration_ms=round(duration_s * 1000, 1),
+                duration_ms=round(duration_s * MS_PER_S, 1),
                 overrun_count=overrun_count,
             )
 
@@ -189,7 +190,7 @@
     return count > 0 and count & (count - 1) == 0
 
 
-def _status_row(task: ScheduledSlice, now: float) -> dict[str, object]:
+def _status_row(task: ScheduledTask, now: float) -> dict[str, object]:
     return {
         "task": task.plan.name,
         "priority": task.plan.priority,
@@ -201,5 +202,5 @@
         "failures": task.failures,
         "missed": task.missed_deadlines,
         "cpu_s": round(task.cpu_s, 4),
-        "longest_ms": round(task.longest_slice_s * 1000.0, 2),
+        "longest_ms": round(task.longest_slice_s * MS_PER_S, 2),
     }
--- a/tests/snapshots/test_store.py
+++ b/tests/snapshots/test_store.py
@@ -10,7 +10,6 @@
 import tempfile
 import unittest
 from pathlib import Path
-from typing import Any
 from unittest import mock
 
 from click.testing import CliRunner
@@ -27,7 +26,7 @@
 )
 from cottonladder.testbed.fleet import ROOT
 
-SECTIONS: dict[str, Any] = {"manager": {"v": 1, "data": {"mark": 7}}}
+SECTIONS: file_format.Sections = {"manager": {"v": 1, "data": {"mark": 7}}}
 CRASH_COUNT = 1000
 CRASH_TEST_TIMEOUT_S = 120
 MIN_CRASHES_IN_WRITES = 20  # so that the test does interrupt writes
