--- a/cottonladder/model/__init__.py
+++ b/cottonladder/model/__init__.py
@@ -7,9 +7,11 @@
 from .latency import LatencyHistogram, LinkLatencies
 from .line_account import LineAccount, LineLimit
 from .min_cost_flow import min_cost_flow
-from .parameters import DeploymentParameters
+from .parameters import AdmissionMode, DeploymentParameters
 from .peer_demand import PeerDemand
-from .records import IN_SERVICE, ProxyRecord, RoutingTable, WorkerRecord
+from .proxies import ProxyDemand
+from .proxy_record import ProxyRecord
+from .routing_table import RoutingTable
 from .state_changes import (
     AdmissionChanged,
     EndpointEvidence,
@@ -22,11 +24,13 @@
 )
 from .statistics import median_or_zero
 from .weight_ring import arcs, cut
+from .worker_record import IN_SERVICE, WorkerRecord
 from .zone_groups import ZoneGroups
 
 __all__ = [
     "IN_SERVICE",
     "AdmissionChanged",
+    "AdmissionMode",
     "ClassAdmission",
     "ControllerState",
     "Demand",
@@ -40,6 +44,7 @@
     "LinkLatencies",
     "OutlierEvidence",
     "PeerDemand",
+    "ProxyDemand",
     "ProxyRecord",
     "RoutingTable",
     "WorkerEvent",
--- a/cottonladder/policy/worker_states.py
+++ b/cottonladder/policy/worker_states.py
@@ -2,8 +2,9 @@
 
 Each event moves a worker out of some states into one other state, and workers in other states ignore it.
 The events come from the endpoint list, from outlier ejection, from health checks, from slow start and from
-a snapshot, at the moment that they are noticed. Every transition is reported as an order for the log. A
-single table protects against two parts of the policy that disagree on what may follow a state.
+a snapshot, at the moment that they are noticed. A change of state is reported as an order for the log,
+except a worker's first state and a restart during slow start. A single table protects against two parts of
+the policy that disagree on what may follow a state.
 """
 
 from dataclasses import dataclass
@@ -66,24 +67,23 @@
         _enter_slow_start(worker, state.now)
     elif target == WorkerState.EJECTED:
         ejection_s = EJECTION_TIME_S * state.random.uniform(*EJECTION_JITTER)
-        _leave_service(worker, state.now + ejection_s)
+        worker.ejected_until = state.now + ejection_s
+        worker.planned_rate = 0.0
     elif target == WorkerState.REMOVED:
-        _leave_service(worker, state.now)
+        worker.departed_at = state.now
+        worker.planned_rate = 0.0
     state.needs_solution = True
 
 
 def _enter_slow_start(worker: WorkerRecord, now: float) -> None:
-    """Drops the measurements of the worker, which may have been replaced or repaired since."""
-    worker.entered_at = now
-    worker.due_at = 0.0
+    """Starts slow start.
+
+    The latency factor, the queue, lost checks and counts are reset, because the worker may have been replaced
+    or repaired since.  Base latency, capacity samples and utilization stay.
+    """
+    worker.slow_start_began_at = now
     worker.latency_factor = 1.0
     worker.smoothed_in_flight = -1.0
     worker.in_flight = -1.0
     worker.lost_checks = 0
     worker.decay(0.0)
-
-
-def _leave_service(worker: WorkerRecord, due_at: float) -> None:
-    """Takes the planned load off the worker."""
-    worker.due_at = due_at
-    worker.planned_rate = 0.0
--- a/cottonladder/state/proxy_view.py
+++ b/cottonladder/state/proxy_view.py
@@ -7,7 +7,9 @@
 
 from .worker_registry import WorkerRegistry
 
-MIN_ADMITTED_SHARE = 0.25  # of a table's workers; with fewer surely admitted, all are readmitted at once
+MIN_ADMITTED_SHARE = (
+    0.25  # of a table's workers; with fewer certain to be admitted, all are readmitted at once
+)
 
 
 @dataclass(slots=True)
@@ -31,7 +33,7 @@
             return self.exclusions[worker_index]
         if workers.was_removed_before(worker_index):
             return None
-        if not self.is_authoritative and workers.has_restarted(worker_index):
+        if not self.is_authoritative and workers.has_listed_start(worker_index):
             return None
         return False
 
@@ -50,7 +52,7 @@
             for index in worker_indices
             if index not in self.exclusions
             and not workers.was_removed_before(index)
-            and workers.has_restarted(index)
+            and workers.has_listed_start(index)
         }
         admitted = sum(self.is_excluded(index, workers) is False for index in worker_indices)
         if admitted >= max(1.0, MIN_ADMITTED_SHARE * len(worker_indices)):
@@ -60,9 +62,10 @@
     def count_readmissions(
         self, worker_indices: Iterable[int], workers: WorkerRegistry, binds_table: bool
     ) -> int:
-        """Lines that readmit these workers, none of which this manager excludes, on top of their own lines.
+        """Returns how many readmission lines the proxy gets beside the lines of these workers.
 
-        `binds_table`: they are the workers of a table that the proxy is about to be bound to.
+        This manager excludes none of them.  `binds_table`: they are the workers of a table that the proxy is
+        about to be bound to.
         """
         affected = set(worker_indices)
         if binds_table:
