--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -11,7 +11,7 @@
 import click
 
 from ..config.errors import InputError
-from ..config.fields import MS_PER_S, address
+from ..config.fields import MS_PER_S, parse_host_port
 from ..weight_advice.query import MemberWeight, query_dfp, query_sasp
 from .errors import CommandError
 from .options import json_option
@@ -88,7 +88,7 @@
     host_port: str, protocol: str, members: Sequence[str], first_answer: bool = False
 ) -> list[MemberWeight]:
     """Asks an advisor for its weights: over SASP those of `members`, over DFP all or its first answer."""
-    host, port = address({"where": host_port}, "where", "advice")
+    host, port = parse_host_port(host_port, "where", "advice")
     async with asyncio.timeout(QUERY_TIMEOUT_S):
         if protocol == "dfp":
             return await query_dfp(host, port, first_answer=first_answer)
--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -8,7 +8,7 @@
 import click
 
 from ..config.errors import InputError
-from ..config.fields import address
+from ..config.fields import parse_host_port
 from ..config.manager_config import ManagerConfig
 from ..control import signals
 from ..control.manager import serve as serve_manager
@@ -89,7 +89,7 @@
 def ping(host_port: str) -> None:
     """Test whether a manager answers; status 1 if it does not."""
     try:
-        manager_address = address({"where": host_port}, "where", "ping")
+        manager_address = parse_host_port(host_port, "where", "ping")
     except InputError as exc:
         raise BadInputError(str(exc)) from exc
     try:
--- a/cottonladder/config/defaults.py
+++ b/cottonladder/config/defaults.py
@@ -1,23 +1,23 @@
-"""Default values of the operators' file, and the largest rate that it may state."""
+"""Default values of the operators' file, and the largest request rate that it may state."""
 
 from __future__ import annotations
 
-MAX_REQUESTS_PER_S = 1e5  # of one proxy: the routing policy counts no more
+MAX_REQUESTS_PER_S = 1e5  # of one proxy: the routing policy cuts larger reported rates to this
 
 # Upgraded connections.
-CONNECTIONS_PER_WORKER = 8_000  # connections
+MAX_CONNECTIONS_PER_WORKER = 8_000
 ARRIVALS_PER_S = 50.0  # new connections that an average worker accepts
 REQUESTS_PER_S_PER_CONNECTION = 0.05  # of load that one open connection counts for
 
 # Weight advice.
-LOAD_BALANCERS = 64  # connections of one advice server: proxies need most of the descriptors
+MAX_LOAD_BALANCERS = 64  # of one advice server; most file descriptors are left to proxies
 
 # A forwarder's limits.
-FORWARDER_CONNECTIONS = 20_000  # connections
-FORWARDER_CONNECTIONS_PER_WORKER = 8_000  # connections
-FORWARDER_CONNECTIONS_PER_CLIENT = 2_000  # connections
-HEADER_BYTES = 16_384
-BODY_BYTES = 8 << 20
+MAX_FORWARDER_CONNECTIONS = 20_000
+MAX_FORWARDER_CONNECTIONS_PER_WORKER = 8_000
+MAX_FORWARDER_CONNECTIONS_PER_CLIENT = 2_000
+MAX_HEADER_BYTES = 16_384
+MAX_BODY_BYTES = 8 << 20
 CONNECT_TIMEOUT_S = 1.0
 FIRST_BYTE_TIMEOUT_S = 30.0
 IDLE_TIMEOUT_S = 75.0
--- a/cottonladder/config/deployment.py
+++ b/cottonladder/config/deployment.py
@@ -10,20 +10,24 @@
 
 from ..model.parameters import DeploymentParameters, RequestClass
 from .errors import UnknownNameError
-from .fields import JsonObject, bounded_seconds, field, integer, names, number
+from .fields import JsonObject, bounded_seconds, check_names, field, integer, names, number
 
-MIN_DIVISOR = 1e-3  # least value of a setting that others are divided by, in the setting's unit
+MIN_DIVISOR = 1e-3  # smallest value, in the setting's unit, of a setting that the policy divides by
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """The policy's parameters, with the index of each zone and request class by name."""
+    """The policy's parameters, and what the manager needs beside them.
+
+    `zones` and `classes` give the index of each zone and request class by name.  `manager_index` is this
+    manager's own number.  With `health_checks_report_load`, health checks ask workers for their load.
+    """
 
     parameters: DeploymentParameters
     zones: dict[str, int]
     classes: dict[str, int]
     manager_index: int
-    load_reports: bool
+    health_checks_report_load: bool
 
     def zone_index(self, name: str, where: str) -> int:
         """The index of the zone called `name`; raises UnknownNameError if there is none."""
@@ -39,21 +43,21 @@
 
 
 def read_settings(info: JsonObject, seed: int, where: str) -> DeploymentSettings:
-    """Reads the settings object `info`; raises ConfigError, with a text that begins with `where`.
+    """Reads the settings object `info`; raises ConfigError with a message that begins with `where`.
 
-    `seed` starts the random choices of the policy.
+    `seed` is the seed of the policy's random choices.
     """
     zones = names(info, "Zones", where)
     profiles = field(info, "Profiles", list, where)
-    class_names = [field(profile, "Name", str, where) for profile in profiles]
-    classes = names({"Profiles": class_names}, "Profiles", where)
+    classes = [field(profile, "Name", str, where) for profile in profiles]
+    check_names(classes, "Profiles", where)
     stats = field(info, "Stats", dict, where, {})
     return DeploymentSettings(
         parameters=_deployment_parameters(info, profiles, len(zones), seed, where),
         zones={name: index for index, name in enumerate(zones)},
         classes={name: index for index, name in enumerate(classes)},
         manager_index=integer(info, "Me", where, default=0),
-        load_reports=field(stats, "Via", str, where, "none") != "none",
+        health_checks_report_load=field(stats, "Via", str, where, "none") != "none",
     )
 
 
@@ -65,10 +69,13 @@
 
 
 def _slice_count(family: Any, where: str) -> int:
-    """Reads the number of slices; `SingleWriter`, on the owners of a slice, is checked and has no effect."""
-    slice_count = field(family, "KeyRanges", int, where, 0)
+    """Reads the number of slices.
+
+    `SingleWriter` (whether a slice has one owner) is not used, but a value of the wrong type is an error.
+    """
+    slice_count: int = field(family, "KeyRanges", int, where, 0)
     field(family, "SingleWriter", bool, where, False)
-    return int(slice_count)
+    return slice_count
 
 
 def _deployment_parameters(
--- a/cottonladder/config/errors.py
+++ b/cottonladder/config/errors.py
@@ -1,6 +1,6 @@
-"""Errors raised for invalid input: files, settings, and, by subclasses in other packages, messages of peers.
+"""Errors for invalid input: files and settings here, and messages of peers by subclasses in other packages.
 
-The text of each is one line that says where the fault is and what was expected.  Only the command line turns
+The text of each error is one line that says where the fault is and what it is.  Only the command line turns
 it into an exit status.
 """
 
@@ -41,7 +41,7 @@
 
 
 class UnknownNameError(ConfigError):
-    """A name is not in the settings; `named` says what it should name, such as a zone."""
+    """A name is not in the settings; `named` says what the name stands for, such as a zone."""
 
     def __init__(self, where: str, named: str) -> None:
         super().__init__(where, f"unknown {named}")
@@ -64,7 +64,7 @@
 
 
 class FieldTypeError(FieldError):
-    """A field's value has another JSON type than expected; `actual` names its type."""
+    """A field's value has another type than expected; `actual` is the name of its Python type."""
 
     def __init__(self, where: str, field: str, value: object) -> None:
         self.actual = type(value).__name__
--- a/cottonladder/config/fields.py
+++ b/cottonladder/config/fields.py
@@ -1,7 +1,7 @@
 """Checked reading of single fields of decoded JSON objects.
 
-Each function takes the object, the field's name, and `where`, the object's place for the text of an error.  A
-default, where one is given, stands for a field that is missing or null.
+Each function takes the object, the field's name, and `where`, which names the object in error messages.  If
+the field is missing or null, the function returns its default, or raises MissingFieldError if it has none.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 NUMBER = (int, float)
 HostPort = tuple[str, int]
-JsonObject = Mapping[str, object]  # decoded, its fields not yet checked
+JsonObject = Mapping[str, object]  # a decoded JSON object whose fields are not yet checked
 MS_PER_S = 1000.0
-MAX_FIGURE = 1e12  # of any setting, so that products of settings stay finite
+MAX_NUMBER = 1e12  # limit of every setting, so that products of settings stay finite
 MAX_PORT = 65535
-MAX_PORT_DIGITS = 6  # one more than a valid port has: further digits need no conversion
+COMPARED_PORT_DIGITS = 6  # one more than MAX_PORT has, so that six digits show that a port is too large
 _MISSING = object()
 
 
@@ -45,45 +45,55 @@
 def number(
     body: Any, name: str, where: str, minimum: float = 0.0, default: Any = _MISSING, types: Any = NUMBER
 ) -> float:
-    """A number from `minimum` to `MAX_FIGURE`; NaN is not accepted."""
+    """A number from `minimum` to `MAX_NUMBER`; NaN is not accepted."""
     value = field(body, name, types, where, default)
-    if value > MAX_FIGURE:
-        raise FieldTooLargeError(where, name, MAX_FIGURE)
-    if not value >= minimum:  # true of NaN, too
+    if value > MAX_NUMBER:
+        raise FieldTooLargeError(where, name, MAX_NUMBER)
+    if not value >= minimum:  # unlike `value < minimum`, this is true of NaN
         raise FieldValueError(where, name, f"a figure of {minimum:g} or more")
     return float(value)
 
 
 def integer(body: Any, name: str, where: str, minimum: int = 0, default: Any = _MISSING) -> int:
-    """An integer from `minimum` to `MAX_FIGURE`."""
+    """An integer from `minimum` to `MAX_NUMBER`."""
     return int(number(body, name, where, minimum, default, types=int))
 
 
 def bounded_seconds(
     body: Any, name: str, where: str, minimum_ms: float = 0.0, default: Any = _MISSING
 ) -> float:
-    """A field in milliseconds, as seconds, within the bounds of `number`."""
+    """A field in milliseconds, converted to seconds; the bounds are those of `number`."""
     return number(body, name, where, minimum_ms, default) / MS_PER_S
 
 
 def seconds(body: Any, name: str, where: str, default: Any = _MISSING) -> float:
-    """A field in milliseconds, as seconds, of any value."""
+    """A field in milliseconds, converted to seconds; its value is not bounded."""
     return float(field(body, name, NUMBER, where, default)) / MS_PER_S
 
 
 def names(body: Any, name: str, where: str) -> list[str]:
     """A list of one or more different, non-empty names."""
     value = field(body, name, list, where)
-    all_are_names = all(isinstance(item, str) and item for item in value)
-    if not value or not all_are_names or len(set(value)) < len(value):
-        raise FieldValueError(where, name, "a list of different names")
+    check_names(value, name, where)
     return list(value)
 
 
+def check_names(values: list[Any], name: str, where: str) -> None:
+    """Raises FieldValueError unless the field's `values` are one or more different, non-empty names."""
+    all_are_names = all(isinstance(value, str) and value for value in values)
+    if not values or not all_are_names or len(set(values)) < len(values):
+        raise FieldValueError(where, name, "a list of different names")
+
+
 def address(body: Any, name: str, where: str) -> HostPort:
     """A field of the form host:port."""
-    host, _, port = field(body, name, str, where).rpartition(":")
+    return parse_host_port(field(body, name, str, where), name, where)
+
+
+def parse_host_port(text: str, name: str, where: str) -> HostPort:
+    """Parses a text of the form host:port; `name` is the field or argument that it comes from."""
+    host, _, port = text.rpartition(":")
     is_number = port.isascii() and port.isdigit()
-    if not host or not is_number or int(port[:MAX_PORT_DIGITS]) > MAX_PORT:
+    if not host or not is_number or int(port[:COMPARED_PORT_DIGITS]) > MAX_PORT:
         raise FieldValueError(where, name, "an address (host:port)")
     return host, int(port)
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -1,4 +1,4 @@
-"""The manager's file, which ROUTER_CONFIG names: read once at the start and again at each reload."""
+"""The manager's file, which `--config` or ROUTER_CONFIG names; it is read at the start and at each reload."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from .errors import ConfigError, ConfigFileError, FieldValueError
 from .fields import HostPort, JsonObject, address, field, number
 
-WHERE = "configuration"  # what messages call the file
-MIN_SOCKETS = 64  # with fewer no proxy could connect beside what the program itself holds open
+WHERE = "configuration"  # the name of the file in error messages
+MIN_SOCKETS = 64  # file descriptors; with fewer, the program's own would leave none for proxies
 MIN_MEMORY_MB = 1
 
 
@@ -26,19 +26,18 @@
     discovery: HostPort
     sockets: int  # file descriptors that the manager may use
     memory_mb: int
-    peer_listen: HostPort | None  # None here and below where the settings switch gossip off
-    peers: list[HostPort]
-    peers_all: HostPort | None
+    peer_listen: HostPort | None  # where gossip is received; None if the settings switch gossip off
+    peers: list[HostPort]  # the managers, by their index; empty if gossip is off
+    peers_all: HostPort | None  # the broadcast address of gossip; None if gossip is off
     settings: DeploymentSettings
 
 
 @dataclass(frozen=True, slots=True)
 class ManagerFile:
-    """The decoded file, whose parts are read one after another.
+    """The decoded file, whose parts are read by one method each.
 
     Each method raises a ConfigError for the first fault that it finds, so the order of the calls is the order
-    in which faults are reported.  The list of known workers is handed out as it came: the reader of endpoint
-    lists checks it.
+    in which faults are reported.
     """
 
     body: Any
@@ -66,12 +65,12 @@
         return settings
 
     def known_list(self) -> JsonObject:
-        """The endpoint list as it was last known, its fields not yet checked."""
+        """The last known endpoint list, unchecked: `protocol.endpoint_list` reads its fields."""
         body: JsonObject = field(self.body, "known", dict, WHERE)
         return body
 
     def read_manager_config(self, settings: DeploymentSettings) -> ManagerConfig:
-        """The manager's addresses and limits, beside the `settings` that were read before."""
+        """The manager's addresses and limits, together with the `settings`, which were read before."""
         limits = field(self.body, "limits", dict, WHERE)
         has_gossip = settings.parameters.gossip
         peers = field(self.body, "peers", list, WHERE) if has_gossip else []
@@ -97,7 +96,7 @@
 
 @contextmanager
 def overflows_as_config_errors() -> Iterator[None]:
-    """Turns the OverflowError of a figure that no float can hold into a ConfigError."""
+    """Raises ConfigError in place of the OverflowError for an integer that is too large for a float."""
     try:
         yield
     except OverflowError as exc:
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -1,6 +1,6 @@
 """The types of the operators' file, with the valid range of each field.
 
-The names of the file's fields are fixed; the tables of names below map them to the terms of the code.
+The names of the file's fields are fixed; the `..._NAMES` tables map the terms of the code to them.
 Docstrings and descriptions are part of the JSON schema that `schema` prints for operators.  The module is
 imported only if a file is given, so that a manager without one does not load the schema library.
 """
@@ -14,7 +14,7 @@
 from msgspec import Meta, Struct
 
 from . import defaults
-from .fields import HostPort, address
+from .fields import HostPort, parse_host_port
 
 HOUR_S = 3_600
 DAY_S = 86_400
@@ -22,7 +22,7 @@
 MAX_LENGTH_BYTES = 1 << 31
 MAX_KEY_NUMBER = 1 << 32  # of DFP's security TLV, which has four bytes for it
 
-# The names in the file of the fields that have another name in the code.
+# Names in the file by names in the code, for the fields where the two differ.
 UPGRADES_NAMES = {
     "grace_s": "grace",
     "max_connections_per_worker": "most",
@@ -59,7 +59,7 @@
 
     grace_s: Annotated[Seconds, Meta(description="s within which a draining worker's connections end")]
     max_connections_per_worker: Annotated[Count, Meta(description="maximum of connections to one worker")] = (
-        defaults.CONNECTIONS_PER_WORKER
+        defaults.MAX_CONNECTIONS_PER_WORKER
     )
     arrivals_per_s: Annotated[Rate, Meta(description="new ones per second, average worker")] = (
         defaults.ARRIVALS_PER_S
@@ -103,11 +103,11 @@
 class LimitsConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=LIMITS_NAMES):
     """A forwarder's limits on connections (all, per worker, per client), sizes, waits in s, and the pool."""
 
-    connections: Count = defaults.FORWARDER_CONNECTIONS  # of all clients
-    connections_per_worker: Count = defaults.FORWARDER_CONNECTIONS_PER_WORKER  # upgraded connections
-    connections_per_client: Count = defaults.FORWARDER_CONNECTIONS_PER_CLIENT  # from one client address
-    header_bytes: Bytes = defaults.HEADER_BYTES
-    body_bytes: Bytes = defaults.BODY_BYTES
+    connections: Count = defaults.MAX_FORWARDER_CONNECTIONS  # of all clients
+    connections_per_worker: Count = defaults.MAX_FORWARDER_CONNECTIONS_PER_WORKER  # upgraded connections
+    connections_per_client: Count = defaults.MAX_FORWARDER_CONNECTIONS_PER_CLIENT  # from one client address
+    header_bytes: Bytes = defaults.MAX_HEADER_BYTES
+    body_bytes: Bytes = defaults.MAX_BODY_BYTES
     connect_timeout_s: Seconds = defaults.CONNECT_TIMEOUT_S
     first_byte_timeout_s: Seconds = defaults.FIRST_BYTE_TIMEOUT_S  # for the head of an answer
     idle_timeout_s: Seconds = defaults.IDLE_TIMEOUT_S  # without a request, before the connection is closed
@@ -187,7 +187,7 @@
 
     protocol: Literal["sasp", "dfp"]
     listen: HostAndPort
-    max_clients: Annotated[int, Meta(gt=0, le=4096)] = defaults.LOAD_BALANCERS
+    max_clients: Annotated[int, Meta(gt=0, le=4096)] = defaults.MAX_LOAD_BALANCERS
     tls: TlsConfig | None = None
     secret: SecretConfig | None = None
 
@@ -230,8 +230,8 @@
 
 
 def host_port(text: str) -> HostPort:
-    """Parses an address of the operators' file, which was checked when the file was read."""
-    return address({"at": text}, "at", "operators' file")
+    """Parses an address of the operators' file; it is valid, as it was checked when the file was read."""
+    return parse_host_port(text, "at", "operators' file")
 
 
 def schema() -> str:
--- a/cottonladder/config/operator_file.py
+++ b/cottonladder/config/operator_file.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from .errors import ConfigFileError, OperatorFileError
-from .fields import address
+from .fields import parse_host_port
 from .operator_config import (
     AdviceConfig,
     AdviceServerConfig,
@@ -23,13 +23,13 @@
     OperatorConfig,
 )
 
-MAX_FILE_BYTES = 1 << 20
-VALIDATION_PLACE_MARK = " - at `"  # in msgspec's error texts, before the place of the fault
-ROOT_PLACE = "$"  # the place of a fault of the file as a whole
+MAX_FILE_CHARACTERS = 1 << 20
+VALIDATION_PLACE_MARK = " - at `"  # separates fault and place in an error message of msgspec
+ROOT_PLACE = "$"  # of a fault of the file as a whole, for which msgspec names no place
 
 
 def read_operator_config(path: str) -> OperatorConfig:
-    """Reads the file at `path`; raises a ConfigError that names file, place and what was expected."""
+    """Reads the file at `path`; raises a ConfigError that names the file, the place and the fault."""
     body = _read_json5(path)
     try:
         config = msgspec.convert(body, OperatorConfig)
@@ -46,13 +46,13 @@
 def _read_json5(path: str) -> Any:
     try:
         with open(path, encoding="utf-8") as file:
-            text = file.read(MAX_FILE_BYTES + 1)
+            text = file.read(MAX_FILE_CHARACTERS + 1)
     except OSError as exc:
         raise ConfigFileError(path, str(exc.strerror)) from None
     except UnicodeDecodeError as exc:
         raise ConfigFileError(path, f"not UTF-8 (byte {exc.start})") from None
-    if len(text) > MAX_FILE_BYTES:
-        raise ConfigFileError(path, f"over {MAX_FILE_BYTES} bytes")
+    if len(text) > MAX_FILE_CHARACTERS:
+        raise ConfigFileError(path, f"over {MAX_FILE_CHARACTERS} bytes")
     try:
         return json5.loads(text, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as exc:
@@ -62,7 +62,7 @@
 
 
 def _check_forwarder(path: str, config: ForwarderConfig) -> None:
-    """Checks what the types can't express: names that must be listed or differ, and addresses."""
+    """Checks what the types can't express: a known zone, different names, and valid ports."""
     if config.zone not in config.zones:
         raise OperatorFileError(path, "$.forwarder.zone", f"one of zones expected, got {config.zone!r}")
     if _has_duplicates(config.zones):
@@ -76,11 +76,10 @@
             place = f"$.forwarder.kinds[{index}].name"
             raise OperatorFileError(path, place, "no '+' expected, as it joins kinds on the wire")
     where = f"{path}: $.forwarder"
-    address({"listen": config.listen}, "listen", where)
-    address({"discovery": config.discovery}, "discovery", where)
+    parse_host_port(config.listen, "listen", where)
+    parse_host_port(config.discovery, "discovery", where)
     for index, manager in enumerate(config.managers):
-        name = f"managers[{index}]"
-        address({name: manager}, name, where)
+        parse_host_port(manager, f"managers[{index}]", where)
 
 
 def _has_duplicates(names: Sequence[str]) -> bool:
@@ -89,25 +88,27 @@
 
 def _check_advice(path: str, config: AdviceConfig) -> None:
     """Checks what the types can't express: each address once, TLS only with SASP, secrets only with DFP."""
-    _check_advice_peers(path, "$.advice.serve", config.serve, [row.listen for row in config.serve])
-    _check_advice_peers(path, "$.advice.follow", config.follow, [row.address for row in config.follow])
+    _check_advice_peers(path, "$.advice.serve", config.serve, [server.listen for server in config.serve])
+    _check_advice_peers(
+        path, "$.advice.follow", config.follow, [advisor.address for advisor in config.follow]
+    )
 
 
 def _check_advice_peers(
     path: str,
     list_place: str,
-    rows: Sequence[AdviceServerConfig | AdvisorFollowConfig],
+    entries: Sequence[AdviceServerConfig | AdvisorFollowConfig],
     addresses: Sequence[str],
 ) -> None:
     seen: set[str] = set()
-    for index, (row, row_address) in enumerate(zip(rows, addresses, strict=True)):
+    for index, (entry, address) in enumerate(zip(entries, addresses, strict=True)):
         place = f"{list_place}[{index}]"
-        address({"at": row_address}, "at", f"{path}: {place}")
-        is_any_port = row_address.endswith(":0")
-        if row_address in seen and not is_any_port:
-            raise OperatorFileError(path, place, f"{row_address} comes twice")
-        seen.add(row_address)
-        if row.tls is not None and row.protocol != "sasp":
+        parse_host_port(address, "at", f"{path}: {place}")
+        is_any_free_port = address.endswith(":0")
+        if address in seen and not is_any_free_port:
+            raise OperatorFileError(path, place, f"{address} comes twice")
+        seen.add(address)
+        if entry.tls is not None and entry.protocol != "sasp":
             raise OperatorFileError(path, f"{place}.tls", "for sasp alone, as DFP has none")
-        if row.secret is not None and row.protocol != "dfp":
+        if entry.secret is not None and entry.protocol != "dfp":
             raise OperatorFileError(path, f"{place}.secret", "for dfp alone")
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -110,7 +110,7 @@
         config.manager.discovery, settings, workers.register, input_queue.put, list_version
     )
     stack.push_async_callback(discovery.close)
-    check_path = LOAD_CHECK_PATH if settings.load_reports else HEALTH_CHECK_PATH
+    check_path = LOAD_CHECK_PATH if settings.health_checks_report_load else HEALTH_CHECK_PATH
     health_checker = HealthChecker(check_path, limits.max_health_checks, workers.address_of, input_queue.put)
     stack.push_async_callback(health_checker.close)
     gossip = GossipSocket(
