--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -6,7 +6,7 @@
 import json
 import time
 from collections.abc import Coroutine, Sequence
-from dataclasses import asdict
+from dataclasses import asdict, dataclass
 
 import click
 
@@ -31,6 +31,14 @@
     """An advisor gave no valid answer; the text is one line with the reason."""
 
 
+@dataclass(frozen=True, slots=True)
+class ProbeResult:
+    """How long an advisor took to answer, and why its answer is not valid; the reason is empty if it is."""
+
+    duration_ms: float
+    failure_reason: str
+
+
 @click.group()
 def advice() -> None:
     """Query an advisor for its weights, or test whether it answers at all."""
@@ -59,35 +67,46 @@
 @json_option
 def probe(host_port: str, protocol: str, as_json: bool) -> None:
     """Test whether an advisor speaks the protocol, and how long its answer takes."""
-    started_at = time.monotonic()
+    result = _probe(host_port, protocol)
+    if as_json:
+        click.echo(json.dumps(_probe_fields(host_port, protocol, result)))
+        if result.failure_reason:
+            click.get_current_context().exit(CommandError.exit_code)
+        return
+    if result.failure_reason:
+        raise CommandError(f"{host_port}: {result.failure_reason}")
+    click.echo(f"{host_port}: speaks {protocol}, {result.duration_ms} ms")
+
+
+def _probe(host_port: str, protocol: str) -> ProbeResult:
     failure_reason = ""
+    started_at = time.monotonic()
     try:
         _run(_query_weights(host_port, protocol, members=(), first_answer=True))
     except NoAnswerError as exc:
         failure_reason = str(exc)
     duration_ms = round((time.monotonic() - started_at) * MS_PER_S, 1)
-    if as_json:
-        speaks = not failure_reason
-        answer = {
-            "at": host_port,
-            "protocol": protocol,
-            "speaks": speaks,
-            "ms": duration_ms,
-            "why": failure_reason,
-        }
-        click.echo(json.dumps(answer))
-    elif failure_reason:
-        raise CommandError(f"{host_port}: {failure_reason}")
-    else:
-        click.echo(f"{host_port}: speaks {protocol}, {duration_ms} ms")
-    if failure_reason:
-        click.get_current_context().exit(CommandError.exit_code)
+    return ProbeResult(duration_ms, failure_reason)
+
+
+def _probe_fields(host_port: str, protocol: str, result: ProbeResult) -> dict[str, object]:
+    """The result under the keys of the command's JSON output."""
+    return {
+        "at": host_port,
+        "protocol": protocol,
+        "speaks": not result.failure_reason,
+        "ms": result.duration_ms,
+        "why": result.failure_reason,
+    }
 
 
 async def _query_weights(
     host_port: str, protocol: str, members: Sequence[str], first_answer: bool = False
 ) -> list[MemberWeight]:
-    """Asks an advisor for its weights: over SASP those of `members`, over DFP all or its first answer."""
+    """Asks an advisor for its weights: over SASP those of `members`, over DFP those that it reports.
+
+    With `first_answer` a DFP advisor need not report weights: any message ends the query.
+    """
     host, port = parse_host_port(host_port, "where", "advice")
     async with asyncio.timeout(QUERY_TIMEOUT_S):
         if protocol == "dfp":
--- a/cottonladder/cli/configuration.py
+++ b/cottonladder/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Reads configuration files for a command; a file that is not valid ends it with one line and status 2."""
+"""Reads configuration files for a command, which an invalid file ends with one line and status 2."""
 
 from __future__ import annotations
 
@@ -21,10 +21,13 @@
 
 
 def load_operator_config(path: str) -> OperatorConfig | None:
-    """Reads the operators' file; None without a path, which switches everything in it off."""
+    """Reads the operators' file; raises BadInputError if it is not valid.
+
+    Gives None if the path is empty: everything that the file could switch on is off.
+    """
     if not path:
         return None
-    # Imported here, as the parsers would take memory in a manager without the file.
+    # Imported here, so that a manager without the file does not spend memory on the parsers.
     from ..config.operator_file import read_operator_config
 
     try:
--- a/cottonladder/cli/forwarder.py
+++ b/cottonladder/cli/forwarder.py
@@ -19,7 +19,7 @@
 )
 def forward(operator_path: str) -> None:
     """Forward requests and upgraded connections to workers as managers order, until SIGTERM."""
-    # Imported here, as --help works without the optional dependencies of the forwarder.
+    # Imported here, so that --help works without the optional dependencies of the forwarder.
     from ..forwarder.service import serve
 
     configure_logging()
--- a/cottonladder/cli/lazy_group.py
+++ b/cottonladder/cli/lazy_group.py
@@ -1,6 +1,6 @@
 """A command group that imports a command's module only when the command is used.
 
-A manager has little memory, so `serve` must not import what only other commands need.
+It keeps `serve` from importing what only other commands need, as a manager has little memory.
 """
 
 from __future__ import annotations
--- a/cottonladder/cli/main.py
+++ b/cottonladder/cli/main.py
@@ -1,6 +1,7 @@
 """The entry point of the command line, with all commands by name.
 
-The commands of a manager are imported here, every other one when it is used: a manager has little memory.
+The commands of a manager are imported here.  Every other one is imported when it is used, as a manager has
+little memory.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from .lazy_group import LazyGroup
 from .manager import check, ping, serve
 
-LAZY_COMMANDS = {
+LAZY_COMMANDS = {  # module and attribute by command
     "advice": "advice:advice",
     "demo": "demo:demo",
     "forward": "forwarder:forward",
--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -8,7 +8,7 @@
 import click
 
 from ..config.errors import InputError
-from ..config.fields import parse_host_port
+from ..config.fields import HostPort, parse_host_port
 from ..config.manager_config import ManagerConfig
 from ..control import signals
 from ..control.manager import serve as serve_manager
@@ -20,7 +20,7 @@
 from .options import config_option, operator_option
 from .serving import configure_logging, serve_then_block_signals
 
-PING_TIMEOUT_S = 2.0  # to connect, and to wait for each part of the answer
+PING_TIMEOUT_S = 2.0  # of connecting, and of each read
 READ_SIZE_BYTES = 64
 
 
@@ -51,11 +51,13 @@
             return
     startup_config = load_startup_config(config_path)
     if running_path:
-        _check_reload(load_startup_config(running_path).manager, startup_config.manager)
+        running_config = load_startup_config(running_path)
+        _check_reload(running_config.manager, startup_config.manager)
     click.echo(_summary(startup_config))
 
 
 def _check_operator_config(path: str) -> None:
+    """Prints which parts of the operators' file are switched on."""
     operator_config = load_operator_config(path)
     if operator_config is None:
         return
@@ -67,9 +69,10 @@
 
 
 def _check_reload(running: ManagerConfig, new: ManagerConfig) -> None:
-    fixed = unchangeable_fields(running, new)
-    if fixed:
-        raise CommandError(f"a reload would not change: {', '.join(fixed)}")
+    """Raises CommandError if a reload would leave a change without effect."""
+    ineffective = unchangeable_fields(running, new)
+    if ineffective:
+        raise CommandError(f"a reload would not change: {', '.join(ineffective)}")
 
 
 def _summary(config: StartupConfig) -> str:
@@ -93,7 +96,7 @@
     except InputError as exc:
         raise BadInputError(str(exc)) from exc
     try:
-        answer = _ask_for_pong(manager_address)
+        answer = _send_ping(manager_address)
     except OSError as exc:
         raise CommandError(f"{host_port}: {exc}") from exc
     if answer == PONG:
@@ -103,7 +106,8 @@
     click.get_current_context().exit(CommandError.exit_code)
 
 
-def _ask_for_pong(manager_address: tuple[str, int]) -> bytes:
+def _send_ping(manager_address: HostPort) -> bytes:
+    """Sends one PING; gives the answer, cut off where the manager closed the connection."""
     with socket.create_connection(manager_address, PING_TIMEOUT_S) as connection:
         connection.sendall(PING)
         answer = b""
--- a/cottonladder/cli/memory.py
+++ b/cottonladder/cli/memory.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationRow:
-    """What `show` prints of a generation; the field names are the columns and the keys of the JSON."""
+    """What `show` prints of a generation; the field names are the column headers and the keys of the JSON."""
 
     generation: int
     age_s: float | None  # None for one that can't be read
@@ -40,7 +40,7 @@
     fault: str
 
     def cells(self) -> list[object]:
-        """The row of the table."""
+        """The cells of the table, in the order of COLUMNS."""
         return [self.generation, self.age_s, self.bytes, ",".join(self.sections), self.fault]
 
 
@@ -57,7 +57,7 @@
 @json_option
 def show(folder: str, as_json: bool) -> None:
     """List the generations: which are valid, how old and how large they are."""
-    with store_errors():
+    with _store_errors_as_command_errors():
         store = SnapshotStore(folder)
         rows = [_row(store, generation) for generation in _read_all(store)]
     if as_json:
@@ -79,7 +79,7 @@
 @FOLDER
 def verify(folder: str) -> None:
     """Read every generation; status 1 if one is not valid."""
-    with store_errors():
+    with _store_errors_as_command_errors():
         generations = _read_all(SnapshotStore(folder))
     faults = [generation.fault for generation in generations if generation.fault]
     for fault in faults:
@@ -94,7 +94,7 @@
 @click.option("--generation", "number", type=int, help="Its number; the newest valid one, if left out.")
 def export(folder: str, number: int | None) -> None:
     """Print a generation's sections as JSON."""
-    with store_errors():
+    with _store_errors_as_command_errors():
         store = SnapshotStore(folder)
         generation = _newest_readable(store) if number is None else store.read(number)
     body = {
@@ -109,8 +109,8 @@
 @FOLDER
 def compact(folder: str) -> None:
     """Remove all but the newest valid generation.  Not while a process owns the folder."""
-    with store_errors(), _locked_store(folder) as store:
-        generation = _newest(store)
+    with _store_errors_as_command_errors(), _locked_store(folder) as store:
+        generation = _newest_after_quarantine(store)
         removed = store.remove_old_generations(1)
         click.echo(f"{folder}: generation {generation.number} stays, {removed} removed")
 
@@ -120,8 +120,8 @@
 @click.option("--worker", "worker_id", required=True, help="The worker's id.")
 def forget(folder: str, worker_id: str) -> None:
     """Write a generation without anything about a worker.  Not while a process owns the folder."""
-    with store_errors(), _locked_store(folder) as store:
-        generation = _newest(store)
+    with _store_errors_as_command_errors(), _locked_store(folder) as store:
+        generation = _newest_after_quarantine(store)
         remaining = without_worker(generation.sections, worker_id)
         if remaining == generation.sections:
             raise CommandError(f"{folder}: nothing about {worker_id}")
@@ -131,9 +131,9 @@
 
 
 def without_worker(value: Any, worker_id: str) -> Any:
-    """A copy of a section without what concerns a worker.
+    """A copy of a section, or of a value in it, without what concerns a worker.
 
-    Left out are rows that begin with its id, fields named by the id, and list items that equal it.
+    Left out are lists that begin with its id, fields named by the id, and list items that equal it.
     """
     if isinstance(value, dict):
         return {key: without_worker(item, worker_id) for key, item in value.items() if key != worker_id}
@@ -149,8 +149,8 @@
 
 
 @contextmanager
-def store_errors() -> Iterator[None]:
-    """Turns errors of the store into one line and status 1."""
+def _store_errors_as_command_errors() -> Iterator[None]:
+    """Raises CommandError in place of errors of the store."""
     try:
         yield
     except (SnapshotError, OSError) as exc:
@@ -159,7 +159,7 @@
 
 @contextmanager
 def _locked_store(folder: str) -> Iterator[SnapshotStore]:
-    """A store that owns its folder until the end of the block."""
+    """A store that holds the lock of its folder until the end of the block."""
     store = SnapshotStore(folder)
     store.open()
     try:
@@ -169,6 +169,7 @@
 
 
 def _read_all(store: SnapshotStore) -> list[StoredGeneration]:
+    """All generations, the newest first."""
     generations = []
     for number in store.numbers():
         try:
@@ -180,15 +181,17 @@
 
 def _newest_readable(store: SnapshotStore) -> Generation:
     """The newest valid generation; the folder is not changed."""
-    for generation in _read_all(store):
-        if generation.content is not None:
-            return generation.content
-    raise CommandError(f"{store.folder}: no generation that holds")
+    contents = (generation.content for generation in _read_all(store))
+    newest = next((content for content in contents if content is not None), None)
+    return _require_generation(store, newest)
 
 
-def _newest(store: SnapshotStore) -> Generation:
+def _newest_after_quarantine(store: SnapshotStore) -> Generation:
     """The newest valid generation; newer ones that are not valid are quarantined."""
-    generation = store.read_newest()
+    return _require_generation(store, store.read_newest())
+
+
+def _require_generation(store: SnapshotStore, generation: Generation | None) -> Generation:
     if generation is None:
         raise CommandError(f"{store.folder}: no generation that holds")
     return generation
--- a/cottonladder/cli/plugin.py
+++ b/cottonladder/cli/plugin.py
@@ -1,6 +1,7 @@
 """`plugin`: loads and calls plug-ins without a forwarder.
 
-Each command imports what runs a plug-in, as `--help` works without WebAssembly, an optional dependency.
+Each command imports what runs a plug-in, so that `--help` works without the WebAssembly runtime, an optional
+dependency.
 """
 
 from __future__ import annotations
--- a/cottonladder/cli/plugin_trial.py
+++ b/cottonladder/cli/plugin_trial.py
@@ -19,8 +19,8 @@
 from ..plugins.host import Plugin
 from .errors import CommandError
 
-MAX_REQUESTS = 100_000  # recorded requests replayed at once
-HEADER_COUNT = 12  # headers of the made-up request, as many as a browser's
+MAX_REQUESTS = 100_000  # of one file; later lines are not replayed
+HEADER_COUNT = 12  # of the made-up request; a browser sends about as many
 HEADER_VALUE = "v" * 20
 MICROSECONDS_PER_S = 1e6
 PERCENTILE_COUNT = 100
@@ -28,21 +28,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayedRequest:
-    """One recorded request and what the plug-in answered to it."""
+    """One recorded request, and the plug-in's answer or fault."""
 
     request: str  # method and path
-    answer: Answer | None  # None after a fault
-    fault: str = ""
+    answer: Answer | None  # None if there was a fault
+    fault: str = ""  # empty if there was none
 
     def outcome(self) -> dict[str, object]:
-        """The fault, and the contents of the answer, under the names that the command prints."""
-        contents = self.answer.interface_fields() if self.answer is not None else {}
-        return {"fault": self.fault, **contents}
+        """The fault and the fields of the answer, under the names that the command prints."""
+        answer_fields = self.answer.interface_fields() if self.answer is not None else {}
+        return {"fault": self.fault, **answer_fields}
 
 
 @dataclass(frozen=True, slots=True)
 class CallTimings:
-    """Duration and fuel of calls; the field names are the columns and the keys of the JSON."""
+    """Duration and fuel of calls; the field names are the column headers and the keys of the JSON."""
 
     calls: int
     faults: int
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfiguredPlugin:
-    """A plug-in of an operators' file; the field names are the columns and the keys of the JSON."""
+    """A plug-in of an operators' file; the field names are the column headers and the keys of the JSON."""
 
     name: str
     path: str
@@ -74,7 +74,7 @@
 
 
 def replay(plugin: Plugin, requests_path: str) -> list[ReplayedRequest]:
-    """Calls the plug-in on each recorded request, a JSON object a line."""
+    """Calls the plug-in on each request of a file with one JSON object a line."""
     hook = "route" if "route" in plugin.hooks else plugin.hooks[0]
     replayed = []
     for number, line in enumerate(Path(requests_path).read_text().splitlines()[:MAX_REQUESTS], start=1):
@@ -88,7 +88,7 @@
 
 
 def _route_record(request: Any) -> bytes:
-    """Encodes a decoded line; raises KeyError, TypeError or ValueError for one that is not a request."""
+    """Encodes a recorded request for the plug-in; raises KeyError, TypeError or ValueError if invalid."""
     return request_record(
         "route",
         str(request["method"]),
@@ -130,7 +130,10 @@
 
 
 def configured_plugins(operator_path: str) -> list[ConfiguredPlugin]:
-    """Loads each of the forwarder's plug-ins in an operators' file; prints the fault of one that can't be."""
+    """Loads each of the forwarder's plug-ins in an operators' file.
+
+    The fault of one that can't be loaded is printed on standard error.
+    """
     operator_config = read_operator_config(operator_path)
     if operator_config.forwarder is None or operator_config.forwarder.plugins is None:
         return []
