--- a/cottonladder/simulator/__main__.py
+++ b/cottonladder/simulator/__main__.py
@@ -12,7 +12,7 @@
 from ..config.errors import InputError
 from .host import SimulatorHost
 
-STATUS_INVALID_INPUT = 2  # exit status
+INVALID_INPUT_STATUS = 2
 
 
 def main() -> int:
@@ -25,7 +25,7 @@
             reply = host.handle_batch(line)
         except InputError as exc:
             print(exc, file=sys.stderr)
-            return STATUS_INVALID_INPUT
+            return INVALID_INPUT_STATUS
         sys.stdout.write(json.dumps(reply, separators=(",", ":"), allow_nan=False) + "\n")
         sys.stdout.flush()
     return 0
--- a/cottonladder/simulator/action_encoder.py
+++ b/cottonladder/simulator/action_encoder.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from ..config.fields import MS_PER_S
 from ..model.orders import (
     BindProxy,
     Checkpoint,
@@ -27,10 +28,7 @@
 from ..model.state_changes import AdmissionChanged, StateChange, WorkerStateChanged
 from .worker_ids import WorkerIds
 
-MS_PER_S = 1000.0
-
-# A JSON object with the action's name as its only key.
-Action = dict[str, Any]
+Action = dict[str, Any]  # a JSON object with the action's name as its only key
 
 
 class ActionEncoder:
@@ -41,7 +39,7 @@
 
     def encode(self, order: Order) -> Action:
         """Encodes one order."""
-        return _ORDER_WRITERS[type(order)](self, order)
+        return _ORDER_ENCODERS[type(order)](self, order)
 
     def _set_weight(self, order: SetWeight) -> Action:
         worker_id = self._worker_ids.id_of(order.worker_index)
@@ -88,7 +86,7 @@
         return {"REMARK": {"Words": state_change_text(change)}}
 
 
-_ORDER_WRITERS: dict[type, Callable[[ActionEncoder, Any], Action]] = {
+_ORDER_ENCODERS: dict[type, Callable[[ActionEncoder, Any], Action]] = {
     SetWeight: ActionEncoder._set_weight,
     ClearTable: ActionEncoder._clear_table,
     BindProxy: ActionEncoder._bind_proxy,
--- a/cottonladder/simulator/event_decoder.py
+++ b/cottonladder/simulator/event_decoder.py
@@ -32,19 +32,21 @@
 )
 from .worker_ids import WorkerIds
 
-KNOWN_STATES = (EndpointState.DRAINING, EndpointState.READY, EndpointState.GONE)
-KNOWN_LIST_KINDS = (
+# The values that the simulator's protocol allows; their numbers are the same there.
+ENDPOINT_STATES = (EndpointState.DRAINING, EndpointState.READY, EndpointState.GONE)
+LIST_UPDATE_KINDS = (
     ListUpdateKind.FULL,
     ListUpdateKind.FAILED,
     ListUpdateKind.DELTA,
     ListUpdateKind.CACHED,
 )
+SERVED = "served"  # the status of a health check that succeeded
 
 
 class EventDecoder:
-    """Decodes the events of one simulated manager; raises ConfigError for what the protocol does not allow.
+    """Decodes the events of one simulated manager.
 
-    `where` names the event and the manager in errors.
+    `where` names the event and the manager in error messages.
     """
 
     def __init__(self, settings: DeploymentSettings, worker_ids: WorkerIds) -> None:
@@ -52,11 +54,11 @@
         self._worker_ids = worker_ids
 
     def decode(self, name: str, body: Any, where: str) -> Input:
-        """Decodes one event."""
-        reader = _EVENT_READERS.get(name)
-        if reader is None:
+        """Decodes one event; raises ConfigError if the simulator's protocol does not allow it."""
+        decode_event = _EVENT_DECODERS.get(name)
+        if decode_event is None:
             raise ConfigError(where, "unknown event")
-        return reader(self, body, where)
+        return decode_event(self, body, where)
 
     def _worker(self, body: Any, where: str) -> int:
         return self._worker_ids.index_of(field(body, "Worker", int, where))
@@ -73,7 +75,7 @@
 
     def _endpoint_list(self, body: Any, where: str) -> Input:
         kind = field(body, "How", int, where)
-        if kind not in KNOWN_LIST_KINDS:
+        if kind not in LIST_UPDATE_KINDS:
             raise UnknownValueError(where, "How")
         entries = field(body, "Entries", list, where, [])
         endpoints = tuple(self._endpoint(entry, where) for entry in entries)
@@ -81,7 +83,7 @@
 
     def _endpoint(self, body: Any, where: str) -> Endpoint:
         state = field(body, "Mode", int, where)
-        if state not in KNOWN_STATES:
+        if state not in ENDPOINT_STATES:
             raise UnknownValueError(where, "Mode")
         return Endpoint(
             worker_index=self._worker(body, where),
@@ -95,7 +97,7 @@
         return TimerFired(field(body, "Nonce", int, where))
 
     def _health_check_result(self, body: Any, where: str) -> Input:
-        has_succeeded = field(body, "StateCode", str, where) == "served"
+        has_succeeded = field(body, "StateCode", str, where) == SERVED
         return HealthCheckResult(
             self._worker(body, where),
             has_succeeded,
@@ -160,7 +162,7 @@
         return Acknowledged(proxy, number, seconds(body, "RttMs", where, 0.0))
 
 
-_EVENT_READERS: dict[str, Callable[[EventDecoder, Any, str], Input]] = {
+_EVENT_DECODERS: dict[str, Callable[[EventDecoder, Any, str], Input]] = {
     "SYNC": EventDecoder._endpoint_list,
     "WAKE": EventDecoder._timer_fired,
     "PROBE_DONE": EventDecoder._health_check_result,
