--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -135,7 +135,7 @@
 
 def add_new_worker(elapsed_s: float, run: MonthEndRun) -> None:
     """Starts a new worker at a fixed time of the run."""
-    if month_end.happens_at(NEW_WORKER_AT_S, elapsed_s):
+    if month_end.is_step_at(NEW_WORKER_AT_S, elapsed_s):
         run.start_worker(NEW_WORKER, 0, NEW_WORKER_SPEED, month_end.START_TIME_S + elapsed_s)
 
 
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -126,7 +126,7 @@
         window.requests += run.result.requests - self._seen.requests
         window.served += run.result.served - self._seen.served
         self._seen = RequestCounts(run.result.requests, run.result.served)
-        if self._restore is not None and month_end.happens_at(RESTART_S, elapsed_s):
+        if self._restore is not None and month_end.is_step_at(RESTART_S, elapsed_s):
             run.restart_manager(self._restore)
 
     def aftermath(self) -> Aftermath:
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -1,8 +1,8 @@
-"""A month's end in simulated time: the real controller on unequal workers, with or without an advisor.
+"""A simulation of the peak load at the end of a month: the real controller, with or without weight advisors.
 
-No protocol is involved. Workers serve requests in order on a few cores; their speeds are not listed, and some
-become slower half-way. Proxies route by the tables that the controller orders, and their load reports arrive
-late.
+Time is simulated, and inputs and orders pass without a protocol.  Workers of different speeds, which the
+endpoint list does not state, serve requests in order of arrival on a few cores each.  Proxies route by the
+tables that the controller orders, and load reports reach it with a delay.
 """
 
 from __future__ import annotations
@@ -36,27 +36,31 @@
 from ..planning.controller_views import capacity_views, collect_state
 from ..policy.controller import RoutingController
 from .deployment_parameters import BASE_PARAMETERS
-from .month_end_records import CORES, AttemptSums, FinishedRequest, RequestCounts, SimulatedWorker
+from .month_end_records import CORES, AttemptSums, FinishedRequest, QueueingWorker, RequestCounts
 
 STEP_S = 0.25
-START_TIME_S = 1000.0  # of the manager's clock: starts of 0 are long ago
+START_TIME_S = 1000.0  # of the controller's clock; not 0, which as a worker's start means long ago
 REPORT_INTERVAL_S = 2.0
 REPORT_DELAY_S = 0.5
 ORDER_DELAY_S = 0.2  # until proxies have applied an order
-LIST_DELAY_S = 0.2
+LIST_DELAY_S = 0.2  # until a started worker is listed
+CONNECT_DELAY_S = 0.01  # of proxies at the start of the run
+MIN_RECONNECT_DELAY_S = 0.2  # of a proxy after a restart of the manager
+RECONNECT_SPREAD_S = 0.8
 LATENCY_OBJECTIVE_S = 1.0
 DEADLINE_S = 2.5
 SERVICE_TIME_S = 0.16  # of one request on one core of a worker of speed 1
-SERVICE_TIME_RATIO = (0.9, 1.1)  # of that time, drawn from this range
-COLLAPSE_MULTIPLE = 3.0  # of its capacity: under this load a warming-up worker collapses
+SERVICE_TIME_RATIO = (0.9, 1.1)  # the least and the largest part of that time
+COLLAPSE_MULTIPLE = 3.0  # times its capacity: the load under which a warming-up worker collapses
 LOAD_WINDOW_S = 2.0  # over which a warming-up worker's load is counted
-WORST_WINDOW_S = 10.0
-MIN_WINDOW_REQUESTS = 50  # of a window that counts for the worst one
-TIMER_TOLERANCE_S = 1e-6
+WINDOW_S = 10.0  # for the worst share of served requests
+MIN_WINDOW_REQUESTS = 50  # windows with no more are not considered
+TIMER_TOLERANCE_S = 1e-6  # for rounding errors: a timer must not miss its step
 PROXY_COUNT = 12
 ZONE_COUNT = 2
 WORKER_SPEEDS = (1.6, 1.5, 1.0, 1.0, 0.9, 0.9, 0.6, 0.55, 0.5, 1.4)
-FALLBACK_WORKERS = 5  # first ones of the list, for requests of a proxy without a usable weight
+FALLBACK_WORKER_COUNT = 5  # the first of the list, used by a proxy without a usable weight
+UNBOUND = -1  # in place of the number of a proxy's table
 PARAMETERS = replace(
     BASE_PARAMETERS,
     seed=1,
@@ -71,27 +75,25 @@
 Advisor = Callable[[float, "MonthEndRun"], Mapping[int, AdvisoryWeight] | None]
 
 
-def _no_events(_elapsed_s: float, _run: MonthEndRun) -> None:
-    """Changes nothing during the run."""
+def _do_nothing(_elapsed_s: float, _run: MonthEndRun) -> None:
+    """The event function of a run without events."""
 
 
 @dataclass(slots=True)
 class MonthEndResult:
-    """The result of a run; shares are parts of all requests."""
+    """The result of a run."""
 
     requests: int = 0
     served: int = 0  # within the latency objective
-    worst_share: float = 1.0  # served in the worst 10 s
-    worst_warm_up_load: float = (
-        0.0  # the largest load of a warming-up worker, as a part of the collapsing one
-    )
-    proxies_without_worker: int = 0  # steps at which a bound proxy had no usable weight
-    credit: dict[str, float] = field(default_factory=dict)
-    factors: list[dict[int, float]] = field(default_factory=list)
+    worst_share: float = 1.0  # of requests served, in the worst window
+    worst_warm_up_load: float = 0.0  # of any warming-up worker, as a part of the load that collapses it
+    proxies_without_worker: int = 0  # summed over the steps: bound proxies without a usable weight
+    credit: dict[str, float] = field(default_factory=dict)  # by advisor, at the end
+    factors: list[dict[int, float]] = field(default_factory=list)  # by worker, at each interval
 
     @property
     def served_share(self) -> float:
-        """The part of all requests that was served within the latency objective."""
+        """The share of all requests that were served within the latency objective."""
         return self.served / max(1, self.requests)
 
 
@@ -104,14 +106,17 @@
 
 
 class MonthEndRun:
-    """One seeded run of `duration_s`; each interval the `advisors` give their weights."""
+    """One seeded run of `duration_s`, at a `load` that is a part of the workers' capacity.
+
+    The `advisors` are asked for their weights at each interval.
+    """
 
     def __init__(
         self, advisors: Mapping[str, Advisor], seed: int = 7, duration_s: float = 120.0, load: float = 0.8
     ) -> None:
         self.random = random.Random(seed)
         self.workers = {
-            index: SimulatedWorker(index % ZONE_COUNT, speed) for index, speed in enumerate(WORKER_SPEEDS)
+            index: QueueingWorker(index % ZONE_COUNT, speed) for index, speed in enumerate(WORKER_SPEEDS)
         }
         self.duration_s = duration_s
         self.load = load
@@ -120,9 +125,9 @@
         self.result = MonthEndResult()
         self._advisors = advisors
         self._tables: dict[int, dict[int, float]] = defaultdict(dict)  # weights by table and worker
-        self._bound_tables = dict.fromkeys(range(PROXY_COUNT), -1)  # -1: not bound yet
+        self._bound_tables = dict.fromkeys(range(PROXY_COUNT), UNBOUND)
         self._excluded: set[int] = set()
-        self._scheduled: list[ScheduledInput] = []  # a heap of inputs on their way
+        self._scheduled: list[ScheduledInput] = []  # a heap
         self._schedule_count = 0
         self._finished: list[FinishedRequest] = []  # a heap
         self._capacity_views: dict[int, WorkerCapacityView] = {}
@@ -132,20 +137,20 @@
         self._arrivals: dict[int, int] = defaultdict(int)  # by proxy, since the last report
 
     def request_rate(self, elapsed_s: float) -> float:
-        """Month's end: from two thirds of the load up to all of it, in waves."""
+        """Requests/s: 70% of the load at the start, rising to all of it half-way, with waves of 8%."""
         capacity = sum(CORES * worker.speed / SERVICE_TIME_S for worker in self.workers.values())
         wave = 0.08 * math.sin(elapsed_s / 9.0)
         return capacity * self.load * (0.7 + 0.3 * min(1.0, elapsed_s / (self.duration_s / 2)) + wave)
 
     def schedule(self, delivered_at: float, message: Input) -> None:
-        """Delivers an input to the manager at a given time."""
+        """Delivers an input to the controller at a given time."""
         self._schedule_count += 1
         scheduled = ScheduledInput(delivered_at, self._schedule_count, message)
         heapq.heappush(self._scheduled, scheduled)
 
     def start_worker(self, worker_index: int, zone: int, speed: float, now: float) -> None:
         """Starts and lists a new worker, which warms up."""
-        self.workers[worker_index] = SimulatedWorker(zone, speed, now)
+        self.workers[worker_index] = QueueingWorker(zone, speed, now)
         endpoint = Endpoint(worker_index, zone, EndpointState.READY, 1.0, now)
         self.schedule(now + LIST_DELAY_S, EndpointList(ListUpdateKind.DELTA, (endpoint,)))
 
@@ -156,10 +161,10 @@
         self.schedule(now, EndpointList(ListUpdateKind.DELTA, (endpoint,)))
 
     def restart_manager(self, restore: Callable[[RestoredState], RestoredState | None]) -> None:
-        """Replaces the manager by a new one.
+        """Replaces the controller by a new one.
 
-        It starts with the endpoint list and with what `restore` makes of the old manager's state. Proxies
-        keep their tables and reconnect within a second.
+        The new one gets the endpoint list and what `restore` makes of the old one's state.  Proxies keep
+        their tables and reconnect within a second.
         """
         workers = list(self.controller.state.workers.by_index)
         state = restore(
@@ -177,7 +182,8 @@
         request_rate = self.request_rate(now - START_TIME_S) / PROXY_COUNT
         for proxy in range(PROXY_COUNT):
             connected = ProxyConnected(proxy, proxy % ZONE_COUNT, request_rate, False)
-            self.schedule(now + 0.2 + self.random.random() * 0.8, connected)
+            reconnects_at = now + MIN_RECONNECT_DELAY_S + self.random.random() * RECONNECT_SPREAD_S
+            self.schedule(reconnects_at, connected)
 
     def _endpoints(self) -> tuple[Endpoint, ...]:
         return tuple(
@@ -185,8 +191,8 @@
             for index, worker in self.workers.items()
         )
 
-    def run(self, events: Callable[[float, MonthEndRun], None] = _no_events) -> MonthEndResult:
-        """Runs to the end; `events` is called at each step with the seconds since the start."""
+    def run(self, events: Callable[[float, MonthEndRun], None] = _do_nothing) -> MonthEndResult:
+        """Runs to the end; calls `events` at each step with the seconds since the start."""
         self._start()
         now = START_TIME_S
         report_at = START_TIME_S + REPORT_INTERVAL_S
@@ -213,9 +219,10 @@
         request_rate = self.request_rate(0.0) / PROXY_COUNT
         for proxy in range(PROXY_COUNT):
             connected = ProxyConnected(proxy, proxy % ZONE_COUNT, request_rate, True)
-            self.schedule(START_TIME_S + 0.01, connected)
+            self.schedule(START_TIME_S + CONNECT_DELAY_S, connected)
 
     def _finish(self, now: float) -> None:
+        """Completes the result."""
         shares = [
             window.served / window.requests
             for window in self._windows.values()
@@ -231,16 +238,16 @@
         return inputs
 
     def _ask_advisors(self, now: float) -> list[Input]:
-        """Applies the advisors' weights; gives the factors that changed."""
+        """Asks the advisors for their weights; gives the factors to be applied, 1.0 where one has ended."""
         for name, advisor in self._advisors.items():
             weights = advisor(now - START_TIME_S, self)
             if weights is not None:
                 self.advice.receive(name, now, weights, is_complete=True)
         factors = self.advice.update_factors(now, self._capacity_views) if self._capacity_views else {}
-        removed = {index: 1.0 for index in self._factors if index not in factors}
+        ended = {index: 1.0 for index in self._factors if index not in factors}
         self._factors = factors
         self.result.factors.append(factors)
-        return [AdvisedFactor(index, factor) for index, factor in (removed | factors).items()]
+        return [AdvisedFactor(index, factor) for index, factor in (ended | factors).items()]
 
     def _apply_orders(self, now: float, orders: list[Order]) -> None:
         for order in orders:
@@ -276,24 +283,28 @@
     def _count_proxies_without_worker(self) -> None:
         """Counts bound proxies without a usable weight, which must never occur."""
         for proxy, table in self._bound_tables.items():
-            if table >= 0 and not self.usable_weights(proxy):
+            if table != UNBOUND and not self.usable_weights(proxy):
                 self.result.proxies_without_worker += 1
 
     def _send_requests(self, now: float) -> None:
-        """Sends all requests that arrive before the next step, in order."""
-        fallback = dict.fromkeys(list(self.workers)[:FALLBACK_WORKERS], 1.0)
+        """Serves all requests that arrive before the next step, in order of arrival."""
+        fallback = dict.fromkeys(list(self.workers)[:FALLBACK_WORKER_COUNT], 1.0)
         weights = [self.usable_weights(proxy) or fallback for proxy in range(PROXY_COUNT)]
         request_rate = self.request_rate(now - START_TIME_S)
         arrived_at = now + self.random.expovariate(request_rate)
         while arrived_at < now + STEP_S:
-            proxy = min(int(PROXY_COUNT * self.random.random() ** 2), PROXY_COUNT - 1)  # few carry most
+            proxy = self._choose_proxy()
             self._arrivals[proxy] += 1
             worker_index = self.random.choices(list(weights[proxy]), list(weights[proxy].values()))[0]
             self._count(arrived_at, self._serve(arrived_at, worker_index, proxy % ZONE_COUNT))
             arrived_at += self.random.expovariate(request_rate)
 
+    def _choose_proxy(self) -> int:
+        """Chooses a proxy at random; the square makes a few of them carry most requests."""
+        return min(int(PROXY_COUNT * self.random.random() ** 2), PROXY_COUNT - 1)
+
     def _count(self, arrived_at: float, request: FinishedRequest) -> None:
-        window = self._windows[int((arrived_at - START_TIME_S) / WORST_WINDOW_S)]
+        window = self._windows[int((arrived_at - START_TIME_S) / WINDOW_S)]
         window.requests += 1
         self.result.requests += 1
         if request.succeeded and request.duration_s <= LATENCY_OBJECTIVE_S:
@@ -301,26 +312,29 @@
             self.result.served += 1
 
     def _serve(self, arrived_at: float, worker_index: int, zone: int) -> FinishedRequest:
-        """Serves a request as soon as a core is free, unless its deadline has passed by then."""
+        """Serves a request, which fails if it has not been answered by its deadline."""
         worker = self.workers[worker_index]
         if worker.is_warming_up(arrived_at):
-            self._note_warm_up_load(arrived_at, worker_index)
-        begins_at = max(arrived_at, worker.cores_free_at[0])
-        if begins_at - arrived_at > DEADLINE_S:
-            duration_s = DEADLINE_S
-        else:
-            service_time = (
-                self.random.uniform(*SERVICE_TIME_RATIO) * SERVICE_TIME_S / worker.speed_at(arrived_at)
-            )
-            heapq.heapreplace(worker.cores_free_at, begins_at + service_time)
-            duration_s = begins_at + service_time - arrived_at
-        succeeded = begins_at - arrived_at <= DEADLINE_S and duration_s <= DEADLINE_S
+            self._record_warm_up_load(arrived_at, worker_index)
+        duration_s = self._occupy_core(worker, arrived_at)
         ended_at = arrived_at + min(duration_s, DEADLINE_S)
-        request = FinishedRequest(ended_at, worker_index, zone, duration_s, succeeded)
+        request = FinishedRequest(ended_at, worker_index, zone, duration_s, duration_s <= DEADLINE_S)
         heapq.heappush(self._finished, request)
         return request
 
-    def _note_warm_up_load(self, arrived_at: float, worker_index: int) -> None:
+    def _occupy_core(self, worker: QueueingWorker, arrived_at: float) -> float:
+        """Gives the seconds until a request is answered; infinite if no core is free before its deadline."""
+        begins_at = max(arrived_at, worker.cores_free_at[0])
+        if begins_at - arrived_at > DEADLINE_S:
+            return math.inf
+        service_time_s = (
+            self.random.uniform(*SERVICE_TIME_RATIO) * SERVICE_TIME_S / worker.speed_at(arrived_at)
+        )
+        ends_at = begins_at + service_time_s
+        heapq.heapreplace(worker.cores_free_at, ends_at)
+        return ends_at - arrived_at
+
+    def _record_warm_up_load(self, arrived_at: float, worker_index: int) -> None:
         worker = self.workers[worker_index]
         arrivals = [
             earlier
@@ -332,32 +346,39 @@
         if arrived_at - worker.started_at <= LOAD_WINDOW_S:
             return
         capacity = CORES * worker.speed_at(arrived_at) * LOAD_WINDOW_S
-        load = sum(SERVICE_TIME_S for _ in arrivals) / (COLLAPSE_MULTIPLE * capacity)
+        load = len(arrivals) * SERVICE_TIME_S / (COLLAPSE_MULTIPLE * capacity)
         self.result.worst_warm_up_load = max(self.result.worst_warm_up_load, load)
 
     def _report(self, now: float) -> None:
-        """Sends the load reports of the time since the last ones."""
+        """Sends load and arrival reports for the time since the last ones."""
         sums: dict[tuple[int, int], AttemptSums] = defaultdict(AttemptSums)
         while self._finished and self._finished[0].ended_at <= now:
             request = heapq.heappop(self._finished)
             sums[request.worker_index, request.zone].add(request)
         arrives_at = now + REPORT_DELAY_S
-        for (worker_index, zone), row in sums.items():
-            mean_s = row.mean_duration_s()
-            report = LoadReport(worker_index, zone, row.attempts, row.failed, REPORT_INTERVAL_S, mean_s, {})
+        for (worker_index, zone), attempts in sums.items():
+            report = LoadReport(
+                worker_index,
+                zone,
+                attempts.attempts,
+                attempts.failed,
+                REPORT_INTERVAL_S,
+                attempts.mean_duration_s(),
+                {},
+            )
             self.schedule(arrives_at, report)
         for proxy, count in self._arrivals.items():
             self.schedule(arrives_at, ArrivalReport(proxy, 0, count, 0, REPORT_INTERVAL_S))
         self._arrivals.clear()
 
 
-def happens_at(time_s: float, elapsed_s: float) -> bool:
-    """Whether the present step is the one at `time_s`."""
+def is_step_at(time_s: float, elapsed_s: float) -> bool:
+    """Whether the step at `elapsed_s` is the one for an event at `time_s`."""
     return abs(elapsed_s - time_s) < STEP_S / 2
 
 
 def slow_two_workers(elapsed_s: float, run: MonthEndRun) -> None:
     """Slows two of the fast workers half-way, as a noisy neighbour would."""
-    if happens_at(run.duration_s / 2, elapsed_s):
+    if is_step_at(run.duration_s / 2, elapsed_s):
         run.workers[0].speed = 0.8
         run.workers[3].speed = 0.5
--- a/cottonladder/testbed/month_end_advisors.py
+++ b/cottonladder/testbed/month_end_advisors.py
@@ -1,4 +1,4 @@
-"""Weight advisors of the simulated month's end: correct, wrong, random and silent ones."""
+"""Weight advisors for the simulation of a month's end: correct, wrong, random and silent ones."""
 
 from __future__ import annotations
 
@@ -7,42 +7,42 @@
 from ..planning.advice_weighting import AdvisoryWeight
 from .month_end import START_TIME_S, MonthEndRun
 
-MAX_ADVISORY_WEIGHT = 65535.0
+MAX_ADVISORY_WEIGHT = 65535.0  # the largest that SASP can carry
 
 
 def honest_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    """The workers' present speeds as weights."""
+    """Gives the workers' present speeds as weights."""
     now = START_TIME_S + elapsed_s
     return {index: AdvisoryWeight(100.0 * worker.speed_at(now)) for index, worker in run.workers.items()}
 
 
 def lying_advisor(_elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    """Ranks the slowest workers best."""
+    """Gives the slowest workers the largest weights."""
     return {index: AdvisoryWeight(100.0 / worker.speed) for index, worker in run.workers.items()}
 
 
 def random_advisor(_elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    """Random weights each interval."""
+    """Gives other random weights at each interval."""
     return {index: AdvisoryWeight(float(run.random.randint(1, 1000))) for index in run.workers}
 
 
 def zero_advisor(_elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    """Weight 0 for every worker."""
+    """Gives every worker weight 0."""
     return {index: AdvisoryWeight(0.0) for index in run.workers}
 
 
 def maximum_advisor(_elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight]:
-    """The largest weight for every worker."""
+    """Gives every worker the largest weight."""
     return {index: AdvisoryWeight(MAX_ADVISORY_WEIGHT) for index in run.workers}
 
 
 def stalling_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
-    """Correct weights for the first half of the run, then none."""
+    """Gives correct weights for the first half of the run, then none."""
     return honest_advisor(elapsed_s, run) if elapsed_s < run.duration_s / 2 else None
 
 
 def stalling_then_lying_advisor(elapsed_s: float, run: MonthEndRun) -> Mapping[int, AdvisoryWeight] | None:
-    """Correct weights for a third of the run, none for a third, then wrong ones."""
+    """Gives correct weights for a third of the run, none for a third, then wrong ones."""
     third = run.duration_s / 3
     if elapsed_s < third:
         return honest_advisor(elapsed_s, run)
--- a/cottonladder/testbed/month_end_records.py
+++ b/cottonladder/testbed/month_end_records.py
@@ -1,22 +1,22 @@
-"""Records of workers and requests in the simulated month's end."""
+"""Records of workers and requests in the simulation of a month's end."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-CORES = 3  # of each worker
+CORES = 3  # cores of each worker
 WARM_UP_S = 15.0
 WARM_UP_START_RATIO = 0.2  # of a worker's usual speed
 
 
 @dataclass(slots=True)
-class SimulatedWorker:
-    """One worker: its `speed` after the warm-up, and when each of its cores is free again."""
+class QueueingWorker:
+    """A worker: its `speed` after the warm-up, and when each of its cores is free again."""
 
     zone: int
     speed: float
     started_at: float = 0.0
-    cores_free_at: list[float] = field(default_factory=lambda: [0.0] * CORES)
+    cores_free_at: list[float] = field(default_factory=lambda: [0.0] * CORES)  # a heap
 
     def is_warming_up(self, now: float) -> bool:
         """Whether the worker started less than the warm-up time ago."""
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Requests of one window."""
+    """How many requests arrived in a window, and how many were served within the latency objective."""
 
     requests: int = 0
     served: int = 0
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class FinishedRequest:
-    """One attempt; sorted by its end, for the load reports."""
+    """One attempt; attempts are sorted by their end, because load reports count those that have ended."""
 
     ended_at: float
     worker_index: int
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class AttemptSums:
-    """Sums of a load report for one worker and zone."""
+    """Sums over the attempts that a load report counts for one worker and zone."""
 
     attempts: int = 0
     failed: int = 0
