--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -322,9 +322,9 @@
     with tempfile.TemporaryDirectory() as folder:
         counts = crash_test(folder, kill_count, CRASH_SEED)
     return MemoryFigures(
-        kills=counts["kills"],
-        half_written=counts["half_written"],
-        states_lost=counts["states_lost"],
+        kills=counts.kills,
+        half_written=counts.half_written,
+        states_lost=counts.states_lost,
         restarts=measure_restarts(),
         snapshots=asyncio.run(measure_snapshots(*FLEET_SIZE)),
         snapshots_of_large_fleet=asyncio.run(measure_snapshots(*LARGE_FLEET_SIZE)),
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -168,9 +168,9 @@
         """Lists the other workers, one of which has just started."""
         for number in range(1, WORKER_COUNT):
             name = f"s-{number}"
-            started = time.time() if name == WARMING_WORKER else 0.0
+            started_at = time.time() if name == WARMING_WORKER else 0.0
             zone = "ab"[number % 2]
-            await self.discovery.put(name, self.workers[name].address, zone, started=started)
+            await self.discovery.put(name, self.workers[name].address, zone, started_at=started_at)
         self.listed_at = time.monotonic()
         await asyncio.sleep(SETTLE_S)
 
--- a/cottonladder/testbed/crash_test.py
+++ b/cottonladder/testbed/crash_test.py
@@ -18,45 +18,41 @@
 import time
 from dataclasses import asdict, dataclass
 
-from ..snapshots.store import Generation, SnapshotError, SnapshotStore
+from ..snapshots.errors import SnapshotError
+from ..snapshots.store import UNFINISHED_SUFFIX, Generation, SnapshotStore
 
 MAX_WRITER_RUNTIME_S = 0.012  # enough for about ten generations
 WORKERS_PER_GENERATION = 120
-FINISHED = struct.Struct("!Q")  # the last finished count, in shared memory
-UNFINISHED_SUFFIX = ".new"
+FINISHED_COUNT = struct.Struct("!Q")  # the format of the last finished count in shared memory
 
 
 @dataclass(slots=True)
 class CrashCounts:
-    """Sums over all kills.
-
-    `half_written` counts incomplete states that were read as complete, `leftovers` is the most unfinished
-    files at a time, and `mid_write` counts kills during a write.
-    """
+    """Counts over all kills; the field names are the keys of the JSON that is printed."""
 
     kills: int = 0
-    half_written: int = 0
-    states_lost: int = 0
-    leftovers: int = 0
-    mid_write: int = 0
+    half_written: int = 0  # incomplete generations that were read as complete
+    states_lost: int = 0  # kills after which the newest finished generation was missing
+    leftovers: int = 0  # the largest number of unfinished files at a time
+    mid_write: int = 0  # kills during a write
 
 
 class CrashTest:
-    """Writers of one folder that are killed one after another."""
+    """Starts and kills writers of one folder, one after another."""
 
     def __init__(self, folder: str, seed: int) -> None:
         self.counts = CrashCounts()
         self._folder = folder
         self._random = random.Random(seed)
-        self._finished = mmap.mmap(-1, FINISHED.size)
+        self._finished_count = mmap.mmap(-1, FINISHED_COUNT.size)  # shared with the writers
         self._last_count = 0
 
     def kill_one(self) -> None:
-        """Starts a writer, kills it, and counts what it left."""
+        """Starts a writer, kills it, and counts the faults that it left in the folder."""
         child = os.fork()
         if child == 0:
             try:
-                write_generations(self._folder, self._last_count, self._finished)
+                write_generations(self._folder, self._last_count, self._finished_count)
             finally:
                 os._exit(1)
         time.sleep(self._random.uniform(0.0, MAX_WRITER_RUNTIME_S))
@@ -72,7 +68,7 @@
         self.counts.mid_write += bool(leftovers)
 
     def _count_losses(self) -> None:
-        (finished_count,) = FINISHED.unpack(self._finished[: FINISHED.size])
+        (finished_count,) = FINISHED_COUNT.unpack(self._finished_count[:])
         store = SnapshotStore(self._folder)
         generation = open_newest(store)
         if store.quarantine_messages:
@@ -85,16 +81,16 @@
         self._last_count = max(self._last_count, data["count"], finished_count)
 
 
-def write_generations(folder: str, first: int, finished: mmap.mmap) -> None:
-    """Writes generations until the process is killed; records the count of each once it is finished."""
+def write_generations(folder: str, last_count: int, finished_count: mmap.mmap) -> None:
+    """Writes generations after `last_count` until the process is killed; records each finished one."""
     store = SnapshotStore(folder)
     store.open()
-    count = first
+    count = last_count
     while True:
         count += 1
         workers = [[f"s-{n}", 0.0, 0.01 * n, 1.0, False, False] for n in range(WORKERS_PER_GENERATION)]
         store.write({"manager": {"v": 1, "data": {"count": count, "workers": workers}}}, time.time())
-        finished[: FINISHED.size] = FINISHED.pack(count)
+        finished_count[:] = FINISHED_COUNT.pack(count)
 
 
 def open_newest(store: SnapshotStore) -> Generation | None:
@@ -108,12 +104,12 @@
         store.close()
 
 
-def crash_test(folder: str, kills: int, seed: int) -> dict[str, int]:
-    """Counts over so many kills, by name."""
+def crash_test(folder: str, kills: int, seed: int) -> CrashCounts:
+    """Kills a writer of the folder `kills` times."""
     test = CrashTest(folder, seed)
     for _ in range(kills):
         test.kill_one()
-    return asdict(test.counts)
+    return test.counts
 
 
 def main() -> None:
@@ -123,7 +119,8 @@
     parser.add_argument("--kills", type=int, default=1000)
     parser.add_argument("--seed", type=int, default=7)
     arguments = parser.parse_args()
-    print(json.dumps(crash_test(arguments.folder, arguments.kills, arguments.seed)))
+    counts = crash_test(arguments.folder, arguments.kills, arguments.seed)
+    print(json.dumps(asdict(counts)))
 
 
 if __name__ == "__main__":
--- a/cottonladder/testbed/demo.py
+++ b/cottonladder/testbed/demo.py
@@ -118,9 +118,9 @@
         await worker.start()
         stack.push_async_callback(worker.abort)
         weight = 1.5 if number % 3 == 0 else 1.0
-        started = time.time() if number == WORKER_COUNT - 1 else 0.0
+        started_at = time.time() if number == WORKER_COUNT - 1 else 0.0
         zone = ZONES[number % len(ZONES)]
-        await self.discovery.put(worker.name, worker.address, zone, weight=weight, started=started)
+        await self.discovery.put(worker.name, worker.address, zone, weight=weight, started_at=started_at)
 
     async def _start_manager(
         self, stack: AsyncExitStack, number: int, port: int, discovery_address: str
--- a/cottonladder/testbed/discovery.py
+++ b/cottonladder/testbed/discovery.py
@@ -9,10 +9,10 @@
 
 from aiohttp import web
 
+from ..config.fields import MS_PER_S
 from .http_server import start_server
 
-KEEP_ALIVE_INTERVAL_S = 1.0  # between empty lines of a watch on which nothing changes
-MILLISECONDS_PER_S = 1000.0
+KEEP_ALIVE_INTERVAL_S = 1.0  # after which a watch without changes gets an empty line
 
 
 class EndpointEntry(TypedDict):
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointChange:
-    """A worker's entry as the list has had it since a version."""
+    """A worker's entry, and the version of the list that brought it."""
 
     version: int
     entry: EndpointEntry
 
 
 class SimulatedDiscovery:
-    """Owns the endpoint list and its watches; keeps changes for watches that begin at an older version."""
+    """Serves the endpoint list and watches on it; keeps all changes, as a watch may begin at any version."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -73,12 +73,15 @@
         zone: str,
         state: str = "Ready",
         weight: float = 1.0,
-        started: float = 0.0,
+        started_at: float = 0.0,
     ) -> None:
-        """Lists a worker, or changes its entry; `started` is a Unix time, 0 if unknown."""
+        """Lists a worker, or changes its entry, which the state "Gone" removes.
+
+        `started_at` is a Unix time, 0 if unknown.
+        """
         entry: EndpointEntry = {
             "id": name, "addr": address, "zone": zone, "kind": "stand-in", "cell": 0, "state": state,
-            "weight": weight, "started_ms": round(started * MILLISECONDS_PER_S),
+            "weight": weight, "started_ms": round(started_at * MS_PER_S),
         }  # fmt: skip
         async with self._changed:
             self.version += 1
@@ -90,10 +93,10 @@
             self._changed.notify_all()
 
     async def set_state(self, name: str, state: str) -> None:
-        """Lists a worker in another state, and otherwise unchanged."""
+        """Changes the state of a listed worker."""
         entry = self.entries[name]
-        started = entry["started_ms"] / MILLISECONDS_PER_S
-        await self.put(name, entry["addr"], entry["zone"], state, entry["weight"], started)
+        started_at = entry["started_ms"] / MS_PER_S
+        await self.put(name, entry["addr"], entry["zone"], state, entry["weight"], started_at)
 
     def endpoint_list(self) -> EndpointListBody:
         """The complete endpoint list, in the form of the service's answer."""
@@ -107,7 +110,7 @@
         return await self._watch(request, int(request.rel_url.query["after"]))
 
     async def _watch(self, request: web.BaseRequest, after: int) -> web.StreamResponse:
-        """Sends what changed after a version, at once and at each change, with empty lines as keep-alive."""
+        """Sends what has changed since version `after`, at once and at each change, and keep-alive lines."""
         response = web.StreamResponse()
         await response.prepare(request)
         is_first = True
--- a/tests/forwarder/test_draining.py
+++ b/tests/forwarder/test_draining.py
@@ -50,7 +50,7 @@
             await self.open(forwarder, 5, busy=True, releases=True)
         for number in range(1, 5):
             started = time.time() if number == 4 else 0.0
-            await self.worker(f"s-{number}", "ab"[number % 2], started=started)
+            await self.worker(f"s-{number}", "ab"[number % 2], started_at=started)
         # It may name workers of the other zone too, if more of the clients' handshakes came from this one.
         await self.wait_for_workers_in_table(forwarders[1], "s-1", "s-3")
         self.assertEqual(self.workers["s-0"].held_connections, 1000)
--- a/tests/weight_advice/test_servers.py
+++ b/tests/weight_advice/test_servers.py
@@ -56,7 +56,7 @@
         return weights_by_label(await asyncio.wait_for(balancer.pushed.get(), EVENT_TIMEOUT_S))
 
     async def test_a_warming_up_worker_has_a_small_weight(self) -> None:
-        await self.discovery.put("s-9", f"{WORKER_ADDRESS}:8009", "a", started=time.time())
+        await self.discovery.put("s-9", f"{WORKER_ADDRESS}:8009", "a", started_at=time.time())
         rules = {**SETTINGS["Rules"], "WarmAfterMs": 600_000.0}  # slow start lasts longer than the test
         manager = await self.start_manager({"protocol": "sasp"}, Rules=rules)
         balancer = await self.connect_balancer(await self.advice_port(manager, "sasp"))
