--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -30,7 +30,7 @@
 )
 from cottonladder.planning.advice_weighting import AdvisoryWeight
 from cottonladder.testbed import month_end, month_end_advisors
-from cottonladder.testbed.advisors import SaspBalancer, weights_by_label
+from cottonladder.testbed.balancers import SaspBalancer, weights_by_label
 from cottonladder.testbed.discovery import SimulatedDiscovery
 from cottonladder.testbed.fleet import ManagerProcess
 from cottonladder.testbed.month_end import MonthEndRun
--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -1,4 +1,4 @@
-"""Managers and forwarders as processes of their own command line, with their files, ports and log lines."""
+"""Runs managers and forwarders as processes of the project's command line, and reads their log lines."""
 
 from __future__ import annotations
 
@@ -32,20 +32,21 @@
 
 START_TIMEOUT_S = 30.0  # until a process serves; long enough for a slow machine
 STOP_TIMEOUT_S = 20.0
-MAX_LOG_LINES = 5000  # kept of one process
-ROOT = Path(__file__).parents[2]
+MAX_LOG_LINES = 5000  # kept of one process, the newest
+ROOT = Path(__file__).parents[2]  # of the source tree
 
 
 def free_port() -> int:
-    """A port of loopback that is free now."""
+    """A port on loopback that is free now; another process may take it before it is used."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return int(listener.getsockname()[1])
 
 
 class Process:
-    """A process of the project's command line, whose log lines are kept and can be awaited.
+    """A process of the project's command line, with a folder for its files and its log lines.
 
-    Subclasses may run another module or add environment variables.
+    A test may set `module` and `environment` before the start, to run another module or add environment
+    variables.
     """
 
     module = "cottonladder"
@@ -60,7 +61,7 @@
         self._reading: asyncio.Task[None] | None = None
 
     def write(self, name: str, body: object) -> str:
-        """Writes a JSON file into the process's own folder; gives its path."""
+        """Writes a JSON file into the process's folder; gives its path."""
         path = self.folder / name
         path.write_text(json.dumps(body))
         return str(path)
@@ -80,34 +81,29 @@
         """The newest log lines."""
         return self.log.lines
 
-    async def logged(self, *parts: str, wait: float = START_TIMEOUT_S) -> str:
+    async def logged(self, *parts: str, timeout_s: float = START_TIMEOUT_S) -> str:
         """Waits for the first log line that contains all of `parts`."""
-        return await self.log.wait_for_parts(*parts, timeout_s=wait)
+        return await self.log.wait_for_parts(*parts, timeout_s=timeout_s)
 
     async def logged_line(
-        self, is_match: Callable[[str], bool], description: object, wait: float = START_TIMEOUT_S
+        self, is_match: Callable[[str], bool], description: object, timeout_s: float = START_TIMEOUT_S
     ) -> str:
         """Waits for the first log line for which `is_match` holds; `description` names it in the error."""
-        return await self.log.wait_for_line(is_match, description, wait)
-
-    @property
-    def ended(self) -> bool:
-        """Whether the process has closed its output."""
-        return self.log.has_ended
+        return await self.log.wait_for_line(is_match, description, timeout_s)
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal.
+        """Sends a signal, unless the process has ended.
 
-        asyncio's own method is not used: it reaps a process that has just ended, and its status is lost.
+        asyncio's own method would reap a process that has just ended, and its exit status would be lost.
         """
         if self.process is not None and self.process.returncode is None:
             with suppress(ProcessLookupError):
                 os.kill(self.process.pid, number)
 
     async def stop(self, number: signal.Signals = signal.SIGTERM) -> int:
-        """Stops the process, with SIGKILL after a timeout; gives its exit status."""
+        """Stops the process by a signal, or by SIGKILL after a timeout; gives its exit status."""
         assert self.process is not None
-        self.send(signal.SIGCONT)
+        self.send(signal.SIGCONT)  # a process that a test has suspended would not handle the signal
         self.send(number)
         try:
             status = await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_S)
@@ -120,14 +116,17 @@
         return status
 
     def resident_bytes(self) -> int:
-        """The memory that the process holds now."""
+        """The memory that the process has in RAM now."""
         assert self.process is not None
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE")
 
 
 class ManagerProcess(Process):
-    """A manager process; parts of the operators' file that are None are left out of it."""
+    """A manager process.
+
+    The parts of the operators' file that are None are left out of it; `settings` replace those of SETTINGS.
+    """
 
     def __init__(
         self,
@@ -166,7 +165,11 @@
 
 
 class ForwarderProcess(Process):
-    """A forwarder with a status address."""
+    """A forwarder process with a status address.
+
+    The parts of the operators' file that are None are left out of it; `options` replace default values in the
+    forwarder's own part.
+    """
 
     def __init__(
         self,
@@ -200,10 +203,10 @@
 
     @property
     def url(self) -> str:
-        """The address at which clients connect."""
+        """The URL to which clients send requests."""
         return f"http://127.0.0.1:{self.port}"
 
     async def status(self, session: aiohttp.ClientSession) -> ForwarderStatus:
-        """The state that its status address gives."""
+        """Reads the forwarder's state from its status address."""
         async with session.get(f"http://127.0.0.1:{self.status_port}/") as reply:
             return msgspec.json.decode(await reply.read(), type=ForwarderStatus)
--- a/tests/weight_advice/manager_case.py
+++ b/tests/weight_advice/manager_case.py
@@ -9,7 +9,7 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from cottonladder.testbed.advisors import SaspBalancer
+from cottonladder.testbed.balancers import SaspBalancer
 from cottonladder.testbed.discovery import SimulatedDiscovery
 from cottonladder.testbed.fleet import ManagerProcess
 from cottonladder.weight_advice import dfp, sasp
--- a/tests/weight_advice/test_advisor_clients.py
+++ b/tests/weight_advice/test_advisor_clients.py
@@ -97,11 +97,11 @@
             """The connection may end by a close or by a reset."""
             return "advisor_disconnected" in line and "no header" not in line
 
-        await manager.logged_line(is_end_of_cut, "another reason", wait=TABLE_TIMEOUT_S)
+        await manager.logged_line(is_end_of_cut, "another reason", timeout_s=TABLE_TIMEOUT_S)
         advisor.service.mode = AdvisorMode.HONEST
         # The manager may have connected again already; what it sends from now on comes on that connection.
-        received_count = len(advisor.service.received_kinds)
-        await advisor.service.wait_until(lambda: len(advisor.service.received_kinds) > received_count)
+        received_count = len(advisor.service.received_types)
+        await advisor.service.wait_until(lambda: len(advisor.service.received_types) > received_count)
         proxy = await self.connect_proxy(manager)
         await proxy.receive_until("replace")
 
@@ -115,7 +115,7 @@
         proxy = await self.connect_proxy(manager)
         table: dict[str, float] = {}
         await self.apply_orders(proxy, table, lambda: first_to_last_ratio(table) > 1.5)
-        self.assertIsNotNone(agent.keep_alive)
+        self.assertIsNotNone(agent.keep_alive_s)
         await manager.logged("event=advisor_status", "weight_count=", "unmatched_count=")
 
 
--- a/tests/weight_advice/test_servers.py
+++ b/tests/weight_advice/test_servers.py
@@ -10,7 +10,7 @@
 from tempfile import TemporaryDirectory
 
 from cottonladder.planning.advertised_weights import MAX_WEIGHT
-from cottonladder.testbed.advisors import SaspBalancer, read_dfp_reports, weights_by_label
+from cottonladder.testbed.balancers import SaspBalancer, read_dfp_reports, weights_by_label
 from cottonladder.testbed.configuration_files import SETTINGS
 from cottonladder.weight_advice import dfp, sasp
 from cottonladder.weight_advice.sasp import MessageType, ResponseCode
