--- a/cottonladder/testbed/configuration_files.py
+++ b/cottonladder/testbed/configuration_files.py
@@ -1,6 +1,7 @@
-"""The files that the testbed's processes read, in the types of their JSON.
+"""The types and default values of the configuration files that the testbed writes for its processes.
 
-The keys are those of the files, which are fixed; what a key means is written at the types that read it.
+The keys are those of the files, which are fixed; `config.deployment` and `config.operator_config` map them to
+the terms of the code.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 from collections.abc import Mapping
 from typing import TypedDict
 
-OperatorPart = Mapping[str, object]  # a part of the operators' file, written as it is
+OperatorPart = Mapping[str, object]  # a part of the operators' file that needs no type of its own
 
 
 class RequestClassProfile(TypedDict):
@@ -62,7 +63,7 @@
 
 
 class ManagerSettings(TypedDict, total=False):
-    """A manager's settings, or those of them that replace `SETTINGS`."""
+    """A manager's settings, or some of them, which replace those of SETTINGS."""
 
     NInstances: int
     Me: int
@@ -162,7 +163,7 @@
     seed: str = "8c1f30d27a5be964",
     sockets: int = 1024,
 ) -> ManagerFile:
-    """A manager's file with one core; `known` is the endpoint list that it starts from."""
+    """The file of a manager with one core; `known` is the endpoint list that it starts from."""
     return {
         "name": "n0",
         "listen": listen,
--- a/cottonladder/testbed/demo.py
+++ b/cottonladder/testbed/demo.py
@@ -1,4 +1,4 @@
-"""The demo: managers, forwarders and simulated workers on loopback; one of the workers drains."""
+"""The demo: managers, forwarders, simulated workers and clients on loopback; one of the workers drains."""
 
 from __future__ import annotations
 
@@ -22,14 +22,15 @@
 FORWARDER_COUNT = 4
 MANAGER_COUNT = 2
 COLLECTOR_COUNT = 2  # forwarders that send load reports
-GRACE_S = 12.0  # short enough to watch
-STEADY_S = 4.0  # before the drain
-AFTER_DRAIN_S = 3.0
+GRACE_S = 12.0  # the time that the drain may take
+GRACE_MARGIN_S = 2.0  # for which the demo waits longer
+STEADY_S = 4.0  # shown before the drain
+AFTER_DRAIN_S = 3.0  # shown after it
 CONNECT_TIMEOUT_S = 30.0
 REFRESH_INTERVAL_S = 0.5
 DRAINED_WORKER = "s-0"
 UPGRADES: UpgradesPart = {"grace": GRACE_S, "arrivals": 100.0}
-DRAIN_PHASES = {  # by the word that a forwarder's status has for it
+DRAIN_PHASES = {  # what the demo prints, by the word in a forwarder's status
     "waits": "awaiting orders",
     "led": "paced by a manager",
     "alone": "paced by the forwarder",
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRow:
-    """One row of the table; `shares` are parts of each zone's requests, in the order of ZONES."""
+    """One row of the table; `shares` has the worker's share of the requests of each of ZONES."""
 
     name: str
     zone: str
@@ -58,7 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwarderState:
-    """What the demo shows of a forwarder's status; the weights, admission limits and drains are by name."""
+    """What the demo shows of a forwarder's status.
+
+    Weights and drain phases are by worker id, admission limits by request class.
+    """
 
     zone: str
     is_connected: bool
@@ -68,7 +72,7 @@
 
     @classmethod
     def from_status(cls, status: ForwarderStatus) -> ForwarderState:
-        """Picks what the demo shows from a forwarder's status."""
+        """Takes over what the demo shows, in the words that it prints."""
         limits = status.admission_limits.items()
         phases = status.drain_phases.items()
         return cls(
@@ -80,11 +84,11 @@
         )
 
 
-Show = Callable[[str, list[WorkerRow], str], None]  # a title, rows, and a line below them
+Show = Callable[[str, list[WorkerRow], str], None]  # shows a title, rows, and a line below them
 
 
 class DemoFleet:
-    """Discovery, managers, forwarders, workers and clients; closed by the stack that `start` is given."""
+    """Discovery, managers, forwarders, workers and clients; the stack that `start` is given closes them."""
 
     def __init__(self) -> None:
         self.ledger = EffectLedger()
@@ -169,7 +173,7 @@
         await asyncio.gather(*(client.stop() for client in self.clients))
 
     async def table(self) -> tuple[list[WorkerRow], str]:
-        """Rows by worker, and a line on managers, admission rates and drains."""
+        """A row for each listed worker, and a line on managers, admission limits and drains."""
         assert self._http is not None
         http = self._http
         statuses = await asyncio.gather(*(forwarder.status(http) for forwarder in self.forwarders))
@@ -183,7 +187,7 @@
         return rows, fleet_line(states)
 
     def summary(self, connection_count: int, duration_s: float) -> str:
-        """The last line of the demo: what the drain came to."""
+        """The last line of the demo, on the result of the drain."""
         resumed = sum(worker.resumed for worker in self.workers.values())
         return (
             f"{DRAINED_WORKER} drained {connection_count} connections "
@@ -238,7 +242,7 @@
 async def watch(
     fleet: DemoFleet, show: Show, title: str, timeout_s: float, until: Callable[[], bool] = lambda: False
 ) -> float:
-    """Refreshes the table until a condition holds or the time is over; gives the seconds that it took."""
+    """Refreshes the table until a condition holds or the time is over; gives the elapsed seconds."""
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     while not until() and loop.time() - started_at < timeout_s:
@@ -248,7 +252,7 @@
 
 
 async def run_demo(client_count: int, show: Show) -> str:
-    """Starts the fleet, drains one worker, and stops everything; gives the last line."""
+    """Starts the fleet, drains one worker, and stops everything; gives the last line to print."""
     async with AsyncExitStack() as stack:
         fleet = DemoFleet()
         await fleet.start(stack, client_count)
@@ -267,7 +271,7 @@
             fleet,
             show,
             f"{DRAINED_WORKER} drains, grace period {GRACE_S:g} s",
-            GRACE_S + 2.0,
+            GRACE_S + GRACE_MARGIN_S,
             until=lambda: not drained.held_connections,
         )
         await watch(fleet, show, "after the drain", AFTER_DRAIN_S)
@@ -275,7 +279,10 @@
 
 
 def show_demo(client_count: int, plain: bool) -> str:
-    """Shows a table with rich where it is installed, else or with `plain` a line each half second."""
+    """Runs the demo; gives its last line.
+
+    Shows a table if the library rich is installed and `plain` is false, otherwise one line at each refresh.
+    """
     if plain:
         return asyncio.run(run_demo(client_count, print_line))
     try:
--- a/cottonladder/testbed/deployment_parameters.py
+++ b/cottonladder/testbed/deployment_parameters.py
@@ -1,4 +1,4 @@
-"""The deployment parameters that simulations start from; each replaces the figures that differ in it."""
+"""The deployment parameters of simulations; each simulation replaces those in which it differs."""
 
 from __future__ import annotations
 
--- a/cottonladder/testbed/forwarder_status.py
+++ b/cottonladder/testbed/forwarder_status.py
@@ -1,10 +1,10 @@
-"""The state of a forwarder as its status address gives it, decoded; an unknown key is an error."""
+"""Types that decode the JSON of a forwarder's status address; an unknown key is an error."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-# The names in the JSON of the fields that have another name in the code.
+# Names in the JSON by names in the code, for the fields where the two differ.
 STATUS_NAMES = {
     "admission_limits": "levels",
     "excluded": "shut",
@@ -23,7 +23,7 @@
 
 
 class UpgradedConnections(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """How many upgraded connections a worker has, and how many of them are busy and resumable."""
+    """How many upgraded connections to a worker are open, busy with a request, and resumable by a ticket."""
 
     open: int
     busy: int
@@ -50,10 +50,10 @@
 
     node: int
     zone: str
-    manager: str | None  # the address of the connected one
+    manager: str | None  # the address of the connected manager, None without one
     tables: dict[str, dict[str, float]]  # weights by request class and worker id
     admission_limits: dict[str, float | None]
-    excluded: list[str]
+    excluded: list[str]  # by a manager, or because they drain
     upgraded_connections: dict[str, UpgradedConnections]
     drain_phases: dict[str, str]
     connection_count: int
--- a/cottonladder/testbed/holding_clients.py
+++ b/cottonladder/testbed/holding_clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients that hold an upgraded connection and reconnect after the delay that its close names."""
+"""Simulated clients that hold an upgraded connection and reconnect after the delay that its close states."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 HANDSHAKE_TIMEOUT_S = 10.0
 MAX_MESSAGE_BYTES = 1 << 20
-RECONNECT_DELAY_S = 0.2  # if the close names none
+RECONNECT_DELAY_S = 0.2  # if the close states none
 FAULT_DELAY_S = 0.5  # after a failed connection attempt
-RECONNECT_REASON = re.compile(r"come back in (\d+) s")
-OUTCOME_UNKNOWN = "outcome unknown"  # of a close's reason
+DEFAULT_RETRY_AFTER_S = 1.0  # if the response has no Retry-After
+RECONNECT_REASON = re.compile(r"come back in (\d+) s")  # in the reason of a close
+OUTCOME_UNKNOWN = "outcome unknown"  # in the reason of a close
 
 
 @dataclass(slots=True)
@@ -25,25 +26,31 @@
     closes: Counter[str] = field(default_factory=Counter)
     opened: int = 0
     failed_handshakes: int = 0  # rejected or failed
-    unanswered: int = 0  # connections closed while an answer was awaited
-    outcome_unknown: int = 0  # of these, closed with the reason that the outcome is unknown
+    unanswered: int = 0  # connections that ended while an answer was awaited
+    outcome_unknown: int = 0  # of these, those whose close said that the outcome is unknown
     answered: int = 0
-    reconnect_gaps: list[float] = field(default_factory=list)  # seconds without a connection
+    reconnect_gaps_s: list[float] = field(default_factory=list)  # without a connection
 
 
 class HandshakeError(Exception):
-    """A connection attempt failed; `delay_s` is the time until the next one."""
+    """A connection attempt failed; the next one comes after `delay_s`."""
 
     def __init__(self, delay_s: float) -> None:
         super().__init__(f"handshake failed, next in {delay_s:g} s")
         self.delay_s = delay_s
 
 
+def _retry_after_s(error: aiohttp.WSServerHandshakeError) -> float:
+    if error.headers is None:
+        return DEFAULT_RETRY_AFTER_S
+    return float(error.headers.get("Retry-After", DEFAULT_RETRY_AFTER_S))
+
+
 class HoldingClient:
     """One client with one connection at a time.
 
-    A `busy` client sends a request every `ask_interval_s`, once the last one is answered; with `releases` its
-    requests take effect at the worker. With `reconnects_at_once` it ignores the delay that a close names.
+    A `busy` client sends a request each `ask_interval_s`, unless one is unanswered; with `releases` its
+    requests take effect at the worker.  With `reconnects_at_once` it ignores the delay that a close states.
     """
 
     def __init__(
@@ -69,8 +76,8 @@
         self._releases = releases
         self._reconnects_at_once = reconnects_at_once
         self._ask_interval_s = ask_interval_s
-        self._numbers = itertools.count()
-        self._awaited = ""
+        self._request_numbers = itertools.count()
+        self._awaited_id = ""  # of the request that is not answered yet
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -93,7 +100,7 @@
                 delay_s = exc.delay_s
             else:
                 if disconnected_at is not None:
-                    self.counts.reconnect_gaps.append(loop.time() - disconnected_at)
+                    self.counts.reconnect_gaps_s.append(loop.time() - disconnected_at)
                 self.connected.set()
                 delay_s = await self._hold(self.socket)
                 self.connected.clear()
@@ -109,8 +116,7 @@
                 )
         except aiohttp.WSServerHandshakeError as exc:
             self.counts.failed_handshakes += 1
-            delay_s = exc.headers.get("Retry-After", "1") if exc.headers else "1"
-            raise HandshakeError(float(delay_s)) from exc
+            raise HandshakeError(_retry_after_s(exc)) from exc
         except (aiohttp.ClientError, TimeoutError, OSError) as exc:
             self.counts.failed_handshakes += 1
             raise HandshakeError(FAULT_DELAY_S) from exc
@@ -119,7 +125,7 @@
 
     async def _hold(self, socket: aiohttp.ClientWebSocketResponse) -> float:
         """Reads until the connection ends; gives the delay before the next one."""
-        self._awaited = ""
+        self._awaited_id = ""
         asking = asyncio.create_task(self._ask_repeatedly(socket)) if self._busy else None
         try:
             reason = await self._read_until_closed(socket)
@@ -127,14 +133,14 @@
             if asking is not None:
                 asking.cancel()
             await socket.close()
-        if self._awaited:
+        if self._awaited_id:
             self.counts.unanswered += 1
             self.counts.outcome_unknown += OUTCOME_UNKNOWN in reason
-        delay = RECONNECT_REASON.search(reason)
-        return float(delay.group(1)) if delay else RECONNECT_DELAY_S
+        stated_delay = RECONNECT_REASON.search(reason)
+        return float(stated_delay.group(1)) if stated_delay else RECONNECT_DELAY_S
 
     async def _read_until_closed(self, socket: aiohttp.ClientWebSocketResponse) -> str:
-        """Reads until the close; gives its reason, which may be empty."""
+        """Reads until the connection ends; gives the reason of its close, empty if it has none."""
         while True:
             message = await socket.receive()
             if message.type is aiohttp.WSMsgType.TEXT:
@@ -148,24 +154,24 @@
             return reason
 
     def _take_answer(self, text: str) -> None:
-        verb, number, *_ = text.split(":")
+        verb, request_id, *_ = text.split(":")
         if verb not in ("answer", "done"):
             return
         self.counts.answered += 1
-        if number == self._awaited:
-            self._awaited = ""
+        if request_id == self._awaited_id:
+            self._awaited_id = ""
 
     async def ask(self, verb: str = "ask") -> str:
-        """Sends one request; gives its id."""
+        """Sends one request, `ask` or `release`; gives its id."""
         assert self.socket is not None
-        number = f"{self.name}-{next(self._numbers)}"
-        self._awaited = number
-        await self.socket.send_str(f"{verb}:{number}")
-        return number
+        request_id = f"{self.name}-{next(self._request_numbers)}"
+        self._awaited_id = request_id
+        await self.socket.send_str(f"{verb}:{request_id}")
+        return request_id
 
     async def _ask_repeatedly(self, socket: aiohttp.ClientWebSocketResponse) -> None:
         while not socket.closed:
-            if not self._awaited:
+            if not self._awaited_id:
                 try:
                     await self.ask("release" if self._releases else "ask")
                 except (ConnectionError, RuntimeError):
--- a/cottonladder/testbed/process_log.py
+++ b/cottonladder/testbed/process_log.py
@@ -1,4 +1,4 @@
-"""The log lines of a process that the testbed or a test has started, as they come."""
+"""Reads the log lines of a process that the testbed or a test has started."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-SHOWN_LINES = 200  # the newest ones, in the text of an error
+SHOWN_LINES = 200  # the newest, in the message of an error
 
 
 class ProcessLog:
     """Keeps the lines of a process's output, and lets its owner wait for one of them.
 
-    `decoding_errors` says what becomes of a line that is not UTF-8, as in `bytes.decode`.
+    At most `max_lines` are kept, the newest.  `decoding_errors` is the `errors` argument of `bytes.decode`.
     """
 
     def __init__(self, max_lines: int = sys.maxsize, decoding_errors: str = "strict") -> None:
@@ -46,7 +46,10 @@
     async def wait_for_line(
         self, is_match: Callable[[str], bool], description: object, timeout_s: float
     ) -> str:
-        """Waits for the first line for which `is_match` holds; `description` names it in the error."""
+        """Waits for the first kept line for which `is_match` holds.
+
+        Raises AssertionError, which names the line by `description`, if the process ends or the time is over.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout_s), self._changed:
                 await self._changed.wait_for(lambda: self._find(is_match) is not None or self.has_ended)
--- a/cottonladder/testbed/workers.py
+++ b/cottonladder/testbed/workers.py
@@ -1,9 +1,13 @@
 """Simulated workers that serve HTTP and WebSockets, with a ledger of the requests that took effect.
 
-A held connection carries text: `ask:ID` is answered by `answer:ID`; `release:ID` takes effect in the
-ledger and is answered by `done:ID`, each after the worker's `delay_s`; `push:N` is sent without a request.
-A handshake is answered with a ticket, and a handshake with a ticket continues the connection that the
-ticket was given to.
+A held connection carries text messages, where ID is that of a request and N a count of answers:
+
+- `ask:ID` is answered by `answer:ID:N`, after the worker's `delay_s`;
+- `release:ID` takes effect in the ledger at once, and is answered by `done:ID:N`, after the same delay;
+- `push:N` is sent by the worker without a request.
+
+The answer to a handshake has a ticket.  A handshake with that ticket resumes the connection, at any worker of
+the same sessions.
 """
 
 from __future__ import annotations
@@ -21,7 +25,7 @@
 
 TICKET = "Case-Ticket"
 WORKER_HEADER = "Worker"
-HANG_S = 3600.0
+HANG_S = 3600.0  # longer than any test
 CLOSE_TIMEOUT_S = 1.0
 
 
@@ -30,7 +34,6 @@
     """Requests that took effect, over all workers of a fleet, counted by their id."""
 
     releases: Counter[str] = field(default_factory=Counter)
-    asked: Counter[str] = field(default_factory=Counter)
 
     def repeated_releases(self) -> int:
         """How many releases took effect more than once."""
@@ -39,13 +42,13 @@
 
 @dataclass(slots=True)
 class TicketSession:
-    """The state behind a ticket: how many of its messages were answered."""
+    """The state that a ticket resumes: how many messages were answered."""
 
     answered: int = 0
 
 
 class SimulatedWorker:
-    """One worker on a free port, with faults on command; `arrivals` are the times of new connections."""
+    """One worker, whose attributes can be set to make it slow or faulty."""
 
     def __init__(self, name: str, ledger: EffectLedger, sessions: dict[str, TicketSession]) -> None:
         self.name = name
@@ -53,22 +56,22 @@
         self.address = ""
         self.delay_s = 0.0
         self.push_interval_s = 0.0  # 0: none
-        self.refuses = False  # handshakes and requests get 503
-        self.hangs = False  # nothing is answered
-        self.hold_until: asyncio.Event | None = None  # nothing is answered before it
-        self.requests_to_drop = 0  # the next ones are read and their connections aborted
+        self.refuses = False  # whether handshakes and requests get 503
+        self.hangs = False  # whether nothing is answered
+        self.hold_until: asyncio.Event | None = None  # before which nothing is answered
+        self.requests_to_drop = 0  # the number of next requests whose connections are aborted
         self.held_connections = 0
-        self.max_held_connections = 0
-        self.resumed = 0
-        self.arrivals: list[float] = []
-        self.requests: Counter[str] = Counter()
-        self.closes: Counter[int] = Counter()
+        self.max_held_connections = 0  # at a time
+        self.resumed = 0  # connections that began with a known ticket
+        self.arrivals: list[float] = []  # the event loop's times of new held connections
+        self.requests: Counter[str] = Counter()  # by method and path
+        self.closes: Counter[int] = Counter()  # of held connections, by close code
         self._sessions = sessions
-        self._numbers = itertools.count()
+        self._ticket_numbers = itertools.count()
         self._runner: web.ServerRunner | None = None
 
     async def start(self, port: int = 0) -> str:
-        """Listens on a port, or on a free one; gives the address."""
+        """Listens on a port, by default a free one; gives the address."""
         self._runner, self.address = await start_server(self._handle, port)
         return self.address
 
@@ -138,24 +141,23 @@
         return socket
 
     def _ticket(self, request: web.BaseRequest) -> str:
-        """The known ticket of a handshake, or a new one."""
+        """The ticket of a handshake if it is known, otherwise a new one."""
         ticket = request.headers.get(TICKET)
         if ticket is not None and ticket in self._sessions:
             self.resumed += 1
             return ticket
-        return f"{self.name}-{next(self._numbers)}"
+        return f"{self.name}-{next(self._ticket_numbers)}"
 
     async def _answer(self, socket: web.WebSocketResponse, session: TicketSession, message: str) -> None:
-        verb, _, number = message.partition(":")
+        verb, _, request_id = message.partition(":")
         if verb == "release":
-            self.ledger.releases[number] += 1
-        self.ledger.asked[number] += 1
+            self.ledger.releases[request_id] += 1
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
         session.answered += 1
         reply = "done" if verb == "release" else "answer"
-        with suppress(ConnectionError):  # the client may be gone; the effect stays
-            await socket.send_str(f"{reply}:{number}:{session.answered}")
+        with suppress(ConnectionError):  # the client may have disconnected; the effect remains
+            await socket.send_str(f"{reply}:{request_id}:{session.answered}")
 
     async def _push(self, socket: web.WebSocketResponse) -> None:
         for number in itertools.count():
@@ -163,7 +165,7 @@
             await socket.send_str(f"push:{number}")
 
     async def _echo(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serves any other upgraded protocol: echoes bytes in capitals, and answers the end of the stream."""
+        """Serves any other upgraded protocol by EchoProtocol, until the connection is lost."""
         assert request.transport is not None
         ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.held_connections += 1
@@ -175,7 +177,7 @@
 
 
 class EchoProtocol(asyncio.Protocol):
-    """Echoes bytes in capitals; `ended` is resolved when the connection is lost."""
+    """Echoes bytes in capitals, and answers the end of the stream by `BYE`; then resolves `ended`."""
 
     def __init__(
         self, worker: SimulatedWorker, transport: asyncio.Transport, ended: asyncio.Future[None]
@@ -189,13 +191,13 @@
         self._transport.write(data.upper())
 
     def eof_received(self) -> bool:
-        """Called by asyncio: answers the end of the client's stream and closes."""
+        """Called by asyncio at the end of the client's stream: answers it and closes."""
         self._transport.write(b"BYE")
         self._transport.close()
         return True
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Called by asyncio: ends the request's handler."""
+        """Called by asyncio: lets the request's handler end."""
         self._worker.held_connections -= 1
         if not self._ended.done():
             self._ended.set_result(None)
