--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -2,8 +2,7 @@
 
     python -m benchmarks.memory --json
 
-Restarts are played in simulated time on the controller itself (`cottonladder.testbed.month_end`), at the
-busiest; the rest runs on this machine's disk and loop.
+Restarts are simulated (`benchmarks.manager_restarts`); the rest uses this machine's disk and event loop.
 """
 
 from __future__ import annotations
@@ -13,15 +12,15 @@
 import logging
 import tempfile
 import time
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from dataclasses import dataclass, replace
-from statistics import mean
 from typing import Any
 
 import msgspec
 import structlog
 
 from benchmarks.harness import MILLISECONDS_PER_S, argument_parser, percentile, print_figures
+from benchmarks.manager_restarts import SEEDS, RestartFigures, measure_restarts
 from cottonladder.control.background_scheduler import BackgroundScheduler
 from cottonladder.control.snapshot_folder import SnapshotFolder
 from cottonladder.control.snapshot_manager import SnapshotManager
@@ -32,60 +31,31 @@
     EndpointState,
     ListUpdateKind,
     ProxyConnected,
-    RestoredState,
 )
-from cottonladder.planning import snapshot_staleness
 from cottonladder.planning.priority_scheduling import TaskPlan
 from cottonladder.policy.controller import RoutingController
 from cottonladder.state.worker_registry import WorkerRegistry
 from cottonladder.testbed import month_end
 from cottonladder.testbed.crash_test import crash_test
-from cottonladder.testbed.month_end import MonthEndRun
-from cottonladder.testbed.month_end_records import RequestCounts
-
-SEEDS = (7, 8, 9, 10, 11, 12)
-CRASH_SEED = 7  # without unit
-LOAD = 0.8  # of the workers' capacity
-DURATION_S = 100.0
-RESTART_S = 70.0
-AFTERMATH_S = 25.0  # how long what comes after the restart is counted
-WINDOW_S = 2.0
-WINDOWS_BEFORE = 10  # that tell what is usual
-WINDOWS_OF_SETTLING = 3  # that must be as good as usual
-MAX_USUAL_SHARE = 0.97
-FRESH_AGE_S = 2.0
-STALE_AGE_S = 12 * 3600.0
-WRONGLY_EJECTED = (0, 1, 9)  # good workers
+
+CRASH_SEED = 7  # of the instants at which writers are killed
 SNAPSHOT_INTERVAL_S = 0.25
 SNAPSHOT_CPU_FRACTION = 0.5
 SNAPSHOT_RUN_S = 3.0
 FLEET_SIZE = (120, 640)  # workers and proxies
 LARGE_FLEET_SIZE = (1200, 6400)
 BUSY_TASK_COUNT = 20
-BUSY_SLICE_S = 0.002
-TIMER_S = 0.005
+BUSY_SLICE_S = 0.002  # for which a busy task runs without a pause
+TIMER_S = 0.005  # duration of a timer
 TIMER_COUNT = 400
-LATE_S = 0.01  # of a timer, after which the scheduler is notified of loop lag
-Restore = Callable[[RestoredState], RestoredState | None]
-
-
-class RestartFigures(msgspec.Struct, frozen=True):
-    """Requests that missed the latency objective after a restart, over all seeds."""
-
-    late_requests_without_restart: int
-    late_requests_without_snapshot: int
-    late_requests_with_snapshot: int
-    saved_share: float
-    settled_s_without_snapshot: float
-    settled_s_with_snapshot: float
-    added_by_stale_snapshot: int
+LAG_THRESHOLD_S = 0.01  # lateness of a timer that is reported to the scheduler as loop lag
 
 
 class SnapshotFigures(msgspec.Struct, frozen=True):
-    """Writing snapshots of one fleet."""
+    """The figures of writing snapshots of one fleet."""
 
-    snapshot_ms: float
-    longest_stall_ms: float
+    snapshot_ms: float  # median duration of a snapshot
+    longest_stall_ms: float  # of the event loop meanwhile
     file_bytes: int
 
 
@@ -104,103 +74,6 @@
     measured_on: str = f"simulated workers, seeds {SEEDS}; this machine's disk and loop"
 
 
-@dataclass(frozen=True, slots=True)
-class Aftermath:
-    """Requests not served in time after the restart, and seconds until all is as usual again."""
-
-    failed: int
-    settled_s: float
-
-
-class WindowCounter:
-    """Counts a run's requests by window and restarts its manager, or does not where `restore` is None."""
-
-    def __init__(self, restore: Restore | None) -> None:
-        self.windows: dict[int, RequestCounts] = {}
-        self._restore = restore
-        self._seen = RequestCounts()
-
-    def observe(self, elapsed_s: float, run: MonthEndRun) -> None:
-        """Called at each step of the run."""
-        window = self.windows.setdefault(int(elapsed_s / WINDOW_S), RequestCounts())
-        window.requests += run.result.requests - self._seen.requests
-        window.served += run.result.served - self._seen.served
-        self._seen = RequestCounts(run.result.requests, run.result.served)
-        if self._restore is not None and month_end.is_step_at(RESTART_S, elapsed_s):
-            run.restart_manager(self._restore)
-
-    def aftermath(self) -> Aftermath:
-        """The figures after the restart."""
-        first = int(RESTART_S / WINDOW_S)
-        end = int((RESTART_S + AFTERMATH_S) / WINDOW_S)
-        after = [window for index, window in self.windows.items() if first <= index < end]
-        failed = sum(window.requests - window.served for window in after)
-        return Aftermath(failed, self._settled_s(first, end))
-
-    def _settled_s(self, first: int, end: int) -> float:
-        """Seconds until some windows are as good as those before the restart."""
-        before = [window for index, window in self.windows.items() if first - WINDOWS_BEFORE <= index < first]
-        usual_share = mean(window.served / max(1, window.requests) for window in before)
-        usual_share = min(usual_share, MAX_USUAL_SHARE)
-        for index in range(first, end):
-            windows = [self.windows[n] for n in range(index, min(index + WINDOWS_OF_SETTLING, end))]
-            served = sum(window.served for window in windows)
-            if served >= usual_share * sum(window.requests for window in windows):
-                return (index - first) * WINDOW_S
-        return AFTERMATH_S
-
-
-def play_restart(restore: Restore | None, seed: int) -> Aftermath:
-    """Plays one run with a restart at peak load."""
-    run = MonthEndRun({}, seed=seed, duration_s=DURATION_S, load=LOAD)
-    counter = WindowCounter(restore)
-    run.run(counter.observe)
-    return counter.aftermath()
-
-
-def forget(_state: RestoredState) -> None:
-    """A restart without a snapshot."""
-
-
-def restore_fresh(state: RestoredState) -> RestoredState:
-    """A snapshot of two seconds ago."""
-    return snapshot_staleness.discount(state, FRESH_AGE_S)
-
-
-def restore_stale(state: RestoredState) -> RestoredState:
-    """A snapshot of twelve hours ago in which three good workers are ejected and slow."""
-    workers = tuple(
-        replace(worker, was_ejected=True, latency_factor=0.05)
-        if worker.worker_index in WRONGLY_EJECTED
-        else worker
-        for worker in state.workers
-    )
-    return snapshot_staleness.discount(replace(state, workers=workers), STALE_AGE_S)
-
-
-def measure_restarts() -> RestartFigures:
-    """Requests not served in time, by kind of restart."""
-    cases: dict[str, Restore | None] = {
-        "no_restart": None,
-        "without": forget,
-        "with": restore_fresh,
-        "stale": restore_stale,
-    }
-    played = {name: [play_restart(restore, seed) for seed in SEEDS] for name, restore in cases.items()}
-    failed = {name: sum(row.failed for row in rows) for name, rows in played.items()}
-    settled_s = {name: mean(row.settled_s for row in rows) for name, rows in played.items()}
-    caused_by_restart = max(1, failed["without"] - failed["no_restart"])
-    return RestartFigures(
-        late_requests_without_restart=failed["no_restart"],
-        late_requests_without_snapshot=failed["without"],
-        late_requests_with_snapshot=failed["with"],
-        saved_share=round((failed["without"] - failed["with"]) / caused_by_restart, 3),
-        settled_s_without_snapshot=round(settled_s["without"], 1),
-        settled_s_with_snapshot=round(settled_s["with"], 1),
-        added_by_stale_snapshot=failed["stale"] - failed["without"],
-    )
-
-
 @dataclass(frozen=True, slots=True)
 class SettingsStub:
     """The part of the settings that a snapshot manager reads."""
@@ -233,7 +106,7 @@
 
 
 async def longest_loop_stall(duration_s: float) -> float:
-    """The longest time between two turns of the event loop."""
+    """The longest time between two iterations of the event loop."""
     longest_s = 0.0
     last = time.perf_counter()
     end = last + duration_s
@@ -246,8 +119,8 @@
 
 
 async def measure_snapshots(worker_count: int, proxy_count: int) -> SnapshotFigures:
-    """The loop's longest stall while snapshots are written, how long one takes, and its bytes."""
-    gc.collect()  # an earlier measurement's remains are not this one's stall
+    """Writes snapshots of a fleet while the event loop's stalls are measured."""
+    gc.collect()  # so that garbage of earlier measurements adds no stall to this one
     config = ManagerConfigStub(worker_count)
     controller = controller_of_fleet(config, proxy_count)
     with tempfile.TemporaryDirectory() as folder:
@@ -298,7 +171,7 @@
         due_at = loop.time() + TIMER_S
         await asyncio.sleep(TIMER_S)
         delays_s.append(max(0.0, loop.time() - due_at))
-        if delays_s[-1] > LATE_S:
+        if delays_s[-1] > LAG_THRESHOLD_S:
             scheduler.pause_for_loop_lag()
     await scheduler.close()
     return percentile(delays_s, 0.99) * MILLISECONDS_PER_S
