--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.advice --json
 
-The month's end is played in simulated time on the controller itself (`cottonladder.testbed.month_end`),
-seeded; the rest runs on loopback.  The served share counts requests within the latency objective;
-each scenario stands beside `none` on the same seeds.
+The scenarios are seeded runs of the simulation `cottonladder.testbed.month_end`, with the real controller;
+the rest runs on loopback.  A request counts as served if it met the latency objective.  The scenario `none`,
+on the same seeds, is the baseline of the others.
 """
 
 from __future__ import annotations
@@ -38,20 +38,20 @@
 
 SEEDS = (7, 8, 9, 10)
 LOAD = 0.85  # of the workers' capacity
-NEW_WORKER = 20
+NEW_WORKER = 20  # its index
 NEW_WORKER_SPEED = 1.5  # times the usual speed
-NEW_WORKER_AT_S = 20.0
+NEW_WORKER_AT_S = 20.0  # after the start of the run
 WARM_UP_RUN_S = 45.0
 BALANCER_COUNT = 200
-SPARE_BALANCERS = 8  # more than come, so that none is refused
+SPARE_BALANCERS = 8  # allowed beyond those that connect, so that none is rejected
 PUSH_COUNT = 8
 PUSHED_WORKERS = 20
 PUSH_TIMEOUT_S = 20.0
-SETTLE_S = 3.0  # until pushes of the registrations are over
+SETTLE_S = 3.0  # until the pushes that follow the registrations have ended
 PUSH_INTERVAL_S = 2.5
-IDLE_S = 2.5  # of a manager, before its memory is read
-CALL_TIME_S = 0.7  # for which a codec is called again and again
-TCP = 6
+IDLE_S = 2.5  # for which a manager is idle before its memory is read
+CALL_TIME_S = 0.7  # for which a codec is called repeatedly
+TCP = 6  # protocol number
 FIRST_ADDRESS = 0x0A000000  # 10.0.0.0
 GROUP = sasp.GroupData(b"lb", b"workers")
 KB_PER_MB = 1024
@@ -70,23 +70,23 @@
 
 
 class ScenarioResult(msgspec.Struct, frozen=True):
-    """Means over the seeds, and the sum of steps at which a proxy had no worker."""
+    """Shares as means over the seeds; proxies without a usable worker as a sum over all steps and seeds."""
 
     served_share: float
-    worst_share: float
+    worst_share: float  # in the worst window
     proxies_without_worker: int
 
 
 class WarmUpFigures(msgspec.Struct, frozen=True):
     """Loads of a new worker, as parts of the load under which it collapses."""
 
-    overloaded_runs: int
+    overloaded_runs: int  # in which that load was reached
     largest_load: float
     largest_load_without_advice: float
 
 
 class CodecFigures(msgspec.Struct, frozen=True):
-    """Messages, or members in large messages, that the codecs process a second."""
+    """Messages a second that the codecs process, or members a second if messages are large."""
 
     encode_per_s: int
     decode_per_s: int
@@ -96,7 +96,7 @@
 
 
 class PushFigures(msgspec.Struct, frozen=True):
-    """Time from a change of the endpoint list to the push at a balancer."""
+    """Time from a change of the endpoint list until a load balancer receives the push."""
 
     p50_ms: float
     p99_ms: float
@@ -115,7 +115,7 @@
 
 
 def play_scenario(advisors: Sequence[month_end.Advisor]) -> ScenarioResult:
-    """Plays the month's end with these advisors, once for each seed."""
+    """Runs the simulation with these advisors, once for each seed."""
     named = {str(number): advisor for number, advisor in enumerate(advisors)}
     results = [MonthEndRun(named, seed=seed, load=LOAD).run(month_end.slow_two_workers) for seed in SEEDS]
     return ScenarioResult(
@@ -126,7 +126,7 @@
 
 
 def flattering_advisor(_elapsed_s: float, run: MonthEndRun) -> dict[int, AdvisoryWeight]:
-    """Ranks a new worker far above all others."""
+    """Gives a new worker the largest weight, and every other one the smallest."""
     return {
         index: AdvisoryWeight(month_end_advisors.MAX_ADVISORY_WEIGHT if worker.started_at else 1.0)
         for index, worker in run.workers.items()
@@ -134,19 +134,19 @@
 
 
 def add_new_worker(elapsed_s: float, run: MonthEndRun) -> None:
-    """Starts a new worker at a fixed time of the run."""
+    """The event function that starts a new worker at a fixed time of the run."""
     if month_end.is_step_at(NEW_WORKER_AT_S, elapsed_s):
         run.start_worker(NEW_WORKER, 0, NEW_WORKER_SPEED, month_end.START_TIME_S + elapsed_s)
 
 
 def warm_up_loads(advisors: dict[str, month_end.Advisor]) -> list[float]:
-    """By seed, the largest load of a new worker, as a part of the load under which it collapses."""
+    """The largest load of a new worker in the run of each seed."""
     runs = [MonthEndRun(advisors, seed=seed, duration_s=WARM_UP_RUN_S, load=LOAD) for seed in SEEDS]
     return [run.run(add_new_worker).worst_warm_up_load for run in runs]
 
 
 def measure_warm_up() -> WarmUpFigures:
-    """Runs in which a new worker with too high a weight was overloaded, and its largest load."""
+    """Measures the load of a new worker whose advised weight is far too high."""
     flattered = warm_up_loads({"a": flattering_advisor})
     unadvised = warm_up_loads({})
     return WarmUpFigures(
@@ -167,7 +167,7 @@
 
 
 def sasp_weights(count: int) -> sasp.Message:
-    """A message with the weights of `count` members."""
+    """A SASP message with the weights of `count` members."""
     entries = []
     for n in range(count):
         member = sasp.MemberData(TCP, n % 65536, IPv4Address(FIRST_ADDRESS + n), b"s-%d" % n)
@@ -186,7 +186,7 @@
 
 
 def measure_codecs() -> CodecFigures:
-    """Small messages a second, and members a second in large ones."""
+    """Measures the codecs of SASP and DFP on small and large messages."""
     small = sasp_weights(10)
     small_bytes = sasp.encode_message(small)
     large_bytes = sasp.encode_message(sasp_weights(1000))
@@ -227,7 +227,7 @@
 
 
 async def wait_for_push(balancer: SaspBalancer, is_draining: bool) -> float:
-    """Waits for the push that the first worker drains, or has returned; gives the time."""
+    """Waits for the push that the first worker drains, or is ready again; gives the time of its arrival."""
     while True:
         message = await asyncio.wait_for(balancer.pushed.get(), PUSH_TIMEOUT_S)
         weights = weights_by_label(message)
@@ -236,7 +236,7 @@
 
 
 async def measure_pushes() -> PushFigures:
-    """Time from a change of the endpoint list to the push at each of two hundred balancers."""
+    """Changes the endpoint list, and measures the time until each load balancer receives the push."""
     async with AsyncExitStack() as stack:
         discovery, discovery_address = await start_discovery(stack)
         for n in range(PUSHED_WORKERS):
@@ -259,7 +259,7 @@
 
 
 async def peak_memory_mb(advice: dict[str, Any] | None) -> float:
-    """The most memory that an idle manager has used."""
+    """The peak memory of an idle manager."""
     async with AsyncExitStack() as stack:
         discovery, discovery_address = await start_discovery(stack)
         manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None, advice)
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -1,4 +1,4 @@
-"""What all benchmarks share: arguments, how figures are printed, an older checkout beside this one."""
+"""Shared by the benchmarks: arguments, printing of figures, and runs of an older checkout's benchmark."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from cottonladder.testbed.discovery import SimulatedDiscovery
 
-TREE = Path(__file__).resolve().parents[1]
+TREE = Path(__file__).resolve().parents[1]  # this checkout
 MILLISECONDS_PER_S = 1000.0
 MICROSECONDS_PER_S = 1e6
 BYTES_PER_MB = 2**20
@@ -30,7 +30,7 @@
 
 
 def add_baseline_argument(parser: argparse.ArgumentParser) -> None:
-    """`--before TREE`, for benchmarks that can measure an older checkout beside this one."""
+    """Adds `--before TREE`, for benchmarks that can measure an older checkout, too."""
     parser.add_argument("--before", metavar="TREE", help="an older checkout, measured by its own benchmark")
 
 
@@ -55,13 +55,13 @@
 
 
 def run_in_tree(tree: str, module: str, *arguments: str, timeout_s: float | None = None) -> Any:
-    """Runs a benchmark module of a checkout as a process of its own and reads the JSON that it prints.
+    """Runs a benchmark module of a checkout in a process of its own; gives the JSON that it prints.
 
-    An older checkout's modules have other names, so its own text of the benchmark measures it.
+    The module is the checkout's own, as the program's names in an older checkout differ from these.
     """
     command = [sys.executable, "-B", "-m", module, *arguments]
     environment = {**os.environ, "PYTHONPATH": tree}
-    done = subprocess.run(
+    completed = subprocess.run(
         command,
         cwd=tree,
         env=environment,
@@ -70,17 +70,17 @@
         check=True,
         timeout=timeout_s,
     )
-    return json.loads(done.stdout)
+    return json.loads(completed.stdout)
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """The value below which this share of all values lies."""
+    """The value below which this share of all values lies, such as 0.99."""
     ordered = sorted(values)
     return ordered[int(len(ordered) * share)]
 
 
 async def start_discovery(stack: AsyncExitStack) -> tuple[SimulatedDiscovery, str]:
-    """A simulated discovery, closed with the stack, and its address."""
+    """A simulated discovery service, which the stack closes, and its address."""
     discovery = SimulatedDiscovery()
     address = await discovery.start()
     stack.push_async_callback(discovery.close)
--- a/benchmarks/http_load.py
+++ b/benchmarks/http_load.py
@@ -1,4 +1,4 @@
-"""A closed loop of HTTP requests over kept connections."""
+"""Measures HTTP requests over persistent connections, each of which sends one after another."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LoadFigures(msgspec.Struct, frozen=True):
-    """Throughput and latency of one load."""
+    """Throughput and latency of one load of requests."""
 
     requests_per_s: float
     p50_ms: float
@@ -37,7 +37,7 @@
 
 
 async def http_load(url: str, request_count: int, concurrency: int) -> LoadFigures:
-    """Sends requests over several connections, each one after another."""
+    """Sends `request_count` requests over `concurrency` connections."""
     durations_s: list[float] = []
     remaining = iter(range(request_count))
     connector = aiohttp.TCPConnector(limit=concurrency)
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.plugins --json
 
-On loopback against simulated workers; each figure beside a forwarder without plug-ins, or a calm one, of the
-same run.
+On loopback against simulated workers.  The baselines, of the same run, are a forwarder without plug-ins, and
+one with a plug-in that does nothing.
 """
 
 from __future__ import annotations
@@ -57,15 +57,15 @@
 REQUEST_COUNT = 1200  # of a round of plain load
 WARM_UP_REQUESTS = 200
 RELEASE_COUNT = 1600  # of a round of releases
-BREAKER_RELEASES = 80  # after which the breakers have acted
+BREAKER_RELEASES = 80  # after which the circuit breakers of faulty plug-ins have opened
 RELEASE_INTERVAL_S = 0.002
-ROUND_COUNT = 3  # of pairs of processes, and of measurements of each
+ROUND_COUNT = 3  # pairs of processes, and measurements of each pair
 RELOAD_COUNT = 10
 RELOAD_INTERVAL_S = 0.15
 SETTLE_S = 1.5  # until a forwarder has its tables
-DRAIN_AFTER_S = 0.5
-DRAIN_GRACE_S = 1.5  # the grace of the platform's rule
-IDLE_S = 2.0  # of a manager, before its memory is read
+DRAIN_AFTER_S = 0.5  # after the first release
+DRAIN_GRACE_S = 1.5  # after which the platform allows no requests at a draining worker
+IDLE_S = 2.0  # for which a manager is idle before its memory is read
 
 
 class CallFigures(msgspec.Struct, frozen=True):
@@ -77,19 +77,19 @@
 
 
 class IdleHookFigures(msgspec.Struct, frozen=True):
-    """A forwarder with a hook that does nothing, against one without plug-ins."""
+    """A forwarder with a hook that does nothing, compared to one without plug-ins."""
 
-    throughput_ratio: float
+    throughput_ratio: float  # with the hook, to without
     forwarder_mb_without: float
     forwarder_mb_with: float
 
 
 class HostileFigures(msgspec.Struct, frozen=True):
-    """Releases under hostile plug-ins, against harmless ones."""
+    """Releases while a worker drains, with hostile plug-ins and with a harmless one."""
 
     harmless_served_share: float
     hostile_served_share: float
-    added_p99_ms: float
+    added_p99_ms: float  # by hostile plug-ins
     releases_run_twice: int
     requests_after_grace: int
 
@@ -178,9 +178,9 @@
 
 
 async def measure_idle_hook() -> IdleHookFigures:
-    """Throughput with a hook that does nothing against none, alternately.
+    """Measures throughput with a hook that does nothing and without plug-ins, alternately.
 
-    Several pairs of processes are measured, because one of them may run on a slower core throughout.
+    Several pairs of processes are measured, because one process may run on a slower core throughout.
     """
     ratios: list[float] = []
     for _ in range(ROUND_COUNT):
@@ -200,7 +200,7 @@
 
 
 async def throughput_ratio(plain: ForwarderProcess, hooked: ForwarderProcess) -> float:
-    """Requests a second with the hook, as a part of those without."""
+    """The ratio of the requests/s with the hook to those without."""
     plain_load = await http_load(plain.url, REQUEST_COUNT, CLIENT_COUNT)
     hooked_load = await http_load(hooked.url, REQUEST_COUNT, CLIENT_COUNT)
     return hooked_load.requests_per_s / plain_load.requests_per_s
@@ -208,7 +208,7 @@
 
 @dataclass(slots=True)
 class ReleaseCounts:
-    """The result of a round of releases."""
+    """The durations of a round of releases, and how many succeeded."""
 
     durations_ms: list[float]
     served: int = 0
@@ -245,7 +245,7 @@
 
 
 async def drain_under_plugins(*plugins: str) -> DrainUnderPlugins:
-    """Plays a round of releases during which a worker drains."""
+    """Sends a round of releases through a new fleet with these plug-ins, while a worker drains."""
     async with AsyncExitStack() as stack:
         fleet = await start_fleet(stack, *plugins)
         await send_releases(fleet.forwarder.url, BREAKER_RELEASES)
@@ -266,7 +266,7 @@
 
 
 async def measure_hostile() -> HostileFigures:
-    """Figures with hostile plug-ins, beside those with a harmless one."""
+    """Compares hostile plug-ins to a harmless one."""
     harmless = await drain_under_plugins(NOOP)
     hostile = await drain_under_plugins(*HOSTILE)
     return HostileFigures(
@@ -279,7 +279,7 @@
 
 
 async def lost_in_reloads() -> int:
-    """Requests lost while plug-ins are replaced ten times under load."""
+    """The number of releases that fail while a plug-in is replaced ten times."""
     texts = (EXAMPLE.read_text(), NOOP, BROKEN)
     async with AsyncExitStack() as stack:
         fleet = await start_fleet(stack, EXAMPLE.read_text())
@@ -293,7 +293,7 @@
 
 
 async def manager_memory_mb() -> float:
-    """Memory of an idle manager."""
+    """The memory of an idle manager."""
     async with AsyncExitStack() as stack:
         discovery, discovery_address = await start_discovery(stack)
         manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -2,13 +2,21 @@
 
     python -m benchmarks.scale --json [--before TREE]
 
-One axis at a time grows from a fleet of 400 proxies and 200 workers in 4 zones under 5 managers; each point
-is a process of its own.  A point: the list comes, all proxies join at once, 8 s of steps with reports, health
-checks and other managers' gossip, half of the workers are replaced, 4 s more.  The channel's speed grows with
-the proxies, so that all are bound.  `solve_ms` and `look_ms` (a step's batch) are medians, `batch_worst_ms`
-and `replace_half_ms` worst batches, `joins_all_ms` all CPU until everybody is bound.  What was before is
-measured by the benchmark that TREE holds, a worktree of an older commit; a point that takes over a minute has
-no figures.
+The usual fleet has 400 proxies and 200 workers in 4 zones under 5 managers.  Each axis varies one of these
+numbers, and each point on an axis is measured in a process of its own:
+
+1. the endpoint list arrives, and all proxies connect at once;
+2. for 8 s each tick brings load reports, health checks and gossip of the other managers;
+3. half of the workers are replaced, and 4 s more pass.
+
+The channel's pace grows with the number of proxies, so that all of them get a table.  The figures:
+
+- `solve_ms`, `look_ms`: medians of the solver and of the batch of a tick;
+- `batch_worst_ms`, `replace_half_ms`: the longest batch of all, and of those from the replacement on;
+- `joins_all_ms`: the sum of all batches until every proxy has a table.
+
+With `--before TREE`, the benchmark of an older checkout measures the same points.  A point that takes over a
+minute has no figures.
 """
 
 from __future__ import annotations
@@ -59,22 +67,23 @@
     "bytes_per_join",
     "peak_mb",
 )
-LOAD_REPORTS_PER_STEP = 6  # a fifth of the 30 reports that a step may bring by the settings
-ARRIVAL_REPORTS_PER_STEP = 24
-STEPS_PER_HEALTH_CHECK = 8  # until each worker has been checked
-GOSSIP_PROBABILITY = 1 / 8  # of a step: once an interval
+LOAD_REPORTS_PER_TICK = 6  # a fifth of the 30 reports that the settings allow
+ARRIVAL_REPORTS_PER_TICK = 24
+TICKS_PER_HEALTH_CHECK = 8  # between two health checks of a worker
+GOSSIP_PROBABILITY = 1 / 8  # at each tick
+REQUEST_CLASS_COUNT = 2
 MIN_CHANNEL_LINES_PER_S = 3200.0
 CHANNEL_LINES_PER_PROXY_S = 4.0
 JOIN_DEADLINE_S = 1060.0  # of the fleet's clock, which begins at 1000
-STEADY_S = 8.0
+STEADY_S = 8.0  # between the joins and the replacement
 AFTER_REPLACEMENT_S = 4.0
 POINT_TIMEOUT_S = 60.0
-MIN_DURATION_MS = 1e-6  # whose logarithm can still be taken
+MIN_DURATION_MS = 1e-6  # in place of 0, which has no logarithm
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """One point: how large the fleet is along each axis."""
+    """The size of a fleet on each axis."""
 
     proxies: int
     workers: int
@@ -83,7 +92,7 @@
 
 
 class MeasuredFleet(SimulatedFleet):
-    """A simulated fleet under seeded reports, whose solver runs and steps are timed."""
+    """A simulated fleet with seeded reports at each tick, whose ticks and solver runs are timed."""
 
     def __init__(self, size: FleetSize) -> None:
         parameters = fleet_parameters(
@@ -97,7 +106,7 @@
         )
         self.size = size
         self.solve_durations: list[float] = []
-        self.step_durations: list[float] = []
+        self.tick_durations: list[float] = []
         self.extra_inputs = self.reports
         self._time_solver()
 
@@ -113,15 +122,17 @@
         self.controller._solve = timed  # type: ignore[method-assign]
 
     def reports(self) -> Iterator[Input]:
-        """What a step brings from collectors, proxies, health checks and other managers."""
+        """The inputs of a tick from collectors, proxies, health checks and other managers."""
         workers = list(self.controller.state.workers.by_index)
         proxies = list(self.proxies)
         zones = self.size.zones
-        for _ in range(LOAD_REPORTS_PER_STEP):
+        for _ in range(LOAD_REPORTS_PER_TICK):
             yield LoadReport(self.random.choice(workers), self.random.randrange(zones), 20, 0, 2.0, 0.2, {})
-        for _ in range(ARRIVAL_REPORTS_PER_STEP if proxies else 0):
-            yield ArrivalReport(self.random.choice(proxies), self.random.randrange(2), 5, 0, 4.0)
-        for worker in self.random.sample(workers, len(workers) // STEPS_PER_HEALTH_CHECK):
+        for _ in range(ARRIVAL_REPORTS_PER_TICK if proxies else 0):
+            yield ArrivalReport(
+                self.random.choice(proxies), self.random.randrange(REQUEST_CLASS_COUNT), 5, 0, 4.0
+            )
+        for worker in self.random.sample(workers, len(workers) // TICKS_PER_HEALTH_CHECK):
             yield HealthCheckResult(worker, True, 0.05, {"inflight": float(self.random.randrange(6))})
         if self.random.random() < GOSSIP_PROBABILITY:
             text = " ".join([f"{self.size.workers // zones} 99.5"] * zones)
@@ -129,13 +140,13 @@
                 yield GossipReceived(manager, text)
 
     def step(self, name: str, inputs: Iterable[Input]) -> None:
-        """Runs one batch; the durations of ticks are kept."""
+        """Runs one batch, and records its duration if it is a tick."""
         super().step(name, inputs)
         if name == TICK:
-            self.step_durations.append(self.batch_durations[-1])
+            self.tick_durations.append(self.batch_durations[-1])
 
     def join_all(self) -> None:
-        """All proxies join at once; returns when each has a table, or it took too long."""
+        """Connects all proxies at once; returns when each has a table, or at the deadline."""
         self.join(range(self.size.proxies))
         while self.now < JOIN_DEADLINE_S and any(not proxy.weights for proxy in self.proxies.values()):
             self.run(0.25)
@@ -150,22 +161,22 @@
 
 
 def measure_point(size: FleetSize) -> dict[str, float]:
-    """Plays one point in this process."""
+    """Measures one point in this process."""
     fleet = MeasuredFleet(size)
     listed = tuple(fleet.endpoint(f"s-{n:04x}", n % size.zones) for n in range(size.workers))
     fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
     fleet.join_all()
     joins_s = sum(fleet.batch_durations)
     bytes_per_join = fleet.bytes_written / size.proxies
-    fleet.step_durations.clear()
+    fleet.tick_durations.clear()
     fleet.run(STEADY_S)
-    step_s = median(fleet.step_durations)
+    tick_s = median(fleet.tick_durations)
     fleet.batch_durations.clear()
     fleet.replace_half_of_the_workers()
     fleet.run(AFTER_REPLACEMENT_S)
     return {
         "solve_ms": MILLISECONDS_PER_S * median(fleet.solve_durations),
-        "look_ms": MILLISECONDS_PER_S * step_s,
+        "look_ms": MILLISECONDS_PER_S * tick_s,
         "batch_worst_ms": MILLISECONDS_PER_S * fleet.longest_batch_s,
         "joins_all_ms": MILLISECONDS_PER_S * joins_s,
         "replace_half_ms": MILLISECONDS_PER_S * max(fleet.batch_durations),
@@ -175,7 +186,7 @@
 
 
 def measure_in_process(size: dict[str, int], tree: str) -> dict[str, float] | None:
-    """A point in a process of its own, by the benchmark of a tree; None if it takes too long."""
+    """Measures a point by a checkout's benchmark in a process; gives None if it takes too long."""
     arguments = ("--point", json.dumps(size))
     try:
         figures: dict[str, float] = run_in_tree(
@@ -187,7 +198,7 @@
 
 
 def growth_exponent(durations: dict[int, float]) -> float | None:
-    """The slope of durations over sizes, both as logarithms, by least squares."""
+    """The slope of the logarithm of duration over that of size, by least squares; None for one point."""
     if len(durations) < 2:
         return None
     points = [(math.log(size), math.log(max(ms, MIN_DURATION_MS))) for size, ms in durations.items()]
@@ -200,9 +211,10 @@
 
 @dataclass(slots=True)
 class AxisFigures:
-    """The figures of one axis by size, and the power of the size with which a step's duration grows.
+    """The figures of one axis by size, and the power of the size with which a tick's duration grows.
 
-    A point that took too long has no figures.  `exponent_before` is the older tree's, with `has_baseline`.
+    A point that took too long has no figures.  `exponent_before` is that of the older checkout, if
+    `has_baseline` is set.
     """
 
     points: dict[str, Figures | None]
@@ -211,7 +223,7 @@
     exponent_before: float | None = None
 
     def add_baseline(self, older: AxisFigures) -> None:
-        """Writes an older tree's figures beside these, as `..._before`."""
+        """Adds an older checkout's figures to these, under names that end with `_before`."""
         self.has_baseline = True
         self.exponent_before = older.growth_exponent
         for size, figures in self.points.items():
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -2,11 +2,18 @@
 
     python -m benchmarks.starts --json [--before TREE] [--runs N]
 
-CPU seconds of whole processes, medians over the runs: `interpreter` alone; `imports`, of `serve --help` over
-that; `configuration`, of `check` over that; `decision`, to the first PONG over that; `whole`, all of it.  The
-configuration names 200 workers, 1,600 proxies, and a discovery that nobody runs.  `ready_s` is the time from
-exec to PONG, `stop_s` from SIGTERM to the end with 400 proxies joined, by the clock.  What was before is
-measured by the benchmark that TREE holds, a worktree of an older commit, turn about with this one.
+The figures are medians over the runs, most of them CPU seconds of whole processes:
+
+- `interpreter`: an interpreter that runs nothing;
+- `imports`: what `serve --help` needs beyond that;
+- `configuration`: what `check` needs beyond `serve --help`;
+- `decision`: what a manager needs until its first PONG, beyond `check`;
+- `whole`: all that a manager needs until its first PONG;
+- `ready_s`: the elapsed time from the start of a manager to its first PONG;
+- `stop_s`: the elapsed time from SIGTERM to the end, with 400 proxies connected.
+
+The configuration has 200 workers, 1,600 proxies, and the address of a discovery service that does not run.
+With `--before TREE`, the benchmark of an older checkout runs alternately with this one.
 """
 
 from __future__ import annotations
@@ -51,14 +58,14 @@
     },
     "Rules": {**testbed.SETTINGS["Rules"], "AskWithinMs": 5000.0},
 }
-AT_EXIT = """
+SITE_CUSTOMIZE = """
 import atexit, os, time
 atexit.register(lambda: open(os.environ["CPU_TIME_FILE"], "w").write(str(time.process_time())))
 """
 
 
 def write_configuration(folder: str, port: int) -> str:
-    """A manager's file with all workers known and a discovery that nobody runs; its path."""
+    """Writes a manager's file with all workers and a discovery service that does not run; gives its path."""
     servers: list[EndpointEntry] = [
         {"id": f"s-{n:04x}", "addr": f"127.0.0.1:{1 + n}", "zone": "abcd"[n % 4], "kind": "m", "cell": 0,
          "state": "Ready", "weight": 1.0, "started_ms": 0}
@@ -75,8 +82,8 @@
 
 
 def cpu_time_of_command(arguments: list[str], folder: str) -> float:
-    """CPU seconds of an interpreter up to its end, without what it spends on tidying up."""
-    (Path(folder) / "sitecustomize.py").write_text(AT_EXIT)
+    """CPU seconds of an interpreter until it has run `arguments`, without its own shutdown."""
+    (Path(folder) / "sitecustomize.py").write_text(SITE_CUSTOMIZE)
     result = Path(folder) / "cpu_time"
     environment = {**os.environ, "PYTHONPATH": folder, "CPU_TIME_FILE": str(result)}
     command = [sys.executable, "-B", *arguments]
@@ -85,13 +92,13 @@
 
 
 def cpu_time_of_process(pid: int) -> float:
-    """CPU seconds of a process with one thread, to the nanosecond."""
+    """CPU seconds of a process that has one thread, to the nanosecond."""
     nanoseconds = int(Path(f"/proc/{pid}/schedstat").read_text().split()[0])
     return nanoseconds / NANOSECONDS_PER_S
 
 
 def wait_for_pong(port: int, deadline: float) -> None:
-    """Asks again and again until a manager listens and answers."""
+    """Sends a PING again and again until a manager answers; raises OSError after the deadline."""
     while True:
         try:
             with socket.create_connection(("127.0.0.1", port), CONNECT_TIMEOUT_S) as connection:
@@ -105,7 +112,7 @@
 
 
 def join_as_proxy(port: int, node: int) -> socket.socket:
-    """Opens a proxy's stream and asks for orders."""
+    """Opens a proxy's stream and subscribes to its orders."""
     stream = socket.create_connection(("127.0.0.1", port), TIMEOUT_S)
     arguments = f"SUBSCRIBE node {node} locality a w 5.0 cold 1".split()
     encoded = b"".join(b"$%d\r\n%b\r\n" % (len(argument), argument.encode()) for argument in arguments)
@@ -114,7 +121,7 @@
 
 
 def measure_manager(folder: str) -> dict[str, float]:
-    """A manager from its start to its end: CPU until it answers, and both times by the clock."""
+    """Starts and stops a manager: its CPU time until it answers, and the elapsed times of start and stop."""
     port = free_port()
     path = write_configuration(folder, port)
     command = [sys.executable, "-B", "-m", "cottonladder", "serve", "--config", path]
@@ -127,17 +134,17 @@
         cpu_s = cpu_time_of_process(process.pid)
         streams = [stack.enter_context(join_as_proxy(port, node)) for node in range(JOINED_PROXIES)]
         for stream in streams:
-            stream.recv(1)  # its first order has come
-        stop_at = time.monotonic()
+            stream.recv(1)  # waits for the first order
+        stopped_at = time.monotonic()
         process.send_signal(signal.SIGTERM)
         if status := process.wait(TIMEOUT_S):
             raise RuntimeError(f"the manager ended with status {status}")
-        stop_s = time.monotonic() - stop_at
+        stop_s = time.monotonic() - stopped_at
     return {"whole": cpu_s, "ready_s": ready_s, "stop_s": stop_s}
 
 
 def measure_once() -> dict[str, float]:
-    """One run of each command, and what each adds to the one before it."""
+    """Runs each command once; gives what each needs beyond the one before it."""
     with tempfile.TemporaryDirectory() as folder:
         path = write_configuration(folder, 1)
         interpreter = cpu_time_of_command(["-c", "pass"], folder)
