--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -36,7 +36,8 @@
 from ..planning.controller_views import capacity_views, collect_state
 from ..policy.controller import RoutingController
 from .deployment_parameters import BASE_PARAMETERS
-from .month_end_records import CORES, AttemptSums, FinishedRequest, QueueingWorker, RequestCounts
+from .month_end_records import FinishedRequest, QueueingWorker, RequestCounts
+from .month_end_workers import WorkerPool
 
 STEP_S = 0.25
 START_TIME_S = 1000.0  # of the controller's clock; not 0, which as a worker's start means long ago
@@ -48,11 +49,6 @@
 MIN_RECONNECT_DELAY_S = 0.2  # of a proxy after a restart of the manager
 RECONNECT_SPREAD_S = 0.8
 LATENCY_OBJECTIVE_S = 1.0
-DEADLINE_S = 2.5
-SERVICE_TIME_S = 0.16  # of one request on one core of a worker of speed 1
-SERVICE_TIME_RATIO = (0.9, 1.1)  # the least and the largest part of that time
-COLLAPSE_MULTIPLE = 3.0  # times its capacity: the load under which a warming-up worker collapses
-LOAD_WINDOW_S = 2.0  # over which a warming-up worker's load is counted
 WINDOW_S = 10.0  # for the worst share of served requests
 MIN_WINDOW_REQUESTS = 50  # windows with no more are not considered
 TIMER_TOLERANCE_S = 1e-6  # for rounding errors: a timer must not miss its step
@@ -118,6 +114,7 @@
         self.workers = {
             index: QueueingWorker(index % ZONE_COUNT, speed) for index, speed in enumerate(WORKER_SPEEDS)
         }
+        self._pool = WorkerPool(self.workers, self.random)
         self.duration_s = duration_s
         self.load = load
         self.controller = RoutingController(PARAMETERS)
@@ -129,18 +126,19 @@
         self._excluded: set[int] = set()
         self._scheduled: list[ScheduledInput] = []  # a heap
         self._schedule_count = 0
-        self._finished: list[FinishedRequest] = []  # a heap
         self._capacity_views: dict[int, WorkerCapacityView] = {}
         self._factors: dict[int, float] = {}
-        self._warm_up_arrivals: dict[int, list[float]] = defaultdict(list)
         self._windows: dict[int, RequestCounts] = defaultdict(RequestCounts)
         self._arrivals: dict[int, int] = defaultdict(int)  # by proxy, since the last report
 
     def request_rate(self, elapsed_s: float) -> float:
         """Requests/s: 70% of the load at the start, rising to all of it half-way, with waves of 8%."""
-        capacity = sum(CORES * worker.speed / SERVICE_TIME_S for worker in self.workers.values())
         wave = 0.08 * math.sin(elapsed_s / 9.0)
-        return capacity * self.load * (0.7 + 0.3 * min(1.0, elapsed_s / (self.duration_s / 2)) + wave)
+        return (
+            self._pool.capacity()
+            * self.load
+            * (0.7 + 0.3 * min(1.0, elapsed_s / (self.duration_s / 2)) + wave)
+        )
 
     def schedule(self, delivered_at: float, message: Input) -> None:
         """Delivers an input to the controller at a given time."""
@@ -229,6 +227,7 @@
             if window.requests > MIN_WINDOW_REQUESTS
         ]
         self.result.worst_share = min(shares, default=1.0)
+        self.result.worst_warm_up_load = self._pool.worst_warm_up_load
         self.result.credit = {name: view.credit for name, view in self.advice.status(now).items()}
 
     def _take_scheduled(self, now: float) -> list[Input]:
@@ -296,7 +295,7 @@
             proxy = self._choose_proxy()
             self._arrivals[proxy] += 1
             worker_index = self.random.choices(list(weights[proxy]), list(weights[proxy].values()))[0]
-            self._count(arrived_at, self._serve(arrived_at, worker_index, proxy % ZONE_COUNT))
+            self._count(arrived_at, self._pool.serve(arrived_at, worker_index, proxy % ZONE_COUNT))
             arrived_at += self.random.expovariate(request_rate)
 
     def _choose_proxy(self) -> int:
@@ -311,52 +310,10 @@
             window.served += 1
             self.result.served += 1
 
-    def _serve(self, arrived_at: float, worker_index: int, zone: int) -> FinishedRequest:
-        """Serves a request, which fails if it has not been answered by its deadline."""
-        worker = self.workers[worker_index]
-        if worker.is_warming_up(arrived_at):
-            self._record_warm_up_load(arrived_at, worker_index)
-        duration_s = self._occupy_core(worker, arrived_at)
-        ended_at = arrived_at + min(duration_s, DEADLINE_S)
-        request = FinishedRequest(ended_at, worker_index, zone, duration_s, duration_s <= DEADLINE_S)
-        heapq.heappush(self._finished, request)
-        return request
-
-    def _occupy_core(self, worker: QueueingWorker, arrived_at: float) -> float:
-        """Gives the seconds until a request is answered; infinite if no core is free before its deadline."""
-        begins_at = max(arrived_at, worker.cores_free_at[0])
-        if begins_at - arrived_at > DEADLINE_S:
-            return math.inf
-        service_time_s = (
-            self.random.uniform(*SERVICE_TIME_RATIO) * SERVICE_TIME_S / worker.speed_at(arrived_at)
-        )
-        ends_at = begins_at + service_time_s
-        heapq.heapreplace(worker.cores_free_at, ends_at)
-        return ends_at - arrived_at
-
-    def _record_warm_up_load(self, arrived_at: float, worker_index: int) -> None:
-        worker = self.workers[worker_index]
-        arrivals = [
-            earlier
-            for earlier in self._warm_up_arrivals[worker_index]
-            if earlier > arrived_at - LOAD_WINDOW_S
-        ]
-        arrivals.append(arrived_at)
-        self._warm_up_arrivals[worker_index] = arrivals
-        if arrived_at - worker.started_at <= LOAD_WINDOW_S:
-            return
-        capacity = CORES * worker.speed_at(arrived_at) * LOAD_WINDOW_S
-        load = len(arrivals) * SERVICE_TIME_S / (COLLAPSE_MULTIPLE * capacity)
-        self.result.worst_warm_up_load = max(self.result.worst_warm_up_load, load)
-
     def _report(self, now: float) -> None:
         """Sends load and arrival reports for the time since the last ones."""
-        sums: dict[tuple[int, int], AttemptSums] = defaultdict(AttemptSums)
-        while self._finished and self._finished[0].ended_at <= now:
-            request = heapq.heappop(self._finished)
-            sums[request.worker_index, request.zone].add(request)
         arrives_at = now + REPORT_DELAY_S
-        for (worker_index, zone), attempts in sums.items():
+        for (worker_index, zone), attempts in self._pool.take_finished(now).items():
             report = LoadReport(
                 worker_index,
                 zone,
