--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -3,8 +3,8 @@
     python -m benchmarks.advice --json
 
 The scenarios are seeded runs of the simulation `cottonladder.testbed.month_end`, with the real controller;
-the rest runs on loopback.  A request counts as served if it met the latency objective.  The scenario `none`,
-on the same seeds, is the baseline of the others.
+the rest runs on loopback.  A request counts as served if its latency was within the
+objective.  The scenario `none`, on the same seeds, is the baseline of the others.
 """
 
 from __future__ import annotations
--- a/cottonladder/simulator/__main__.py
+++ b/cottonladder/simulator/__main__.py
@@ -12,7 +12,7 @@
 from ..config.errors import InputError
 from .host import SimulatorHost
 
-INVALID_INPUT_STATUS = 2
+INVALID_INPUT_STATUS = 2  # exit status
 
 
 def main() -> int:
--- a/cottonladder/testbed/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -17,7 +17,7 @@
 
 WeightFunction = Callable[[sasp.MemberData], int]  # gives the weight of a member
 EVENT_TIMEOUT_S = 20.0
-POLLING_INTERVAL_S = 1  # at which load balancers are told to ask for weights
+POLLING_INTERVAL_S = 1  # that replies with weights state
 READ_SIZE_BYTES = 65_536
 LOOPBACK = "127.0.0.1"
 GARBAGE_SEED = 3  # of the random bytes
