--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -14,17 +14,17 @@
 
 from ..config.deployment import DeploymentSettings
 from ..config.operator_config import UpgradesConfig
-from ..model.inputs import ExtraLinesWritten, HeldLoad, Input, ProxyConnected, ProxyDisconnected
+from ..model.inputs import ConnectionLoad, ExtraLinesWritten, Input, ProxyConnected, ProxyDisconnected
 from ..model.views import WorkerCapacityView
 from ..planning.connection_migration import MigrationPlanner
 from ..planning.controller_views import capacity_views
 from ..planning.migration_orders import (
     PLAN_INTERVAL_S,
-    AdmitForwarder,
     HeldConnectionCounts,
     MigrateConnections,
     MigrationOrder,
     MigrationParameters,
+    SetArrivalShare,
     StopMigration,
 )
 from ..policy.controller import RoutingController
@@ -134,12 +134,14 @@
             inputs += self._changed_loads()
         return inputs
 
-    def _changed_loads(self) -> list[HeldLoad]:
+    def _changed_loads(self) -> list[ConnectionLoad]:
         loads = self._planner.load_by_worker()
         previous = self._loads
         self._loads = loads
-        ended = [HeldLoad(index, 0.0) for index in previous if index not in loads]
-        changed = [HeldLoad(index, load) for index, load in loads.items() if previous.get(index) != load]
+        ended = [ConnectionLoad(index, 0.0) for index in previous if index not in loads]
+        changed = [
+            ConnectionLoad(index, load) for index, load in loads.items() if previous.get(index) != load
+        ]
         return [*ended, *changed]
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
@@ -158,8 +160,8 @@
 
     def _encode(self, order: MigrationOrder) -> bytes | None:
         """The order's message, or None if the source worker has been removed."""
-        if isinstance(order, AdmitForwarder):
-            return wire.encode_acceptance(order.arrival_fraction, self._arrivals_per_s)
+        if isinstance(order, SetArrivalShare):
+            return wire.encode_acceptance(order.arrival_share, self._arrivals_per_s)
         source_id = self._workers.ids.get(order.source)
         if source_id is None:
             return None
--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from ..model.views import WorkerCapacityView
-from ..policy.warm_up import MAX_WARM_UP_WEIGHT
+from ..policy.warm_up import MAX_WARM_UP_RATIO
 
 # Weight of the heaviest member; a unit of weight is a hundredth of a percent of it.
 MAX_WEIGHT = 10_000
@@ -28,7 +28,8 @@
 class AdvertisedWeight:
     """One worker's weight, 0 (no new requests) to `MAX_WEIGHT`.
 
-    `is_reachable` tells whether it answers as far as is known, `is_leaving` whether it drains or is gone.
+    `is_reachable` tells whether it has capacity or is quiesced, and is sent as SASP's contact flag;
+    `is_leaving` tells whether it drains or is gone.
     """
 
     weight: int
@@ -76,7 +77,7 @@
     for worker, capacity in live.items():
         if worker not in warm:
             group_share = capacity / (warm_capacity + capacity)
-            share = min(group_share, MAX_WARM_UP_WEIGHT * capacity / fleet_capacity, MAX_WARMING_UP_SHARE)
+            share = min(group_share, MAX_WARM_UP_RATIO * capacity / fleet_capacity, MAX_WARMING_UP_SHARE)
             shares[worker] = warm_capacity * share / (1.0 - share)
     return shares
 
--- a/cottonladder/plugins/chain.py
+++ b/cottonladder/plugins/chain.py
@@ -10,6 +10,7 @@
 
 import structlog
 
+from ..config.fields import MS_PER_S
 from ..planning.plugin_bounds import CircuitBreaker, CpuBudget
 from .abi import EMPTY_ANSWER, Answer, encode_record
 from .errors import PluginFault, PluginLoadError
@@ -19,13 +20,15 @@
 MAX_HEADERS = 48
 # Time between two log lines on the state of the plug-ins.
 STATUS_INTERVAL_S = 10.0
-MS_PER_S = 1000.0
 Pairs = Iterable[tuple[str, str]]
 
 
 @dataclass(frozen=True, slots=True)
 class PluginSpec:
-    """A plug-in as configured; if it `fails_closed`, a request is rejected when it gives no answer."""
+    """A plug-in as configured.
+
+    If it `fails_closed`, a request is rejected when the call fails or is not allowed.
+    """
 
     name: str
     path: str
@@ -85,7 +88,7 @@
         now = time.monotonic()
         plugin = loaded.plugin
         breaker = loaded.breaker
-        if not self._budget.allows(now) or not breaker.allows(now):
+        if not self._budget.allows(now) or not breaker.try_acquire(now):
             plugin.counts.skipped += 1
             return None
         started_at = time.perf_counter()
@@ -134,7 +137,10 @@
         return any(hook in loaded.plugin.hooks for loaded in self._plugins)
 
     def record_clipped(self) -> None:
-        """Counts an answer that asked for more than is allowed."""
+        """Adds one to `clipped` of every plug-in.
+
+        The combined answer does not tell which of them asked for more than is allowed.
+        """
         for loaded in self._plugins:
             loaded.plugin.counts.clipped += 1
 
@@ -155,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _GivenAnswer:
-    """A plug-in's answer, or None if it gave none."""
+    """A plug-in's answer, or None if the call failed or was not allowed."""
 
     spec: PluginSpec
     answer: Answer | None
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -2,9 +2,10 @@
 
 A worker is ejected if nearly all its attempts fail while the others' succeed, or if its health checks are
 lost while its zone can be reached. Each worker is judged at each tick; an ejected one returns by slow start
-after the ejection time, once a health check succeeds or where no health check can tell. Ejected workers
-never hold more than a third of the fleet's weight, which protects against a fault of the network or of the
-reports that makes many workers look unresponsive at once.
+after the ejection time, once a health check succeeds or where no health check can tell. No worker is
+ejected if the ejected ones would then hold over 34% of the fleet's weight, which protects against a fault
+of the network or of the reports that makes many workers look unresponsive at once. Ejections restored from
+a snapshot are not limited here.
 """
 
 from ..model import (
@@ -23,12 +24,12 @@
 OUTLIER_FAILED_RATIO = 0.85  # failed part of attempts; an unresponsive worker fails nearly all
 MAX_OTHERS_FAILED_RATIO = 0.2  # failed part of the others' attempts; over it the fault is not the worker's
 MIN_OUTLIER_ATTEMPTS = 4.0  # attempts to judge by
-MAX_LOST_CHECKS = 2  # consecutive health checks
+LOST_CHECKS_TO_EJECT = 2  # consecutive lost health checks that eject a worker
 MAX_EJECTED_RATIO = 0.34  # of the fleet's weight
 
 
 class OutlierDetector:
-    """Judges each worker once, by sums over the fleet that are taken at the beginning."""
+    """Judges each worker for one tick, by sums over the fleet that are taken at the beginning."""
 
     def __init__(self, state: ControllerState, checked: list[WorkerRecord], unreachable: list[bool]) -> None:
         self._state = state
@@ -50,7 +51,7 @@
     def _eject_if_outlier(self, index: int, worker: WorkerRecord) -> bool:
         """Ejects a worker that is an outlier, as far as the limit on ejected weight allows."""
         others_failed_ratio = self._others_failed_ratio(worker)
-        has_lost_checks = worker.lost_checks >= MAX_LOST_CHECKS and not self._unreachable[worker.zone]
+        has_lost_checks = worker.lost_checks >= LOST_CHECKS_TO_EJECT and not self._unreachable[worker.zone]
         if not has_lost_checks and not self._fails_alone(worker, others_failed_ratio):
             return False
         if self._ejected_weight + worker.weight > self._max_ejected_weight:
@@ -72,8 +73,8 @@
         return worker.failed >= OUTLIER_FAILED_RATIO * worker.attempts
 
     def _return_if_expired(self, index: int, worker: WorkerRecord) -> None:
-        """Ends an ejection by time alone where no health check can tell whether the worker is well."""
-        if self._state.now < worker.due_at:
+        """Ends an ejection by time alone where no health check can tell whether the worker is healthy."""
+        if self._state.now < worker.ejected_until:
             return
         if self._unreachable[worker.zone] or not self._state.parameters.health_checks:
             apply_event(self._state, index, WorkerEvent.EJECTION_EXPIRED)
@@ -83,6 +84,6 @@
     state: ControllerState, worker: WorkerRecord, result: inputs.HealthCheckResult
 ) -> None:
     """Lets an ejected worker return if its ejection time is over and the health check succeeded."""
-    if result.succeeded and state.now >= worker.due_at:
+    if result.succeeded and state.now >= worker.ejected_until:
         evidence = HealthCheckEvidence(result.duration_s)
         apply_event(state, result.worker_index, WorkerEvent.HEALTH_CHECK_SUCCEEDED, evidence)
--- a/cottonladder/policy/proxy_binding.py
+++ b/cottonladder/policy/proxy_binding.py
@@ -1,13 +1,13 @@
 """Which proxies are bound to a table first, and to which table.
 
 At each tick the proxies that read no table are bound, as many as the channel budget allows: first those
-that have waited for a part of the drain grace, then the busiest. Each gets the table of its zone that names
-no departed workers and whose readers have the lowest demand. The order protects most requests from a table
-of another manager that is out of date, and keeps a quiet proxy from waiting for ever.
+that have waited over DRAIN_HOLD_RATIO of the drain grace, then the busiest. Each gets the table of its zone
+that names no departed workers and whose readers have the lowest demand. The order protects most requests
+from a table of another manager that is out of date, and keeps a quiet proxy from waiting indefinitely.
 """
 
 from ..model import ControllerState, ProxyRecord, RoutingTable, orders
-from .channel_budget import BIND_LIMIT, RULE_LIMIT, ChannelBudget
+from .channel_budget import CRITICAL_LIMIT, URGENT_LIMIT, ChannelBudget
 from .table_deltas import TableDeltas
 from .worker_removal import removed_workers
 
@@ -22,27 +22,31 @@
         self._budget = budget
         self._deltas = deltas
 
-    def bind_proxies(self, connected_until: float) -> None:
-        """Binds unbound proxies; those that connected by the given time go first."""
+    def bind_proxies(self, overdue_before: float) -> None:
+        """Binds unbound proxies: first those that connected up to `overdue_before`, then the busiest."""
         unbound = {n: proxy for n, proxy in self._state.proxies.by_number.items() if proxy.table is None}
         ranks = {
-            number: (proxy.connected_at > connected_until, -proxy.joining_rate, number)
+            number: (proxy.connected_at > overdue_before, -proxy.joining_rate, number)
             for number, proxy in unbound.items()
         }
         for number in sorted(unbound, key=ranks.__getitem__):
-            if not self._bind_if_affordable(number, unbound[number], connected_until):
+            if not self._try_bind(number, unbound[number], overdue_before):
                 break
 
-    def _bind_if_affordable(self, number: int, proxy: ProxyRecord, connected_until: float) -> bool:
-        """Returns whether the budget may allow further binds."""
-        limit = BIND_LIMIT if proxy.connected_at > connected_until else RULE_LIMIT
+    def _try_bind(self, number: int, proxy: ProxyRecord, overdue_before: float) -> bool:
+        """Binds a proxy if its lines fit, and returns False only if no lines are left at all.
+
+        Before, departed workers are taken out of the table, and a table without readers is completed.
+        """
+        limit = URGENT_LIMIT if proxy.connected_at > overdue_before else CRITICAL_LIMIT
         if self._budget.available_lines([number], limit) <= 0:
             return False
         table = self._select_table(proxy.zone)
         # Otherwise the new reader would be sent the lines of departed workers, and then their removal.
         self._deltas.send_removals(table, removed_workers(self._state, table))
         if not table.readers:
-            self._budget.add(self._deltas.draft_complete(table), {})
+            # Without readers these orders cost no lines.
+            self._budget.add(self._deltas.draft_all_changes(table), {})
         excluded = {i for i in table.sent if self._state.workers.by_index[i].is_excluded}
         cost = self._budget.bind_cost(number, table, excluded)
         bind = orders.BindProxy(number, table.number, ALL_CLASSES)
--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -1,18 +1,19 @@
 """How reports are added to the records of workers and proxies.
 
 Load reports, arrival reports, health check results, held connections, advised factors, and the coming and
-going of proxies are applied to the records as they arrive, and no order follows before the next tick. What
-is known of a worker or a proxy that is not on record is dropped. `report_plausibility` says which figures
-are believed; this protects the estimates from corrupted reports and from late reports on forgotten workers.
+going of proxies are applied to the records as they arrive; no order for a proxy follows at once. Reports on
+an unknown worker or proxy are dropped. `report_plausibility` says which figures are believed; this protects
+the estimates from corrupted reports and from late reports on forgotten workers.
 """
 
 from ..model import ControllerState, LinkLatencies, inputs
 from . import report_plausibility
 from .capacity import MAX_ADVISED_FACTOR
-from .demand import DEMAND_WINDOW_S
 from .outlier_ejection import return_after_health_check
 from .zone_reachability import ZoneReachability
 
+DEMAND_WINDOW_S = 4.0  # that the counts of arrivals cover at most
+
 
 class ReportIntake:
     """Applies reports to the records."""
@@ -40,8 +41,8 @@
         worker = state.workers.by_index.get(report.worker_index)
         if worker is None or report.attempts <= 0:
             return
-        usual_rate = state.proxies.highest_joining_rate
-        if not report_plausibility.is_believed(report.attempts, report.interval_s, usual_rate):
+        reference_rate = state.proxies.highest_joining_rate
+        if not report_plausibility.is_believed(report.attempts, report.interval_s, reference_rate):
             return
         worker.add_load_report(report, report_plausibility.MAX_UTILIZATION)
         is_believed = report_plausibility.is_latency_believed(report.duration_s, state.tightest_objective_s)
@@ -63,18 +64,18 @@
         worker = self._state.workers.by_index.get(result.worker_index)
         if worker is None:
             return
-        usual_rate = self._state.proxies.highest_joining_rate
-        worker.add_health_check(result, report_plausibility.max_in_flight(usual_rate))
+        reference_rate = self._state.proxies.highest_joining_rate
+        worker.add_health_check(result, report_plausibility.max_in_flight(reference_rate))
         return_after_health_check(self._state, worker, result)
 
-    def set_held_load(self, load: inputs.HeldLoad) -> None:
+    def set_connection_load(self, load: inputs.ConnectionLoad) -> None:
         """Records the load of a worker's held connections, in requests/s."""
         worker = self._state.workers.by_index.get(load.worker_index)
         if worker is not None:
             worker.connection_load = report_plausibility.believed_rate(load.requests_per_s)
 
     def set_advised_factor(self, advised: inputs.AdvisedFactor) -> None:
-        """Records one advisor's factor for a worker."""
+        """Records one source's factor for a worker."""
         worker = self._state.workers.by_index.get(advised.worker_index)
         if worker is not None:
             worker.advise(advised.source, advised.factor, MAX_ADVISED_FACTOR)
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -25,7 +25,7 @@
 from .admission_settings import AdmissionSettings
 from .config_encoder import ConfigEncoder
 from .exclusions import Exclusions
-from .line_operations import AdmissionSetting, LineOperation, checkpoint, replace_table, set_weight
+from .line_operations import AdmissionSetting, LineOperation, checkpoint_line, replacement_line, weight_line
 from .order_checks import OrderChecker
 from .pending_messages import PendingMessages
 from .proxy_bindings import ProxyBindings
@@ -70,7 +70,7 @@
     def connect_proxy(self, proxy: int, is_fresh: bool) -> None:
         """Adds a proxy with a new connection; until it is bound it reads another manager's tables.
 
-        `is_fresh`: the proxy has just started, so it excludes no worker yet.
+        `is_fresh`: it holds no manager's table yet, and counts as sent nothing by other managers.
         """
         self.disconnect_proxy(proxy)
         self._bindings.connect(proxy)
@@ -87,9 +87,10 @@
         self._handlers[type(order)](order)
 
     def take_messages(self) -> Iterator[tuple[int, bytes]]:
-        """Yields each proxy with pending operations and its encoded message; none are pending afterwards.
+        """Yields each proxy with pending operations and its encoded message; must be consumed to the end.
 
-        Every message repeats the admission that is set for all proxies.
+        Removed workers are freed afterwards.  Every message repeats the admission that is set for all
+        proxies.
         """
         for proxy in self._pending.proxies():
             lines = self._admission.global_lines(self._bindings.tables_of(proxy))
@@ -103,9 +104,12 @@
         """Lines pending for each proxy."""
         return self._pending.line_counts()
 
-    def count_added_lines(self, proxy: int, worker_indices: Iterable[int], binds_table: bool) -> int:
-        """Lines at this proxy that readmit these workers, on top of their own; see `ProxyView`."""
-        return self._exclusions.count_added_lines(proxy, worker_indices, binds_table)
+    def count_readmissions(self, proxy: int, worker_indices: Iterable[int], binds_table: bool) -> int:
+        """Returns how many readmission lines the proxy gets beside the lines of these workers.
+
+        `binds_table`: the workers are those of a table that the proxy is about to be bound to.
+        """
+        return self._exclusions.count_readmissions(proxy, worker_indices, binds_table)
 
     def _classes_in(self, class_mask: int) -> list[int]:
         return [index for index in range(self._class_count) if class_mask >> index & 1]
@@ -118,10 +122,12 @@
             weights.pop(order.worker_index, None)
         lines_by_mask: dict[int, LineOperation] = {}  # shared, as most proxies bind all classes to one table
         for proxy in self._bindings.readers(order.table):
-            class_mask = self._bindings.classes_reading(proxy, order.table)
+            class_mask = self._bindings.reading_class_mask(proxy, order.table)
             if class_mask not in lines_by_mask:
-                lines_by_mask[class_mask] = set_weight(class_mask, order.worker_index, order.weight)
-            lines = self._exclusions.worker_lines(proxy, order.worker_index) if order.weight > 0 else []
+                lines_by_mask[class_mask] = weight_line(class_mask, order.worker_index, order.weight)
+            lines = (
+                self._exclusions.take_line_if_needed(proxy, order.worker_index) if order.weight > 0 else []
+            )
             lines.append(lines_by_mask[class_mask])
             self._pending.add(proxy, lines)
 
@@ -129,22 +135,25 @@
         self._weights[order.table] = {}
         self._admission.clear_table(order.table)
         for proxy in self._bindings.readers(order.table):
-            class_mask = self._bindings.classes_reading(proxy, order.table)
-            self._pending.add(proxy, [replace_table(class_mask)])
+            class_mask = self._bindings.reading_class_mask(proxy, order.table)
+            self._pending.add(proxy, [replacement_line(class_mask)])
 
     def _bind_proxy(self, order: BindProxy) -> None:
         if order.proxy not in self._bindings:
             return
         weights = self._weights.setdefault(order.table, {})
-        class_mask = order.class_mask & self._all_classes or self._all_classes
+        class_mask = order.class_mask & self._all_classes
+        if class_mask == 0:
+            class_mask = self._all_classes
         class_indices = self._classes_in(class_mask)
         self._bindings.bind(order.proxy, order.table, class_indices)
         tables = self._bindings.tables_of(order.proxy)
-        lines = [replace_table(class_mask)]
-        lines += [set_weight(class_mask, index, weight) for index, weight in weights.items()]
+        lines = [replacement_line(class_mask)]
+        lines += [weight_line(class_mask, index, weight) for index, weight in weights.items()]
+        # One line a class, not one for equal settings: the channel budget counts a line for each class.
         for class_index in class_indices:
             lines += self._admission.lines(tables, [class_index])
-        lines += self._exclusions.table_lines(order.proxy, weights)
+        lines += self._exclusions.take_table_lines(order.proxy, weights)
         self._pending.add(order.proxy, lines)
 
     def _exclude_worker(self, order: ExcludeWorker) -> None:
@@ -153,7 +162,7 @@
         for proxy in self._bindings:
             tables = self._bindings.tables_of(proxy)
             if any(self._may_hold(table, order.worker_index) for table in tables):
-                self._pending.add(proxy, [self._exclusions.order_line(proxy, order.worker_index)])
+                self._pending.add(proxy, [self._exclusions.take_line(proxy, order.worker_index)])
 
     def _may_hold(self, table: int | None, worker_index: int) -> bool:
         return table is None or worker_index in self._weights[table]
@@ -183,4 +192,4 @@
     def _add_checkpoint(self, order: Checkpoint) -> None:
         proxies = self._bindings if order.to_all_proxies else self._pending.proxies()
         for proxy in proxies:
-            self._pending.add(proxy, [checkpoint(order.number)])
+            self._pending.add(proxy, [checkpoint_line(order.number)])
