--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -22,12 +22,12 @@
 import msgspec
 
 from benchmarks.harness import (
-    MILLISECONDS_PER_S,
     argument_parser,
     percentile,
     print_figures,
     start_discovery,
 )
+from cottonladder.config.fields import MS_PER_S
 from cottonladder.planning.advice_weighting import AdvisoryWeight
 from cottonladder.testbed import month_end, month_end_advisors
 from cottonladder.testbed.balancers import SaspBalancer, weights_by_label
@@ -35,6 +35,7 @@
 from cottonladder.testbed.fleet import ManagerProcess
 from cottonladder.testbed.month_end import MonthEndRun
 from cottonladder.weight_advice import dfp, sasp
+from cottonladder.weight_advice.tlv import TCP_PROTOCOL_NUMBER
 
 SEEDS = (7, 8, 9, 10)
 LOAD = 0.85  # of the workers' capacity
@@ -51,7 +52,6 @@
 PUSH_INTERVAL_S = 2.5
 IDLE_S = 2.5  # for which a manager is idle before its memory is read
 CALL_TIME_S = 0.7  # for which a codec is called repeatedly
-TCP = 6  # protocol number
 FIRST_ADDRESS = 0x0A000000  # 10.0.0.0
 GROUP = sasp.GroupData(b"lb", b"workers")
 KB_PER_MB = 1024
@@ -170,7 +170,7 @@
     """A SASP message with the weights of `count` members."""
     entries = []
     for n in range(count):
-        member = sasp.MemberData(TCP, n % 65536, IPv4Address(FIRST_ADDRESS + n), b"s-%d" % n)
+        member = sasp.MemberData(TCP_PROTOCOL_NUMBER, n % 65536, IPv4Address(FIRST_ADDRESS + n), b"s-%d" % n)
         entries.append(sasp.WeightEntry(member, 0, 9, n % 65536))
     return sasp.Message(
         sasp.MessageType.SEND_WEIGHTS, 0, groups=(sasp.GroupOfEntries(GROUP, tuple(entries)),)
@@ -181,7 +181,7 @@
     """An encoded DFP report on `count` hosts."""
     hosts = tuple(dfp.HostPreference(IPv4Address(FIRST_ADDRESS + n), 0, n) for n in range(count))
     return dfp.encode_message(
-        dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, (dfp.Load(80, TCP, hosts),))
+        dfp.Message(dfp.MessageType.PREFERENCE_INFORMATION, (dfp.Load(80, TCP_PROTOCOL_NUMBER, hosts),))
     )
 
 
@@ -221,7 +221,9 @@
     flags = sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG
     await balancer.ask(sasp.MessageType.SET_LB_STATE_REQUEST, lb_uid=balancer.uid, flags=flags)
     address = IPv4Address("127.0.0.9")
-    members = [sasp.MemberData(TCP, 8000 + n, address, b"s-%d" % n) for n in range(PUSHED_WORKERS)]
+    members = [
+        sasp.MemberData(TCP_PROTOCOL_NUMBER, 8000 + n, address, b"s-%d" % n) for n in range(PUSHED_WORKERS)
+    ]
     await balancer.register(b"g", *members)
     return balancer
 
@@ -251,7 +253,7 @@
             waits = [asyncio.create_task(wait_for_push(balancer, is_draining)) for balancer in balancers]
             await discovery.set_state("s-0", "Terminating" if is_draining else "Ready")
             arrivals = await asyncio.gather(*waits)
-            durations_ms += [MILLISECONDS_PER_S * (arrived_at - started_at) for arrived_at in arrivals]
+            durations_ms += [MS_PER_S * (arrived_at - started_at) for arrived_at in arrivals]
             await asyncio.sleep(PUSH_INTERVAL_S)
     return PushFigures(
         p50_ms=round(percentile(durations_ms, 0.5), 1), p99_ms=round(percentile(durations_ms, 0.99), 1)
--- a/benchmarks/connection_drain.py
+++ b/benchmarks/connection_drain.py
@@ -11,7 +11,8 @@
 import aiohttp
 
 from benchmarks.harness import start_discovery
-from cottonladder.testbed.configuration_files import UpgradesPart
+from cottonladder.config.fields import MS_PER_S
+from cottonladder.testbed.configuration_files import SETTINGS, UpgradesPart
 from cottonladder.testbed.fleet import ForwarderProcess, ManagerProcess
 from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
@@ -25,8 +26,8 @@
 LEAVING_WORKER = "s-0"
 WARMING_WORKER = "s-5"
 EVEN_CONNECTION_COUNT = CLIENT_COUNT / 4.25  # four warm workers and one that counts for a quarter
-WARM_UP_S = 15.0  # by the testbed's settings
-WARM_UP_START_RATIO = 0.2  # of the usual capacity, by the testbed's settings
+WARM_UP_S = SETTINGS["Rules"]["WarmAfterMs"] / MS_PER_S
+WARM_UP_START_RATIO = SETTINGS["Rules"]["ColdFrom"]  # of the usual capacity
 WARM_UP_USABLE_RATIO = 0.66  # of a warming-up worker's capacity
 CLIENTS_PER_BATCH = 8
 BATCH_INTERVAL_S = 0.1  # slow enough that no connection is rejected
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -17,7 +17,6 @@
 from cottonladder.testbed.discovery import SimulatedDiscovery
 
 TREE = Path(__file__).resolve().parents[1]  # this checkout
-MILLISECONDS_PER_S = 1000.0
 MICROSECONDS_PER_S = 1e6
 BYTES_PER_MB = 2**20
 
--- a/benchmarks/http_load.py
+++ b/benchmarks/http_load.py
@@ -10,7 +10,7 @@
 import aiohttp
 import msgspec
 
-from benchmarks.harness import MILLISECONDS_PER_S
+from cottonladder.config.fields import MS_PER_S
 
 HTTP_OK = 200  # status
 
@@ -58,6 +58,6 @@
     percentiles = statistics.quantiles(durations_s, n=100)
     return LoadFigures(
         requests_per_s=request_count / total_s,
-        p50_ms=percentiles[49] * MILLISECONDS_PER_S,
-        p99_ms=percentiles[98] * MILLISECONDS_PER_S,
+        p50_ms=percentiles[49] * MS_PER_S,
+        p99_ms=percentiles[98] * MS_PER_S,
     )
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -19,8 +19,9 @@
 import msgspec
 import structlog
 
-from benchmarks.harness import MILLISECONDS_PER_S, argument_parser, percentile, print_figures
+from benchmarks.harness import argument_parser, percentile, print_figures
 from benchmarks.manager_restarts import SEEDS, RestartFigures, measure_restarts
+from cottonladder.config.fields import MS_PER_S
 from cottonladder.control.background_scheduler import BackgroundScheduler
 from cottonladder.control.snapshot_folder import SnapshotFolder
 from cottonladder.control.snapshot_manager import SnapshotManager
@@ -143,8 +144,8 @@
         size_bytes = manager._folder.size_bytes
         manager._folder.close()
     return SnapshotFigures(
-        snapshot_ms=round(MILLISECONDS_PER_S * percentile(durations_s, 0.5), 2),
-        longest_stall_ms=round(MILLISECONDS_PER_S * stall_s, 2),
+        snapshot_ms=round(MS_PER_S * percentile(durations_s, 0.5), 2),
+        longest_stall_ms=round(MS_PER_S * stall_s, 2),
         file_bytes=size_bytes,
     )
 
@@ -174,7 +175,7 @@
         if delays_s[-1] > LAG_THRESHOLD_S:
             scheduler.pause_for_loop_lag()
     await scheduler.close()
-    return percentile(delays_s, 0.99) * MILLISECONDS_PER_S
+    return percentile(delays_s, 0.99) * MS_PER_S
 
 
 def read_duration_ms() -> float:
@@ -186,7 +187,7 @@
         snapshots.store.read_newest()
         duration_s = time.perf_counter() - started_at
         snapshots.close()
-    return duration_s * MILLISECONDS_PER_S
+    return duration_s * MS_PER_S
 
 
 def measure(kill_count: int) -> MemoryFigures:
--- a/benchmarks/migration_plans.py
+++ b/benchmarks/migration_plans.py
@@ -7,7 +7,7 @@
 import time
 from collections import Counter
 
-from benchmarks.harness import MILLISECONDS_PER_S
+from cottonladder.config.fields import MS_PER_S
 from cottonladder.model.connection_counts import ConnectionCounts
 from cottonladder.model.views import WorkerCapacityView
 from cottonladder.planning import connection_migration as migration
@@ -52,7 +52,7 @@
     for number in range(PLAN_COUNT):
         started_at = time.perf_counter()
         orders = planner.plan(number * migration_orders.PLAN_INTERVAL_S, views)
-        durations_ms.append((time.perf_counter() - started_at) * MILLISECONDS_PER_S)
+        durations_ms.append((time.perf_counter() - started_at) * MS_PER_S)
         for order in orders:
             if isinstance(order, migration_orders.MigrateConnections):
                 planner.complete_migration(order.forwarder, order.number)
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -23,13 +23,13 @@
 from benchmarks.harness import (
     BYTES_PER_MB,
     MICROSECONDS_PER_S,
-    MILLISECONDS_PER_S,
     argument_parser,
     percentile,
     print_figures,
     start_discovery,
 )
 from benchmarks.http_load import HTTP_OK, http_load
+from cottonladder.config.fields import MS_PER_S
 from cottonladder.plugins.chain import request_record
 from cottonladder.plugins.host import Plugin
 from cottonladder.testbed.configuration_files import ForwarderOptions
@@ -109,7 +109,7 @@
     """The durations of loading a plug-in and of calling it."""
     started_at = time.perf_counter()
     plugin = Plugin("audit", str(EXAMPLE), frozenset(), 0, lambda _name, _text: None)
-    load_ms = (time.perf_counter() - started_at) * MILLISECONDS_PER_S
+    load_ms = (time.perf_counter() - started_at) * MS_PER_S
     headers = {**{f"x-{n}": "v" * 20 for n in range(12)}, "X-Matter": "42"}
     record = request_record("route", "POST", "/release/42", "release", headers)
     durations_us: list[float] = []
@@ -227,7 +227,7 @@
                 async with session.post(f"{url}/release", data=body) as response:
                     await response.read()
                     counts.served += response.status == HTTP_OK
-                counts.durations_ms.append((time.perf_counter() - started_at) * MILLISECONDS_PER_S)
+                counts.durations_ms.append((time.perf_counter() - started_at) * MS_PER_S)
                 await asyncio.sleep(RELEASE_INTERVAL_S)
 
         await asyncio.gather(*(client(name) for name in range(CLIENT_COUNT)))
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -32,12 +32,12 @@
 from statistics import median
 
 from benchmarks.harness import (
-    MILLISECONDS_PER_S,
     TREE,
     add_baseline_argument,
     argument_parser,
     run_in_tree,
 )
+from cottonladder.config.fields import MS_PER_S
 from cottonladder.model.inputs import (
     ArrivalReport,
     EndpointList,
@@ -175,11 +175,11 @@
     fleet.replace_half_of_the_workers()
     fleet.run(AFTER_REPLACEMENT_S)
     return {
-        "solve_ms": MILLISECONDS_PER_S * median(fleet.solve_durations),
-        "look_ms": MILLISECONDS_PER_S * tick_s,
-        "batch_worst_ms": MILLISECONDS_PER_S * fleet.longest_batch_s,
-        "joins_all_ms": MILLISECONDS_PER_S * joins_s,
-        "replace_half_ms": MILLISECONDS_PER_S * max(fleet.batch_durations),
+        "solve_ms": MS_PER_S * median(fleet.solve_durations),
+        "look_ms": MS_PER_S * tick_s,
+        "batch_worst_ms": MS_PER_S * fleet.longest_batch_s,
+        "joins_all_ms": MS_PER_S * joins_s,
+        "replace_half_ms": MS_PER_S * max(fleet.batch_durations),
         "bytes_per_join": bytes_per_join,
         "peak_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0,
     }
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -63,9 +63,8 @@
             await extension.start(stack)
         control_loop = _create_control_loop(config, input_queue, sessions, effects, extensions, background)
         stack.callback(control_loop.close)
-        control_loop.step(
-            [known.endpoints]
-        )  # before listening, so that the policy knows the workers when proxies connect
+        # Before listening, so that the policy knows the workers when proxies connect.
+        control_loop.step([known.endpoints])
         listener = StreamListener(messages, sessions, limits)
         stack.push_async_callback(listener.close)
         port = await listener.listen(*config.manager.listen)
--- a/cottonladder/forwarder/endpoint_follower.py
+++ b/cottonladder/forwarder/endpoint_follower.py
@@ -46,7 +46,7 @@
 
     def start(self) -> None:
         """Fetches the list and watches its changes."""
-        self._discovery.fetch()
+        self.refresh()
         self._watch()
 
     def stop_timers(self) -> None:
--- a/cottonladder/testbed/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -11,15 +11,14 @@
 from contextlib import suppress
 from enum import StrEnum
 
-from ..weight_advice import dfp, sasp
+from ..weight_advice import dfp, limits, sasp
 from ..weight_advice.errors import AdviceError
 from ..weight_advice.tlv import TCP_PROTOCOL_NUMBER
+from .http_server import LOOPBACK
 
 WeightFunction = Callable[[sasp.MemberData], int]  # gives the weight of a member
 EVENT_TIMEOUT_S = 20.0
 POLLING_INTERVAL_S = 1  # that replies with weights state
-READ_SIZE_BYTES = 65_536
-LOOPBACK = "127.0.0.1"
 GARBAGE_SEED = 3  # of the random bytes
 GARBAGE_SIZE_BYTES = 64
 
@@ -89,7 +88,7 @@
         await self._notify()
         decoder = sasp.MessageReader()
         try:
-            while data := await reader.read(READ_SIZE_BYTES):
+            while data := await reader.read(limits.READ_SIZE_BYTES):
                 for message in decoder.feed(data):
                     self._answer(writer, message)
                 await self._notify()
@@ -171,7 +170,7 @@
         self._tasks.add(task)
         decoder = dfp.MessageReader(dict([self.secret]) if self.secret else None)
         with suppress(ConnectionError, AdviceError):
-            while data := await reader.read(READ_SIZE_BYTES):
+            while data := await reader.read(limits.READ_SIZE_BYTES):
                 for message in decoder.feed(data):
                     if message.keep_alive_s is not None:
                         self.keep_alive_s = message.keep_alive_s
--- a/cottonladder/testbed/balancers.py
+++ b/cottonladder/testbed/balancers.py
@@ -5,11 +5,10 @@
 import asyncio
 from contextlib import suppress
 
-from ..weight_advice import dfp, sasp
+from ..weight_advice import dfp, limits, sasp
+from .http_server import LOOPBACK
 
 ANSWER_TIMEOUT_S = 15.0
-READ_SIZE_BYTES = 65_536
-LOOPBACK = "127.0.0.1"
 KEEP_ALIVE_S = 2  # within which a DFP agent must send something
 
 
@@ -32,7 +31,7 @@
     async def _read(self, reader: asyncio.StreamReader) -> None:
         decoder = sasp.MessageReader()
         with suppress(ConnectionError):
-            while data := await reader.read(READ_SIZE_BYTES):
+            while data := await reader.read(limits.READ_SIZE_BYTES):
                 for message in decoder.feed(data):
                     reply = self._replies.pop(message.message_id, None)
                     if reply is not None and not reply.done():
@@ -116,7 +115,7 @@
         writer.write(dfp.encode_message(dfp.Message(dfp.MessageType.BIND_ID_REQUEST), secret))
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
             while count_reports(messages) < count:
-                data = await reader.read(READ_SIZE_BYTES)
+                data = await reader.read(limits.READ_SIZE_BYTES)
                 if not data:
                     raise ConnectionResetError("ended by the agent")
                 messages += decoder.feed(data)
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -16,6 +16,7 @@
 from typing import NamedTuple
 
 from ..model.inputs import (
+    NEUTRAL_FACTOR,
     Acknowledged,
     AdvisedFactor,
     ArrivalReport,
@@ -237,13 +238,13 @@
         return inputs
 
     def _ask_advisors(self, now: float) -> list[Input]:
-        """Asks the advisors for their weights; gives the factors to be applied, 1.0 where one has ended."""
+        """Asks the advisors for their weights; gives the factors to be applied."""
         for name, advisor in self._advisors.items():
             weights = advisor(now - START_TIME_S, self)
             if weights is not None:
                 self.advice.receive(name, now, weights, is_complete=True)
         factors = self.advice.update_factors(now, self._capacity_views) if self._capacity_views else {}
-        ended = {index: 1.0 for index in self._factors if index not in factors}
+        ended = {index: NEUTRAL_FACTOR for index in self._factors if index not in factors}
         self._factors = factors
         self.result.factors.append(factors)
         return [AdvisedFactor(index, factor) for index, factor in (ended | factors).items()]
--- a/cottonladder/weight_advice/query.py
+++ b/cottonladder/weight_advice/query.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ..config.errors import InputError
-from ..config.fields import address
+from ..config.fields import parse_host_port
 from . import dfp, limits, sasp
 from .errors import ConnectionEndedError, RequestRejectedError
 from .sasp import MessageType, ResponseCode
@@ -40,7 +40,7 @@
 def parse_member(text: str) -> sasp.MemberData:
     """Parses `[LABEL@]HOST:PORT`, where the host must be an IP address."""
     label, _, host_port = text.rpartition("@")
-    host, port = address({"member": host_port}, "member", "--member")
+    host, port = parse_host_port(host_port, "member", "--member")
     ip_address = parse_address(host.strip("[]"))
     if ip_address is None:
         raise InputError(f"--member: {host} is no literal address")
--- a/tests/support/manager_program.py
+++ b/tests/support/manager_program.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from cottonladder.testbed.configuration_files import manager_file
+from cottonladder.testbed import configuration_files
 from cottonladder.testbed.process_log import ProcessLog
 from tests.support.json_object import JsonObject
 from tests.support.program_with_constants import CONSTANTS_VARIABLE
@@ -23,14 +23,12 @@
 
 ROOT = Path(__file__).parents[2]
 SETTINGS: JsonObject = {
-    "NInstances": 1, "Me": 0, "Zones": ["a", "b"], "Discovery": "subscribe",
+    **configuration_files.SETTINGS,
     "Profiles": [{"Name": n, "TargetMs": 1000.0, "Gain": g} for n, g in (("lookup", 1.0), ("order", 3.0))],
-    "FamilyInfo": {"Proxies": 8, "EgressPerS": 3000.0, "Head": 10.0, "PendingMax": 6000.0,
-                   "ThrottleBy": "ratio", "Strikes": 3, "KeyRanges": 0},
-    "Rules": {"ColdFrom": 0.2, "FallMultiple": 3.0, "WarmAfterMs": 15000.0, "AskWithinMs": 5000.0},
-    "Limits": {"Probing": False, "Peers": False}, "Prices": {"CrossZone": 0.02, "Probe": 0.02},
+    "FamilyInfo": {**configuration_files.SETTINGS["FamilyInfo"], "Proxies": 8},
+    "Rules": {**configuration_files.SETTINGS["Rules"], "AskWithinMs": 5000.0},
     "Stats": {"Via": "probe", "Fields": ["inflight"]},
-}  # fmt: skip
+}
 
 
 class ManagerProgram:
@@ -47,7 +45,7 @@
         settings = {**SETTINGS, **changes.pop("settings", {})}
         known = endpoint_list(41, endpoint_entry("s-1"), endpoint_entry("s-2"), full=True)
         self.config: JsonObject = {
-            **manager_file("127.0.0.1:0", discovery_address, known, settings),
+            **configuration_files.manager_file("127.0.0.1:0", discovery_address, known, settings),
             **changes,
         }
         self.port = 0
--- a/tests/support/stepped_event_loop.py
+++ b/tests/support/stepped_event_loop.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import selectors
-from typing import Any
 
 
 class SteppingSelector(selectors.DefaultSelector):
@@ -15,7 +14,7 @@
         self._loop = loop
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Called by asyncio in each turn; None means that no timer is set."""
+        """Called by asyncio in each iteration; None means that no timer is set."""
         if timeout is None:
             return super().select(None)
         ready = super().select(0)
@@ -27,7 +26,7 @@
 class SteppedEventLoop(asyncio.SelectorEventLoop):
     """Runs timers in their order without waiting for them: its clock steps to the next one that is due."""
 
-    def __init__(self, *_: Any) -> None:
+    def __init__(self) -> None:
         self._now = 0.0
         super().__init__(SteppingSelector(self))
 
