--- a/benchmarks/manager_restarts.py
+++ b/benchmarks/manager_restarts.py
@@ -104,7 +104,7 @@
 
 def restore_fresh(state: RestoredState) -> RestoredState:
     """A restart with a snapshot that is two seconds old."""
-    return snapshot_staleness.discount(state, FRESH_AGE_S)
+    return snapshot_staleness.discount_restored_state(state, FRESH_AGE_S)
 
 
 def restore_stale(state: RestoredState) -> RestoredState:
@@ -115,7 +115,7 @@
         else worker
         for worker in state.workers
     )
-    return snapshot_staleness.discount(replace(state, workers=workers), STALE_AGE_S)
+    return snapshot_staleness.discount_restored_state(replace(state, workers=workers), STALE_AGE_S)
 
 
 def measure_restarts() -> RestartFigures:
--- a/cottonladder/cli/serving.py
+++ b/cottonladder/cli/serving.py
@@ -31,4 +31,4 @@
     action, with another status than that of an orderly shutdown.
     """
     await serving
-    signals.block()
+    signals.block_signals()
--- a/cottonladder/config/deployment.py
+++ b/cottonladder/config/deployment.py
@@ -10,7 +10,15 @@
 
 from ..model.parameters import AdmissionMode, DeploymentParameters, RequestClass
 from .errors import UnknownNameError
-from .fields import JsonObject, bounded_seconds, check_names, field, integer, names, number
+from .fields import (
+    JsonObject,
+    check_names,
+    read_bounded_seconds,
+    read_field,
+    read_integer,
+    read_names,
+    read_number,
+)
 
 MIN_DIVISOR = 1e-3  # smallest value, in the setting's unit, of a setting that the policy divides by
 
@@ -47,30 +55,30 @@
 
     `seed` is the seed of the policy's random choices.
     """
-    zones = names(info, "Zones", where)
-    profiles = field(info, "Profiles", list, where)
-    classes = [field(profile, "Name", str, where) for profile in profiles]
+    zones = read_names(info, "Zones", where)
+    profiles = read_field(info, "Profiles", list, where)
+    classes = [read_field(profile, "Name", str, where) for profile in profiles]
     check_names(classes, "Profiles", where)
-    stats = field(info, "Stats", dict, where, {})
+    stats = read_field(info, "Stats", dict, where, {})
     return DeploymentSettings(
         parameters=_deployment_parameters(info, profiles, len(zones), seed, where),
         zones={name: index for index, name in enumerate(zones)},
         classes={name: index for index, name in enumerate(classes)},
-        manager_index=integer(info, "Me", where, default=0),
-        health_checks_report_load=field(stats, "Via", str, where, "none") != "none",
+        manager_index=read_integer(info, "Me", where, default=0),
+        health_checks_report_load=read_field(stats, "Via", str, where, "none") != "none",
     )
 
 
 def _request_class(profile: Any, where: str) -> RequestClass:
     return RequestClass(
-        latency_objective_s=bounded_seconds(profile, "TargetMs", where, MIN_DIVISOR),
-        priority_weight=number(profile, "Gain", where),
+        latency_objective_s=read_bounded_seconds(profile, "TargetMs", where, MIN_DIVISOR),
+        priority_weight=read_number(profile, "Gain", where),
     )
 
 
 def _admission_mode(family: JsonObject, where: str) -> AdmissionMode:
     """Reads the setting; a value that is not known means a rate."""
-    text = field(family, "ThrottleBy", str, where, "none")
+    text = read_field(family, "ThrottleBy", str, where, "none")
     if text in (AdmissionMode.NONE, AdmissionMode.RATIO):
         return AdmissionMode(text)
     return AdmissionMode.RATE
@@ -81,41 +89,41 @@
 
     `SingleWriter` (whether a slice has one owner) is not used, but a value of the wrong type is an error.
     """
-    slice_count: int = field(family, "KeyRanges", int, where, 0)
-    field(family, "SingleWriter", bool, where, False)
+    slice_count: int = read_field(family, "KeyRanges", int, where, 0)
+    read_field(family, "SingleWriter", bool, where, False)
     return slice_count
 
 
 def _deployment_parameters(
     info: JsonObject, profiles: list[Any], zone_count: int, seed: int, where: str
 ) -> DeploymentParameters:
-    family = field(info, "FamilyInfo", dict, where)
-    rules = field(info, "Rules", dict, where)
-    limits = field(info, "Limits", dict, where)
-    prices = field(info, "Prices", dict, where)
+    family = read_field(info, "FamilyInfo", dict, where)
+    rules = read_field(info, "Rules", dict, where)
+    limits = read_field(info, "Limits", dict, where)
+    prices = read_field(info, "Prices", dict, where)
     request_classes = tuple(_request_class(profile, where) for profile in profiles)
     return DeploymentParameters(
         seed=seed,
-        manager_count=integer(info, "NInstances", where, 1),
+        manager_count=read_integer(info, "NInstances", where, 1),
         zone_count=zone_count,
         request_classes=request_classes,
-        proxy_count=integer(family, "Proxies", where, 1),
-        watches_endpoints=field(info, "Discovery", str, where) == "subscribe",
-        poll_within_s=bounded_seconds(rules, "AskWithinMs", where, default=0.0),
-        health_checks=field(limits, "Probing", bool, where, False),
-        gossip=field(limits, "Peers", bool, where, False),
+        proxy_count=read_integer(family, "Proxies", where, 1),
+        watches_endpoints=read_field(info, "Discovery", str, where) == "subscribe",
+        poll_within_s=read_bounded_seconds(rules, "AskWithinMs", where, default=0.0),
+        health_checks=read_field(limits, "Probing", bool, where, False),
+        gossip=read_field(limits, "Peers", bool, where, False),
         admission_mode=_admission_mode(family, where),
         slice_count=_slice_count(family, where),
-        channel_lines_per_s=number(family, "EgressPerS", where, MIN_DIVISOR),
-        message_header_lines=int(number(family, "Head", where)),
-        max_queued_lines=number(family, "PendingMax", where),
-        max_messages=int(number(family, "ReloadsMax", where, default=0)),
-        message_window_s=bounded_seconds(family, "ReloadSpanMs", where, default=0.0),
-        drain_grace_s=bounded_seconds(rules, "DrainGraceMs", where, default=0.0),
-        warm_up_start_ratio=number(rules, "ColdFrom", where),
-        collapse_multiple=number(rules, "FallMultiple", where),
-        proxies_eject_outliers=number(family, "Strikes", where, default=0) > 0,
-        warm_up_s=bounded_seconds(rules, "WarmAfterMs", where),
-        cross_zone_cost=number(prices, "CrossZone", where, default=0.0),
-        health_check_cost=number(prices, "Probe", where, default=0.0),
+        channel_lines_per_s=read_number(family, "EgressPerS", where, MIN_DIVISOR),
+        message_header_lines=int(read_number(family, "Head", where)),
+        max_queued_lines=read_number(family, "PendingMax", where),
+        max_messages=int(read_number(family, "ReloadsMax", where, default=0)),
+        message_window_s=read_bounded_seconds(family, "ReloadSpanMs", where, default=0.0),
+        drain_grace_s=read_bounded_seconds(rules, "DrainGraceMs", where, default=0.0),
+        warm_up_start_ratio=read_number(rules, "ColdFrom", where),
+        collapse_multiple=read_number(rules, "FallMultiple", where),
+        proxies_eject_outliers=read_number(family, "Strikes", where, default=0) > 0,
+        warm_up_s=read_bounded_seconds(rules, "WarmAfterMs", where),
+        cross_zone_cost=read_number(prices, "CrossZone", where, default=0.0),
+        health_check_cost=read_number(prices, "Probe", where, default=0.0),
     )
--- a/cottonladder/config/errors.py
+++ b/cottonladder/config/errors.py
@@ -41,11 +41,11 @@
 
 
 class UnknownNameError(ConfigError):
-    """A name is not in the settings; `named` says what the name stands for, such as a zone."""
+    """A name is not in the settings; `name_kind` is what it names, such as a zone."""
 
-    def __init__(self, where: str, named: str) -> None:
-        super().__init__(where, f"unknown {named}")
-        self.named = named
+    def __init__(self, where: str, name_kind: str) -> None:
+        super().__init__(where, f"unknown {name_kind}")
+        self.name_kind = name_kind
 
 
 class FieldError(ConfigError):
--- a/cottonladder/config/fields.py
+++ b/cottonladder/config/fields.py
@@ -17,7 +17,7 @@
     NotAnObjectError,
 )
 
-NUMBER = (int, float)
+NUMBER_TYPES = (int, float)
 HostPort = tuple[str, int]
 JsonObject = Mapping[str, object]  # a decoded JSON object whose fields are not yet checked
 MS_PER_S = 1000.0
@@ -27,7 +27,7 @@
 _MISSING = object()
 
 
-def field(body: Any, name: str, types: Any, where: str, default: Any = _MISSING) -> Any:
+def read_field(body: Any, name: str, types: Any, where: str, default: Any = _MISSING) -> Any:
     """One field, checked to be of one of `types`; a bool is not accepted as a number."""
     if not isinstance(body, dict):
         raise NotAnObjectError(where)
@@ -42,11 +42,11 @@
     return value
 
 
-def number(
-    body: Any, name: str, where: str, minimum: float = 0.0, default: Any = _MISSING, types: Any = NUMBER
+def read_number(
+    body: Any, name: str, where: str, minimum: float = 0.0, default: Any = _MISSING, types: Any = NUMBER_TYPES
 ) -> float:
     """A number from `minimum` to `MAX_NUMBER`; NaN is not accepted."""
-    value = field(body, name, types, where, default)
+    value = read_field(body, name, types, where, default)
     if value > MAX_NUMBER:
         raise FieldTooLargeError(where, name, MAX_NUMBER)
     if not value >= minimum:  # unlike `value < minimum`, this is true of NaN
@@ -54,26 +54,26 @@
     return float(value)
 
 
-def integer(body: Any, name: str, where: str, minimum: int = 0, default: Any = _MISSING) -> int:
+def read_integer(body: Any, name: str, where: str, minimum: int = 0, default: Any = _MISSING) -> int:
     """An integer from `minimum` to `MAX_NUMBER`."""
-    return int(number(body, name, where, minimum, default, types=int))
+    return int(read_number(body, name, where, minimum, default, types=int))
 
 
-def bounded_seconds(
+def read_bounded_seconds(
     body: Any, name: str, where: str, minimum_ms: float = 0.0, default: Any = _MISSING
 ) -> float:
-    """A field in milliseconds, converted to seconds; the bounds are those of `number`."""
-    return number(body, name, where, minimum_ms, default) / MS_PER_S
+    """A field in milliseconds, converted to seconds; the bounds are those of `read_number`."""
+    return read_number(body, name, where, minimum_ms, default) / MS_PER_S
 
 
-def seconds(body: Any, name: str, where: str, default: Any = _MISSING) -> float:
+def read_seconds(body: Any, name: str, where: str, default: Any = _MISSING) -> float:
     """A field in milliseconds, converted to seconds; its value is not bounded."""
-    return float(field(body, name, NUMBER, where, default)) / MS_PER_S
+    return float(read_field(body, name, NUMBER_TYPES, where, default)) / MS_PER_S
 
 
-def names(body: Any, name: str, where: str) -> list[str]:
+def read_names(body: Any, name: str, where: str) -> list[str]:
     """A list of one or more different, non-empty names."""
-    value = field(body, name, list, where)
+    value = read_field(body, name, list, where)
     check_names(value, name, where)
     return list(value)
 
@@ -85,9 +85,9 @@
         raise FieldValueError(where, name, "a list of different names")
 
 
-def address(body: Any, name: str, where: str) -> HostPort:
+def read_address(body: Any, name: str, where: str) -> HostPort:
     """A field of the form host:port."""
-    return parse_host_port(field(body, name, str, where), name, where)
+    return parse_host_port(read_field(body, name, str, where), name, where)
 
 
 def parse_host_port(text: str, name: str, where: str) -> HostPort:
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -10,9 +10,9 @@
 
 from .deployment import DeploymentSettings, read_settings
 from .errors import ConfigError, ConfigFileError, FieldValueError
-from .fields import HostPort, JsonObject, address, field, number
+from .fields import HostPort, JsonObject, read_address, read_field, read_number
 
-WHERE = "configuration"  # the name of the file in error messages
+CONFIG_LOCATION = "configuration"  # the name of the file in error messages
 MIN_SOCKETS = 64  # file descriptors; with fewer, the program's own would leave none for proxies
 MIN_MEMORY_MB = 1
 
@@ -46,52 +46,54 @@
     def load(cls, path: str) -> ManagerFile:
         """Reads and decodes the file at `path`."""
         if not path:
-            raise ConfigFileError(WHERE, "neither --config nor ROUTER_CONFIG names a file")
+            raise ConfigFileError(CONFIG_LOCATION, "neither --config nor ROUTER_CONFIG names a file")
         try:
             with open(path, encoding="utf-8") as file:
                 return cls(json.load(file))
         except OSError as exc:
-            raise ConfigFileError(f"{WHERE}: {path}", str(exc.strerror)) from None
+            raise ConfigFileError(f"{CONFIG_LOCATION}: {path}", str(exc.strerror)) from None
         except (ValueError, RecursionError) as exc:
-            raise ConfigFileError(WHERE, f"not JSON ({exc})") from None
+            raise ConfigFileError(CONFIG_LOCATION, f"not JSON ({exc})") from None
 
     def read_settings(self) -> DeploymentSettings:
         """The deployment's settings, with the seed of the policy's random choices."""
         seed = self._read_seed()
-        body = field(self.body, "settings", dict, WHERE)
-        settings = read_settings(body, seed, f"{WHERE}: settings")
+        body = read_field(self.body, "settings", dict, CONFIG_LOCATION)
+        settings = read_settings(body, seed, f"{CONFIG_LOCATION}: settings")
         if settings.parameters.slice_count:
-            raise FieldValueError(f"{WHERE}: settings", "KeyRanges", "0, and this protocol has no slices")
+            raise FieldValueError(
+                f"{CONFIG_LOCATION}: settings", "KeyRanges", "0, and this protocol has no slices"
+            )
         return settings
 
     def known_list(self) -> JsonObject:
         """The last known endpoint list, unchecked: `protocol.endpoint_list` reads its fields."""
-        body: JsonObject = field(self.body, "known", dict, WHERE)
+        body: JsonObject = read_field(self.body, "known", dict, CONFIG_LOCATION)
         return body
 
     def read_manager_config(self, settings: DeploymentSettings) -> ManagerConfig:
         """The manager's addresses and limits, together with the `settings`, which were read before."""
-        limits = field(self.body, "limits", dict, WHERE)
+        limits = read_field(self.body, "limits", dict, CONFIG_LOCATION)
         has_gossip = settings.parameters.gossip
-        peers = field(self.body, "peers", list, WHERE) if has_gossip else []
+        peers = read_field(self.body, "peers", list, CONFIG_LOCATION) if has_gossip else []
         return ManagerConfig(
-            name=field(self.body, "name", str, WHERE),
-            listen=address(self.body, "listen", WHERE),
-            discovery=address(self.body, "discovery", WHERE),
-            sockets=int(number(limits, "sockets", f"{WHERE}: limits", MIN_SOCKETS)),
-            memory_mb=int(number(limits, "memory_mb", f"{WHERE}: limits", MIN_MEMORY_MB)),
-            peer_listen=address(self.body, "peer_listen", WHERE) if has_gossip else None,
-            peers=[address({"peers": peer}, "peers", WHERE) for peer in peers],
-            peers_all=address(self.body, "peers_all", WHERE) if has_gossip else None,
+            name=read_field(self.body, "name", str, CONFIG_LOCATION),
+            listen=read_address(self.body, "listen", CONFIG_LOCATION),
+            discovery=read_address(self.body, "discovery", CONFIG_LOCATION),
+            sockets=int(read_number(limits, "sockets", f"{CONFIG_LOCATION}: limits", MIN_SOCKETS)),
+            memory_mb=int(read_number(limits, "memory_mb", f"{CONFIG_LOCATION}: limits", MIN_MEMORY_MB)),
+            peer_listen=read_address(self.body, "peer_listen", CONFIG_LOCATION) if has_gossip else None,
+            peers=[read_address({"peers": peer}, "peers", CONFIG_LOCATION) for peer in peers],
+            peers_all=read_address(self.body, "peers_all", CONFIG_LOCATION) if has_gossip else None,
             settings=settings,
         )
 
     def _read_seed(self) -> int:
-        text = field(self.body, "seed", str, WHERE)
+        text = read_field(self.body, "seed", str, CONFIG_LOCATION)
         try:
             return int(text, 16)
         except ValueError:
-            raise FieldValueError(WHERE, "seed", "a hexadecimal number") from None
+            raise FieldValueError(CONFIG_LOCATION, "seed", "a hexadecimal number") from None
 
 
 @contextmanager
@@ -100,4 +102,4 @@
     try:
         yield
     except OverflowError as exc:
-        raise ConfigError(WHERE, f"a figure is too large ({exc})") from None
+        raise ConfigError(CONFIG_LOCATION, f"a figure is too large ({exc})") from None
--- a/cottonladder/control/signals.py
+++ b/cottonladder/control/signals.py
@@ -33,7 +33,7 @@
     return bool(_pending_reloads)
 
 
-def block() -> None:
+def block_signals() -> None:
     """Blocks the handled signals, which must not change the exit status; called before the loop closes."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
--- a/cottonladder/control/snapshot_restore.py
+++ b/cottonladder/control/snapshot_restore.py
@@ -12,7 +12,7 @@
 )
 from ..model.line_account import CHECKPOINT_NUMBERS
 from ..planning.advice_weighting import INITIAL_CREDIT
-from ..planning.snapshot_staleness import discount, discounted_credit
+from ..planning.snapshot_staleness import discount_restored_state, discounted_credit
 from ..snapshots.sections import EndpointSnapshot, ManagerSnapshot
 from ..state.worker_registry import WorkerRegistry
 from .starting_list import StartingList
@@ -55,7 +55,7 @@
             )
     last_checkpoint = snapshot.last_checkpoint % CHECKPOINT_NUMBERS
     proxy_rates = tuple(snapshot.proxy_rates.items())
-    return discount(RestoredState(last_checkpoint, tuple(histories), proxy_rates), age_s)
+    return discount_restored_state(RestoredState(last_checkpoint, tuple(histories), proxy_rates), age_s)
 
 
 def restored_credits(snapshot: ManagerSnapshot, age_s: float) -> dict[str, float]:
--- a/cottonladder/control/startup_config.py
+++ b/cottonladder/control/startup_config.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ..config.deployment import DeploymentSettings
-from ..config.manager_config import WHERE, ManagerConfig, ManagerFile, overflows_as_config_errors
+from ..config.manager_config import CONFIG_LOCATION, ManagerConfig, ManagerFile, overflows_as_config_errors
 from ..model.inputs import EndpointList, ListUpdateKind
 from ..protocol.endpoint_list import read_endpoint_list
 from ..state.worker_registry import WorkerRegistry
@@ -36,7 +36,7 @@
         settings = file.read_settings()
         workers = WorkerRegistry()
         list_version, known = read_endpoint_list(
-            file.known_list(), settings, workers.register, f"{WHERE}: known"
+            file.known_list(), settings, workers.register, f"{CONFIG_LOCATION}: known"
         )
         manager = file.read_manager_config(settings)
     cached = EndpointList(ListUpdateKind.CACHED, known.endpoints)
--- a/cottonladder/model/__init__.py
+++ b/cottonladder/model/__init__.py
@@ -1,9 +1,9 @@
 """Typed inputs, orders, records and deployment parameters, and general algorithms without a tuned value."""
 
-from .admission_shares import ClassAdmission, common_limit, shed_in_order
+from .admission_shares import ClassAdmission, admitted_shares, common_rate_limit
 from .controller_state import ControllerState
 from .demand import Demand
-from .gossip_text import decode_zone_figures, encode_zone_figures
+from .gossip_text import decode_zone_demand, encode_zone_demand
 from .latency import LatencyHistogram, LinkLatencies
 from .line_account import LineAccount, LineLimit
 from .min_cost_flow import min_cost_flow
@@ -23,7 +23,7 @@
     WorkerStateChanged,
 )
 from .statistics import median_or_zero
-from .weight_ring import arcs, cut
+from .weight_ring import overlapping_arcs, weights_in_arc
 from .worker_record import IN_SERVICE, WorkerRecord
 from .zone_groups import ZoneGroups
 
@@ -52,12 +52,12 @@
     "WorkerState",
     "WorkerStateChanged",
     "ZoneGroups",
-    "arcs",
-    "common_limit",
-    "cut",
-    "decode_zone_figures",
-    "encode_zone_figures",
+    "admitted_shares",
+    "common_rate_limit",
+    "decode_zone_demand",
+    "encode_zone_demand",
     "median_or_zero",
     "min_cost_flow",
-    "shed_in_order",
+    "overlapping_arcs",
+    "weights_in_arc",
 ]
--- a/cottonladder/model/admission_shares.py
+++ b/cottonladder/model/admission_shares.py
@@ -14,7 +14,7 @@
     ordered_admission: float  # a share, or requests/s of one proxy, by the deployment's admission mode
 
 
-def shed_in_order(
+def admitted_shares(
     arrivals: Sequence[float], order: Iterable[int], shed: float, min_share: float
 ) -> dict[int, float]:
     """Returns the admitted share of each class.
@@ -30,7 +30,7 @@
     return shares
 
 
-def common_limit(rates: Iterable[float], share: float) -> float | None:
+def common_rate_limit(rates: Iterable[float], share: float) -> float | None:
     """Returns the one limit for all proxies that admits this share of the sum of their rates.
 
     Proxies whose rate is under the limit are admitted completely.  None means that no limit is needed.
--- a/cottonladder/model/demand.py
+++ b/cottonladder/model/demand.py
@@ -9,12 +9,12 @@
 class Demand:
     """Requests/s by zone, of this manager's proxies and of the other managers' proxies."""
 
-    own: list[float]
-    others: list[float]
+    own_rates: list[float]
+    peer_rates: list[float]
 
     def total(self) -> list[float]:
         """Returns the requests/s of all proxies by zone."""
-        return [own + others for own, others in zip(self.own, self.others, strict=True)]
+        return [own + others for own, others in zip(self.own_rates, self.peer_rates, strict=True)]
 
     def own_shares(self, flow: list[list[float]]) -> list[float]:
         """Returns this manager's share of what a flow brings each worker zone.
@@ -26,6 +26,6 @@
         for group in range(len(total)):
             planned = sum(row[group] for row in flow)
             sources = [zone for zone in range(len(total)) if total[zone] > 0]
-            own = sum(flow[zone][group] * self.own[zone] / total[zone] for zone in sources)
+            own = sum(flow[zone][group] * self.own_rates[zone] / total[zone] for zone in sources)
             shares.append(own / planned if planned > 0 else 1.0)
         return shares
--- a/cottonladder/model/gossip_text.py
+++ b/cottonladder/model/gossip_text.py
@@ -11,28 +11,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ZoneFigures:
+class ZoneDemand:
     """Proxy count and requests/s of each zone in turn, from `first_zone` on."""
 
     first_zone: int
-    figures: list[float]
+    counts_and_rates: list[float]
 
 
-def encode_zone_figures(counts: list[int], demand: list[float], max_zones: int) -> Iterator[str]:
+def encode_zone_demand(counts: list[int], demand: list[float], max_zones: int) -> Iterator[str]:
     """Yields texts of at most `max_zones` zones each; `demand` is requests/s by zone."""
-    figures = [f"{count} {rate:.1f}" for count, rate in zip(counts, demand, strict=True)]
-    for first in range(0, len(figures), max_zones):
-        prefix = [f"@{first}"] if len(figures) > max_zones else []
-        yield " ".join(prefix + figures[first : first + max_zones])
+    values = [f"{count} {rate:.1f}" for count, rate in zip(counts, demand, strict=True)]
+    for first in range(0, len(values), max_zones):
+        prefix = [f"@{first}"] if len(values) > max_zones else []
+        yield " ".join(prefix + values[first : first + max_zones])
 
 
-def decode_zone_figures(text: str, zone_count: int, max_zones: int) -> ZoneFigures | None:
-    """Returns None for a text that does not have two figures for each of its zones."""
+def decode_zone_demand(text: str, zone_count: int, max_zones: int) -> ZoneDemand | None:
+    """Returns None for a text that does not have two numbers for each of its zones."""
     first = "0"
     rest = text
     if text[:1] == "@":
         first, _, rest = text[1:].partition(" ")
-    figures = [float(figure) for figure in rest.split() if figure.replace(".", "", 1).isdecimal()]
-    if not first.isdecimal() or len(figures) != 2 * min(max_zones, zone_count - int(first)):
+    values = [float(value) for value in rest.split() if value.replace(".", "", 1).isdecimal()]
+    if not first.isdecimal() or len(values) != 2 * min(max_zones, zone_count - int(first)):
         return None
-    return ZoneFigures(int(first), figures)
+    return ZoneDemand(int(first), values)
--- a/cottonladder/model/latency.py
+++ b/cottonladder/model/latency.py
@@ -44,7 +44,7 @@
         intervals = self._intervals[proxy_zone][worker_zone]
         intervals[0] = min(intervals[0], latency_s)
 
-    def least(self) -> list[list[float]]:
+    def min_latencies(self) -> list[list[float]]:
         """Returns seconds by proxy zone and worker zone; infinite where none was measured."""
         return [[min(intervals) for intervals in row] for row in self._intervals]
 
--- a/cottonladder/model/line_account.py
+++ b/cottonladder/model/line_account.py
@@ -76,7 +76,7 @@
             self.parameters.message_header_lines + 1
         )
 
-    def add(self, orders: list[Order], cost: dict[int, int]) -> None:
+    def add_reservation(self, orders: list[Order], cost: dict[int, int]) -> None:
         """Reserves lines by proxy for orders; headers are added."""
         self.orders += orders
         for proxy, count in cost.items():
@@ -93,8 +93,8 @@
 
     def bind_cost(self, proxy: int, table: RoutingTable, excluded: Collection[int]) -> dict[int, int]:
         """Returns the lines of binding a proxy to a table; `excluded` workers in it take one line more."""
-        included = [index for index in table.sent if index not in excluded]
-        lines = 1 + 2 * len(table.sent) - len(included) + len(table.admission)
+        included = [index for index in table.sent_weights if index not in excluded]
+        lines = 1 + 2 * len(table.sent_weights) - len(included) + len(table.admission)
         return {proxy: lines + self.count_readmissions(proxy, included, True)}
 
     def record_written(self, written: dict[int, int]) -> None:
@@ -119,6 +119,6 @@
         self.reserved_total = 0
         return orders, lines
 
-    def quiet_s(self, times: list[float]) -> float:
+    def time_since_last_message_s(self, times: list[float]) -> float:
         """Returns the seconds since the last of these messages."""
         return self.updated_at - max(times, default=-math.inf)
--- a/cottonladder/model/peer_demand.py
+++ b/cottonladder/model/peer_demand.py
@@ -4,16 +4,16 @@
 
 from dataclasses import dataclass
 
-from .gossip_text import ZoneFigures
+from .gossip_text import ZoneDemand
 from .proxies import ProxyDemand
 
 
 @dataclass(slots=True)
-class _PeerFigures:
+class _PeerReport:
     """The last figures of one manager: proxy count and requests/s of each zone in turn."""
 
     received_at: float
-    figures: list[float]
+    counts_and_rates: list[float]
 
 
 class PeerDemand:
@@ -21,21 +21,21 @@
 
     def __init__(self, zone_count: int) -> None:
         self._zone_count = zone_count
-        self._by_sender: dict[int, _PeerFigures] = {}
+        self._by_sender: dict[int, _PeerReport] = {}
 
-    def update(self, sender: int, now: float, received: ZoneFigures) -> None:
+    def update(self, sender: int, now: float, received: ZoneDemand) -> None:
         """Replaces the sender's figures for the zones that the gossip covers."""
         if sender not in self._by_sender:
-            self._by_sender[sender] = _PeerFigures(now, [0.0] * 2 * self._zone_count)
+            self._by_sender[sender] = _PeerReport(now, [0.0] * 2 * self._zone_count)
         peer = self._by_sender[sender]
         start = 2 * received.first_zone
-        peer.figures[start : start + len(received.figures)] = received.figures
+        peer.counts_and_rates[start : start + len(received.counts_and_rates)] = received.counts_and_rates
         peer.received_at = now
 
     def recent(self, now: float, ttl_s: float) -> list[ProxyDemand]:
         """Returns the figures of each sender heard within the time to live."""
         return [
-            ProxyDemand(request_rates=peer.figures[1::2], proxy_counts=peer.figures[0::2])
+            ProxyDemand(request_rates=peer.counts_and_rates[1::2], proxy_counts=peer.counts_and_rates[0::2])
             for peer in self._by_sender.values()
             if now - peer.received_at < ttl_s
         ]
--- a/cottonladder/model/routing_table.py
+++ b/cottonladder/model/routing_table.py
@@ -26,17 +26,17 @@
         self.number = number
         self.zone = zone
         self.request_rate = 0.0  # requests/s of its readers
-        self.sent: dict[int, float] = {}  # weight by worker index
-        self.wanted: dict[int, float] = {}
+        self.sent_weights: dict[int, float] = {}  # weight by worker index
+        self.desired_weights: dict[int, float] = {}
         self.admission: dict[int, float] = {}  # share by class, as sent
         self.readers: dict[int, None] = {}  # proxies bound to it, in the order of binding
         self.awaits_acknowledgement = False
         self.checkpoint = -1
         self.written_at = 0.0
-        self.acknowledged = 0
-        self.awaited = 0
+        self.acknowledged_count = 0
+        self.awaited_count = 0
 
-    def take_admission(
+    def order_admission_changes(
         self, admissions: dict[int, ClassAdmission], threshold: float, retry: RetryPolicy
     ) -> list[Order]:
         """Returns orders for the classes whose admission changed, and records them as sent.
@@ -52,40 +52,47 @@
                 changes.append(SetAdmission(self.number, admission.ordered_admission, 1 << k, retry))
         return changes
 
-    def take_weight(self, worker_index: int) -> SetWeight:
+    def order_desired_weight(self, worker_index: int) -> SetWeight:
         """Returns the order for a worker's wanted weight, and records the weight as sent."""
-        self.sent.pop(worker_index, None)
-        weight = self.wanted.get(worker_index, 0.0)
-        if worker_index in self.wanted:
-            self.sent[worker_index] = weight
+        self.sent_weights.pop(worker_index, None)
+        weight = self.desired_weights.get(worker_index, 0.0)
+        if worker_index in self.desired_weights:
+            self.sent_weights[worker_index] = weight
         return SetWeight(self.number, worker_index, weight)
 
     def copy_sent(self) -> SentLines:
         """Returns a copy of the sent weights and of the sent shares by class."""
-        return SentLines(dict(self.sent), dict(self.admission))
+        return SentLines(dict(self.sent_weights), dict(self.admission))
 
     def restore_sent(self, copy: SentLines) -> None:
         """Restores the sent weights and shares from a copy."""
-        self.sent = copy.weights
+        self.sent_weights = copy.weights
         self.admission = copy.admission
 
     def weight_changes(self, threshold: float) -> dict[int, float]:
         """Returns wanted minus sent weight by worker, where that is over `threshold` of the sent weight."""
-        changes = {i: self.wanted.get(i, 0.0) - self.sent.get(i, 0.0) for i in self.wanted | self.sent}
-        return {i: change for i, change in changes.items() if abs(change) > threshold * self.sent.get(i, 0.0)}
+        changes = {
+            i: self.desired_weights.get(i, 0.0) - self.sent_weights.get(i, 0.0)
+            for i in self.desired_weights | self.sent_weights
+        }
+        return {
+            i: change
+            for i, change in changes.items()
+            if abs(change) > threshold * self.sent_weights.get(i, 0.0)
+        }
 
     def mark_written(self, checkpoint: int, now: float, awaited: int) -> None:
         """Records that `awaited` of the readers were sent a message that ends with this checkpoint."""
         self.checkpoint = checkpoint
         self.written_at = now
-        self.acknowledged = 0
-        self.awaited = awaited
+        self.acknowledged_count = 0
+        self.awaited_count = awaited
         self.awaits_acknowledgement = True
 
     def acknowledge(self, quorum: float) -> bool:
         """Counts an acknowledgement, and returns whether it is the one that exceeds the quorum."""
-        self.acknowledged += 1
-        if not self.awaits_acknowledgement or self.acknowledged <= self.awaited * quorum:
+        self.acknowledged_count += 1
+        if not self.awaits_acknowledgement or self.acknowledged_count <= self.awaited_count * quorum:
             return False
         self.awaits_acknowledgement = False
         return True
--- a/cottonladder/model/weight_ring.py
+++ b/cottonladder/model/weight_ring.py
@@ -5,7 +5,7 @@
 MIN_WEIGHT_SUM = 1e-9  # stands for the 0 of an empty ring in divisors
 
 
-def arcs(loads: list[float], overlap: float) -> list[tuple[float, float]]:
+def overlapping_arcs(loads: list[float], overlap: float) -> list[tuple[float, float]]:
     """Returns start and end of consecutive arcs on a ring of length 1.
 
     Each arc is as long as its load's part of all loads, and reaches into the next arc by `overlap` of that.
@@ -19,7 +19,7 @@
     ]
 
 
-def cut(ring: dict[int, float], start: float, end: float, min_part: float) -> dict[int, float]:
+def weights_in_arc(ring: dict[int, float], start: float, end: float, min_part: float) -> dict[int, float]:
     """Returns the weights between start and end on a ring of length 1.
 
     The weights follow each other in the order of `ring`, each as long as its part of their sum.  Parts up to
--- a/cottonladder/model/worker_record.py
+++ b/cottonladder/model/worker_record.py
@@ -49,7 +49,7 @@
         self.base_latency_s = 0.0  # its latency without overload; 0 if unknown
         self.latency_factor = 1.0
         self.utilization = -1.0  # negative if not reported
-        self.lost_checks = 0  # in a row
+        self.lost_check_count = 0  # in a row
         self.in_flight = -1.0  # requests at the last health check; negative if unknown
         self.smoothed_in_flight = -1.0
         self.connection_load = 0.0  # requests/s that stand for its held connections
@@ -68,7 +68,7 @@
 
     def add_health_check(self, result: HealthCheckResult, max_in_flight: float) -> None:
         """Adds a result, with the requests in flight if the worker reports them as `inflight` or `queue`."""
-        self.lost_checks = 0 if result.succeeded else self.lost_checks + 1
+        self.lost_check_count = 0 if result.succeeded else self.lost_check_count + 1
         queue = result.metrics.get("queue", self.in_flight)
         self.in_flight = min(result.metrics.get("inflight", queue), max_in_flight)
         if self.smoothed_in_flight < 0:
@@ -76,7 +76,7 @@
         else:
             self.smoothed_in_flight = (self.smoothed_in_flight + self.in_flight) / 2
 
-    def advise(self, source: AdviceSource, factor: float, max_factor: float) -> None:
+    def set_advised_factor(self, source: AdviceSource, factor: float, max_factor: float) -> None:
         """Records one source's factor; the product of all stays within `max_factor` and its inverse."""
         self.advised_factors[source] = factor
         product = math.prod(self.advised_factors.values())
@@ -128,7 +128,7 @@
         request_rate = sum(sample.request_rate for sample in self.capacity_samples)
         return request_rate / sum(sample.utilization for sample in self.capacity_samples)
 
-    def decay(self, keep: float) -> None:
+    def decay_counts(self, keep: float) -> None:
         """Keeps this part of the counts of attempts, failures and latencies."""
         self.attempts *= keep
         self.failed *= keep
--- a/cottonladder/model/zone_groups.py
+++ b/cottonladder/model/zone_groups.py
@@ -10,7 +10,7 @@
 class ZoneGroups:
     """A group is the workers of one zone.  Capacities are requests/s, or relative where none is reported.
 
-    `warm` holds the capacities of the workers that are not in `warming_up`.
+    `warm_capacities` has the capacities of the workers that are not in `warming_up`.
     """
 
     def __init__(
@@ -21,23 +21,23 @@
         warming_up: Collection[int],
     ) -> None:
         self.capacities = capacities
-        self.warm = {i: capacity for i, capacity in capacities.items() if i not in warming_up}
+        self.warm_capacities = {i: capacity for i, capacity in capacities.items() if i not in warming_up}
         self.workers = [[i for i in capacities if workers[i].zone == zone] for zone in zones]
-        self.totals = [sum(capacities[i] for i in group) for group in self.workers]
+        self.zone_capacities = [sum(capacities[i] for i in group) for group in self.workers]
         self._records = workers
 
-    def split(self, zone: int, amount: float) -> dict[int, float]:
+    def split_by_capacity(self, zone: int, amount: float) -> dict[int, float]:
         """Divides an amount among a zone's workers in proportion to their capacities."""
-        return {i: amount * self.capacities[i] / self.totals[zone] for i in self.workers[zone]}
+        return {i: amount * self.capacities[i] / self.zone_capacities[zone] for i in self.workers[zone]}
 
     def has_warm(self, zone: int) -> bool:
         """Returns whether any worker of a zone is past its warm-up."""
-        return any(i in self.warm for i in self.workers[zone])
+        return any(i in self.warm_capacities for i in self.workers[zone])
 
     def warm_shares(self) -> dict[int, float]:
         """Returns each warm worker's share of the capacity of all warm workers."""
-        total = sum(self.warm.values())
-        return {i: capacity / total for i, capacity in self.warm.items()}
+        total = sum(self.warm_capacities.values())
+        return {i: capacity / total for i, capacity in self.warm_capacities.items()}
 
     def record_plan(self, flow: list[list[float]], is_new_interval: bool) -> None:
         """Records the planned rate of each worker from a flow by proxy zone and worker zone.
@@ -46,7 +46,7 @@
         """
         for zone in range(len(self.workers)):
             planned = sum(row[zone] for row in flow)
-            for index, rate in self.split(zone, planned).items():
+            for index, rate in self.split_by_capacity(zone, planned).items():
                 worker = self._records[index]
                 if is_new_interval:
                     worker.previous_planned_rate = worker.planned_rate
--- a/cottonladder/planning/snapshot_staleness.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -64,7 +64,7 @@
     return set(ejected)
 
 
-def discount(restored: RestoredState, age_s: float) -> RestoredState:
+def discount_restored_state(restored: RestoredState, age_s: float) -> RestoredState:
     """Discounts an earlier incarnation's state by its age, for the routing controller."""
     ejected = restorable_ejections(restored.workers, age_s)
     histories = tuple(
--- a/cottonladder/policy/channel_budget.py
+++ b/cottonladder/policy/channel_budget.py
@@ -40,7 +40,7 @@
             return False
         if not all(proxy in self.reserved_lines or self._may_write(proxy, limit) for proxy in cost):
             return False
-        self.add(changes, cost)
+        self.add_reservation(changes, cost)
         return True
 
     def _may_write(self, proxy: int, limit: LineLimit) -> bool:
@@ -53,6 +53,9 @@
         allowed = self.parameters.max_messages
         if allowed <= 0:
             return True
-        if not limit.is_deferrable and self.quiet_s(times) >= self.parameters.message_window_s / allowed:
+        if (
+            not limit.is_deferrable
+            and self.time_since_last_message_s(times) >= self.parameters.message_window_s / allowed
+        ):
             return len(times) < allowed
         return len(times) < allowed * 2 // 3
--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -152,7 +152,7 @@
         self.capacities = self.capacity.estimate(self.tick)
         demand = estimate_demand(self.state, self.gossip)
         if is_new_interval and self.state.parameters.gossip:
-            self.gossip.send(demand.own)
+            self.gossip.send(demand.own_rates)
         plan = self._flow.plan(demand, self.capacities, is_new_interval)
         self._overload.planned_utilization = plan.utilization
         self.capacity.own_share = plan.own_shares
--- a/cottonladder/policy/gossip_exchange.py
+++ b/cottonladder/policy/gossip_exchange.py
@@ -10,8 +10,8 @@
     ControllerState,
     PeerDemand,
     ProxyDemand,
-    decode_zone_figures,
-    encode_zone_figures,
+    decode_zone_demand,
+    encode_zone_demand,
     inputs,
     orders,
 )
@@ -31,14 +31,14 @@
 
     def receive(self, gossip: inputs.GossipReceived) -> None:
         """Records another manager's figures."""
-        figures = decode_zone_figures(gossip.text, len(self._state.zones), MAX_GOSSIP_ZONES)
+        figures = decode_zone_demand(gossip.text, len(self._state.zones), MAX_GOSSIP_ZONES)
         if figures is not None:
             self._peers.update(gossip.sender, self._state.now, figures)
 
     def send(self, request_rates: list[float]) -> None:
         """Orders gossip of the connected proxies and their requests/s by zone."""
         counts = self._state.proxies.zone_counts()
-        texts = encode_zone_figures(counts, request_rates, MAX_GOSSIP_ZONES)
+        texts = encode_zone_demand(counts, request_rates, MAX_GOSSIP_ZONES)
         self._state.pending.extend(orders.SendGossip(ALL_PEERS, text) for text in texts)
 
     def recent(self) -> list[ProxyDemand]:
--- a/cottonladder/policy/health_check_schedule.py
+++ b/cottonladder/policy/health_check_schedule.py
@@ -36,5 +36,5 @@
             jitter_s = MIN_CHECK_INTERVAL_S * state.random.uniform(*CHECK_JITTER)
             self._interval_began_at = state.now + jitter_s
         for index, worker in checked.items():
-            if is_due or 0 < worker.lost_checks < LOST_CHECKS_TO_EJECT:
+            if is_due or 0 < worker.lost_check_count < LOST_CHECKS_TO_EJECT:
                 state.pending.add(orders.HealthCheck(index))
--- a/cottonladder/policy/latency_factor.py
+++ b/cottonladder/policy/latency_factor.py
@@ -79,7 +79,7 @@
             target = min(1.0, overload * SLOWDOWN_TOLERANCE / slowdown)
             target *= min(1.0, success) ** (SUCCESS_EXPONENT / overload)
             worker.follow_latency_factor(target, FACTOR_FALL, FACTOR_RISE, MIN_LATENCY_FACTOR)
-            worker.decay(COUNT_DECAY)
+            worker.decay_counts(COUNT_DECAY)
 
     def _update_zone_factors(self, in_service: dict[int, WorkerRecord]) -> None:
         for zone in self._state.zones:
--- a/cottonladder/policy/load_shedding.py
+++ b/cottonladder/policy/load_shedding.py
@@ -12,8 +12,8 @@
     AdmissionMode,
     ClassAdmission,
     ControllerState,
-    common_limit,
-    shed_in_order,
+    admitted_shares,
+    common_rate_limit,
 )
 from .overload_signal import OverloadSignal
 
@@ -54,7 +54,7 @@
         arrivals = self._state.proxies.class_rates()
         shed = (1.0 - self.admission_ratio) * sum(arrivals)
         order = sorted(self._state.classes, key=weights_by_latency.__getitem__)
-        shares = shed_in_order(arrivals, order, shed, MIN_CLASS_ADMISSION_RATIO)
+        shares = admitted_shares(arrivals, order, shed, MIN_CLASS_ADMISSION_RATIO)
         return {k: ClassAdmission(share, self._ordered_admission(k, share)) for k, share in shares.items()}
 
     def _is_enabled(self) -> bool:
@@ -65,5 +65,5 @@
         if self._state.parameters.admission_mode is AdmissionMode.RATIO:
             return share
         rates = [proxy.class_rate(class_index) for proxy in self._state.proxies.by_number.values()]
-        limit = common_limit(rates, share)
+        limit = common_rate_limit(rates, share)
         return UNLIMITED_RATE if limit is None else max(MIN_ADMISSION_RATE, limit)
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -51,14 +51,18 @@
     def _eject_if_outlier(self, index: int, worker: WorkerRecord) -> bool:
         """Ejects a worker that is an outlier, as far as the limit on ejected weight allows."""
         others_failed_ratio = self._others_failed_ratio(worker)
-        has_lost_checks = worker.lost_checks >= LOST_CHECKS_TO_EJECT and not self._unreachable[worker.zone]
+        has_lost_checks = (
+            worker.lost_check_count >= LOST_CHECKS_TO_EJECT and not self._unreachable[worker.zone]
+        )
         if not has_lost_checks and not self._fails_alone(worker, others_failed_ratio):
             return False
         if self._ejected_weight + worker.weight > self._max_ejected_weight:
             return False
         self._ejected_weight += worker.weight
         event = WorkerEvent.HEALTH_CHECKS_LOST if has_lost_checks else WorkerEvent.HIGH_FAILURE_RATIO
-        evidence = OutlierEvidence(worker.failed, worker.attempts, others_failed_ratio, worker.lost_checks)
+        evidence = OutlierEvidence(
+            worker.failed, worker.attempts, others_failed_ratio, worker.lost_check_count
+        )
         apply_event(self._state, index, event, evidence)
         return True
 
--- a/cottonladder/policy/proxy_binding.py
+++ b/cottonladder/policy/proxy_binding.py
@@ -46,11 +46,11 @@
         self._deltas.send_removals(table, removed_workers(self._state, table))
         if not table.readers:
             # Without readers these orders cost no lines.
-            self._budget.add(self._deltas.draft_all_changes(table), {})
-        excluded = {i for i in table.sent if self._state.workers.by_index[i].is_excluded}
+            self._budget.add_reservation(self._deltas.draft_all_changes(table), {})
+        excluded = {i for i in table.sent_weights if self._state.workers.by_index[i].is_excluded}
         cost = self._budget.bind_cost(number, table, excluded)
         bind = orders.BindProxy(number, table.number, ALL_CLASSES)
-        if table.sent and self._budget.reserve([bind], cost, limit):
+        if table.sent_weights and self._budget.reserve([bind], cost, limit):
             self._state.tables.bind(number, table, self._state.proxies)
         return True
 
--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -27,7 +27,7 @@
         """Adds a proxy at its restored request rate, or else at the rate that it states."""
         proxies = self._state.proxies
         rate = proxies.restored_rates.pop(connected.proxy, connected.requests_per_s)
-        believed = report_plausibility.believed_rate(rate)
+        believed = report_plausibility.capped_request_rate(rate)
         proxies.connect(connected.proxy, connected.zone, believed, self._state.now)
         self._reachability.record_proxy(connected.zone)
 
@@ -42,11 +42,13 @@
         if worker is None or report.attempts <= 0:
             return
         reference_rate = state.proxies.highest_joining_rate
-        if not report_plausibility.is_believed(report.attempts, report.interval_s, reference_rate):
+        if not report_plausibility.is_plausible_request_count(
+            report.attempts, report.interval_s, reference_rate
+        ):
             return
         worker.add_load_report(report, report_plausibility.MAX_UTILIZATION)
-        is_believed = report_plausibility.is_latency_believed(report.duration_s, state.tightest_objective_s)
-        if report.attempts > report.failed and is_believed:
+        is_plausible = report_plausibility.is_plausible_latency(report.duration_s, state.tightest_objective_s)
+        if report.attempts > report.failed and is_plausible:
             worker.latency.add(report.duration_s, report.attempts - report.failed)
             self._links.add(report.zone, worker.zone, report.duration_s)
             self._reachability.record_worker_answer(worker.zone)
@@ -56,7 +58,9 @@
         proxy = self._state.proxies.by_number.get(report.proxy)
         if proxy is None:
             return
-        if report_plausibility.is_believed(report.requests, report.interval_s, proxy.joining_rate):
+        if report_plausibility.is_plausible_request_count(
+            report.requests, report.interval_s, proxy.joining_rate
+        ):
             proxy.add_arrivals(report, DEMAND_WINDOW_S)
 
     def add_health_check(self, result: inputs.HealthCheckResult) -> None:
@@ -72,10 +76,10 @@
         """Records the load of a worker's held connections, in requests/s."""
         worker = self._state.workers.by_index.get(load.worker_index)
         if worker is not None:
-            worker.connection_load = report_plausibility.believed_rate(load.requests_per_s)
+            worker.connection_load = report_plausibility.capped_request_rate(load.requests_per_s)
 
     def set_advised_factor(self, advised: inputs.AdvisedFactor) -> None:
         """Records one source's factor for a worker."""
         worker = self._state.workers.by_index.get(advised.worker_index)
         if worker is not None:
-            worker.advise(advised.source, advised.factor, MAX_ADVISED_FACTOR)
+            worker.set_advised_factor(advised.source, advised.factor, MAX_ADVISED_FACTOR)
--- a/cottonladder/policy/report_plausibility.py
+++ b/cottonladder/policy/report_plausibility.py
@@ -12,7 +12,7 @@
 MAX_REQUEST_RATE = 1e5  # requests/s of one proxy or worker
 
 
-def is_believed(count: int, interval_s: float, reference_rate: float) -> bool:
+def is_plausible_request_count(count: int, interval_s: float, reference_rate: float) -> bool:
     """Returns whether so many requests in a report's interval are possible.
 
     `reference_rate` is the requests/s that the proxies concerned connected with.
@@ -21,7 +21,7 @@
     return interval_s <= MAX_REPORT_INTERVAL_S and count <= max_count
 
 
-def is_latency_believed(latency_s: float, tightest_objective_s: float) -> bool:
+def is_plausible_latency(latency_s: float, tightest_objective_s: float) -> bool:
     """Returns whether a latency is positive and not far over the tightest latency objective."""
     return 0 < latency_s < MAX_REPORT_RATIO * tightest_objective_s
 
@@ -31,6 +31,6 @@
     return MAX_REPORT_RATIO * (1.0 + reference_rate)
 
 
-def believed_rate(requests_per_s: float) -> float:
+def capped_request_rate(requests_per_s: float) -> float:
     """Returns a stated request rate, cut to the highest that one proxy or worker can have."""
     return min(requests_per_s, MAX_REQUEST_RATE)
--- a/cottonladder/policy/table_deltas.py
+++ b/cottonladder/policy/table_deltas.py
@@ -41,15 +41,15 @@
         """Takes departed workers out of a table, without waiting for acknowledgements."""
         self._expire_acknowledgement(table)
         urgent = self._not_excluded(removed_workers)
-        if urgent and table.readers and table.wanted:
+        if urgent and table.readers and table.desired_weights:
             self._send(table, urgent, CRITICAL_LIMIT, self._keeps_usable_worker(table, urgent))
 
     def send_update(self, table: RoutingTable, overweight: Collection[int]) -> None:
         """Brings a table closer to what is wanted; lines of `overweight` workers go first and do not wait."""
         self._expire_acknowledgement(table)
-        if not table.readers or not table.wanted:
+        if not table.readers or not table.desired_weights:
             return
-        urgent = self._not_excluded([index for index in table.sent if index in overweight])
+        urgent = self._not_excluded([index for index in table.sent_weights if index in overweight])
         keeps_usable_worker = self._keeps_usable_worker(table, urgent)
         if table.awaits_acknowledgement and keeps_usable_worker and not urgent:
             return
@@ -76,9 +76,9 @@
         A warming-up worker counts only if all wanted ones are warming up.
         """
         workers = self._state.workers.by_index
-        warm = {index for index in table.wanted if not is_warming_up(self._state, workers[index])}
-        usable = warm or table.wanted.keys()
-        return any(index in usable and index not in urgent for index in table.sent)
+        warm = {index for index in table.desired_weights if not is_warming_up(self._state, workers[index])}
+        usable = warm or table.desired_weights.keys()
+        return any(index in usable and index not in urgent for index in table.sent_weights)
 
     def _send(
         self, table: RoutingTable, urgent: list[int], limit: LineLimit, keeps_usable_worker: bool
@@ -103,9 +103,9 @@
 
         Admission comes first, then urgent workers, then the largest changes of weight.
         """
-        admissions = table.take_admission(self.class_admissions, threshold, RETRY_POLICY)
+        admissions = table.order_admission_changes(self.class_admissions, threshold, RETRY_POLICY)
         weight_changes = table.weight_changes(threshold)
-        names_no_wanted_worker = not any(index in table.wanted for index in table.sent)
+        names_no_wanted_worker = not any(index in table.desired_weights for index in table.sent_weights)
         workers = self._state.workers.by_index
 
         def sort_key(index: int) -> tuple[bool, bool, float]:
@@ -119,4 +119,4 @@
             return index not in urgent, is_deferred_removal, -abs(change) * (not workers[index].is_excluded)
 
         ranked = sorted(weight_changes, key=sort_key)[: max(0, max_orders - len(admissions))]
-        return admissions + [table.take_weight(index) for index in ranked]
+        return admissions + [table.order_desired_weight(index) for index in ranked]
--- a/cottonladder/policy/table_partition.py
+++ b/cottonladder/policy/table_partition.py
@@ -10,7 +10,7 @@
 import math
 from collections.abc import Collection
 
-from ..model import ControllerState, RoutingTable, arcs, cut
+from ..model import ControllerState, RoutingTable, overlapping_arcs, weights_in_arc
 
 BIND_TIME_RATIO = 0.5  # of the drain grace, within which all proxies could be bound
 MIN_TABLE_LINES = 8  # a table is not made shorter
@@ -30,7 +30,7 @@
     def __init__(self, state: ControllerState) -> None:
         self._state = state
 
-    def update_wanted(self, zone: int, weights: dict[int, float], warm: Collection[int]) -> None:
+    def update_desired_weights(self, zone: int, weights: dict[int, float], warm: Collection[int]) -> None:
         """Divides a zone's weights among its tables.
 
         Fewer than MIN_PARTITIONED_TABLES tables all get all weights.  Otherwise each worker takes a part of a
@@ -43,13 +43,13 @@
         tables = self._partitioned(zone, line_count, max_lines)
         overlap = min(1.0, max(0.0, max_lines * len(tables) / max(1, len(weights)) - 1.0))
         ring = dict(sorted(weights.items(), key=lambda line: line[0] * GOLDEN_RATIO % 1.0))
-        for table, (start, end) in zip(tables, arcs(self._loads(tables), overlap), strict=True):
-            table.wanted = weights
+        for table, (start, end) in zip(tables, overlapping_arcs(self._loads(tables), overlap), strict=True):
+            table.desired_weights = weights
             if len(tables) >= MIN_PARTITIONED_TABLES:
-                table.wanted = cut(ring, start, end, MIN_ARC_PART)
-            if warm and not any(index in warm for index in table.wanted):
+                table.desired_weights = weights_in_arc(ring, start, end, MIN_ARC_PART)
+            if warm and not any(index in warm for index in table.desired_weights):
                 warm_ring = {index: weight for index, weight in ring.items() if index in warm}
-                table.wanted = cut(warm_ring, start, end, MIN_ARC_PART)
+                table.desired_weights = weights_in_arc(warm_ring, start, end, MIN_ARC_PART)
 
     def _max_lines(self) -> int:
         """Returns how long a table may be, so that binding all proxies takes part of the drain grace."""
--- a/cottonladder/policy/warm_up.py
+++ b/cottonladder/policy/warm_up.py
@@ -70,7 +70,7 @@
         """
         state = self._state
         rates = [proxy.joining_rate for proxy in state.proxies.by_number.values()]
-        lines = median_or_zero(len(table.wanted) for table in state.tables.all)
+        lines = median_or_zero(len(table.desired_weights) for table in state.tables.all)
         share = max(len(state.zones) / max(1, worker_count), EJECTABLE_PART / (lines or math.inf))
         is_often = sum(rate * rate for rate in rates) * share > MIN_EJECTING_RATE * sum(rates)
         self.proxies_eject = state.parameters.proxies_eject_outliers and is_often
@@ -120,8 +120,8 @@
     wanted = dict.fromkeys(guarded, NO_REQUEST_RATE)
     for table in state.tables.all:
         reader_rate = table.request_rate + READER_RATE * len(table.readers)
-        _add_rates(sent, table.sent, reader_rate)
-        _add_rates(wanted, table.wanted, reader_rate)
+        _add_rates(sent, table.sent_weights, reader_rate)
+        _add_rates(wanted, table.desired_weights, reader_rate)
     return {index for index in guarded if sent[index] > MAX_WARM_UP_RATIO * wanted[index]}
 
 
--- a/cottonladder/policy/worker_exclusion.py
+++ b/cottonladder/policy/worker_exclusion.py
@@ -25,7 +25,7 @@
 
 def _cannot_give_tables(state: ControllerState) -> bool:
     """Returns whether some connected proxy cannot be given a table."""
-    zones_with_tables = {table.zone for table in state.tables.all if table.wanted}
+    zones_with_tables = {table.zone for table in state.tables.all if table.desired_weights}
     proxies = state.proxies.by_number.values()
     return bool(state.parameters.slice_count) or any(p.zone not in zones_with_tables for p in proxies)
 
@@ -35,5 +35,5 @@
     return [
         number
         for number, proxy in state.proxies.by_number.items()
-        if proxy.table is None or worker_index in proxy.table.sent
+        if proxy.table is None or worker_index in proxy.table.sent_weights
     ]
--- a/cottonladder/policy/worker_removal.py
+++ b/cottonladder/policy/worker_removal.py
@@ -17,7 +17,7 @@
     """Returns the departed workers that a table still names, as sent."""
     workers = state.workers.by_index
     removed = WorkerState.REMOVED
-    return [index for index in table.sent if workers[index].state is removed]
+    return [index for index in table.sent_weights if workers[index].state is removed]
 
 
 def first_departure(state: ControllerState, table: RoutingTable) -> float:
@@ -39,7 +39,7 @@
     """Forgets departed workers that nobody can reach any more."""
     if state.tables.reader_count() != len(state.proxies.by_number):
         return
-    named = {index for table in state.tables.all for index in table.sent}
+    named = {index for table in state.tables.all for index in table.sent_weights}
     for index, worker in state.workers.in_state(WorkerState.REMOVED).items():
         is_old = state.now - worker.departed_at > REMOVED_TTL_S
         if is_old and index not in named and not worker.connection_load:
--- a/cottonladder/policy/worker_states.py
+++ b/cottonladder/policy/worker_states.py
@@ -85,5 +85,5 @@
     worker.latency_factor = 1.0
     worker.smoothed_in_flight = -1.0
     worker.in_flight = -1.0
-    worker.lost_checks = 0
-    worker.decay(0.0)
+    worker.lost_check_count = 0
+    worker.decay_counts(0.0)
--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -61,17 +61,17 @@
         admitted = [rate * self._shedding.admission_ratio for rate in demand.total()]
         fleet_demand = sum(admitted)
         groups = self._group_workers(capacities, fleet_demand)
-        utilization = fleet_demand / sum(groups.totals) if sum(groups.totals) > 0 else 0.0
+        utilization = fleet_demand / sum(groups.zone_capacities) if sum(groups.zone_capacities) > 0 else 0.0
         slack = SLACK_PER_CROSS_ZONE_COST * state.parameters.cross_zone_cost
         fill_ratio = utilization * (1.0 + CAPACITY_SLACK + slack)
-        latencies = self.links.least()
-        limits = [total * fill_ratio for total in groups.totals]
+        latencies = self.links.min_latencies()
+        limits = [total * fill_ratio for total in groups.zone_capacities]
         flow = min_cost_flow(admitted, limits, self._link_costs(latencies, groups))
         for zone in state.zones:
             overflow_group = self._overflow_group(zone, groups, latencies[zone])
             flow[zone][overflow_group] += max(0.0, admitted[zone] - sum(flow[zone]))
             weights = self._weights(flow[zone], overflow_group, fleet_demand, groups)
-            self._tables.update_wanted(zone, weights, groups.warm)
+            self._tables.update_desired_weights(zone, weights, groups.warm_capacities)
         groups.record_plan(flow, is_new_interval)
         has_measured_capacity = any(worker.capacity_samples for worker in state.workers.by_index.values())
         return FlowPlan(utilization if has_measured_capacity else 0.0, demand.own_shares(flow))
@@ -138,12 +138,14 @@
         weights: dict[int, float] = {}
         for group, share in enumerate(shares):
             if share >= MIN_FLOW_SHARE:
-                weights |= groups.split(group, share)
-        if groups.warm and not any(index in groups.warm for index in weights):
+                weights |= groups.split_by_capacity(group, share)
+        if groups.warm_capacities and not any(index in groups.warm_capacities for index in weights):
             weights = groups.warm_shares()
         scaled_capacity = max(self._capacity.nominal_total * zone_flow, MIN_NOMINAL_CAPACITY)
         limit = weight_limit(self._overload, fleet_demand, scaled_capacity)
         return {
-            index: weight if index in groups.warm else min(weight, limit * groups.capacities[index])
+            index: weight
+            if index in groups.warm_capacities
+            else min(weight, limit * groups.capacities[index])
             for index, weight in weights.items()
         }
--- a/cottonladder/policy/zone_reachability.py
+++ b/cottonladder/policy/zone_reachability.py
@@ -42,7 +42,7 @@
         return [is_unresponsive[zone] and not self._proxies_are_heard(zone) for zone in self._state.zones]
 
     def _is_unresponsive(self, zone: int, checked: list[WorkerRecord]) -> bool:
-        return median_or_zero(worker.lost_checks for worker in checked if worker.zone == zone) >= 1
+        return median_or_zero(worker.lost_check_count for worker in checked if worker.zone == zone) >= 1
 
     def _proxies_are_heard(self, zone: int) -> bool:
         """Returns whether proxies of a zone were heard well after its workers last answered."""
--- a/cottonladder/protocol/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -14,7 +14,7 @@
 import structlog
 
 from ..config.errors import InputError
-from ..config.fields import HostPort, field
+from ..config.fields import HostPort, read_field
 from ..model.inputs import EndpointList, Input, ListUpdateKind
 from .discovery_http import check_status, read_body, read_lines
 from .endpoint_list import RegisterWorker, ZoneIndex, read_endpoint_list
@@ -188,7 +188,7 @@
         """
         try:
             body = json.loads(text)
-            version: int = field(body, "version", int, "list")
+            version: int = read_field(body, "version", int, "list")
             if version < previous_version:
                 source.check_restart(version, previous_version, is_full_list=watch is None)
             elif version < source.version:
--- a/cottonladder/protocol/endpoint_list.py
+++ b/cottonladder/protocol/endpoint_list.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ..config.fields import NUMBER, address, field, seconds
+from ..config.fields import NUMBER_TYPES, read_address, read_field, read_seconds
 from ..model.inputs import Endpoint, EndpointList, EndpointState, ListUpdateKind
 from .errors import EndpointListError
 
@@ -47,9 +47,9 @@
 
     No worker is registered unless every entry is valid.  Raises `InputError`; `where` begins its text.
     """
-    version = field(body, "version", int, where)
-    kind = ListUpdateKind.FULL if field(body, "full", bool, where) else ListUpdateKind.DELTA
-    workers = [_read_entry(entry, zones, where) for entry in field(body, "servers", list, where)]
+    version = read_field(body, "version", int, where)
+    kind = ListUpdateKind.FULL if read_field(body, "full", bool, where) else ListUpdateKind.DELTA
+    workers = [_read_entry(entry, zones, where) for entry in read_field(body, "servers", list, where)]
     endpoints = tuple(
         Endpoint(
             register(worker.worker_id, worker.address, worker.started_at),
@@ -64,18 +64,18 @@
 
 
 def _read_entry(entry: Any, zones: ZoneIndex, where: str) -> _ListedWorker:
-    worker_id = field(entry, "id", str, where)
-    state = field(entry, "state", str, where)
+    worker_id = read_field(entry, "id", str, where)
+    state = read_field(entry, "state", str, where)
     if state not in STATES:
         raise EndpointListError(where, "field state has an unknown value")
     if not _is_valid_worker_id(worker_id):
         raise EndpointListError(where, "field id can't stand in an order")
-    weight = float(field(entry, "weight", NUMBER, where))
-    started_at = seconds(entry, "started_ms", where)
+    weight = float(read_field(entry, "weight", NUMBER_TYPES, where))
+    started_at = read_seconds(entry, "started_ms", where)
     if not (0 <= weight < float("inf") and 0 <= started_at < float("inf")):
         raise EndpointListError(where, "field weight or started_ms is not a finite figure of 0 or more")
-    zone = zones.zone_index(field(entry, "zone", str, where), f"{where}: field zone")
-    host, port = address(entry, "addr", where)
+    zone = zones.zone_index(read_field(entry, "zone", str, where), f"{where}: field zone")
+    host, port = read_address(entry, "addr", where)
     return _ListedWorker(worker_id, f"{host}:{port}", zone, STATES[state], weight, started_at)
 
 
--- a/cottonladder/simulator/event_decoder.py
+++ b/cottonladder/simulator/event_decoder.py
@@ -11,7 +11,7 @@
 
 from ..config.deployment import DeploymentSettings
 from ..config.errors import ConfigError, UnknownValueError
-from ..config.fields import NUMBER, field, seconds
+from ..config.fields import NUMBER_TYPES, read_field, read_seconds
 from ..model.inputs import (
     Acknowledged,
     ArrivalReport,
@@ -61,105 +61,107 @@
         return decode_event(self, body, where)
 
     def _worker(self, body: Any, where: str) -> int:
-        return self._worker_ids.index_of(field(body, "Worker", int, where))
+        return self._worker_ids.index_of(read_field(body, "Worker", int, where))
 
     def _zone(self, body: Any, where: str) -> int:
-        return self._settings.zone_index(field(body, "Locality", str, where), where)
+        return self._settings.zone_index(read_field(body, "Locality", str, where), where)
 
     def _request_class(self, body: Any, where: str) -> int:
-        return self._settings.class_index(field(body, "Lane", str, where), where)
+        return self._settings.class_index(read_field(body, "Lane", str, where), where)
 
     def _metrics(self, body: Any, where: str) -> dict[str, float]:
-        metrics = field(body, "HealthInfo", dict, where, {})
-        return {name: float(value) for name, value in metrics.items() if isinstance(value, NUMBER)}
+        metrics = read_field(body, "HealthInfo", dict, where, {})
+        return {name: float(value) for name, value in metrics.items() if isinstance(value, NUMBER_TYPES)}
 
     def _endpoint_list(self, body: Any, where: str) -> Input:
-        kind = field(body, "How", int, where)
+        kind = read_field(body, "How", int, where)
         if kind not in LIST_UPDATE_KINDS:
             raise UnknownValueError(where, "How")
-        entries = field(body, "Entries", list, where, [])
+        entries = read_field(body, "Entries", list, where, [])
         endpoints = tuple(self._endpoint(entry, where) for entry in entries)
         return EndpointList(ListUpdateKind(kind), endpoints)
 
     def _endpoint(self, body: Any, where: str) -> Endpoint:
-        state = field(body, "Mode", int, where)
+        state = read_field(body, "Mode", int, where)
         if state not in ENDPOINT_STATES:
             raise UnknownValueError(where, "Mode")
         return Endpoint(
             worker_index=self._worker(body, where),
             zone=self._zone(body, where),
             state=EndpointState(state),
-            weight=float(field(body, "Size", NUMBER, where, 1.0)),
-            started_at=seconds(body, "CameUpMs", where, 0.0),
+            weight=float(read_field(body, "Size", NUMBER_TYPES, where, 1.0)),
+            started_at=read_seconds(body, "CameUpMs", where, 0.0),
         )
 
     def _timer_fired(self, body: Any, where: str) -> Input:
-        return TimerFired(field(body, "Nonce", int, where))
+        return TimerFired(read_field(body, "Nonce", int, where))
 
     def _health_check_result(self, body: Any, where: str) -> Input:
-        has_succeeded = field(body, "StateCode", str, where) == SERVED
+        has_succeeded = read_field(body, "StateCode", str, where) == SERVED
         return HealthCheckResult(
             self._worker(body, where),
             has_succeeded,
-            seconds(body, "RttMs", where, 0.0),
+            read_seconds(body, "RttMs", where, 0.0),
             self._metrics(body, where),
         )
 
     def _gossip(self, body: Any, where: str) -> Input:
-        return GossipReceived(field(body, "From", int, where), field(body, "Data", str, where, ""))
+        return GossipReceived(read_field(body, "From", int, where), read_field(body, "Data", str, where, ""))
 
     def _proxy_connected(self, body: Any, where: str) -> Input:
         return ProxyConnected(
-            field(body, "Proxy", int, where),
+            read_field(body, "Proxy", int, where),
             self._zone(body, where),
-            float(field(body, "Size", NUMBER, where, 0.0)),
-            field(body, "Active", bool, where, False),
+            float(read_field(body, "Size", NUMBER_TYPES, where, 0.0)),
+            read_field(body, "Active", bool, where, False),
         )
 
     def _proxy_disconnected(self, body: Any, where: str) -> Input:
-        return ProxyDisconnected(field(body, "Proxy", int, where))
+        return ProxyDisconnected(read_field(body, "Proxy", int, where))
 
     def _load_report(self, body: Any, where: str) -> Input:
         return LoadReport(
             self._worker(body, where),
             self._zone(body, where),
-            field(body, "Many", int, where),
-            field(body, "Failed", int, where, 0),
-            seconds(body, "ElapsedMs", where),
-            seconds(body, "RttMs", where, 0.0),
+            read_field(body, "Many", int, where),
+            read_field(body, "Failed", int, where, 0),
+            read_seconds(body, "ElapsedMs", where),
+            read_seconds(body, "RttMs", where, 0.0),
             self._metrics(body, where),
         )
 
     def _arrival_report(self, body: Any, where: str) -> Input:
         return ArrivalReport(
-            field(body, "Proxy", int, where),
+            read_field(body, "Proxy", int, where),
             self._request_class(body, where),
-            field(body, "Many", int, where),
-            field(body, "Failed", int, where, 0),
-            seconds(body, "ElapsedMs", where),
+            read_field(body, "Many", int, where),
+            read_field(body, "Failed", int, where, 0),
+            read_seconds(body, "ElapsedMs", where),
         )
 
     def _slice_load_report(self, body: Any, where: str) -> Input:
         return SliceLoadReport(
-            field(body, "SetId", int, where),
+            read_field(body, "SetId", int, where),
             self._request_class(body, where),
-            field(body, "Many", int, where),
-            field(body, "Failed", int, where, 0),
-            seconds(body, "ElapsedMs", where),
+            read_field(body, "Many", int, where),
+            read_field(body, "Failed", int, where, 0),
+            read_seconds(body, "ElapsedMs", where),
         )
 
     def _slice_assigned(self, body: Any, where: str) -> Input:
-        return SliceAssigned(field(body, "SetId", int, where), field(body, "Active", bool, where, False))
+        return SliceAssigned(
+            read_field(body, "SetId", int, where), read_field(body, "Active", bool, where, False)
+        )
 
     def _stored_weight(self, body: Any, where: str) -> Input:
-        table = field(body, "SetId", int, where)
+        table = read_field(body, "SetId", int, where)
         worker = self._worker(body, where)
-        return StoredWeight(table, worker, float(field(body, "Size", NUMBER, where, 1.0)))
+        return StoredWeight(table, worker, float(read_field(body, "Size", NUMBER_TYPES, where, 1.0)))
 
     def _acknowledged(self, body: Any, where: str) -> Input:
-        proxy = field(body, "Proxy", int, where)
-        number = field(body, "Rev", int, where)
-        return Acknowledged(proxy, number, seconds(body, "RttMs", where, 0.0))
+        proxy = read_field(body, "Proxy", int, where)
+        number = read_field(body, "Rev", int, where)
+        return Acknowledged(proxy, number, read_seconds(body, "RttMs", where, 0.0))
 
 
 _EVENT_DECODERS: dict[str, Callable[[EventDecoder, Any, str], Input]] = {
--- a/cottonladder/simulator/host.py
+++ b/cottonladder/simulator/host.py
@@ -9,7 +9,7 @@
 
 from ..config.deployment import read_settings
 from ..config.errors import ConfigError
-from ..config.fields import MS_PER_S, NUMBER, field
+from ..config.fields import MS_PER_S, NUMBER_TYPES, read_field
 from ..model.inputs import Input
 from ..model.orders import Order, RemoveWorker
 from ..policy.controller import RoutingController
@@ -28,8 +28,8 @@
 
     def __init__(self, body: Any, where: str) -> None:
         """Reads the settings from the body of an ATTACH event; raises ConfigError if they are invalid."""
-        info = field(body, "Info", dict, where)
-        settings = read_settings(info, field(body, "Prng", int, where), where)
+        info = read_field(body, "Info", dict, where)
+        settings = read_settings(info, read_field(body, "Prng", int, where), where)
         worker_ids = WorkerIds()
         self._decoder = EventDecoder(settings, worker_ids)
         self._encoder = ActionEncoder(worker_ids)
@@ -73,11 +73,11 @@
             batch = json.loads(line)
         except ValueError as exc:
             raise ConfigError("batch", f"not JSON ({exc})") from None
-        now = float(field(batch, "SimTimeMs", NUMBER, "batch")) / MS_PER_S
+        now = float(read_field(batch, "SimTimeMs", NUMBER_TYPES, "batch")) / MS_PER_S
         outboxes = []
-        for group in field(batch, "managers", list, "batch"):
-            manager_id = field(group, "ManagerId", int, "batch")
-            events = field(group, "arrivals", list, f"instance {manager_id}")
+        for group in read_field(batch, "managers", list, "batch"):
+            manager_id = read_field(group, "ManagerId", int, "batch")
+            events = read_field(group, "arrivals", list, f"instance {manager_id}")
             actions = self._handle_events(manager_id, now, events)
             if actions:
                 outboxes.append({"ManagerId": manager_id, "outbox": actions})
--- a/tests/planning/test_snapshot_staleness.py
+++ b/tests/planning/test_snapshot_staleness.py
@@ -68,16 +68,22 @@
             AgeCase(7200.0, False, 0),
             AgeCase(math.inf, False, 0),
         ):
-            aged = snapshot_staleness.discount(state, case.age_s)
+            aged = snapshot_staleness.discount_restored_state(state, case.age_s)
             self.assertEqual(
                 (aged.workers[0].was_ejected, len(aged.proxy_rates), aged.last_checkpoint),
                 (case.is_ejection_restored, case.rate_count, 9),
             )
             # A drain is restored at any age.
             self.assertEqual([worker.was_draining for worker in aged.workers], [False, False, False, True])
-        self.assertAlmostEqual(snapshot_staleness.discount(state, 30.0).workers[1].latency_factor, 0.6)
-        self.assertEqual(snapshot_staleness.discount(state, math.inf).workers[1].latency_factor, 1.0)
-        self.assertEqual(snapshot_staleness.discount(state, 8 * DAY_S).workers[1].base_latency_s, 0.0)
+        self.assertAlmostEqual(
+            snapshot_staleness.discount_restored_state(state, 30.0).workers[1].latency_factor, 0.6
+        )
+        self.assertEqual(
+            snapshot_staleness.discount_restored_state(state, math.inf).workers[1].latency_factor, 1.0
+        )
+        self.assertEqual(
+            snapshot_staleness.discount_restored_state(state, 8 * DAY_S).workers[1].base_latency_s, 0.0
+        )
 
     def test_no_ejection_is_restored_over_the_ejection_limit(self) -> None:
         histories = tuple(worker_history(n, was_ejected=n < 4) for n in range(8))
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -231,11 +231,13 @@
 
     def _check_demand(self, args: list[str]) -> bool:
         controller = self._player.controller
-        return _compare(sum(estimate_demand(controller.state, controller.gossip).own), args[0], args[1])
+        return _compare(sum(estimate_demand(controller.state, controller.gossip).own_rates), args[0], args[1])
 
     def _check_others(self, args: list[str]) -> bool:
         controller = self._player.controller
-        return _compare(sum(estimate_demand(controller.state, controller.gossip).others), args[0], args[1])
+        return _compare(
+            sum(estimate_demand(controller.state, controller.gossip).peer_rates), args[0], args[1]
+        )
 
     def _check_gossip_bytes(self, args: list[str]) -> bool:
         longest = max(len(order.text) for order in self._player.ordered(SendGossip))
--- a/tests/policy/test_worker_states.py
+++ b/tests/policy/test_worker_states.py
@@ -19,7 +19,7 @@
     worker = WorkerRecord(LatencyHistogram(0.01, 1.5, 16), 10)
     worker.state = worker_state
     worker.attempts = 20.0
-    worker.lost_checks = 2
+    worker.lost_check_count = 2
     worker.planned_rate = 5.0
     state.workers.by_index[WORKER_INDEX] = worker
     return state
@@ -66,7 +66,7 @@
         worker = state.workers.by_index[WORKER_INDEX]
         self.assertEqual(worker.slow_start_began_at, NOW)
         self.assertEqual(worker.attempts, 0.0)
-        self.assertEqual(worker.lost_checks, 0)
+        self.assertEqual(worker.lost_check_count, 0)
 
 
 if __name__ == "__main__":
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -177,8 +177,8 @@
                 proxy = run.proxies[number]
                 proxy.receive_all()
                 self.assertTrue(ids.keys() >= workers.keys())
-                sent = {ids[index]: weight for index, weight in table.sent.items() if weight > 0}
-                excluded = {ids[index] for index in table.sent if workers[index].is_excluded}
+                sent = {ids[index]: weight for index, weight in table.sent_weights.items() if weight > 0}
+                excluded = {ids[index] for index in table.sent_weights if workers[index].is_excluded}
                 self.assertEqual(proxy.weights, sent)
                 self.assertEqual(proxy.excluded & set(sent), excluded & set(sent))
 
