--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -208,8 +208,8 @@
     server = {"protocol": "sasp", "listen": "127.0.0.1:0", "clients": BALANCER_COUNT + SPARE_BALANCERS}
     manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None, {"serve": [server]})
     stack.push_async_callback(manager.stop)
-    await manager.serving()
-    line = await manager.logged("advice_server_started")
+    await manager.start_serving()
+    line = await manager.wait_for_log("advice_server_started")
     return int(line.split("port=")[1].split()[0])
 
 
@@ -266,7 +266,7 @@
         discovery, discovery_address = await start_discovery(stack)
         manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None, advice)
         stack.push_async_callback(manager.stop)
-        await manager.serving()
+        await manager.start_serving()
         await asyncio.sleep(IDLE_S)
         assert manager.process is not None
         status = Path(f"/proc/{manager.process.pid}/status").read_text()
--- a/benchmarks/connection_drain.py
+++ b/benchmarks/connection_drain.py
@@ -104,7 +104,7 @@
         await self.discovery.put(LEAVING_WORKER, self.workers[LEAVING_WORKER].address, "a")
         manager = ManagerProcess(discovery_address, self.discovery.endpoint_list(), self.upgrades)
         stack.push_async_callback(manager.stop)
-        manager_address = f"127.0.0.1:{await manager.serving()}"
+        manager_address = f"127.0.0.1:{await manager.start_serving()}"
         for number in range(FORWARDER_COUNT):
             await self._start_forwarder(stack, number, discovery_address, manager_address)
 
@@ -120,8 +120,8 @@
             limits={"client": MAX_CONNECTIONS},
         )
         stack.push_async_callback(forwarder.stop)
-        await forwarder.serving()
-        await forwarder.logged("stream_opened")
+        await forwarder.start_serving()
+        await forwarder.wait_for_log("stream_opened")
         self.forwarders.append(forwarder)
 
     async def connect_clients(self, stack: AsyncExitStack) -> None:
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -102,7 +102,7 @@
     joins = [
         ProxyConnected(number, number % month_end.ZONE_COUNT, 2.0, True) for number in range(proxy_count)
     ]
-    controller.decide(month_end.START_TIME_S, [config.starting_list.endpoints, *joins])
+    controller.decide_orders(month_end.START_TIME_S, [config.starting_list.endpoints, *joins])
     return controller
 
 
--- a/benchmarks/plugins.py
+++ b/benchmarks/plugins.py
@@ -139,15 +139,15 @@
     workers = await start_workers(stack, discovery, ledger)
     manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None)
     stack.push_async_callback(manager.stop)
-    port = await manager.serving()
+    port = await manager.start_serving()
     folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
     options: ForwarderOptions = {}
     if plugins:
         options["plugins"] = {"chain": write_chain(folder, plugins)}
     forwarder = ForwarderProcess(0, discovery_address, [f"127.0.0.1:{port}"], None, **options)
     stack.push_async_callback(forwarder.stop)
-    await forwarder.serving()
-    await forwarder.logged("stream_opened")
+    await forwarder.start_serving()
+    await forwarder.wait_for_log("stream_opened")
     await asyncio.sleep(SETTLE_S)
     return PluginFleet(ledger, discovery, workers, forwarder, folder)
 
@@ -287,7 +287,7 @@
         for number in range(RELOAD_COUNT):
             await asyncio.sleep(RELOAD_INTERVAL_S)
             (fleet.plugin_folder / "0.wat").write_text(texts[number % len(texts)])
-            fleet.forwarder.send(signal.SIGHUP)
+            fleet.forwarder.send_signal(signal.SIGHUP)
         counts = await releasing
         return RELEASE_COUNT - counts.served
 
@@ -298,7 +298,7 @@
         discovery, discovery_address = await start_discovery(stack)
         manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None)
         stack.push_async_callback(manager.stop)
-        await manager.serving()
+        await manager.start_serving()
         await asyncio.sleep(IDLE_S)
         return manager.resident_bytes() / BYTES_PER_MB
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -139,15 +139,15 @@
             for manager in range(1, self.size.managers):
                 yield GossipReceived(manager, text)
 
-    def step(self, name: str, inputs: Iterable[Input]) -> None:
+    def run_batch(self, name: str, inputs: Iterable[Input]) -> None:
         """Runs one batch, and records its duration if it is a tick."""
-        super().step(name, inputs)
+        super().run_batch(name, inputs)
         if name == TICK:
             self.tick_durations.append(self.batch_durations[-1])
 
     def join_all(self) -> None:
         """Connects all proxies at once; returns when each has a table, or at the deadline."""
-        self.join(range(self.size.proxies))
+        self.connect_proxies(range(self.size.proxies))
         while self.now < JOIN_DEADLINE_S and any(not proxy.weights for proxy in self.proxies.values()):
             self.run(0.25)
 
@@ -157,14 +157,14 @@
         numbers = range(0, self.size.workers, 2)
         leaving = [self.endpoint(f"s-{n:04x}", n % zones, EndpointState.DRAINING) for n in numbers]
         coming = [self.endpoint(f"n-{n:04x}", n % zones, started_at=self.now - 1.0) for n in numbers]
-        self.step("list", [EndpointList(ListUpdateKind.DELTA, (*leaving, *coming))])
+        self.run_batch("list", [EndpointList(ListUpdateKind.DELTA, (*leaving, *coming))])
 
 
 def measure_point(size: FleetSize) -> dict[str, float]:
     """Measures one point in this process."""
     fleet = MeasuredFleet(size)
     listed = tuple(fleet.endpoint(f"s-{n:04x}", n % size.zones) for n in range(size.workers))
-    fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
+    fleet.run_batch("start", [EndpointList(ListUpdateKind.CACHED, listed)])
     fleet.join_all()
     joins_s = sum(fleet.batch_durations)
     bytes_per_join = fleet.bytes_written / size.proxies
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -64,11 +64,11 @@
         await discovery.put("s-0", address, "a")
         manager = ManagerProcess(discovery_address, discovery.endpoint_list(), None)
         stack.push_async_callback(manager.stop)
-        manager_address = f"127.0.0.1:{await manager.serving()}"
+        manager_address = f"127.0.0.1:{await manager.start_serving()}"
         forwarder = ForwarderProcess(0, discovery_address, [manager_address], None, **options)
         stack.push_async_callback(forwarder.stop)
-        await forwarder.serving()
-        await forwarder.logged("stream_opened")
+        await forwarder.start_serving()
+        await forwarder.wait_for_log("stream_opened")
         await asyncio.sleep(TABLE_DELAY_S)
         yield address, forwarder
 
--- a/cottonladder/cli/memory.py
+++ b/cottonladder/cli/memory.py
@@ -67,7 +67,7 @@
 
 
 def _row(store: SnapshotStore, generation: StoredGeneration) -> GenerationRow:
-    size_bytes = store.path_of(generation.number).stat().st_size
+    size_bytes = store.generation_path(generation.number).stat().st_size
     content = generation.content
     if content is None:
         return GenerationRow(generation.number, None, size_bytes, [], generation.fault)
@@ -171,7 +171,7 @@
 def _read_all(store: SnapshotStore) -> list[StoredGeneration]:
     """All generations, the newest first."""
     generations = []
-    for number in store.numbers():
+    for number in store.generation_numbers():
         try:
             generations.append(StoredGeneration(number, store.read(number)))
         except SnapshotError as exc:
--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -119,13 +119,13 @@
                 await self._wake.wait()
 
     def _run_slice(self, name: str, now: float) -> None:
-        if self._scheduler.slice_started(name, now):
+        if self._scheduler.record_slice_start(name, now):
             self._running[name] = iter(self._work[name]())
         started_at = time.monotonic()
         result = self._step(name)
         ended_at = time.monotonic()
         duration_s = ended_at - started_at
-        has_overrun = self._scheduler.slice_finished(
+        has_overrun = self._scheduler.record_slice_end(
             name, ended_at, duration_s, result.is_done, result.has_failed, self._uniform()
         )
         if has_overrun:
@@ -150,7 +150,7 @@
         except Exception as exc:  # a failed task must not end the others
             self._log_repeated_failure(name, exc)
             self._running.pop(name, None)
-            self._scheduler.slice_finished(name, time.monotonic(), 0.0, True, True, self._uniform())
+            self._scheduler.record_slice_end(name, time.monotonic(), 0.0, True, True, self._uniform())
         finally:
             self._awaited.pop(name, None)
             self._wake.set()
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -173,7 +173,7 @@
         ids = self._workers.ids
         destinations = {ids[index]: count for index, count in order.destinations if index in ids}
         return wire.encode_migration(
-            order.number, ids[order.source], destinations, order.count, order.within_s, order.grace_left_s
+            order.number, ids[order.source], destinations, order.count, order.duration_s, order.grace_left_s
         )
 
     def _drop_vetoed(self, order: MigrationOrder) -> bool:
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -107,17 +107,17 @@
     async def run(self) -> None:
         """Handles batches of inputs until it is cancelled; raises what the policy raises."""
         while True:
-            batch = await self._input_queue.take()
+            batch = await self._input_queue.get_all()
             started_at = time.monotonic()
-            self.step(batch)
+            self.run_once(batch)
             self._lag_monitor.record("batch", time.monotonic() - started_at)
 
-    def step(self, batch: list[LoopInput]) -> None:
+    def run_once(self, batch: list[LoopInput]) -> None:
         """Handles one batch: passes it to the policy, then carries out the orders and sends the messages."""
         now = self._clock.now()
         inputs = self._collect_inputs(now, batch)
         self._dispatcher.track_proxies(inputs)
-        orders = self._controller.decide(now, inputs)
+        orders = self._controller.decide_orders(now, inputs)
         for order in orders:
             self._apply_order(order)
         if any(isinstance(order, Checkpoint) for order in orders):
@@ -152,7 +152,7 @@
             )
 
     def _send_messages(self, now: float) -> None:
-        for proxy, data in self._dispatcher.take_messages():
+        for proxy, data in self._dispatcher.pop_messages():
             self._sessions.send(proxy, data)
         for extension in self._extensions:
             for proxy, data in extension.collect_messages(now, self._controller):
--- a/cottonladder/control/input_queue.py
+++ b/cottonladder/control/input_queue.py
@@ -12,7 +12,7 @@
 
 
 class InputQueue:
-    """An unbounded queue; `put` never waits, and `take` returns all items as one batch."""
+    """An unbounded queue; `put` never waits, and `get_all` returns all items as one batch."""
 
     def __init__(self) -> None:
         self._items: deque[LoopInput] = deque()
@@ -23,7 +23,7 @@
         self._items.append(item)
         self._has_items.set()
 
-    async def take(self) -> list[LoopInput]:
+    async def get_all(self) -> list[LoopInput]:
         """Waits until the queue is not empty, then removes and returns all items."""
         await self._has_items.wait()
         batch = list(self._items)
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -64,7 +64,7 @@
         control_loop = _create_control_loop(config, input_queue, sessions, effects, extensions, background)
         stack.callback(control_loop.close)
         # Before listening, so that the policy knows the workers when proxies connect.
-        control_loop.step([known.endpoints])
+        control_loop.run_once([known.endpoints])
         listener = StreamListener(messages, sessions, limits)
         stack.push_async_callback(listener.close)
         port = await listener.listen(*config.manager.listen)
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -15,7 +15,7 @@
 from ..model.views import WorkerCapacityView
 from ..planning.controller_views import capacity_views
 from ..planning.migration_orders import MigrateConnections
-from ..planning.plugin_bounds import bounded_factor, may_veto
+from ..planning.plugin_bounds import clamp_capacity_factor, may_veto_migration
 from ..plugins.abi import EVENT, MOVE, WORKER
 from ..plugins.chain import PluginChain, PluginSpec
 from ..policy.cadence import SOLVE_INTERVAL_S
@@ -92,7 +92,7 @@
         answer = self.chain.call_hook(MOVE, migration_record(migration, self._workers.ids))
         if answer.rejection_reason is None:
             return False
-        if not may_veto(migration.grace_left_s, self._config.grace_s):
+        if not may_veto_migration(migration.grace_left_s, self._config.grace_s):
             self.chain.record_clipped()
             return False
         return True
@@ -130,7 +130,7 @@
         worker_id = self._workers.ids[worker_index].decode()
         labels = self._config.labels.get(worker_id, ())
         answer = self.chain.call_hook(WORKER, worker_record(worker_id, view, labels))
-        factor = bounded_factor(answer.capacity_factor)
+        factor = clamp_capacity_factor(answer.capacity_factor)
         if answer.capacity_factor is not None and factor != answer.capacity_factor:
             self.chain.record_clipped()
         return factor
--- a/cottonladder/control/plugin_records.py
+++ b/cottonladder/control/plugin_records.py
@@ -18,7 +18,7 @@
         ("hook", WORKER),
         ("id", worker_id),
         ("zone", str(view.zone)),
-        ("cold", str(int(view.warming_up))),
+        ("cold", str(int(view.is_warming_up))),
         ("estimate", f"{view.capacity:.4f}"),
         ("time_ms", f"{view.latency_s * MS_PER_S:.1f}"),
     ]
--- a/cottonladder/control/snapshot_restore.py
+++ b/cottonladder/control/snapshot_restore.py
@@ -10,7 +10,7 @@
     RestoredState,
     WorkerHistory,
 )
-from ..model.line_account import CHECKPOINT_NUMBERS
+from ..model.line_account import CHECKPOINT_NUMBER_MODULUS
 from ..planning.advice_weighting import INITIAL_CREDIT
 from ..planning.snapshot_staleness import discount_restored_state, discounted_credit
 from ..snapshots.sections import EndpointSnapshot, ManagerSnapshot
@@ -53,7 +53,7 @@
                     stored.was_draining,
                 )
             )
-    last_checkpoint = snapshot.last_checkpoint % CHECKPOINT_NUMBERS
+    last_checkpoint = snapshot.last_checkpoint % CHECKPOINT_NUMBER_MODULUS
     proxy_rates = tuple(snapshot.proxy_rates.items())
     return discount_restored_state(RestoredState(last_checkpoint, tuple(histories), proxy_rates), age_s)
 
--- a/cottonladder/model/__init__.py
+++ b/cottonladder/model/__init__.py
@@ -24,11 +24,11 @@
 )
 from .statistics import median_or_zero
 from .weight_ring import overlapping_arcs, weights_in_arc
-from .worker_record import IN_SERVICE, WorkerRecord
+from .worker_record import IN_SERVICE_STATES, WorkerRecord
 from .zone_groups import ZoneGroups
 
 __all__ = [
-    "IN_SERVICE",
+    "IN_SERVICE_STATES",
     "AdmissionChanged",
     "AdmissionMode",
     "ClassAdmission",
--- a/cottonladder/model/controller_state.py
+++ b/cottonladder/model/controller_state.py
@@ -26,6 +26,6 @@
         self.workers = Workers()
         self.proxies = Proxies(parameters.zone_count, len(parameters.request_classes))
         self.tables = RoutingTables(parameters.zone_count)
-        self.pending = PendingOrders()
+        self.pending_orders = PendingOrders()
         # Whether a worker's state changed, or an overload began, since the flow was last solved.
         self.needs_solution = False
--- a/cottonladder/model/line_account.py
+++ b/cottonladder/model/line_account.py
@@ -12,7 +12,7 @@
 from .parameters import DeploymentParameters
 from .routing_table import RoutingTable
 
-CHECKPOINT_NUMBERS = 65536  # checkpoint numbers start again at 0 after so many
+CHECKPOINT_NUMBER_MODULUS = 65536  # checkpoint numbers start again at 0 after so many
 
 # Returns how many lines that readmit workers the order dispatcher adds for a proxy when weights of these
 # workers are sent to it; the last argument says whether the proxy is bound to a table.
@@ -40,7 +40,7 @@
 
     def __init__(self, parameters: DeploymentParameters) -> None:
         self.parameters = parameters
-        self.last_checkpoint = parameters.seed % CHECKPOINT_NUMBERS
+        self.last_checkpoint = parameters.seed % CHECKPOINT_NUMBER_MODULUS
         self.updated_at = 0.0
         self.waiting_lines = 0.0  # falls with time and with acknowledgements
         self.in_flight = InFlightLines()  # falls with acknowledgements alone
@@ -50,7 +50,7 @@
         self.reserved_total = 0
         self.count_readmissions: ReadmissionCounter = _no_readmissions
 
-    def advance(self, now: float, slowdown: float) -> None:
+    def advance_time(self, now: float, slowdown: float) -> None:
         """Subtracts the lines that have left since, on a channel `slowdown` times slower than deployed."""
         drained = (now - self.updated_at) * self.parameters.channel_lines_per_s / slowdown
         self.waiting_lines = max(0.0, self.waiting_lines - drained)
@@ -61,7 +61,7 @@
         self.in_flight.acknowledge(checkpoint, proxy)
         self.waiting_lines = min(self.waiting_lines, self.in_flight.total)
 
-    def add_extra(self, extra: ExtraLinesWritten) -> None:
+    def add_extra_lines(self, extra: ExtraLinesWritten) -> None:
         """Adds lines that were written to the proxies beside the orders."""
         self.waiting_lines += extra.line_count
 
@@ -107,7 +107,7 @@
         orders = self.orders
         lines = self.reserved_lines
         if lines:
-            self.last_checkpoint = (self.last_checkpoint + 1) % CHECKPOINT_NUMBERS
+            self.last_checkpoint = (self.last_checkpoint + 1) % CHECKPOINT_NUMBER_MODULUS
             orders.append(Checkpoint(self.last_checkpoint, False))
             self.waiting_lines += self.reserved_total
             for proxy in lines:
--- a/cottonladder/model/peer_demand.py
+++ b/cottonladder/model/peer_demand.py
@@ -32,7 +32,7 @@
         peer.counts_and_rates[start : start + len(received.counts_and_rates)] = received.counts_and_rates
         peer.received_at = now
 
-    def recent(self, now: float, ttl_s: float) -> list[ProxyDemand]:
+    def recent_demands(self, now: float, ttl_s: float) -> list[ProxyDemand]:
         """Returns the figures of each sender heard within the time to live."""
         return [
             ProxyDemand(request_rates=peer.counts_and_rates[1::2], proxy_counts=peer.counts_and_rates[0::2])
--- a/cottonladder/model/pending_orders.py
+++ b/cottonladder/model/pending_orders.py
@@ -21,7 +21,7 @@
         """Appends several orders."""
         self._orders.extend(orders)
 
-    def take(self) -> list[Order]:
+    def pop_all(self) -> list[Order]:
         """Returns all collected orders and starts an empty collection."""
         orders = self._orders
         self._orders = []
--- a/cottonladder/model/views.py
+++ b/cottonladder/model/views.py
@@ -16,6 +16,6 @@
 
     zone: int
     capacity: float
-    warming_up: bool
+    is_warming_up: bool
     draining_since: float
     latency_s: float = 0.0
--- a/cottonladder/model/worker_record.py
+++ b/cottonladder/model/worker_record.py
@@ -10,7 +10,7 @@
 from .latency import LatencyHistogram
 from .state_changes import WorkerState
 
-IN_SERVICE = (WorkerState.HEALTHY, WorkerState.SLOW_START)
+IN_SERVICE_STATES = (WorkerState.HEALTHY, WorkerState.SLOW_START)
 
 
 class CapacitySample(NamedTuple):
@@ -41,11 +41,11 @@
         self.is_excluded = False
         self.attempts = 0.0
         self.failed = 0.0
-        self.succeeded: dict[int, SucceededAttempts] = {}  # in this interval, by zone of the proxies
+        self.succeeded_attempts: dict[int, SucceededAttempts] = {}  # in this interval, by zone of the proxies
         self.planned_rate = 0.0  # requests/s that the last solution plans for it
         self.previous_planned_rate = 0.0  # the same, one interval ago
         self.capacity_samples: deque[CapacitySample] = deque(maxlen=max_samples)
-        self.latency = latency
+        self.latency_histogram = latency
         self.base_latency_s = 0.0  # its latency without overload; 0 if unknown
         self.latency_factor = 1.0
         self.utilization = -1.0  # negative if not reported
@@ -60,9 +60,9 @@
         """Adds the attempts, the failures and the reported utilization, but not the latency."""
         self.attempts += report.attempts
         self.failed += report.failed
-        earlier = self.succeeded.get(report.zone, SucceededAttempts(0.0, 0.0))
+        earlier = self.succeeded_attempts.get(report.zone, SucceededAttempts(0.0, 0.0))
         count = earlier.attempt_count + report.attempts - report.failed
-        self.succeeded[report.zone] = SucceededAttempts(count, earlier.span_s + report.interval_s)
+        self.succeeded_attempts[report.zone] = SucceededAttempts(count, earlier.span_s + report.interval_s)
         reported = min(report.metrics.get("util", self.utilization), max_utilization)
         self.utilization = reported if self.utilization < 0 else (self.utilization + reported) / 2
 
@@ -89,19 +89,19 @@
         """
         rate = sum(
             attempts.attempt_count / attempts.span_s
-            for attempts in self.succeeded.values()
+            for attempts in self.succeeded_attempts.values()
             if attempts.span_s > 0
         )
         if self.utilization >= 0 and rate > 0:
             utilization = max(min_utilization, self.utilization)
             self.capacity_samples.append(CapacitySample(rate / own_share, utilization))
 
-    def follow_base_latency(self, fall_step: float, rise_step: float) -> None:
+    def update_base_latency(self, fall_step: float, rise_step: float) -> None:
         """Moves the base latency towards the mean latency by a step for a lower or for a higher mean.
 
         The first mean is taken as it is.
         """
-        mean = self.latency.mean()
+        mean = self.latency_histogram.mean()
         if mean <= 0:
             return
         step = rise_step if self.base_latency_s else 1.0
@@ -109,7 +109,7 @@
             step = fall_step
         self.base_latency_s += (mean - self.base_latency_s) * step
 
-    def follow_latency_factor(
+    def update_latency_factor(
         self, target: float, fall_step: float, rise_step: float, min_factor: float
     ) -> None:
         """Moves the latency factor towards a target by a step for a fall or for a rise."""
@@ -132,4 +132,4 @@
         """Keeps this part of the counts of attempts, failures and latencies."""
         self.attempts *= keep
         self.failed *= keep
-        self.latency.decay(keep)
+        self.latency_histogram.decay(keep)
--- a/cottonladder/model/workers.py
+++ b/cottonladder/model/workers.py
@@ -18,7 +18,7 @@
         """Returns the workers that are in one of the states, by index."""
         return {index: worker for index, worker in self.by_index.items() if worker.state in states}
 
-    def attempts(self, states: Iterable[WorkerState]) -> tuple[float, float]:
+    def attempt_counts(self, states: Iterable[WorkerState]) -> tuple[float, float]:
         """Returns how many attempts went to the workers in these states, and how many of them failed."""
         workers = self.in_state(*states).values()
         return sum(worker.attempts for worker in workers), sum(worker.failed for worker in workers)
--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -47,7 +47,7 @@
     members = list(members)
     known = [worker for worker in members if worker in views and worker not in quiesced]
     live = {worker: views[worker].capacity for worker in known if views[worker].capacity > 0}
-    warm = {worker: capacity for worker, capacity in live.items() if not views[worker].warming_up}
+    warm = {worker: capacity for worker, capacity in live.items() if not views[worker].is_warming_up}
     shares = _shares(views, live, warm)
     heaviest = max(shares.values(), default=1.0)
     advertised: dict[int, AdvertisedWeight] = {}
--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -162,7 +162,7 @@
             target = _combine(votes.get(worker, []))
             current = self._log_factors.get(worker, 0.0)
             log = current + min(MAX_LOG_STEP, max(-MAX_LOG_STEP, target - current))
-            if views[worker].warming_up:
+            if views[worker].is_warming_up:
                 log = min(0.0, log)
             if abs(log) > NEUTRAL_LOG:
                 logs[worker] = log
@@ -270,7 +270,7 @@
     latencies = {
         worker: views[worker].latency_s
         for worker in centred
-        if views[worker].latency_s > 0 and not views[worker].warming_up
+        if views[worker].latency_s > 0 and not views[worker].is_warming_up
     }
     dispersion = sum(abs(centred[worker]) for worker in latencies)
     if len(latencies) < MIN_COMPARED_WORKERS or dispersion < MIN_DISPERSION_LOG * len(latencies):
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -228,7 +228,7 @@
             source=drain.source,
             destinations=tuple(destinations.items()),
             count=count if drain.is_last_slice else placed_count,
-            within_s=PLAN_INTERVAL_S,
+            duration_s=PLAN_INTERVAL_S,
             grace_left_s=drain.grace_left_s,
         )
 
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -8,7 +8,7 @@
 from ..model.inputs import RestoredState, WorkerHistory
 from ..model.state_changes import WorkerState
 from ..model.views import WorkerCapacityView
-from ..model.worker_record import IN_SERVICE, WorkerRecord
+from ..model.worker_record import IN_SERVICE_STATES, WorkerRecord
 from ..policy.controller import RoutingController
 from ..policy.warm_up import is_warming_up
 
@@ -38,10 +38,10 @@
 def _capacity_view(controller: RoutingController, index: int, worker: WorkerRecord) -> WorkerCapacityView:
     return WorkerCapacityView(
         zone=worker.zone,
-        capacity=controller.capacities.get(index, 0.0) if worker.state in IN_SERVICE else 0.0,
-        warming_up=is_warming_up(controller.state, worker),
+        capacity=controller.capacities.get(index, 0.0) if worker.state in IN_SERVICE_STATES else 0.0,
+        is_warming_up=is_warming_up(controller.state, worker),
         draining_since=worker.departed_at if worker.state == WorkerState.REMOVED else -1.0,
-        latency_s=math.sqrt(worker.base_latency_s * worker.latency.mean()),
+        latency_s=math.sqrt(worker.base_latency_s * worker.latency_histogram.mean()),
     )
 
 
--- a/cottonladder/planning/migration_capacity.py
+++ b/cottonladder/planning/migration_capacity.py
@@ -48,7 +48,7 @@
         acceptable: dict[int, int] = {}
         for worker, view in live.items():
             fill_limit = (1.0 + CAPACITY_SLACK_RATIO) * connections_per_capacity * view.capacity
-            if not view.warming_up:
+            if not view.is_warming_up:
                 fill_limit += 1
             fill_limit = min(float(self._parameters.max_connections), fill_limit)
             open_count = connections[worker].open if worker in connections else 0
@@ -79,7 +79,7 @@
 
 def _average_capacity(live: Mapping[int, WorkerCapacityView]) -> float:
     """The mean capacity of the workers that are not warming up, or of all workers if all of them are."""
-    capacities = [view.capacity for view in live.values() if not view.warming_up]
+    capacities = [view.capacity for view in live.values() if not view.is_warming_up]
     if not capacities:
         capacities = [view.capacity for view in live.values()]
     if not capacities:
--- a/cottonladder/planning/migration_orders.py
+++ b/cottonladder/planning/migration_orders.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrateConnections:
-    """An order to a forwarder to move `count` connections away from `source` within `within_s` seconds.
+    """An order to a forwarder to move `count` connections away from `source` within `duration_s` seconds.
 
     `destinations` are pairs of worker index and count; connections beyond them are closed, and their clients
     asked to reconnect.  `grace_left_s` is what remains of the worker's grace period.
@@ -40,7 +40,7 @@
     source: int
     destinations: tuple[tuple[int, int], ...]
     count: int
-    within_s: float
+    duration_s: float
     grace_left_s: float
 
 
--- a/cottonladder/planning/plugin_bounds.py
+++ b/cottonladder/planning/plugin_bounds.py
@@ -111,14 +111,14 @@
             shares[worker] *= PREFERENCE_MULTIPLIER
 
 
-def bounded_factor(value: float | None) -> float:
+def clamp_capacity_factor(value: float | None) -> float:
     """A worker's capacity factor within its bounds; no answer counts as 1."""
     if value is None:
         return 1.0
     return min(MAX_CAPACITY_FACTOR, max(1.0 / MAX_CAPACITY_FACTOR, value))
 
 
-def may_veto(grace_left_s: float, grace_s: float) -> bool:
+def may_veto_migration(grace_left_s: float, grace_s: float) -> bool:
     """Whether a migration may still be postponed, rather than endanger the end of the drain."""
     return grace_left_s > VETO_GRACE_FRACTION * grace_s
 
@@ -182,7 +182,7 @@
     remaining_s: float = MAX_CPU_FRACTION
     refilled_at: float = 0.0
 
-    def allows(self, now: float) -> bool:
+    def has_time_left(self, now: float) -> bool:
         """Refills the bucket; tells whether any time is left."""
         refill = (now - self.refilled_at) * MAX_CPU_FRACTION
         self.remaining_s = min(MAX_CPU_FRACTION, self.remaining_s + refill)
--- a/cottonladder/planning/priority_scheduling.py
+++ b/cottonladder/planning/priority_scheduling.py
@@ -101,7 +101,7 @@
         waits = [_wait(task, now) for task in self.tasks.values() if task.plan.name not in waiting]
         return max(MIN_WAIT_S, min(waits, default=IDLE_WAIT_S))
 
-    def slice_started(self, name: str, now: float) -> bool:
+    def record_slice_start(self, name: str, now: float) -> bool:
         """Records the start of a slice; tells whether it is the first of a run."""
         task = self.tasks[name]
         if task.is_running:
@@ -110,7 +110,7 @@
         task.started_at = now
         return True
 
-    def slice_finished(
+    def record_slice_end(
         self, name: str, now: float, duration_s: float, done: bool, failed: bool, jitter: float
     ) -> bool:
         """Records the end of a slice, and of its run if done or failed; tells whether it was an overrun.
--- a/cottonladder/plugins/chain.py
+++ b/cottonladder/plugins/chain.py
@@ -88,7 +88,7 @@
         now = time.monotonic()
         plugin = loaded.plugin
         breaker = loaded.breaker
-        if not self._budget.allows(now) or not breaker.try_acquire(now):
+        if not self._budget.has_time_left(now) or not breaker.try_acquire(now):
             plugin.counts.skipped += 1
             return None
         started_at = time.perf_counter()
--- a/cottonladder/policy/capacity.py
+++ b/cottonladder/policy/capacity.py
@@ -7,7 +7,7 @@
 would overload a worker for minutes.
 """
 
-from ..model import IN_SERVICE, ControllerState, WorkerRecord, WorkerState, median_or_zero
+from ..model import IN_SERVICE_STATES, ControllerState, WorkerRecord, WorkerState, median_or_zero
 from . import warm_up
 from .latency_factor import LatencyFactors
 from .load_shedding import LoadShedding
@@ -36,7 +36,7 @@
             share = self.own_share[worker.zone]
             if share >= MIN_OWN_SHARE and not warm_up.is_warming_up(self._state, worker):
                 worker.add_capacity_sample(share, MIN_UTILIZATION)
-            worker.succeeded.clear()
+            worker.succeeded_attempts.clear()
         self._latency_factors.update(uses_queues=not self._warm_up_shares.proxies_eject)
 
     def estimate(self, tick: int) -> dict[int, float]:
@@ -46,7 +46,7 @@
         """
         workers = self._state.workers
         # With nobody in service, ejected workers are better than none.
-        usable = workers.in_state(*IN_SERVICE) or workers.in_state(WorkerState.EJECTED)
+        usable = workers.in_state(*IN_SERVICE_STATES) or workers.in_state(WorkerState.EJECTED)
         nominal = self._nominal_capacities(usable)
         self.nominal_total = sum(nominal.values())
         self._warm_up_shares.update(len(usable))
--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..model import IN_SERVICE, ControllerState, DeploymentParameters, WorkerState, inputs, orders
+from ..model import IN_SERVICE_STATES, ControllerState, DeploymentParameters, WorkerState, inputs, orders
 from .cadence import SOLVE_INTERVAL_S, TICK_INTERVAL_S
 from .capacity import CapacityEstimator
 from .channel_budget import MAX_CHANNEL_SLOWDOWN, MAX_CHECKPOINTS, ChannelBudget
@@ -72,7 +72,7 @@
             inputs.ConnectionLoad: self._reports.set_connection_load,
             inputs.AdvisedFactor: self._reports.set_advised_factor,
             inputs.GossipReceived: self.gossip.receive,
-            inputs.ExtraLinesWritten: self.channel_budget.add_extra,
+            inputs.ExtraLinesWritten: self.channel_budget.add_extra_lines,
             inputs.RestoredState: self._on_restored_state,
         }
 
@@ -81,7 +81,7 @@
         """Whether an endpoint list has arrived."""
         return self._discovery.has_endpoint_list
 
-    def decide(self, now: float, arrived: Iterable[inputs.Input]) -> list[orders.Order]:
+    def decide_orders(self, now: float, arrived: Iterable[inputs.Input]) -> list[orders.Order]:
         """Applies the inputs, and returns the orders that follow; most follow at a later tick only."""
         self.state.now = now
         self._is_send_due = False
@@ -95,7 +95,7 @@
             if self.has_endpoint_list and (self.state.needs_solution or now >= self._next_solve_at):
                 self._solve()
             self._send()
-        return self.state.pending.take()
+        return self.state.pending_orders.pop_all()
 
     def _on_timer(self, timer: inputs.TimerFired) -> None:
         """Begins a tick: orders what does not depend on a solution, and updates the states of workers."""
@@ -104,13 +104,13 @@
         state = self.state
         self.tick += 1
         self._is_send_due = True
-        state.pending.add(orders.StartTimer(TICK_INTERVAL_S, self.tick))
+        state.pending_orders.add(orders.StartTimer(TICK_INTERVAL_S, self.tick))
         self._discovery.order_watch_if_due()
         joining_rate = state.proxies.update_joining_rate()
         if state.parameters.health_checks and self.has_endpoint_list:
             self._health_checks.order_due_checks(joining_rate)
         self._overload.update()
-        checked = list(state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE).values())
+        checked = list(state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE_STATES).values())
         unreachable = self._reachability.unreachable_zones(checked)
         OutlierDetector(state, checked, unreachable).update_worker_states()
 
@@ -160,7 +160,7 @@
     def _send(self) -> None:
         """Sends exclusions, binds, removals, then other deltas, as far as the channel budget allows."""
         state = self.state
-        self.channel_budget.advance(state.now, MAX_CHANNEL_SLOWDOWN)
+        self.channel_budget.advance_time(state.now, MAX_CHANNEL_SLOWDOWN)
         self._deltas.class_admissions = self._shedding.class_admissions()
         send_exclusions(state, self.channel_budget)
         overdue_before = state.now - DRAIN_HOLD_RATIO * state.parameters.drain_grace_s
@@ -171,7 +171,7 @@
         for table in state.tables.all:
             self._deltas.send_update(table, overweight)
         written, lines_by_proxy = self.channel_budget.commit(MAX_CHECKPOINTS)
-        state.pending.extend(written)
+        state.pending_orders.extend(written)
         state.tables.mark_written(self.channel_budget.last_checkpoint, state.now, lines_by_proxy)
 
     def _send_removals(self, overdue_before: float) -> None:
--- a/cottonladder/policy/gossip_exchange.py
+++ b/cottonladder/policy/gossip_exchange.py
@@ -39,8 +39,8 @@
         """Orders gossip of the connected proxies and their requests/s by zone."""
         counts = self._state.proxies.zone_counts()
         texts = encode_zone_demand(counts, request_rates, MAX_GOSSIP_ZONES)
-        self._state.pending.extend(orders.SendGossip(ALL_PEERS, text) for text in texts)
+        self._state.pending_orders.extend(orders.SendGossip(ALL_PEERS, text) for text in texts)
 
     def recent(self) -> list[ProxyDemand]:
         """Returns the demand and the proxies of each other manager whose figures are valid."""
-        return self._peers.recent(self._state.now, PEER_DEMAND_TTL_S)
+        return self._peers.recent_demands(self._state.now, PEER_DEMAND_TTL_S)
--- a/cottonladder/policy/health_check_schedule.py
+++ b/cottonladder/policy/health_check_schedule.py
@@ -8,7 +8,7 @@
 
 import math
 
-from ..model import IN_SERVICE, ControllerState, WorkerState, orders
+from ..model import IN_SERVICE_STATES, ControllerState, WorkerState, orders
 from .outlier_ejection import LOST_CHECKS_TO_EJECT
 
 MIN_CHECK_INTERVAL_S = 1.0
@@ -26,7 +26,7 @@
     def order_due_checks(self, joining_rate: float) -> None:
         """Orders the checks that are due; `joining_rate` is the requests/s that proxies connected with."""
         state = self._state
-        checked = state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE)
+        checked = state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE_STATES)
         cost = len(checked) * state.parameters.health_check_cost
         request_rate = state.proxies.request_rate(state.proxies.by_number)
         price_ratio_s = cost / max(1.0, joining_rate, request_rate)
@@ -37,4 +37,4 @@
             self._interval_began_at = state.now + jitter_s
         for index, worker in checked.items():
             if is_due or 0 < worker.lost_check_count < LOST_CHECKS_TO_EJECT:
-                state.pending.add(orders.HealthCheck(index))
+                state.pending_orders.add(orders.HealthCheck(index))
--- a/cottonladder/policy/latency_factor.py
+++ b/cottonladder/policy/latency_factor.py
@@ -8,7 +8,7 @@
 
 from statistics import fmean
 
-from ..model import IN_SERVICE, ControllerState, WorkerRecord, median_or_zero
+from ..model import IN_SERVICE_STATES, ControllerState, WorkerRecord, median_or_zero
 from .overload_signal import OverloadSignal
 
 MIN_LATENCY_RATIO = 1 / 64  # of the tightest latency objective: the lower bound of the first histogram bin
@@ -39,7 +39,7 @@
 
     def update(self, uses_queues: bool) -> None:
         """Updates base latencies, then factors; requests in flight count only if `uses_queues`."""
-        in_service = self._state.workers.in_state(*IN_SERVICE)
+        in_service = self._state.workers.in_state(*IN_SERVICE_STATES)
         # Requests in flight for each unit of listed weight.
         queues = {
             index: uses_queues * worker.smoothed_in_flight / worker.weight
@@ -55,13 +55,13 @@
         """Follows each worker's mean latency; a first base latency is not taken while its queue is long."""
         for index, worker in self._state.workers.by_index.items():
             if worker.base_latency_s or queues.get(index, 0.0) < SLOWDOWN_TOLERANCE * median_queue:
-                worker.follow_base_latency(BASE_LATENCY_FALL, BASE_LATENCY_RISE)
+                worker.update_base_latency(BASE_LATENCY_FALL, BASE_LATENCY_RISE)
 
     def _update_worker_factors(
         self, in_service: dict[int, WorkerRecord], queue_ratios: dict[int, float]
     ) -> None:
         slowdowns = {
-            index: worker.latency.mean() / worker.base_latency_s
+            index: worker.latency_histogram.mean() / worker.base_latency_s
             for index, worker in in_service.items()
             if worker.base_latency_s > 0
         }
@@ -78,7 +78,7 @@
             success = (1.0 - failed_ratios.get(index, 0.0)) / median_success
             target = min(1.0, overload * SLOWDOWN_TOLERANCE / slowdown)
             target *= min(1.0, success) ** (SUCCESS_EXPONENT / overload)
-            worker.follow_latency_factor(target, FACTOR_FALL, FACTOR_RISE, MIN_LATENCY_FACTOR)
+            worker.update_latency_factor(target, FACTOR_FALL, FACTOR_RISE, MIN_LATENCY_FACTOR)
             worker.decay_counts(COUNT_DECAY)
 
     def _update_zone_factors(self, in_service: dict[int, WorkerRecord]) -> None:
--- a/cottonladder/policy/load_shedding.py
+++ b/cottonladder/policy/load_shedding.py
@@ -43,7 +43,7 @@
         limited_step = max(-MAX_ADMISSION_FALL, step)
         self.admission_ratio = min(1.0, max(MIN_ADMISSION_RATIO, former + limited_step))
         if (former < 1.0) != (self.admission_ratio < 1.0):
-            self._state.pending.add(AdmissionChanged(former, self.admission_ratio, signal))
+            self._state.pending_orders.add(AdmissionChanged(former, self.admission_ratio, signal))
 
     def class_admissions(self) -> dict[int, ClassAdmission]:
         """Returns what is admitted of each class, in the order of shedding; empty where it is not ordered."""
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -9,7 +9,7 @@
 """
 
 from ..model import (
-    IN_SERVICE,
+    IN_SERVICE_STATES,
     ControllerState,
     HealthCheckEvidence,
     OutlierEvidence,
@@ -34,7 +34,7 @@
     def __init__(self, state: ControllerState, checked: list[WorkerRecord], unreachable: list[bool]) -> None:
         self._state = state
         self._unreachable = unreachable  # by zone
-        self._attempts, self._failed = state.workers.attempts(IN_SERVICE)
+        self._attempts, self._failed = state.workers.attempt_counts(IN_SERVICE_STATES)
         ejected = state.workers.in_state(WorkerState.EJECTED).values()
         self._ejected_weight = sum(worker.weight for worker in ejected)
         self._max_ejected_weight = MAX_EJECTED_RATIO * sum(worker.weight for worker in checked)
@@ -42,7 +42,7 @@
     def update_worker_states(self) -> None:
         """Ejects outliers, completes slow starts, and lets workers return whose ejection is over."""
         for index, worker in self._state.workers.by_index.items():
-            if worker.state in IN_SERVICE:
+            if worker.state in IN_SERVICE_STATES:
                 if not self._eject_if_outlier(index, worker):
                     complete_slow_start(self._state, index, worker)
             elif worker.state == WorkerState.EJECTED:
--- a/cottonladder/policy/overload_signal.py
+++ b/cottonladder/policy/overload_signal.py
@@ -6,7 +6,7 @@
 look like overload of all; failures alone are limited, because clients and networks fail too.
 """
 
-from ..model import IN_SERVICE, ControllerState, WorkerRecord, median_or_zero
+from ..model import IN_SERVICE_STATES, ControllerState, WorkerRecord, median_or_zero
 
 OVERLOAD_FAILED_RATIO = 0.1  # failed part of attempts at which overload begins
 OVERLOAD_LATENCY_RATIO = 0.35  # latency over the tightest latency objective at which overload begins
@@ -27,10 +27,10 @@
     def update(self) -> None:
         """Measures the signal; where overload begins, a solution is due at once."""
         workers = self._state.workers
-        attempts, failed = workers.attempts(IN_SERVICE)
+        attempts, failed = workers.attempt_counts(IN_SERVICE_STATES)
         self.failed_ratio = failed / attempts if attempts > 0 else 0.0
         former = self.value
-        self.value = self._measure(list(workers.in_state(*IN_SERVICE).values()))
+        self.value = self._measure(list(workers.in_state(*IN_SERVICE_STATES).values()))
         self._state.needs_solution |= former < 1.0 <= self.value
 
     def _measure(self, in_service: list[WorkerRecord]) -> float:
@@ -48,7 +48,7 @@
         )
         if queue_s:
             return queue_s
-        means = [worker.latency.mean() for worker in in_service]
+        means = [worker.latency_histogram.mean() for worker in in_service]
         return median_or_zero(mean for mean in means if mean > 0)
 
     def _load(self, in_service: list[WorkerRecord]) -> float:
--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -49,7 +49,7 @@
         worker.add_load_report(report, report_plausibility.MAX_UTILIZATION)
         is_plausible = report_plausibility.is_plausible_latency(report.duration_s, state.tightest_objective_s)
         if report.attempts > report.failed and is_plausible:
-            worker.latency.add(report.duration_s, report.attempts - report.failed)
+            worker.latency_histogram.add(report.duration_s, report.attempts - report.failed)
             self._links.add(report.zone, worker.zone, report.duration_s)
             self._reachability.record_worker_answer(worker.zone)
 
--- a/cottonladder/policy/warm_up.py
+++ b/cottonladder/policy/warm_up.py
@@ -21,7 +21,7 @@
 
 import math
 
-from ..model import IN_SERVICE, ControllerState, WorkerRecord, WorkerState, median_or_zero
+from ..model import IN_SERVICE_STATES, ControllerState, WorkerRecord, WorkerState, median_or_zero
 from .load_shedding import LoadShedding
 from .overload_signal import OVERLOAD_LATENCY_RATIO, OverloadSignal
 from .slow_start import slow_start_share
@@ -110,7 +110,7 @@
 
 def overweight_workers(state: ControllerState) -> set[int]:
     """Returns the warming-up or ejected workers to which all sent tables together send too much."""
-    known = state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE).items()
+    known = state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE_STATES).items()
     guarded = {
         index
         for index, worker in known
--- a/cottonladder/policy/worker_discovery.py
+++ b/cottonladder/policy/worker_discovery.py
@@ -39,7 +39,7 @@
         """Orders the watch at the start, and again after a failed or unanswered call."""
         state = self._state
         if state.parameters.watches_endpoints and state.now >= self._next_watch_at:
-            state.pending.add(orders.WatchEndpoints(True))
+            state.pending_orders.add(orders.WatchEndpoints(True))
             self._next_watch_at = state.now + WATCH_TIMEOUT_S
 
     def apply_endpoint_list(self, endpoint_list: inputs.EndpointList) -> None:
--- a/cottonladder/policy/worker_states.py
+++ b/cottonladder/policy/worker_states.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from ..model import (
-    IN_SERVICE,
+    IN_SERVICE_STATES,
     ControllerState,
     Evidence,
     WorkerEvent,
@@ -31,8 +31,8 @@
     target: WorkerState
 
 
-REMOVAL = Transition((WorkerState.ABSENT, WorkerState.EJECTED, *IN_SERVICE), WorkerState.REMOVED)
-EJECTION = Transition(IN_SERVICE, WorkerState.EJECTED)
+REMOVAL = Transition((WorkerState.ABSENT, WorkerState.EJECTED, *IN_SERVICE_STATES), WorkerState.REMOVED)
+EJECTION = Transition(IN_SERVICE_STATES, WorkerState.EJECTED)
 RETURN = Transition((WorkerState.EJECTED,), WorkerState.SLOW_START)
 TRANSITIONS = {
     WorkerEvent.STARTED: Transition(tuple(WorkerState), WorkerState.SLOW_START),
@@ -61,7 +61,9 @@
     former = worker.state
     target = transition.target
     if former not in (target, WorkerState.ABSENT):
-        state.pending.add(WorkerStateChanged(worker_index, worker.zone, former, target, event, evidence))
+        state.pending_orders.add(
+            WorkerStateChanged(worker_index, worker.zone, former, target, event, evidence)
+        )
     worker.state = target
     if target == WorkerState.SLOW_START:
         _enter_slow_start(worker, state.now)
--- a/cottonladder/simulator/host.py
+++ b/cottonladder/simulator/host.py
@@ -42,7 +42,7 @@
     def decide(self, now: float, inputs: list[Input]) -> list[Action]:
         """Returns the actions that the policy orders, or the action CRASH alone after an exception in it."""
         try:
-            orders = self._controller.decide(now, inputs)
+            orders = self._controller.decide_orders(now, inputs)
             return [self._encoder.encode(order) for order in orders if not _is_internal(order)]
         except Exception as exc:
             traceback.print_exc(file=sys.stderr)
--- a/cottonladder/snapshots/store.py
+++ b/cottonladder/snapshots/store.py
@@ -76,7 +76,7 @@
             os.close(self._lock_descriptor)
             self._lock_descriptor = NO_DESCRIPTOR
 
-    def numbers(self) -> list[int]:
+    def generation_numbers(self) -> list[int]:
         """Numbers of the existing generations, the newest first."""
         try:
             names = os.listdir(self.folder)
@@ -85,13 +85,13 @@
         matches = [FILE_NAME.match(name) for name in names]
         return sorted((int(match.group(1)) for match in matches if match), reverse=True)
 
-    def path_of(self, number: int) -> Path:
+    def generation_path(self, number: int) -> Path:
         """The path of the generation with this number."""
         return self.folder / f"state-{number}.clm"
 
     def read(self, number: int) -> Generation:
         """Reads one generation; raises SnapshotFileError if it can't be read or is not valid."""
-        path = self.path_of(number)
+        path = self.generation_path(number)
         try:
             if path.stat().st_size > MAX_UNCOMPRESSED_SIZE + HEADER.size:
                 raise SnapshotFileError(path.name, "over its size")
@@ -106,7 +106,7 @@
 
     def read_newest(self) -> Generation | None:
         """The newest valid generation, or None; newer ones that are not valid are quarantined."""
-        for number in self.numbers():
+        for number in self.generation_numbers():
             self._newest_number = max(self._newest_number, number)
             try:
                 return self.read(number)
@@ -116,7 +116,7 @@
         return None
 
     def _quarantine(self, number: int) -> None:
-        path = self.path_of(number)
+        path = self.generation_path(number)
         try:
             os.rename(path, self.folder / f"{path.name}{QUARANTINE_MARK}{time.time_ns()}")
             quarantined = sorted(name for name in os.listdir(self.folder) if QUARANTINE_MARK in name)
@@ -131,14 +131,14 @@
         `written_at` is in Unix seconds.
         """
         data = encode_file(sections, written_at)
-        number = max([self._newest_number, *self.numbers()]) + 1
+        number = max([self._newest_number, *self.generation_numbers()]) + 1
         unfinished = self.folder / f"{UNFINISHED_PREFIX}{number}{UNFINISHED_SUFFIX}"
         try:
             with open(unfinished, "wb") as file:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
-            os.rename(unfinished, self.path_of(number))
+            os.rename(unfinished, self.generation_path(number))
             self._sync_folder()
         except OSError as exc:
             self._remove(unfinished)
@@ -164,9 +164,9 @@
 
         Returns the number of removed generations.
         """
-        outdated = self.numbers()[count:]
+        outdated = self.generation_numbers()[count:]
         for number in outdated:
-            self._remove(self.path_of(number))
+            self._remove(self.generation_path(number))
         for name in os.listdir(self.folder):
             if name.startswith(UNFINISHED_PREFIX) and name.endswith(UNFINISHED_SUFFIX):
                 self._remove(self.folder / name)
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -1,7 +1,7 @@
 """Turns the controller's orders into one message for each proxy.
 
 `apply` carries out one order and adds the lines that it costs at each proxy to that proxy's pending
-operations; `take_messages` encodes all that is pending, one message a proxy.  A line stands for the request
+operations; `pop_messages` encodes all that is pending, one message a proxy.  A line stands for the request
 classes that read the table at that proxy.
 """
 
@@ -86,7 +86,7 @@
         self._checker.check(order)
         self._handlers[type(order)](order)
 
-    def take_messages(self) -> Iterator[tuple[int, bytes]]:
+    def pop_messages(self) -> Iterator[tuple[int, bytes]]:
         """Yields each proxy with pending operations and its encoded message; must be consumed to the end.
 
         Removed workers are freed afterwards.  Every message repeats the admission that is set for all
--- a/cottonladder/testbed/demo.py
+++ b/cottonladder/testbed/demo.py
@@ -139,7 +139,7 @@
             Me=number,
         )
         stack.push_async_callback(manager.stop)
-        await manager.serving(port)
+        await manager.start_serving(port)
         self.managers.append(manager)
 
     async def _start_forwarder(
@@ -156,7 +156,7 @@
             collector=number < COLLECTOR_COUNT,
         )
         stack.push_async_callback(forwarder.stop)
-        await forwarder.serving()
+        await forwarder.start_serving()
         self.forwarders.append(forwarder)
 
     def _start_clients(self, stack: AsyncExitStack, http: aiohttp.ClientSession, client_count: int) -> None:
@@ -188,7 +188,7 @@
 
     def summary(self, connection_count: int, duration_s: float) -> str:
         """The last line of the demo, on the result of the drain."""
-        resumed = sum(worker.resumed for worker in self.workers.values())
+        resumed = sum(worker.resumed_count for worker in self.workers.values())
         return (
             f"{DRAINED_WORKER} drained {connection_count} connections "
             f"in {duration_s:.1f} of {GRACE_S:g} s: "
@@ -219,7 +219,7 @@
         state=entry["state"],
         shares=tuple(f"{shares[zone].get(worker.name, 0.0):.0%}" for zone in ZONES),
         connections=worker.held_connections,
-        migrated=worker.resumed,
+        migrated=worker.resumed_count,
         max_connections=worker.max_held_connections,
     )
 
--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -60,7 +60,7 @@
         self._arguments = arguments
         self._reading: asyncio.Task[None] | None = None
 
-    def write(self, name: str, body: object) -> str:
+    def write_json(self, name: str, body: object) -> str:
         """Writes a JSON file into the process's folder; gives its path."""
         path = self.folder / name
         path.write_text(json.dumps(body))
@@ -81,17 +81,17 @@
         """The newest log lines."""
         return self.log.lines
 
-    async def logged(self, *parts: str, timeout_s: float = START_TIMEOUT_S) -> str:
+    async def wait_for_log(self, *parts: str, timeout_s: float = START_TIMEOUT_S) -> str:
         """Waits for the first log line that contains all of `parts`."""
         return await self.log.wait_for_parts(*parts, timeout_s=timeout_s)
 
-    async def logged_line(
+    async def wait_for_log_line(
         self, is_match: Callable[[str], bool], description: object, timeout_s: float = START_TIMEOUT_S
     ) -> str:
         """Waits for the first log line for which `is_match` holds; `description` names it in the error."""
         return await self.log.wait_for_line(is_match, description, timeout_s)
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Sends a signal, unless the process has ended.
 
         asyncio's own method would reap a process that has just ended, and its exit status would be lost.
@@ -103,12 +103,12 @@
     async def stop(self, number: signal.Signals = signal.SIGTERM) -> int:
         """Stops the process by a signal, or by SIGKILL after a timeout; gives its exit status."""
         assert self.process is not None
-        self.send(signal.SIGCONT)  # a process that a test has suspended would not handle the signal
-        self.send(number)
+        self.send_signal(signal.SIGCONT)  # a process that a test has suspended would not handle the signal
+        self.send_signal(number)
         try:
             status = await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_S)
         except TimeoutError:
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             status = await self.process.wait()
         if self._reading is not None:
             await self._reading
@@ -153,14 +153,14 @@
         self._operator = {name: part for name, part in parts.items() if part is not None}
         self._settings = {**SETTINGS, **settings}
 
-    async def serving(self, port: int = 0) -> int:
+    async def start_serving(self, port: int = 0) -> int:
         """Starts the manager and waits until it serves; gives its port."""
         config = manager_file(f"127.0.0.1:{port}", self._discovery, self._known, self._settings)
-        arguments = ["--config", self.write("manager.json", config)]
+        arguments = ["--config", self.write_json("manager.json", config)]
         if self._operator:
-            arguments += ["--operator", self.write("operator.json5", self._operator)]
+            arguments += ["--operator", self.write_json("operator.json5", self._operator)]
         await self.start(*arguments)
-        self.port = int((await self.logged("event=serving")).split("port=")[1])
+        self.port = int((await self.wait_for_log("event=serving")).split("port=")[1])
         return self.port
 
 
@@ -191,12 +191,12 @@
         self._other_parts = {"memory": memory, "control": control, "upgrades": upgrades}
         self.status_port = 0
 
-    async def serving(self) -> int:
+    async def start_serving(self) -> int:
         """Starts the forwarder and waits until it serves; gives its port."""
         others = {name: part for name, part in self._other_parts.items() if part is not None}
         body = {"forwarder": self.part, **others}
-        await self.start("--config", self.write("operator.json5", body))
-        line = await self.logged("event=forwarding")
+        await self.start("--config", self.write_json("operator.json5", body))
+        line = await self.wait_for_log("event=forwarding")
         self.port = int(line.split(" port=")[1].split()[0])
         self.status_port = int(line.split(" status=")[1].split()[0])
         return self.port
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -202,7 +202,7 @@
             if now >= advise_at:
                 advise_at = now + UPDATE_INTERVAL_S
                 inputs += self._ask_advisors(now)
-            self._apply_orders(now, self.controller.decide(now, inputs))
+            self._apply_orders(now, self.controller.decide_orders(now, inputs))
             self._capacity_views = capacity_views(self.controller)
             self._count_proxies_without_worker()
             self._send_requests(now)
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -121,17 +121,17 @@
         """Lines that wait in the channel."""
         return sum(queued.lines for queued in self.channel)
 
-    def step(self, name: str, inputs: Iterable[Input]) -> None:
+    def run_batch(self, name: str, inputs: Iterable[Input]) -> None:
         """Gives the manager one batch of inputs, and queues the messages with its orders."""
         inputs = list(inputs)
         started_at = perf_counter()
         self.dispatcher.track_proxies(inputs)
-        self.orders = self.controller.decide(self.now, inputs)
+        self.orders = self.controller.decide_orders(self.now, inputs)
         checkpoint = self._dispatch()
         reserved = self._reserved_lines(checkpoint)
         if checkpoint is not None:
             self.controller.channel_budget.record_written(self.dispatcher.pending_line_counts())
-        messages = list(self.dispatcher.take_messages())
+        messages = list(self.dispatcher.pop_messages())
         self._record_duration(perf_counter() - started_at)
         corrected = self._reserved_lines(checkpoint)
         for proxy, message in messages:
@@ -179,7 +179,7 @@
             f"reserved {reserved}, corrected to {corrected}, written {queued.lines}"
         )
 
-    def join(self, proxies: Iterable[int], rate: float = 1.0, fresh: bool = False) -> None:
+    def connect_proxies(self, proxies: Iterable[int], rate: float = 1.0, fresh: bool = False) -> None:
         """Connects proxies, which average `rate` requests/s; a `fresh` one states that it has no table."""
         joined = []
         for number in proxies:
@@ -188,14 +188,14 @@
             proxy.joined_at = self.now
             zone = number % self.parameters.zone_count
             joined.append(ProxyConnected(number, zone, proxy.request_rate, fresh))
-        self.step("joins", joined)
+        self.run_batch("joins", joined)
 
-    def leave(self, proxies: Iterable[int]) -> None:
+    def disconnect_proxies(self, proxies: Iterable[int]) -> None:
         """Disconnects proxies; messages that wait for them still take their time in the channel."""
         disconnected = [number for number in proxies if self.proxies.pop(number, None) is not None]
-        self.step("leaves", [ProxyDisconnected(number) for number in disconnected])
+        self.run_batch("leaves", [ProxyDisconnected(number) for number in disconnected])
 
-    def send_for(self, seconds: float) -> None:
+    def send_queued_messages(self, seconds: float) -> None:
         """Sends what the channel can send in this time, to proxies that apply and acknowledge it."""
         self.sendable_lines += seconds * self.parameters.channel_lines_per_s * self.channel_speed
         while self.channel and self.channel[0].lines <= self.sendable_lines:
@@ -231,10 +231,10 @@
         end = self.now + seconds
         while self.now < end - CLOCK_TOLERANCE_S:
             self.now += TICK_INTERVAL_S
-            self.send_for(TICK_INTERVAL_S)
+            self.send_queued_messages(TICK_INTERVAL_S)
             arrived = [item for arrives_at, item in self.pending_inputs if arrives_at <= self.now]
             self.pending_inputs = [pending for pending in self.pending_inputs if pending[0] > self.now]
-            self.step(TICK, [*arrived, *self.extra_inputs(), TimerFired(self.timer_token)])
+            self.run_batch(TICK, [*arrived, *self.extra_inputs(), TimerFired(self.timer_token)])
 
 
 def fleet_parameters(
--- a/cottonladder/testbed/workers.py
+++ b/cottonladder/testbed/workers.py
@@ -44,7 +44,7 @@
 class TicketSession:
     """The state that a ticket resumes: how many messages were answered."""
 
-    answered: int = 0
+    answered_count: int = 0
 
 
 class SimulatedWorker:
@@ -56,13 +56,13 @@
         self.address = ""
         self.delay_s = 0.0
         self.push_interval_s = 0.0  # 0: none
-        self.refuses = False  # whether handshakes and requests get 503
-        self.hangs = False  # whether nothing is answered
-        self.hold_until: asyncio.Event | None = None  # before which nothing is answered
+        self.rejects_requests = False  # whether handshakes and requests get 503
+        self.never_answers = False  # whether nothing is answered
+        self.answer_gate: asyncio.Event | None = None  # before which nothing is answered
         self.requests_to_drop = 0  # the number of next requests whose connections are aborted
         self.held_connections = 0
         self.max_held_connections = 0  # at a time
-        self.resumed = 0  # connections that began with a known ticket
+        self.resumed_count = 0  # connections that began with a known ticket
         self.arrivals: list[float] = []  # the event loop's times of new held connections
         self.requests: Counter[str] = Counter()  # by method and path
         self.closes: Counter[int] = Counter()  # of held connections, by close code
@@ -92,11 +92,11 @@
             self.requests_to_drop -= 1
             request.transport.abort()
             raise ConnectionResetError
-        if self.hangs:
+        if self.never_answers:
             await asyncio.sleep(HANG_S)
-        if self.hold_until is not None:
-            await self.hold_until.wait()
-        if self.refuses:
+        if self.answer_gate is not None:
+            await self.answer_gate.wait()
+        if self.rejects_requests:
             return web.Response(status=503, headers={"Retry-After": "1"})
         if request.headers.get("Upgrade", "").lower() == "websocket":
             return await self._hold(request)
@@ -144,7 +144,7 @@
         """The ticket of a handshake if it is known, otherwise a new one."""
         ticket = request.headers.get(TICKET)
         if ticket is not None and ticket in self._sessions:
-            self.resumed += 1
+            self.resumed_count += 1
             return ticket
         return f"{self.name}-{next(self._ticket_numbers)}"
 
@@ -154,10 +154,10 @@
             self.ledger.releases[request_id] += 1
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
-        session.answered += 1
+        session.answered_count += 1
         reply = "done" if verb == "release" else "answer"
         with suppress(ConnectionError):  # the client may have disconnected; the effect remains
-            await socket.send_str(f"{reply}:{request_id}:{session.answered}")
+            await socket.send_str(f"{reply}:{request_id}:{session.answered_count}")
 
     async def _push(self, socket: web.WebSocketResponse) -> None:
         for number in itertools.count():
--- a/tests/config/test_manager_file.py
+++ b/tests/config/test_manager_file.py
@@ -88,14 +88,14 @@
     """Runs a controller for `TICK_COUNT` ticks, with one proxy and the reports of one worker."""
     controller = RoutingController(config.settings.parameters)
     proxy = ProxyConnected(proxy=0, zone=0, requests_per_s=10.0, is_fresh=True)
-    controller.decide(START_TIME_S, [config.starting_list.endpoints, proxy])
+    controller.decide_orders(START_TIME_S, [config.starting_list.endpoints, proxy])
     reports: list[Input] = [
         LoadReport(worker_index=0, zone=0, attempts=20, failed=1, interval_s=1.0, duration_s=0.1, metrics={}),
         ArrivalReport(proxy=0, class_index=0, requests=20, unanswered=0, interval_s=1.0),
     ]
     for tick in range(TICK_COUNT):
         now = START_TIME_S + TICK_S * (tick + 1)
-        controller.decide(now, [TimerFired(tick + 1), *reports])
+        controller.decide_orders(now, [TimerFired(tick + 1), *reports])
 
 
 class ManagerFileTests(unittest.TestCase):
--- a/tests/control/test_configuration_files.py
+++ b/tests/control/test_configuration_files.py
@@ -55,7 +55,7 @@
         program = ManagerProgram(self.discovery_address)
         await program.start()
         self.addAsyncCleanup(self.end, program)
-        program.port = int((await program.logged("event=serving")).split("port=")[1])
+        program.port = int((await program.wait_for_log("event=serving")).split("port=")[1])
         config_text = json.dumps(program.config)
         without_known = text_without({**program.config, "discovery": "127.0.0.1:9"}, "known")
         faulty_texts = (
@@ -66,14 +66,14 @@
         )
         for text, expected in faulty_texts:
             program.reload(text)
-            await program.logged("config_rejected", expected)
+            await program.wait_for_log("config_rejected", expected)
         program.reload(name="other", listen="127.0.0.1:1", seed="1f")
-        await program.logged(
+        await program.wait_for_log(
             "config_reloaded", f"discovery={self.discovery_address}", "unchangeable=name,listen"
         )
         (program.folder / "config.json").unlink()
         program.process.send_signal(signal.SIGHUP)
-        await program.logged("config_rejected", "No such file")
+        await program.wait_for_log("config_rejected", "No such file")
         client = await self.connect(program, "PING")
         self.assertEqual(await client.receive(), "PONG")
 
--- a/tests/control/test_connection_bounds.py
+++ b/tests/control/test_connection_bounds.py
@@ -31,7 +31,7 @@
 class DescriptorLimitTests(ManagerTestCase):
     async def test_unidentified_connections_do_not_use_up_what_proxies_need(self) -> None:
         # The summary comes after the flood, as the interval is longer than the flood may take.
-        program = await self.serving(
+        program = await self.start_serving(
             limits={"memory_mb": 192, "sockets": DESCRIPTOR_LIMIT}, constants={SUMMARY_INTERVAL: 5.0}
         )
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
@@ -49,7 +49,7 @@
         collector.send("PING")
         self.assertEqual(await collector.receive(), "PONG")
         self.assertLess(sum("connection_closed" in line for line in program.lines), 10)
-        await program.logged("connection_closed", "suppressed_count=")
+        await program.wait_for_log("connection_closed", "suppressed_count=")
         self.assertEqual(await program.stop(), 0)
         errors = await cast(asyncio.StreamReader, program.process.stderr).read()
         self.assertEqual(errors, b"")  # asyncio reports here accepts that found no descriptor left
--- a/tests/control/test_connection_migrator.py
+++ b/tests/control/test_connection_migrator.py
@@ -27,8 +27,8 @@
 from tests.support.manager_program import SETTINGS
 
 FORWARDER = 3  # index
-IN_SERVICE = WorkerCapacityView(zone=0, capacity=1.0, warming_up=False, draining_since=-1.0)
-DRAINING = WorkerCapacityView(zone=0, capacity=0.0, warming_up=False, draining_since=0.0)
+IN_SERVICE = WorkerCapacityView(zone=0, capacity=1.0, is_warming_up=False, draining_since=-1.0)
+DRAINING = WorkerCapacityView(zone=0, capacity=0.0, is_warming_up=False, draining_since=0.0)
 
 
 class DrainLogTests(unittest.TestCase):
--- a/tests/control/test_control_loop.py
+++ b/tests/control/test_control_loop.py
@@ -36,7 +36,7 @@
         super().__init__(DEFAULT_PARAMETERS)
         self._orders = orders
 
-    def decide(self, _now: float, _inputs: Iterable[Input]) -> list[Order]:
+    def decide_orders(self, _now: float, _inputs: Iterable[Input]) -> list[Order]:
         """The orders of the script."""
         return self._orders
 
@@ -61,7 +61,7 @@
     def test_a_rejected_order_is_logged_with_its_fields_and_the_next_is_carried_out(self) -> None:
         control_loop = self.control_loop([SetWeight(1, 0, math.inf), SetWeight(1, 7, 1.0), FetchEndpoints()])
         with capture_logs() as lines:
-            control_loop.step([])
+            control_loop.run_once([])
         rejected = {"event": "order_rejected", "log_level": "error", "order": "SetWeight"}
         self.assertEqual(
             lines,
@@ -75,7 +75,7 @@
     def test_a_state_change_is_logged_and_passed_to_the_observer(self) -> None:
         change = AdmissionChanged(from_ratio=1.0, to_ratio=0.5, overload_signal=2.0)
         with capture_logs() as lines:
-            self.control_loop([change]).step([])
+            self.control_loop([change]).run_once([])
         self.assertEqual([line["event"] for line in lines], ["admission_changed"])
         self.assertEqual(self.observed, [change])
 
--- a/tests/control/test_endpoint_updates.py
+++ b/tests/control/test_endpoint_updates.py
@@ -57,12 +57,12 @@
             "version 40 after 42": watch_line_answer(endpoint_list(40)),
         }
         self.discovery.script = [*bad_answers.values(), complete_answer(42, "s-1", "s-2")]
-        program = await self.serving(settings=SHORT_RETRY_DELAY)
+        program = await self.start_serving(settings=SHORT_RETRY_DELAY)
         for expected_text in bad_answers:
-            await program.logged("discovery_call_failed", *expected_text.split())
+            await program.wait_for_log("discovery_call_failed", *expected_text.split())
         self.assertFalse([line for line in program.lines if "worker_state_changed" in line])
         await self.discovery.send_updates(endpoint_list(44, gone))
-        await program.logged("event=worker_state_changed", "from_state=healthy", "to_state=removed")
+        await program.wait_for_log("event=worker_state_changed", "from_state=healthy", "to_state=removed")
 
     async def test_after_a_version_that_goes_back_the_complete_list_is_fetched(self) -> None:
         """Discovery started over; without the complete list the manager would miss its drains."""
@@ -70,11 +70,11 @@
             watch_line_answer(endpoint_list(7, endpoint_entry("s-1", "Gone"))),
             complete_answer(7, "s-2"),
         ]
-        program = await self.serving()
-        await program.logged("discovery_call_failed", "version 7 after 41")
+        program = await self.start_serving()
+        await program.wait_for_log("discovery_call_failed", "version 7 after 41")
         calls = [await in_time(self.discovery.calls.get()) for _ in range(2)]
         self.assertEqual([call.rpartition("after=")[2] for call in calls], ["41", "/v1/servers"])
-        await program.logged(
+        await program.wait_for_log(
             "event=worker_state_changed",
             "worker_id=s-1",
             "from_state=healthy",
@@ -84,7 +84,7 @@
 
     async def test_a_reload_moves_to_another_discovery_once_that_has_answered(self) -> None:
         """It is asked for the complete list; the old one counts until the new one has answered."""
-        program = await self.serving(settings=SHORT_RETRY_DELAY, constants=PENDING_CALL_LIMITS)
+        program = await self.start_serving(settings=SHORT_RETRY_DELAY, constants=PENDING_CALL_LIMITS)
         self.assertIn("after=41", await in_time(self.discovery.calls.get()))
         new = ScriptedDiscovery()
         may_answer = asyncio.Event()
@@ -95,10 +95,10 @@
 
         new.script = [scripted_answer("", 503), answer_when_allowed]
         program.reload(discovery=await self.start_http_server(new.handle))
-        await program.logged("config_reloaded", "unchangeable=none")
-        await program.logged("discovery_call_failed", "503")
+        await program.wait_for_log("config_reloaded", "unchangeable=none")
+        await program.wait_for_log("discovery_call_failed", "503")
         await self.discovery.send_updates(endpoint_list(42, endpoint_entry("s-1", "Gone")))
-        await program.logged(
+        await program.wait_for_log(
             "event=worker_state_changed",
             "worker_id=s-1",
             "from_state=healthy",
@@ -112,7 +112,7 @@
         with suppress(ConnectionError):
             await self.discovery.send_updates(endpoint_list(99, endpoint_entry("s-2", "Gone")))
         await new.send_updates(endpoint_list(44, endpoint_entry("s-3", "Terminating")))
-        await program.logged(
+        await program.wait_for_log(
             "event=worker_state_changed",
             "worker_id=s-3",
             "to_state=removed",
@@ -150,8 +150,8 @@
             return reply
 
         self.discovery.script = [silent_watch]
-        program = await self.serving(constants={SILENCE_TIMEOUT: 0.5})
-        await program.logged("discovery_call_failed")
+        program = await self.start_serving(constants={SILENCE_TIMEOUT: 0.5})
+        await program.wait_for_log("discovery_call_failed")
         await in_time(watch_closed.wait())
         await in_time(self.discovery.watches.get())  # opened again
 
--- a/tests/control/test_log_events.py
+++ b/tests/control/test_log_events.py
@@ -107,7 +107,7 @@
             worker.state = former
             state.workers.by_index[0] = worker
             apply_event(state, 0, event)
-            for order in state.pending.take():
+            for order in state.pending_orders.pop_all():
                 if isinstance(order, WorkerStateChanged):
                     yield order
 
--- a/tests/control/test_manager_program.py
+++ b/tests/control/test_manager_program.py
@@ -42,12 +42,12 @@
 class FaultyController(RoutingController):
     """A policy that fails at its first timer."""
 
-    def decide(self, now: float, inputs: Iterable[Input]) -> list[Order]:
+    def decide_orders(self, now: float, inputs: Iterable[Input]) -> list[Order]:
         """As the controller, until a timer fires."""
         batch = list(inputs)
         if any(isinstance(item, TimerFired) for item in batch):
             raise ZeroDivisionError("a fault")
-        return super().decide(now, batch)
+        return super().decide_orders(now, batch)
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
 
 class ManagerProgramTests(ManagerTestCase):
     async def test_a_manager_binds_proxies_takes_reports_drains_a_worker_and_restarts(self) -> None:
-        program = await self.serving()
+        program = await self.start_serving()
         self.assertIn("watch=1&after=41", await in_time(self.discovery.calls.get()))
         proxy = await self.join(program, 3)
         table = await proxy.receive()
@@ -87,7 +87,7 @@
             endpoint_list(42, endpoint_entry("s-1", "Terminating"), endpoint_entry("s-3", zone="b"))
         )
         await proxy.receive_until("s-1:0.0")
-        line = await program.logged(
+        line = await program.wait_for_log(
             "event=worker_state_changed",
             "worker_id=s-1",
             "from_state=healthy",
@@ -102,11 +102,11 @@
         stopping_at = time.monotonic()
         self.assertEqual(await program.stop(), 0)
         self.assertLess(time.monotonic() - stopping_at, 5.0)
-        restarted = await self.serving(**{**program.config, "listen": f"{LOOPBACK}:{program.port}"})
+        restarted = await self.start_serving(**{**program.config, "listen": f"{LOOPBACK}:{program.port}"})
         self.assertIn("replace 1 rows", await (await self.join(restarted, 3, cold=0)).receive())
 
     async def test_a_ping_that_arrives_in_pieces_is_answered(self) -> None:
-        program = await self.serving()
+        program = await self.start_serving()
         client = await self.connect(program)
         for byte in b"*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPI":
             client.writer.write(bytes([byte]))
@@ -116,7 +116,7 @@
         self.assertEqual([await client.receive(), await client.receive()], ["PONG", "PONG"])
 
     async def test_the_ping_command_reports_with_its_status_and_one_line(self) -> None:
-        program = await self.serving()
+        program = await self.start_serving()
         http_server = await self.start_http_server(scripted_answer(""))  # speaks another protocol
         cases = (
             (f"{LOOPBACK}:{program.port}", 0, "serves"),
@@ -131,13 +131,13 @@
                 self.assertIn(expected_text, result.output)
 
     async def test_the_newest_stream_of_a_proxy_holds(self) -> None:
-        program = await self.serving(constants={SUPERSEDED_TIMEOUT: 0.5})
+        program = await self.start_serving(constants={SUPERSEDED_TIMEOUT: 0.5})
         old = await self.join(program, 3)
         await old.receive_until("replace")
         new = await self.join(program, 3, cold=0)
         await new.receive_until("replace")
         old.send("ACK node 3 nonce 1 latency 1")  # was on its way when the new stream was accepted
-        await program.logged("connection_closed", "state=old", "another stream")  # it went silent
+        await program.wait_for_log("connection_closed", "state=old", "another stream")  # it went silent
         await self.discovery.send_updates(endpoint_list(42, endpoint_entry("s-1", "Terminating")))
         await new.receive_until("s-1:0.0")
 
@@ -158,9 +158,11 @@
             healthy.append(endpoint_entry(f"s-{number}", addr=address, zone="b"))
         hanging = endpoint_entry("s-9", addr=await self.start_http_server(hang), zone="b")
         settings = {"Limits": {"Probing": True, "Peers": False}, "Prices": {"Probe": 0.0}}
-        program = await self.serving(settings=settings, known=endpoint_list(1, *healthy, hanging, full=True))
+        program = await self.start_serving(
+            settings=settings, known=endpoint_list(1, *healthy, hanging, full=True)
+        )
         self.assertEqual(await in_time(checked_paths.get()), "/load")
-        await program.logged(
+        await program.wait_for_log(
             "event=worker_state_changed",
             "worker_id=s-9",
             "from_state=healthy",
@@ -178,7 +180,7 @@
         peer_port = peer_transport.get_extra_info("sockname")[1]
         own_transport.close()  # it was opened to find a free port for the manager
         addresses = [f"{LOOPBACK}:{own_port}", f"{LOOPBACK}:{peer_port}"]
-        program = await self.serving(
+        program = await self.start_serving(
             settings={"Limits": {"Probing": False, "Peers": True}, "NInstances": 2},
             peer_listen=addresses[0],
             peers=addresses,
@@ -202,7 +204,7 @@
         self.assertEqual(received, [GossipReceived(1, "1" * 256)])
 
     async def test_a_fault_of_the_policy_ends_the_manager(self) -> None:
-        program = await self.serving()
+        program = await self.start_serving()
         config = read_startup_config(str(program.folder / "config.json"))
         await program.stop()
         loop = asyncio.get_running_loop()
--- a/tests/control/test_protocol_violations.py
+++ b/tests/control/test_protocol_violations.py
@@ -58,7 +58,7 @@
 class ProtocolViolationTests(ManagerTestCase):
     async def test_invalid_message_closes_or_is_rejected_without_affecting_others(self) -> None:
         # A repeated reason is logged with the next summary, which is due after this interval.
-        program = await self.serving(constants={SUMMARY_INTERVAL_CONSTANT: 0.5})
+        program = await self.start_serving(constants={SUMMARY_INTERVAL_CONSTANT: 0.5})
         proxy = await self.join(program, node=2)
         await proxy.receive_until(FIRST_TABLE)
         for case in read_cases():
@@ -80,7 +80,7 @@
             await client.wait_closed()
         if case.expected_parts:
             event = "message_rejected" if case.is_connection_kept else "connection_closed"
-            await program.logged(event, *case.expected_parts)
+            await program.wait_for_log(event, *case.expected_parts)
 
 
 if __name__ == "__main__":
--- a/tests/control/test_signal_races.py
+++ b/tests/control/test_signal_races.py
@@ -89,7 +89,7 @@
         program, descriptor = await self.start_until_imports()
         program.process.send_signal(signal.SIGHUP)
         os.close(descriptor)
-        await program.logged("event=serving")
+        await program.wait_for_log("event=serving")
 
     async def test_a_stop_during_imports_ends_silently(self) -> None:
         program, descriptor = await self.start_until_imports()
@@ -111,7 +111,7 @@
         new_file.replace(pipe)
         program.process.send_signal(signal.SIGHUP)
         os.close(descriptor)
-        await program.logged("config_reloaded", f"discovery={new_address}")
+        await program.wait_for_log("config_reloaded", f"discovery={new_address}")
         self.assertEqual(await in_time(new.calls.get()), "/v1/servers")
 
     async def test_a_stop_while_the_file_is_read_ends_silently(self) -> None:
@@ -134,7 +134,7 @@
     async def test_signals_in_quick_succession_while_proxies_connect_end_the_program_cleanly(self) -> None:
         """With a message half sent, orders half written to proxies that read nothing, and late reloads."""
         endpoints = [endpoint_entry(f"s-{number:04}") for number in range(400)]
-        program = await self.serving(known=endpoint_list(41, *endpoints, full=True))
+        program = await self.start_serving(known=endpoint_list(41, *endpoints, full=True))
         proxies = await asyncio.gather(*(self.connect(program) for _ in range(8)))
         for node, proxy in enumerate(proxies):
             proxy.join(node)
@@ -149,7 +149,7 @@
             await client.wait_closed()
 
     async def test_a_reload_after_close_does_nothing(self) -> None:
-        program = await self.serving()
+        program = await self.start_serving()
         path = program.folder / "config.json"
         running = read_startup_config(str(path)).manager
         program.config["discovery"] = await self.start_http_server(ScriptedDiscovery().handle)
@@ -167,7 +167,7 @@
         """An acknowledgement that is under way while its manager restarts must not count for the new one."""
         checkpoints: list[int] = []
         for seed in ("8c1f30d27a5be964", "11"):
-            program = await self.serving(seed=seed)
+            program = await self.start_serving(seed=seed)
             proxy = await self.join(program, 3)
             message = await proxy.receive_until("stamp")
             checkpoints.append(int(message.split("stamp ")[1].split()[0]))
--- a/tests/forwarder/test_draining.py
+++ b/tests/forwarder/test_draining.py
@@ -87,7 +87,7 @@
         await self.wait_for_table(forwarder, "s-1", "s-2")
         await self.discovery.set_state("s-1", "Terminating")
         await self.wait_until(lambda: self.counts.answered == 1)
-        await self.wait_until(lambda: other.resumed == 1)
+        await self.wait_until(lambda: other.resumed_count == 1)
         self.assertEqual(self.counts.closes.total(), 0)
         await self.wait_until_empty("s-1")
         await self.wait_until(lambda: self.counts.outcome_unknown == 1)
@@ -106,7 +106,7 @@
         await self.discovery.set_state("s-1", "Terminating")
         await self.wait_until(lambda: self.workers["s-1"].held_connections < before["s-1"] * 0.7)
         await self.discovery.set_state("s-1", "Ready")
-        await manager.logged("held_connections_drain_cancelled", "worker_id=s-1")
+        await manager.wait_for_log("held_connections_drain_cancelled", "worker_id=s-1")
         remaining = self.workers["s-1"].held_connections
         self.assertGreater(remaining, 0)
         await self.wait_until_empty("s-0")
@@ -118,7 +118,7 @@
     async def test_a_destination_that_dies_amid_a_migration_loses_nobody(self) -> None:
         await self.start_drained_fleet(worker_count=3, client_count=90)
         await self.discovery.set_state("s-0", "Terminating")
-        await self.wait_until(lambda: self.workers["s-1"].resumed > 3)
+        await self.wait_until(lambda: self.workers["s-1"].resumed_count > 3)
         await self.workers["s-1"].abort()
         await self.discovery.set_state("s-1", "Gone")
         await self.wait_until_empty("s-0")
@@ -130,7 +130,7 @@
         manager = await self.manager({"grace": GRACE_S, "arrivals": 10.0})
         forwarder = await self.forwarder(manager.port, upgrades={"grace": GRACE_S, "arrivals": 2000.0})
         await self.wait_for_table(forwarder, *self.workers)
-        await forwarder.logged("stream_opened")
+        await forwarder.wait_for_log("stream_opened")
         await self.open(forwarder, 200)
         lost = self.workers["s-0"].held_connections
         self.assertGreater(lost, 30)
@@ -156,7 +156,7 @@
         started_at = time.monotonic()
         await self.discovery.set_state("s-0", "Terminating")
         await self.wait_until(lambda: self.workers["s-0"].held_connections < 28)
-        first_manager.send(signal.SIGKILL)
+        first_manager.send_signal(signal.SIGKILL)
         await self.manager(port=second_port)
         await self.wait_until_empty("s-0")
         # The grace counts from the first notice, though the second manager learned of the drain later.
@@ -169,11 +169,11 @@
         forwarder = await self.forwarder(manager.port)
         await self.wait_for_table(forwarder, *self.workers)
         await self.open(forwarder, 60)
-        manager.send(signal.SIGSTOP)  # silent, with its stream open
+        manager.send_signal(signal.SIGSTOP)  # silent, with its stream open
         await self.discovery.set_state("s-0", "Terminating")
         await self.wait_until_empty("s-0")
         self.assert_all_stayed_open(60)
-        await forwarder.logged("stream_ended", "silent")
+        await forwarder.wait_for_log("stream_ended", "silent")
 
     async def test_clients_that_ignore_the_close_are_cut_in_time(self) -> None:
         """Some ignore the close, some reconnect at once, some are never idle: all have left in time."""
--- a/tests/forwarder/test_manager_stream.py
+++ b/tests/forwarder/test_manager_stream.py
@@ -131,7 +131,7 @@
         await self.wait_for_table(forwarder, "s-1", "s-2")
         for order in UNUSABLE_ORDERS:
             stream.send(order.text)
-            await forwarder.logged("stream_ended", order.reason)
+            await forwarder.wait_for_log("stream_ended", order.reason)
             stream = await self.accept_forwarder()
             status = await forwarder.status(self.session)
             self.assertEqual(set(status.tables["fetch"]), {"s-1", "s-2"})
@@ -154,8 +154,8 @@
         manager = await self.manager()
         forwarder = await self.forwarder(self.stand_in_port, manager.port, seed=SILENT_FIRST_SEED)
         await asyncio.wait_for(self.accepted.get(), EVENT_TIMEOUT_S)
-        await forwarder.logged("stream_ended", f"manager=127.0.0.1:{self.stand_in_port} ", "silent")
-        await forwarder.logged("stream_opened", f"manager=127.0.0.1:{manager.port}")
+        await forwarder.wait_for_log("stream_ended", f"manager=127.0.0.1:{self.stand_in_port} ", "silent")
+        await forwarder.wait_for_log("stream_opened", f"manager=127.0.0.1:{manager.port}")
         await self.wait_for_table(forwarder, "s-1", "s-2")
 
 
@@ -192,13 +192,13 @@
         stream.send("CONFIG replace 1 rows s-1:1.0 stamp 1")
         self.assertEqual((await stream.receive_until(b"ACK"))[4], b"1")
         stream.send("UPGRADES version 1 part 0.5 arrivals 100.0")
-        await forwarder.logged("stream_ended", "UPGRADES: unknown kind")
+        await forwarder.wait_for_log("stream_ended", "UPGRADES: unknown kind")
 
     async def test_a_manager_without_the_extension_ignores_the_announcement(self) -> None:
         manager = await self.manager(upgrades=None)
         forwarder = await self.forwarder(manager.port)
         await self.wait_for_table(forwarder, "s-1", "s-2")
-        await manager.logged("message_rejected", "UPGRADES: unknown kind")
+        await manager.wait_for_log("message_rejected", "UPGRADES: unknown kind")
         await self.open(forwarder, 20)
         await self.discovery.set_state("s-1", "Terminating")
         await self.wait_until_empty("s-1")  # paced by the forwarder alone
@@ -215,7 +215,7 @@
         proxy.send("HELD node 5 whole 1 holds s-1:50:0:0")
         proxy.send("MOVED node 5 move 1 done 1 failed 0")
         proxy.send("HELD node 5 whole 1 holds s-1:50:99:0")
-        await manager.logged("message_rejected", "more busy")
+        await manager.wait_for_log("message_rejected", "more busy")
         config = await proxy.receive_until(b"CONFIG")
         await self.discovery.set_state("s-1", "Terminating")
         while b"s-1:0.0" not in b" ".join(config):
--- a/tests/forwarder/test_plain_requests.py
+++ b/tests/forwarder/test_plain_requests.py
@@ -121,7 +121,7 @@
         classes = [{**REQUEST_CLASSES[0], "timeout": 0.5}, REQUEST_CLASSES[1]]
         forwarder = await self.forwarder((await self.manager()).port, kinds=classes)
         await self.wait_for_table(forwarder, "s-1")
-        worker.hangs = True
+        worker.never_answers = True
         async with self.session.post(f"{forwarder.url}/release", data=b"r-1") as response:
             self.assertEqual(response.status, 504)
             self.assertEqual(response.headers["Outcome"], "unknown")
@@ -161,7 +161,7 @@
             return b"200" in (await send_bytes(forwarder, request))[:20]
 
         await self.wait_until(is_served)
-        await forwarder.logged("client_fault", "too many connections")
+        await forwarder.wait_for_log("client_fault", "too many connections")
 
 
 if __name__ == "__main__":
--- a/tests/forwarder/test_race_conditions.py
+++ b/tests/forwarder/test_race_conditions.py
@@ -46,7 +46,7 @@
         self.stopping_forwarder: ForwarderProcess = await self.forwarder((await self.manager()).port)
         await self.wait_for_table(self.stopping_forwarder, "s-1")
         self.answers_allowed = asyncio.Event()
-        self.slow_worker.hold_until = self.answers_allowed
+        self.slow_worker.answer_gate = self.answers_allowed
 
     async def start_request(self, **request: Any) -> asyncio.Task[Answer]:
         """A request that the worker has received and not answered."""
@@ -67,8 +67,8 @@
         return await self.start_request(method="POST", url=url, data=b"r-1")
 
     async def start_stop(self) -> None:
-        self.stopping_forwarder.send(signal.SIGTERM)
-        await self.stopping_forwarder.logged("event=draining")
+        self.stopping_forwarder.send_signal(signal.SIGTERM)
+        await self.stopping_forwarder.wait_for_log("event=draining")
 
     async def test_a_stop_waits_for_requests_under_way_and_answers_kept_connections(self) -> None:
         forwarder = self.stopping_forwarder
--- a/tests/forwarder/test_upgrades.py
+++ b/tests/forwarder/test_upgrades.py
@@ -88,7 +88,7 @@
         self.assertLess(self.only_forwarder.resident_bytes() - before, MAX_MEMORY_GROWTH_BYTES)
 
     async def test_a_worker_that_does_not_agree_answers_the_client(self) -> None:
-        self.only_worker.refuses = True
+        self.only_worker.rejects_requests = True
         with self.assertRaises(aiohttp.WSServerHandshakeError) as raised:
             await self.session.ws_connect(self.only_forwarder.url)
         headers = raised.exception.headers
--- a/tests/planning/test_advertised_weights.py
+++ b/tests/planning/test_advertised_weights.py
@@ -57,13 +57,13 @@
         advertised = advertise_weights(views, group)
         total = sum(weight.weight for weight in advertised.values())
         live = [index for index in group if views[index].capacity > 0]
-        has_warm = any(not views[index].warming_up for index in live)
+        has_warm = any(not views[index].is_warming_up for index in live)
         self.assertEqual(total > 0, bool(live))  # a group with a usable member has a weight
         for index, weight in advertised.items():
             view = views[index]
             if view.draining_since >= 0:
                 self.assertEqual((weight.weight, weight.is_leaving), (0, True))
-            elif view.warming_up and has_warm:
+            elif view.is_warming_up and has_warm:
                 max_share = MAX_WARM_UP_RATIO * view.capacity / fleet_capacity
                 self.assertLessEqual(weight.weight / total, max_share + 1.0 / total)
 
--- a/tests/planning/test_advice_weighting.py
+++ b/tests/planning/test_advice_weighting.py
@@ -48,7 +48,7 @@
         factors = self.advice.update_factors(self.now, self.views)
         for worker, factor in factors.items():
             view = self.views[worker]
-            self.views[worker] = capacity_view(factor, view.warming_up, latency_s=view.latency_s)
+            self.views[worker] = capacity_view(factor, view.is_warming_up, latency_s=view.latency_s)
         return factors
 
     def credit(self, advisor: str = ADVISOR) -> float:
--- a/tests/planning/test_connection_migration.py
+++ b/tests/planning/test_connection_migration.py
@@ -120,7 +120,7 @@
         live = [view for view in self.views.values() if view.draining_since < 0 and view.capacity > 0]
         per_capacity = self.total_count() / sum(view.capacity for view in live)
         view = self.views[worker]
-        fill_limit = (1 + CAPACITY_SLACK_RATIO) * per_capacity * view.capacity + (not view.warming_up)
+        fill_limit = (1 + CAPACITY_SLACK_RATIO) * per_capacity * view.capacity + (not view.is_warming_up)
         return min(self.parameters.max_connections, fill_limit)
 
 
--- a/tests/planning/test_priority_scheduling.py
+++ b/tests/planning/test_priority_scheduling.py
@@ -30,9 +30,9 @@
             if name is None:
                 now += self.scheduler.time_until_next(now)
                 continue
-            self.scheduler.slice_started(name, now)
+            self.scheduler.record_slice_start(name, now)
             now += slice_s[name]
-            self.scheduler.slice_finished(name, now, slice_s[name], not failed, failed, 0.0)
+            self.scheduler.record_slice_end(name, now, slice_s[name], not failed, failed, 0.0)
             runs[name] += 1
         return runs
 
@@ -54,7 +54,7 @@
         priorities = []
         while (name := self.scheduler.next_task(0.0, False)) is not None:
             priorities.append(self.scheduler.tasks[name].plan.priority)
-            self.scheduler.slice_finished(name, 0.0, SLICE_S, True, False, 0.0)
+            self.scheduler.record_slice_end(name, 0.0, SLICE_S, True, False, 0.0)
         self.assertEqual((len(priorities), priorities), (100, sorted(priorities)))
 
     def test_failing_tasks_back_off(self) -> None:
--- a/tests/planning/test_snapshot_staleness.py
+++ b/tests/planning/test_snapshot_staleness.py
@@ -107,7 +107,7 @@
             for worker in range(WORKER_COUNT)
         )
         cached_list = EndpointList(ListUpdateKind.CACHED, endpoints)
-        controller.decide(1000.0, [cached_list, RestoredState(7, histories, ())])
+        controller.decide_orders(1000.0, [cached_list, RestoredState(7, histories, ())])
         return controller
 
     def test_drains_and_ejections_are_restored_for_listed_workers(self) -> None:
@@ -130,9 +130,9 @@
             worker_history(9, was_draining=True),
         )
         ready = Endpoint(0, 0, EndpointState.READY, 1.0, 0.0)
-        controller.decide(1001.0, [EndpointList(ListUpdateKind.DELTA, (ready,))])
+        controller.decide_orders(1001.0, [EndpointList(ListUpdateKind.DELTA, (ready,))])
         self.assertEqual(controller.state.workers.by_index[0].state, WorkerState.SLOW_START)
-        controller.decide(1008.0, [TimerFired(controller.tick)])
+        controller.decide_orders(1008.0, [TimerFired(controller.tick)])
         self.assertIn(
             controller.state.workers.by_index[1].state, (WorkerState.SLOW_START, WorkerState.HEALTHY)
         )
--- a/tests/plugins/test_forwarder_plugins.py
+++ b/tests/plugins/test_forwarder_plugins.py
@@ -100,7 +100,7 @@
         part = self.plugin_part(module(version=2))
         forwarder = ForwarderProcess(0, self.discovery_address, ["127.0.0.1:9"], None, plugins=part)
         with self.assertRaisesRegex(AssertionError, "interface 2, 1 expected"):
-            await forwarder.serving()
+            await forwarder.start_serving()
         self.assertEqual(await forwarder.stop(), 2)
 
 
@@ -152,9 +152,9 @@
 
     async def reload(self, forwarder: ForwarderProcess, plugins: OperatorPart) -> None:
         """Writes the operators' file with other plug-ins, and waits until they are loaded."""
-        forwarder.write("operator.json5", {"forwarder": {**forwarder.part, "plugins": plugins}})
-        forwarder.send(signal.SIGHUP)
-        await forwarder.logged("plugins_reloaded")
+        forwarder.write_json("operator.json5", {"forwarder": {**forwarder.part, "plugins": plugins}})
+        forwarder.send_signal(signal.SIGHUP)
+        await forwarder.wait_for_log("plugins_reloaded")
 
 
 class ManagerPluginTest(PluginRig):
@@ -192,7 +192,7 @@
         self.assertGreater(vetoed_s, MIN_VETO_S)
         await self.wait_until_empty("s-0", grace_s=GRACE_S - vetoed_s)
         self.assertEqual((sum(self.connections_by_worker().values()), self.counts.unanswered), (60, 0))
-        await manager.logged("plugin_disabled", "out_of_fuel")
+        await manager.wait_for_log("plugin_disabled", "out_of_fuel")
 
 
 if __name__ == "__main__":
--- a/tests/policy/test_channel_budget.py
+++ b/tests/policy/test_channel_budget.py
@@ -16,7 +16,7 @@
     listed = tuple(
         fleet.endpoint(worker_id, index % ZONE_COUNT) for index, worker_id in enumerate(WORKER_IDS)
     )
-    fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
+    fleet.run_batch("start", [EndpointList(ListUpdateKind.CACHED, listed)])
     return fleet
 
 
@@ -32,7 +32,7 @@
         fleet.endpoint(id_prefix + WORKER_IDS[index], index % ZONE_COUNT, state, started_at)
         for index in worker_indices
     )
-    fleet.step("list", [EndpointList(ListUpdateKind.DELTA, endpoints)])
+    fleet.run_batch("list", [EndpointList(ListUpdateKind.DELTA, endpoints)])
 
 
 class ChannelBudgetTests(unittest.TestCase):
@@ -40,17 +40,17 @@
         """Workers depart and return under their ids and others, proxies come from other managers and
         disconnect, and the run is long enough that departed workers are forgotten."""
         fleet = start_fleet()
-        fleet.join(range(400), fresh=True)
+        fleet.connect_proxies(range(400), fresh=True)
         fleet.run(4)
         list_workers(fleet, EndpointState.DRAINING, range(20))
         fleet.run(3)
-        fleet.join(range(400, 700))  # with tables and exclusions of another manager
+        fleet.connect_proxies(range(400, 700))  # with tables and exclusions of another manager
         list_workers(fleet, EndpointState.READY, range(20), started_at=fleet.now - 1.0)
         fleet.run(2)
-        fleet.leave(range(200, 500))
+        fleet.disconnect_proxies(range(200, 500))
         list_workers(fleet, EndpointState.GONE, range(40, 60))
         list_workers(fleet, EndpointState.READY, range(60, 70), started_at=fleet.now - 0.5, id_prefix="n")
-        fleet.join(range(300, 1000))
+        fleet.connect_proxies(range(300, 1000))
         fleet.run(30)
         list_workers(fleet, EndpointState.READY, range(40, 50), started_at=fleet.now - 1.0)
         fleet.run(8)
@@ -71,9 +71,9 @@
             )
             for index, worker_id in enumerate(WORKER_IDS)
         ]
-        fleet.step("start", [EndpointList(ListUpdateKind.CACHED, tuple(endpoints))])
+        fleet.run_batch("start", [EndpointList(ListUpdateKind.CACHED, tuple(endpoints))])
         for batch in range(20):
-            fleet.join(range(50 * batch, 50 * batch + 50))
+            fleet.connect_proxies(range(50 * batch, 50 * batch + 50))
             fleet.run(0.5)
         fleet.run(10)
         self.assertEqual(fleet.budget_faults, [])
@@ -82,7 +82,7 @@
     def test_deltas_and_binds_never_wait_long(self) -> None:
         """With a limit of 16 s of the channel, tables waited 14 s, and drains behind them."""
         fleet = start_fleet()
-        fleet.join(range(700))
+        fleet.connect_proxies(range(700))
         fleet.run(3)
         self.assertLess(fleet.longest_queue, 3.0 * fleet.parameters.channel_lines_per_s)
         list_workers(fleet, EndpointState.DRAINING, range(40))
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -81,7 +81,7 @@
         """Gives the inputs to the controller, and applies its orders."""
         connected = {item.proxy for item in inputs if isinstance(item, ProxyConnected)}
         reached: set[int] = set()
-        for order in self.controller.decide(self.now, list(inputs)):
+        for order in self.controller.decide_orders(self.now, list(inputs)):
             self.orders.append(order)
             self._apply_order(order, connected, reached)
         for proxy in reached:
--- a/tests/policy/test_table_partition.py
+++ b/tests/policy/test_table_partition.py
@@ -13,7 +13,7 @@
 def start_fleet(worker_count: int, proxy_count: int = 1600) -> SimulatedFleet:
     fleet = SimulatedFleet(fleet_parameters(proxies=proxy_count))
     listed = tuple(fleet.endpoint(f"s-{index:04x}", index % ZONE_COUNT) for index in range(worker_count))
-    fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
+    fleet.run_batch("start", [EndpointList(ListUpdateKind.CACHED, listed)])
     return fleet
 
 
@@ -35,7 +35,7 @@
     def test_a_third_of_the_proxies_is_bound_within_seconds(self) -> None:
         """Binding 547 proxies to tables of all workers took 7 s, with 14 s of the channel waiting."""
         fleet = start_fleet(200)
-        fleet.join(range(600))
+        fleet.connect_proxies(range(600))
         fleet.run(6)
         self.assertTrue(all(proxy.weights for proxy in fleet.proxies.values()))
         self.assertLess(max(len(proxy.weights) for proxy in fleet.proxies.values()), 20)
@@ -44,7 +44,7 @@
 
     def test_tables_of_one_busy_zone_follow_its_weights(self) -> None:
         fleet = start_fleet(200)
-        fleet.join(range(0, 1600, 4))  # all of one zone
+        fleet.connect_proxies(range(0, 1600, 4))  # all of one zone
         fleet.run(12)
         # Only the 50 workers of the zone count: proxies of other zones are taken to load theirs.
         self.assertLess(highest_load_ratio(fleet, 50), 1.2)
@@ -52,7 +52,7 @@
             fleet.endpoint(f"s-{index:04x}", index % ZONE_COUNT, EndpointState.DRAINING)
             for index in range(120)
         )
-        fleet.step("list", [EndpointList(ListUpdateKind.DELTA, draining)])
+        fleet.run_batch("list", [EndpointList(ListUpdateKind.DELTA, draining)])
         fleet.run(12)
         load = fleet.worker_load()
         self.assertFalse({f"s-{index:04x}".encode() for index in range(120)} & load.keys())
@@ -61,7 +61,7 @@
 
     def test_a_small_fleet_has_one_table_for_each_zone(self) -> None:
         fleet = start_fleet(24, proxy_count=60)
-        fleet.join(range(12))
+        fleet.connect_proxies(range(12))
         fleet.run(3)
         numbers = [table.number for table in fleet.controller.state.tables.all]
         self.assertEqual(numbers, [0, 1, 2, 3])
@@ -70,11 +70,11 @@
     def test_a_growing_group_is_partitioned_again(self) -> None:
         """The groups grow from one worker to 64, while proxies are bound already."""
         fleet = start_fleet(4)
-        fleet.join(range(400))
+        fleet.connect_proxies(range(400))
         fleet.run(4)
         self.assertEqual({len(proxy.weights) for proxy in fleet.proxies.values()}, {1})
         new = tuple(fleet.endpoint(f"n-{index:04x}", index % ZONE_COUNT) for index in range(256))
-        fleet.step("list", [EndpointList(ListUpdateKind.DELTA, new)])
+        fleet.run_batch("list", [EndpointList(ListUpdateKind.DELTA, new)])
         fleet.run(30)
         self.assertTrue(all(2 <= len(proxy.weights) < 20 for proxy in fleet.proxies.values()))
         self.assertEqual(len(fleet.worker_load()), 260)
--- a/tests/policy/test_worker_removal.py
+++ b/tests/policy/test_worker_removal.py
@@ -22,7 +22,7 @@
 def start_fleet(parameters: DeploymentParameters, acknowledged_share: float = 1.0) -> SimulatedFleet:
     fleet = SimulatedFleet(parameters, acknowledged_share=acknowledged_share)
     listed = tuple(fleet.endpoint(worker_id, zone_of(index)) for index, worker_id in enumerate(WORKER_IDS))
-    fleet.step("start", [EndpointList(ListUpdateKind.CACHED, listed)])
+    fleet.run_batch("start", [EndpointList(ListUpdateKind.CACHED, listed)])
     return fleet
 
 
@@ -31,13 +31,13 @@
 ) -> None:
     """Sends a list of changes with these workers."""
     endpoints = tuple(fleet.endpoint(WORKER_IDS[index], zone_of(index), state) for index in worker_indices)
-    fleet.step("list", [EndpointList(ListUpdateKind.DELTA, endpoints)])
+    fleet.run_batch("list", [EndpointList(ListUpdateKind.DELTA, endpoints)])
 
 
 def join_from_other_manager(fleet: SimulatedFleet, proxies: range) -> None:
     """Connects proxies with another manager's tables: five workers each, of which some drain or departed."""
     for number in proxies:
-        fleet.join([number])
+        fleet.connect_proxies([number])
         indices = [(number * 7 + offset * 13) % len(WORKER_IDS) for offset in range(5)]
         fleet.proxies[number].weights = {WORKER_IDS[index].encode(): 1.0 for index in indices}
 
@@ -57,7 +57,7 @@
         them before the binds, and 1,792 requests reached workers listed as draining 13.4 s before
         (herd+mass)."""
         fleet = start_fleet(fleet_parameters())
-        fleet.join(range(300))
+        fleet.connect_proxies(range(300))
         fleet.run(5)
         join_from_other_manager(fleet, range(300, 1600))
         drains: list[tuple[float, range]] = []
@@ -87,7 +87,7 @@
         """In a release while channels send slowly, the other changes of tables with departed workers filled
         the channel, and later drains were sent 15.7 s late (cairo-dispatch-later big-2)."""
         fleet = start_fleet(fleet_parameters())
-        fleet.join(range(400))
+        fleet.connect_proxies(range(400))
         fleet.run(6)
         fleet.channel_speed = 0.25
         for step in range(0, 200, 50):
@@ -101,14 +101,14 @@
                 fleet.endpoint(WORKER_IDS[index], zone_of(index), EndpointState.DRAINING)
                 for index in draining
             ]
-            fleet.step("list", [EndpointList(ListUpdateKind.DELTA, (*former, *new))])
+            fleet.run_batch("list", [EndpointList(ListUpdateKind.DELTA, (*former, *new))])
             fleet.run(10.0)
             self.assertEqual(proxies_sending_to(fleet, draining), [])
 
     def test_restarted_manager_shares_the_channel_with_lines_of_its_former_incarnation(self) -> None:
         """Lines that the former incarnation left in the channel still count."""
         former = start_fleet(fleet_parameters())
-        former.join(range(900))
+        former.connect_proxies(range(900))
         former.run(3)
         list_workers(former, HALF_OF_THE_WORKERS)
         restarted = start_fleet(former.parameters)
@@ -124,7 +124,7 @@
         """Readers of other tables get their removals; the proxy at its limit gets them after a pause."""
         parameters = replace(fleet_parameters(), max_messages=6, message_window_s=10.0, drain_grace_s=4.0)
         fleet = start_fleet(parameters)
-        fleet.join(range(40))
+        fleet.connect_proxies(range(40))
         fleet.run(2)
         table = fleet.controller.state.proxies.by_number[0].table
         assert table is not None
@@ -140,14 +140,14 @@
         later, so a warming-up worker got twice its part for 3 s and collapsed: it was sent 5.2 times what it
         could do then (join+vast)."""
         fleet = start_fleet(fleet_parameters(proxies=640))
-        fleet.join(range(128))
+        fleet.connect_proxies(range(128))
         fleet.run(6)
         started_at = fleet.now - 1.0
         new = tuple(
             fleet.endpoint(f"n-{index:04x}", index % ZONE_COUNT, EndpointState.READY, started_at)
             for index in range(60)
         )
-        fleet.step("list", [EndpointList(ListUpdateKind.DELTA, new)])
+        fleet.run_batch("list", [EndpointList(ListUpdateKind.DELTA, new)])
         fleet.run(4)
         list_workers(fleet, range(120))
         fleet.run(1.5)
@@ -162,7 +162,7 @@
     def test_all_workers_are_excluded_when_none_is_left(self) -> None:
         """No table can be given, so each proxy, bound or not, excludes them until one is ready."""
         fleet = start_fleet(fleet_parameters(proxies=60))
-        fleet.join(range(20))
+        fleet.connect_proxies(range(20))
         fleet.run(2)
         join_from_other_manager(fleet, range(20, 30))
         list_workers(fleet, range(200), EndpointState.GONE)
@@ -173,7 +173,7 @@
             fleet.endpoint(WORKER_IDS[index], zone_of(index), EndpointState.READY, started_at)
             for index in range(0, 200, 3)
         )
-        fleet.step("list", [EndpointList(ListUpdateKind.DELTA, returned)])
+        fleet.run_batch("list", [EndpointList(ListUpdateKind.DELTA, returned)])
         fleet.run(6)
         self.assertTrue(all(proxy.weights.keys() - proxy.excluded for proxy in fleet.proxies.values()))
         self.assertEqual(proxies_sending_to(fleet, range(1, 200, 3)), [])
--- a/tests/policy/test_worker_states.py
+++ b/tests/policy/test_worker_states.py
@@ -46,10 +46,10 @@
         expected = WorkerStateChanged(
             WORKER_INDEX, 0, WorkerState.HEALTHY, WorkerState.EJECTED, WorkerEvent.HEALTH_CHECKS_LOST
         )
-        self.assertEqual(state.pending.take(), [expected])
+        self.assertEqual(state.pending_orders.pop_all(), [expected])
         absent = state_with_worker(WorkerState.ABSENT)
         apply_event(absent, WORKER_INDEX, WorkerEvent.DISCOVERED)
-        self.assertEqual(absent.pending.take(), [])
+        self.assertEqual(absent.pending_orders.pop_all(), [])
 
     def test_ejection_has_an_end_and_takes_the_planned_load(self) -> None:
         state = state_with_worker(WorkerState.HEALTHY)
--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -389,7 +389,7 @@
 
     async def test_lines_of_a_former_address_do_not_delay_the_retry_at_the_new_one(self) -> None:
         """The first call at the new address fails, while the former address goes on sending updates."""
-        program = await self.serving()
+        program = await self.start_serving()
         former_watch = await in_time(self.discovery.watches.get())
         new = ScriptedDiscovery()
         retried = asyncio.Event()
@@ -408,7 +408,7 @@
         self.addAsyncCleanup(asyncio.gather, sending, return_exceptions=True)
         self.addCleanup(sending.cancel)
         program.reload(discovery=await self.start_http_server(new.handle))
-        await program.logged("config_reloaded")
+        await program.wait_for_log("config_reloaded")
         await in_time(retried.wait())
 
 
--- a/tests/protocol/test_stream_listener.py
+++ b/tests/protocol/test_stream_listener.py
@@ -143,7 +143,7 @@
         """Proxies that connect during the flood get their tables, and all proxies the drain, in time."""
         hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         resource.setrlimit(resource.RLIMIT_NOFILE, (min(TEST_DESCRIPTORS, hard_limit), hard_limit))
-        program = await self.serving(limits={"memory_mb": 192, "sockets": MAX_SOCKETS})
+        program = await self.start_serving(limits={"memory_mb": 192, "sockets": MAX_SOCKETS})
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (MAX_SOCKETS, MAX_SOCKETS))
         first = await self.join(program, 0)
         first.acknowledge(await first.receive_until("stamp"))
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -74,13 +74,13 @@
             memory={"folder": str(self.manager_folder), "every": SNAPSHOT_INTERVAL_S},
             control=str(self.admin_socket),
         )
-        await manager.serving()
+        await manager.start_serving()
         return manager
 
     async def start_forwarder(self, manager_address: str) -> ForwarderProcess:
         memory = {"folder": str(self.forwarder_folder), "every": SNAPSHOT_INTERVAL_S}
         forwarder = ForwarderProcess(1, self.discovery_address, [manager_address], None, memory=memory)
-        await forwarder.serving()
+        await forwarder.start_serving()
         return forwarder
 
     async def read_table(self, manager: ManagerProcess) -> str:
@@ -93,7 +93,7 @@
     def newest_generation(self) -> int:
         """The number of the manager's newest snapshot, 0 where there is none."""
         try:
-            return max(SnapshotStore(str(self.manager_folder)).numbers(), default=0)
+            return max(SnapshotStore(str(self.manager_folder)).generation_numbers(), default=0)
         except SnapshotError:
             return 0  # the folder does not exist yet
 
@@ -118,7 +118,7 @@
         list_before_drain = self.discovery.endpoint_list()
         manager = await self.start_manager()
         await self.discovery.set_state("s-1", "Terminating")
-        await manager.logged(
+        await manager.wait_for_log(
             "event=worker_state_changed", "worker_id=s-1", "from_state=healthy", "to_state=removed"
         )
         # One snapshot may have begun before the drain; the one after it has not.
@@ -129,7 +129,7 @@
         await self.discovery.set_down(True)
         restarted = await self.start_manager(known=list_before_drain)
         self.processes.push_async_callback(restarted.stop)
-        line = await restarted.logged("snapshot_restored")
+        line = await restarted.wait_for_log("snapshot_restored")
         self.assertIn("draining_count=1", line)
         table = await self.read_table(restarted)
         self.assertNotIn("s-1", table)
@@ -145,7 +145,7 @@
     async def check_start(self, logged: str) -> None:
         """Starts a manager, which logs this of its folder, serves its table, and stops with status 0."""
         manager = await self.start_manager()
-        await manager.logged("event=snapshot_", logged)
+        await manager.wait_for_log("event=snapshot_", logged)
         self.assertIn("s-0", await self.read_table(manager))
         self.assertEqual(await manager.stop(), 0)
 
@@ -157,8 +157,8 @@
         lock_holder.open()
         self.addCleanup(lock_holder.close)
         manager = await self.start_manager()
-        await manager.logged("snapshot_unreadable", "another process owns it")
-        await manager.logged("task_failed", "another process owns it")
+        await manager.wait_for_log("snapshot_unreadable", "another process owns it")
+        await manager.wait_for_log("task_failed", "another process owns it")
         self.assertIn("s-0", await self.read_table(manager))
         newest = self.newest_generation()
         lock_holder.close()
@@ -179,12 +179,12 @@
         manager = await self.start_manager()
         self.processes.push_async_callback(manager.stop)
         forwarder = await self.start_forwarder(f"127.0.0.1:{manager.port}")
-        await forwarder.logged("stream_opened")
+        await forwarder.wait_for_log("stream_opened")
         await self.wait_until(self.has_stored_table)
         await forwarder.stop()
         restarted = await self.start_forwarder("127.0.0.1:9")
         self.processes.push_async_callback(restarted.stop)
-        self.assertIn("table fetch", await restarted.logged("snapshot_restored"))
+        self.assertIn("table fetch", await restarted.wait_for_log("snapshot_restored"))
 
     def has_stored_table(self) -> bool:
         """Whether the forwarder's newest snapshot has a routing table."""
--- a/tests/snapshots/test_store.py
+++ b/tests/snapshots/test_store.py
@@ -62,14 +62,14 @@
     def test_the_newest_valid_generation_is_read(self) -> None:
         for number in range(6):
             self.store.write({"manager": number}, 1000.0 + number)
-        self.assertEqual(self.store.numbers(), [6, 5, 4])
-        data = self.store.path_of(6).read_bytes()
-        self.store.path_of(6).write_bytes(data[:-1])
+        self.assertEqual(self.store.generation_numbers(), [6, 5, 4])
+        data = self.store.generation_path(6).read_bytes()
+        self.store.generation_path(6).write_bytes(data[:-1])
         self.assertEqual(self.read_newest(), store.Generation(5, 1004.0, {"manager": 4}))
         self.assertIn("state-6.clm", self.store.quarantine_messages[0])
         self.assertEqual(sum(".aside-" in name for name in self.file_names()), 1)
         self.store.write({"manager": 9}, 2000.0)
-        self.assertEqual(self.store.numbers()[0], 7)
+        self.assertEqual(self.store.generation_numbers()[0], 7)
 
     def test_cut_at_every_byte(self) -> None:
         data = file_format.encode_file(SECTIONS, 5.0)
@@ -103,7 +103,7 @@
 
     def test_a_folder_in_the_place_of_a_file_is_skipped(self) -> None:
         self.store.write(SECTIONS, 5.0)
-        self.store.path_of(9).mkdir()
+        self.store.generation_path(9).mkdir()
         self.assertEqual(self.read_newest().number, 1)
 
     def test_a_folder_has_one_owner(self) -> None:
@@ -202,11 +202,11 @@
 
     def test_an_invalid_generation_is_reported_and_removed(self) -> None:
         self.store.close()
-        self.store.path_of(3).write_bytes(b"x")
+        self.store.generation_path(3).write_bytes(b"x")
         self.run_command("verify", expected_status=1)
         self.run_command("compact")
         self.reopen()
-        self.assertEqual(self.store.numbers(), [2])
+        self.assertEqual(self.store.generation_numbers(), [2])
 
 
 if __name__ == "__main__":
--- a/tests/state/test_dispatch_scenarios.py
+++ b/tests/state/test_dispatch_scenarios.py
@@ -118,7 +118,7 @@
         self.counted = counts
 
     def expect_message(self, arguments: list[str]) -> None:
-        self.sent.update(self.dispatcher.take_messages())
+        self.sent.update(self.dispatcher.pop_messages())
         self.counted = {}
         data = self.sent.pop(number_of(arguments[0]), b"")
         messages = list(RespReader(MAX_MESSAGE_SIZE).feed(data))
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -144,12 +144,12 @@
 
     def step(self, inputs: list[Input]) -> None:
         self.dispatcher.track_proxies(inputs)
-        for order in self.controller.decide(self.now, inputs):
+        for order in self.controller.decide_orders(self.now, inputs):
             if isinstance(order, StartTimer):
                 self.timer_token = order.token
             elif not isinstance(order, UNDISPATCHED_ORDERS):
                 self.dispatcher.apply(order)
-        for number, data in self.dispatcher.take_messages():
+        for number, data in self.dispatcher.pop_messages():
             self.proxies[number].messages_under_way.append(data)
 
 
@@ -191,7 +191,7 @@
             worker_index = workers.register(f"s-{number:040}", "", 0.0)
             dispatcher.apply(SetWeight(1, worker_index, 1.5))
         dispatcher.apply(BindProxy(0, 1, 0))
-        ((_, data),) = dispatcher.take_messages()
+        ((_, data),) = dispatcher.pop_messages()
         parts = list(RespReader(MAX_MESSAGE_SIZE).feed(data))
         self.assertEqual(sum(part[part.index(b"rows") + 1].count(b":") for part in parts), 50_000)
         self.assertEqual([b"part" in part for part in parts], [True] * (len(parts) - 1) + [False])
--- a/tests/support/forwarder_rig.py
+++ b/tests/support/forwarder_rig.py
@@ -68,7 +68,7 @@
     ) -> ManagerProcess:
         """Starts a manager."""
         manager = ManagerProcess(self.discovery_address, self.discovery.endpoint_list(), upgrades, **more)
-        await manager.serving(port)
+        await manager.start_serving(port)
         self.addAsyncCleanup(manager.stop)
         return manager
 
@@ -84,7 +84,7 @@
         forwarder = ForwarderProcess(node, self.discovery_address, managers, upgrades, **part)
         if constants:
             program_with_constants.run_with(forwarder, constants)
-        await forwarder.serving()
+        await forwarder.start_serving()
         self.addAsyncCleanup(forwarder.stop)
         self.addAsyncCleanup(self.disconnect_clients)
         return forwarder
--- a/tests/support/manager_program.py
+++ b/tests/support/manager_program.py
@@ -73,12 +73,12 @@
         assert self.process.stdout is not None
         self.reading = asyncio.create_task(self._log.read(self.process.stdout))
 
-    async def serving(self) -> None:
+    async def start_serving(self) -> None:
         """Starts the program and waits until it serves."""
         await self.start()
-        self.port = int((await self.logged("event=serving")).split("port=")[1])
+        self.port = int((await self.wait_for_log("event=serving")).split("port=")[1])
 
-    async def logged(self, *parts: str) -> str:
+    async def wait_for_log(self, *parts: str) -> str:
         """Waits for the first log line that contains all of `parts`; removes and returns it."""
         line = await self._log.wait_for_parts(*parts, timeout_s=EVENT_TIMEOUT_S)
         self.lines.remove(line)
--- a/tests/support/manager_test_case.py
+++ b/tests/support/manager_test_case.py
@@ -26,10 +26,10 @@
         self.addAsyncCleanup(runner.cleanup)
         return address
 
-    async def serving(self, **changes: Any) -> ManagerProgram:
+    async def start_serving(self, **changes: Any) -> ManagerProgram:
         """Starts a manager with these changes to its configuration, and waits until it serves."""
         program = ManagerProgram(self.discovery_address, **changes)
-        await program.serving()
+        await program.start_serving()
         self.addAsyncCleanup(self.end, program)
         return program
 
--- a/tests/support/recorded_inputs.py
+++ b/tests/support/recorded_inputs.py
@@ -113,12 +113,12 @@
 
     def _decide(self, now: float, inputs: list[Input]) -> None:
         self._dispatcher.track_proxies(inputs)
-        orders = self._controller.decide(now, inputs)
+        orders = self._controller.decide_orders(now, inputs)
         for order in orders:
             self._apply_order(order, now)
         if any(isinstance(order, Checkpoint) for order in orders):
             self._controller.channel_budget.record_written(self._dispatcher.pending_line_counts())
-        for proxy, data in self._dispatcher.take_messages():
+        for proxy, data in self._dispatcher.pop_messages():
             for arguments in RespReader(MAX_MESSAGE_SIZE).feed(data):
                 self._send(proxy, b" ".join(arguments).decode(), now)
 
--- a/tests/support/wire_manager.py
+++ b/tests/support/wire_manager.py
@@ -142,7 +142,7 @@
     def _step(self) -> None:
         batch = self._batch
         self._batch = []
-        self._control_loop.step(batch)
+        self._control_loop.run_once(batch)
 
     def _receive(self, text: str, proxy: int = -1) -> None:
         """Receives a message of a proxy or a collector, whose arguments are the words of `text`."""
--- a/tests/weight_advice/manager_case.py
+++ b/tests/weight_advice/manager_case.py
@@ -65,13 +65,13 @@
         )
         if constants:
             program_with_constants.run_with(manager, constants)
-        await manager.serving()
+        await manager.start_serving()
         self.addAsyncCleanup(manager.stop)
         return manager
 
     async def advice_port(self, manager: ManagerProcess, protocol: str) -> int:
         """The port on which a manager serves advice over a protocol."""
-        return int((await manager.logged("advice_server_started", protocol)).split("port=")[1])
+        return int((await manager.wait_for_log("advice_server_started", protocol)).split("port=")[1])
 
     async def connect_balancer(self, port: int, uid: bytes = b"lb-1", **options: object) -> SaspBalancer:
         """A load balancer that is disconnected after the test."""
--- a/tests/weight_advice/test_advisor_clients.py
+++ b/tests/weight_advice/test_advisor_clients.py
@@ -88,16 +88,16 @@
     async def test_invalid_or_truncated_advice_ends_its_connection_only(self) -> None:
         advisor = await self.start_advisor(lambda _: 10)
         manager = await self.start_manager(follow=[advisor.follow])
-        await manager.logged("advisor_connected")
+        await manager.wait_for_log("advisor_connected")
         advisor.service.mode = AdvisorMode.GARBLE
-        await manager.logged("advisor_disconnected", "no header")
+        await manager.wait_for_log("advisor_disconnected", "no header")
         advisor.service.mode = AdvisorMode.CUT
 
         def is_end_of_cut(line: str) -> bool:
             """The connection may end by a close or by a reset."""
             return "advisor_disconnected" in line and "no header" not in line
 
-        await manager.logged_line(is_end_of_cut, "another reason", timeout_s=TABLE_TIMEOUT_S)
+        await manager.wait_for_log_line(is_end_of_cut, "another reason", timeout_s=TABLE_TIMEOUT_S)
         advisor.service.mode = AdvisorMode.HONEST
         # The manager may have connected again already; what it sends from now on comes on that connection.
         received_count = len(advisor.service.received_types)
@@ -116,7 +116,7 @@
         table: dict[str, float] = {}
         await self.apply_orders(proxy, table, lambda: first_to_last_ratio(table) > 1.5)
         self.assertIsNotNone(agent.keep_alive_s)
-        await manager.logged("event=advisor_status", "weight_count=", "unmatched_count=")
+        await manager.wait_for_log("event=advisor_status", "weight_count=", "unmatched_count=")
 
 
 if __name__ == "__main__":
--- a/tests/weight_advice/test_advisor_status.py
+++ b/tests/weight_advice/test_advisor_status.py
@@ -45,7 +45,7 @@
             worker_index = workers.register(f"s-{n}", f"{WORKER_ADDRESS}:{8000 + n}", 0.0)
             endpoints.append(Endpoint(worker_index, 0, EndpointState.READY, 1.0, 0.0))
         controller = RoutingController(month_end.PARAMETERS)
-        controller.decide(STARTED_AT, [EndpointList(ListUpdateKind.FULL, tuple(endpoints))])
+        controller.decide_orders(STARTED_AT, [EndpointList(ListUpdateKind.FULL, tuple(endpoints))])
         config = AdviceConfig(follow=[AdvisorFollowConfig(protocol="dfp", address=address)])
         advisor = ObservedWeightAdvisor(config, workers)
         async with AsyncExitStack() as stack:
--- a/tests/weight_advice/test_servers.py
+++ b/tests/weight_advice/test_servers.py
@@ -97,7 +97,7 @@
             path.write_bytes(b"month's end\n")
             secret = {"key": 7, "file": str(path)}
             manager = await self.start_manager({"protocol": "dfp", "secret": secret}, {"protocol": "dfp"})
-        await manager.logged("event=serving")
+        await manager.wait_for_log("event=serving")
         ports = [int(line.split("port=")[1]) for line in manager.lines if "advice_server_started" in line]
         for port, key in zip(ports, ((7, b"month's end"), None), strict=True):
             await self.discovery.set_state("s-2", "Ready")
@@ -119,7 +119,7 @@
         reports = dfp.MessageReader({7: b"month's end"}).feed(received)
         answers = {message.message_type for message in reports} - {dfp.MessageType.PREFERENCE_INFORMATION}
         self.assertEqual(answers, set())
-        await manager.logged("advice_client_disconnected", "digest")
+        await manager.wait_for_log("advice_client_disconnected", "digest")
 
     async def send_wrongly_signed(self, port: int) -> bytes:
         """Sends requests under a wrong secret; returns what arrives until the server ends the connection.
@@ -156,8 +156,8 @@
         for _, writer in connected:
             writer.close()
         self.assertLess(manager.resident_bytes() - before, MAX_MEMORY_GROWTH_BYTES)
-        await manager.logged("too many clients")
-        await manager.logged("said nothing")
+        await manager.wait_for_log("too many clients")
+        await manager.wait_for_log("said nothing")
         logged_ends = sum("too many clients" in line for line in manager.lines)
         self.assertLess(logged_ends, 20)  # repetitions are summed up
         proxy = await self.connect_proxy(manager)
@@ -194,7 +194,7 @@
         for _ in range(60):
             request = sasp.Message(MessageType.GET_WEIGHTS_REQUEST, 2, groups=(group,))
             writer.write(sasp.encode_message(request))
-        await manager.logged("advice_client_disconnected", "unread")
+        await manager.wait_for_log("advice_client_disconnected", "unread")
         writer.transport.abort()
         other = await self.connect_balancer(port)
         self.assertEqual(await other.register(b"g", member("s-1")), ResponseCode.SUCCESSFUL)
