--- a/cottonladder/forwarder/admission_pacer.py
+++ b/cottonladder/forwarder/admission_pacer.py
@@ -58,7 +58,7 @@
     def acquire(self, now: float, worker_id: str, rate: float) -> float:
         """Counts a new connection and returns 0, or returns the time in seconds until one is allowed."""
         bucket = self._buckets.setdefault(worker_id, TokenBucket.full(now, rate))
-        if bucket.take(now, rate):
+        if bucket.try_acquire(now, rate):
             return 0.0
         return bucket.time_to_token_s(rate)
 
--- a/cottonladder/forwarder/connection_drainer.py
+++ b/cottonladder/forwarder/connection_drainer.py
@@ -196,7 +196,7 @@
         drain = self._drains.get(worker_id)
         for order in drain.orders if drain else ():
             if order.number == number:
-                order.settled += 1
+                order.settled_count += 1
                 order.failed += not succeeded
 
     def forget_finished(self, workers_with_connections: set[str], excluded: set[str]) -> None:
@@ -251,7 +251,7 @@
     @staticmethod
     def _due_of_order(now: float, worker_id: str, order: DrainOrder, idle: int) -> list[ReleaseConnection]:
         releases: list[ReleaseConnection] = []
-        for _ in range(min(idle, order.due(now))):
+        for _ in range(min(idle, order.due_count(now))):
             target = order.targets.popleft()
             releases.append(ReleaseConnection(worker_id, target, target is None, order.number))
         order.started += len(releases)
--- a/cottonladder/forwarder/drain_orders.py
+++ b/cottonladder/forwarder/drain_orders.py
@@ -51,7 +51,7 @@
     received_at: float
     duration_s: float
     started: int = 0
-    settled: int = 0  # connections that have left the worker or have failed to, so it includes `failed`
+    settled_count: int = 0  # connections that have left the worker or have failed to, so it includes `failed`
     failed: int = 0
 
     @classmethod
@@ -63,9 +63,9 @@
     @property
     def result(self) -> DrainOrderResult:
         """The result as it stands."""
-        return DrainOrderResult(self.number, self.settled - self.failed, self.failed)
+        return DrainOrderResult(self.number, self.settled_count - self.failed, self.failed)
 
-    def due(self, now: float) -> int:
+    def due_count(self, now: float) -> int:
         """How many more connections should start by now, if they are spread evenly over the duration."""
         elapsed_fraction = 1.0
         if self.duration_s > 0:
@@ -74,10 +74,10 @@
 
     def is_done(self, now: float) -> bool:
         """Whether every connection has settled, or the busy ones have not become idle in time."""
-        if self.settled >= self.count:
+        if self.settled_count >= self.count:
             return True
         has_timed_out = now - self.received_at > max(ORDER_TIMEOUT_S, self.duration_s)
-        return has_timed_out and self.settled >= self.started
+        return has_timed_out and self.settled_count >= self.started
 
 
 def interleave_targets(targets: Mapping[str, int], count: int) -> deque[str | None]:
--- a/cottonladder/forwarder/router.py
+++ b/cottonladder/forwarder/router.py
@@ -218,4 +218,4 @@
         if self._admission_mode is AdmissionMode.RATIO:
             return self._random() < admission
         bucket = self._buckets.setdefault(request_class, TokenBucket.full(now, admission))
-        return bucket.take(now, admission)
+        return bucket.try_acquire(now, admission)
--- a/cottonladder/forwarder/token_bucket.py
+++ b/cottonladder/forwarder/token_bucket.py
@@ -28,7 +28,7 @@
         """A bucket that allows a burst at once."""
         return cls(burst_size(rate), now)
 
-    def take(self, now: float, rate: float) -> bool:
+    def try_acquire(self, now: float, rate: float) -> bool:
         """Adds the tokens that have accrued at `rate` a second, then takes one; False if there is none."""
         refilled = self.tokens + (now - self.updated_at) * rate
         self.tokens = min(burst_size(rate), refilled)
--- a/cottonladder/model/admission_shares.py
+++ b/cottonladder/model/admission_shares.py
@@ -10,7 +10,7 @@
 class ClassAdmission:
     """What is admitted of one class: the share, and the figure that the order for it carries."""
 
-    share: float
+    admitted_share: float
     ordered_admission: float  # a share, or requests/s of one proxy, by the deployment's admission mode
 
 
--- a/cottonladder/model/line_account.py
+++ b/cottonladder/model/line_account.py
@@ -94,7 +94,7 @@
     def bind_cost(self, proxy: int, table: RoutingTable, excluded: Collection[int]) -> dict[int, int]:
         """Returns the lines of binding a proxy to a table; `excluded` workers in it take one line more."""
         included = [index for index in table.sent_weights if index not in excluded]
-        lines = 1 + 2 * len(table.sent_weights) - len(included) + len(table.admission)
+        lines = 1 + 2 * len(table.sent_weights) - len(included) + len(table.sent_admission)
         return {proxy: lines + self.count_readmissions(proxy, included, True)}
 
     def record_written(self, written: dict[int, int]) -> None:
--- a/cottonladder/model/routing_table.py
+++ b/cottonladder/model/routing_table.py
@@ -28,7 +28,7 @@
         self.request_rate = 0.0  # requests/s of its readers
         self.sent_weights: dict[int, float] = {}  # weight by worker index
         self.desired_weights: dict[int, float] = {}
-        self.admission: dict[int, float] = {}  # share by class, as sent
+        self.sent_admission: dict[int, float] = {}  # share by class, as sent
         self.readers: dict[int, None] = {}  # proxies bound to it, in the order of binding
         self.awaits_acknowledgement = False
         self.checkpoint = -1
@@ -45,10 +45,10 @@
         """
         changes: list[Order] = []
         for k, admission in admissions.items():
-            share = admission.share
-            ends_shedding = share >= 1.0 > self.admission.get(k, 1.0)
-            if ends_shedding or abs(share - self.admission.get(k, -1.0)) > threshold:
-                self.admission[k] = share
+            share = admission.admitted_share
+            ends_shedding = share >= 1.0 > self.sent_admission.get(k, 1.0)
+            if ends_shedding or abs(share - self.sent_admission.get(k, -1.0)) > threshold:
+                self.sent_admission[k] = share
                 changes.append(SetAdmission(self.number, admission.ordered_admission, 1 << k, retry))
         return changes
 
@@ -62,12 +62,12 @@
 
     def copy_sent(self) -> SentLines:
         """Returns a copy of the sent weights and of the sent shares by class."""
-        return SentLines(dict(self.sent_weights), dict(self.admission))
+        return SentLines(dict(self.sent_weights), dict(self.sent_admission))
 
     def restore_sent(self, copy: SentLines) -> None:
         """Restores the sent weights and shares from a copy."""
         self.sent_weights = copy.weights
-        self.admission = copy.admission
+        self.sent_admission = copy.admission
 
     def weight_changes(self, threshold: float) -> dict[int, float]:
         """Returns wanted minus sent weight by worker, where that is over `threshold` of the sent weight."""
--- a/cottonladder/model/worker_record.py
+++ b/cottonladder/model/worker_record.py
@@ -39,8 +39,8 @@
         self.ejected_until = 0.0  # when the worker may return, if it is ejected
         self.departed_at = 0.0  # when the worker left, if it is removed
         self.is_excluded = False
-        self.attempts = 0.0
-        self.failed = 0.0
+        self.attempt_count = 0.0
+        self.failed_count = 0.0
         self.succeeded_attempts: dict[int, SucceededAttempts] = {}  # in this interval, by zone of the proxies
         self.planned_rate = 0.0  # requests/s that the last solution plans for it
         self.previous_planned_rate = 0.0  # the same, one interval ago
@@ -58,8 +58,8 @@
 
     def add_load_report(self, report: LoadReport, max_utilization: float) -> None:
         """Adds the attempts, the failures and the reported utilization, but not the latency."""
-        self.attempts += report.attempts
-        self.failed += report.failed
+        self.attempt_count += report.attempts
+        self.failed_count += report.failed
         earlier = self.succeeded_attempts.get(report.zone, SucceededAttempts(0.0, 0.0))
         count = earlier.attempt_count + report.attempts - report.failed
         self.succeeded_attempts[report.zone] = SucceededAttempts(count, earlier.span_s + report.interval_s)
@@ -118,7 +118,7 @@
 
     def failed_ratio(self) -> float:
         """Returns the failed part of the attempts."""
-        return self.failed / self.attempts
+        return self.failed_count / self.attempt_count
 
     def measured_capacity(self) -> float:
         """Returns the requests/s at full utilization.
@@ -130,6 +130,6 @@
 
     def decay_counts(self, keep: float) -> None:
         """Keeps this part of the counts of attempts, failures and latencies."""
-        self.attempts *= keep
-        self.failed *= keep
+        self.attempt_count *= keep
+        self.failed_count *= keep
         self.latency_histogram.decay(keep)
--- a/cottonladder/model/workers.py
+++ b/cottonladder/model/workers.py
@@ -21,4 +21,4 @@
     def attempt_counts(self, states: Iterable[WorkerState]) -> tuple[float, float]:
         """Returns how many attempts went to the workers in these states, and how many of them failed."""
         workers = self.in_state(*states).values()
-        return sum(worker.attempts for worker in workers), sum(worker.failed for worker in workers)
+        return sum(worker.attempt_count for worker in workers), sum(worker.failed_count for worker in workers)
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -20,7 +20,7 @@
 
 from ..model.connection_counts import ConnectionCounts
 from ..model.views import WorkerCapacityView
-from .held_connections import HeldConnections
+from .held_connections import HeldConnectionCounts
 from .migration_capacity import ConnectionIntake
 from .migration_orders import (
     PLAN_INTERVAL_S,
@@ -64,7 +64,7 @@
     def __init__(self, parameters: MigrationParameters) -> None:
         self.parameters = parameters
         self.last_order_number = 0
-        self._connections = HeldConnections()
+        self._connections = HeldConnectionCounts()
         self._intake = ConnectionIntake(parameters)
         self._pending: dict[int, _PendingMigration] = {}  # by order number
         self._missing_since: dict[int, float] = {}  # by worker
--- a/cottonladder/planning/held_connections.py
+++ b/cottonladder/planning/held_connections.py
@@ -18,7 +18,7 @@
     announced_share: float = 0.0
 
 
-class HeldConnections:
+class HeldConnectionCounts:
     """The holdings of every connected forwarder."""
 
     def __init__(self) -> None:
--- a/cottonladder/policy/latency_factor.py
+++ b/cottonladder/policy/latency_factor.py
@@ -66,7 +66,9 @@
             if worker.base_latency_s > 0
         }
         failed_ratios = {
-            index: worker.failed_ratio() for index, worker in in_service.items() if worker.attempts >= 1.0
+            index: worker.failed_ratio()
+            for index, worker in in_service.items()
+            if worker.attempt_count >= 1.0
         }
         median_slowdown = max(median_or_zero(slowdowns.values()), MIN_SLOWDOWN_DIVISOR)
         median_success = max(MIN_MEDIAN_SUCCESS, 1.0 - median_or_zero(failed_ratios.values()))
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -61,20 +61,20 @@
         self._ejected_weight += worker.weight
         event = WorkerEvent.HEALTH_CHECKS_LOST if has_lost_checks else WorkerEvent.HIGH_FAILURE_RATIO
         evidence = OutlierEvidence(
-            worker.failed, worker.attempts, others_failed_ratio, worker.lost_check_count
+            worker.failed_count, worker.attempt_count, others_failed_ratio, worker.lost_check_count
         )
         apply_event(self._state, index, event, evidence)
         return True
 
     def _others_failed_ratio(self, worker: WorkerRecord) -> float:
-        others_attempts = self._attempts - worker.attempts
-        return (self._failed - worker.failed) / others_attempts if others_attempts > 0 else 0.0
+        others_attempts = self._attempts - worker.attempt_count
+        return (self._failed - worker.failed_count) / others_attempts if others_attempts > 0 else 0.0
 
     def _fails_alone(self, worker: WorkerRecord, others_failed_ratio: float) -> bool:
         """Returns whether the worker fails nearly all its attempts while the others' succeed."""
-        if worker.attempts < MIN_OUTLIER_ATTEMPTS or others_failed_ratio >= MAX_OTHERS_FAILED_RATIO:
+        if worker.attempt_count < MIN_OUTLIER_ATTEMPTS or others_failed_ratio >= MAX_OTHERS_FAILED_RATIO:
             return False
-        return worker.failed >= OUTLIER_FAILED_RATIO * worker.attempts
+        return worker.failed_count >= OUTLIER_FAILED_RATIO * worker.attempt_count
 
     def _return_if_expired(self, index: int, worker: WorkerRecord) -> None:
         """Ends an ejection by time alone where no health check can tell whether the worker is healthy."""
--- a/cottonladder/policy/overload_signal.py
+++ b/cottonladder/policy/overload_signal.py
@@ -37,7 +37,7 @@
         latency_ratio = self._latency_s(in_service) / self._state.tightest_objective_s
         load = self._load(in_service)
         signal = max(latency_ratio / OVERLOAD_LATENCY_RATIO, load / OVERLOAD_UTILIZATION)
-        failed = median_or_zero(worker.failed_ratio() for worker in in_service if worker.attempts >= 1.0)
+        failed = median_or_zero(worker.failed_ratio() for worker in in_service if worker.attempt_count >= 1.0)
         return max(signal, min(failed / OVERLOAD_FAILED_RATIO, MAX_FAILED_WEIGHT * signal))
 
     def _latency_s(self, in_service: list[WorkerRecord]) -> float:
--- a/cottonladder/simulator/host.py
+++ b/cottonladder/simulator/host.py
@@ -39,7 +39,7 @@
         """Decodes an event as an input of the policy."""
         return self._decoder.decode(name, body, where)
 
-    def decide(self, now: float, inputs: list[Input]) -> list[Action]:
+    def decide_actions(self, now: float, inputs: list[Input]) -> list[Action]:
         """Returns the actions that the policy orders, or the action CRASH alone after an exception in it."""
         try:
             orders = self._controller.decide_orders(now, inputs)
@@ -108,4 +108,4 @@
         manager = self._managers.get(manager_id)
         if manager is None or not inputs:
             return []
-        return manager.decide(now, inputs)
+        return manager.decide_actions(now, inputs)
--- a/tests/policy/test_worker_states.py
+++ b/tests/policy/test_worker_states.py
@@ -18,7 +18,7 @@
     state.now = NOW
     worker = WorkerRecord(LatencyHistogram(0.01, 1.5, 16), 10)
     worker.state = worker_state
-    worker.attempts = 20.0
+    worker.attempt_count = 20.0
     worker.lost_check_count = 2
     worker.planned_rate = 5.0
     state.workers.by_index[WORKER_INDEX] = worker
@@ -65,7 +65,7 @@
         apply_event(state, WORKER_INDEX, WorkerEvent.HEALTH_CHECK_SUCCEEDED)
         worker = state.workers.by_index[WORKER_INDEX]
         self.assertEqual(worker.slow_start_began_at, NOW)
-        self.assertEqual(worker.attempts, 0.0)
+        self.assertEqual(worker.attempt_count, 0.0)
         self.assertEqual(worker.lost_check_count, 0)
 
 
