--- a/cottonladder/control/snapshot_restore.py
+++ b/cottonladder/control/snapshot_restore.py
@@ -10,9 +10,9 @@
     RestoredState,
     WorkerHistory,
 )
-from ..model.line_account import CHECKPOINT_NUMBERS
+from ..model.line_account import CHECKPOINT_NUMBER_MODULUS
 from ..planning.advice_weighting import INITIAL_CREDIT
-from ..planning.snapshot_staleness import discount, discounted_credit
+from ..planning.snapshot_staleness import discount_restored_state, discounted_credit
 from ..snapshots.sections import EndpointSnapshot, ManagerSnapshot
 from ..state.worker_registry import WorkerRegistry
 from .starting_list import StartingList
@@ -53,9 +53,9 @@
                     stored.was_draining,
                 )
             )
-    last_checkpoint = snapshot.last_checkpoint % CHECKPOINT_NUMBERS
+    last_checkpoint = snapshot.last_checkpoint % CHECKPOINT_NUMBER_MODULUS
     proxy_rates = tuple(snapshot.proxy_rates.items())
-    return discount(RestoredState(last_checkpoint, tuple(histories), proxy_rates), age_s)
+    return discount_restored_state(RestoredState(last_checkpoint, tuple(histories), proxy_rates), age_s)
 
 
 def restored_credits(snapshot: ManagerSnapshot, age_s: float) -> dict[str, float]:
--- a/cottonladder/model/worker_record.py
+++ b/cottonladder/model/worker_record.py
@@ -10,7 +10,7 @@
 from .latency import LatencyHistogram
 from .state_changes import WorkerState
 
-IN_SERVICE = (WorkerState.HEALTHY, WorkerState.SLOW_START)
+IN_SERVICE_STATES = (WorkerState.HEALTHY, WorkerState.SLOW_START)
 
 
 class CapacitySample(NamedTuple):
@@ -39,17 +39,17 @@
         self.ejected_until = 0.0  # when the worker may return, if it is ejected
         self.departed_at = 0.0  # when the worker left, if it is removed
         self.is_excluded = False
-        self.attempts = 0.0
-        self.failed = 0.0
-        self.succeeded: dict[int, SucceededAttempts] = {}  # in this interval, by zone of the proxies
+        self.attempt_count = 0.0
+        self.failed_count = 0.0
+        self.succeeded_attempts: dict[int, SucceededAttempts] = {}  # in this interval, by zone of the proxies
         self.planned_rate = 0.0  # requests/s that the last solution plans for it
         self.previous_planned_rate = 0.0  # the same, one interval ago
         self.capacity_samples: deque[CapacitySample] = deque(maxlen=max_samples)
-        self.latency = latency
+        self.latency_histogram = latency
         self.base_latency_s = 0.0  # its latency without overload; 0 if unknown
         self.latency_factor = 1.0
         self.utilization = -1.0  # negative if not reported
-        self.lost_checks = 0  # in a row
+        self.lost_check_count = 0  # in a row
         self.in_flight = -1.0  # requests at the last health check; negative if unknown
         self.smoothed_in_flight = -1.0
         self.connection_load = 0.0  # requests/s that stand for its held connections
@@ -58,17 +58,17 @@
 
     def add_load_report(self, report: LoadReport, max_utilization: float) -> None:
         """Adds the attempts, the failures and the reported utilization, but not the latency."""
-        self.attempts += report.attempts
-        self.failed += report.failed
-        earlier = self.succeeded.get(report.zone, SucceededAttempts(0.0, 0.0))
+        self.attempt_count += report.attempts
+        self.failed_count += report.failed
+        earlier = self.succeeded_attempts.get(report.zone, SucceededAttempts(0.0, 0.0))
         count = earlier.attempt_count + report.attempts - report.failed
-        self.succeeded[report.zone] = SucceededAttempts(count, earlier.span_s + report.interval_s)
+        self.succeeded_attempts[report.zone] = SucceededAttempts(count, earlier.span_s + report.interval_s)
         reported = min(report.metrics.get("util", self.utilization), max_utilization)
         self.utilization = reported if self.utilization < 0 else (self.utilization + reported) / 2
 
     def add_health_check(self, result: HealthCheckResult, max_in_flight: float) -> None:
         """Adds a result, with the requests in flight if the worker reports them as `inflight` or `queue`."""
-        self.lost_checks = 0 if result.succeeded else self.lost_checks + 1
+        self.lost_check_count = 0 if result.succeeded else self.lost_check_count + 1
         queue = result.metrics.get("queue", self.in_flight)
         self.in_flight = min(result.metrics.get("inflight", queue), max_in_flight)
         if self.smoothed_in_flight < 0:
@@ -76,7 +76,7 @@
         else:
             self.smoothed_in_flight = (self.smoothed_in_flight + self.in_flight) / 2
 
-    def advise(self, source: AdviceSource, factor: float, max_factor: float) -> None:
+    def set_advised_factor(self, source: AdviceSource, factor: float, max_factor: float) -> None:
         """Records one source's factor; the product of all stays within `max_factor` and its inverse."""
         self.advised_factors[source] = factor
         product = math.prod(self.advised_factors.values())
@@ -89,19 +89,19 @@
         """
         rate = sum(
             attempts.attempt_count / attempts.span_s
-            for attempts in self.succeeded.values()
+            for attempts in self.succeeded_attempts.values()
             if attempts.span_s > 0
         )
         if self.utilization >= 0 and rate > 0:
             utilization = max(min_utilization, self.utilization)
             self.capacity_samples.append(CapacitySample(rate / own_share, utilization))
 
-    def follow_base_latency(self, fall_step: float, rise_step: float) -> None:
+    def update_base_latency(self, fall_step: float, rise_step: float) -> None:
         """Moves the base latency towards the mean latency by a step for a lower or for a higher mean.
 
         The first mean is taken as it is.
         """
-        mean = self.latency.mean()
+        mean = self.latency_histogram.mean()
         if mean <= 0:
             return
         step = rise_step if self.base_latency_s else 1.0
@@ -109,7 +109,7 @@
             step = fall_step
         self.base_latency_s += (mean - self.base_latency_s) * step
 
-    def follow_latency_factor(
+    def update_latency_factor(
         self, target: float, fall_step: float, rise_step: float, min_factor: float
     ) -> None:
         """Moves the latency factor towards a target by a step for a fall or for a rise."""
@@ -118,7 +118,7 @@
 
     def failed_ratio(self) -> float:
         """Returns the failed part of the attempts."""
-        return self.failed / self.attempts
+        return self.failed_count / self.attempt_count
 
     def measured_capacity(self) -> float:
         """Returns the requests/s at full utilization.
@@ -128,8 +128,8 @@
         request_rate = sum(sample.request_rate for sample in self.capacity_samples)
         return request_rate / sum(sample.utilization for sample in self.capacity_samples)
 
-    def decay(self, keep: float) -> None:
+    def decay_counts(self, keep: float) -> None:
         """Keeps this part of the counts of attempts, failures and latencies."""
-        self.attempts *= keep
-        self.failed *= keep
-        self.latency.decay(keep)
+        self.attempt_count *= keep
+        self.failed_count *= keep
+        self.latency_histogram.decay(keep)
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -9,7 +9,7 @@
 """
 
 from ..model import (
-    IN_SERVICE,
+    IN_SERVICE_STATES,
     ControllerState,
     HealthCheckEvidence,
     OutlierEvidence,
@@ -34,7 +34,7 @@
     def __init__(self, state: ControllerState, checked: list[WorkerRecord], unreachable: list[bool]) -> None:
         self._state = state
         self._unreachable = unreachable  # by zone
-        self._attempts, self._failed = state.workers.attempts(IN_SERVICE)
+        self._attempts, self._failed = state.workers.attempt_counts(IN_SERVICE_STATES)
         ejected = state.workers.in_state(WorkerState.EJECTED).values()
         self._ejected_weight = sum(worker.weight for worker in ejected)
         self._max_ejected_weight = MAX_EJECTED_RATIO * sum(worker.weight for worker in checked)
@@ -42,7 +42,7 @@
     def update_worker_states(self) -> None:
         """Ejects outliers, completes slow starts, and lets workers return whose ejection is over."""
         for index, worker in self._state.workers.by_index.items():
-            if worker.state in IN_SERVICE:
+            if worker.state in IN_SERVICE_STATES:
                 if not self._eject_if_outlier(index, worker):
                     complete_slow_start(self._state, index, worker)
             elif worker.state == WorkerState.EJECTED:
@@ -51,26 +51,30 @@
     def _eject_if_outlier(self, index: int, worker: WorkerRecord) -> bool:
         """Ejects a worker that is an outlier, as far as the limit on ejected weight allows."""
         others_failed_ratio = self._others_failed_ratio(worker)
-        has_lost_checks = worker.lost_checks >= LOST_CHECKS_TO_EJECT and not self._unreachable[worker.zone]
+        has_lost_checks = (
+            worker.lost_check_count >= LOST_CHECKS_TO_EJECT and not self._unreachable[worker.zone]
+        )
         if not has_lost_checks and not self._fails_alone(worker, others_failed_ratio):
             return False
         if self._ejected_weight + worker.weight > self._max_ejected_weight:
             return False
         self._ejected_weight += worker.weight
         event = WorkerEvent.HEALTH_CHECKS_LOST if has_lost_checks else WorkerEvent.HIGH_FAILURE_RATIO
-        evidence = OutlierEvidence(worker.failed, worker.attempts, others_failed_ratio, worker.lost_checks)
+        evidence = OutlierEvidence(
+            worker.failed_count, worker.attempt_count, others_failed_ratio, worker.lost_check_count
+        )
         apply_event(self._state, index, event, evidence)
         return True
 
     def _others_failed_ratio(self, worker: WorkerRecord) -> float:
-        others_attempts = self._attempts - worker.attempts
-        return (self._failed - worker.failed) / others_attempts if others_attempts > 0 else 0.0
+        others_attempts = self._attempts - worker.attempt_count
+        return (self._failed - worker.failed_count) / others_attempts if others_attempts > 0 else 0.0
 
     def _fails_alone(self, worker: WorkerRecord, others_failed_ratio: float) -> bool:
         """Returns whether the worker fails nearly all its attempts while the others' succeed."""
-        if worker.attempts < MIN_OUTLIER_ATTEMPTS or others_failed_ratio >= MAX_OTHERS_FAILED_RATIO:
+        if worker.attempt_count < MIN_OUTLIER_ATTEMPTS or others_failed_ratio >= MAX_OTHERS_FAILED_RATIO:
             return False
-        return worker.failed >= OUTLIER_FAILED_RATIO * worker.attempts
+        return worker.failed_count >= OUTLIER_FAILED_RATIO * worker.attempt_count
 
     def _return_if_expired(self, index: int, worker: WorkerRecord) -> None:
         """Ends an ejection by time alone where no health check can tell whether the worker is healthy."""
--- a/cottonladder/simulator/host.py
+++ b/cottonladder/simulator/host.py
@@ -9,7 +9,7 @@
 
 from ..config.deployment import read_settings
 from ..config.errors import ConfigError
-from ..config.fields import MS_PER_S, NUMBER, field
+from ..config.fields import MS_PER_S, NUMBER_TYPES, read_field
 from ..model.inputs import Input
 from ..model.orders import Order, RemoveWorker
 from ..policy.controller import RoutingController
@@ -28,8 +28,8 @@
 
     def __init__(self, body: Any, where: str) -> None:
         """Reads the settings from the body of an ATTACH event; raises ConfigError if they are invalid."""
-        info = field(body, "Info", dict, where)
-        settings = read_settings(info, field(body, "Prng", int, where), where)
+        info = read_field(body, "Info", dict, where)
+        settings = read_settings(info, read_field(body, "Prng", int, where), where)
         worker_ids = WorkerIds()
         self._decoder = EventDecoder(settings, worker_ids)
         self._encoder = ActionEncoder(worker_ids)
@@ -39,10 +39,10 @@
         """Decodes an event as an input of the policy."""
         return self._decoder.decode(name, body, where)
 
-    def decide(self, now: float, inputs: list[Input]) -> list[Action]:
+    def decide_actions(self, now: float, inputs: list[Input]) -> list[Action]:
         """Returns the actions that the policy orders, or the action CRASH alone after an exception in it."""
         try:
-            orders = self._controller.decide(now, inputs)
+            orders = self._controller.decide_orders(now, inputs)
             return [self._encoder.encode(order) for order in orders if not _is_internal(order)]
         except Exception as exc:
             traceback.print_exc(file=sys.stderr)
@@ -73,11 +73,11 @@
             batch = json.loads(line)
         except ValueError as exc:
             raise ConfigError("batch", f"not JSON ({exc})") from None
-        now = float(field(batch, "SimTimeMs", NUMBER, "batch")) / MS_PER_S
+        now = float(read_field(batch, "SimTimeMs", NUMBER_TYPES, "batch")) / MS_PER_S
         outboxes = []
-        for group in field(batch, "managers", list, "batch"):
-            manager_id = field(group, "ManagerId", int, "batch")
-            events = field(group, "arrivals", list, f"instance {manager_id}")
+        for group in read_field(batch, "managers", list, "batch"):
+            manager_id = read_field(group, "ManagerId", int, "batch")
+            events = read_field(group, "arrivals", list, f"instance {manager_id}")
             actions = self._handle_events(manager_id, now, events)
             if actions:
                 outboxes.append({"ManagerId": manager_id, "outbox": actions})
@@ -108,4 +108,4 @@
         manager = self._managers.get(manager_id)
         if manager is None or not inputs:
             return []
-        return manager.decide(now, inputs)
+        return manager.decide_actions(now, inputs)
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -81,7 +81,7 @@
         """Gives the inputs to the controller, and applies its orders."""
         connected = {item.proxy for item in inputs if isinstance(item, ProxyConnected)}
         reached: set[int] = set()
-        for order in self.controller.decide(self.now, list(inputs)):
+        for order in self.controller.decide_orders(self.now, list(inputs)):
             self.orders.append(order)
             self._apply_order(order, connected, reached)
         for proxy in reached:
@@ -231,11 +231,13 @@
 
     def _check_demand(self, args: list[str]) -> bool:
         controller = self._player.controller
-        return _compare(sum(estimate_demand(controller.state, controller.gossip).own), args[0], args[1])
+        return _compare(sum(estimate_demand(controller.state, controller.gossip).own_rates), args[0], args[1])
 
     def _check_others(self, args: list[str]) -> bool:
         controller = self._player.controller
-        return _compare(sum(estimate_demand(controller.state, controller.gossip).others), args[0], args[1])
+        return _compare(
+            sum(estimate_demand(controller.state, controller.gossip).peer_rates), args[0], args[1]
+        )
 
     def _check_gossip_bytes(self, args: list[str]) -> bool:
         longest = max(len(order.text) for order in self._player.ordered(SendGossip))
--- a/tests/policy/test_worker_states.py
+++ b/tests/policy/test_worker_states.py
@@ -18,8 +18,8 @@
     state.now = NOW
     worker = WorkerRecord(LatencyHistogram(0.01, 1.5, 16), 10)
     worker.state = worker_state
-    worker.attempts = 20.0
-    worker.lost_checks = 2
+    worker.attempt_count = 20.0
+    worker.lost_check_count = 2
     worker.planned_rate = 5.0
     state.workers.by_index[WORKER_INDEX] = worker
     return state
@@ -46,10 +46,10 @@
         expected = WorkerStateChanged(
             WORKER_INDEX, 0, WorkerState.HEALTHY, WorkerState.EJECTED, WorkerEvent.HEALTH_CHECKS_LOST
         )
-        self.assertEqual(state.pending.take(), [expected])
+        self.assertEqual(state.pending_orders.pop_all(), [expected])
         absent = state_with_worker(WorkerState.ABSENT)
         apply_event(absent, WORKER_INDEX, WorkerEvent.DISCOVERED)
-        self.assertEqual(absent.pending.take(), [])
+        self.assertEqual(absent.pending_orders.pop_all(), [])
 
     def test_ejection_has_an_end_and_takes_the_planned_load(self) -> None:
         state = state_with_worker(WorkerState.HEALTHY)
@@ -65,8 +65,8 @@
         apply_event(state, WORKER_INDEX, WorkerEvent.HEALTH_CHECK_SUCCEEDED)
         worker = state.workers.by_index[WORKER_INDEX]
         self.assertEqual(worker.slow_start_began_at, NOW)
-        self.assertEqual(worker.attempts, 0.0)
-        self.assertEqual(worker.lost_checks, 0)
+        self.assertEqual(worker.attempt_count, 0.0)
+        self.assertEqual(worker.lost_check_count, 0)
 
 
 if __name__ == "__main__":
