--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -1,16 +1,17 @@
-"""Plans which held connections move, where to, and in what slices, while their workers drain.
+"""Plans the migration of held connections away from draining workers, in slices of `PLAN_INTERVAL_S`.
 
-Pure: no clock, no I/O, no randomness.  The caller reports who holds which connections (`add_forwarder`,
-`update_connections`, `complete_migration`, `remove_forwarder`) and calls `plan` each `PLAN_INTERVAL_S` with
+Pure: no clock, no I/O, no randomness.  The caller reports the connections of each forwarder (`add_forwarder`,
+`update_connections`, `complete_migration`, `remove_forwarder`) and calls `plan` every `PLAN_INTERVAL_S` with
 the workers' capacities.  Invariants:
 
-- a slice is what is left over the slices that remain, so that a drain ends within the grace period less its
-  margin (`migration_slices`);
-- a worker is given no more than its spare capacity and no faster than it accepts connections
-  (`migration_capacity`), in the forwarder's own zone if possible (`migration_placement`);
-- a connection that finds no place waits for the next slice; in the last slice it is closed, and its client is
-  asked to reconnect;
-- orders take a fixed part of the channel, so that its queue stays short at any size of the fleet.
+- each slice moves the remaining connections divided by the number of slices left, so that a drain ends before
+  the margin at the end of the grace period (`migration_slices`);
+- a worker receives no more connections than its spare capacity allows, and no faster than it accepts them
+  (`migration_capacity`); workers in the forwarder's own zone are preferred (`migration_placement`);
+- a connection without a destination waits for the next slice; in the last slice it is closed, and its client
+  is asked to reconnect;
+- the orders of a slice take a limited fraction of the channel, so that its queue stays short at any size of
+  the fleet.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from ..model.connection_counts import ConnectionCounts
 from ..model.views import WorkerCapacityView
 from .held_connections import HeldConnectionCounts
-from .migration_capacity import ConnectionIntake
+from .migration_capacity import MigrationCapacity
 from .migration_orders import (
     PLAN_INTERVAL_S,
     MigrateConnections,
@@ -31,25 +32,25 @@
     StopMigration,
 )
 from .migration_placement import Placement
-from .migration_slices import WorkerDrain, active_drains, share_slice
+from .migration_slices import WorkerDrain, active_drains, divide_slice
 
-# Part of the channel's lines that migrations may take; the routing policy's orders need the rest.
-CHANNEL_FRACTION = 0.1
-# Slices after which an order without an answer counts as lost.
+# Fraction of the channel's lines that migrations may take; the routing policy's orders need the rest.
+MAX_CHANNEL_FRACTION = 0.1
+# Number of slices after which an order without an answer counts as lost.
 ORDER_TIMEOUT_SLICES = 4.0
-# Relative change of a forwarder's share of the arrivals from which it is sent again.
+# Relative change above which a forwarder's share of the arrivals is sent again.
 MIN_SHARE_CHANGE_RATIO = 0.25
-# Workers that forwarders may hold connections at without the routing controller knowing them.
+# Largest number of workers unknown to the routing controller whose held connections are drained.
 MAX_MISSING_WORKERS = 4096
-# Order numbers wrap around here, because the wire's field is a signed 32-bit integer.
+# Order numbers wrap around at this value, because they are sent as signed 32-bit integers.
 ORDER_NUMBER_MODULUS = 1 << 31
-# Destination lines of an average order, for an estimate of how many orders fit the channel.
+# Number of destinations of a typical order, to estimate how many orders fit into the channel.
 TYPICAL_DESTINATIONS = 4
 
 
 @dataclass(slots=True)
 class _PendingMigration:
-    """An order without an answer; `destinations` counts connections by worker."""
+    """An order that has not been answered; `destinations` counts connections by worker index."""
 
     forwarder: int
     source: int
@@ -65,64 +66,70 @@
         self.parameters = parameters
         self.last_order_number = 0
         self._connections = HeldConnectionCounts()
-        self._intake = ConnectionIntake(parameters)
+        self._capacity = MigrationCapacity(parameters)
         self._pending: dict[int, _PendingMigration] = {}  # by order number
         self._missing_since: dict[int, float] = {}  # by worker
 
     def add_forwarder(self, forwarder: int, zone: int) -> None:
-        """Adds a forwarder whose stream began; orders to an earlier stream of it no longer count."""
+        """Adds a forwarder whose stream began, and drops the pending orders to its earlier stream."""
         self.remove_forwarder(forwarder)
         self._connections.add_forwarder(forwarder, zone)
 
     def remove_forwarder(self, forwarder: int) -> None:
-        """Removes a forwarder whose stream ended, with its connections and pending orders."""
+        """Removes a forwarder whose stream ended, and its connections and pending orders."""
         self._connections.remove_forwarder(forwarder)
         self._drop_pending(lambda pending: pending.forwarder == forwarder)
 
     def update_connections(
         self, forwarder: int, is_complete: bool, rows: Mapping[int, ConnectionCounts]
     ) -> None:
-        """Takes over a forwarder's counts by worker; `is_complete` means that it holds no others."""
+        """Updates a forwarder's counts by worker; `is_complete` means that it holds no other connections."""
         self._connections.update(forwarder, is_complete, rows)
 
     def complete_migration(self, forwarder: int, number: int) -> None:
-        """Ends a pending order that was carried out as far as possible; the rest is planned again."""
+        """Removes a pending order that the forwarder finished; connections not moved are planned again."""
         pending = self._pending.get(number)
         if pending is not None and pending.forwarder == forwarder:
             del self._pending[number]
 
     def connections_by_worker(self) -> dict[int, ConnectionCounts]:
-        """Counts by worker index, over all forwarders."""
+        """Returns the connection counts by worker index, summed over all forwarders."""
         return self._connections.by_worker()
 
     def load_by_worker(self) -> dict[int, float]:
-        """Requests a second that held connections stand for, by worker index."""
+        """Returns the requests/s that held connections count as, by worker index."""
         return {
             worker: counts.open * self.parameters.load_per_connection
             for worker, counts in self.connections_by_worker().items()
         }
 
     def plan(self, now: float, views: Mapping[int, WorkerCapacityView]) -> list[MigrationOrder]:
-        """Gives the orders of this slice; `views` is by worker index, `now` is in seconds."""
+        """Returns the orders of this slice; `views` is by worker index, `now` is in seconds."""
         self._drop_pending(lambda pending: now >= pending.expires_at)
         connections = self.connections_by_worker()
-        grace_ends = self._grace_ends(now, views, connections)
-        orders: list[MigrationOrder] = [*self._stop_orders(grace_ends)]
-        line_budget = int(self.parameters.channel_lines_per_s * PLAN_INTERVAL_S * CHANNEL_FRACTION)
+        grace_end_times = self._grace_end_times(now, views, connections)
+        orders: list[MigrationOrder] = [*self._stop_orders(grace_end_times)]
+        line_budget = int(self.parameters.channel_lines_per_s * PLAN_INTERVAL_S * MAX_CHANNEL_FRACTION)
         spent_lines = len(orders) * (self.parameters.message_header_lines + 1)
         live = {
-            worker: view for worker, view in views.items() if view.capacity > 0 and worker not in grace_ends
+            worker: view
+            for worker, view in views.items()
+            if view.capacity > 0 and worker not in grace_end_times
         }
-        acceptable = self._intake.acceptable_connections(now, live, connections, self._incoming_connections())
+        acceptable = self._capacity.acceptable_connections(
+            now, live, connections, self._incoming_connections()
+        )
         drains = active_drains(
-            now, grace_ends, self._connections.forwarders, self._ordered_connections(), self.parameters
+            now, grace_end_times, self._connections.forwarders, self._pending_connections(), self.parameters
         )
         if drains:
-            orders += self._migrations(now, drains, acceptable, views, max(1, line_budget - spent_lines))
+            orders += self._migration_orders(
+                now, drains, acceptable, views, max(1, line_budget - spent_lines)
+            )
         return orders + self._arrival_share_orders(line_budget - self.channel_lines(orders))
 
     def channel_lines(self, orders: Iterable[MigrationOrder]) -> int:
-        """Lines of the channel that the orders take."""
+        """Returns the number of channel lines that the orders take."""
         return sum(self._order_lines(order) for order in orders)
 
     def _order_lines(self, order: MigrationOrder) -> int:
@@ -135,50 +142,53 @@
         }
 
     def _incoming_connections(self) -> dict[int, int]:
-        """Connections that pending orders send to each worker."""
+        """Returns the number of connections that pending orders move to each worker."""
         incoming: dict[int, int] = {}
         for pending in self._pending.values():
             for worker, count in pending.destinations.items():
                 incoming[worker] = incoming.get(worker, 0) + count
         return incoming
 
-    def _ordered_connections(self) -> dict[tuple[int, int], int]:
-        """Connections that pending orders cover, by forwarder and source."""
-        ordered: dict[tuple[int, int], int] = {}
+    def _pending_connections(self) -> dict[tuple[int, int], int]:
+        """Returns the number of connections that pending orders cover, by forwarder and source worker."""
+        counts: dict[tuple[int, int], int] = {}
         for pending in self._pending.values():
             pair = (pending.forwarder, pending.source)
-            ordered[pair] = ordered.get(pair, 0) + pending.count
-        return ordered
+            counts[pair] = counts.get(pair, 0) + pending.count
+        return counts
 
-    def _grace_ends(
+    def _grace_end_times(
         self,
         now: float,
         views: Mapping[int, WorkerCapacityView],
         connections: Mapping[int, ConnectionCounts],
     ) -> dict[int, float]:
-        """When the grace period of each worker ends that holds connections and drains or is gone.
+        """Returns when the grace period ends, for each worker with connections that drains or is unknown.
 
-        For a worker that the routing controller no longer knows it starts when the worker is first missing.
+        The grace period of a worker that is missing from `views` starts when `plan` first finds it missing.
         """
         missing = [worker for worker in connections if worker not in views][:MAX_MISSING_WORKERS]
         self._missing_since = {worker: self._missing_since.get(worker, now) for worker in missing}
-        ends = {worker: since + self.parameters.grace_s for worker, since in self._missing_since.items()}
+        end_times = {worker: since + self.parameters.grace_s for worker, since in self._missing_since.items()}
         for worker in connections:
             if worker in views and views[worker].draining_since >= 0:
-                ends[worker] = views[worker].draining_since + self.parameters.grace_s
-        return ends
+                end_times[worker] = views[worker].draining_since + self.parameters.grace_s
+        return end_times
+
+    def _stop_orders(self, grace_end_times: Mapping[int, float]) -> list[StopMigration]:
+        """Drops the pending orders from workers that no longer drain or have no connections left.
 
-    def _stop_orders(self, grace_ends: Mapping[int, float]) -> list[StopMigration]:
-        """Cancels the pending orders at workers that no longer drain or hold no more connections."""
+        Returns one order to cancel the migrations for each forwarder and source worker.
+        """
         cancelled = {
             (pending.forwarder, pending.source): None
             for pending in self._pending.values()
-            if pending.source not in grace_ends
+            if pending.source not in grace_end_times
         }
-        self._drop_pending(lambda pending: pending.source not in grace_ends)
+        self._drop_pending(lambda pending: pending.source not in grace_end_times)
         return [StopMigration(forwarder, source) for forwarder, source in cancelled]
 
-    def _migrations(
+    def _migration_orders(
         self,
         now: float,
         drains: list[WorkerDrain],
@@ -186,16 +196,16 @@
         views: Mapping[int, WorkerCapacityView],
         line_budget: int,
     ) -> list[MigrateConnections]:
-        """Gives orders for the drains: as many lines as the budget allows, and at least one order."""
+        """Returns orders for the drains within the line budget, which the first order may exceed."""
         max_orders = max(1, line_budget // (self.parameters.message_header_lines + TYPICAL_DESTINATIONS))
         max_orders_per_drain = max(1, max_orders // len(drains))
-        shares = [share_slice(drain, max_orders_per_drain) for drain in drains]
+        shares = [divide_slice(drain, max_orders_per_drain) for drain in drains]
         placement = Placement(self._demand_by_zone(shares), acceptable, views)
         orders: list[MigrateConnections] = []
         spent_lines = 0
         for drain, share in zip(drains, shares, strict=True):
             for forwarder, count in share.items():
-                destinations = placement.take(self._connections.forwarders[forwarder].zone, count)
+                destinations = placement.allocate(self._connections.forwarders[forwarder].zone, count)
                 order = self._create_order(forwarder, drain, destinations, count)
                 if order is None:
                     continue
@@ -208,7 +218,7 @@
         return orders
 
     def _demand_by_zone(self, shares: list[dict[int, int]]) -> list[float]:
-        """Connections that the forwarders of each zone have to move."""
+        """Returns the number of connections that the forwarders of each zone have to move."""
         demand = [0.0] * self.parameters.zone_count
         for share in shares:
             for forwarder, count in share.items():
@@ -218,7 +228,7 @@
     def _create_order(
         self, forwarder: int, drain: WorkerDrain, destinations: dict[int, int], count: int
     ) -> MigrateConnections | None:
-        """The order for a forwarder; None if no connection found a place and another slice follows."""
+        """Returns an order, or None if no connection has a destination and this is not the last slice."""
         placed_count = sum(destinations.values())
         if not placed_count and not drain.is_last_slice:
             return None
@@ -241,19 +251,19 @@
             destinations=destinations,
             expires_at=now + ORDER_TIMEOUT_SLICES * PLAN_INTERVAL_S,
         )
-        self._intake.take(destinations)
+        self._capacity.consume_tokens(destinations)
 
     def _arrival_share_orders(self, line_budget: int) -> list[MigrationOrder]:
-        """Sends forwarders their share of the arrivals if it changed far enough, as lines allow."""
+        """Returns orders that send forwarders their changed share of the arrivals, up to the line budget."""
         share = 1.0 / max(1, len(self._connections.forwarders))
         orders: list[MigrationOrder] = []
-        for forwarder, holdings in self._connections.forwarders.items():
-            announced = holdings.announced_share
-            if abs(share - announced) <= MIN_SHARE_CHANGE_RATIO * announced:
+        for forwarder, held in self._connections.forwarders.items():
+            last_sent = held.last_sent_arrival_share
+            if abs(share - last_sent) <= MIN_SHARE_CHANGE_RATIO * last_sent:
                 continue
             line_budget -= self.parameters.message_header_lines + 1
             if line_budget < 0:
                 break
-            holdings.announced_share = share
+            held.last_sent_arrival_share = share
             orders.append(SetArrivalShare(forwarder, share))
         return orders
--- a/cottonladder/planning/held_connections.py
+++ b/cottonladder/planning/held_connections.py
@@ -10,51 +10,54 @@
 
 
 @dataclass(slots=True)
-class ForwarderHoldings:
-    """A forwarder's zone, its connections by worker, and its share of the arrivals as last sent."""
+class ForwarderConnections:
+    """The held connections of one forwarder, counted by worker index.
+
+    `last_sent_arrival_share` is the share of the new connections that the forwarder was last sent.
+    """
 
     zone: int
-    connections: dict[int, ConnectionCounts] = field(default_factory=dict)
-    announced_share: float = 0.0
+    counts_by_worker: dict[int, ConnectionCounts] = field(default_factory=dict)
+    last_sent_arrival_share: float = 0.0
 
 
 class HeldConnectionCounts:
-    """The holdings of every connected forwarder."""
+    """The connection counts of all connected forwarders, by forwarder number."""
 
     def __init__(self) -> None:
-        self.forwarders: dict[int, ForwarderHoldings] = {}
+        self.forwarders: dict[int, ForwarderConnections] = {}
 
     def add_forwarder(self, forwarder: int, zone: int) -> None:
-        """Adds a forwarder without connections, in place of an earlier one of the same number."""
-        self.forwarders[forwarder] = ForwarderHoldings(zone)
+        """Adds a forwarder without connections; replaces an earlier one of the same number."""
+        self.forwarders[forwarder] = ForwarderConnections(zone)
 
     def remove_forwarder(self, forwarder: int) -> None:
-        """Removes a forwarder with its connections."""
+        """Removes a forwarder and its connection counts."""
         self.forwarders.pop(forwarder, None)
 
     def update(self, forwarder: int, is_complete: bool, rows: Mapping[int, ConnectionCounts]) -> None:
         """Replaces a forwarder's counts for these workers, or for all workers if `is_complete`.
 
-        The counts are absolute, so a row that is received twice does no harm.  A forwarder that is not
-        connected is ignored.
+        The counts are absolute, so receiving a row twice does no harm.  The call has no effect if the
+        forwarder is not connected.
         """
-        holdings = self.forwarders.get(forwarder)
-        if holdings is None:
+        held = self.forwarders.get(forwarder)
+        if held is None:
             return
         if is_complete:
-            holdings.connections.clear()
-        holdings.connections.update(rows)
-        empty = [worker for worker, counts in holdings.connections.items() if counts.open <= 0]
+            held.counts_by_worker.clear()
+        held.counts_by_worker.update(rows)
+        empty = [worker for worker, counts in held.counts_by_worker.items() if counts.open <= 0]
         for worker in empty:
-            del holdings.connections[worker]
+            del held.counts_by_worker[worker]
 
     def by_worker(self) -> dict[int, ConnectionCounts]:
-        """Sums the counts over all forwarders, by worker index."""
+        """Returns the counts by worker index, summed over all forwarders."""
         open_counts: Counter[int] = Counter()
         busy_counts: Counter[int] = Counter()
         resumable_counts: Counter[int] = Counter()
-        for holdings in self.forwarders.values():
-            for worker, counts in holdings.connections.items():
+        for held in self.forwarders.values():
+            for worker, counts in held.counts_by_worker.items():
                 open_counts[worker] += counts.open
                 busy_counts[worker] += counts.busy
                 resumable_counts[worker] += counts.resumable
--- a/cottonladder/planning/migration_capacity.py
+++ b/cottonladder/planning/migration_capacity.py
@@ -1,7 +1,7 @@
-"""How many migrated connections each worker may be given in one slice.
+"""Limits on the migrated connections that each worker receives in one slice.
 
-A worker is filled to its share of all held connections by capacity, with some slack, and no faster than a
-token bucket of arrivals allows.
+A worker may hold connections in proportion to its capacity, with some slack, and receives them no faster
+than a token bucket allows.
 """
 
 from __future__ import annotations
@@ -13,16 +13,17 @@
 from ..model.views import WorkerCapacityView
 from .migration_orders import PLAN_INTERVAL_S, MigrationParameters
 
-# Part over its share that a worker may be filled to; the last connections of a drain need it to find a place.
+# Fraction by which a worker may exceed its share of all held connections; without it, the last connections
+# of a drain would find no worker with spare capacity.
 CAPACITY_SLACK_RATIO = 0.1
-# Arrivals that a worker may take at once, as seconds of its arrival rate: those of one slice.
+# Size of a token bucket, as the time in which it refills at the worker's arrival rate: one slice.
 ARRIVAL_BURST_S = PLAN_INTERVAL_S
-# Capacity that counts as average if no worker has any.
-DEFAULT_AVERAGE_CAPACITY = 1.0  # in the unit of the capacity estimates
+# Average capacity, in the unit of the capacity estimates, that is assumed if there are no live workers.
+DEFAULT_AVERAGE_CAPACITY = 1.0
 
 
-class ConnectionIntake:
-    """The token buckets of the workers; a token is a connection that a worker may be given now."""
+class MigrationCapacity:
+    """Token buckets by worker index; a worker receives one connection per token."""
 
     def __init__(self, parameters: MigrationParameters) -> None:
         self._parameters = parameters
@@ -36,10 +37,10 @@
         connections: Mapping[int, ConnectionCounts],
         incoming: Mapping[int, int],
     ) -> dict[int, int]:
-        """Refills the buckets and gives the connections that each live worker may be given.
+        """Refills the buckets and returns how many connections each live worker may receive.
 
-        `incoming` counts the connections that pending orders send to a worker.  Workers that may be given
-        none are left out.
+        `incoming` counts the connections that pending orders move to a worker.  Workers that may receive no
+        connections are left out of the result.
         """
         self._refill(now, live)
         capacity_sum = sum(view.capacity for view in live.values())
@@ -58,13 +59,13 @@
                 acceptable[worker] = count
         return acceptable
 
-    def take(self, destinations: Mapping[int, int]) -> None:
-        """Takes the tokens of ordered connections, by worker."""
+    def consume_tokens(self, destinations: Mapping[int, int]) -> None:
+        """Removes one token per ordered connection; `destinations` counts connections by worker index."""
         for worker, count in destinations.items():
             self._tokens[worker] = self._tokens.get(worker, 0.0) - count
 
     def _refill(self, now: float, live: Mapping[int, WorkerCapacityView]) -> None:
-        """Adds the tokens of the time since the last refill; a new worker starts with those of one slice."""
+        """Adds the tokens for the time since the last refill; a new worker gets the tokens of one slice."""
         elapsed = min(ARRIVAL_BURST_S, max(0.0, now - self._refilled_at))
         self._refilled_at = now
         average = _average_capacity(live)
@@ -72,13 +73,13 @@
         for worker, view in live.items():
             rate = self._parameters.arrivals_per_s * min(1.0, view.capacity / average)
             bucket_size = max(1.0, rate * ARRIVAL_BURST_S)
-            present = self._tokens.get(worker, rate * PLAN_INTERVAL_S)
-            tokens[worker] = min(bucket_size, present + rate * elapsed)
+            available = self._tokens.get(worker, rate * PLAN_INTERVAL_S)
+            tokens[worker] = min(bucket_size, available + rate * elapsed)
         self._tokens = tokens
 
 
 def _average_capacity(live: Mapping[int, WorkerCapacityView]) -> float:
-    """The mean capacity of the workers that are not warming up, or of all workers if all of them are."""
+    """Returns the mean capacity of the workers that are not warming up, or of all if there are none."""
     capacities = [view.capacity for view in live.values() if not view.is_warming_up]
     if not capacities:
         capacities = [view.capacity for view in live.values()]
--- a/cottonladder/planning/migration_orders.py
+++ b/cottonladder/planning/migration_orders.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-# Time between two plans, and the span of one slice.
+# Time between two plans, which is also the duration of one slice.
 PLAN_INTERVAL_S = 0.5
 
 
@@ -12,10 +12,10 @@
 class MigrationParameters:
     """Limits from the operators' file and the deployment settings.
 
-    `max_connections` is the number that one worker may hold; `arrivals_per_s` the new connections a second
-    that a worker of average capacity accepts; `load_per_connection` the requests a second that one held
-    connection stands for; `message_header_lines` the lines of the channel that any message takes beside its
-    rows.
+    `max_connections` is the limit for one worker; `arrivals_per_s` is the number of new connections per
+    second that a worker of average capacity accepts; `load_per_connection` is the rate, in requests/s, that
+    one held connection counts as; `message_header_lines` is the number of channel lines that a message takes
+    in addition to its rows.
     """
 
     zone_count: int
@@ -31,8 +31,9 @@
 class MigrateConnections:
     """An order to a forwarder to move `count` connections away from `source` within `duration_s` seconds.
 
-    `destinations` are pairs of worker index and count; connections beyond them are closed, and their clients
-    asked to reconnect.  `grace_left_s` is what remains of the worker's grace period.
+    `destinations` are pairs of worker index and connection count.  If `count` is larger than their sum, the
+    forwarder closes the rest and asks the clients to reconnect.  `grace_left_s` is the remaining time of the
+    worker's grace period.
     """
 
     forwarder: int
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopMigration:
-    """An order to cancel migrations away from a worker that have not started, because it no longer drains."""
+    """An order to cancel the migrations away from `source` that have not started, as it no longer drains."""
 
     forwarder: int
     source: int
--- a/cottonladder/planning/migration_placement.py
+++ b/cottonladder/planning/migration_placement.py
@@ -1,4 +1,4 @@
-"""Places migrated connections: a min-cost flow between zones, then workers of each zone by spare capacity."""
+"""Chooses the destination workers: a min-cost flow between zones, then, within a zone, by spare capacity."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 
 
 @dataclass(slots=True)
-class _Places:
-    """Connections that one worker may still be given."""
+class _FreeSlots:
+    """The number of connections that one worker may still receive."""
 
     worker_index: int
     count: int
 
 
 def apportion(total: int, weights: Mapping[int, float]) -> dict[int, int]:
-    """Divides `total` into whole numbers by weight; each is within one of its exact part.
+    """Divides `total` into integers in proportion to the weights; each is within 1 of its exact value.
 
-    The result is empty if all weights are 0.
+    Keys that get 0 are left out, so the result is empty if all weights are 0.
     """
     weight_sum = sum(weights.values())
     if weight_sum <= 0 or total <= 0:
         return {}
     exact = {key: total * weight / weight_sum for key, weight in weights.items()}
-    parts = {key: int(value) for key, value in exact.items()}
-    missing = total - sum(parts.values())
-    by_remainder = sorted(exact, key=lambda key: (parts[key] - exact[key], key))
+    counts = {key: int(value) for key, value in exact.items()}
+    missing = total - sum(counts.values())
+    by_remainder = sorted(exact, key=lambda key: (counts[key] - exact[key], key))
     for key in by_remainder[:missing]:
-        parts[key] += 1
-    return {key: part for key, part in parts.items() if part}
+        counts[key] += 1
+    return {key: count for key, count in counts.items() if count}
 
 
 class Placement:
-    """The places for the connections that the forwarders of each zone move in one slice."""
+    """Allocates the destinations of the connections that the forwarders of each zone move in one slice."""
 
     def __init__(
         self,
@@ -46,37 +46,45 @@
         acceptable: Mapping[int, int],
         views: Mapping[int, WorkerCapacityView],
     ) -> None:
-        """Solves the flow; `demand` is by zone of forwarders, `acceptable` by worker index."""
+        """Solves the flow between zones.
+
+        `demand` is the number of connections to move, by zone of the forwarders; `acceptable` is the number
+        that each worker may receive, by worker index.
+        """
         zones = range(len(demand))
         flow = _zone_flow(demand, acceptable, views)
-        free = dict(acceptable)
-        self._places_by_zone = [_places_for_zone(zone, flow[zone], free, views) for zone in zones]
+        free_counts = dict(acceptable)
+        self._slots_by_zone = [_slots_for_zone(zone, flow[zone], free_counts, views) for zone in zones]
 
-    def take(self, zone: int, count: int) -> dict[int, int]:
-        """Takes places for connections of a zone, by worker; fewer than `count` if there are no more.
+    def allocate(self, zone: int, count: int) -> dict[int, int]:
+        """Returns destinations for up to `count` connections of a zone's forwarder, by worker index.
 
-        Each worker is used in turn, so that a forwarder does not fill one worker alone.
+        The result has fewer connections if there are no free slots left.  Workers take turns, so that one
+        forwarder's connections do not all go to one worker.
         """
-        queue = self._places_by_zone[zone]
+        queue = self._slots_by_zone[zone]
         destinations: dict[int, int] = {}
-        max_part = math.ceil(count / max(1, len(queue)))
+        max_per_turn = math.ceil(count / max(1, len(queue)))
         while count > 0 and queue:
-            places = queue[0]
-            part = min(max_part, count, places.count)
-            if part:
-                destinations[places.worker_index] = destinations.get(places.worker_index, 0) + part
-            places.count -= part
-            count -= part
+            slots = queue[0]
+            allocated = min(max_per_turn, count, slots.count)
+            if allocated:
+                destinations[slots.worker_index] = destinations.get(slots.worker_index, 0) + allocated
+            slots.count -= allocated
+            count -= allocated
             queue.rotate(-1)
-            if places.count <= 0:
-                queue.remove(places)
+            if slots.count <= 0:
+                queue.remove(slots)
         return destinations
 
 
 def _zone_flow(
     demand: list[float], acceptable: Mapping[int, int], views: Mapping[int, WorkerCapacityView]
 ) -> list[list[float]]:
-    """Connections from each zone of forwarders to each zone of workers; a zone costs nothing to itself."""
+    """Returns the connections to move from each zone of forwarders to each zone of workers.
+
+    Moving within a zone costs nothing.
+    """
     zones = range(len(demand))
     capacities = [0.0] * len(demand)
     for worker, count in acceptable.items():
@@ -87,18 +95,23 @@
     return min_cost_flow(demand, capacities, costs)
 
 
-def _places_for_zone(
-    source: int, flow: list[float], free: dict[int, int], views: Mapping[int, WorkerCapacityView]
-) -> deque[_Places]:
-    """Takes places from `free` that add up to the flow of a zone, those in the zone itself first."""
-    places: deque[_Places] = deque()
+def _slots_for_zone(
+    source: int, flow: list[float], free_counts: dict[int, int], views: Mapping[int, WorkerCapacityView]
+) -> deque[_FreeSlots]:
+    """Removes the slots for a zone's flow from `free_counts` and returns them, the zone's own workers first.
+
+    `flow` is the number of connections by target zone.
+    """
+    slots: deque[_FreeSlots] = deque()
     for target in sorted(range(len(flow)), key=lambda zone: (zone != source, zone)):
-        group = {
-            worker: float(count) for worker, count in free.items() if count and views[worker].zone == target
+        free_in_zone = {
+            worker: float(count)
+            for worker, count in free_counts.items()
+            if count and views[worker].zone == target
         }
-        wanted = min(int(flow[target] + 0.5), int(sum(group.values())))
-        for worker, part in apportion(wanted, group).items():
-            count = min(part, free[worker])
-            free[worker] -= count
-            places.append(_Places(worker, count))
-    return places
+        slot_count = min(int(flow[target] + 0.5), int(sum(free_in_zone.values())))
+        for worker, apportioned in apportion(slot_count, free_in_zone).items():
+            count = min(apportioned, free_counts[worker])
+            free_counts[worker] -= count
+            slots.append(_FreeSlots(worker, count))
+    return slots
--- a/cottonladder/planning/migration_slices.py
+++ b/cottonladder/planning/migration_slices.py
@@ -1,4 +1,4 @@
-"""How many connections of each draining worker a slice has to move, and which forwarders move them."""
+"""Sizes the slice of connections to move away from each draining worker, and divides it among forwarders."""
 
 from __future__ import annotations
 
@@ -6,52 +6,53 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from .held_connections import ForwarderHoldings
+from .held_connections import ForwarderConnections
 from .migration_orders import PLAN_INTERVAL_S, MigrationParameters
 
-# Part of the grace period kept free at its end, for busy connections and for orders that failed once.
+# Fraction of the grace period reserved at its end, for busy connections and for orders that failed once.
 GRACE_MARGIN_RATIO = 0.15
 
 
 @dataclass(slots=True)
 class WorkerDrain:
-    """A draining worker in one plan.
+    """The drain of one worker, as of one plan.
 
-    `unordered` counts the connections, by forwarder, that no pending order covers; `slice_size` is how many
-    of them this slice has to move.
+    `unassigned` counts the connections that no pending order covers, by forwarder; `slice_size` is the number
+    of them to move in this slice.
     """
 
     source: int
     grace_left_s: float
-    unordered: dict[int, int]
+    unassigned: dict[int, int]
     slice_size: int
     is_last_slice: bool
 
 
 def active_drains(
     now: float,
-    grace_ends: Mapping[int, float],
-    forwarders: Mapping[int, ForwarderHoldings],
-    ordered: Mapping[tuple[int, int], int],
+    grace_end_times: Mapping[int, float],
+    forwarders: Mapping[int, ForwarderConnections],
+    pending: Mapping[tuple[int, int], int],
     parameters: MigrationParameters,
 ) -> list[WorkerDrain]:
-    """Gives the drains with connections to move, the one whose grace period ends first at the front.
+    """Returns the drains that have connections to move, in order of the end of their grace period.
 
-    A slice is what is left over the slices that remain.  `ordered` counts the connections that pending orders
-    cover, by forwarder and source.
+    The size of a slice is the number of unassigned connections divided by the number of slices left.
+    `grace_end_times` is by worker index, in seconds of the caller's clock.  `pending` counts the connections
+    that pending orders cover, by forwarder and source worker.
     """
     drains: list[WorkerDrain] = []
-    for source, grace_end in sorted(grace_ends.items(), key=lambda item: (item[1], item[0])):
-        unordered = _unordered_connections(source, forwarders, ordered)
-        if not unordered:
+    for source, grace_end in sorted(grace_end_times.items(), key=lambda item: (item[1], item[0])):
+        unassigned = _unassigned_connections(source, forwarders, pending)
+        if not unassigned:
             continue
         usable_s = grace_end - GRACE_MARGIN_RATIO * parameters.grace_s - now
         slices_left = usable_s / PLAN_INTERVAL_S
-        slice_size = math.ceil(sum(unordered.values()) / max(1.0, slices_left))
+        slice_size = math.ceil(sum(unassigned.values()) / max(1.0, slices_left))
         drain = WorkerDrain(
             source=source,
             grace_left_s=max(0.0, grace_end - now),
-            unordered=unordered,
+            unassigned=unassigned,
             slice_size=slice_size,
             is_last_slice=slices_left <= 1.0,
         )
@@ -59,37 +60,38 @@
     return drains
 
 
-def _unordered_connections(
-    source: int, forwarders: Mapping[int, ForwarderHoldings], ordered: Mapping[tuple[int, int], int]
+def _unassigned_connections(
+    source: int, forwarders: Mapping[int, ForwarderConnections], pending: Mapping[tuple[int, int], int]
 ) -> dict[int, int]:
-    unordered: dict[int, int] = {}
-    for forwarder, holdings in forwarders.items():
-        if source not in holdings.connections:
+    """Returns the number of connections to `source` that no pending order covers, by forwarder."""
+    unassigned: dict[int, int] = {}
+    for forwarder, held in forwarders.items():
+        if source not in held.counts_by_worker:
             continue
-        count = holdings.connections[source].open - ordered.get((forwarder, source), 0)
+        count = held.counts_by_worker[source].open - pending.get((forwarder, source), 0)
         if count > 0:
-            unordered[forwarder] = count
-    return unordered
+            unassigned[forwarder] = count
+    return unassigned
 
 
-def share_slice(drain: WorkerDrain, max_orders: int) -> dict[int, int]:
-    """Divides a slice among the forwarders, the one with most connections first.
+def divide_slice(drain: WorkerDrain, max_orders: int) -> dict[int, int]:
+    """Returns the number of connections that each forwarder moves in this slice.
 
-    If there are many forwarders, some get a larger order now and others a later one: a message header takes
-    several lines of the channel (`message_header_lines`), so an order of one connection for each would fill
-    it.
+    Forwarders with more connections are served first.  If there are many forwarders, some get a larger order
+    in this slice and the others get theirs in a later one: a message header takes several lines of the
+    channel (`message_header_lines`), so orders of one connection to every forwarder would fill the channel.
     """
-    # Approximate: the margin is taken of the time left, not of the whole grace period.
+    # This is an approximation: the margin is a fraction of the time left, not of the whole grace period.
     estimated_slices_left = max(1.0, drain.grace_left_s / PLAN_INTERVAL_S * (1.0 - GRACE_MARGIN_RATIO))
-    unordered_sum = sum(drain.unordered.values())
-    min_order_size = math.ceil(unordered_sum / max(1.0, max_orders * estimated_slices_left))
+    unassigned_count = sum(drain.unassigned.values())
+    min_order_size = math.ceil(unassigned_count / max(1.0, max_orders * estimated_slices_left))
     shares: dict[int, int] = {}
     remaining = drain.slice_size
-    for forwarder in sorted(drain.unordered, key=lambda number: (-drain.unordered[number], number)):
+    for forwarder in sorted(drain.unassigned, key=lambda number: (-drain.unassigned[number], number)):
         if remaining <= 0:
             break
-        unordered = drain.unordered[forwarder]
-        fair_share = math.ceil(drain.slice_size * unordered / unordered_sum)
-        shares[forwarder] = min(unordered, remaining, max(fair_share, min_order_size))
+        unassigned = drain.unassigned[forwarder]
+        fair_share = math.ceil(drain.slice_size * unassigned / unassigned_count)
+        shares[forwarder] = min(unassigned, remaining, max(fair_share, min_order_size))
         remaining -= shares[forwarder]
     return shares
--- a/tests/planning/test_connection_migration.py
+++ b/tests/planning/test_connection_migration.py
@@ -1,4 +1,4 @@
-"""The plan of migrations: capacity, warm-up, slices within the grace period, and the channel's budget."""
+"""Tests of migration plans: capacity, warm-up, slices within the grace period, and the channel's budget."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from cottonladder.model.connection_counts import ConnectionCounts
 from cottonladder.model.views import WorkerCapacityView
-from cottonladder.planning.connection_migration import CHANNEL_FRACTION, MigrationPlanner
+from cottonladder.planning.connection_migration import MAX_CHANNEL_FRACTION, MigrationPlanner
 from cottonladder.planning.migration_capacity import CAPACITY_SLACK_RATIO
 from cottonladder.planning.migration_orders import (
     PLAN_INTERVAL_S,
@@ -33,8 +33,8 @@
     channel_lines_per_s=3000.0,
     message_header_lines=10,
 )
-# Lines that a slice may take, with one order that the planner always gives.
-MAX_SLICE_LINES = PARAMETERS.channel_lines_per_s * PLAN_INTERVAL_S * CHANNEL_FRACTION + 20
+# Largest number of channel lines per slice, including the first order, which may exceed the budget.
+MAX_SLICE_LINES = PARAMETERS.channel_lines_per_s * PLAN_INTERVAL_S * MAX_CHANNEL_FRACTION + 20
 Views = dict[int, WorkerCapacityView]
 
 
@@ -50,13 +50,13 @@
     return [order for order in orders if isinstance(order, MigrateConnections)]
 
 
-def arrival_fractions(orders: list[MigrationOrder]) -> dict[int, float]:
-    """The fractions of the arrivals that were sent, by forwarder."""
+def sent_arrival_shares(orders: list[MigrationOrder]) -> dict[int, float]:
+    """Returns the sent shares of the arrivals, by forwarder."""
     return {order.forwarder: order.arrival_share for order in orders if isinstance(order, SetArrivalShare)}
 
 
 class SimulatedForwarders:
-    """Forwarders that execute every order at once, and check at each step what a plan must never do."""
+    """Forwarders that execute every order immediately, and assert that each order is valid."""
 
     def __init__(self, parameters: MigrationParameters, views: Views, zones: dict[int, int]) -> None:
         self.parameters = parameters
@@ -87,7 +87,7 @@
         return sum(self.connection_count(worker) for worker in self.views)
 
     def step(self, is_executed: bool = True) -> list[MigrationOrder]:
-        """Reports, plans, and executes the orders unless they are lost."""
+        """Reports the connections, plans a slice, and executes its orders unless they are to be lost."""
         self.report_connections()
         orders = self.planner.plan(self.now, self.views)
         self.max_lines = max(self.max_lines, self.planner.channel_lines(orders))
@@ -116,7 +116,7 @@
             self.step()
 
     def max_connections(self, worker: int) -> float:
-        """The most that a plan may fill a worker to, computed apart from the planner."""
+        """Returns the connection limit of a worker, computed independently of the planner."""
         live = [view for view in self.views.values() if view.draining_since < 0 and view.capacity > 0]
         per_capacity = self.total_count() / sum(view.capacity for view in live)
         view = self.views[worker]
@@ -125,7 +125,9 @@
 
 
 class DrainTest(unittest.TestCase):
-    def test_a_thousand_connections_move_within_the_grace_period_and_overfill_no_worker(self) -> None:
+    def test_a_thousand_connections_move_within_the_grace_period_and_no_worker_exceeds_its_limit(
+        self,
+    ) -> None:
         views = {
             0: draining_view(),
             1: worker_view(),
@@ -172,7 +174,7 @@
         fleet.run_until_empty(0)
         self.assertGreaterEqual(fleet.connection_count(1), before)  # it is a destination again
 
-    def test_connections_without_a_place_wait_and_are_closed_at_the_end(self) -> None:
+    def test_connections_without_a_destination_wait_and_are_closed_in_the_last_slice(self) -> None:
         parameters = MigrationParameters(2, 10.0, 20, 100.0, 0.05, 3000.0, 10)
         fleet = SimulatedForwarders(parameters, {0: draining_view(), 1: worker_view()}, {0: 0})
         fleet.connections[0].update({0: 100, 1: 5})
@@ -190,8 +192,8 @@
         fleet.run_until_empty(0)
         self.assertLessEqual(fleet.now, PARAMETERS.grace_s)
 
-    def test_hundreds_of_small_forwarders_fit_the_channel(self) -> None:
-        """If each of 400 forwarders got an order in each slice, the message headers alone would fill it."""
+    def test_orders_to_hundreds_of_small_forwarders_stay_within_the_line_budget(self) -> None:
+        """With one order to each of 400 forwarders, the message headers alone would exceed the budget."""
         views = {0: draining_view()} | {worker: worker_view(zone=worker % 2) for worker in range(1, 30)}
         fleet = SimulatedForwarders(PARAMETERS, views, {forwarder: forwarder % 2 for forwarder in range(400)})
         for forwarder, connections in fleet.connections.items():
@@ -203,8 +205,8 @@
 
     @settings(max_examples=40, derandomize=True, deadline=None)
     @given(st.data())
-    def test_the_invariants_hold_for_random_fleets(self, data: st.DataObject) -> None:
-        """Workers are not overfilled and drains end in time, for workers that drain at random times."""
+    def test_limits_and_grace_periods_are_kept_in_random_fleets(self, data: st.DataObject) -> None:
+        """No worker exceeds its limit, and every drain ends in time, if workers drain at random times."""
         zones = {forwarder: forwarder % 2 for forwarder in range(data.draw(st.integers(1, 6), "forwarders"))}
         views = {
             worker: worker_view(
@@ -231,7 +233,7 @@
                 fleet.views[worker] = draining_view(zone=worker % 2, since=fleet.now)
 
     def check_step(self, fleet: SimulatedForwarders) -> None:
-        """Plans one slice, after which no worker may be over its limit unless it was before."""
+        """Plans one slice; no worker may exceed its limit, or its earlier count if that was higher."""
         limits = {
             worker: max(fleet.max_connections(worker), fleet.connection_count(worker))
             for worker, view in fleet.views.items()
@@ -255,7 +257,7 @@
         self.assertEqual((fleet.connection_count(0), fleet.connection_count(1)), (0, 0))
         self.assertEqual(fleet.connection_count(2), 60)
 
-    def test_lost_orders_are_given_again(self) -> None:
+    def test_lost_orders_are_planned_again(self) -> None:
         fleet = SimulatedForwarders(PARAMETERS, {0: draining_view(), 1: worker_view()}, {0: 0})
         fleet.connections[0].update({0: 10})
         fleet.step(is_executed=False)
@@ -279,13 +281,13 @@
         orders = migrations(fleet.step(is_executed=False))
         self.assertTrue([order for order in orders if order.forwarder == 0])
 
-    def test_fractions_of_the_arrivals_are_sent_when_they_change(self) -> None:
+    def test_shares_of_the_arrivals_are_sent_when_they_change(self) -> None:
         forwarders = range(4)
         fleet = SimulatedForwarders(PARAMETERS, {0: worker_view()}, dict.fromkeys(forwarders, 0))
-        self.assertEqual(arrival_fractions(fleet.step()), dict.fromkeys(forwarders, 0.25))
+        self.assertEqual(sent_arrival_shares(fleet.step()), dict.fromkeys(forwarders, 0.25))
         self.assertEqual(fleet.step(), [])
         fleet.planner.remove_forwarder(3)
-        self.assertEqual(set(arrival_fractions(fleet.planner.plan(9.0, fleet.views))), {0, 1, 2})
+        self.assertEqual(set(sent_arrival_shares(fleet.planner.plan(9.0, fleet.views))), {0, 1, 2})
 
     def test_reported_counts_replace_earlier_ones(self) -> None:
         planner = MigrationPlanner(PARAMETERS)
@@ -304,14 +306,14 @@
         st.dictionaries(st.integers(0, 9), st.floats(0.0, 50.0), min_size=1, max_size=8),
         st.integers(0, 300),
     )
-    def test_parts_add_up_and_are_within_one_of_the_exact_part(
+    def test_counts_add_up_to_the_total_and_are_within_one_of_the_exact_value(
         self, weights: dict[int, float], total: int
     ) -> None:
-        parts = apportion(total, weights)
+        counts = apportion(total, weights)
         weight_sum = sum(weights.values())
-        self.assertEqual(sum(parts.values()), total if weight_sum > 0 else 0)
-        for key, part in parts.items():
-            self.assertLess(abs(part - total * weights[key] / weight_sum), 1.0 + 1e-6)
+        self.assertEqual(sum(counts.values()), total if weight_sum > 0 else 0)
+        for key, count in counts.items():
+            self.assertLess(abs(count - total * weights[key] / weight_sum), 1.0 + 1e-6)
 
 
 if __name__ == "__main__":
