--- a/cottonladder/planning/__init__.py
+++ b/cottonladder/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Planners beside the routing policy; all are pure: no clock, no I/O, no randomness of their own."""
+"""Planners that work alongside the routing policy; they have no clock, no I/O and no random numbers."""
--- a/cottonladder/planning/controller_views.py
+++ b/cottonladder/planning/controller_views.py
@@ -1,4 +1,4 @@
-"""What other parts may read of a routing controller.  Reading changes nothing."""
+"""Read-only access to the state of a routing controller, for other packages."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def capacity_views(controller: RoutingController) -> dict[int, WorkerCapacityView]:
-    """Returns each worker's capacity as of the last solution, by worker index."""
+    """Returns each worker's capacity as of the last solution of the flow, by worker index."""
     return {
         index: _capacity_view(controller, index, worker)
         for index, worker in controller.state.workers.by_index.items()
@@ -24,9 +24,10 @@
 def collect_state(
     controller: RoutingController, worker_indices: Iterable[int], proxy_numbers: Iterable[int]
 ) -> RestoredState:
-    """Returns what a restarted manager may begin with, of these workers and proxies.
+    """Returns the state of these workers and proxies that a restarted manager restores.
 
-    A large fleet is read in parts, because reading all of it would hold up the control loop.
+    The caller reads a large fleet in several calls, because reading all of it in one call would delay the
+    control loop.
     """
     workers = controller.state.workers.by_index
     proxies = controller.state.proxies.by_number
--- a/cottonladder/planning/plugin_bounds.py
+++ b/cottonladder/planning/plugin_bounds.py
@@ -1,8 +1,8 @@
 """Bounds on what a plug-in's answer may change, and the circuit breaker of plug-ins that fail.
 
 Pure: no clock, no I/O.  An answer selects among the workers that the manager's orders allow, and it can
-forbid a retry but never demand one.  If it leaves no worker to select, the operators' file says whether the
-request falls back to the whole routing table or is rejected.
+forbid a retry but never demand one.  If it leaves no worker to select, the operators' file decides whether
+the request falls back to the whole routing table or is rejected.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-# Multiple of its weight that a preferred worker gets; the others still get some requests.
+# Factor by which the weight of a preferred worker is multiplied; the other workers still get some requests.
 PREFERENCE_MULTIPLIER = 4.0
 # Largest factor by which a plug-in may raise or lower a worker's capacity estimate.
 MAX_CAPACITY_FACTOR = 2.0
-# Part of the grace period that must remain for a veto, so that the drain still ends in time.
+# Fraction of the grace period that must remain for a veto to count, so that the drain still ends in time.
 VETO_GRACE_FRACTION = 0.5
-# Faults within `FAULT_WINDOW_S` that open a circuit breaker.
+# Number of faults within `FAULT_WINDOW_S` that opens a circuit breaker.
 MAX_FAULTS = 5
-# Time for which a fault counts.
+# Time for which a fault is counted.
 FAULT_WINDOW_S = 10.0
-# Time that a circuit breaker first stays open; it doubles each time a call fails while half-open.
+# Time for which a circuit breaker first stays open; it doubles each time a call fails while half-open.
 MIN_OPEN_DURATION_S = 2.0
-# Longest time that a circuit breaker stays open.
+# Longest time for which a circuit breaker stays open.
 MAX_OPEN_DURATION_S = 120.0
-# CPU time that all plug-ins together may take in a second.
+# CPU time that all plug-ins together may take, in seconds per second.
 MAX_CPU_FRACTION = 0.1
-# Part of the table's heaviest weight below which a worker may be warming up, and gets no larger share.
+# Fraction of the table's largest weight below which a worker may be warming up, and gets no larger share.
 LIGHT_WEIGHT_RATIO = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class RoutePreference:
-    """Labels that a request's worker must have, and labels that it should have."""
+    """Labels that the worker of a request must have, and labels that it should have."""
 
     required_labels: tuple[str, ...] = ()
     preferred_labels: tuple[str, ...] = ()
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingChoice:
-    """The weights, by worker id, that a request's worker is selected by.
+    """The weights, by worker id, from which the worker of a request is selected.
 
-    `was_limited` tells whether the preference could not be followed in full.  Requests beyond
-    `admitted_fraction` are rejected.
+    `was_limited` is true if the preference could not be followed in full.  Only the fraction
+    `admitted_fraction` of such requests is admitted; the others are rejected.
     """
 
     weights: dict[str, float]
@@ -58,12 +58,13 @@
     preference: RoutePreference,
     fall_back: bool,
 ) -> RoutingChoice:
-    """Applies a preference to the weights, by worker id, that the manager's orders let a proxy select from.
+    """Applies a preference to the weights of the manager's orders, by worker id.
 
-    A forwarder doesn't know which workers are warming up, but their weights are small beside the others.  A
-    light weight therefore keeps its share of the whole table, whichever workers are left out.  The remaining
-    share goes to the heavy ones among the chosen workers, or, if there are none, to the whole table or to no
-    worker.
+    A forwarder does not know which workers are warming up, but their weights are small compared with those
+    of the other workers.  A light worker (`LIGHT_WEIGHT_RATIO`) therefore gets the same share of requests as
+    in the whole table, even if other workers are left out.  The remaining share goes to the heavy workers
+    that have the required labels.  If there are none, it goes to the rest of the table if `fall_back` is
+    true, and otherwise these requests are not admitted.
     """
     chosen = _with_required_labels(weights, labels, preference)
     weight_sum = sum(weights.values())
@@ -75,20 +76,20 @@
     shares = {worker: weight / weight_sum for worker, weight in chosen.items()}
     heavy = {worker: share for worker, share in shares.items() if chosen[worker] >= light_below}
     light = {worker: share for worker, share in shares.items() if worker not in heavy}
-    spare = 1.0 - sum(light.values())
+    remaining_share = 1.0 - sum(light.values())
     if heavy:
-        _favour_preferred(heavy, labels, preference)
-        return RoutingChoice(_scaled_to(spare, heavy) | light, was_limited=bool(light))
+        _multiply_preferred(heavy, labels, preference)
+        return RoutingChoice(_scale_to_sum(remaining_share, heavy) | light, was_limited=bool(light))
     if not fall_back:
-        return RoutingChoice(light, was_limited=True, admitted_fraction=1.0 - spare)
-    others = {worker: weight for worker, weight in weights.items() if worker not in light}
-    return RoutingChoice(light | _scaled_to(spare, others), was_limited=True)
+        return RoutingChoice(light, was_limited=True, admitted_fraction=1.0 - remaining_share)
+    rest_of_table = {worker: weight for worker, weight in weights.items() if worker not in light}
+    return RoutingChoice(light | _scale_to_sum(remaining_share, rest_of_table), was_limited=True)
 
 
 def _with_required_labels(
     weights: Mapping[str, float], labels: Mapping[str, Collection[str]], preference: RoutePreference
 ) -> dict[str, float]:
-    """The weights of the workers that have every required label."""
+    """Returns the weights of the workers that have every required label."""
     return {
         worker: weight
         for worker, weight in weights.items()
@@ -96,30 +97,30 @@
     }
 
 
-def _scaled_to(total: float, weights: Mapping[str, float]) -> dict[str, float]:
-    """The weights in proportion, scaled to add up to `total`."""
+def _scale_to_sum(total: float, weights: Mapping[str, float]) -> dict[str, float]:
+    """Returns the weights multiplied by a common factor, so that they add up to `total`."""
     scale = total / sum(weights.values()) if weights else 0.0
     return {worker: weight * scale for worker, weight in weights.items()}
 
 
-def _favour_preferred(
+def _multiply_preferred(
     shares: dict[str, float], labels: Mapping[str, Collection[str]], preference: RoutePreference
 ) -> None:
-    """Multiplies the shares of workers that have a preferred label, in place."""
+    """Multiplies the shares of the workers that have a preferred label, in place."""
     for worker in shares:
         if any(label in labels.get(worker, ()) for label in preference.preferred_labels):
             shares[worker] *= PREFERENCE_MULTIPLIER
 
 
 def clamp_capacity_factor(value: float | None) -> float:
-    """A worker's capacity factor within its bounds; no answer counts as 1."""
+    """Returns a worker's capacity factor, limited to its bounds; None counts as 1."""
     if value is None:
         return 1.0
     return min(MAX_CAPACITY_FACTOR, max(1.0 / MAX_CAPACITY_FACTOR, value))
 
 
 def may_veto_migration(grace_left_s: float, grace_s: float) -> bool:
-    """Whether a migration may still be postponed, rather than endanger the end of the drain."""
+    """Returns whether enough of the grace period is left to postpone a migration."""
     return grace_left_s > VETO_GRACE_FRACTION * grace_s
 
 
@@ -142,7 +143,7 @@
     open_count: int = 0
 
     def try_acquire(self, now: float) -> bool:
-        """Tells whether the plug-in may be called now; after the open time, one call is allowed."""
+        """Returns whether the plug-in may be called now; after the open duration, one call is allowed."""
         if self.state == BreakerState.OPEN and now >= self.open_until:
             self.state = BreakerState.HALF_OPEN
             return True
@@ -151,7 +152,8 @@
     def record_success(self, now: float) -> None:
         """Records a call that succeeded.
 
-        It closes a half-open breaker, or resets the open duration after a long time without a fault.
+        It closes a half-open breaker.  It resets the open duration if the breaker was last open more than
+        `MAX_OPEN_DURATION_S` ago and no fault was recorded since.
         """
         if self.state == BreakerState.HALF_OPEN:
             self.state = BreakerState.CLOSED
@@ -160,7 +162,7 @@
             self.open_duration_s = MIN_OPEN_DURATION_S
 
     def record_fault(self, now: float) -> bool:
-        """Records a call that failed; tells whether that opened the breaker."""
+        """Records a call that failed; returns whether that opened the breaker."""
         self.fault_times = [fault_at for fault_at in self.fault_times if now - fault_at < FAULT_WINDOW_S]
         self.fault_times.append(now)
         was_half_open = self.state == BreakerState.HALF_OPEN
@@ -177,18 +179,18 @@
 
 @dataclass(slots=True)
 class CpuBudget:
-    """A token bucket of the CPU time that all plug-ins together may take."""
+    """A token bucket of the CPU time that all plug-ins together may take; it holds one second's worth."""
 
     remaining_s: float = MAX_CPU_FRACTION
     refilled_at: float = 0.0
 
     def has_time_left(self, now: float) -> bool:
-        """Refills the bucket; tells whether any time is left."""
+        """Refills the bucket; returns whether any time is left."""
         refill = (now - self.refilled_at) * MAX_CPU_FRACTION
         self.remaining_s = min(MAX_CPU_FRACTION, self.remaining_s + refill)
         self.refilled_at = now
         return self.remaining_s > 0
 
     def consume(self, seconds: float) -> None:
-        """Takes the duration of a call off the budget."""
+        """Subtracts the duration of a call from the budget."""
         self.remaining_s -= seconds
--- a/cottonladder/planning/priority_scheduling.py
+++ b/cottonladder/planning/priority_scheduling.py
@@ -1,9 +1,9 @@
 """Chooses which background task runs next.
 
-Pure: no clock, no I/O.  A task has a period, a priority and a budget of CPU time a second.  Of the tasks that
-are due and have budget, the one with the best priority runs one slice.  While the control loop is late only a
-task that would otherwise starve runs.  A slice that takes longer than planned is paid for with the task's
-later budget.
+Pure: no clock, no I/O.  A task has a period, a priority and a budget of CPU time per second.  Of the tasks
+that are due and have budget left, the one with the best priority runs one slice.  While the control loop is
+late, only starved tasks run.  The duration of a slice is subtracted from the task's budget, which may become
+negative; the task then waits until its budget is refilled.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 from collections.abc import Container
 from dataclasses import dataclass
 
-# Periods after which an overdue task is starved, and runs a slice even if the control loop is late.
+# Number of periods after which an overdue task is starved, and runs a slice even if the control loop is late.
 STARVATION_PERIODS = 5.0
-# Shortest time after which a task is starved, for tasks with short periods.
+# Shortest time for which a task is overdue before it is starved, for tasks with short periods.
 MIN_STARVATION_WAIT_S = 2.0
-# Largest debt after overruns, as seconds of the task's budget; a larger one would stop a task for too long.
+# Largest debt after overruns, as the time to refill it; a larger debt would stop a task for too long.
 MAX_DEBT_S = 5.0
-# Duration of a slice from which it counts as an overrun.
+# Longest duration of a slice that does not count as an overrun.
 MAX_SLICE_DURATION_S = 0.005
-# Longest backoff of a failing task.
+# Longest backoff of a failing task, as a number of its periods.
 MAX_BACKOFF_PERIODS = 64.0
-# Largest exponent of the backoff, so that a long row of failures does not overflow a float.
+# Largest exponent of the backoff, so that a long series of failures does not overflow a float.
 MAX_BACKOFF_EXPONENT = 30
-# Shortest pause between two slices, in which the event loop handles its other work.
+# Shortest wait before the next slice, in which the event loop handles other work.
 MIN_WAIT_S = 0.001
-# Pause if there is no task.
+# Wait if there is no task.
 IDLE_WAIT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class TaskPlan:
-    """When and how much a task runs.
+    """The schedule and the budget of a task.
 
-    `priority` 0 is served first.  `cpu_fraction` is the CPU time that the task may take in a second.  A run
-    that ends later than `deadline_s` after it was due counts as a missed deadline.  `jitter_ratio` is the
-    largest random part of a period that is added to it.
+    `priority` 0 is the best one.  `cpu_fraction` is the CPU time, in seconds per second, that the task may
+    take.  A run that ends later than `deadline_s` after it was due counts as a missed deadline.
+    `jitter_ratio` is the largest random extension of a period, as a fraction of it.
     """
 
     name: str
@@ -49,9 +49,9 @@
 
 @dataclass(slots=True)
 class ScheduledTask:
-    """A task's plan, its budget, when its next slice is due, and counts of its earlier slices and runs.
+    """A task's plan, its remaining budget, the time when it is due, and the counts of its slices and runs.
 
-    A run may take several slices; `is_running` tells whether one has started and not ended.
+    A run may take several slices; `is_running` is true from its first slice to its last one.
     """
 
     plan: TaskPlan
@@ -77,32 +77,40 @@
         self.tasks: dict[str, ScheduledTask] = {}
 
     def add(self, now: float, plan: TaskPlan, phase: float) -> None:
-        """Adds a task that is first due after `phase`, from 0 to 1, of a period."""
+        """Adds a task that is first due after the fraction `phase`, 0 to 1, of its period."""
         self.tasks[plan.name] = ScheduledTask(
             plan, due_at=now + plan.period_s * phase, budget_s=plan.cpu_fraction, refilled_at=now
         )
 
-    def next_task(self, now: float, is_late: bool, waiting: Container[str] = ()) -> str | None:
-        """The task whose slice runs now: a starved one if any, then by priority, then by waiting time.
+    def next_task(self, now: float, is_late: bool, blocked: Container[str] = ()) -> str | None:
+        """Returns the name of the task to run now, or None if there is none.
 
-        `is_late` tells whether the control loop is late.  The tasks in `waiting` can't run, because the event
-        loop still does something for them.
+        If any task is starved, only starved tasks may run; otherwise, every task that is due and has budget
+        may, unless the control loop is late (`is_late`).  The best priority runs first, then the earliest due
+        time.  The tasks in `blocked` are left out, because work that they started in the event loop has not
+        ended.
         """
-        due = [task for task in self.tasks.values() if task.due_at <= now and task.plan.name not in waiting]
-        eligible = [task for task in due if _is_starved(task, now)]
+        due_tasks = [
+            task for task in self.tasks.values() if task.due_at <= now and task.plan.name not in blocked
+        ]
+        eligible = [task for task in due_tasks if _is_starved(task, now)]
         if not eligible and not is_late:
-            eligible = [task for task in due if _refill(task, now) > 0]
+            eligible = [task for task in due_tasks if _refill(task, now) > 0]
         if not eligible:
             return None
         return min(eligible, key=lambda task: (task.plan.priority, task.due_at, task.plan.name)).plan.name
 
-    def time_until_next(self, now: float, waiting: Container[str] = ()) -> float:
-        """Seconds until a task may run, at least `MIN_WAIT_S`."""
-        waits = [_wait(task, now) for task in self.tasks.values() if task.plan.name not in waiting]
-        return max(MIN_WAIT_S, min(waits, default=IDLE_WAIT_S))
+    def time_until_next(self, now: float, blocked: Container[str] = ()) -> float:
+        """Returns the seconds until a task that is not in `blocked` may run, at least `MIN_WAIT_S`."""
+        waits_s = [
+            _seconds_until_runnable(task, now)
+            for task in self.tasks.values()
+            if task.plan.name not in blocked
+        ]
+        return max(MIN_WAIT_S, min(waits_s, default=IDLE_WAIT_S))
 
     def record_slice_start(self, name: str, now: float) -> bool:
-        """Records the start of a slice; tells whether it is the first of a run."""
+        """Records the start of a slice; returns whether it is the first one of a run."""
         task = self.tasks[name]
         if task.is_running:
             return False
@@ -111,11 +119,11 @@
         return True
 
     def record_slice_end(
-        self, name: str, now: float, duration_s: float, done: bool, failed: bool, jitter: float
+        self, name: str, now: float, duration_s: float, is_done: bool, has_failed: bool, jitter: float
     ) -> bool:
-        """Records the end of a slice, and of its run if done or failed; tells whether it was an overrun.
+        """Records the end of a slice, and of its run if done or failed; returns whether it was an overrun.
 
-        `jitter`, from 0 to 1, is the random part of the next period.
+        `jitter` is a random number from 0 to 1, by which the plan's `jitter_ratio` is multiplied.
         """
         task = self.tasks[name]
         _refill(task, now)
@@ -123,20 +131,20 @@
         task.slices += 1
         task.cpu_s += duration_s
         task.longest_slice_s = max(task.longest_slice_s, duration_s)
-        overran = duration_s > MAX_SLICE_DURATION_S
-        task.overruns += overran
-        if done or failed:
-            _finish_run(task, now, failed, jitter)
-        return overran
+        has_overrun = duration_s > MAX_SLICE_DURATION_S
+        task.overruns += has_overrun
+        if is_done or has_failed:
+            _finish_run(task, now, has_failed, jitter)
+        return has_overrun
 
     def make_due(self, name: str, now: float) -> None:
-        """Makes a task due now."""
+        """Makes a task due now, unless it is already due."""
         task = self.tasks[name]
         task.due_at = min(task.due_at, now)
 
 
 def _refill(task: ScheduledTask, now: float) -> float:
-    """Adds the budget of the time since the last refill; returns the budget in seconds."""
+    """Adds the budget for the time since the last refill; returns the budget in seconds."""
     refill = (now - task.refilled_at) * task.plan.cpu_fraction
     task.budget_s = min(task.plan.cpu_fraction, task.budget_s + refill)
     task.refilled_at = now
@@ -147,22 +155,22 @@
     return now - task.due_at > max(MIN_STARVATION_WAIT_S, STARVATION_PERIODS * task.plan.period_s)
 
 
-def _wait(task: ScheduledTask, now: float) -> float:
-    """Seconds until a task is due and has budget."""
-    until_due = task.due_at - now
-    until_budget = 0.0
+def _seconds_until_runnable(task: ScheduledTask, now: float) -> float:
+    """Returns the seconds until a task is due and has budget."""
+    until_due_s = task.due_at - now
+    until_budget_s = 0.0
     if task.budget_s <= 0:
-        until_budget = -_refill(task, now) / task.plan.cpu_fraction
-    return max(until_due, until_budget)
+        until_budget_s = -_refill(task, now) / task.plan.cpu_fraction
+    return max(until_due_s, until_budget_s)
 
 
-def _finish_run(task: ScheduledTask, now: float, failed: bool, jitter: float) -> None:
-    """Counts a run that ended, and sets when the next one is due."""
+def _finish_run(task: ScheduledTask, now: float, has_failed: bool, jitter: float) -> None:
+    """Counts a run that ended, and sets the time when the next one is due."""
     task.is_running = False
     task.runs += 1
     task.missed_deadlines += now - task.due_at > task.plan.deadline_s
     backoff = 1.0
-    if failed:
+    if has_failed:
         task.failures += 1
         task.consecutive_failures += 1
         backoff = min(MAX_BACKOFF_PERIODS, 2.0 ** min(task.consecutive_failures, MAX_BACKOFF_EXPONENT))
--- a/tests/planning/test_plugin_bounds.py
+++ b/tests/planning/test_plugin_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on plug-ins: which workers an answer may select, and the circuit breaker's backoff."""
+"""Tests of the bounds on plug-ins: the workers that an answer may select, and the breaker's backoff."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
         PREFERENCES,
         st.booleans(),
     )
-    def test_a_preference_keeps_to_the_table_and_gives_light_workers_no_larger_share(
+    def test_a_preference_selects_workers_of_the_table_and_gives_light_ones_no_larger_share(
         self,
         weights: dict[str, float],
         labels: dict[str, set[str]],
         preference: RoutePreference,
         fall_back: bool,
     ) -> None:
-        """A request has a candidate unless it may be rejected; a warming-up worker's weight is light."""
+        """There is always a candidate with `fall_back`; light workers are those that may be warming up."""
         choice = narrow_candidates(weights, labels, preference, fall_back)
         self.assertLessEqual(choice.weights.keys(), weights.keys())
         self.assertTrue(choice.weights or (not fall_back and choice.admitted_fraction == 0.0))
--- a/tests/planning/test_priority_scheduling.py
+++ b/tests/planning/test_priority_scheduling.py
@@ -1,4 +1,4 @@
-"""Which background task runs next: budgets, priorities, starvation and backoff."""
+"""Tests of the order in which background tasks run: budgets, priorities, starvation and backoff."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
         self.scheduler = PriorityScheduler()
 
     def add(self, name: str, period_s: float, priority: int = 5, cpu_fraction: float = 0.05) -> None:
-        """Adds a task without jitter that is due at once."""
+        """Adds a task without jitter that is due immediately."""
         plan = TaskPlan(name, period_s, priority=priority, cpu_fraction=cpu_fraction, jitter_ratio=0.0)
         self.scheduler.add(0.0, plan, 0.0)
 
     def run_until(
         self, end: float, slice_s: dict[str, float], is_late: bool = False, failed: bool = False
     ) -> Counter[str]:
-        """Runs due tasks, whose slices are whole runs of these durations; counts the runs by task."""
+        """Runs due tasks until `end`, with runs of one slice each; returns the number of runs by task.
+
+        `slice_s` is the duration of a slice, by task.
+        """
         now = 0.0
         runs = Counter[str]()
         while now < end:
@@ -36,7 +39,7 @@
             runs[name] += 1
         return runs
 
-    def test_a_task_keeps_to_its_budget_and_leaves_time_to_a_better_priority(self) -> None:
+    def test_a_task_does_not_exceed_its_budget_and_leaves_time_to_a_better_priority(self) -> None:
         self.add("first", 0.1, priority=1, cpu_fraction=0.1)
         self.add("greedy", 0.01, priority=2, cpu_fraction=0.05)
         runs = self.run_until(20.0, {"first": 0.002, "greedy": 0.004})
@@ -48,7 +51,7 @@
         runs = self.run_until(20.0, {"one": SLICE_S}, is_late=True)
         self.assertTrue(2 <= runs["one"] <= 4, runs)  # once in five periods
 
-    def test_a_hundred_tasks_that_are_due_at_once_run_by_priority(self) -> None:
+    def test_a_hundred_tasks_that_are_due_together_run_by_priority(self) -> None:
         for n in range(100):
             self.add(f"t-{n}", 10.0, priority=n % 3)
         priorities = []
@@ -57,7 +60,7 @@
             self.scheduler.record_slice_end(name, 0.0, SLICE_S, True, False, 0.0)
         self.assertEqual((len(priorities), priorities), (100, sorted(priorities)))
 
-    def test_failing_tasks_back_off(self) -> None:
+    def test_a_failing_task_is_retried_with_backoff(self) -> None:
         self.add("bad", 1.0)
         runs = self.run_until(500.0, {"bad": SLICE_S}, failed=True)
         self.assertLess(runs["bad"], 16)
