--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -1,10 +1,10 @@
-"""The weights that outside load balancers are sent for each worker, as the routing policy would order them.
+"""Worker weights for external load balancers, computed from the capacities that the routing policy uses.
 
 Pure: no clock, no I/O.  A load balancer divides its requests by the weights of its own group, which is an
-arbitrary part of the fleet, and the rate of its requests is unknown.  A warming-up worker's share of a group
-is therefore limited to its part of the whole fleet's capacity, which is already reduced during slow start.
-If every load balancer keeps to the weights, all of them together send the worker no more than that part of
-all requests.
+arbitrary subset of the fleet, and its request rate is unknown.  A warming-up worker's share of a group's
+requests is therefore limited to `MAX_WARM_UP_RATIO` times its fraction of the whole fleet's capacity, in
+which its own capacity is already reduced for slow start.  If every load balancer follows the weights, all of
+them together send the worker no more than that share of all requests.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from ..model.views import WorkerCapacityView
 from ..policy.warm_up import MAX_WARM_UP_RATIO
 
-# Weight of the heaviest member; a unit of weight is a hundredth of a percent of it.
+# Weight of the group's member with the largest share; a unit of weight is 0.01% of that share.
 MAX_WEIGHT = 10_000
-# Relative change from which a weight is sent again; load balancers shift load at each new weight.
+# Relative change above which a weight is sent again; load balancers shift load at each new weight.
 MIN_WEIGHT_CHANGE_RATIO = 0.05
-# Largest share of a group for one warming-up worker.
+# Largest share of a group's requests for one warming-up worker.
 MAX_WARMING_UP_SHARE = 0.5
 
 
@@ -28,8 +28,8 @@
 class AdvertisedWeight:
     """One worker's weight, 0 (no new requests) to `MAX_WEIGHT`.
 
-    `is_reachable` tells whether it has capacity or is quiesced, and is sent as SASP's contact flag;
-    `is_leaving` tells whether it drains or is gone.
+    `is_reachable` is true if the worker has capacity or is quiesced, and is sent as SASP's contact flag;
+    `is_leaving` is true if it drains or is gone.
     """
 
     weight: int
@@ -40,7 +40,7 @@
 def advertise_weights(
     views: Mapping[int, WorkerCapacityView], members: Iterable[int], quiesced: frozenset[int] = frozenset()
 ) -> dict[int, AdvertisedWeight]:
-    """Gives the weights of a group's members by worker index.
+    """Returns the weights of a group's members by worker index.
 
     A member that is unknown, drains, is gone or was quiesced by the load balancer gets 0.
     """
@@ -49,10 +49,10 @@
     live = {worker: views[worker].capacity for worker in known if views[worker].capacity > 0}
     warm = {worker: capacity for worker, capacity in live.items() if not views[worker].is_warming_up}
     shares = _shares(views, live, warm)
-    heaviest = max(shares.values(), default=1.0)
+    largest_share = max(shares.values(), default=1.0)
     advertised: dict[int, AdvertisedWeight] = {}
     for worker in members:
-        exact = MAX_WEIGHT * shares[worker] / heaviest if worker in shares else 0.0
+        exact = MAX_WEIGHT * shares[worker] / largest_share if worker in shares else 0.0
         # A warming-up worker's weight is rounded down, because it must not exceed its share.
         rounded_down = max(int(worker in shares), int(exact))
         weight = math.ceil(exact) if worker in warm else rounded_down
@@ -64,10 +64,10 @@
 def _shares(
     views: Mapping[int, WorkerCapacityView], live: Mapping[int, float], warm: Mapping[int, float]
 ) -> dict[int, float]:
-    """Relative shares of the live workers: their capacity, limited for those that are warming up.
+    """Returns relative shares of the live workers: their capacity, limited for those that are warming up.
 
-    The share of each warming-up worker is computed beside the warm ones alone.  If there are several, they
-    therefore get less than their limits together, never more.
+    The share of each warming-up worker is computed as if it were the only one in the group that warms up.  If
+    there are several, each therefore gets less than its limit, never more.
     """
     shares = dict(live)
     if not warm:
@@ -83,7 +83,11 @@
 
 
 def has_changed(previous: AdvertisedWeight | None, current: AdvertisedWeight) -> bool:
-    """Whether a weight has to be sent again: its worker comes or leaves, or it changed far enough."""
+    """Returns whether a weight has to be sent again.
+
+    That is the case if it is new, if it becomes 0 or is 0 no longer, if a flag changes, or if the weight
+    changes by more than `MIN_WEIGHT_CHANGE_RATIO`.
+    """
     if previous is None:
         return True
     if (previous.is_reachable, previous.is_leaving) != (current.is_reachable, current.is_leaving):
--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -1,14 +1,14 @@
-"""Turns advisors' weights into a bounded, ageing factor on each worker's capacity estimate.
+"""Converts advisors' weights to a bounded factor on each worker's capacity estimate, which fades with age.
 
-Pure: no clock, no I/O, no randomness.  An advisor's weights are read as shares among the usable workers that
-it names.  The factor is that share over the share by the capacity estimates alone, so that advice which
-agrees with the estimates changes nothing, whatever its scale.  Invariants:
+Pure: no clock, no I/O, no randomness.  An advisor's weights are interpreted as shares among the usable
+workers that it names.  The factor is that share divided by the worker's share of the capacity estimates, so
+that advice that agrees with the estimates changes nothing, whatever its scale.  Invariants:
 
-- a factor stays between `1 / MAX_FACTOR` and `MAX_FACTOR`, changes by one step an interval at most, and fades
-  to 1 as its weights age, so that nothing jumps when an advisor falls silent;
-- each advisor has a credit, by which its advice counts.  The credit falls if the workers that the advice
-  favours are the slow ones or if its weights flap, and rises slowly if they are the fast ones;
-- a warming-up worker is never favoured, no worker gets 0, and no advice undoes a drain (the routing
+- a factor stays between `1 / MAX_FACTOR` and `MAX_FACTOR`, changes by at most one step per interval, and
+  fades to 1 as its weights age, so that no factor jumps when an advisor stops sending;
+- each advisor has a credit, by which its advice is weighted.  The credit falls if the advice favours the slow
+  workers or if its weights flap, and rises slowly if the advice favours the fast workers;
+- the factor of a warming-up worker is at most 1, no factor is 0, and no advice reverts a drain (the routing
   controller handles drains before any factor).
 """
 
@@ -21,47 +21,47 @@
 from ..model.views import WorkerCapacityView
 from ..policy.cadence import SOLVE_INTERVAL_S
 
-# Largest factor that all advice together may raise or lower a capacity estimate by.
+# Largest factor by which all advice together may raise or lower a capacity estimate.
 MAX_FACTOR = 2.0
-# Largest change of a factor's natural logarithm in one interval.
+# Largest change of a factor's natural logarithm per interval.
 MAX_LOG_STEP = 0.15
-# Age of a weight at which it starts to fade.
+# Age above which the influence of a weight fades.
 FRESH_AGE_S = 6.0
-# Age of a weight at which it no longer counts.
+# Age at which a weight has no influence any more.
 MAX_WEIGHT_AGE_S = 16.0
 # Credit of a new advisor; the largest credit is 1.
 INITIAL_CREDIT = 0.5
-# Trust in an advisor for which the operators set none.
+# Trust in an advisor for which operators have not configured one.
 DEFAULT_TRUST = 1.0
 # Smallest credit: from 0 a credit could not rise again.
 MIN_CREDIT = 0.01
-# Part of the missing credit that is regained in an interval if latencies confirm the weights.
+# Fraction of the difference to full credit that is gained per interval if latencies confirm the weights.
 CREDIT_GAIN_RATIO = 0.03
-# Largest part of the credit that is lost in an interval if latencies contradict the weights.
+# Largest fraction of the credit that is lost per interval if latencies contradict the weights.
 CREDIT_LOSS_RATIO = 0.5
-# Natural logarithm: bias towards slow or fast workers up to which it says nothing about an advisor.
+# Largest bias towards slow or fast workers, as a natural logarithm, that leaves the credit unchanged.
 BIAS_TOLERANCE_LOG = 0.08
-# Multiple of the tolerance from which a contradiction costs the full loss.
+# Multiple of `BIAS_TOLERANCE_LOG` from which the loss is the full `CREDIT_LOSS_RATIO`.
 FULL_LOSS_MULTIPLIER = 4.0
-# Mean change of the logarithms of an advisor's weights in an interval from which they flap.
+# Mean absolute change of the logarithms of an advisor's weights per interval above which they flap.
 FLAP_THRESHOLD_LOG = 0.35
-# Part of the credit that is lost in an interval if the weights flap.
+# Fraction of the credit that is lost per interval if the weights flap.
 FLAP_LOSS_RATIO = 0.35
-# Mean distance of the logarithms of weights from their mean below which they rank no worker over another.
+# Mean absolute deviation of the logarithms of weights below which the weights count as equal.
 MIN_DISPERSION_LOG = 0.02
-# Workers with a latency and a weight that a comparison needs.
+# Smallest number of workers with a weight and a latency for which the two are compared.
 MIN_COMPARED_WORKERS = 4
-# Weights kept of one advisor.
+# Largest number of weights that are kept for one advisor.
 MAX_WEIGHTS_PER_ADVISOR = 20_000
-# Natural logarithm of a factor below which the factor counts as 1.
+# Largest absolute natural logarithm of a factor that counts as 1.
 NEUTRAL_LOG = 1e-4
-# Time between two calls of `update_factors`, that of the routing policy.
+# Time between two calls of `update_factors`, which is the interval of the routing policy.
 UPDATE_INTERVAL_S = SOLVE_INTERVAL_S
 
 
 @dataclass(frozen=True, slots=True)
 class AdvisoryWeight:
-    """One advisor's weight of one worker; the worker gets no requests if it is 0 or not `is_usable`."""
+    """One advisor's weight for one worker; 0 or not `is_usable` means that it should get no requests."""
 
     weight: float
     is_usable: bool = True
@@ -71,7 +71,8 @@
 class _Advisor:
     """The weights of one advisor, by worker index, and its credit.
 
-    `trust` is set by the operators, from 0 to 1.  `previous_logs` are the logarithms one interval ago.
+    `trust` is configured by operators, from 0 to 1.  `previous_logs` are the logarithms of the weights less
+    their mean, one interval ago.
     """
 
     trust: float
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdvisorStatus:
-    """An advisor's state for operators; `age_s` is that of its newest weight, infinite without one."""
+    """An advisor's state for operators; `age_s` is the age of its newest weight, infinite without weights."""
 
     weight_count: int
     credit: float
@@ -92,16 +93,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Vote:
-    """The logarithm of the factor that one advisor asks for at one worker, and how much it counts."""
+    """The logarithm of the factor that one advisor advises for one worker, and the credit of that advice."""
 
     credit: float
     log_ratio: float
 
 
 class AdviceWeighting:
-    """The factors for the workers of one manager.
+    """Computes the factors for the workers of one manager.
 
-    `receive` takes weights when they arrive, and `update_factors` is called once an interval.
+    Call `receive` when weights arrive, and `update_factors` once per `UPDATE_INTERVAL_S`.
     """
 
     def __init__(self) -> None:
@@ -109,13 +110,13 @@
         self._log_factors: dict[int, float] = {}  # by worker index
 
     def advisor_connected(self, advisor: str, trust: float = DEFAULT_TRUST) -> None:
-        """Sets the trust of an advisor that connected; its credit stays as it was before."""
+        """Sets the trust of an advisor that connected; the credit of a known advisor does not change."""
         self._advisors.setdefault(advisor, _Advisor(trust)).trust = trust
 
     def receive(
         self, advisor: str, now: float, weights: Mapping[int, AdvisoryWeight], is_complete: bool
     ) -> None:
-        """Takes weights by worker index; `is_complete` means that earlier ones no longer hold."""
+        """Stores weights by worker index; `is_complete` means that they replace all earlier ones."""
         state = self._advisors.setdefault(advisor, _Advisor(DEFAULT_TRUST))
         if is_complete:
             state.weights.clear()
@@ -126,11 +127,11 @@
                 state.received_at[worker] = now
 
     def credits(self) -> dict[str, float]:
-        """Credit by advisor, for a snapshot."""
+        """Returns the credit by advisor name, for a snapshot."""
         return {name: state.credit for name, state in self._advisors.items()}
 
     def restore_credits(self, credits: Mapping[str, float]) -> None:
-        """Takes over the credits of an earlier incarnation of the manager."""
+        """Restores the credits of an earlier incarnation of the manager, within their bounds."""
         for name, credit in credits.items():
             state = self._advisors.setdefault(name, _Advisor(DEFAULT_TRUST))
             state.credit = min(1.0, max(MIN_CREDIT, credit))
@@ -143,7 +144,7 @@
                 del state.received_at[worker]
 
     def status(self, now: float) -> dict[str, AdvisorStatus]:
-        """The state of each advisor, by its name."""
+        """Returns the state of each advisor, by name."""
         return {
             name: AdvisorStatus(
                 len(state.weights), state.credit, now - max(state.received_at.values(), default=-math.inf)
@@ -152,14 +153,14 @@
         }
 
     def update_factors(self, now: float, views: Mapping[int, WorkerCapacityView]) -> dict[int, float]:
-        """Moves each factor by one step and gives those that are not 1, by worker index."""
+        """Moves each factor by at most one step; returns those that are not 1, by worker index."""
         self.drop_missing_workers(views)
         votes = self._update_credits_and_collect_votes(now, views)
         logs: dict[int, float] = {}
         for worker in self._log_factors.keys() | votes.keys():
             if worker not in views:
                 continue
-            target = _combine(votes.get(worker, []))
+            target = _combine_votes(votes.get(worker, []))
             current = self._log_factors.get(worker, 0.0)
             log = current + min(MAX_LOG_STEP, max(-MAX_LOG_STEP, target - current))
             if views[worker].is_warming_up:
@@ -172,15 +173,15 @@
     def _update_credits_and_collect_votes(
         self, now: float, views: Mapping[int, WorkerCapacityView]
     ) -> dict[int, list[_Vote]]:
-        """Updates the advisors' credit and gives their votes by worker."""
-        plain_capacities = {
+        """Updates the credit of each advisor; returns the votes by worker index."""
+        unadvised_capacities = {
             worker: view.capacity / math.exp(self._log_factors.get(worker, 0.0))
             for worker, view in views.items()
             if view.capacity > 0
         }
         votes: dict[int, list[_Vote]] = {}
         for state in self._advisors.values():
-            ratios = _log_ratios(state, now, plain_capacities)
+            ratios = _log_ratios(state, now, unadvised_capacities)
             _update_credit(state, ratios, views)
             for worker, ratio in ratios.items():
                 age = now - state.received_at[worker]
@@ -189,24 +190,25 @@
         return votes
 
 
-def _combine(votes: list[_Vote]) -> float:
-    """The logarithm that the votes ask for: their mean weighted by credit, times the best credit."""
+def _combine_votes(votes: list[_Vote]) -> float:
+    """Returns the mean of the votes' logarithms, weighted by credit, times the largest credit."""
     credit_sum = sum(vote.credit for vote in votes)
     if credit_sum <= 0:
         return 0.0
-    best = max(vote.credit for vote in votes)
-    return best * sum(vote.credit * vote.log_ratio for vote in votes) / credit_sum
+    max_credit = max(vote.credit for vote in votes)
+    return max_credit * sum(vote.credit * vote.log_ratio for vote in votes) / credit_sum
 
 
-def _log_ratios(state: _Advisor, now: float, plain_capacities: Mapping[int, float]) -> dict[int, float]:
-    """The logarithm of each worker's share by weight over that by capacity, within a factor's bounds.
+def _log_ratios(state: _Advisor, now: float, unadvised_capacities: Mapping[int, float]) -> dict[int, float]:
+    """Returns the logarithm of each worker's share of weight over its share of capacity, within bounds.
 
-    The result is empty if all weights are 0 or alike, because they rank no worker over another then.
+    The result is empty if there are no weights above 0, or if they count as equal (`MIN_DISPERSION_LOG`),
+    because such weights rank no worker above another.
     """
     current = {
         worker: weight
         for worker, weight in state.weights.items()
-        if worker in plain_capacities and now - state.received_at[worker] < MAX_WEIGHT_AGE_S
+        if worker in unadvised_capacities and now - state.received_at[worker] < MAX_WEIGHT_AGE_S
     }
     live = {
         worker: weight.weight for worker, weight in current.items() if weight.is_usable and weight.weight > 0
@@ -215,12 +217,12 @@
     if sum(abs(math.log(weight) - mean_log) for weight in live.values()) <= MIN_DISPERSION_LOG * len(live):
         return {}
     weight_sum = sum(live.values())
-    capacity_sum = sum(plain_capacities[worker] for worker in live)
-    bound = math.log(MAX_FACTOR)
-    ratios = dict.fromkeys(current, -bound)
+    capacity_sum = sum(unadvised_capacities[worker] for worker in live)
+    max_log = math.log(MAX_FACTOR)
+    ratios = dict.fromkeys(current, -max_log)
     for worker, weight in live.items():
-        ratio = math.log((weight / weight_sum) / (plain_capacities[worker] / capacity_sum))
-        ratios[worker] = min(bound, max(-bound, ratio))
+        ratio = math.log((weight / weight_sum) / (unadvised_capacities[worker] / capacity_sum))
+        ratios[worker] = min(max_log, max(-max_log, ratio))
     return ratios
 
 
@@ -229,8 +231,8 @@
 ) -> None:
     """Raises an advisor's credit if the workers that it ranks high have low latencies, and lowers it if not.
 
-    The weights themselves are compared, not the factors: when queueing has lowered a worker's estimate, an
-    honest weight would look as if it favoured a slow worker.
+    Latencies are compared with the weights themselves, not with the factors: if queueing has lowered a
+    worker's capacity estimate, the factor of an honest weight would appear to favour a slow worker.
     """
     logs = {
         worker: math.log(state.weights[worker].weight)
@@ -262,10 +264,10 @@
 
 
 def _latency_bias(centred: Mapping[int, float], views: Mapping[int, WorkerCapacityView]) -> float | None:
-    """The mean deviation of the logarithms of latencies, weighted by the centred logarithms of weights.
+    """Returns the mean deviation of the latencies' logarithms, weighted by the centred logarithms of weights.
 
-    A value above 0 means that slow workers are ranked high.  It is None if too few latencies are known or the
-    weights rank no worker over another.
+    A value above 0 means that slow workers are ranked high.  The result is None if fewer than
+    `MIN_COMPARED_WORKERS` latencies are known, or if the weights count as equal (`MIN_DISPERSION_LOG`).
     """
     latencies = {
         worker: views[worker].latency_s
--- a/tests/planning/test_advertised_weights.py
+++ b/tests/planning/test_advertised_weights.py
@@ -1,4 +1,4 @@
-"""Advertised weights: the share of warming-up workers over all load balancers, and which changes count."""
+"""Tests of advertised weights: the share of warming-up workers, and which changes are sent again."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class DrawnWorker:
-    """A worker as drawn by chance."""
+    """A randomly generated worker."""
 
     capacity: float
     warming_up: bool
@@ -36,10 +36,10 @@
         st.integers(1, 4),
         st.randoms(use_true_random=False),
     )
-    def test_a_warming_up_worker_gets_no_more_than_its_part_of_the_fleet_from_any_groups(
+    def test_a_warming_up_worker_gets_no_more_than_its_limit_in_any_group(
         self, workers: list[DrawnWorker], balancer_count: int, rng: random.Random
     ) -> None:
-        """Each load balancer has a group of its own; a draining worker gets nothing from any of them."""
+        """Each load balancer has a random group of workers; a draining worker has weight 0 in all of them."""
         views = {
             index: capacity_view(
                 worker.capacity, worker.warming_up, 5.0 if worker.is_draining else NOT_DRAINING
@@ -58,7 +58,7 @@
         total = sum(weight.weight for weight in advertised.values())
         live = [index for index in group if views[index].capacity > 0]
         has_warm = any(not views[index].is_warming_up for index in live)
-        self.assertEqual(total > 0, bool(live))  # a group with a usable member has a weight
+        self.assertEqual(total > 0, bool(live))  # some weight is above 0 if the group has a live member
         for index, weight in advertised.items():
             view = views[index]
             if view.draining_since >= 0:
@@ -67,7 +67,7 @@
                 max_share = MAX_WARM_UP_RATIO * view.capacity / fleet_capacity
                 self.assertLessEqual(weight.weight / total, max_share + 1.0 / total)
 
-    def test_small_changes_do_not_count(self) -> None:
+    def test_only_a_large_change_of_a_weight_or_a_new_weight_has_to_be_sent(self) -> None:
         def weight_of_second(capacity: float) -> AdvertisedWeight:
             views = {1: capacity_view(1.0), 2: capacity_view(capacity)}
             return advertise_weights(views, [1, 2])[2]
--- a/tests/planning/test_advice_weighting.py
+++ b/tests/planning/test_advice_weighting.py
@@ -1,4 +1,4 @@
-"""How advice counts: steps, credit, ageing, and a month-end under honest and lying advisors."""
+"""Tests of advice: steps, credit, ageing, and a simulated month-end with honest and lying advisors."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AdviceWeightingTest(unittest.TestCase):
-    """Six workers of equal capacity and of three different latencies."""
+    """Six workers of equal capacity and with three different latencies."""
 
     def setUp(self) -> None:
         self.views = {
@@ -41,7 +41,7 @@
         self.advice.receive(advisor, self.now, advisory, True)
 
     def step(self, weights: dict[int, float] | None, advisor: str = ADVISOR) -> dict[int, float]:
-        """One interval with these weights, or with a silent advisor; the factors change the capacities."""
+        """Runs one interval with these weights, or without any if None; the factors change the capacities."""
         self.now += advice_weighting.UPDATE_INTERVAL_S
         if weights is not None:
             self.receive(weights, advisor)
@@ -83,7 +83,7 @@
         )
         self.assertLessEqual(self.now - silent_since, max_fade_s)
 
-    def test_lying_and_flapping_lose_credit_and_it_comes_back_slowly(self) -> None:
+    def test_lying_and_flapping_advisors_lose_credit_and_regain_it_slowly(self) -> None:
         for _ in range(8):
             self.step(self.lying_weights())
         self.assertLess(self.credit(), 0.05)
@@ -102,26 +102,26 @@
         self.advice.advisor_connected(ADVISOR)
         self.assertEqual(self.credit(), lost_credit)
 
-    def test_weights_that_are_all_alike_change_nothing(self) -> None:
-        self.views[0] = capacity_view(3.0)  # equal weights do not make unequal capacities alike
+    def test_equal_weights_change_nothing(self) -> None:
+        self.views[0] = capacity_view(3.0)  # equal weights do not even out unequal capacities
         for weights in (dict.fromkeys(self.views, 0.0), dict.fromkeys(self.views, MAX_ADVISED_WEIGHT), {}):
             self.assertEqual(self.step(weights), {})
 
-    def test_a_warming_up_worker_is_never_favoured_and_no_worker_gets_nothing(self) -> None:
+    def test_a_warming_up_worker_is_never_favoured_and_no_factor_is_below_its_bound(self) -> None:
         self.views[5] = capacity_view(0.2, warming_up=True)
         for _ in range(20):
             factors = self.step({**dict.fromkeys(self.views, 1.0), 5: MAX_ADVISED_WEIGHT, 0: 0.0})
             self.assertLessEqual(factors.get(5, 1.0), 1.0)
             self.assertTrue(all(factor >= 1 / MAX_FACTOR for factor in factors.values()))
 
-    def test_advisors_that_differ_count_by_their_credit(self) -> None:
+    def test_contradicting_advisors_are_weighted_by_their_credit(self) -> None:
         for _ in range(20):
             self.receive(self.lying_weights(), "b")
             factors = self.step(self.honest_weights())
         self.assertGreater(factors[0], 1.2)
         self.assertLess(factors[2], 0.9)
 
-    def test_weights_of_an_hour_ago_no_longer_count(self) -> None:
+    def test_factors_return_to_1_if_the_weights_are_an_hour_old(self) -> None:
         for _ in range(10):
             self.step(self.honest_weights())
         self.now += 3600.0
@@ -139,10 +139,10 @@
 
 
 class MonthEndTest(unittest.TestCase):
-    """A simulated fleet under the load of a month-end, with advisors."""
+    """Tests with a simulated fleet under the load of a month-end."""
 
     def served_share(self, *advisors: month_end.Advisor) -> float:
-        """The mean over three seeds of the share of requests that were served in time."""
+        """Returns the mean over three seeds of the share of requests that were served in time."""
         named = {str(number): advisor for number, advisor in enumerate(advisors)}
         runs = [
             MonthEndRun(named, seed=seed, duration_s=80.0, load=0.85).run(month_end.slow_two_workers)
@@ -151,7 +151,7 @@
         self.assertEqual(sum(run.proxies_without_worker for run in runs), 0)
         return sum(run.served_share for run in runs) / len(runs)
 
-    def test_honest_advice_gains_and_lies_cost_little(self) -> None:
+    def test_honest_advice_raises_the_served_share_and_dishonest_advice_lowers_it_little(self) -> None:
         unadvised = self.served_share()
         self.assertGreater(self.served_share(month_end_advisors.honest_advisor), unadvised)
         for dishonest in (
@@ -166,9 +166,9 @@
         both = self.served_share(month_end_advisors.honest_advisor, month_end_advisors.lying_advisor)
         self.assertGreater(both, unadvised)
 
-    def test_advice_overloads_no_warming_up_worker_and_undoes_no_drain(self) -> None:
+    def test_advice_overloads_no_warming_up_worker_and_reverts_no_drain(self) -> None:
         def flattering_advisor(_: float, run: MonthEndRun) -> dict[int, AdvisoryWeight]:
-            """Ranks a worker that was started during the run far above the others."""
+            """Gives a worker that was started during the run a far higher weight than the others."""
             return {
                 index: AdvisoryWeight(MAX_ADVISED_WEIGHT if worker.started_at else 1.0)
                 for index, worker in run.workers.items()
@@ -184,7 +184,7 @@
 
         unadvised = MonthEndRun({}, duration_s=50.0).run(start_one_and_drain_one)
         advised = MonthEndRun({ADVISOR: flattering_advisor}, duration_s=50.0).run(start_one_and_drain_one)
-        self.assertGreater(unadvised.worst_warm_up_load, 0.0)  # it was used while it was warming up
+        self.assertGreater(unadvised.worst_warm_up_load, 0.0)  # it got requests while it was warming up
         self.assertLess(advised.worst_warm_up_load, 1.0)
         self.assertEqual(advised.proxies_without_worker, 0)
 
--- a/tests/planning/test_snapshot_staleness.py
+++ b/tests/planning/test_snapshot_staleness.py
@@ -1,4 +1,4 @@
-"""What is restored from a snapshot at its age, by managers and forwarders."""
+"""Tests of what managers and forwarders restore from a snapshot, by its age."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class AgeCase:
-    """What is left of a manager's state at an age."""
+    """The age of a manager's snapshot, and what is restored from it."""
 
     age_s: float
     is_ejection_restored: bool
@@ -54,7 +54,7 @@
 
 
 class SnapshotStalenessTest(unittest.TestCase):
-    def test_each_figure_ages_by_its_kind(self) -> None:
+    def test_each_kind_of_value_is_discounted_by_its_own_limit(self) -> None:
         histories = (
             worker_history(0, was_ejected=True),
             worker_history(1),
@@ -85,12 +85,12 @@
             snapshot_staleness.discount_restored_state(state, 8 * DAY_S).workers[1].base_latency_s, 0.0
         )
 
-    def test_no_ejection_is_restored_over_the_ejection_limit(self) -> None:
+    def test_no_ejection_is_restored_if_the_ejected_workers_exceed_the_limit(self) -> None:
         histories = tuple(worker_history(n, was_ejected=n < 4) for n in range(8))
         self.assertEqual(snapshot_staleness.restorable_ejections(histories, 1.0), set())
         self.assertEqual(snapshot_staleness.restorable_ejections(histories[2:], 1.0), {2, 3})
 
-    def test_a_clock_that_was_set_back_makes_a_snapshot_infinitely_old(self) -> None:
+    def test_a_snapshot_is_infinitely_old_if_the_clock_was_set_back_far(self) -> None:
         self.assertEqual(snapshot_staleness.snapshot_age(1000.0, 999.0), 0.0)
         self.assertEqual(snapshot_staleness.snapshot_age(DAY_S, 0.0), math.inf)
         self.assertEqual(snapshot_staleness.snapshot_age(0.0, DAY_S), DAY_S)
@@ -100,7 +100,7 @@
     def restored_controller(
         self, *histories: WorkerHistory, first_started_at: float = 0.0
     ) -> RoutingController:
-        """A controller with the cached endpoint list and an earlier incarnation's state."""
+        """Returns a controller with a cached endpoint list and the state of an earlier incarnation."""
         controller = RoutingController(month_end.PARAMETERS)
         endpoints = tuple(
             Endpoint(worker, worker % 2, EndpointState.READY, 1.0, first_started_at if worker == 0 else 0.0)
@@ -123,7 +123,9 @@
         )
         self.assertEqual(controller.channel_budget.last_checkpoint, 7)
 
-    def test_a_restored_drain_ends_when_the_list_has_the_worker_ready_and_an_ejection_by_itself(self) -> None:
+    def test_a_restored_drain_ends_when_the_worker_is_listed_as_ready_and_an_ejection_when_it_expires(
+        self,
+    ) -> None:
         controller = self.restored_controller(
             worker_history(0, was_draining=True),
             worker_history(1, was_ejected=True),
@@ -137,13 +139,13 @@
             controller.state.workers.by_index[1].state, (WorkerState.SLOW_START, WorkerState.HEALTHY)
         )
 
-    def test_a_worker_that_was_started_since_is_a_new_one(self) -> None:
+    def test_a_worker_that_was_started_after_the_snapshot_counts_as_new(self) -> None:
         controller = self.restored_controller(worker_history(0, was_draining=True), first_started_at=995.0)
         worker = controller.state.workers.by_index[0]
         self.assertNotEqual(worker.state, WorkerState.REMOVED)
         self.assertTrue(is_warming_up(controller.state, worker))
 
-    def test_a_controller_s_state_names_its_workers_and_proxies(self) -> None:
+    def test_the_collected_state_has_all_workers_and_proxies(self) -> None:
         run = month_end.MonthEndRun({}, duration_s=30.0)
         run.run()
         known = run.controller.state
@@ -155,7 +157,7 @@
 
 @dataclass(frozen=True)
 class ForwarderCase:
-    """What a forwarder restores at an age."""
+    """The age of a forwarder's snapshot, and what is restored from it."""
 
     age_s: float
     is_avoided: bool
@@ -163,7 +165,7 @@
 
 
 class RestoredForwarderTest(unittest.TestCase):
-    def test_exclusions_stand_and_tables_and_avoided_workers_age(self) -> None:
+    def test_exclusions_are_restored_at_any_age_but_tables_and_avoided_workers_are_not(self) -> None:
         classes = [RequestClass("fetch", (), Idempotency.IDEMPOTENT)]
         before = Router(classes, AdmissionMode.RATIO, lambda: 0.5)
         weights = tuple((f"s-{n}", 1.0) for n in range(WORKER_COUNT))
