--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -67,7 +67,8 @@
     """Returns relative shares of the live workers: their capacity, limited for those that are warming up.
 
     The share of each warming-up worker is computed as if it were the only one in the group that warms up.  If
-    there are several, each therefore gets less than its limit, never more.
+    there are several, each therefore gets less than its limit, never more.  The shares are not limited if all
+    live workers are warming up.
     """
     shares = dict(live)
     if not warm:
