--- a/cottonladder/simulator/event_decoder.py
+++ b/cottonladder/simulator/event_decoder.py
@@ -32,7 +32,7 @@
 )
 from .worker_ids import WorkerIds
 
-# The values that the simulator's protocol allows; their numbers are the same there.
+# The members that the simulator's protocol has too, with the same values.
 ENDPOINT_STATES = (EndpointState.DRAINING, EndpointState.READY, EndpointState.GONE)
 LIST_UPDATE_KINDS = (
     ListUpdateKind.FULL,
--- a/cottonladder/simulator/host.py
+++ b/cottonladder/simulator/host.py
@@ -24,7 +24,7 @@
 
 
 class SimulatedManager:
-    """One manager: its controller, the decoder of its events and the encoder of its actions."""
+    """One simulated manager: its controller, the decoder of its events and the encoder of its actions."""
 
     def __init__(self, body: Any, where: str) -> None:
         """Reads the settings from the body of an ATTACH event; raises ConfigError if they are invalid."""
@@ -36,11 +36,11 @@
         self._controller = RoutingController(settings.parameters)
 
     def decode(self, name: str, body: Any, where: str) -> Input:
-        """Decodes an event as an input of the policy."""
+        """Decodes an event as an input of the policy; raises ConfigError if it is invalid."""
         return self._decoder.decode(name, body, where)
 
     def decide_actions(self, now: float, inputs: list[Input]) -> list[Action]:
-        """Returns the actions that the policy orders, or the action CRASH alone after an exception in it."""
+        """Returns the actions for these inputs, or only the action CRASH if an exception was raised."""
         try:
             orders = self._controller.decide_orders(now, inputs)
             return [self._encoder.encode(order) for order in orders if not _is_internal(order)]
@@ -50,13 +50,15 @@
 
 
 def _is_internal(order: Order) -> bool:
-    """Tells whether an order has no action: the ids of removed workers are kept."""
+    """Returns whether an order has no action: the ids of removed workers are kept."""
     return isinstance(order, RemoveWorker)
 
 
 def _name_and_body(event: Any, manager_id: int) -> tuple[str, Any]:
     if not isinstance(event, dict) or len(event) != 1:
-        raise ConfigError(f"instance {manager_id}", "an event is not an object with a single key")
+        received = f"{len(event)} keys" if isinstance(event, dict) else type(event).__name__
+        fault = f"event is not an object with one key, got {received}"
+        raise ConfigError(f"instance {manager_id}", fault)
     ((name, body),) = event.items()
     return name, body
 
@@ -84,7 +86,10 @@
         return {"managers": outboxes}
 
     def _handle_events(self, manager_id: int, now: float, events: list[Any]) -> list[Action]:
-        """Handles one manager's events; decides at the last one and before a start or end of the manager."""
+        """Handles the events of one manager.
+
+        The policy decides after the last event, and before each start or end of the manager.
+        """
         actions: list[Action] = []
         inputs: list[Input] = []
         for event in events:
@@ -99,7 +104,7 @@
             elif name == ATTACH:
                 self._managers[manager_id] = SimulatedManager(body, where)
             elif manager_id not in self._managers:
-                raise ConfigError(where, "no ATTACH came before it")
+                raise ConfigError(where, f"expected an {ATTACH} event before it")
             else:
                 inputs.append(self._managers[manager_id].decode(name, body, where))
         return actions + self._decide(manager_id, now, inputs)
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -50,8 +50,8 @@
         invalid: list[tuple[Any, str]] = [
             ([], "batch: not an object"),
             ({"SimTimeMs": 1}, "batch: field managers is missing"),
-            (batch(7), "instance 0: an event is not an object with a single key"),
-            (batch({"WAKE": {"Nonce": 1}}), "WAKE for instance 0: no ATTACH came before it"),
+            (batch(7), "instance 0: event is not an object with one key, got int"),
+            (batch({"WAKE": {"Nonce": 1}}), "WAKE for instance 0: expected an ATTACH event before it"),
             (batch(ATTACH, {"NOPE": {}}), "NOPE for instance 0: unknown event"),
             (
                 batch(ATTACH, {"WAKE": {"Nonce": "x"}}),
