--- a/cottonladder/protocol/config_messages.py
+++ b/cottonladder/protocol/config_messages.py
@@ -32,7 +32,7 @@
     checkpoint: int | None = None
 
     def to_arguments(self, has_successor: bool) -> list[bytes]:
-        """The arguments of the part; `has_successor` marks that another part of the message follows."""
+        """Returns the arguments of the part; `has_successor` marks that another part follows it."""
         arguments = [b"CONFIG"]
         if self.classes:
             arguments += [b"for", self.classes]
@@ -56,7 +56,7 @@
 
 
 def encode_parts(parts: list[OutgoingConfigPart]) -> bytes:
-    """Encodes the parts, which the proxy applies together."""
+    """Encodes the parts of one message, which the proxy applies together."""
     last = parts[-1]
     return b"".join(resp.encode(part.to_arguments(has_successor=part is not last)) for part in parts)
 
--- a/cottonladder/protocol/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -19,23 +19,23 @@
 from .discovery_http import check_status, read_body, read_lines
 from .endpoint_list import RegisterWorker, ZoneIndex, read_endpoint_list
 from .endpoint_watch import DiscoverySource, EndpointWatch
-from .errors import EndpointListError
+from .errors import EndpointListError, error_summary
 from .fault_log import RateLimitedFaultLog
 
-SILENCE_TIMEOUT_S = 3.0  # without a byte: discovery writes at least an empty line each 2 s
-FETCH_TIMEOUT_S = 5.0  # for the complete list: the queueing time that discovery allows, and the round trip
-MAX_CONNECTIONS = 4  # two watches and a fetch, with one to spare
+SILENCE_TIMEOUT_S = 3.0  # without received bytes; discovery sends at least an empty line every 2 s
+FETCH_TIMEOUT_S = 5.0  # for the complete list: the longest queueing time at discovery and the round trip
+MAX_CONNECTIONS = 4  # two watches, a fetch and a reserve of one
 
 
 class DiscoveryClient:
-    """Owns an HTTP session, a watch and a fetch of the list, and after a change of address the former watch.
+    """Owns an HTTP session, a watch, a fetch of the list and, after a change of address, the former watch.
 
     The former watch stays in use until the one at the new address has answered, so that no update is lost in
     between.
 
     The answer to a fetch and the lines of a watch may overtake each other.  A version older than the accepted
     one is ignored.  A version below that of the watch's previous line, or below the one that was accepted
-    when the call was made, means that discovery may have started over; it is accepted the second time.
+    when the call was made, means that discovery may have restarted; it is accepted the second time.
 
     `entry_received` is called with each decoded entry, for fields that the protocol does not define.
     """
@@ -72,7 +72,7 @@
         return self._source.version
 
     def set_watching(self, enabled: bool) -> None:
-        """Starts a watch, in place of the present one if it has been answered; or ends it."""
+        """Starts a watch in place of the present one, unless that is still unanswered; or ends it."""
         if self._is_closed:
             return
         if self._watch is not None and self._watch.is_running():
@@ -93,15 +93,14 @@
             self._fetch_task = asyncio.create_task(self._run(self._fetch_list(self._source)))
 
     def change_address(self, address: HostPort) -> None:
-        """Moves to another address of discovery.
+        """Switches to another address of discovery.
 
-        If there is a watch, one is started there, which fetches the complete list first.  The new address may
-        count versions differently from the old one, so changes after the accepted version would not be
-        enough.
+        If there is a watch, another is started at the new address.  It fetches the complete list first, as
+        the new address may count versions differently: changes after the accepted version would not suffice.
         """
         if self._is_closed:
             return
-        self._source = DiscoverySource(_url(address), self.version, fetch_first=True)
+        self._source = DiscoverySource(_url(address), self.version, needs_full_list=True)
         if self._fetch_task is not None:
             self._fetch_task.cancel()
         if self._watch is not None:
@@ -132,10 +131,10 @@
             return
         except (aiohttp.ClientError, TimeoutError, OSError, InputError) as exc:
             self._faults.summarize(asyncio.get_running_loop().time())
-            self._faults.report(str(exc) or type(exc).__name__)
+            self._faults.report(str(exc) or type(exc).__name__, error_summary(exc))
         except Exception:
-            # A fault of this program ends this call alone.  It is reported like any other failure, or the
-            # controller would take the list for watched.
+            # A fault of this program ends this call alone.  It is reported like any other failure; otherwise
+            # the controller would assume that the list is still watched.
             self.log.exception("discovery_call_failed", reason="a fault of this program")
         if watch is not None and watch is self._former_watch:
             self._former_watch = None  # the watch at the new address reports its own failures
@@ -154,9 +153,9 @@
 
     async def _follow(self, watch: EndpointWatch) -> None:
         source = watch.source
-        if source.fetch_first:
+        if source.needs_full_list:
             await self._fetch_list(source)
-            source.fetch_first = False
+            source.needs_full_list = False
             self._mark_answered(watch)
         watch.last_version = source.version
         query = {"watch": "1", "after": str(source.version)}
@@ -168,7 +167,7 @@
                 elif not watch.is_answered:
                     self._report_no_change()
                 self._mark_answered(watch)
-        raise EndpointListError("watch", "ended by discovery")
+        raise EndpointListError("watch", "discovery ended the answer, which has to stay open")
 
     def _mark_answered(self, watch: EndpointWatch) -> None:
         watch.is_answered = True
@@ -192,22 +191,22 @@
             if version < previous_version:
                 source.check_restart(version, previous_version, is_full_list=watch is None)
             elif version < source.version:
-                # A newer version has overtaken it, which includes all of its changes.
+                # A newer version, which includes all changes of this one, has been accepted before it.
                 if watch is not None and not watch.is_answered:
                     self._report_no_change()
                 return version
             version, endpoints = read_endpoint_list(body, self._zones, self._register, "list")
         except (RecursionError, OverflowError) as exc:
-            raise EndpointListError("list", str(exc)) from None
+            raise EndpointListError("list", f"nested too deeply or with a number too large: {exc}") from None
         except json.JSONDecodeError:
             raise EndpointListError("list", "not JSON") from None
         source.version = version
-        source.went_back = False
+        source.has_lower_version = False
         if self._entry_received is not None:
             for entry in body["servers"]:
                 self._entry_received(entry)
         if watch is not None and watch is self._former_watch:
-            # An update from the former address does not answer the watch at the new one.
+            # The watch at the new address is not yet answered by an update from the former one.
             endpoints = EndpointList(ListUpdateKind.SUPERSEDED, endpoints.endpoints)
         self._input_received(endpoints)
         return version
--- a/cottonladder/protocol/endpoint_list.py
+++ b/cottonladder/protocol/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Reads discovery's endpoint list, complete or a delta, from its decoded JSON."""
+"""Decodes discovery's endpoint list, complete or a delta, from parsed JSON."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ..config.fields import NUMBER_TYPES, read_address, read_field, read_seconds
+from ..config.fields import MS_PER_S, NUMBER_TYPES, read_address, read_field, read_seconds
 from ..model.inputs import Endpoint, EndpointList, EndpointState, ListUpdateKind
 from .errors import EndpointListError
+from .message_fields import quoted_text
 
 MAX_WORKER_ID_LENGTH = 255  # characters
-SEPARATORS = frozenset(", :")  # between ids and values in an order
+SEPARATORS = frozenset(", :")  # separate ids and values in orders, so no id may contain them
 STATES = {
     "Ready": EndpointState.READY,
     "Terminating": EndpointState.DRAINING,
@@ -25,7 +26,7 @@
     """Finds the index of a zone by its name."""
 
     def zone_index(self, name: str, where: str) -> int:
-        """The index of a zone; raises `InputError` with `where` for an unknown one."""
+        """Returns the index of a zone; raises `InputError` for an unknown one, with `where` in its text."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +44,7 @@
 def read_endpoint_list(
     body: Any, zones: ZoneIndex, register: RegisterWorker, where: str
 ) -> tuple[int, EndpointList]:
-    """The list and its version, with workers as the indices that `register` gives them.
+    """Returns the version and the list, with workers as the indices that `register` returns.
 
     No worker is registered unless every entry is valid.  Raises `InputError`; `where` begins its text.
     """
@@ -67,13 +68,17 @@
     worker_id = read_field(entry, "id", str, where)
     state = read_field(entry, "state", str, where)
     if state not in STATES:
-        raise EndpointListError(where, "field state has an unknown value")
+        raise EndpointListError(where, f"field state is not one of {', '.join(STATES)}", quoted_text(state))
     if not _is_valid_worker_id(worker_id):
-        raise EndpointListError(where, "field id can't stand in an order")
+        expected = f"1 to {MAX_WORKER_ID_LENGTH} printable ASCII characters without space, comma or colon"
+        raise EndpointListError(where, f"field id is not {expected}", quoted_text(worker_id))
     weight = float(read_field(entry, "weight", NUMBER_TYPES, where))
     started_at = read_seconds(entry, "started_ms", where)
-    if not (0 <= weight < float("inf") and 0 <= started_at < float("inf")):
-        raise EndpointListError(where, "field weight or started_ms is not a finite figure of 0 or more")
+    if not 0 <= weight < float("inf"):
+        raise EndpointListError(where, "field weight is not a finite number of 0 or more", str(weight))
+    if not 0 <= started_at < float("inf"):
+        received = str(started_at * MS_PER_S)
+        raise EndpointListError(where, "field started_ms is not a finite number of 0 or more", received)
     zone = zones.zone_index(read_field(entry, "zone", str, where), f"{where}: field zone")
     host, port = read_address(entry, "addr", where)
     return _ListedWorker(worker_id, f"{host}:{port}", zone, STATES[state], weight, started_at)
--- a/cottonladder/protocol/errors.py
+++ b/cottonladder/protocol/errors.py
@@ -9,21 +9,29 @@
 
 
 class ProtocolError(InputError):
-    """A peer violated a protocol; the base class of this package's errors."""
+    """A peer violated a protocol; the base class of this package's errors.
+
+    `summary` is the text without the received value.  Log lines are rate-limited by it, so that a peer that
+    varies the value of an invalid field does not get a log line for each value.
+    """
+
+    def __init__(self, summary: str, received: str = "") -> None:
+        super().__init__(f"{summary}, got {received}" if received else summary)
+        self.summary = summary
 
 
 class FramingError(ProtocolError):
     """Bytes that are not valid RESP2; the message boundaries after them are unknown."""
 
-    def __init__(self, fault: str) -> None:
-        super().__init__(f"message: {fault}")
+    def __init__(self, fault: str, received: str = "") -> None:
+        super().__init__(f"RESP message: {fault}", received)
 
 
 class MessageError(ProtocolError):
     """A complete message that is not valid; `message_type` is its first argument."""
 
-    def __init__(self, message_type: str, fault: str) -> None:
-        super().__init__(f"{message_type}: {fault}")
+    def __init__(self, message_type: str, fault: str, received: str = "") -> None:
+        super().__init__(f"{message_type}: {fault}", received)
         self.message_type = message_type
         self.fault = fault
 
@@ -31,16 +39,16 @@
 class FieldError(MessageError):
     """A field of a message is missing or has a value that is not allowed."""
 
-    def __init__(self, message_type: str, field: str, fault: str) -> None:
-        super().__init__(message_type, f"field {field} {fault}")
+    def __init__(self, message_type: str, field: str, fault: str, received: str = "") -> None:
+        super().__init__(message_type, f"field {field} {fault}", received)
         self.field = field
 
 
 class NumberError(ProtocolError):
-    """A value that should be a finite number of 0 or more; `where` names its place."""
+    """A value that is not `expected`, such as a finite number of 0 or more; `where` names its place."""
 
-    def __init__(self, where: str, fault: str) -> None:
-        super().__init__(f"{where} is not {fault}")
+    def __init__(self, where: str, expected: str, received: str) -> None:
+        super().__init__(f"{where} is not {expected}", received)
         self.where = where
 
 
@@ -48,14 +56,21 @@
     """A number that can't be sent, as no peer accepts it: negative, infinite or NaN."""
 
     def __init__(self, value: float) -> None:
-        super().__init__(f"figure {value} can't stand in a message")
+        super().__init__("number to send is not a finite number of 0 or more", str(value))
         self.value = value
 
 
 class EndpointListError(ProtocolError):
     """An endpoint list, or an answer of discovery, that is not valid; `where` names which."""
 
-    def __init__(self, where: str, fault: str) -> None:
-        super().__init__(f"{where}: {fault}")
+    def __init__(self, where: str, fault: str, received: str = "") -> None:
+        super().__init__(f"{where}: {fault}", received)
         self.where = where
         self.fault = fault
+
+
+def error_summary(error: Exception) -> str:
+    """Returns the text that log lines about `error` are rate-limited by."""
+    if isinstance(error, ProtocolError):
+        return error.summary
+    return str(error) or type(error).__name__
--- a/cottonladder/protocol/fault_log.py
+++ b/cottonladder/protocol/fault_log.py
@@ -1,4 +1,4 @@
-"""Rate-limited log lines about faults of other parties, so that no peer can fill the log."""
+"""Rate-limited logging of faults that peers cause, so that no peer can fill the log."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 import structlog
 
-SUMMARY_INTERVAL_S = 10.0  # between two lines with the same reason
-MAX_REASONS = 32  # logged separately within an interval; further ones are counted together
+SUMMARY_INTERVAL_S = 10.0  # between two summaries
+MAX_REASONS = 32  # logged separately in an interval; further ones are counted together
 OTHER_REASONS = "others"
 
 
 class RateLimitedFaultLog:
-    """Logs the first fault of each reason at once, and the number of its repetitions once an interval.
+    """Logs the first fault of each reason immediately, and the number of its repetitions once an interval.
 
     `event` is the event name of the log lines.  The owner calls `summarize` periodically.
     """
@@ -20,17 +20,22 @@
     def __init__(self, event: str) -> None:
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self._event = event
-        self._repetitions: dict[str, int] = {}  # by reason, not counting the first, which was logged
+        self._repetitions: dict[str, int] = {}  # by summary, without the first fault, which was logged
         self._interval_started_at = 0.0
 
-    def report(self, reason: str, **fields: Any) -> None:
-        """Logs or counts a fault; `fields` describe the party that caused it."""
-        if reason not in self._repetitions and len(self._repetitions) >= MAX_REASONS:
-            reason = OTHER_REASONS
-        if reason in self._repetitions:
-            self._repetitions[reason] += 1
+    def report(self, reason: str, summary: str = "", **fields: Any) -> None:
+        """Logs or counts a fault; `fields` describe the peer that caused it.
+
+        `summary` is the reason without values that the peer sent: faults with the same summary count as
+        repetitions of one another.  If it is empty, `reason` itself is the summary.
+        """
+        group = summary or reason
+        if group not in self._repetitions and len(self._repetitions) >= MAX_REASONS:
+            group = reason = OTHER_REASONS
+        if group in self._repetitions:
+            self._repetitions[group] += 1
             return
-        self._repetitions[reason] = 0
+        self._repetitions[group] = 0
         self.log.info(self._event, reason=reason, **fields)
 
     def summarize(self, now: float) -> None:
--- a/cottonladder/protocol/gossip.py
+++ b/cottonladder/protocol/gossip.py
@@ -12,7 +12,7 @@
 from ..model.inputs import GossipReceived, Input
 
 MAX_DATAGRAM_SIZE = 256  # bytes: the protocol's limit
-ALL_PEERS = -1  # as the recipient of a datagram
+ALL_PEERS = -1  # recipient of a broadcast
 
 
 class GossipSocket(asyncio.DatagramProtocol):
@@ -42,11 +42,14 @@
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio once the socket is open."""
+        """Keeps the transport of the opened socket; called by asyncio."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Called by asyncio for each datagram; drops one from an unknown sender, too long, or not text."""
+        """Passes on a datagram as an input; called by asyncio.
+
+        A datagram from an unknown sender, over `MAX_DATAGRAM_SIZE` or not in UTF-8 is dropped.
+        """
         sender = self._index_by_address.get((str(addr[0]), int(addr[1])))
         if sender is None or sender == self._own_index or len(data) > MAX_DATAGRAM_SIZE:
             return
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of workers over HTTP; a check's duration includes the time to connect."""
+"""Health checks of workers over HTTP; the duration of a check includes the time to connect."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .message_fields import MAX_SHOWN_LENGTH, parse_number
 
 CHECK_TIMEOUT_S = 0.5  # for connection and answer together; checks of one worker are at least 1 s apart
-MAX_BODY_SIZE = 4096  # bytes of an answer, which is one line of a few numbers
+MAX_BODY_SIZE = 4096  # bytes: an answer is one line of a few numbers
 METRICS_PREFIX = "TEXT"
 
 
@@ -24,13 +24,13 @@
     for pair in text.removeprefix(METRICS_PREFIX).split(","):
         name, sign, value = pair.strip().partition("=")
         if sign:
-            where = f"load report: field {name[:MAX_SHOWN_LENGTH]}"
+            where = f"health check: metric {name[:MAX_SHOWN_LENGTH]}"
             metrics[name] = parse_number(value.strip().encode(), where)
     return metrics
 
 
 class HealthChecker:
-    """Runs health checks, at most `max_open` at once and one for each worker; further ones wait.
+    """Runs health checks, at most `max_open` concurrently and one for each worker; further ones wait.
 
     With several checks of one worker under way, hanging ones would accumulate, and all of those sent before a
     restart of the worker would fail and count towards its ejection.
@@ -54,7 +54,7 @@
         )
 
     def start_check(self, worker_index: int) -> None:
-        """Starts a check of the worker, unless one is under way; its result is an input."""
+        """Starts a check of the worker, unless one is under way; the result is passed on as an input."""
         if worker_index in self._tasks:
             return
         task = asyncio.create_task(self._check(worker_index, self._address_of(worker_index)))
@@ -76,7 +76,7 @@
                 # Without an answer in time the check has failed; unreadable metrics are ignored.
                 pass
             if self._address_of(worker_index) != address:
-                return  # the worker has another address by now, so the answer came from another process
+                return  # the worker's address has changed, so another process has answered
             duration_s = time.monotonic() - started_at
             self._input_received(HealthCheckResult(worker_index, succeeded, duration_s, metrics))
 
--- a/cottonladder/protocol/messages.py
+++ b/cottonladder/protocol/messages.py
@@ -1,4 +1,4 @@
-"""Reads messages of proxies and collectors into typed inputs of the routing controller."""
+"""Decodes messages of proxies and collectors as typed inputs of the routing controller."""
 
 from __future__ import annotations
 
@@ -68,14 +68,14 @@
     def read(self, arguments: list[bytes]) -> IncomingMessage:
         """Reads one message, given as its arguments; raises `InputError` if it is not valid."""
         if not arguments:
-            raise MessageError("message", "an array without words")
+            raise MessageError("message", "expected a message type, got an empty array")
         reader = MESSAGE_READERS.get(arguments[0])
         if reader is not None:
             return reader(self, MessageFields(printable(arguments[0]), arguments[1:]))
         extension_reader = self.extension_readers.get(arguments[0])
         if extension_reader is not None:
             return ExtensionMessage(extension_reader(arguments))
-        raise MessageError(printable(arguments[0]), "unknown kind of message")
+        raise MessageError(printable(arguments[0]), "unknown message type")
 
     def _zone(self, fields: MessageFields) -> int:
         return self.settings.zone_index(fields.text("locality"), f"{fields.message_type}: field locality")
@@ -83,7 +83,7 @@
     def _proxy(self, fields: MessageFields) -> int:
         proxy = fields.count("node")
         if proxy >= self.settings.parameters.proxy_count:
-            raise FieldError(fields.message_type, "node", "is beyond the settings")
+            raise fields.error("node", f"is not a proxy index below {self.settings.parameters.proxy_count}")
         return proxy
 
     def _read_ping(self, _fields: MessageFields) -> IncomingMessage:
@@ -98,7 +98,9 @@
         total = fields.count("total")
         errors = fields.count("errors")
         if errors > total:
-            raise FieldError(fields.message_type, "errors", "is more than total")
+            raise FieldError(
+                fields.message_type, "errors", "is more than field total", f"{errors} of {total}"
+            )
         interval_s = fields.interval_s(total)
         metrics = fields.metrics("metrics")
         latency_s = 0.0
--- a/cottonladder/protocol/protocol_connection.py
+++ b/cottonladder/protocol/protocol_connection.py
@@ -10,7 +10,7 @@
 
 from ..config.errors import InputError
 from ..model.inputs import Acknowledged, ArrivalReport, Input, LoadReport, ProxyConnected
-from .errors import FieldError, MessageError
+from .errors import FieldError, MessageError, error_summary
 from .fault_log import RateLimitedFaultLog
 from .message_fields import printable
 from .messages import (
@@ -25,33 +25,33 @@
 from .resp import MAX_MESSAGE_SIZE, RespReader
 
 MAX_FIRST_MESSAGE_SIZE = 4096  # bytes of one message while the connection is unidentified
-ENDED_BY_PEER = "ended by the other side"
+ENDED_BY_PEER = "closed by the peer"
 
 
 class ConnectionState(Enum):
-    """Whose connection it is; log lines and error texts show the values."""
+    """Kind of peer that a connection belongs to; log lines and error texts show the values."""
 
     UNIDENTIFIED = "new"
     COLLECTOR = "collector"
     PROXY = "stream"
-    SUPERSEDED = "old"  # a newer connection of its proxy has taken its place
+    SUPERSEDED = "old"  # replaced by a newer connection of the same proxy
 
 
 class StreamEvents(Protocol):
-    """Receives what identified connections deliver; the calls must not block."""
+    """Callbacks for the events of identified connections; they must not block."""
 
     def proxy_connected(self, connection: ProtocolConnection, event: ProxyConnected) -> None:
-        """A connection has said which proxy it belongs to."""
+        """Called when a SUBSCRIBE has identified the proxy of a connection."""
 
     def connection_ended(self, connection: ProtocolConnection) -> None:
-        """A proxy's connection that no newer one has superseded is closed."""
+        """Called when a proxy's connection is closed that no newer one has superseded."""
 
     def input_received(self, item: Input | ExtensionMessage) -> None:
-        """A report, an acknowledgement or a message of an extension has arrived."""
+        """Called for each report, acknowledgement and message of an extension."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the listener that accepted it."""
+    """The interface of a listener that its connections use."""
 
     reader: MessageReader
     events: StreamEvents
@@ -59,19 +59,19 @@
 
     @property
     def max_unread_bytes(self) -> int:
-        """Bytes that one peer may leave unread before its connection is ended."""
+        """Largest number of bytes buffered for a peer that does not read, before the connection is closed."""
 
     def connection_opened(self, connection: ProtocolConnection) -> None:
-        """The connection is accepted and not yet identified."""
+        """Called when a connection is accepted, before its peer identifies itself."""
 
     def connection_identified(self, connection: ProtocolConnection, client: str) -> None:
-        """The connection has said whose it is; `client` names it in the log."""
+        """Called when the peer has identified itself; `client` names it in the log."""
 
     def mark_superseded(self, connection: ProtocolConnection) -> None:
-        """A newer connection of the same proxy has taken this one's place."""
+        """Marks a connection that a newer one of the same proxy has replaced."""
 
     def connection_closed(self, connection: ProtocolConnection, reason: str) -> None:
-        """The connection has ended, by either side."""
+        """Called when the connection is closed by either side; `reason` is logged."""
 
 
 class ProtocolConnection(asyncio.Protocol):
@@ -87,22 +87,23 @@
         self.zone = -1
         self.peer = ""
         self.close_reason = ""
+        self.close_summary = ""  # the close reason without values that the peer sent
         self.last_received_at = 0.0
         self.accept_number = 0  # counts the listener's accepted connections
         self._reader = RespReader(MAX_FIRST_MESSAGE_SIZE)
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio once the connection is accepted."""
+        """Registers the accepted connection with the listener; called by asyncio."""
         self._transport = cast(asyncio.Transport, transport)
         host, port = transport.get_extra_info("peername", ("?", "?"))[:2]
         self.peer = f"{host}:{port}"
         self.listener.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Called by asyncio for bytes that arrived.
+        """Decodes received bytes and handles the messages that they complete; called by asyncio.
 
-        A framing error ends the connection, as does any fault before the peer has identified itself.  After
+        A framing error ends the connection, as does any error before the peer has identified itself.  After
         that an invalid message is logged and ignored; for the reason see `abort`.  A peer that sends nothing
         valid therefore stays connected; only the log shows it.
         """
@@ -113,7 +114,7 @@
                     return
                 self._process(arguments)
         except InputError as exc:
-            self.abort(str(exc))
+            self.abort(str(exc), error_summary(exc))
 
     def _process(self, arguments: list[bytes]) -> None:
         try:
@@ -121,21 +122,21 @@
         except InputError as exc:
             if self.state is ConnectionState.UNIDENTIFIED:
                 raise
-            self.listener.rejected_messages.report(str(exc), **self.log_fields())
+            self.listener.rejected_messages.report(str(exc), error_summary(exc), **self.log_fields())
 
     def _dispatch(self, arguments: list[bytes]) -> None:
         message = self.listener.reader.read(arguments)
         handler = MESSAGE_HANDLERS.get((self.state, type(message)))
         if handler is None:
-            raise MessageError(printable(arguments[0]), f"not on a connection that is {self.state.value}")
+            raise MessageError(printable(arguments[0]), f"not allowed in connection state {self.state.value}")
         handler(self, message)
 
     def log_fields(self) -> dict[str, object]:
-        """The fields that describe this connection in log lines."""
+        """Returns the fields that describe this connection in log lines."""
         return {"peer": self.peer, "state": self.state.value, "proxy": self.proxy}
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by asyncio once the connection is closed, by either side."""
+        """Reports the closed connection and the reason to the listener; called by asyncio."""
         self.listener.connection_closed(self, self.close_reason or str(exc or ENDED_BY_PEER))
 
     def send(self, data: bytes) -> None:
@@ -150,14 +151,16 @@
         else:
             transport.write(data)
 
-    def abort(self, reason: str) -> None:
-        """Ends the connection at once and drops what is buffered; `reason` is logged.
+    def abort(self, reason: str, summary: str = "") -> None:
+        """Closes the connection immediately and discards buffered data; `reason` is logged.
 
+        `summary` is the reason without values that the peer sent, if it has such values.
         This is the last resort: a proxy receives no orders while it reconnects.
         """
         transport = self._transport
         if transport is not None and not transport.is_closing():
             self.close_reason = reason
+            self.close_summary = summary
             transport.abort()
 
     def _is_closed(self) -> bool:
@@ -185,8 +188,11 @@
 
     def _pass_on_own(self, message: IncomingMessage) -> None:
         """Passes on what a proxy reports about itself; raises FieldError if it names another proxy."""
-        if cast(Acknowledged | ArrivalReport, message).proxy != self.proxy:
-            raise FieldError("ACK or RATE", "node", "is another's than the stream's")
+        proxy = cast(Acknowledged | ArrivalReport, message).proxy
+        if proxy != self.proxy:
+            message_type = "ACK" if isinstance(message, Acknowledged) else "RATE"
+            fault = "is not the index of the connection's proxy"
+            raise FieldError(message_type, "node", fault, f"{proxy} instead of {self.proxy}")
         self._pass_on(message)
 
     def _pass_on_extension(self, message: IncomingMessage) -> None:
@@ -194,7 +200,7 @@
         self.listener.events.input_received(ExtensionMessage(body, self.proxy))
 
     def _ignore(self, message: IncomingMessage) -> None:
-        """Drops a report on an unlisted worker, or what was under way when the connection was superseded."""
+        """Discards a report on an unlisted worker, or any message of a superseded connection except PING."""
 
 
 MessageHandler = Callable[[ProtocolConnection, IncomingMessage], None]
--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -12,11 +12,14 @@
 from .messages import MessageReader
 from .protocol_connection import ConnectionState, ProtocolConnection, StreamEvents
 
-ACCEPT_QUEUE_LENGTH = 1024  # least number of connections that the kernel queues: all peers may dial at once
+# Minimum number of connections that the kernel queues: all peers may connect at the same time.
+ACCEPT_QUEUE_LENGTH = 1024
 IDENTIFY_TIMEOUT_S = 1.0  # from the accept to the identifying message; the protocol allows a peer 3 s
 SWEEP_INTERVAL_S = 0.25
-MAX_COLLECTORS_PER_ZONE = 4  # connections: a zone's one collector may reconnect before its old one ends
-SUPERSEDED_TIMEOUT_S = 5.0  # a superseded connection whose network failed would stay open without it
+# A zone has one collector, which may reconnect several times before its former connections end.
+MAX_COLLECTORS_PER_ZONE = 4
+# A superseded connection whose network failed would otherwise stay open.
+SUPERSEDED_TIMEOUT_S = 5.0
 STOP_REASON = "the manager stops"
 
 
@@ -51,7 +54,7 @@
         self._unidentified: dict[ProtocolConnection, float] = {}  # opened at (s), oldest first
         self._superseded: dict[ProtocolConnection, float] = {}  # superseded at (s)
         self._collectors: dict[int, list[ProtocolConnection]] = {}  # by zone
-        self._overdue: list[ProtocolConnection] = []  # were unidentified too long at the last sweep
+        self._overdue: list[ProtocolConnection] = []  # unidentified too long at the previous sweep
         self._accepted_count = 0
         self._is_closed = False
         self._server: asyncio.Server | None = None
@@ -59,7 +62,7 @@
 
     @property
     def max_unread_bytes(self) -> int:
-        """Bytes that one peer may leave unread, by the limits that hold now."""
+        """Largest number of bytes buffered for a peer that does not read, by the present limits."""
         return self.limits.max_unread_bytes
 
     async def listen(self, host: str, port: int) -> int:
@@ -78,25 +81,25 @@
         return int(listening_socket.getsockname()[1])
 
     def _sweep(self) -> None:
-        """Ends connections that were overdue at the last sweep already.
+        """Closes connections that were overdue at the previous sweep and still are.
 
-        Between two sweeps the loop reads what has arrived, so a connection whose identifying message was
-        received but not yet read, because the loop lagged, is not ended.
+        The loop reads received bytes between two sweeps.  A connection whose identifying message has arrived
+        but was not read because the loop lagged is therefore kept.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
         for connection in self._overdue:
             if connection.state is ConnectionState.UNIDENTIFIED:
-                connection.abort("has not joined in time")
+                connection.abort(f"no SOURCE or SUBSCRIBE within {IDENTIFY_TIMEOUT_S:g} s")
         self._overdue = _older_than(IDENTIFY_TIMEOUT_S, self._unidentified, now)
         for connection in _older_than(SUPERSEDED_TIMEOUT_S, self._superseded, now):
-            connection.abort("another stream of this proxy came")
+            connection.abort("superseded by a newer connection of the same proxy")
         self.rejected_messages.summarize(now)
         self._closed_unidentified.summarize(now)
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def connection_opened(self, connection: ProtocolConnection) -> None:
-        """Records an accepted connection; over the limit, one connection is ended."""
+        """Records an accepted connection; over the limit, one connection is closed."""
         self._accepted_count += 1
         connection.accept_number = self._accepted_count
         if self._is_closed:  # accepted before the listener was closed, opened after it
@@ -106,12 +109,12 @@
         self._unidentified[connection] = asyncio.get_running_loop().time()
         if len(self._open) > self.limits.max_connections:
             expendable = self._expendable_connection(connection)
-            # Now, as asyncio reports its end only in the next iteration of the event loop.
+            # Forgotten here, as asyncio calls `connection_lost` only in the next iteration of the event loop.
             self._forget(expendable)
             expendable.abort("too many connections")
 
     def _expendable_connection(self, newest: ProtocolConnection) -> ProtocolConnection:
-        """The oldest unidentified connection, else the oldest superseded one, else the newest of all."""
+        """Returns the oldest unidentified connection, else the oldest superseded one, else `newest`."""
         if len(self._unidentified) > 1:
             return next(iter(self._unidentified))
         return next(iter(self._superseded), newest)
@@ -122,7 +125,7 @@
         self._superseded.pop(connection, None)
 
     def connection_identified(self, connection: ProtocolConnection, client: str) -> None:
-        """Records whose connection it is; of too many collectors in a zone the least active one is ended."""
+        """Records an identified connection; closes the least active collector if its zone has too many."""
         self._unidentified.pop(connection, None)
         if connection.state is ConnectionState.COLLECTOR:
             collectors = self._collectors.setdefault(connection.zone, [])
@@ -130,16 +133,16 @@
             if len(collectors) > MAX_COLLECTORS_PER_ZONE:
                 least_active = min(collectors, key=lambda collector: collector.last_received_at)
                 collectors.remove(least_active)
-                least_active.abort("other collectors of its zone came")
+                least_active.abort(f"over {MAX_COLLECTORS_PER_ZONE} collectors of the same zone")
         self.log.info("connection_opened", peer=connection.peer, client=client)
 
     def mark_superseded(self, connection: ProtocolConnection) -> None:
-        """Marks a connection whose proxy has a newer one; it is ended after `SUPERSEDED_TIMEOUT_S`."""
+        """Marks a connection whose proxy has a newer one; it is closed after `SUPERSEDED_TIMEOUT_S`."""
         connection.state = ConnectionState.SUPERSEDED
         self._superseded[connection] = asyncio.get_running_loop().time()
 
     def connection_closed(self, connection: ProtocolConnection, reason: str) -> None:
-        """Forgets a connection that either side has ended, and logs why."""
+        """Forgets a connection that either side has closed, and logs the reason."""
         self._forget(connection)
         collectors = self._collectors.get(connection.zone, [])
         if connection in collectors:
@@ -149,12 +152,12 @@
         if self._is_closed:
             return  # `close` has logged one line for all connections
         if connection.state is ConnectionState.UNIDENTIFIED:
-            self._closed_unidentified.report(reason, **connection.log_fields())
+            self._closed_unidentified.report(reason, connection.close_summary, **connection.log_fields())
         else:
             self.log.info("connection_closed", **connection.log_fields(), reason=reason)
 
     async def close(self) -> None:
-        """Stops accepting, and ends all connections."""
+        """Stops accepting, and closes all connections."""
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         if self._server is not None:
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -1,9 +1,10 @@
-"""The protocol extension for upgraded connections, which forwarders hold open; imported only if switched on.
+"""The protocol extension for upgraded connections, which forwarders hold open; imported only if enabled.
 
-A forwarder announces the extension after its SUBSCRIBE; a manager that has it accepts, and only then does
-either side send its other messages.  A manager without the extension rejects the announcement, and a proxy
-without it never receives any of these messages.  Times on the wire are in milliseconds; `node` is the proxy's
-index, and `done` the number of connections that left the worker, migrated or closed.
+A forwarder announces the extension after its SUBSCRIBE.  A manager that supports it accepts; before that,
+neither side sends any other message of the extension.  A manager without the extension rejects the
+announcement, and a proxy without it never receives any of these messages.  Times on the wire are in
+milliseconds; `node` is the proxy's index, and `done` the number of connections that left the worker, migrated
+or closed.
 
     UPGRADES node 17 version 1                            forwarder: announces the extension
     UPGRADES version 1 part 0.25 arrivals 50.0            manager: accepts; the forwarder's share of arrivals
@@ -23,12 +24,12 @@
 from ..config.fields import MS_PER_S
 from ..model.connection_counts import ConnectionCounts
 from . import resp
-from .errors import FieldError, MessageError, UnencodableNumberError
-from .message_fields import MessageFields
+from .errors import FieldError, UnencodableNumberError
+from .message_fields import MessageFields, quoted
 
 VERSION = 1  # of the extension
 MAX_REPORTED_WORKERS = 4096  # in one HELD message
-MAX_CONNECTIONS = 10_000_000  # of one forwarder to one worker; a higher count is implausible
+MAX_CONNECTIONS = 10_000_000  # from one forwarder to one worker; a higher count is implausible
 MAX_COUNT_DIGITS = 8  # of a count up to `MAX_CONNECTIONS`
 MAX_DESTINATIONS = 4096  # of one migration
 COUNTS_PER_REPORTED_WORKER = 3  # open, busy, resumable
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwarderAnnounced:
-    """UPGRADES of a forwarder: it has the extension."""
+    """UPGRADES of a forwarder: it supports the extension."""
 
     proxy: int
     version: int
@@ -49,16 +50,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnouncementAccepted:
-    """UPGRADES of a manager: it has the extension too."""
+    """UPGRADES of a manager: it supports the extension too."""
 
     version: int
-    arrival_share: float  # of all new connections, the part that this forwarder takes, 0 to 1
+    arrival_share: float  # fraction of all new connections that this forwarder receives, 0 to 1
     worker_arrivals_per_s: float  # new connections that an average worker accepts
 
 
 @dataclass(frozen=True, slots=True)
 class HeldConnections:
-    """HELD: the connections of a forwarder by worker id; with `is_complete`, it has none to other workers."""
+    """HELD: the connections of a forwarder by worker id; if `is_complete`, it has none to other workers."""
 
     proxy: int
     is_complete: bool
@@ -67,10 +68,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrationOrdered:
-    """MOVE: `count` connections are to leave the worker `source`.
+    """MOVE: `count` connections have to leave the worker `source`.
 
-    `destinations` has, by worker id, how many of them go where; the rest are closed, and their clients
-    asked to reconnect.
+    `destinations` has the number of connections that migrate to each worker, by worker id.  The others are
+    closed, and their clients are asked to reconnect.
     """
 
     number: int  # identifies the migration in its result
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrationDone:
-    """MOVED: how many connections of a migration left the worker, migrated or closed, and how many not."""
+    """MOVED: the numbers of connections that a migration removed from the worker, and failed to remove."""
 
     proxy: int
     number: int  # of the migration
@@ -109,23 +110,27 @@
     counts_by_worker: dict[bytes, tuple[int, ...]] = {}
     entries = [entry for entry in fields.values.get(name.encode(), b"").split(b",") if entry]
     if len(entries) > max_workers:
-        raise FieldError(fields.message_type, name, f"has over {max_workers} entries")
+        fault = f"has more than {max_workers} entries"
+        raise FieldError(fields.message_type, name, fault, str(len(entries)))
     for entry in entries:
-        worker_id, *figures = entry.rsplit(b":", counts_per_worker)
-        if not worker_id or len(figures) != counts_per_worker or not all(map(_is_count, figures)):
+        worker_id, *numbers = entry.rsplit(b":", counts_per_worker)
+        if not worker_id or len(numbers) != counts_per_worker or not all(map(_is_count, numbers)):
             form = "id" + ":count" * counts_per_worker
-            raise FieldError(fields.message_type, name, f"is not {form}")
+            fault = f"has an entry that is not {form} with counts of at most {MAX_COUNT_DIGITS} digits"
+            raise FieldError(fields.message_type, name, fault, quoted(entry))
         if worker_id in counts_by_worker:
-            raise FieldError(fields.message_type, name, "names a worker twice")
-        counts = tuple(int(figure) for figure in figures)
+            fault = "has more than one entry of a worker"
+            raise FieldError(fields.message_type, name, fault, quoted(worker_id))
+        counts = tuple(int(number) for number in numbers)
         if max(counts) > MAX_CONNECTIONS:
-            raise FieldError(fields.message_type, name, f"has a count over {MAX_CONNECTIONS}")
+            fault = f"has a count over {MAX_CONNECTIONS}"
+            raise FieldError(fields.message_type, name, fault, str(max(counts)))
         counts_by_worker[worker_id] = counts
     return counts_by_worker
 
 
-def _is_count(figure: bytes) -> bool:
-    return figure.isdigit() and len(figure) <= MAX_COUNT_DIGITS
+def _is_count(value: bytes) -> bool:
+    return value.isdigit() and len(value) <= MAX_COUNT_DIGITS
 
 
 def _read_announcement(fields: MessageFields) -> ForwarderAnnounced:
@@ -134,12 +139,13 @@
 
 def _read_held_connections(fields: MessageFields) -> HeldConnections:
     counts_by_worker: dict[bytes, ConnectionCounts] = {}
-    for worker_id, figures in _read_counts(
+    for worker_id, numbers in _read_counts(
         fields, "holds", COUNTS_PER_REPORTED_WORKER, MAX_REPORTED_WORKERS
     ).items():
-        counts = ConnectionCounts(*figures)
+        counts = ConnectionCounts(*numbers)
         if max(counts.busy, counts.resumable) > counts.open:
-            raise FieldError(fields.message_type, "holds", "has more busy or resumable than open")
+            fault = "has more busy or resumable than open connections of a worker"
+            raise FieldError(fields.message_type, "holds", fault, quoted(worker_id))
         counts_by_worker[worker_id] = counts
     return HeldConnections(fields.count("node"), fields.flag("whole"), counts_by_worker)
 
@@ -154,7 +160,7 @@
     arrival_share = fields.number("part")
     worker_arrivals_per_s = fields.number("arrivals")
     if arrival_share > 1.0:
-        raise FieldError(fields.message_type, "part", "is over 1")
+        raise fields.error("part", "is over 1")
     return AnnouncementAccepted(fields.count("version"), arrival_share, worker_arrivals_per_s)
 
 
@@ -162,14 +168,16 @@
     source = fields.text("from")
     if b"stop" in fields.values:
         if not fields.flag("stop"):
-            raise FieldError(fields.message_type, "stop", "is not 1")
+            raise fields.error("stop", "is not 1")
         return MigrationStopped(source)
     destinations: dict[str, int] = {}
     for worker_id, (count,) in _read_counts(fields, "to", COUNTS_PER_DESTINATION, MAX_DESTINATIONS).items():
         destinations[worker_id.decode()] = count
     count = fields.count("count")
-    if not 0 < count <= MAX_CONNECTIONS or sum(destinations.values()) > count:
-        raise FieldError(fields.message_type, "count", "is none, or less than the places named")
+    if not 0 < count <= MAX_CONNECTIONS:
+        raise fields.error("count", f"is not 1 to {MAX_CONNECTIONS}")
+    if sum(destinations.values()) > count:
+        raise fields.error("count", "is less than the sum of the counts in field to")
     return MigrationOrdered(
         fields.count("move"),
         source,
@@ -202,7 +210,7 @@
     try:
         return TO_FORWARDER[arguments[0]](MessageFields(message_type, arguments[1:]))
     except UnicodeDecodeError:
-        raise MessageError(message_type, "a worker's id is not text") from None
+        raise FieldError(message_type, "to", "has a worker id that is not UTF-8 text") from None
 
 
 def encode_announcement(proxy: int) -> bytes:
@@ -240,14 +248,14 @@
     """Encodes MOVE, the order of a migration."""
     arguments = [MOVE, b"move", b"%d" % number, b"from", source]
     if destinations:
-        arguments += [b"to", b",".join(b"%b:%d" % place for place in destinations.items())]
+        arguments += [b"to", b",".join(b"%b:%d" % destination for destination in destinations.items())]
     arguments += [b"count", b"%d" % count]
     arguments += [b"within", _number(duration_s * MS_PER_S), b"left", _number(time_left_s * MS_PER_S)]
     return resp.encode(arguments)
 
 
 def encode_migration_stop(source: bytes) -> bytes:
-    """Encodes MOVE with `stop`, the end of a migration."""
+    """Encodes MOVE with `stop`, which ends a migration."""
     return resp.encode([MOVE, b"from", source, b"stop", b"1"])
 
 
--- a/tests/control/test_endpoint_updates.py
+++ b/tests/control/test_endpoint_updates.py
@@ -46,15 +46,17 @@
         no_address = endpoint_entry("s-4", addr="x:y")
         infinite_weight = endpoint_entry("s-4", weight=10**400)
         bad_answers = {
-            "status 503": scripted_answer("", 503),
+            "expected status 200, got 503": scripted_answer("", 503),
             "not JSON": scripted_answer('{"version":42,\n'),
-            "cut off": scripted_answer(json.dumps(endpoint_list(44, gone))),
-            "state has an unknown value": watch_line_answer(endpoint_list(42, gone, unknown_state)),
+            "the answer ended within a line": scripted_answer(json.dumps(endpoint_list(44, gone))),
+            "state is not one of Ready, Terminating, Gone, got 'No'": watch_line_answer(
+                endpoint_list(42, gone, unknown_state)
+            ),
             "field addr": watch_line_answer(endpoint_list(42, gone, no_address)),
             "recursion": scripted_answer("[" * 100_000 + "\n"),
             "float": watch_line_answer(endpoint_list(42, infinite_weight)),
-            "ended by discovery": watch_line_answer(endpoint_list(42)),
-            "version 40 after 42": watch_line_answer(endpoint_list(40)),
+            "discovery ended the answer": watch_line_answer(endpoint_list(42)),
+            "expected version 42 or later, got 40": watch_line_answer(endpoint_list(40)),
         }
         self.discovery.script = [*bad_answers.values(), complete_answer(42, "s-1", "s-2")]
         program = await self.start_serving(settings=SHORT_RETRY_DELAY)
@@ -71,7 +73,7 @@
             complete_answer(7, "s-2"),
         ]
         program = await self.start_serving()
-        await program.wait_for_log("discovery_call_failed", "version 7 after 41")
+        await program.wait_for_log("discovery_call_failed", "expected version 41 or later, got 7")
         calls = [await in_time(self.discovery.calls.get()) for _ in range(2)]
         self.assertEqual([call.rpartition("after=")[2] for call in calls], ["41", "/v1/servers"])
         await program.wait_for_log(
--- a/tests/control/test_manager_program.py
+++ b/tests/control/test_manager_program.py
@@ -137,7 +137,9 @@
         new = await self.join(program, 3, cold=0)
         await new.receive_until("replace")
         old.send("ACK node 3 nonce 1 latency 1")  # was on its way when the new stream was accepted
-        await program.wait_for_log("connection_closed", "state=old", "another stream")  # it went silent
+        await program.wait_for_log(
+            "connection_closed", "state=old", "superseded by a newer connection"
+        )  # it went silent
         await self.discovery.send_updates(endpoint_list(42, endpoint_entry("s-1", "Terminating")))
         await new.receive_until("s-1:0.0")
 
--- a/tests/forwarder/test_manager_stream.py
+++ b/tests/forwarder/test_manager_stream.py
@@ -198,7 +198,7 @@
         manager = await self.manager(upgrades=None)
         forwarder = await self.forwarder(manager.port)
         await self.wait_for_table(forwarder, "s-1", "s-2")
-        await manager.wait_for_log("message_rejected", "UPGRADES: unknown kind")
+        await manager.wait_for_log("message_rejected", "UPGRADES: unknown message type")
         await self.open(forwarder, 20)
         await self.discovery.set_state("s-1", "Terminating")
         await self.wait_until_empty("s-1")  # paced by the forwarder alone
--- a/tests/protocol/test_resp.py
+++ b/tests/protocol/test_resp.py
@@ -16,7 +16,10 @@
         first_argument = header + b"x" * ARGUMENT_SIZE + b"\r\n"
         reader = RespReader(MAX_MESSAGE_SIZE)
         self.assertEqual(list(reader.feed(b"*2\r\n" + first_argument)), [])
-        with self.assertRaisesRegex(FramingError, "over the limit"):
+        with self.assertRaisesRegex(
+            FramingError,
+            "^RESP message: length in bytes of an argument is over the limit of 448576, got 600000$",
+        ):
             list(reader.feed(header))
 
 
