--- a/tests/protocol/test_discovery.py
+++ b/tests/protocol/test_discovery.py
@@ -1,7 +1,7 @@
-"""The discovery client when answers, watches and addresses overtake each other, on real sockets.
+"""The discovery client when answers, watches and changes of address overlap, on real sockets.
 
-The scripted service forces the order of two events, and each test fails without the check that it is for;
-`docs/race-conditions.md` lists all of them.
+The scripted service forces the order of two events; each test fails without the check that it covers.
+`docs/race-conditions.md` lists these tests.
 """
 
 from __future__ import annotations
@@ -42,21 +42,21 @@
 CHUNK_INTERVAL_S = 0.01  # between chunks of an answer that is sent in pieces
 SHORT_LINE_TIMEOUT_S = 0.1  # in place of 5 s
 SHORT_SILENCE_TIMEOUT_S = 0.2  # in place of 3 s, where a call is never answered
-SHORT_WATCH_SILENCE_S = 1.0  # in place of 3 s; the first line of a watch must come within it
+SHORT_WATCH_SILENCE_S = 1.0  # in place of 3 s; the first line of a watch must arrive within it
 SHORT_MAX_LIST_SIZE = 900  # bytes, in place of 8 MiB
-LINE_COUNT = 30  # of which each takes `LINE_DURATION_S`
+LINE_COUNT = 30  # each line takes `LINE_DURATION_S`
 LINE_DURATION_S = 0.9 * discovery_http.LINE_TIMEOUT_S
-CHUNK_OVERLAP = 20  # bytes by which a chunk's end stands before its line's
+CHUNK_OVERLAP = 20  # bytes from the end of a chunk to the end of its line
 ACCEPT_QUEUE_FILLERS = 8  # connections that fill a queue of length 0
 
 
 def encode_line(body: JsonObject) -> bytes:
-    """One line of a watch."""
+    """Encodes one line of a watch."""
     return json.dumps(body).encode() + b"\n"
 
 
 def answer_after(event: asyncio.Event, body: JsonObject) -> Handler:
-    """Sends the head of the answer at once, and the body after the event."""
+    """Sends the head of the answer immediately, and the body after the event."""
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         reply = web.StreamResponse()
@@ -68,15 +68,15 @@
     return handle
 
 
-def answer_at_once(body: JsonObject) -> Handler:
-    """Sends the whole answer at once."""
+def answer_immediately(body: JsonObject) -> Handler:
+    """Sends the whole answer immediately."""
     already_set = asyncio.Event()
     already_set.set()
     return answer_after(already_set, body)
 
 
 def stream_lines(lines: Sequence[bytes]) -> Handler:
-    """Sends the lines at once, and keeps the answer open."""
+    """Sends the lines immediately, and keeps the answer open."""
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         reply = web.StreamResponse()
@@ -162,7 +162,7 @@
 
     async def test_a_watch_line_older_than_a_fetch_answer_is_ignored(self) -> None:
         await self.start_watching()
-        self.service.script = [answer_at_once(endpoint_list(45, DRAINING, full=True))]
+        self.service.script = [answer_immediately(endpoint_list(45, DRAINING, full=True))]
         self.client.fetch()
         await self.expect_updates((ListUpdateKind.FULL, EndpointState.DRAINING))
         await self.service.send_updates(
@@ -182,7 +182,7 @@
             await asyncio.Event().wait()
             return reply
 
-        self.service.script = [watch, answer_at_once(endpoint_list(45, DRAINING, full=True))]
+        self.service.script = [watch, answer_immediately(endpoint_list(45, DRAINING, full=True))]
         self.client.set_watching(True)
         await in_time(self.service.calls.get())
         self.client.fetch()
@@ -194,8 +194,8 @@
     async def test_one_lower_version_is_not_accepted_as_a_new_list(self) -> None:
         """A lower version fails the call; a list of the accepted version or a later one is accepted again."""
         self.service.script = [
-            answer_at_once(endpoint_list(40, READY, full=True)),
-            answer_at_once(endpoint_list(47, DRAINING, full=True)),
+            answer_immediately(endpoint_list(40, READY, full=True)),
+            answer_immediately(endpoint_list(47, DRAINING, full=True)),
         ]
         self.client.fetch()
         await self.expect_updates((ListUpdateKind.FAILED, None))
@@ -205,7 +205,7 @@
 
     async def test_a_lower_version_is_accepted_the_second_time(self) -> None:
         for kind, state in ((ListUpdateKind.FAILED, None), (ListUpdateKind.FULL, EndpointState.READY)):
-            self.service.script = [answer_at_once(endpoint_list(1, endpoint_entry("s-7"), full=True))]
+            self.service.script = [answer_immediately(endpoint_list(1, endpoint_entry("s-7"), full=True))]
             self.client.fetch()
             await self.expect_updates((kind, state))
         self.assertEqual(self.client.version, 1)
@@ -215,7 +215,7 @@
         await self.start_watching()
         new = await self.start_discovery()
         new.service.script = [
-            answer_at_once(endpoint_list(12, endpoint_entry("s-7"), full=True)) for _ in range(2)
+            answer_immediately(endpoint_list(12, endpoint_entry("s-7"), full=True)) for _ in range(2)
         ]
         self.client.change_address(new.address)
         await self.expect_updates((ListUpdateKind.FAILED, None))
@@ -311,7 +311,9 @@
         for _ in range(2):
             client.set_watching(True)
             await self.expect_updates((ListUpdateKind.FAILED, None))
-        self.assertEqual(list(client._faults._repetitions.values()), [1])  # beside the one that was logged
+        self.assertEqual(
+            list(client._faults._repetitions.values()), [1]
+        )  # repetition of the fault that was logged
 
     async def test_a_closed_client_starts_no_call(self) -> None:
         """A reload or a retry may coincide with the shutdown."""
@@ -356,13 +358,13 @@
         new = await self.start_discovery()
         former_watch_ended = asyncio.Event()
 
-        async def note_end(request: web.BaseRequest) -> web.StreamResponse:
+        async def record_end(request: web.BaseRequest) -> web.StreamResponse:
             try:
                 return await watch(request)
             finally:
                 former_watch_ended.set()
 
-        former.service.script = [note_end]
+        former.service.script = [record_end]
         new_list = endpoint_list(43, DRAINING, endpoint_entry("s-2"), full=True)
         new.service.script = [answer_after(former_watch_ended, new_list)]
         updates: asyncio.Queue[EndpointList] = asyncio.Queue()
@@ -394,7 +396,7 @@
         new = ScriptedDiscovery()
         retried = asyncio.Event()
 
-        async def note_retry(_request: web.BaseRequest) -> web.StreamResponse:
+        async def record_retry(_request: web.BaseRequest) -> web.StreamResponse:
             retried.set()
             return web.Response(status=503)
 
@@ -403,7 +405,7 @@
                 await former_watch.write(encode_line(endpoint_list(version, READY)))
                 await asyncio.sleep(self.UPDATE_INTERVAL_S)
 
-        new.script = [respond_unavailable, note_retry]
+        new.script = [respond_unavailable, record_retry]
         sending = asyncio.create_task(send_updates())
         self.addAsyncCleanup(asyncio.gather, sending, return_exceptions=True)
         self.addCleanup(sending.cancel)
--- a/tests/protocol/test_health_checks.py
+++ b/tests/protocol/test_health_checks.py
@@ -1,7 +1,7 @@
 """Health checks that overlap a change of address or another check, on real sockets.
 
-The simulated worker forces the order of two events, and each test fails without the check that it is for;
-`docs/race-conditions.md` lists all of them.
+The simulated worker forces the order of two events; each test fails without the check that it covers.
+`docs/race-conditions.md` lists these tests.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from tests.support.manager_test_case import ManagerTestCase
 from tests.support.timeouts import EVENT_TIMEOUT_S, in_time
 
-WORKER_INDEX = 5  # of the checked worker; any
+WORKER_INDEX = 5  # of the checked worker; the value is arbitrary
 MAX_OPEN_CHECKS = 4
 
 
 class HealthCheckerTests(ManagerTestCase):
-    """One checker against workers that answer when the test lets them."""
+    """One checker, and workers that answer when the test allows it."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -34,14 +34,14 @@
         self.calls: asyncio.Queue[str] = asyncio.Queue()
 
     def open_checker(self, address_of: Callable[[int], str]) -> HealthChecker:
-        # Each check is answered when the test lets it be, which a busy machine may delay.
+        # A check is answered when the test allows it, which may be late on a busy machine.
         with mock.patch.object(health_checks, "CHECK_TIMEOUT_S", EVENT_TIMEOUT_S):
             checker = HealthChecker("/load", MAX_OPEN_CHECKS, address_of, self.results.put_nowait)
         self.addAsyncCleanup(checker.close)
         return checker
 
     def respond_after(self, event: Awaitable[object]) -> Handler:
-        """Notes each call, and sends a load report after the event."""
+        """Returns a handler that records each call and sends a load report after the event."""
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
             self.calls.put_nowait(request.path)
--- a/tests/protocol/test_stream_listener.py
+++ b/tests/protocol/test_stream_listener.py
@@ -1,7 +1,7 @@
-"""Connections that coincide with each other, with a shutdown or with a flood, on real sockets.
+"""Connections that overlap with each other, with a shutdown or with a connection flood, on real sockets.
 
-The order in which the loop sees two events is forced, and each test fails without the check that it is for;
-`docs/race-conditions.md` lists all of them.
+The order in which the loop handles two events is forced; each test fails without the check that it covers.
+`docs/race-conditions.md` lists these tests.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class ReconnectingProxyTests(ManagerTestCase):
-    """A listener in the test's own loop, which decides what it reads first."""
+    """A listener in the event loop of the test, so that the test determines what is read first."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -59,10 +59,10 @@
         self.program.port = await self.listener.listen("127.0.0.1", 0)
         self.addAsyncCleanup(self.listener.close)
 
-    async def test_the_connection_accepted_last_holds_though_it_is_read_first(self) -> None:
+    async def test_orders_go_to_the_connection_accepted_last_even_if_read_first(self) -> None:
         """A proxy reconnects, and a lagging loop reads the second connection first.
 
-        If the first connection took its place, the proxy would get no orders once that one has ended.
+        If the first connection superseded it, the proxy would get no orders after the first one has closed.
         """
         first = await self.connect(self.program)
         second = await self.connect(self.program, "PING")
@@ -79,7 +79,7 @@
         self.sessions.send(PROXY, CHECKPOINT_MESSAGE)
         self.assertEqual(await second.receive(), CHECKPOINT_TEXT)
 
-    async def test_the_newest_of_three_connections_in_one_turn_holds(self) -> None:
+    async def test_orders_go_to_the_newest_of_three_connections_read_in_one_turn(self) -> None:
         streams = [await self.connect(self.program) for _ in range(3)]
         for stream in streams:
             stream.send("PING")
@@ -99,7 +99,7 @@
         closing: list[asyncio.Task[None]] = []
 
         class ClosingConnection(ProtocolConnection):
-            """Closes the listener between its accept and its opening."""
+            """Closes the listener after the connection is accepted and before it is opened."""
 
             def __init__(self, listener: ConnectionOwner) -> None:
                 super().__init__(listener)
@@ -115,10 +115,10 @@
 
 
 class ConnectionFloodTests(ManagerTestCase):
-    """A manager's program to which far more connections are opened than it has descriptors."""
+    """A manager process to which far more connections are opened than it has file descriptors."""
 
     async def wait_closed(self, connection: socket.socket) -> None:
-        """Reads until the program has ended the connection."""
+        """Reads until the program has closed the connection."""
         loop = asyncio.get_running_loop()
         with suppress(OSError):
             while await in_time(loop.sock_recv(connection, 4096)):
@@ -127,7 +127,7 @@
     def open_unidentified(self, port: int) -> list[socket.socket]:
         """Opens connections without waiting: the kernel queues them until the program accepts them.
 
-        One half sends nothing, the other half no valid message.
+        One half sends nothing, the other half an invalid message.
         """
         unidentified = [socket.socket() for _ in range(UNIDENTIFIED_COUNT)]
         for connection in unidentified:
@@ -139,7 +139,7 @@
                 connection.send(b"GET / HTTP/1.1\r\n\r\n")
         return unidentified
 
-    async def test_two_thousand_dials_do_not_delay_proxies_or_a_drain(self) -> None:
+    async def test_two_thousand_connections_do_not_delay_proxies_or_a_drain(self) -> None:
         """Proxies that connect during the flood get their tables, and all proxies the drain, in time."""
         hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         resource.setrlimit(resource.RLIMIT_NOFILE, (min(TEST_DESCRIPTORS, hard_limit), hard_limit))
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -1,4 +1,4 @@
-"""The simulator's process: actions for a small day, and one line and a status for each invalid batch."""
+"""The simulator's process: actions for valid batches, one error line and a status for an invalid batch."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 def batch(*events: Any) -> Batch:
-    """A batch with events for one manager, which may be invalid."""
+    """Returns a batch of events for one manager; the events may be invalid."""
     return {"SimTimeMs": 1000.0, "managers": [{"ManagerId": 0, "arrivals": list(events)}]}
 
 
 def endpoint_list(**changes: Any) -> Event:
-    """A complete endpoint list with one entry, in which fields are changed."""
+    """Returns an event with a complete endpoint list of one entry, some of whose fields are replaced."""
     return {"SYNC": {"How": 0, "Entries": [{**ENTRY, **changes}]}}
 
 
 def run_simulator(*batches: Any) -> subprocess.CompletedProcess[str]:
-    """Runs the process on batches, one in each line."""
+    """Runs the process with one batch in each line of its input."""
     lines = "".join(json.dumps(each) + "\n" for each in batches)
     command = [sys.executable, "-B", "-m", "cottonladder.simulator"]
     return subprocess.run(command, input=lines, capture_output=True, text=True, check=False)
