--- a/cottonladder/protocol/errors.py
+++ b/cottonladder/protocol/errors.py
@@ -9,7 +9,7 @@
 
 
 class ProtocolError(InputError):
-    """A peer violated a protocol; the base class of this package's errors.
+    """A violation of a protocol by a peer; the base class of this package's errors.
 
     `summary` is the text without the received value.  Log lines are rate-limited by it, so that a peer that
     varies the value of an invalid field does not get a log line for each value.
--- a/cottonladder/protocol/messages.py
+++ b/cottonladder/protocol/messages.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """PING: the peer expects a PONG; allowed at any time."""
+    """PING: the peer expects a PONG; allowed in each state of a connection."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
     """A message of a protocol extension; `body` is what the extension's own reader returned."""
 
     body: object
-    proxy: int = -1  # index of the proxy that sent it; -1 until its connection has filled it in
+    proxy: int = -1  # index of the proxy that sent it; -1 until the connection sets it
 
 
 IncomingMessage = (
@@ -121,7 +121,8 @@
     def _read_rate(self, fields: MessageFields) -> IncomingMessage:
         class_index = self.settings.class_index(fields.text("route"), f"{fields.message_type}: field route")
         requests = fields.count("total")
-        errors = fields.count("errors")  # may exceed the total, with earlier requests
+        # May exceed the total: a request that arrived in an earlier interval may fail in this one.
+        errors = fields.count("errors")
         return ArrivalReport(self._proxy(fields), class_index, requests, errors, fields.interval_s(requests))
 
 
