--- a/cottonladder/config/__init__.py
+++ b/cottonladder/config/__init__.py
@@ -1,1 +1,1 @@
-"""Reads, checks and types the files that a process is started with; imports no subsystem."""
+"""Reads and validates the files that a process is started with; imports no subsystem."""
--- a/cottonladder/config/deployment.py
+++ b/cottonladder/config/deployment.py
@@ -1,6 +1,6 @@
-"""The deployment's settings: a JSON object from the manager's file or the simulator, read and typed.
+"""Reads the deployment's settings, a JSON object in the manager's file or from the simulator.
 
-This module maps the names of the settings to the terms of the code.
+The names of the settings are fixed; this module maps them to the terms of the code.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
     read_number,
 )
 
-MIN_DIVISOR = 1e-3  # smallest value, in the setting's unit, of a setting that the policy divides by
+MIN_DIVISOR = 1e-3  # minimum of settings that the policy divides by, in the unit of the setting
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """The policy's parameters, and what the manager needs beside them.
+    """The policy's parameters, and the settings that only the manager uses.
 
-    `zones` and `classes` give the index of each zone and request class by name.  `manager_index` is this
-    manager's own number.  With `health_checks_report_load`, health checks ask workers for their load.
+    `zones` and `classes` map the name of each zone and request class to its index.  `manager_index` is the
+    index of this manager.  With `health_checks_report_load`, health checks ask workers for their load.
     """
 
     parameters: DeploymentParameters
@@ -38,15 +38,15 @@
     health_checks_report_load: bool
 
     def zone_index(self, name: str, where: str) -> int:
-        """The index of the zone called `name`; raises UnknownNameError if there is none."""
+        """Returns the index of the zone called `name`; raises UnknownNameError if there is none."""
         if name not in self.zones:
-            raise UnknownNameError(where, "zone")
+            raise UnknownNameError(where, "zone", name)
         return self.zones[name]
 
     def class_index(self, name: str, where: str) -> int:
-        """The index of the request class called `name`; raises UnknownNameError if there is none."""
+        """Returns the index of the request class called `name`; raises UnknownNameError if there is none."""
         if name not in self.classes:
-            raise UnknownNameError(where, "class")
+            raise UnknownNameError(where, "request class", name)
         return self.classes[name]
 
 
@@ -77,7 +77,7 @@
 
 
 def _admission_mode(family: JsonObject, where: str) -> AdmissionMode:
-    """Reads the setting; a value that is not known means a rate."""
+    """Reads the admission mode; an unknown value means AdmissionMode.RATE."""
     text = read_field(family, "ThrottleBy", str, where, "none")
     if text in (AdmissionMode.NONE, AdmissionMode.RATIO):
         return AdmissionMode(text)
@@ -87,7 +87,7 @@
 def _slice_count(family: Any, where: str) -> int:
     """Reads the number of slices.
 
-    `SingleWriter` (whether a slice has one owner) is not used, but a value of the wrong type is an error.
+    `SingleWriter` (whether a slice has one owner) is not used, but is rejected if it has the wrong type.
     """
     slice_count: int = read_field(family, "KeyRanges", int, where, 0)
     read_field(family, "SingleWriter", bool, where, False)
--- a/cottonladder/config/errors.py
+++ b/cottonladder/config/errors.py
@@ -1,18 +1,22 @@
-"""Errors for invalid input: files and settings here, and messages of peers by subclasses in other packages.
+"""Errors for invalid files and settings; other packages derive the errors for messages of peers from them.
 
-The text of each error is one line that says where the fault is and what it is.  Only the command line turns
-it into an exit status.
+The text of each error is one line: where the fault is, what was expected and what was found.  Only the
+command line turns an error into an exit status.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
+from .described_value import describe_value
+
 
 class InputError(ValueError):
-    """Input from outside the program is not valid; the base class of every such error."""
+    """The base class of all errors about invalid input from outside the program."""
 
 
 class ConfigError(InputError):
-    """A fault in a file or setting; `where` is a path, a place in a file, or both."""
+    """A fault in a file or setting; `where` is a path, a location in a file, or both."""
 
     def __init__(self, where: str, fault: str) -> None:
         super().__init__(f"{where}: {fault}")
@@ -21,11 +25,11 @@
 
 
 class ConfigFileError(ConfigError):
-    """A file can't be read at all: it is absent, too large, not text, or not in its format."""
+    """A file that can't be read or decoded: it is absent, too large, not text, or not in its format."""
 
 
 class OperatorFileError(ConfigError):
-    """A fault in the operators' file `path`, at a `place` such as `$.forwarder.zone`."""
+    """A fault in the operators' file `path`; `place` is a JSON path such as `$.forwarder.zone`."""
 
     def __init__(self, path: str, place: str, fault: str) -> None:
         super().__init__(f"{path}: {place}", fault)
@@ -34,17 +38,17 @@
 
 
 class NotAnObjectError(ConfigError):
-    """A value is not a JSON object, where one is expected."""
+    """A value that should be a JSON object but has another type."""
 
-    def __init__(self, where: str) -> None:
-        super().__init__(where, "not an object")
+    def __init__(self, where: str, value: object) -> None:
+        super().__init__(where, f"must be an object, got {describe_value(value)}")
 
 
 class UnknownNameError(ConfigError):
-    """A name is not in the settings; `name_kind` is what it names, such as a zone."""
+    """A name that the settings do not list; `name_kind` is what it should name, such as "zone"."""
 
-    def __init__(self, where: str, name_kind: str) -> None:
-        super().__init__(where, f"unknown {name_kind}")
+    def __init__(self, where: str, name_kind: str, name: str) -> None:
+        super().__init__(where, f"unknown {name_kind} {describe_value(name)}, expected one from the settings")
         self.name_kind = name_kind
 
 
@@ -57,38 +61,49 @@
 
 
 class MissingFieldError(FieldError):
-    """A required field is missing."""
+    """A required field that is missing or null; `expected` is the type that it should have."""
 
-    def __init__(self, where: str, field: str) -> None:
-        super().__init__(where, field, "is missing")
+    def __init__(self, where: str, field: str, expected: str) -> None:
+        super().__init__(where, field, f"is missing, expected {expected}")
+        self.expected = expected
 
 
 class FieldTypeError(FieldError):
-    """A field's value has another type than expected; `actual` is the name of its Python type."""
+    """A field whose value does not have the `expected` type."""
 
-    def __init__(self, where: str, field: str, value: object) -> None:
-        self.actual = type(value).__name__
-        super().__init__(where, field, f"has the wrong type ({self.actual})")
+    def __init__(self, where: str, field: str, expected: str, value: object) -> None:
+        super().__init__(where, field, f"must be {expected}, got {describe_value(value)}")
+        self.expected = expected
 
 
 class FieldTooLargeError(FieldError):
-    """A number is larger than `maximum`."""
+    """A field whose number is larger than `maximum`."""
 
-    def __init__(self, where: str, field: str, maximum: float) -> None:
-        super().__init__(where, field, f"is too large, over {maximum:g}")
+    def __init__(self, where: str, field: str, maximum: float, value: float) -> None:
+        super().__init__(
+            where, field, f"is too large: must be at most {maximum:g}, got {describe_value(value)}"
+        )
         self.maximum = maximum
 
 
 class FieldValueError(FieldError):
-    """A field's value has the right type but is not what `expected` says."""
+    """A field whose value has the right type but is not what `expected` describes."""
 
-    def __init__(self, where: str, field: str, expected: str) -> None:
-        super().__init__(where, field, f"is not {expected}")
+    def __init__(self, where: str, field: str, expected: str, value: object) -> None:
+        super().__init__(where, field, f"must be {expected}, got {describe_value(value)}")
         self.expected = expected
 
 
+class DuplicateValueError(FieldError):
+    """A field with an array that has `value` more than once, where all items must be different."""
+
+    def __init__(self, where: str, field: str, value: object) -> None:
+        super().__init__(where, field, f"must not list {describe_value(value)} more than once")
+
+
 class UnknownValueError(FieldError):
-    """A field's value is none of those that the protocol lists."""
+    """A field whose value is not one of the `known` values."""
 
-    def __init__(self, where: str, field: str) -> None:
-        super().__init__(where, field, "has an unknown value")
+    def __init__(self, where: str, field: str, known: Iterable[object], value: object) -> None:
+        known_values = ", ".join(map(str, known))
+        super().__init__(where, field, f"must be one of {known_values}, got {describe_value(value)}")
--- a/cottonladder/config/fields.py
+++ b/cottonladder/config/fields.py
@@ -1,15 +1,16 @@
-"""Checked reading of single fields of decoded JSON objects.
+"""Reads and checks single fields of decoded JSON objects.
 
 Each function takes the object, the field's name, and `where`, which names the object in error messages.  If
-the field is missing or null, the function returns its default, or raises MissingFieldError if it has none.
+the field is missing or null, the function returns the default, or raises MissingFieldError without one.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from typing import Any
 
 from .errors import (
+    DuplicateValueError,
     FieldTooLargeError,
     FieldTypeError,
     FieldValueError,
@@ -21,79 +22,107 @@
 HostPort = tuple[str, int]
 JsonObject = Mapping[str, object]  # a decoded JSON object whose fields are not yet checked
 MS_PER_S = 1000.0
-MAX_NUMBER = 1e12  # limit of every setting, so that products of settings stay finite
+MAX_NUMBER = 1e12  # products of settings stay finite up to this limit
 MAX_PORT = 65535
-COMPARED_PORT_DIGITS = 6  # one more than MAX_PORT has, so that six digits show that a port is too large
+COMPARED_PORT_DIGITS = 6  # one more digit than MAX_PORT has, which is enough to detect a larger port
+HOST_PORT_FORM = f"an address host:port with a port of at most {MAX_PORT}"
+NAMES_FORM = "an array of one or more different, non-empty strings"
 _MISSING = object()
+_TYPE_NAMES: dict[Any, str] = {  # for error messages, by the `types` of read_field
+    str: "a string",
+    bool: "a boolean",
+    int: "an integer",
+    NUMBER_TYPES: "a number",
+    list: "an array",
+    dict: "an object",
+}
 
 
 def read_field(body: Any, name: str, types: Any, where: str, default: Any = _MISSING) -> Any:
-    """One field, checked to be of one of `types`; a bool is not accepted as a number."""
+    """Returns a field's value, which must be of one of `types`; a bool is not accepted as a number.
+
+    `types` is a key of `_TYPE_NAMES`.
+    """
     if not isinstance(body, dict):
-        raise NotAnObjectError(where)
+        raise NotAnObjectError(where, body)
     value = body.get(name)
     if value is None:
         if default is _MISSING:
-            raise MissingFieldError(where, name)
+            raise MissingFieldError(where, name, _TYPE_NAMES[types])
         return default
     is_unexpected_bool = isinstance(value, bool) and types is not bool
     if is_unexpected_bool or not isinstance(value, types):
-        raise FieldTypeError(where, name, value)
+        raise FieldTypeError(where, name, _TYPE_NAMES[types], value)
     return value
 
 
 def read_number(
     body: Any, name: str, where: str, minimum: float = 0.0, default: Any = _MISSING, types: Any = NUMBER_TYPES
 ) -> float:
-    """A number from `minimum` to `MAX_NUMBER`; NaN is not accepted."""
+    """Returns a number from `minimum` to `MAX_NUMBER`; NaN is not accepted."""
     value = read_field(body, name, types, where, default)
     if value > MAX_NUMBER:
-        raise FieldTooLargeError(where, name, MAX_NUMBER)
+        raise FieldTooLargeError(where, name, MAX_NUMBER, value)
     if not value >= minimum:  # unlike `value < minimum`, this is true of NaN
-        raise FieldValueError(where, name, f"a figure of {minimum:g} or more")
+        raise FieldValueError(where, name, f"at least {minimum:g}", value)
     return float(value)
 
 
 def read_integer(body: Any, name: str, where: str, minimum: int = 0, default: Any = _MISSING) -> int:
-    """An integer from `minimum` to `MAX_NUMBER`."""
+    """Returns an integer from `minimum` to `MAX_NUMBER`."""
     return int(read_number(body, name, where, minimum, default, types=int))
 
 
 def read_bounded_seconds(
     body: Any, name: str, where: str, minimum_ms: float = 0.0, default: Any = _MISSING
 ) -> float:
-    """A field in milliseconds, converted to seconds; the bounds are those of `read_number`."""
+    """Returns a field in milliseconds as seconds; the bounds are those of `read_number`, in milliseconds."""
     return read_number(body, name, where, minimum_ms, default) / MS_PER_S
 
 
 def read_seconds(body: Any, name: str, where: str, default: Any = _MISSING) -> float:
-    """A field in milliseconds, converted to seconds; its value is not bounded."""
+    """Returns a field in milliseconds as seconds; its value is not bounded."""
     return float(read_field(body, name, NUMBER_TYPES, where, default)) / MS_PER_S
 
 
 def read_names(body: Any, name: str, where: str) -> list[str]:
-    """A list of one or more different, non-empty names."""
+    """Returns a field whose value is an array of one or more different, non-empty names."""
     value = read_field(body, name, list, where)
     check_names(value, name, where)
     return list(value)
 
 
 def check_names(values: list[Any], name: str, where: str) -> None:
-    """Raises FieldValueError unless the field's `values` are one or more different, non-empty names."""
-    all_are_names = all(isinstance(value, str) and value for value in values)
-    if not values or not all_are_names or len(set(values)) < len(values):
-        raise FieldValueError(where, name, "a list of different names")
+    """Raises FieldError unless the field's `values` are one or more different, non-empty strings."""
+    if not values:
+        raise FieldValueError(where, name, NAMES_FORM, values)
+    for value in values:
+        if not isinstance(value, str) or not value:
+            raise FieldValueError(where, name, NAMES_FORM, value)
+    duplicate = first_duplicate(values)
+    if duplicate is not None:
+        raise DuplicateValueError(where, name, duplicate)
+
+
+def first_duplicate(names: Sequence[str]) -> str | None:
+    """Returns the first name that equals an earlier one, or None if all are different."""
+    seen: set[str] = set()
+    for name in names:
+        if name in seen:
+            return name
+        seen.add(name)
+    return None
 
 
 def read_address(body: Any, name: str, where: str) -> HostPort:
-    """A field of the form host:port."""
+    """Returns the host and port of a field of the form host:port."""
     return parse_host_port(read_field(body, name, str, where), name, where)
 
 
 def parse_host_port(text: str, name: str, where: str) -> HostPort:
-    """Parses a text of the form host:port; `name` is the field or argument that it comes from."""
+    """Parses a text of the form host:port, the value of the field or argument `name`."""
     host, _, port = text.rpartition(":")
     is_number = port.isascii() and port.isdigit()
     if not host or not is_number or int(port[:COMPARED_PORT_DIGITS]) > MAX_PORT:
-        raise FieldValueError(where, name, "an address (host:port)")
+        raise FieldValueError(where, name, HOST_PORT_FORM, text)
     return host, int(port)
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -1,4 +1,4 @@
-"""The manager's file, which `--config` or ROUTER_CONFIG names; it is read at the start and at each reload."""
+"""Reads the manager's file, which `--config` or ROUTER_CONFIG names, at the start and at each reload."""
 
 from __future__ import annotations
 
@@ -12,7 +12,6 @@
 from .errors import ConfigError, ConfigFileError, FieldValueError
 from .fields import HostPort, JsonObject, read_address, read_field, read_number
 
-CONFIG_LOCATION = "configuration"  # the name of the file in error messages
 MIN_SOCKETS = 64  # file descriptors; with fewer, the program's own would leave none for proxies
 MIN_MEMORY_MB = 1
 
@@ -24,82 +23,89 @@
     name: str
     listen: HostPort
     discovery: HostPort
-    sockets: int  # file descriptors that the manager may use
+    sockets: int  # limit of the manager's file descriptors
     memory_mb: int
-    peer_listen: HostPort | None  # where gossip is received; None if the settings switch gossip off
-    peers: list[HostPort]  # the managers, by their index; empty if gossip is off
-    peers_all: HostPort | None  # the broadcast address of gossip; None if gossip is off
+    peer_listen: HostPort | None  # address on which gossip is received; None if the settings disable gossip
+    peers: list[HostPort]  # addresses of the managers by index; empty if gossip is disabled
+    peers_all: HostPort | None  # broadcast address of gossip; None if gossip is disabled
     settings: DeploymentSettings
 
 
 @dataclass(frozen=True, slots=True)
 class ManagerFile:
-    """The decoded file, whose parts are read by one method each.
+    """The decoded file at `path`; each of its sections is read by one method.
 
-    Each method raises a ConfigError for the first fault that it finds, so the order of the calls is the order
-    in which faults are reported.
+    Each method raises a ConfigError for the first fault that it finds, so faults are reported in the order of
+    the calls.
     """
 
+    path: str
     body: Any
 
     @classmethod
     def load(cls, path: str) -> ManagerFile:
         """Reads and decodes the file at `path`."""
         if not path:
-            raise ConfigFileError(CONFIG_LOCATION, "neither --config nor ROUTER_CONFIG names a file")
+            raise ConfigFileError("manager's file", "no path given, expected --config or ROUTER_CONFIG")
         try:
             with open(path, encoding="utf-8") as file:
-                return cls(json.load(file))
+                return cls(path, json.load(file))
         except OSError as exc:
-            raise ConfigFileError(f"{CONFIG_LOCATION}: {path}", str(exc.strerror)) from None
-        except (ValueError, RecursionError) as exc:
-            raise ConfigFileError(CONFIG_LOCATION, f"not JSON ({exc})") from None
+            raise ConfigFileError(path, str(exc.strerror)) from None
+        except RecursionError:
+            raise ConfigFileError(path, "not JSON: nested too deeply") from None
+        except ValueError as exc:
+            raise ConfigFileError(path, f"not JSON: {exc}") from None
 
     def read_settings(self) -> DeploymentSettings:
-        """The deployment's settings, with the seed of the policy's random choices."""
+        """Returns the deployment's settings, with the seed of the policy's random choices."""
         seed = self._read_seed()
-        body = read_field(self.body, "settings", dict, CONFIG_LOCATION)
-        settings = read_settings(body, seed, f"{CONFIG_LOCATION}: settings")
-        if settings.parameters.slice_count:
-            raise FieldValueError(
-                f"{CONFIG_LOCATION}: settings", "KeyRanges", "0, and this protocol has no slices"
-            )
+        body = read_field(self.body, "settings", dict, self.path)
+        where = f"{self.path}: settings"
+        settings = read_settings(body, seed, where)
+        slice_count = settings.parameters.slice_count
+        if slice_count:
+            raise FieldValueError(where, "KeyRanges", "0 (the wire protocol has no slices)", slice_count)
         return settings
 
     def known_list(self) -> JsonObject:
-        """The last known endpoint list, unchecked: `protocol.endpoint_list` reads its fields."""
-        body: JsonObject = read_field(self.body, "known", dict, CONFIG_LOCATION)
+        """Returns the last known endpoint list; `protocol.endpoint_list` reads and checks its fields."""
+        body: JsonObject = read_field(self.body, "known", dict, self.path)
         return body
 
     def read_manager_config(self, settings: DeploymentSettings) -> ManagerConfig:
-        """The manager's addresses and limits, together with the `settings`, which were read before."""
-        limits = read_field(self.body, "limits", dict, CONFIG_LOCATION)
+        """Returns the manager's addresses and limits, with the `settings` that `read_settings` returned."""
+        limits = read_field(self.body, "limits", dict, self.path)
+        limits_place = f"{self.path}: limits"
         has_gossip = settings.parameters.gossip
-        peers = read_field(self.body, "peers", list, CONFIG_LOCATION) if has_gossip else []
+        peers = read_field(self.body, "peers", list, self.path) if has_gossip else []
         return ManagerConfig(
-            name=read_field(self.body, "name", str, CONFIG_LOCATION),
-            listen=read_address(self.body, "listen", CONFIG_LOCATION),
-            discovery=read_address(self.body, "discovery", CONFIG_LOCATION),
-            sockets=int(read_number(limits, "sockets", f"{CONFIG_LOCATION}: limits", MIN_SOCKETS)),
-            memory_mb=int(read_number(limits, "memory_mb", f"{CONFIG_LOCATION}: limits", MIN_MEMORY_MB)),
-            peer_listen=read_address(self.body, "peer_listen", CONFIG_LOCATION) if has_gossip else None,
-            peers=[read_address({"peers": peer}, "peers", CONFIG_LOCATION) for peer in peers],
-            peers_all=read_address(self.body, "peers_all", CONFIG_LOCATION) if has_gossip else None,
+            name=read_field(self.body, "name", str, self.path),
+            listen=read_address(self.body, "listen", self.path),
+            discovery=read_address(self.body, "discovery", self.path),
+            sockets=int(read_number(limits, "sockets", limits_place, MIN_SOCKETS)),
+            memory_mb=int(read_number(limits, "memory_mb", limits_place, MIN_MEMORY_MB)),
+            peer_listen=read_address(self.body, "peer_listen", self.path) if has_gossip else None,
+            peers=[read_address({"peers": peer}, "peers", self.path) for peer in peers],
+            peers_all=read_address(self.body, "peers_all", self.path) if has_gossip else None,
             settings=settings,
         )
 
     def _read_seed(self) -> int:
-        text = read_field(self.body, "seed", str, CONFIG_LOCATION)
+        text = read_field(self.body, "seed", str, self.path)
         try:
             return int(text, 16)
         except ValueError:
-            raise FieldValueError(CONFIG_LOCATION, "seed", "a hexadecimal number") from None
+            raise FieldValueError(self.path, "seed", "a hexadecimal number", text) from None
 
 
 @contextmanager
-def overflows_as_config_errors() -> Iterator[None]:
-    """Raises ConfigError in place of the OverflowError for an integer that is too large for a float."""
+def overflows_as_config_errors(path: str) -> Iterator[None]:
+    """Raises ConfigError for the file at `path` in place of OverflowError.
+
+    Converting an integer that is too large for a float raises OverflowError.
+    """
     try:
         yield
     except OverflowError as exc:
-        raise ConfigError(CONFIG_LOCATION, f"a figure is too large ({exc})") from None
+        raise ConfigError(path, f"a number is too large: {exc}") from None
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -1,8 +1,8 @@
 """The types of the operators' file, with the valid range of each field.
 
-The names of the file's fields are fixed; the `..._NAMES` tables map the terms of the code to them.
-Docstrings and descriptions are part of the JSON schema that `schema` prints for operators.  The module is
-imported only if a file is given, so that a manager without one does not load the schema library.
+The names of the file's fields are fixed; the `..._NAMES` tables map the names of the code to them.
+Docstrings and descriptions are part of the JSON schema that the `schema` command prints for operators.  The
+module is imported only if a file is given, so that a manager without one does not load the schema library.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 HOUR_S = 3_600
 DAY_S = 86_400
-MAX_COUNT = 10_000_000  # of connections or proxies: beyond any deployment
+MAX_COUNT = 10_000_000  # more connections or proxies than any deployment has
 MAX_LENGTH_BYTES = 1 << 31
-MAX_KEY_NUMBER = 1 << 32  # of DFP's security TLV, which has four bytes for it
+KEY_NUMBER_LIMIT = 1 << 32  # exclusive; DFP's security TLV has a key number of four bytes
 
-# Names in the file by names in the code, for the fields where the two differ.
+# Names in the code to names in the file, for the fields where the two differ.
 UPGRADES_NAMES = {
     "grace_s": "grace",
     "max_connections_per_worker": "most",
@@ -55,22 +55,22 @@
 
 
 class UpgradesConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=UPGRADES_NAMES):
-    """Upgraded connections; managers and forwarders of a deployment need the same values."""
+    """Upgraded connections; all managers and forwarders of a deployment need the same values."""
 
-    grace_s: Annotated[Seconds, Meta(description="s within which a draining worker's connections end")]
-    max_connections_per_worker: Annotated[Count, Meta(description="maximum of connections to one worker")] = (
-        defaults.MAX_CONNECTIONS_PER_WORKER
-    )
-    arrivals_per_s: Annotated[Rate, Meta(description="new ones per second, average worker")] = (
+    grace_s: Annotated[Seconds, Meta(description="maximum seconds until a draining worker's connections end")]
+    max_connections_per_worker: Annotated[
+        Count, Meta(description="maximum number of connections to one worker")
+    ] = defaults.MAX_CONNECTIONS_PER_WORKER
+    arrivals_per_s: Annotated[Rate, Meta(description="new connections per second of an average worker")] = (
         defaults.ARRIVALS_PER_S
     )
     requests_per_s_per_connection: Annotated[
-        Rate, Meta(description="requests per second that one counts for")
+        Rate, Meta(description="requests per second that one connection is counted as")
     ] = defaults.REQUESTS_PER_S_PER_CONNECTION
 
 
 class Match(Struct, forbid_unknown_fields=True, frozen=True):
-    """Selects requests by method, path and headers; what is left out selects every request."""
+    """Selects requests by method, path and headers; a field that is left out matches every request."""
 
     methods: Annotated[list[Name], Meta(max_length=32)] = []
     path: Annotated[str, Meta(max_length=1024, pattern=r"^(/.*)?$")] = ""
@@ -78,10 +78,10 @@
 
 
 class Busy(Struct, forbid_unknown_fields=True, frozen=True, rename=BUSY_NAMES):
-    """When an upgraded connection is busy with a request.
+    """Defines when an upgraded connection is busy with a request.
 
-    With `opens`: from a client's message that begins with it to a worker's message that begins with `ends`.
-    Without: until no data has passed for `quiet` seconds.
+    With `opens`: from a client's message that begins with `opens` to a worker's message that begins with
+    `ends`.  Without `opens`: until no data has been transferred for `quiet` seconds.
     """
 
     request_prefix: Annotated[str, Meta(max_length=64)] | None = None
@@ -90,32 +90,34 @@
 
 
 class RequestClassConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=REQUEST_CLASS_NAMES):
-    """A request class; one without `match` takes the requests that no other class matches."""
+    """A request class; a class without `match` has the requests that no other class matches."""
 
     name: Name
     idempotency: Literal["replayable", "uniqued", "non-replayable"] = "non-replayable"
     match: Annotated[list[Match], Meta(max_length=64)] = []
-    deadline_s: Annotated[float, Meta(ge=0, le=DAY_S, description="deadline of a request, s; 0: none")] = 0.0
+    deadline_s: Annotated[
+        float, Meta(ge=0, le=DAY_S, description="deadline of a request in seconds; 0: no deadline")
+    ] = 0.0
     busy: Busy = Busy()
     ticket_header: Annotated[str, Meta(pattern=r"^([A-Za-z0-9-]+)?$", max_length=64)] = ""
 
 
 class LimitsConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=LIMITS_NAMES):
-    """A forwarder's limits on connections (all, per worker, per client), sizes, waits in s, and the pool."""
+    """A forwarder's limits: numbers of connections, sizes in bytes, and timeouts in seconds."""
 
-    connections: Count = defaults.MAX_FORWARDER_CONNECTIONS  # of all clients
+    connections: Count = defaults.MAX_FORWARDER_CONNECTIONS  # from all clients
     connections_per_worker: Count = defaults.MAX_FORWARDER_CONNECTIONS_PER_WORKER  # upgraded connections
     connections_per_client: Count = defaults.MAX_FORWARDER_CONNECTIONS_PER_CLIENT  # from one client address
     header_bytes: Bytes = defaults.MAX_HEADER_BYTES
     body_bytes: Bytes = defaults.MAX_BODY_BYTES
     connect_timeout_s: Seconds = defaults.CONNECT_TIMEOUT_S
-    first_byte_timeout_s: Seconds = defaults.FIRST_BYTE_TIMEOUT_S  # for the head of an answer
-    idle_timeout_s: Seconds = defaults.IDLE_TIMEOUT_S  # without a request, before the connection is closed
-    pool_size_per_worker: Count = defaults.POOL_SIZE_PER_WORKER  # connections for plain requests
+    first_byte_timeout_s: Seconds = defaults.FIRST_BYTE_TIMEOUT_S  # until the head of the response
+    idle_timeout_s: Seconds = defaults.IDLE_TIMEOUT_S  # until a connection without a request is closed
+    pool_size_per_worker: Count = defaults.POOL_SIZE_PER_WORKER  # connections that are not upgraded
 
 
 class PluginConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A plug-in, a WebAssembly module; `fail` says whether a request passes if the plug-in fails."""
+    """A plug-in, a WebAssembly module; with `fail` "open", requests pass if the plug-in fails."""
 
     name: Name
     path: Annotated[str, Meta(min_length=1, max_length=1024)]
@@ -127,8 +129,9 @@
 class PluginsConfig(Struct, forbid_unknown_fields=True, frozen=True):
     """A forwarder's plug-ins, in the order in which they are called.
 
-    `labels`: by worker id.  `missing`: whether a request for a label that no available worker has falls back
-    to the others or is rejected.  `headers`: those that plug-ins may set or remove.
+    `labels`: the labels of each worker, by worker id.  `missing`: whether a request that needs a label that
+    no available worker has falls back to other workers or is rejected.  `headers`: the headers that plug-ins
+    may set or remove.
     """
 
     chain: Annotated[list[PluginConfig], Meta(min_length=1, max_length=16)]
@@ -138,7 +141,10 @@
 
 
 class ManagerPluginsConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=MANAGER_PLUGINS_NAMES):
-    """A manager's plug-ins, with `labels` by worker id; `grace` (s) bounds their vetoes of migrations."""
+    """A manager's plug-ins, with the `labels` of each worker by worker id.
+
+    `grace` is the grace period of a drain in seconds; vetoes of migrations are ignored near its end.
+    """
 
     chain: Annotated[list[PluginConfig], Meta(min_length=1, max_length=16)]
     labels: dict[str, Annotated[list[Name], Meta(max_length=64)]] = {}
@@ -148,7 +154,7 @@
 class ForwarderConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=FORWARDER_NAMES):
     """One forwarder, a proxy of the platform's protocol."""
 
-    node: Annotated[int, Meta(ge=0, le=MAX_COUNT, description="its proxy number, unique in the deployment")]
+    node: Annotated[int, Meta(ge=0, le=MAX_COUNT, description="proxy number, unique in the deployment")]
     zone: Name
     zones: Annotated[list[Name], Meta(min_length=1, max_length=256)]
     listen: HostAndPort
@@ -158,7 +164,11 @@
     admission_mode: Literal["ratio", "rate", "none"] = "ratio"
     expected_requests_per_s: Annotated[
         float,
-        Meta(ge=0, le=defaults.MAX_REQUESTS_PER_S, description="expected requests/s, reported on connecting"),
+        Meta(
+            ge=0,
+            le=defaults.MAX_REQUESTS_PER_S,
+            description="expected requests per second, reported on connecting",
+        ),
     ] = 0.0
     collector: bool = False
     status: Annotated[str, Meta(pattern=r"^([^\s]+:[0-9]{1,5})?$", description="host:port; empty: off")] = ""
@@ -168,7 +178,7 @@
 
 
 class TlsConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """PEM files; with `authorities`, the peer must present a certificate that they have signed."""
+    """Paths of PEM files; with `authorities`, the peer must present a certificate signed by one of them."""
 
     certificate: str = ""
     key: str = ""
@@ -176,9 +186,9 @@
 
 
 class SecretConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """A shared secret for DFP's security TLV: the number of its key, and the file that contains it."""
+    """A shared secret for DFP's security TLV: its key number, and the path of the file that contains it."""
 
-    key: Annotated[int, Meta(ge=0, lt=MAX_KEY_NUMBER)]
+    key: Annotated[int, Meta(ge=0, lt=KEY_NUMBER_LIMIT)]
     file: str
 
 
@@ -219,7 +229,7 @@
 
 
 class OperatorConfig(Struct, forbid_unknown_fields=True, frozen=True):
-    """The complete file; a part that is left out is switched off."""
+    """The complete file; a feature whose section is left out is disabled."""
 
     upgrades: UpgradesConfig | None = None
     advice: AdviceConfig | None = None
@@ -230,10 +240,10 @@
 
 
 def host_port(text: str) -> HostPort:
-    """Parses an address of the operators' file; it is valid, as it was checked when the file was read."""
-    return parse_host_port(text, "at", "operators' file")
+    """Parses an address from the operators' file, whose addresses were checked when the file was read."""
+    return parse_host_port(text, "address", "operators' file")
 
 
 def schema() -> str:
-    """The JSON schema of the file, for editors."""
+    """Returns the JSON schema of the file, for editors."""
     return json.dumps(msgspec.json.schema(OperatorConfig), indent=2)
--- a/cottonladder/config/operator_file.py
+++ b/cottonladder/config/operator_file.py
@@ -1,4 +1,4 @@
-"""Reads the operators' file, which is JSON5, and checks what its types can't express.
+"""Reads the operators' file, which is JSON5, and checks the rules that its types can't express.
 
 The module is imported only if a file is given, so that a manager without one loads neither the JSON5 parser
 nor the schema library.
@@ -13,8 +13,9 @@
 import json5
 import msgspec
 
+from .described_value import describe_value
 from .errors import ConfigFileError, OperatorFileError
-from .fields import parse_host_port
+from .fields import first_duplicate, parse_host_port
 from .operator_config import (
     AdviceConfig,
     AdviceServerConfig,
@@ -25,7 +26,7 @@
 
 MAX_FILE_CHARACTERS = 1 << 20
 VALIDATION_PLACE_MARK = " - at `"  # separates fault and place in an error message of msgspec
-ROOT_PLACE = "$"  # of a fault of the file as a whole, for which msgspec names no place
+ROOT_PLACE = "$"  # JSON path of the whole file; msgspec names no place for a fault at the root
 
 
 def read_operator_config(path: str) -> OperatorConfig:
@@ -52,29 +53,31 @@
     except UnicodeDecodeError as exc:
         raise ConfigFileError(path, f"not UTF-8 (byte {exc.start})") from None
     if len(text) > MAX_FILE_CHARACTERS:
-        raise ConfigFileError(path, f"over {MAX_FILE_CHARACTERS} bytes")
+        raise ConfigFileError(path, f"too large: must have at most {MAX_FILE_CHARACTERS} characters")
     try:
         return json5.loads(text, allow_duplicate_keys=False)
-    except (ValueError, RecursionError) as exc:
+    except RecursionError:
+        raise ConfigFileError(path, "not JSON5: nested too deeply") from None
+    except ValueError as exc:
         one_line = " ".join(str(exc).split())
-        fault = re.sub(r"^<string>:", "line ", one_line) or "too deep"
+        fault = re.sub(r"^<string>:", "line ", one_line)
         raise ConfigFileError(path, f"not JSON5: {fault}") from None
 
 
 def _check_forwarder(path: str, config: ForwarderConfig) -> None:
-    """Checks what the types can't express: a known zone, different names, and valid ports."""
+    """Checks that the zone is in `zones`, that names and managers are different, and that ports are valid."""
     if config.zone not in config.zones:
-        raise OperatorFileError(path, "$.forwarder.zone", f"one of zones expected, got {config.zone!r}")
-    if _has_duplicates(config.zones):
-        raise OperatorFileError(path, "$.forwarder.zones", "a zone comes twice")
-    if _has_duplicates([request_class.name for request_class in config.request_classes]):
-        raise OperatorFileError(path, "$.forwarder.kinds", "a name comes twice")
-    if _has_duplicates(config.managers):
-        raise OperatorFileError(path, "$.forwarder.managers", "a manager comes twice")
-    for index, request_class in enumerate(config.request_classes):
-        if "+" in request_class.name:
+        fault = f"must be one of $.forwarder.zones, got {describe_value(config.zone)}"
+        raise OperatorFileError(path, "$.forwarder.zone", fault)
+    class_names = [request_class.name for request_class in config.request_classes]
+    _check_no_duplicates(path, "$.forwarder.zones", config.zones)
+    _check_no_duplicates(path, "$.forwarder.kinds", class_names)
+    _check_no_duplicates(path, "$.forwarder.managers", config.managers)
+    for index, name in enumerate(class_names):
+        if "+" in name:
             place = f"$.forwarder.kinds[{index}].name"
-            raise OperatorFileError(path, place, "no '+' expected, as it joins kinds on the wire")
+            fault = f"must not contain '+', which joins names on the wire, got {describe_value(name)}"
+            raise OperatorFileError(path, place, fault)
     where = f"{path}: $.forwarder"
     parse_host_port(config.listen, "listen", where)
     parse_host_port(config.discovery, "discovery", where)
@@ -82,33 +85,41 @@
         parse_host_port(manager, f"managers[{index}]", where)
 
 
-def _has_duplicates(names: Sequence[str]) -> bool:
-    return len(set(names)) < len(names)
+def _check_no_duplicates(path: str, place: str, names: Sequence[str]) -> None:
+    duplicate = first_duplicate(names)
+    if duplicate is not None:
+        fault = f"must not list {describe_value(duplicate)} more than once"
+        raise OperatorFileError(path, place, fault)
 
 
 def _check_advice(path: str, config: AdviceConfig) -> None:
-    """Checks what the types can't express: each address once, TLS only with SASP, secrets only with DFP."""
-    _check_advice_peers(path, "$.advice.serve", config.serve, [server.listen for server in config.serve])
-    _check_advice_peers(
-        path, "$.advice.follow", config.follow, [advisor.address for advisor in config.follow]
-    )
+    """Checks that addresses are different and valid, that only SASP has TLS and that only DFP has secrets."""
+    server_addresses = [server.listen for server in config.serve]
+    advisor_addresses = [advisor.address for advisor in config.follow]
+    _check_advice_peers(path, "$.advice.serve", config.serve, "listen", server_addresses)
+    _check_advice_peers(path, "$.advice.follow", config.follow, "at", advisor_addresses)
 
 
 def _check_advice_peers(
     path: str,
     list_place: str,
     entries: Sequence[AdviceServerConfig | AdvisorFollowConfig],
+    address_key: str,
     addresses: Sequence[str],
 ) -> None:
+    """Checks the entries of one list, whose addresses are in the field `address_key`."""
     seen: set[str] = set()
     for index, (entry, address) in enumerate(zip(entries, addresses, strict=True)):
         place = f"{list_place}[{index}]"
-        parse_host_port(address, "at", f"{path}: {place}")
+        parse_host_port(address, address_key, f"{path}: {place}")
         is_any_free_port = address.endswith(":0")
         if address in seen and not is_any_free_port:
-            raise OperatorFileError(path, place, f"{address} comes twice")
+            fault = f"must have another address than the entries before it, got {describe_value(address)}"
+            raise OperatorFileError(path, place, fault)
         seen.add(address)
         if entry.tls is not None and entry.protocol != "sasp":
-            raise OperatorFileError(path, f"{place}.tls", "for sasp alone, as DFP has none")
+            fault = f"is valid only with protocol sasp (DFP has no TLS), got {entry.protocol}"
+            raise OperatorFileError(path, f"{place}.tls", fault)
         if entry.secret is not None and entry.protocol != "dfp":
-            raise OperatorFileError(path, f"{place}.secret", "for dfp alone")
+            fault = f"is valid only with protocol dfp, got {entry.protocol}"
+            raise OperatorFileError(path, f"{place}.secret", fault)
--- a/cottonladder/control/startup_config.py
+++ b/cottonladder/control/startup_config.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ..config.deployment import DeploymentSettings
-from ..config.manager_config import CONFIG_LOCATION, ManagerConfig, ManagerFile, overflows_as_config_errors
+from ..config.manager_config import ManagerConfig, ManagerFile, overflows_as_config_errors
 from ..model.inputs import EndpointList, ListUpdateKind
 from ..protocol.endpoint_list import read_endpoint_list
 from ..state.worker_registry import WorkerRegistry
@@ -32,11 +32,11 @@
     Raises InputError for the first fault; the settings are checked first, then the known list, then the rest.
     """
     file = ManagerFile.load(path)
-    with overflows_as_config_errors():
+    with overflows_as_config_errors(path):
         settings = file.read_settings()
         workers = WorkerRegistry()
         list_version, known = read_endpoint_list(
-            file.known_list(), settings, workers.register, f"{CONFIG_LOCATION}: known"
+            file.known_list(), settings, workers.register, f"{path}: known"
         )
         manager = file.read_manager_config(settings)
     cached = EndpointList(ListUpdateKind.CACHED, known.endpoints)
--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -21,7 +21,7 @@
     def zone_index(self, name: str, where: str) -> int:
         """The index of a zone.  Raises UnknownNameError, which names `where`, for an unknown zone."""
         if name not in self._index:
-            raise UnknownNameError(where, "zone")
+            raise UnknownNameError(where, "zone", name)
         return self._index[name]
 
 
--- a/cottonladder/simulator/event_decoder.py
+++ b/cottonladder/simulator/event_decoder.py
@@ -76,7 +76,7 @@
     def _endpoint_list(self, body: Any, where: str) -> Input:
         kind = read_field(body, "How", int, where)
         if kind not in LIST_UPDATE_KINDS:
-            raise UnknownValueError(where, "How")
+            raise UnknownValueError(where, "How", LIST_UPDATE_KINDS, kind)
         entries = read_field(body, "Entries", list, where, [])
         endpoints = tuple(self._endpoint(entry, where) for entry in entries)
         return EndpointList(ListUpdateKind(kind), endpoints)
@@ -84,7 +84,7 @@
     def _endpoint(self, body: Any, where: str) -> Endpoint:
         state = read_field(body, "Mode", int, where)
         if state not in ENDPOINT_STATES:
-            raise UnknownValueError(where, "Mode")
+            raise UnknownValueError(where, "Mode", ENDPOINT_STATES, state)
         return Endpoint(
             worker_index=self._worker(body, where),
             zone=self._zone(body, where),
--- a/tests/config/test_manager_file.py
+++ b/tests/config/test_manager_file.py
@@ -1,4 +1,4 @@
-"""Invalid values in the manager's file: reading reports one fault in one line, or the controller runs."""
+"""Invalid values in the manager's file: reading it raises an error of one line, or the controller runs."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 UNREACHABLE_ADDRESS = "127.0.0.1:1"
 EDGE_VALUES: tuple[Any, ...] = (
-    # absent and empty
+    # null and empty
     None,
     "",
     [],
@@ -53,11 +53,11 @@
 )
 START_TIME_S = 1000.0
 TICK_S = 0.25
-TICK_COUNT = 40  # ten seconds
+TICK_COUNT = 40
 
 
 def json_paths(body: Any, parent: JsonPath = ()) -> Iterator[JsonPath]:
-    """The paths of all values of a file (of a list, only its first item)."""
+    """Yields the paths of all values of a file (of a list, only its first item)."""
     items: list[tuple[str | int, Any]] = []
     if isinstance(body, dict):
         items = list(body.items())
@@ -70,7 +70,7 @@
 
 
 def with_value_at(body: JsonObject, path: JsonPath, value: Any) -> JsonObject:
-    """A copy of the file with another value at this path."""
+    """Returns a copy of the file with another value at this path."""
     changed = copy.deepcopy(body)
     parent: Any = changed
     for name in path[:-1]:
@@ -80,7 +80,7 @@
 
 
 def default_manager_config(discovery_address: str) -> JsonObject:
-    """A valid file's content."""
+    """Returns the content of a valid file."""
     return ManagerProgram(discovery_address).config
 
 
@@ -109,7 +109,7 @@
         return read_startup_config(str(self.path))
 
     def test_every_field_with_every_edge_value(self) -> None:
-        """Either the error is one line that says what is wrong, or a controller runs."""
+        """Reading either raises an error of one line that states the fault, or a controller runs."""
         for path in json_paths(self.valid):
             for value in EDGE_VALUES:
                 with self.subTest(path=path, value=value):
@@ -122,11 +122,21 @@
                     run_controller(config)
 
     def test_faults_are_reported_in_order(self) -> None:
-        """Of several faults the first is reported: of the settings, the known list, then the addresses."""
+        """Faults are reported first for the settings, then for the known list, then for the addresses."""
         faults: tuple[tuple[JsonPath, Any, type[InputError], str], ...] = (
-            (("listen",), 1, FieldTypeError, "field listen has the wrong type (int)"),
-            (("known", "servers", 0, "zone"), None, MissingFieldError, "known: field zone is missing"),
-            (("settings", "Rules"), None, MissingFieldError, "settings: field Rules is missing"),
+            (("listen",), 1, FieldTypeError, "field listen must be a string, got 1"),
+            (
+                ("known", "servers", 0, "zone"),
+                None,
+                MissingFieldError,
+                "known: field zone is missing, expected a string",
+            ),
+            (
+                ("settings", "Rules"),
+                None,
+                MissingFieldError,
+                "settings: field Rules is missing, expected an object",
+            ),
         )
         body = self.valid
         for path, value, error_type, message in faults:  # each is reported before the ones above it
@@ -134,11 +144,11 @@
             with self.subTest(path=path):
                 with self.assertRaises(error_type) as error:
                     self.read(body)
-                self.assertEqual(str(error.exception), f"configuration: {message}")
+                self.assertEqual(str(error.exception), f"{self.path}: {message}")
 
 
 class RejectedStartTests(ManagerTestCase):
-    """The program's start with a file that is not valid."""
+    """Starts of the program with an invalid file."""
 
     INVALID_VALUES: tuple[tuple[JsonPath, Any], ...] = (
         (("settings", "Zones"), []),
@@ -151,10 +161,10 @@
 
     async def test_an_invalid_field_is_named_on_standard_error(self) -> None:
         programs: list[tuple[str, ManagerProgram]] = []
-        for path, value in self.INVALID_VALUES:  # all start first, so they run in parallel
+        for path, value in self.INVALID_VALUES:  # all programs are started first, so they run in parallel
             program = ManagerProgram(self.discovery_address)
             await program.start(json.dumps(with_value_at(program.config, path, value)))
-            self.addAsyncCleanup(self.end, program)  # waits for it also if an assertion fails
+            self.addAsyncCleanup(self.end, program)  # also runs if an assertion fails
             programs.append((str(path[-1]), program))
         for field_name, program in programs:
             with self.subTest(field_name):
--- a/tests/forwarder/test_operator_file.py
+++ b/tests/forwarder/test_operator_file.py
@@ -58,12 +58,20 @@
             FaultyFile("{upgrades: {grace: 1, graec: 2}}", r"\$\.upgrades: .*unknown field `graec`"),
             FaultyFile("{upgrades: {grace: 1}, upgrades: {grace: 2}}", "not JSON5"),
             FaultyFile("{upgrades: {grace: }}", r"not JSON5: line 1"),
-            FaultyFile("[" * 100_000, "not JSON5"),
-            FaultyFile(self.with_forwarder(zone="z"), r"\$\.forwarder\.zone: one of zones"),
+            FaultyFile("[" * 100_000, "not JSON5: nested too deeply"),
+            FaultyFile(
+                self.with_forwarder(zone="z"),
+                r"\$\.forwarder\.zone: must be one of \$\.forwarder\.zones, got 'z'",
+            ),
             FaultyFile(self.with_forwarder(listen="here"), r"\$\.forwarder\.listen: Expected"),
-            FaultyFile(self.with_forwarder(listen="h:99999"), "listen is not an address"),
+            FaultyFile(
+                self.with_forwarder(listen="h:99999"),
+                "listen must be an address host:port with a port of at most 65535, got 'h:99999'",
+            ),
             FaultyFile(self.with_forwarder(kinds=[]), r"\$\.forwarder\.kinds: Expected"),
-            FaultyFile(self.with_forwarder(kinds=REQUEST_CLASSES * 2), "a name comes twice"),
+            FaultyFile(
+                self.with_forwarder(kinds=REQUEST_CLASSES * 2), "must not list 'release' more than once"
+            ),
         )
         with TemporaryDirectory() as folder:
             path = Path(folder) / "operator.json5"
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -48,21 +48,27 @@
 
     def test_an_invalid_batch_ends_the_process_with_one_line_and_status_2(self) -> None:
         invalid: list[tuple[Any, str]] = [
-            ([], "batch: not an object"),
-            ({"SimTimeMs": 1}, "batch: field managers is missing"),
+            ([], "batch: must be an object, got an array of length 0"),
+            ({"SimTimeMs": 1}, "batch: field managers is missing, expected an array"),
             (batch(7), "instance 0: an event is not an object with a single key"),
             (batch({"WAKE": {"Nonce": 1}}), "WAKE for instance 0: no ATTACH came before it"),
             (batch(ATTACH, {"NOPE": {}}), "NOPE for instance 0: unknown event"),
             (
                 batch(ATTACH, {"WAKE": {"Nonce": "x"}}),
-                "WAKE for instance 0: field Nonce has the wrong type (str)",
+                "WAKE for instance 0: field Nonce must be an integer, got 'x'",
+            ),
+            (
+                batch(ATTACH, {"SYNC": {"How": 4}}),
+                "SYNC for instance 0: field How must be one of 0, 1, 2, 3, got 4",
             ),
-            (batch(ATTACH, {"SYNC": {"How": 4}}), "SYNC for instance 0: field How has an unknown value"),
             (
                 batch(ATTACH, endpoint_list(Mode=3)),
-                "SYNC for instance 0: field Mode has an unknown value",
+                "SYNC for instance 0: field Mode must be one of 0, 1, 2, got 3",
+            ),
+            (
+                batch(ATTACH, endpoint_list(Locality="no")),
+                "SYNC for instance 0: unknown zone 'no', expected one from the settings",
             ),
-            (batch(ATTACH, endpoint_list(Locality="no")), "SYNC for instance 0: unknown zone"),
         ]
         for invalid_batch, line in invalid:
             with self.subTest(line):
