--- a/cottonladder/cli/__init__.py
+++ b/cottonladder/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module a command group."""
+"""The command line; each module has one command or one group of commands."""
--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -1,4 +1,4 @@
-"""`advice`: shows the weights that an advisor gives its members, and tests whether it answers at all."""
+"""The `advice` commands, which query an advisor for its weights or test whether it answers."""
 
 from __future__ import annotations
 
@@ -11,29 +11,33 @@
 import click
 
 from ..config.errors import InputError
-from ..config.fields import MS_PER_S, parse_host_port
+from ..config.fields import MS_PER_S
 from ..weight_advice.query import MemberWeight, query_dfp, query_sasp
 from .errors import CommandError
-from .options import json_option
+from .options import json_option, parse_address_argument
 from .output import print_table
 
-QUERY_TIMEOUT_S = 5.0  # for the whole exchange
+QUERY_TIMEOUT_S = 5.0  # from connecting to the last answer
 COLUMNS = ("label", "member", "weight", "flags")
 HOST_PORT = click.argument("host_port", metavar="HOST:PORT")
 PROTOCOL = click.option("--protocol", type=click.Choice(["sasp", "dfp"]), default="sasp", show_default=True)
 MEMBERS = click.option(
-    "--member", "members", multiple=True, metavar="[LABEL@]HOST:PORT", help="For SASP: a member to ask about."
+    "--member",
+    "members",
+    multiple=True,
+    metavar="[LABEL@]HOST:PORT",
+    help="SASP only: a member whose weight to query.",
 )
 Query = Coroutine[object, object, list[MemberWeight]]
 
 
 class NoAnswerError(Exception):
-    """An advisor gave no valid answer; the text is one line with the reason."""
+    """An advisor that gave no valid answer; the text is one line with the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """How long an advisor took to answer, and why its answer is not valid; the reason is empty if it is."""
+    """The duration of a query, and the reason why it failed, which is empty if it succeeded."""
 
     duration_ms: float
     failure_reason: str
@@ -41,7 +45,7 @@
 
 @click.group()
 def advice() -> None:
-    """Query an advisor for its weights, or test whether it answers at all."""
+    """Query an advisor for its weights, or test whether it answers."""
 
 
 @advice.command()
@@ -50,7 +54,7 @@
 @MEMBERS
 @json_option
 def show(host_port: str, protocol: str, members: tuple[str, ...], as_json: bool) -> None:
-    """Show an advisor's weights; status 1 if it gives no valid answer."""
+    """Show an advisor's weights; exit with status 1 if it gives no valid answer."""
     try:
         weights = _run(_query_weights(host_port, protocol, members))
     except NoAnswerError as exc:
@@ -66,7 +70,7 @@
 @PROTOCOL
 @json_option
 def probe(host_port: str, protocol: str, as_json: bool) -> None:
-    """Test whether an advisor speaks the protocol, and how long its answer takes."""
+    """Test whether an advisor speaks the protocol, and measure how long it takes to answer."""
     result = _probe(host_port, protocol)
     if as_json:
         click.echo(json.dumps(_probe_fields(host_port, protocol, result)))
@@ -90,7 +94,7 @@
 
 
 def _probe_fields(host_port: str, protocol: str, result: ProbeResult) -> dict[str, object]:
-    """The result under the keys of the command's JSON output."""
+    """Returns the result under the keys of the command's JSON output."""
     return {
         "at": host_port,
         "protocol": protocol,
@@ -103,11 +107,11 @@
 async def _query_weights(
     host_port: str, protocol: str, members: Sequence[str], first_answer: bool = False
 ) -> list[MemberWeight]:
-    """Asks an advisor for its weights: over SASP those of `members`, over DFP those that it reports.
+    """Queries an advisor for its weights: over SASP those of `members`, over DFP those that it reports.
 
-    With `first_answer` a DFP advisor need not report weights: any message ends the query.
+    With `first_answer`, the first message of a DFP advisor ends the query, even one without weights.
     """
-    host, port = parse_host_port(host_port, "where", "advice")
+    host, port = parse_address_argument(host_port)
     async with asyncio.timeout(QUERY_TIMEOUT_S):
         if protocol == "dfp":
             return await query_dfp(host, port, first_answer=first_answer)
@@ -115,7 +119,7 @@
 
 
 def _run(query: Query) -> list[MemberWeight]:
-    """Runs a query; raises NoAnswerError if it brings no valid answer within its timeout."""
+    """Runs a query; raises NoAnswerError if it returns no valid answer within QUERY_TIMEOUT_S."""
     try:
         return asyncio.run(query)
     except TimeoutError as exc:
--- a/cottonladder/cli/configuration.py
+++ b/cottonladder/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Reads configuration files for a command, which an invalid file ends with one line and status 2."""
+"""Reads configuration files for commands; an invalid file ends the command with one line and status 2."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def load_operator_config(path: str) -> OperatorConfig | None:
     """Reads the operators' file; raises BadInputError if it is not valid.
 
-    Gives None if the path is empty: everything that the file could switch on is off.
+    Returns None if the path is empty; all features that the file configures are then disabled.
     """
     if not path:
         return None
--- a/cottonladder/cli/demo.py
+++ b/cottonladder/cli/demo.py
@@ -1,4 +1,4 @@
-"""`demo`: runs a small deployment on loopback and shows what its processes do."""
+"""The `demo` command, which runs a small deployment on loopback and shows what its processes do."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 @click.command()
 @click.option(
     "--desks", "client_count", default=120, type=click.IntRange(1, 2000),
-    help="Clients with an open upgraded connection.",
+    help="Number of clients, each with an open upgraded connection.",
 )  # fmt: skip
-@click.option("--plain", is_flag=True, help="Print a line each half second in place of a table.")
+@click.option("--plain", is_flag=True, help="Print one line every half second instead of a table.")
 def demo(client_count: int, plain: bool) -> None:
     """Run two managers and four forwarders on loopback, and drain one of the simulated workers."""
     click.echo(show_demo(client_count, plain))
--- a/cottonladder/cli/errors.py
+++ b/cottonladder/cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a command with one line on standard error and a status."""
+"""Errors that end a command with one line on standard error and an exit status."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class CommandError(click.ClickException):
-    """The command ran and found a fault."""
+    """A fault that a command found while it ran."""
 
     exit_code = 1
 
     def show(self, file: IO[Any] | None = None) -> None:
-        """Called by click: prints the message alone, without the `Error:` that click puts before it."""
+        """Prints the message when click reports the error, without the prefix `Error:` that click adds."""
         click.echo(self.message, file=file, err=file is None)
 
 
 class BadInputError(CommandError):
-    """A file or an argument is not valid."""
+    """A file or an argument that is not valid."""
 
     exit_code = click.UsageError.exit_code
--- a/cottonladder/cli/forwarder.py
+++ b/cottonladder/cli/forwarder.py
@@ -1,4 +1,4 @@
-"""`forward`: runs the reference proxy."""
+"""The `forward` command, which runs the reference proxy."""
 
 from __future__ import annotations
 
@@ -26,8 +26,7 @@
     signals.discard_pending_reloads()
     operator_config = load_operator_config(operator_path)
     if operator_config is None or operator_config.forwarder is None:
-        message = f"{operator_path}: $.forwarder: expected, as this is a forwarder's start"
-        raise BadInputError(message)
+        raise BadInputError(f"{operator_path}: $.forwarder: is missing, required by the forward command")
     try:
         asyncio.run(serve_then_block_signals(serve(operator_config, operator_path)))
     except InputError as exc:
--- a/cottonladder/cli/main.py
+++ b/cottonladder/cli/main.py
@@ -1,7 +1,7 @@
 """The entry point of the command line, with all commands by name.
 
-The commands of a manager are imported here.  Every other one is imported when it is used, as a manager has
-little memory.
+The commands of a manager are imported here.  A manager has little memory, so the modules of all other
+commands are imported only when they are used.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from .lazy_group import LazyGroup
 from .manager import check, ping, serve
 
-LAZY_COMMANDS = {  # module and attribute by command
+LAZY_COMMANDS = {  # module:attribute by the name of the command
     "advice": "advice:advice",
     "demo": "demo:demo",
     "forward": "forwarder:forward",
--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -1,4 +1,4 @@
-"""`serve`, `check` and `ping`: the commands of one manager."""
+"""The commands `serve`, `check` and `ping` of a manager."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 
 import click
 
+from ..config.described_value import describe_value
 from ..config.errors import InputError
-from ..config.fields import HostPort, parse_host_port
+from ..config.fields import HostPort
 from ..config.manager_config import ManagerConfig
 from ..control import signals
 from ..control.manager import serve as serve_manager
@@ -17,10 +18,10 @@
 from ..protocol.messages import PING, PONG
 from .configuration import load_operator_config, load_startup_config
 from .errors import BadInputError, CommandError
-from .options import config_option, operator_option
+from .options import config_option, operator_option, parse_address_argument
 from .serving import configure_logging, serve_then_block_signals
 
-PING_TIMEOUT_S = 2.0  # of connecting, and of each read
+PING_TIMEOUT_S = 2.0  # for connecting, and for each read
 READ_SIZE_BYTES = 64
 
 
@@ -39,11 +40,13 @@
 @click.command()
 @config_option
 @operator_option
-@click.option("--running", "running_path", default="", help="The configuration that a manager now runs on.")
+@click.option(
+    "--running", "running_path", default="", help="The configuration file that a running manager uses."
+)
 def check(config_path: str, operator_path: str, running_path: str) -> None:
     """Check the configuration and the operators' file as serve would read them.
 
-    With --running, status 1 if a reload would leave a change without effect.
+    With --running, exit with status 1 if a reload would not apply all changes.
     """
     if operator_path:
         _check_operator_config(operator_path)
@@ -57,22 +60,22 @@
 
 
 def _check_operator_config(path: str) -> None:
-    """Prints which parts of the operators' file are switched on."""
+    """Prints the sections of the operators' file that enable a feature."""
     operator_config = load_operator_config(path)
     if operator_config is None:
         return
-    parts = [name for name in operator_config.__struct_fields__ if getattr(operator_config, name)]
-    if parts:
-        click.echo(f"{path}: {', '.join(parts)} on")
+    sections = [name for name in operator_config.__struct_fields__ if getattr(operator_config, name)]
+    if sections:
+        click.echo(f"{path}: {', '.join(sections)} on")
     else:
-        click.echo(f"{path}: everything off")
+        click.echo(f"{path}: all features off")
 
 
 def _check_reload(running: ManagerConfig, new: ManagerConfig) -> None:
-    """Raises CommandError if a reload would leave a change without effect."""
-    ineffective = unchangeable_fields(running, new)
-    if ineffective:
-        raise CommandError(f"a reload would not change: {', '.join(ineffective)}")
+    """Raises CommandError if a reload would not apply all changes."""
+    unchangeable = unchangeable_fields(running, new)
+    if unchangeable:
+        raise CommandError(f"a reload would not change: {', '.join(unchangeable)}")
 
 
 def _summary(config: StartupConfig) -> str:
@@ -90,9 +93,9 @@
 @click.command()
 @click.argument("host_port", metavar="HOST:PORT")
 def ping(host_port: str) -> None:
-    """Test whether a manager answers; status 1 if it does not."""
+    """Test whether a manager answers; exit with status 1 if it does not."""
     try:
-        manager_address = parse_host_port(host_port, "where", "ping")
+        manager_address = parse_address_argument(host_port)
     except InputError as exc:
         raise BadInputError(str(exc)) from exc
     try:
@@ -102,12 +105,13 @@
     if answer == PONG:
         click.echo(f"{host_port}: serves")
         return
-    click.echo(f"{host_port}: answers, but not with PONG")
+    beginning = describe_value(answer[: len(PONG)].decode("latin-1"))
+    click.echo(f"{host_port}: expected the answer PONG, got {len(answer)} bytes that begin with {beginning}")
     click.get_current_context().exit(CommandError.exit_code)
 
 
 def _send_ping(manager_address: HostPort) -> bytes:
-    """Sends one PING; gives the answer, cut off where the manager closed the connection."""
+    """Sends one PING and returns the answer, which is incomplete if the manager closes the connection."""
     with socket.create_connection(manager_address, PING_TIMEOUT_S) as connection:
         connection.sendall(PING)
         answer = b""
--- a/cottonladder/cli/memory.py
+++ b/cottonladder/cli/memory.py
@@ -1,4 +1,4 @@
-"""`memory`: inspects and edits the snapshots that a process keeps in its folder."""
+"""The `memory` commands, which inspect and edit the snapshots in the folder of a process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredGeneration:
-    """One generation in a folder: its content, or the fault that makes it unreadable."""
+    """One generation in a folder: its content, or the reason why it is not valid."""
 
     number: int
     content: Generation | None
@@ -31,16 +31,16 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationRow:
-    """What `show` prints of a generation; the field names are the column headers and the keys of the JSON."""
+    """A row of `show`; the field names are the column headers and the keys of the JSON output."""
 
     generation: int
-    age_s: float | None  # None for one that can't be read
+    age_s: float | None  # None if the generation is not valid
     bytes: int
     sections: list[str]
     fault: str
 
     def cells(self) -> list[object]:
-        """The cells of the table, in the order of COLUMNS."""
+        """Returns the cells of the table row, in the order of COLUMNS."""
         return [self.generation, self.age_s, self.bytes, ",".join(self.sections), self.fault]
 
 
@@ -49,7 +49,7 @@
 
 @click.group()
 def memory() -> None:
-    """Inspect the snapshots that a process keeps across restarts."""
+    """Inspect and edit the snapshots that a process keeps across restarts."""
 
 
 @memory.command()
@@ -78,20 +78,22 @@
 @memory.command()
 @FOLDER
 def verify(folder: str) -> None:
-    """Read every generation; status 1 if one is not valid."""
+    """Read every generation; exit with status 1 if one is not valid."""
     with _store_errors_as_command_errors():
         generations = _read_all(SnapshotStore(folder))
     faults = [generation.fault for generation in generations if generation.fault]
     for fault in faults:
         click.echo(fault, err=True)
-    click.echo(f"{folder}: {len(generations) - len(faults)} hold, {len(faults)} don't")
+    click.echo(f"{folder}: {len(generations) - len(faults)} valid, {len(faults)} invalid")
     if faults:
         click.get_current_context().exit(CommandError.exit_code)
 
 
 @memory.command()
 @FOLDER
-@click.option("--generation", "number", type=int, help="Its number; the newest valid one, if left out.")
+@click.option(
+    "--generation", "number", type=int, help="Number of the generation; by default the newest valid one."
+)
 def export(folder: str, number: int | None) -> None:
     """Print a generation's sections as JSON."""
     with _store_errors_as_command_errors():
@@ -108,41 +110,41 @@
 @memory.command()
 @FOLDER
 def compact(folder: str) -> None:
-    """Remove all but the newest valid generation.  Not while a process owns the folder."""
+    """Remove all but the newest valid generation; no process may be using the folder."""
     with _store_errors_as_command_errors(), _locked_store(folder) as store:
         generation = _newest_after_quarantine(store)
         removed = store.remove_old_generations(1)
-        click.echo(f"{folder}: generation {generation.number} stays, {removed} removed")
+        click.echo(f"{folder}: kept generation {generation.number}, removed {removed}")
 
 
 @memory.command()
 @FOLDER
 @click.option("--worker", "worker_id", required=True, help="The worker's id.")
 def forget(folder: str, worker_id: str) -> None:
-    """Write a generation without anything about a worker.  Not while a process owns the folder."""
+    """Write a generation without the data of a worker; no process may be using the folder."""
     with _store_errors_as_command_errors(), _locked_store(folder) as store:
         generation = _newest_after_quarantine(store)
         remaining = without_worker(generation.sections, worker_id)
         if remaining == generation.sections:
-            raise CommandError(f"{folder}: nothing about {worker_id}")
-        # The time of writing stays, as the remaining entries are no more recent than before.
+            raise CommandError(f"{folder}: generation {generation.number} has no data of worker {worker_id}")
+        # Keeps the time of writing, as the remaining entries are as old as before.
         store.write(remaining, generation.written_at)
-        click.echo(f"{folder}: written without {worker_id}")
+        click.echo(f"{folder}: wrote a generation without worker {worker_id}")
 
 
 def without_worker(value: Any, worker_id: str) -> Any:
-    """A copy of a section, or of a value in it, without what concerns a worker.
+    """Returns a copy of a section, or of a value in it, without the data of a worker.
 
-    Left out are lists that begin with its id, fields named by the id, and list items that equal it.
+    Removes list items that are the worker's id or a list that begins with it, and fields named by the id.
     """
     if isinstance(value, dict):
         return {key: without_worker(item, worker_id) for key, item in value.items() if key != worker_id}
     if isinstance(value, list):
-        return [without_worker(item, worker_id) for item in value if not _is_about(item, worker_id)]
+        return [without_worker(item, worker_id) for item in value if not _is_worker_entry(item, worker_id)]
     return value
 
 
-def _is_about(item: Any, worker_id: str) -> bool:
+def _is_worker_entry(item: Any, worker_id: str) -> bool:
     if isinstance(item, list):
         return bool(item) and item[0] == worker_id
     return bool(item == worker_id)
@@ -159,7 +161,7 @@
 
 @contextmanager
 def _locked_store(folder: str) -> Iterator[SnapshotStore]:
-    """A store that holds the lock of its folder until the end of the block."""
+    """Opens a store, which locks its folder until the end of the block."""
     store = SnapshotStore(folder)
     store.open()
     try:
@@ -169,7 +171,7 @@
 
 
 def _read_all(store: SnapshotStore) -> list[StoredGeneration]:
-    """All generations, the newest first."""
+    """Returns all generations, the newest first."""
     generations = []
     for number in store.generation_numbers():
         try:
@@ -180,18 +182,18 @@
 
 
 def _newest_readable(store: SnapshotStore) -> Generation:
-    """The newest valid generation; the folder is not changed."""
+    """Returns the newest valid generation without changing the folder."""
     contents = (generation.content for generation in _read_all(store))
     newest = next((content for content in contents if content is not None), None)
     return _require_generation(store, newest)
 
 
 def _newest_after_quarantine(store: SnapshotStore) -> Generation:
-    """The newest valid generation; newer ones that are not valid are quarantined."""
+    """Returns the newest valid generation; newer ones that are not valid are quarantined."""
     return _require_generation(store, store.read_newest())
 
 
 def _require_generation(store: SnapshotStore, generation: Generation | None) -> Generation:
     if generation is None:
-        raise CommandError(f"{store.folder}: no generation that holds")
+        raise CommandError(f"{store.folder}: has no valid generation")
     return generation
--- a/cottonladder/cli/operator_schema.py
+++ b/cottonladder/cli/operator_schema.py
@@ -1,4 +1,4 @@
-"""`schema`: the JSON schema of the operators' file."""
+"""The `schema` command, which prints the JSON schema of the operators' file."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 @click.command()
 def schema() -> None:
     """Print the JSON schema of the operators' file."""
-    from ..config.operator_config import schema as operator_schema  # by an optional dependency
+    from ..config.operator_config import schema as operator_schema  # needs an optional dependency
 
     click.echo(operator_schema())
--- a/cottonladder/cli/output.py
+++ b/cottonladder/cli/output.py
@@ -1,4 +1,4 @@
-"""Printing of rows: aligned columns for people, JSON for scripts."""
+"""Printing of rows, as a table or as JSON."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def print_rows(header: Sequence[str], rows: Sequence[Mapping[str, Any]], as_json: bool) -> None:
-    """Prints rows of named cells: as JSON in full, or as a table with the columns of `header`."""
+    """Prints rows of named cells: as JSON with all cells, or as a table with the columns of `header`."""
     if as_json:
         click.echo(json.dumps(rows))
         return
--- a/cottonladder/cli/plugin.py
+++ b/cottonladder/cli/plugin.py
@@ -1,7 +1,7 @@
-"""`plugin`: loads and calls plug-ins without a forwarder.
+"""The `plugin` commands, which load and call plug-ins without a forwarder.
 
-Each command imports what runs a plug-in, so that `--help` works without the WebAssembly runtime, an optional
-dependency.
+The WebAssembly runtime is an optional dependency, so each command imports it only when it runs; `--help`
+works without it.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 @click.group()
 def plugin() -> None:
-    """Try plug-ins by hand: WebAssembly modules, binary or text."""
+    """Test plug-ins: WebAssembly modules in binary or text format."""
 
 
 @plugin.command()
 @MODULE
 @GRANTS
 def check(module: str, grants: tuple[str, ...]) -> None:
-    """Load a plug-in as a forwarder would; status 1 and one line if it can't be."""
+    """Load a plug-in as a forwarder would; exit with status 1 if it can't be loaded."""
     from .plugin_trial import load_plugin
 
     loaded = load_plugin(module, grants)
@@ -48,7 +48,7 @@
 @GRANTS
 @json_option
 def run(module: str, requests_path: str, grants: tuple[str, ...], as_json: bool) -> None:
-    """Replay recorded requests, a line of JSON each, and print what the plug-in would have changed."""
+    """Replay recorded requests, one JSON object per line, and print what the plug-in would change."""
     from .plugin_trial import load_plugin, replay
 
     replayed = replay(load_plugin(module, grants), requests_path)
@@ -73,21 +73,21 @@
 @GRANTS
 @json_option
 def bench(module: str, call_count: int, grants: tuple[str, ...], as_json: bool) -> None:
-    """Measure how long a call takes."""
+    """Measure the duration of a plug-in's calls."""
     from .plugin_trial import load_plugin, measure_calls
 
-    figures = asdict(measure_calls(load_plugin(module, grants), call_count))
+    timings = asdict(measure_calls(load_plugin(module, grants), call_count))
     if as_json:
-        click.echo(json.dumps(figures))
+        click.echo(json.dumps(timings))
         return
-    print_table([list(figures), list(figures.values())])
+    print_table([list(timings), list(timings.values())])
 
 
 @plugin.command("list")
 @click.argument("operator_path", type=click.Path(exists=True, dir_okay=False), metavar="FILE")
 @json_option
 def list_plugins(operator_path: str, as_json: bool) -> None:
-    """List the plug-ins that an operators' file names, and whether they load."""
+    """List the plug-ins in an operators' file, and whether they can be loaded."""
     from .plugin_trial import configured_plugins
 
     try:
--- a/cottonladder/cli/plugin_trial.py
+++ b/cottonladder/cli/plugin_trial.py
@@ -1,4 +1,4 @@
-"""Loads a plug-in as a forwarder would, and calls it on recorded or made-up requests."""
+"""Loads a plug-in as a forwarder would, and calls it with recorded or synthetic requests."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from ..plugins.host import Plugin
 from .errors import CommandError
 
-MAX_REQUESTS = 100_000  # of one file; later lines are not replayed
-HEADER_COUNT = 12  # of the made-up request; a browser sends about as many
+MAX_REQUESTS = 100_000  # per file; later lines are not replayed
+HEADER_COUNT = 12  # of the synthetic request; about as many as a browser sends
 HEADER_VALUE = "v" * 20
 MICROSECONDS_PER_S = 1e6
 PERCENTILE_COUNT = 100
@@ -31,18 +31,18 @@
     """One recorded request, and the plug-in's answer or fault."""
 
     request: str  # method and path
-    answer: Answer | None  # None if there was a fault
-    fault: str = ""  # empty if there was none
+    answer: Answer | None  # None if the call failed
+    fault: str = ""  # empty if the call succeeded
 
     def outcome(self) -> dict[str, object]:
-        """The fault and the fields of the answer, under the names that the command prints."""
+        """Returns the fault and the fields of the answer, under the names that the command prints."""
         answer_fields = self.answer.interface_fields() if self.answer is not None else {}
         return {"fault": self.fault, **answer_fields}
 
 
 @dataclass(frozen=True, slots=True)
 class CallTimings:
-    """Duration and fuel of calls; the field names are the column headers and the keys of the JSON."""
+    """The duration and fuel of calls; the field names are the column headers and the keys of the JSON."""
 
     calls: int
     faults: int
@@ -62,7 +62,7 @@
 
 
 def load_plugin(path: str, grants: tuple[str, ...]) -> Plugin:
-    """Loads a plug-in; its log lines go to standard error."""
+    """Loads a plug-in, whose log lines are printed on standard error; raises CommandError if it can't."""
     try:
         return Plugin("plug-in", path, frozenset(grants), 0, _print_log_line)
     except PluginLoadError as exc:
@@ -74,21 +74,27 @@
 
 
 def replay(plugin: Plugin, requests_path: str) -> list[ReplayedRequest]:
-    """Calls the plug-in on each request of a file with one JSON object a line."""
+    """Calls the plug-in with each request of a file that has one JSON object per line."""
     hook = "route" if "route" in plugin.hooks else plugin.hooks[0]
     replayed = []
     for number, line in enumerate(Path(requests_path).read_text().splitlines()[:MAX_REQUESTS], start=1):
         try:
             request = json.loads(line)
             record = _route_record(request)
-        except (ValueError, KeyError, TypeError) as exc:
-            raise CommandError(f"{requests_path}: line {number}: {type(exc).__name__}: {exc}") from exc
+        except KeyError as exc:
+            raise CommandError(f"{requests_path}: line {number}: field {exc.args[0]} is missing") from exc
+        except (ValueError, TypeError) as exc:
+            expected = "expected a JSON object with the fields method, path and headers"
+            raise CommandError(f"{requests_path}: line {number}: {expected}: {exc}") from exc
         replayed.append(_replay_one(plugin, hook, record, f"{request['method']} {request['path']}"))
     return replayed
 
 
 def _route_record(request: Any) -> bytes:
-    """Encodes a recorded request for the plug-in; raises KeyError, TypeError or ValueError if invalid."""
+    """Encodes a recorded request for the plug-in.
+
+    Raises KeyError if a field is missing, and TypeError or ValueError if the request has another form.
+    """
     return request_record(
         "route",
         str(request["method"]),
@@ -107,7 +113,7 @@
 
 
 def measure_calls(plugin: Plugin, call_count: int) -> CallTimings:
-    """Measures calls of the plug-in's first hook on one made-up request."""
+    """Measures calls of the plug-in's first hook, all with the same synthetic request."""
     headers = {f"x-{number}": HEADER_VALUE for number in range(HEADER_COUNT)}
     record = request_record("route", "GET", "/cases/42", "fetch", headers)
     durations_us = []
@@ -130,9 +136,9 @@
 
 
 def configured_plugins(operator_path: str) -> list[ConfiguredPlugin]:
-    """Loads each of the forwarder's plug-ins in an operators' file.
+    """Loads each plug-in of the forwarder in an operators' file.
 
-    The fault of one that can't be loaded is printed on standard error.
+    If a plug-in can't be loaded, the reason is printed on standard error.
     """
     operator_config = read_operator_config(operator_path)
     if operator_config.forwarder is None or operator_config.forwarder.plugins is None:
--- a/cottonladder/cli/serving.py
+++ b/cottonladder/cli/serving.py
@@ -1,4 +1,4 @@
-"""Logging and shutdown of the commands that run until a signal."""
+"""Logging and shutdown of the commands that run until they get a signal."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def configure_logging() -> None:
-    """Makes structlog print events to standard output, one logfmt line each."""
+    """Configures structlog to print each event to standard output as one line of logfmt."""
     structlog.configure(
         processors=[
             structlog.processors.TimeStamper(fmt="iso"),
@@ -25,10 +25,10 @@
 
 
 async def serve_then_block_signals(serving: Awaitable[None]) -> None:
-    """Awaits `serving`, then blocks signals before the loop is closed.
+    """Awaits `serving`, then blocks signals before the event loop is closed.
 
-    A closed loop no longer handles signals, so a second SIGTERM would end the program by the system's default
-    action, with another status than that of an orderly shutdown.
+    A closed loop no longer handles signals: a second SIGTERM would end the process by the system's default
+    action, with another exit status than an orderly shutdown has.
     """
     await serving
     signals.block_signals()
--- a/cottonladder/cli/tasks.py
+++ b/cottonladder/cli/tasks.py
@@ -1,4 +1,4 @@
-"""`tasks`: shows the background tasks of a running process, by a query over its admin socket."""
+"""The `tasks` command, which queries the admin socket of a running process for its background tasks."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 @click.argument("path", type=click.Path(exists=True), metavar="SOCKET")
 @json_option
 def tasks(path: str, as_json: bool) -> None:
-    """Show the background tasks of a running process, over its local control socket."""
+    """Show the background tasks of a running process, read from its admin socket."""
     try:
         rows = _query(path, TASKS_QUERY)
     except OSError as exc:
-        raise CommandError(str(exc)) from exc
+        raise CommandError(f"{path}: {exc.strerror or exc}") from exc
     except ValueError as exc:
-        raise CommandError(f"{path}: no answer that can be read") from exc
+        raise CommandError(f"{path}: the answer must be one line of JSON: {exc}") from exc
     header = list(rows[0]) if rows else ["task"]
     print_rows(header, rows, as_json)
 
 
-def _query(path: str, question: str) -> Any:
-    """Sends one line to a Unix socket and returns the JSON of the line that answers it."""
+def _query(path: str, query: str) -> Any:
+    """Sends `query` to a Unix socket as one line, and returns the decoded JSON of the line that it gets."""
     with socket.socket(socket.AF_UNIX) as connection:
         connection.settimeout(ANSWER_TIMEOUT_S)
         connection.connect(path)
-        connection.sendall(question.encode() + b"\n")
+        connection.sendall(query.encode() + b"\n")
         answer = b""
         while not answer.endswith(b"\n") and len(answer) < MAX_ANSWER_BYTES:
             data = connection.recv(READ_SIZE_BYTES)
--- a/tests/cli/test_command_output.py
+++ b/tests/cli/test_command_output.py
@@ -1,9 +1,9 @@
-"""The output and the status of each command, as recorded in `tests/recorded/cli/`; scripts may read both.
+"""The output and the exit status of each command equal those recorded in `tests/recorded/cli/`.
 
-`help.txt` has `--help` of every command, `output.txt` the output of those that need no network, and
-`schema.json` the schema of the operators' file without titles and descriptions.  `version` is left out, as
-its output depends on what is installed.  After an intended change `python -m tests.cli.test_command_output`
-writes the files again.
+Scripts of operators may depend on both.  `help.txt` has the `--help` text of every command, `output.txt`
+the output of the commands that need no network, and `schema.json` the schema of the operators' file without
+titles and descriptions.  The output of `version` is not recorded, as it depends on the installed libraries.
+After an intended change, `python -m tests.cli.test_command_output` records the files again.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 FILES = ROOT / "tests" / "recorded" / "files"
 EXAMPLE_PLUGIN = ROOT / "deploy" / "plugins" / "audit-trail.wat"
 ENVIRONMENT = {"COLUMNS": "80", "ROUTER_CONFIG": "", "ROUTER_OPERATOR": ""}
-CURRENT_TIME = 1_800_000_000.0  # Unix s, from which the ages of snapshots are computed
-REQUEST_SIZE = 64  # bytes, more than any command sends to the socket
+CURRENT_TIME = 1_800_000_000.0  # Unix time in s; the ages of snapshots depend on it
+MAX_REQUEST_BYTES = 64  # more than any command sends to the socket
 TRAPPING_PLUGIN = """(module (memory (export "memory") 1 4)
   (func (export "interface") (result i32) (i32.const 1))
   (func (export "input") (result i32) (i32.const 1024))
@@ -59,7 +59,7 @@
 
 
 def commands(group: click.Group, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
-    """The names that lead to every command and group, the program itself first."""
+    """Yields the path of names of every command and group, beginning with the empty path of the program."""
     yield path
     context = click.Context(group)
     for name in sorted(group.list_commands(context)):
@@ -71,7 +71,7 @@
 
 
 class Recorder:
-    """Runs commands in a temporary folder, and records each with its status and its output."""
+    """Runs commands in a temporary folder and records the status and the output of each."""
 
     def __init__(self) -> None:
         self.records: list[str] = []
@@ -154,6 +154,7 @@
         Path("broken.wat").write_text("(module")
         Path("requests.jsonl").write_text("".join(json.dumps(row) + "\n" for row in RECORDED_REQUESTS))
         Path("no_path.jsonl").write_text('{"method": "GET"}')
+        Path("array.jsonl").write_text("[]")
         for plugin in ("example.wat", "trapping.wat", "broken.wat"):
             self.run("plugin", "check", plugin)
             self.run("plugin", "run", plugin, "requests.jsonl")
@@ -162,6 +163,7 @@
         self.run("plugin", "check", "example.wat", "--grant", "clock")
         self.run("plugin", "run", "example.wat", "no.json")
         self.run("plugin", "run", "example.wat", "no_path.jsonl")
+        self.run("plugin", "run", "example.wat", "array.jsonl")
         self.run("plugin", "bench", "broken.wat")
         self.run("plugin", "bench", "example.wat", "--calls", "1")
 
@@ -176,7 +178,7 @@
         self.run("plugin", "list", "unknown.json5")
 
     def run_tasks(self) -> None:
-        """Against a local socket with answers of a running process, and with invalid ones."""
+        """Queries a local socket that gives answers of a running process, and invalid ones."""
         rows = json.dumps(TASK_ROWS).encode() + b"\n"
         with socket.socket(socket.AF_UNIX) as listener:
             listener.bind("socket")
@@ -194,11 +196,11 @@
     def answer_once(listener: socket.socket, answer: bytes) -> None:
         connection, _ = listener.accept()
         with connection:
-            connection.recv(REQUEST_SIZE)
+            connection.recv(MAX_REQUEST_BYTES)
             connection.sendall(answer)
 
     def run_addresses(self) -> None:
-        """An invalid address is reported before any connection is opened."""
+        """Passes invalid addresses, which are reported before a connection is opened."""
         self.run("ping", "nowhere")
         self.run("ping")
         self.run("advice", "show", "nowhere")
@@ -208,7 +210,7 @@
 
 
 def help_texts() -> str:
-    """The help text and status of every command."""
+    """Returns the help text and status of every command."""
     texts = []
     for names in commands(main):
         arguments = [*names, "--help"]
@@ -218,7 +220,7 @@
 
 
 def resolve_references(part: Any, definitions: JsonObject) -> Any:
-    """A part of a schema with its references resolved, and without titles and descriptions."""
+    """Returns a copy of `part` of a schema with references resolved, without titles and descriptions."""
     if isinstance(part, list):
         return [resolve_references(item, definitions) for item in part]
     if not isinstance(part, dict):
@@ -230,7 +232,7 @@
 
 
 def schema() -> Any:
-    """The schema of the operators' file, resolved."""
+    """Returns the schema of the operators' file with its references resolved."""
     printed = json.loads(CliRunner().invoke(main, ["schema"]).output)
     return resolve_references(printed, printed["$defs"])
 
@@ -239,7 +241,7 @@
     maxDiff = None
 
     def setUp(self) -> None:
-        self.addCleanup(structlog.reset_defaults)  # commands that serve configure it for their own output
+        self.addCleanup(structlog.reset_defaults)  # `serve` and `forward` configure it
 
     def test_help_of_every_command(self) -> None:
         self.assertEqual(help_texts(), (RECORDED / "help.txt").read_text())
--- a/tests/cli/test_imports.py
+++ b/tests/cli/test_imports.py
@@ -10,7 +10,7 @@
 ROOT = Path(__file__).parents[2]
 FILES = ROOT / "tests" / "recorded" / "files"
 IMPORT_TIMEOUT_S = 60
-# Imports what `serve` imports, reads the manager's file, and prints the modules that are loaded then.
+# Imports what `serve` imports, reads the manager's file, and prints the names of all loaded modules.
 PROGRAM = """
 import sys
 from cottonladder.cli import main
@@ -29,7 +29,7 @@
     "cottonladder.testbed",
     "cottonladder.weight_advice",
 }
-# Not `rich`: structlog imports it wherever it is installed.
+# `rich` is not included, as structlog imports it if it is installed.
 EXTENSION_LIBRARIES = {"httptools", "json5", "msgspec", "wasmtime"}
 
 
--- a/tests/config/__init__.py
+++ b/tests/config/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of files and settings."""
+"""Tests of configuration files and deployment settings."""
--- a/tests/config/test_deployment_independence.py
+++ b/tests/config/test_deployment_independence.py
@@ -1,4 +1,4 @@
-"""One deployment's settings affect no other, and the names in them have no meaning to the policy."""
+"""Deployments in one process do not affect each other, and names in settings do not affect the policy."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.support.recorded_inputs import RECORDED_INPUTS, RecordedRun
 
 DEPLOYMENTS = Path(__file__).parents[2] / "deploy" / "sites"
-# Other names for the recording's zones and request classes; some are the name of another one.
+# New names for the zones and request classes of the recording; some are the old name of another one.
 NEW_NAMES = {
     "burnaby": "zone-9",
     "surrey": "a",
@@ -34,22 +34,22 @@
 
 
 def rename(text: str) -> str:
-    """The text with all names replaced at once."""
+    """Returns the text with all names replaced in one pass, so that no name is replaced twice."""
     pattern = "|".join(rf"\b{name}\b" for name in NEW_NAMES)
     return re.sub(pattern, lambda match: NEW_NAMES[match[0]], text)
 
 
 class DeploymentIndependenceTests(unittest.TestCase):
-    def test_names_mean_nothing(self) -> None:
-        """With other names of zones and classes, the orders are the same but for the names."""
+    def test_orders_do_not_depend_on_names_of_zones_and_classes(self) -> None:
+        """With other names of zones and classes, the orders differ only in these names."""
         output = RecordedRun(RECORDED_INPUTS).run()
         renamed_output = RecordedRun(rename(RECORDED_INPUTS)).run()
         self.assertEqual([rename(line) for line in output], renamed_output)
         self.assertGreater(sum("CONFIG for release" in line for line in output), 5)
         self.assertGreater(sum("CONFIG replace" in line for line in output), 8)
 
-    def test_two_deployments_in_one_process(self) -> None:
-        """Two managers that take their inputs in turn order what each of them orders alone."""
+    def test_two_deployments_in_one_process_order_the_same_as_alone(self) -> None:
+        """Two managers that process their inputs in alternation give the same orders as each alone."""
         output = RecordedRun(RECORDED_INPUTS).run()
         other_output = RecordedRun(RECORDED_INPUTS, **OTHER_SETTINGS).run()
         self.assertNotEqual(output, other_output)
@@ -60,7 +60,7 @@
         self.assertEqual(run.output, output)
         self.assertEqual(other_run.output, other_output)
 
-    def test_the_files_of_other_deployments_are_complete(self) -> None:
+    def test_the_folder_of_each_deployment_has_all_files(self) -> None:
         for folder in sorted(DEPLOYMENTS.iterdir()):
             with self.subTest(folder.name):
                 names = {path.name for path in folder.iterdir()}
--- a/tests/config/test_operator_defaults.py
+++ b/tests/config/test_operator_defaults.py
@@ -12,9 +12,9 @@
 
 
 class OperatorDefaultsTests(unittest.TestCase):
-    def test_limits_of_a_forwarder(self) -> None:
-        """A file without `limits` gives the defaults, whose values `tests.forwarder` states."""
-        part = {
+    def test_a_forwarder_without_limits_has_the_default_limits(self) -> None:
+        """The values of the defaults are tested in `tests.forwarder`."""
+        section = {
             "node": 1,
             "zone": "a",
             "zones": ["a"],
@@ -23,10 +23,10 @@
             "managers": ["127.0.0.1:3"],
             "kinds": [{"name": "lookup"}],
         }
-        self.assertEqual(msgspec.convert(part, ForwarderConfig).limits, LimitsConfig())
+        self.assertEqual(msgspec.convert(section, ForwarderConfig).limits, LimitsConfig())
 
     def test_each_limit_is_read_from_its_name_in_the_file(self) -> None:
-        part = {
+        section = {
             "connections": 1,
             "worker": 2,
             "client": 3,
@@ -37,7 +37,7 @@
             "idle_wait": 8.0,
             "pool": 9,
         }
-        stated = LimitsConfig(
+        expected = LimitsConfig(
             connections=1,
             connections_per_worker=2,
             connections_per_client=3,
@@ -48,12 +48,12 @@
             idle_timeout_s=8.0,
             pool_size_per_worker=9,
         )
-        self.assertEqual(msgspec.convert(part, LimitsConfig), stated)
+        self.assertEqual(msgspec.convert(section, LimitsConfig), expected)
 
-    def test_the_largest_rate_is_what_the_policy_counts(self) -> None:
+    def test_the_maximum_rate_equals_the_limit_of_the_policy(self) -> None:
         self.assertEqual(defaults.MAX_REQUESTS_PER_S, MAX_REQUEST_RATE)
 
-    def test_upgraded_connections(self) -> None:
+    def test_defaults_of_upgraded_connections(self) -> None:
         upgrades = UpgradesConfig(grace_s=30.0)
         self.assertEqual(upgrades.max_connections_per_worker, 8_000)
         self.assertEqual(upgrades.arrivals_per_s, 50.0)
--- a/tests/control/test_manager_program.py
+++ b/tests/control/test_manager_program.py
@@ -120,7 +120,7 @@
         http_server = await self.start_http_server(scripted_answer(""))  # speaks another protocol
         cases = (
             (f"{LOOPBACK}:{program.port}", 0, "serves"),
-            (http_server, 1, "not with PONG"),
+            (http_server, 1, "bytes that begin with 'HTTP/1."),
             ("here", 2, "host:port"),
         )
         results = await asyncio.gather(*(run_ping(address) for address, _, _ in cases))
