--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -56,7 +56,7 @@
     if running_path:
         running_config = load_startup_config(running_path)
         _check_reload(running_config.manager, startup_config.manager)
-    click.echo(_summary(startup_config))
+    click.echo(_configuration_summary(startup_config))
 
 
 def _check_operator_config(path: str) -> None:
@@ -78,14 +78,14 @@
         raise CommandError(f"a reload would not change: {', '.join(unchangeable)}")
 
 
-def _summary(config: StartupConfig) -> str:
+def _configuration_summary(config: StartupConfig) -> str:
     parameters = config.settings.parameters
-    known = config.starting_list
+    starting_list = config.starting_list
     host, port = config.manager.listen
     return (
         f"{config.manager.name}: listens on {host}:{port}, "
         f"{parameters.proxy_count} proxies in {parameters.zone_count} zones, "
-        f"{len(known.endpoints.endpoints)} workers known (version {known.version}), "
+        f"{len(starting_list.endpoints.endpoints)} workers known (version {starting_list.version}), "
         f"{parameters.manager_count} managers"
     )
 
--- a/tests/config/test_error_texts.py
+++ b/tests/config/test_error_texts.py
@@ -92,7 +92,7 @@
 
 
 class FieldErrorTextTests(ErrorTextTestCase):
-    def test_fields(self) -> None:
+    def test_an_error_of_a_field_states_the_expected_and_the_given_value(self) -> None:
         self.check(
             ErrorCase(
                 partial(read_field, [1], "port", int, "file"),
@@ -131,7 +131,7 @@
             ),
         )
 
-    def test_lists_of_names(self) -> None:
+    def test_an_invalid_list_of_names_is_reported_with_its_first_invalid_item(self) -> None:
         for names, got in (([], "an array of length 0"), (["a", ""], "''"), ([None], "null")):
             self.check(
                 ErrorCase(
@@ -148,7 +148,7 @@
             )
         )
 
-    def test_unknown_value(self) -> None:
+    def test_an_unknown_value_is_reported_with_the_known_values(self) -> None:
         error = UnknownValueError("event", "Mode", (0, 1, 2), 3)
         self.assertEqual(str(error), "event: field Mode must be one of 0, 1, 2, got 3")
 
@@ -162,7 +162,7 @@
         Path(self.path).write_text(text)
         return read_startup_config(self.path)
 
-    def test_files_that_can_not_be_decoded(self) -> None:
+    def test_a_file_that_can_not_be_decoded_is_reported_with_its_path(self) -> None:
         self.check(
             ErrorCase(
                 partial(ManagerFile.load, ""),
@@ -186,7 +186,7 @@
             ),
         )
 
-    def test_invalid_values(self) -> None:
+    def test_an_invalid_value_is_reported_with_path_and_field(self) -> None:
         slices = {**SETTINGS, "FamilyInfo": {**SETTINGS["FamilyInfo"], "KeyRanges": 4}}
         self.check(
             ErrorCase(
@@ -201,7 +201,7 @@
             ),
         )
 
-    def test_unknown_names(self) -> None:
+    def test_an_unknown_name_is_reported_with_its_kind(self) -> None:
         settings = read_startup_config(self.write(json.dumps(self.valid))).settings
         self.check(
             ErrorCase(
@@ -216,7 +216,7 @@
             ),
         )
 
-    def test_an_integer_beyond_the_range_of_a_float(self) -> None:
+    def test_an_integer_beyond_the_range_of_a_float_is_reported_with_the_path(self) -> None:
         def overflow() -> None:
             with overflows_as_config_errors(self.path):
                 float(10**400)
@@ -246,7 +246,7 @@
         case = ErrorCase(partial(self.read, json.dumps({section: body})), error, f"{self.path}: {text}")
         self.check(case)
 
-    def test_files_that_can_not_be_decoded(self) -> None:
+    def test_a_file_that_can_not_be_decoded_is_reported_with_its_path(self) -> None:
         self.check(
             ErrorCase(
                 partial(self.read, " " * (MAX_FILE_CHARACTERS + 1)),
@@ -266,11 +266,11 @@
             )
         )
 
-    def test_a_value_of_the_wrong_type(self) -> None:
+    def test_a_value_of_the_wrong_type_is_reported_with_its_json_path(self) -> None:
         text = "$.forwarder.node: Expected `int`, got `str`"
         self.check_section("forwarder", {**FORWARDER, "node": "x"}, OperatorFileError, text)
 
-    def test_the_forwarders_section(self) -> None:
+    def test_an_invalid_forwarder_section_is_reported_with_its_json_path(self) -> None:
         faults: tuple[tuple[dict[str, Any], str], ...] = (
             ({"zone": "z"}, "$.forwarder.zone: must be one of $.forwarder.zones, got 'z'"),
             ({"zones": ["a", "a"]}, "$.forwarder.zones: must not list 'a' more than once"),
@@ -287,7 +287,7 @@
         changes = {"managers": ["h:3", "h:70000"]}
         self.check_section("forwarder", {**FORWARDER, **changes}, FieldValueError, text)
 
-    def test_the_section_of_weight_advice(self) -> None:
+    def test_an_invalid_advice_section_is_reported_with_its_json_path(self) -> None:
         dfp = {"protocol": "dfp", "listen": "h:1"}
         sasp = {"protocol": "sasp", "at": "h:1"}
         faults: tuple[tuple[dict[str, Any], str], ...] = (
--- a/tests/config/test_manager_file.py
+++ b/tests/config/test_manager_file.py
@@ -108,7 +108,7 @@
         self.path.write_text(json.dumps(body))
         return read_startup_config(str(self.path))
 
-    def test_every_field_with_every_edge_value(self) -> None:
+    def test_every_edge_value_in_every_field_is_rejected_or_usable(self) -> None:
         """Reading either raises an error of one line that states the fault, or a controller runs."""
         for path in json_paths(self.valid):
             for value in EDGE_VALUES:
