--- a/cottonladder/state/__init__.py
+++ b/cottonladder/state/__init__.py
@@ -1,1 +1,1 @@
-"""State that a manager keeps between inputs: known workers, proxy sessions, what each proxy was sent."""
+"""State that a manager keeps between inputs: known workers, proxy sessions, lines sent to each proxy."""
--- a/cottonladder/state/admission_settings.py
+++ b/cottonladder/state/admission_settings.py
@@ -1,4 +1,4 @@
-"""The admission that is ordered for each routing table, and for all proxies at once."""
+"""Admission settings of the routing tables, and those that apply to all proxies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AdmissionSettings:
-    """The settings by request class; the lower admission is in force where two of them apply."""
+    """Admission settings by request class; where a table's and a global one apply, the lower one wins."""
 
     def __init__(self) -> None:
         self._by_table: dict[int, dict[int, AdmissionSetting]] = {}
@@ -27,32 +27,33 @@
         self._by_table.pop(table, None)
 
     def global_lines(self, tables: Sequence[int | None]) -> list[LineOperation]:
-        """A line for each request class that has a setting for all proxies.
+        """Returns a line for each request class that has a setting for all proxies.
 
-        `tables` is as in `lines`.
+        `tables` has the same form as in `lines`.
         """
         return [line for class_index in self._global for line in self.lines(tables, [class_index])]
 
     def lines(self, tables: Sequence[int | None], class_indices: Iterable[int]) -> list[LineOperation]:
-        """Lines for the admission in force for these request classes; equal settings share a line.
+        """Returns lines with the effective admission of these request classes; equal settings share a line.
 
-        `tables` has the table that the proxy reads for each request class, None for another manager's.
+        `tables` is the table that the proxy reads for each request class; None for another manager's table.
         """
         masks: dict[AdmissionSetting, int] = {}
         for class_index in class_indices:
-            setting = self._in_force(tables[class_index], class_index)
+            setting = self._effective_setting(tables[class_index], class_index)
             if setting is not None:
                 masks[setting] = masks.get(setting, 0) | 1 << class_index
         return [admission_line(mask, setting) for setting, mask in masks.items()]
 
-    def _in_force(self, table: int | None, class_index: int) -> AdmissionSetting | None:
-        """The lower of the table's admission and that for all proxies, with the table's retry policy."""
-        everywhere = self._global.get(class_index)
+    def _effective_setting(self, table: int | None, class_index: int) -> AdmissionSetting | None:
+        """Returns the lower of the table's and the global admission, with the table's retry policy."""
+        global_setting = self._global.get(class_index)
         if table is None or table not in self._by_table:
-            return everywhere
-        own = self._by_table[table].get(class_index)
-        if own is None:
-            return everywhere
-        if everywhere is None:
-            return own
-        return AdmissionSetting(min(own.admission, everywhere.admission), own.retry_policy)
+            return global_setting
+        table_setting = self._by_table[table].get(class_index)
+        if table_setting is None:
+            return global_setting
+        if global_setting is None:
+            return table_setting
+        lower_admission = min(table_setting.admission, global_setting.admission)
+        return AdmissionSetting(lower_admission, table_setting.retry_policy)
--- a/cottonladder/state/config_encoder.py
+++ b/cottonladder/state/config_encoder.py
@@ -8,15 +8,15 @@
 from .line_operations import LineKind, LineOperation
 from .worker_registry import WorkerRegistry
 
-MAX_PART_LINES_BYTES = 900_000  # of lines in a part; the protocol's 1 MiB includes its other fields
-MAX_PARTS = 64  # of one message, by the protocol; more operations go as a further message
-LINE_OVERHEAD_BYTES = 32  # that a line takes at most beside its worker's id
+MAX_PART_LINES_BYTES = 900_000  # below the protocol's 1 MiB for a part, which includes its other fields
+MAX_PARTS_PER_MESSAGE = 64  # limit of the protocol; further parts go into another message
+MAX_LINE_OVERHEAD_BYTES = 32  # of an encoded line, without its worker id
 
 WORKER_LINES = frozenset((LineKind.SET_WEIGHT, LineKind.EXCLUDE_WORKER, LineKind.READMIT_WORKER))
 
 
 class ConfigEncoder:
-    """Encodes operations with the names of request classes and the ids of workers."""
+    """Encodes operations as CONFIG messages, with names of request classes and ids of workers."""
 
     def __init__(self, class_names: list[str], workers: WorkerRegistry) -> None:
         self._class_names = class_names
@@ -25,18 +25,21 @@
 
     def encode(self, operations: Iterable[LineOperation]) -> bytes:
         """Encodes all operations in order, in as few parts and messages as the protocol allows."""
-        packer = _PartPacker(self._wire_names)
+        packer = _PartPacker(self._encode_class_names)
         for operation in operations:
             worker_id = b""
             if operation.kind in WORKER_LINES:
                 worker_id = self._workers.ids[operation.worker_index]
             packer.add(operation, worker_id)
         parts = packer.parts
-        messages = [parts[first : first + MAX_PARTS] for first in range(0, len(parts), MAX_PARTS)]
+        messages = [
+            parts[first : first + MAX_PARTS_PER_MESSAGE]
+            for first in range(0, len(parts), MAX_PARTS_PER_MESSAGE)
+        ]
         return b"".join(encode_parts(message) for message in messages)
 
-    def _wire_names(self, class_mask: int) -> bytes:
-        """The names of these classes in the protocol's form, which is empty where it means all of them."""
+    def _encode_class_names(self, class_mask: int) -> bytes:
+        """Returns the names of these classes as the protocol encodes them; empty stands for all classes."""
         if class_mask == self._all_classes:
             return b""
         names = [name for index, name in enumerate(self._class_names) if class_mask >> index & 1]
@@ -44,17 +47,17 @@
 
 
 class _PartPacker:
-    """Puts operations into parts, and starts another part where the last one can't take an operation."""
+    """Distributes operations over parts; one that does not fit into the last part starts a new part."""
 
-    def __init__(self, wire_names: Callable[[int], bytes]) -> None:
+    def __init__(self, encode_class_names: Callable[[int], bytes]) -> None:
         self.parts = [OutgoingConfigPart()]
-        self._wire_names = wire_names
-        self._class_mask = 0  # classes that the last part's table fields stand for; 0 while it has none
-        self._size_bytes = 0  # bytes of the last part's lines, at most
+        self._encode_class_names = encode_class_names
+        self._class_mask = 0  # classes that the last part's table fields apply to; 0 while it has none
+        self._size_bytes = 0  # upper bound for the encoded lines of the last part
 
     def add(self, operation: LineOperation, worker_id: bytes) -> None:
-        """Adds an operation to the last part, or to a new one where the last can't take it."""
-        line_size_bytes = len(worker_id) + LINE_OVERHEAD_BYTES
+        """Adds an operation to the last part, or to a new part if it does not fit there."""
+        line_size_bytes = len(worker_id) + MAX_LINE_OVERHEAD_BYTES
         self._size_bytes += line_size_bytes
         if self._needs_new_part(operation, worker_id):
             self.parts.append(OutgoingConfigPart())
@@ -63,8 +66,8 @@
         part = self.parts[-1]
         if operation.class_mask:
             self._class_mask = operation.class_mask
-            part.classes = self._wire_names(operation.class_mask)
-        _write(part, operation, worker_id)
+            part.classes = self._encode_class_names(operation.class_mask)
+        _add_to_part(part, operation, worker_id)
 
     def _needs_new_part(self, operation: LineOperation, worker_id: bytes) -> bool:
         for_other_classes = bool(operation.class_mask) and self._class_mask not in (0, operation.class_mask)
@@ -73,7 +76,7 @@
         return CONFLICTS[operation.kind](self.parts[-1], worker_id)
 
 
-def _write(part: OutgoingConfigPart, operation: LineOperation, worker_id: bytes) -> None:
+def _add_to_part(part: OutgoingConfigPart, operation: LineOperation, worker_id: bytes) -> None:
     kind = operation.kind
     if kind is LineKind.SET_WEIGHT:
         part.weights[worker_id] = operation.value
@@ -109,8 +112,8 @@
     return part.checkpoint is not None
 
 
-# Whether a part has a line that rules out a further one of this kind, for this worker.  A part encodes its
-# fields in a fixed order, and each once, so an operation that needs another order starts a new part.
+# By kind: whether a part already has a line that excludes another line of this kind for this worker.  A part
+# encodes each field once and in a fixed order, so an operation that needs another order starts a new part.
 CONFLICTS: dict[LineKind, Callable[[OutgoingConfigPart, bytes], bool]] = {
     LineKind.SET_WEIGHT: _conflicts_with_weight,
     LineKind.REPLACE_TABLE: _conflicts_with_replacement,
--- a/cottonladder/state/exclusions.py
+++ b/cottonladder/state/exclusions.py
@@ -1,7 +1,7 @@
-"""Which workers this manager excludes, and the lines that have a proxy exclude the same ones.
+"""The workers that this manager excludes, and the lines that make each proxy exclude the same workers.
 
-A proxy keeps its exclusions when it reconnects, so they are remembered here too.  Where a proxy may exclude a
-worker that this manager does not, the worker's next line comes with another one that readmits it.
+A proxy keeps its exclusions when it reconnects, so they are also kept here.  Where a proxy may exclude a
+worker that this manager does not exclude, a line that readmits the worker is sent with its next line.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 class Exclusions:
-    """The excluded workers, and a view of each proxy that ever connected.
+    """The excluded workers, and a view of each proxy that has ever connected.
 
-    Methods that return lines also record in the proxy's view what these lines change.
+    The `sync_` methods record in the proxy's view that the lines they return are sent.
     """
 
     def __init__(self, workers: WorkerRegistry, is_only_manager: bool) -> None:
@@ -26,19 +26,19 @@
         self._views: dict[int, ProxyView] = {}  # by proxy, connected or not
 
     def connect_proxy(self, proxy: int, is_fresh: bool) -> None:
-        """Begins a new connection of a proxy.
+        """Starts a new connection of a proxy.
 
-        `is_fresh`: it holds no manager's table yet, and counts as sent nothing by other managers.
+        `is_fresh`: the proxy has no table yet; it is assumed that no other manager has sent it anything.
         """
         known = self._views.get(proxy)
         if known is None:
             self._views[proxy] = ProxyView(is_authoritative=is_fresh)
         else:
             was_authoritative = self._is_only_manager and known.is_authoritative
-            self._views[proxy] = known.reconnected(is_fresh or was_authoritative)
+            self._views[proxy] = known.after_reconnection(is_fresh or was_authoritative)
 
     def count_readmissions(self, proxy: int, worker_indices: Iterable[int], binds_table: bool) -> int:
-        """Returns how many readmission lines the proxy gets beside the lines of these workers.
+        """Returns how many readmission lines the proxy gets in addition to the lines of these workers.
 
         `binds_table`: the workers are those of a table that the proxy is about to be bound to.
         """
@@ -54,36 +54,36 @@
         else:
             self._excluded.pop(worker_index, None)
 
-    def take_line(self, proxy: int, worker_index: int) -> LineOperation:
+    def sync_worker(self, proxy: int, worker_index: int) -> LineOperation:
         """Returns the line that makes the proxy exclude a worker if this manager does, or else readmit it."""
         excluded = worker_index in self._excluded
         self._views[proxy].exclusions[worker_index] = excluded
         return exclusion_line(worker_index, excluded)
 
-    def take_line_if_needed(self, proxy: int, worker_index: int) -> list[LineOperation]:
-        """Returns the same line, or none if the proxy's exclusion of the worker is already this manager's."""
+    def sync_worker_if_needed(self, proxy: int, worker_index: int) -> list[LineOperation]:
+        """Returns the line of `sync_worker`, or none if the proxy is known to agree with this manager."""
         is_excluded = self._views[proxy].is_excluded(worker_index, self._workers)
         if is_excluded == (worker_index in self._excluded):
             return []
-        return [self.take_line(proxy, worker_index)]
+        return [self.sync_worker(proxy, worker_index)]
 
-    def take_table_lines(self, proxy: int, weights: Mapping[int, float]) -> list[LineOperation]:
-        """Returns the lines for the exclusions of a table's workers, which the cost of a bind counts."""
+    def sync_table(self, proxy: int, weights: Mapping[int, float]) -> list[LineOperation]:
+        """Returns the exclusion and readmission lines for the workers of a table to bind to."""
         view = self._views[proxy]
         excluded = self._excluded.keys() & weights.keys()
-        # Marked as unknown, so that each excluded worker gets a line: the cost of a bind counts one.
+        # Marked as unknown so that each excluded worker gets a line: the cost of a bind includes it.
         view.exclusions.update(dict.fromkeys(excluded))
         deferred = view.deferrable_readmissions(weights.keys() - excluded, self._workers)
         lines: list[LineOperation] = []
         for worker_index in weights:
             if worker_index not in deferred:
-                lines += self.take_line_if_needed(proxy, worker_index)
+                lines += self.sync_worker_if_needed(proxy, worker_index)
         return lines
 
     def remove_worker(self, worker_index: int) -> None:
-        """Frees what is kept of a worker.
+        """Frees the state of a removed worker.
 
-        A proxy may exclude it for good; should the worker be listed again, its first line readmits it.
+        A proxy may still exclude it; if it is listed again, its first line is sent with a readmission.
         """
         self._excluded.pop(worker_index, None)
         for view in self._views.values():
--- a/cottonladder/state/line_operations.py
+++ b/cottonladder/state/line_operations.py
@@ -1,7 +1,7 @@
 """Pending lines of messages to proxies, before they are encoded.
 
-A line is the unit that the channel to a proxy is charged in.  Operations are named tuples rather than
-dataclasses because a single step may create, compare and hash tens of thousands of them.
+A line is the unit in which the channel to a proxy is charged.  Operations are named tuples rather than
+dataclasses because one step of the control loop may create, compare and hash tens of thousands of them.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class LineOperation(NamedTuple):
-    """One line of a message; fields that its kind has no use for keep their defaults."""
+    """One line of a message; fields that its kind does not use keep their defaults."""
 
     kind: LineKind
-    class_mask: int = 0  # sum of 2**class that the line stands for; 0 where it stands for no class
+    class_mask: int = 0  # sum of 2**class over the classes that the line applies to; 0 for none
     worker_index: int = -1
     value: float = 0.0  # a weight, or an admission ratio or rate
     retry_policy: int = 0
@@ -33,7 +33,7 @@
 
 
 class AdmissionSetting(NamedTuple):
-    """The admission ratio or rate of one request class, and the retry policy that goes with it."""
+    """The admission ratio or rate of one request class, and its retry policy."""
 
     admission: float
     retry_policy: int
@@ -63,5 +63,5 @@
 
 
 def checkpoint_line(number: int) -> LineOperation:
-    """Returns the line with a number that the proxy acknowledges once it has applied all lines before it."""
+    """Returns the line with a checkpoint number; a proxy acknowledges it after applying all earlier lines."""
     return LineOperation(LineKind.CHECKPOINT, checkpoint=number)
--- a/cottonladder/state/order_checks.py
+++ b/cottonladder/state/order_checks.py
@@ -1,4 +1,4 @@
-"""Checks an order before any part of it is applied, so that a fault of the policy never reaches a proxy."""
+"""Checks each order before it is applied, so that an invalid order of the policy never reaches a proxy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class OrderChecker:
-    """Checks the figures of orders, and that their workers are known."""
+    """Checks the weights and admissions of orders, and that their workers are known."""
 
     def __init__(self, class_names: Sequence[str], workers: WorkerRegistry) -> None:
         self._class_names = class_names
@@ -19,10 +19,10 @@
 
     def check(self, order: Order) -> None:
         """Raises `OrderRejectedError` for an order that must never be sent."""
-        if isinstance(order, SetWeight) and not _is_valid_figure(order.weight):
+        if isinstance(order, SetWeight) and not _is_finite_and_not_negative(order.weight):
             worker_id = self._workers.ids.get(order.worker_index, b"").decode()
             raise InvalidWeightError(order, worker_id)
-        if isinstance(order, SetAdmission) and not _is_valid_figure(order.admission):
+        if isinstance(order, SetAdmission) and not _is_finite_and_not_negative(order.admission):
             raise InvalidAdmissionError(order, self._class_names_for_log(order.class_mask))
         if isinstance(order, (SetWeight, ExcludeWorker, RemoveWorker)):
             self._check_worker(order)
@@ -32,7 +32,7 @@
             raise UnknownWorkerError(order)
 
     def _class_names_for_log(self, class_mask: int) -> list[str]:
-        """The names of the request classes in a mask, of which 0 stands for all."""
+        """Returns the names of the request classes in a mask; mask 0 stands for all classes."""
         return [
             name
             for class_index, name in enumerate(self._class_names)
@@ -40,5 +40,5 @@
         ]
 
 
-def _is_valid_figure(value: float) -> bool:
+def _is_finite_and_not_negative(value: float) -> bool:
     return math.isfinite(value) and value >= 0
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -1,8 +1,8 @@
 """Turns the controller's orders into one message for each proxy.
 
-`apply` carries out one order and adds the lines that it costs at each proxy to that proxy's pending
-operations; `pop_messages` encodes all that is pending, one message a proxy.  A line stands for the request
-classes that read the table at that proxy.
+`apply` carries out one order and adds its lines to the pending operations of each proxy that it affects;
+`pop_messages` encodes all pending operations, one message for each proxy.  A line applies to the request
+classes for which the proxy reads the table.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class OrderDispatcher:
-    """Applies orders and collects, for each connected proxy, the lines that they cost."""
+    """Applies orders and collects the resulting lines for each connected proxy."""
 
     def __init__(self, class_names: list[str], manager_count: int, workers: WorkerRegistry) -> None:
         self._class_count = len(class_names)
@@ -57,9 +57,9 @@
         }
 
     def track_proxies(self, inputs: list[Input]) -> None:
-        """Follows which proxies a batch of inputs connects or disconnects.
+        """Adds and removes the proxies that connect or disconnect in a batch of inputs.
 
-        Called before the controller decides on the batch, as its orders may already name these proxies.
+        Called before the controller decides on the batch, because its orders may already name these proxies.
         """
         for item in inputs:
             if isinstance(item, ProxyConnected):
@@ -70,42 +70,41 @@
     def connect_proxy(self, proxy: int, is_fresh: bool) -> None:
         """Adds a proxy with a new connection; until it is bound it reads another manager's tables.
 
-        `is_fresh`: it holds no manager's table yet, and counts as sent nothing by other managers.
+        `is_fresh`: the proxy has no table yet; it is assumed that no other manager has sent it anything.
         """
         self.disconnect_proxy(proxy)
         self._bindings.connect(proxy)
         self._exclusions.connect_proxy(proxy, is_fresh)
 
     def disconnect_proxy(self, proxy: int) -> None:
-        """Drops what is pending for a proxy; what it was sent to exclude is remembered."""
+        """Removes a proxy and discards its pending operations; its view of exclusions is kept."""
         self._bindings.disconnect(proxy)
-        self._pending.drop(proxy)
+        self._pending.discard(proxy)
 
     def apply(self, order: Order) -> None:
-        """Applies one order; raises `OrderRejectedError` where it is one that must never be sent."""
+        """Applies one order; raises `OrderRejectedError` if it must never be sent."""
         self._checker.check(order)
         self._handlers[type(order)](order)
 
     def pop_messages(self) -> Iterator[tuple[int, bytes]]:
         """Yields each proxy with pending operations and its encoded message; must be consumed to the end.
 
-        Removed workers are freed afterwards.  Every message repeats the admission that is set for all
-        proxies.
+        Afterwards, removed workers are freed.  Every message repeats the admission set for all proxies.
         """
         for proxy in self._pending.proxies():
             lines = self._admission.global_lines(self._bindings.tables_of(proxy))
             self._pending.add_missing(proxy, lines)
-        yield from self._pending.take()
+        yield from self._pending.pop_messages()
         for worker_index in self._removed_workers:
             self._workers.remove(worker_index)
         self._removed_workers = []
 
     def pending_line_counts(self) -> dict[int, int]:
-        """Lines pending for each proxy."""
+        """Returns the number of pending lines of each proxy that has any."""
         return self._pending.line_counts()
 
     def count_readmissions(self, proxy: int, worker_indices: Iterable[int], binds_table: bool) -> int:
-        """Returns how many readmission lines the proxy gets beside the lines of these workers.
+        """Returns how many readmission lines the proxy gets in addition to the lines of these workers.
 
         `binds_table`: the workers are those of a table that the proxy is about to be bound to.
         """
@@ -120,13 +119,14 @@
             weights[order.worker_index] = order.weight
         else:
             weights.pop(order.worker_index, None)
-        lines_by_mask: dict[int, LineOperation] = {}  # shared, as most proxies bind all classes to one table
+        # Lines are shared by proxies, most of which read one table for all classes.
+        lines_by_mask: dict[int, LineOperation] = {}
         for proxy in self._bindings.readers(order.table):
             class_mask = self._bindings.reading_class_mask(proxy, order.table)
             if class_mask not in lines_by_mask:
                 lines_by_mask[class_mask] = weight_line(class_mask, order.worker_index, order.weight)
             lines = (
-                self._exclusions.take_line_if_needed(proxy, order.worker_index) if order.weight > 0 else []
+                self._exclusions.sync_worker_if_needed(proxy, order.worker_index) if order.weight > 0 else []
             )
             lines.append(lines_by_mask[class_mask])
             self._pending.add(proxy, lines)
@@ -150,25 +150,25 @@
         tables = self._bindings.tables_of(order.proxy)
         lines = [replacement_line(class_mask)]
         lines += [weight_line(class_mask, index, weight) for index, weight in weights.items()]
-        # One line a class, not one for equal settings: the channel budget counts a line for each class.
+        # One line for each class, even with equal settings, because the channel budget counts them so.
         for class_index in class_indices:
             lines += self._admission.lines(tables, [class_index])
-        lines += self._exclusions.take_table_lines(order.proxy, weights)
+        lines += self._exclusions.sync_table(order.proxy, weights)
         self._pending.add(order.proxy, lines)
 
     def _exclude_worker(self, order: ExcludeWorker) -> None:
-        """Adds a line at each proxy that reads a table with the worker, or another manager's table."""
+        """Adds a line for each proxy that reads a table with the worker, or another manager's table."""
         self._exclusions.set_excluded(order.worker_index, order.excluded)
         for proxy in self._bindings:
             tables = self._bindings.tables_of(proxy)
-            if any(self._may_hold(table, order.worker_index) for table in tables):
-                self._pending.add(proxy, [self._exclusions.take_line(proxy, order.worker_index)])
+            if any(self._may_contain_worker(table, order.worker_index) for table in tables):
+                self._pending.add(proxy, [self._exclusions.sync_worker(proxy, order.worker_index)])
 
-    def _may_hold(self, table: int | None, worker_index: int) -> bool:
+    def _may_contain_worker(self, table: int | None, worker_index: int) -> bool:
         return table is None or worker_index in self._weights[table]
 
     def _set_admission(self, order: SetAdmission) -> None:
-        """Adds lines at each proxy that reads the table, but for classes that it reads elsewhere."""
+        """Adds lines for each proxy that reads the table, only for the classes for which it reads it."""
         class_indices = self._classes_in(order.class_mask or self._all_classes)
         setting = AdmissionSetting(order.admission, int(order.retry_policy))
         if order.table == ALL_TABLES:
@@ -180,8 +180,8 @@
         self._admission.set_for_table(order.table, class_indices, setting)
         for proxy in self._bindings.readers(order.table):
             tables = self._bindings.tables_of(proxy)
-            read_here = [index for index in class_indices if tables[index] == order.table]
-            self._pending.add(proxy, self._admission.lines(tables, read_here))
+            classes_of_table = [index for index in class_indices if tables[index] == order.table]
+            self._pending.add(proxy, self._admission.lines(tables, classes_of_table))
 
     def _remove_worker(self, order: RemoveWorker) -> None:
         self._exclusions.remove_worker(order.worker_index)
--- a/cottonladder/state/order_errors.py
+++ b/cottonladder/state/order_errors.py
@@ -1,6 +1,6 @@
 """Errors for orders that must never be sent to a proxy.
 
-They point to a fault of the routing policy; the dispatcher checks an order before it applies any part of it.
+Such an order is a fault of the routing policy.  The dispatcher checks each order before it applies it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why an order was rejected; the values are those that the log gives."""
+    """Reasons for rejecting an order; the values are logged."""
 
     INVALID_WEIGHT = "invalid_weight"
     INVALID_ADMISSION = "invalid_admission"
@@ -28,12 +28,12 @@
         self.reason = reason
 
     def details(self) -> dict[str, object]:
-        """The log fields that tell what was wrong with the order."""
+        """Returns the log fields that describe the fault of the order."""
         return {}
 
 
 class InvalidWeightError(OrderRejectedError):
-    """A weight that is not a finite number of at least 0."""
+    """A weight that is not a finite number of 0 or more."""
 
     def __init__(self, order: SetWeight, worker_id: str) -> None:
         super().__init__(order, RejectionReason.INVALID_WEIGHT)
@@ -41,12 +41,12 @@
         self.worker_id = worker_id
 
     def details(self) -> dict[str, object]:
-        """The worker as discovery lists it, and the weight ordered."""
+        """Returns the id of the worker, empty if unknown, and the ordered weight."""
         return {"worker_id": self.worker_id, "weight": self.weight}
 
 
 class InvalidAdmissionError(OrderRejectedError):
-    """An admission ratio or rate that is not a finite number of at least 0."""
+    """An admission ratio or rate that is not a finite number of 0 or more."""
 
     def __init__(self, order: SetAdmission, class_names: Sequence[str]) -> None:
         super().__init__(order, RejectionReason.INVALID_ADMISSION)
@@ -54,14 +54,14 @@
         self.class_names = class_names
 
     def details(self) -> dict[str, object]:
-        """The request classes by name, and the admission ordered."""
+        """Returns the names of the request classes and the ordered admission."""
         return {"classes": ",".join(self.class_names), "admission": self.admission}
 
 
 class UnknownWorkerError(OrderRejectedError):
     """An order for a worker that was never listed, or that was removed.
 
-    No id is known for it, so the index is all that identifies it.
+    No id is known for the worker, so it is identified by its index alone.
     """
 
     def __init__(self, order: SetWeight | ExcludeWorker | RemoveWorker) -> None:
@@ -69,5 +69,5 @@
         self.worker_index = order.worker_index
 
     def details(self) -> dict[str, object]:
-        """The index by which the policy named the worker."""
+        """Returns the worker index of the order."""
         return {"worker_index": self.worker_index}
--- a/cottonladder/state/pending_messages.py
+++ b/cottonladder/state/pending_messages.py
@@ -16,29 +16,29 @@
         self._operations: dict[int, list[LineOperation]] = {}  # by proxy
 
     def proxies(self) -> list[int]:
-        """The proxies that have pending operations."""
+        """Returns the proxies that have pending operations."""
         return list(self._operations)
 
     def line_counts(self) -> dict[int, int]:
-        """Lines pending for each proxy."""
+        """Returns the number of pending lines of each proxy that has any."""
         return {proxy: len(operations) for proxy, operations in self._operations.items()}
 
     def add(self, proxy: int, operations: list[LineOperation]) -> None:
-        """Adds operations to a proxy's next message; without any there is no message."""
+        """Adds operations to a proxy's next message; an empty list does not cause a message."""
         if operations:
             self._operations.setdefault(proxy, []).extend(operations)
 
     def add_missing(self, proxy: int, operations: Iterable[LineOperation]) -> None:
-        """Adds those operations to a proxy's message that are not pending yet."""
+        """Adds the operations that are not yet pending to a proxy's next message; the proxy must have one."""
         pending = self._operations[proxy]
         pending += [operation for operation in operations if operation not in pending]
 
-    def drop(self, proxy: int) -> None:
-        """Drops what is pending for a proxy."""
+    def discard(self, proxy: int) -> None:
+        """Discards the pending operations of a proxy."""
         self._operations.pop(proxy, None)
 
-    def take(self) -> Iterator[tuple[int, bytes]]:
-        """Yields each proxy and its message; equal ones are encoded once.  None are pending afterwards."""
+    def pop_messages(self) -> Iterator[tuple[int, bytes]]:
+        """Removes all pending operations and yields each proxy with its message; encodes equal ones once."""
         all_pending = self._operations
         self._operations = {}
         encoded: dict[tuple[LineOperation, ...], bytes] = {}
--- a/cottonladder/state/proxy_bindings.py
+++ b/cottonladder/state/proxy_bindings.py
@@ -1,4 +1,4 @@
-"""Which routing table each connected proxy reads for each request class."""
+"""The routing table that each connected proxy reads for each request class."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class ProxyBindings:
-    """The connected proxies, each with one table a request class; None where another manager's is read."""
+    """The connected proxies, with the table of each request class; None for another manager's table."""
 
     def __init__(self, class_count: int) -> None:
         self._class_count = class_count
-        self._tables: dict[int, list[int | None]] = {}  # by proxy, a table a request class
+        self._tables: dict[int, list[int | None]] = {}  # by proxy, then by request class
         self._readers: dict[int, dict[int, None]] = {}  # by table, the proxies that read it for any class
 
     def __contains__(self, proxy: int) -> bool:
-        """Whether the proxy is connected."""
+        """Returns whether the proxy is connected."""
         return proxy in self._tables
 
     def __iter__(self) -> Iterator[int]:
-        """The connected proxies, in the order in which they connected."""
+        """Iterates over the connected proxies, in the order in which they connected."""
         return iter(self._tables)
 
     def connect(self, proxy: int) -> None:
@@ -32,7 +32,7 @@
             readers.pop(proxy, None)
 
     def bind(self, proxy: int, table: int, class_indices: Iterable[int]) -> None:
-        """Has a connected proxy read this table for these request classes."""
+        """Makes a connected proxy read this table for these request classes."""
         tables = self._tables[proxy]
         for class_index in class_indices:
             tables[class_index] = table
@@ -42,14 +42,14 @@
         self._readers.setdefault(table, {})[proxy] = None
 
     def readers(self, table: int) -> Iterable[int]:
-        """The proxies that read this table for at least one request class."""
+        """Returns the proxies that read this table for at least one request class."""
         return self._readers.get(table, ())
 
     def tables_of(self, proxy: int) -> list[int | None]:
-        """A connected proxy's table for each request class."""
+        """Returns a connected proxy's table for each request class."""
         return self._tables[proxy]
 
     def reading_class_mask(self, proxy: int, table: int) -> int:
-        """Mask of the request classes that read this table at this proxy."""
+        """Returns the mask of the request classes for which this proxy reads this table."""
         tables = self._tables[proxy]
         return sum(1 << class_index for class_index, read in enumerate(tables) if read == table)
--- a/cottonladder/state/proxy_sessions.py
+++ b/cottonladder/state/proxy_sessions.py
@@ -1,4 +1,4 @@
-"""Which connection of each proxy is in force: the one that was accepted last."""
+"""The current connection of each proxy, which is the one accepted last."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class ProxySessions:
-    """Turns connections' events into inputs for the control loop, and writes to proxies.
+    """Converts the events of connections to inputs for the control loop, and writes to proxies.
 
-    Where a proxy connects again, its old connection's end comes before the new one's start in the inputs.
+    If a proxy connects again, the inputs have the end of its old connection before the start of the new one.
     """
 
     def __init__(self, input_received: Callable[[Input | ExtensionMessage], None]) -> None:
@@ -20,10 +20,10 @@
         self._connections: dict[int, ProtocolConnection] = {}  # by proxy
 
     def proxy_connected(self, connection: ProtocolConnection, event: ProxyConnected) -> None:
-        """Called once a connection has identified its proxy."""
+        """Makes a connection that has identified its proxy the current one, unless there is a newer one."""
         current = self._connections.get(event.proxy)
         if current is not None and current.accept_number > connection.accept_number:
-            # The connection was accepted before the current one and read after it, so its proxy has left it.
+            # Accepted before the current connection but read after it, so the proxy has already replaced it.
             connection.listener.mark_superseded(connection)
             return
         if current is not None:
@@ -33,13 +33,13 @@
         self.input_received(event)
 
     def connection_ended(self, connection: ProtocolConnection) -> None:
-        """Called once a connection is closed; ignored where the proxy has a newer one."""
+        """Removes a closed connection; does nothing if the proxy has a newer one."""
         if self._connections.get(connection.proxy) is connection:
             del self._connections[connection.proxy]
             self.input_received(ProxyDisconnected(connection.proxy))
 
     def send(self, proxy: int, data: bytes) -> None:
-        """Writes to the proxy's current connection; does nothing where it has none."""
+        """Writes to the proxy's current connection; does nothing if it has none."""
         connection = self._connections.get(proxy)
         if connection is not None:
             connection.send(data)
--- a/cottonladder/state/proxy_view.py
+++ b/cottonladder/state/proxy_view.py
@@ -1,4 +1,4 @@
-"""Which workers a proxy excludes, as far as this manager can know."""
+"""The workers that a proxy excludes, as far as this manager can know."""
 
 from __future__ import annotations
 
@@ -7,28 +7,27 @@
 
 from .worker_registry import WorkerRegistry
 
-MIN_ADMITTED_SHARE = (
-    0.25  # of a table's workers; with fewer certain to be admitted, all are readmitted at once
-)
+# Minimum share of a table's workers that the proxy is certain to admit; below it, no readmission is deferred.
+MIN_ADMITTED_SHARE = 0.25
 
 
 @dataclass(slots=True)
 class ProxyView:
-    """Exclusions that one proxy was sent, over all its connections: a proxy keeps them when it reconnects.
+    """Exclusions sent to one proxy over all its connections, because a proxy keeps them when it reconnects.
 
-    The value for a worker is None while it is unknown whether the last line about it arrived.
+    `exclusions` is by worker index; None while it is unknown whether the worker's last line arrived.
     `is_authoritative`: no other manager has sent this proxy anything.
     """
 
     is_authoritative: bool
     exclusions: dict[int, bool | None] = field(default_factory=dict)
 
-    def reconnected(self, is_authoritative: bool) -> ProxyView:
-        """The view after a new connection: any line about an exclusion may have been lost with the last."""
+    def after_reconnection(self, is_authoritative: bool) -> ProxyView:
+        """Returns the view for a new connection; lines sent over the last connection may have been lost."""
         return ProxyView(is_authoritative, dict.fromkeys(self.exclusions))
 
     def is_excluded(self, worker_index: int, workers: WorkerRegistry) -> bool | None:
-        """Whether the proxy excludes this worker; None where it may."""
+        """Returns whether the proxy excludes this worker; None if that is unknown."""
         if worker_index in self.exclusions:
             return self.exclusions[worker_index]
         if workers.was_removed_before(worker_index):
@@ -38,12 +37,12 @@
         return False
 
     def deferrable_readmissions(self, worker_indices: Set[int], workers: WorkerRegistry) -> set[int]:
-        """Workers of a table to bind to that need not be readmitted at once.
+        """Returns the workers of a table to bind whose readmission lines can be sent later.
 
         Only another manager may have excluded them, under the same ids before they restarted, and enough
-        others are left to select from.  Their next line that changes readmits them.  It halves the cost of a
-        bind; the drawback is that where such a worker was excluded, its share goes to the table's others
-        until then.
+        other workers are left to select from.  They are readmitted together with their next changed line.
+        This halves the cost of a bind; the drawback is that the load share of a worker that was excluded goes
+        to the other workers of the table until then.
         """
         if self.is_authoritative:
             return set()
@@ -62,10 +61,10 @@
     def count_readmissions(
         self, worker_indices: Iterable[int], workers: WorkerRegistry, binds_table: bool
     ) -> int:
-        """Returns how many readmission lines the proxy gets beside the lines of these workers.
+        """Returns how many readmission lines the proxy gets in addition to the lines of these workers.
 
-        This manager excludes none of them.  `binds_table`: they are the workers of a table that the proxy is
-        about to be bound to.
+        This manager excludes none of the workers.  `binds_table`: they are the workers of a table that the
+        proxy is about to be bound to.
         """
         affected = set(worker_indices)
         if binds_table:
--- a/cottonladder/state/worker_registry.py
+++ b/cottonladder/state/worker_registry.py
@@ -1,4 +1,4 @@
-"""Assigns indices to worker ids, and keeps each worker's address and whether a start of it was listed."""
+"""Assigns indices to worker ids, and keeps each worker's address and whether its start time was listed."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from ..config.errors import InputError
 
-MAX_WORKERS = 65536  # ids known at once; some 20 MB, and far more than a list names
-REMOVED_FILTER_BITS = 1 << 16  # of the filter of removed ids: 8 KiB, full after tens of thousands of ids
+MAX_WORKERS = 65536  # known at the same time; about 20 MB, and far more than an endpoint list has
+REMOVED_FILTER_BITS = 1 << 16  # 8 KiB; the filter is full after tens of thousands of removed ids
 
 
 class TooManyWorkersError(InputError):
-    """The endpoint list names more workers than are kept."""
+    """The endpoint list has more workers than the registry can keep."""
 
     def __init__(self, limit: int) -> None:
-        super().__init__(f"more than {limit} workers listed")
+        super().__init__(f"endpoint list: at most {limit} known workers expected, got more")
         self.limit = limit
 
 
@@ -24,16 +24,16 @@
     """One listed worker."""
 
     address: str
-    was_removed_before: bool  # so that proxies may still exclude it
+    was_removed_before: bool  # if so, proxies may still exclude it
     has_listed_start: bool = False
 
 
 class WorkerRegistry:
-    """Gives each listed worker a small index, until the controller removes the worker.
+    """Assigns an index to each listed worker, which is valid until the controller removes the worker.
 
-    Indices are never used again, so a late report on a removed worker affects nobody.  Removed ids are kept
-    in a Bloom filter with one hash function: a worker that returns, or hits another's bit, costs a line that
-    readmits it at each proxy, and no more.
+    Indices are never reused, so a late report on a removed worker does not affect another worker.  Removed
+    ids are kept in a Bloom filter with one hash function.  A worker that returns, or whose id has the same
+    bit as a removed one, only costs a readmission line for each proxy.
     """
 
     def __init__(self) -> None:
@@ -44,7 +44,11 @@
         self._removed_filter = bytearray(REMOVED_FILTER_BITS // 8)
 
     def register(self, worker_id: str, address: str, started_at: float) -> int:
-        """Adds or updates a listed worker, and returns its index; `started_at` is 0 for a start long ago."""
+        """Adds or updates a listed worker and returns its index.
+
+        `started_at` is in seconds since 1970; 0 if the list gives no start time, as for a start long ago.
+        Raises TooManyWorkersError for a new worker beyond `MAX_WORKERS`.
+        """
         key = worker_id.encode()
         worker_index = self._indices.get(key)
         if worker_index is None:
@@ -66,7 +70,7 @@
         return worker_index
 
     def remove(self, worker_index: int) -> None:
-        """Frees what is kept of a worker, but for the bit that says that its id was known."""
+        """Frees the state of a worker, except for the bit of its id in the filter of removed ids."""
         worker_id = self.ids.pop(worker_index)
         del self._indices[worker_id]
         del self._workers[worker_index]
@@ -74,28 +78,28 @@
         self._removed_filter[byte] |= bit
 
     def find_index(self, worker_id: bytes) -> int | None:
-        """The index of a listed worker, or None."""
+        """Returns the index of a known worker, or None."""
         return self._indices.get(worker_id)
 
     def is_known(self, worker_index: int) -> bool:
-        """Whether the worker is registered and not removed."""
+        """Returns whether the worker is registered and not removed."""
         return worker_index in self.ids
 
     def has_listed_start(self, worker_index: int) -> bool:
-        """Whether the list has ever given a start time for it, which it does not for a start long ago."""
+        """Returns whether any list gave the worker's start time; lists omit it for a start long ago."""
         return self._workers[worker_index].has_listed_start
 
     def was_removed_before(self, worker_index: int) -> bool:
-        """Whether this id, or one with the same hash, was known and removed earlier."""
+        """Returns whether the worker's id, or one with the same bit in the filter, was removed earlier."""
         return self._workers[worker_index].was_removed_before
 
     def address_of(self, worker_index: int) -> str:
-        """Host and port; empty for a worker that was removed meanwhile."""
+        """Returns a worker's host and port; empty if the worker has been removed."""
         worker = self._workers.get(worker_index)
         return "" if worker is None else worker.address
 
 
 def _filter_position(worker_id: bytes) -> tuple[int, int]:
-    """The byte of the filter that stands for an id, and the bit within it."""
+    """Returns the index of the filter's byte for an id, and the mask of the bit in it."""
     byte, shift = divmod(zlib.crc32(worker_id) % REMOVED_FILTER_BITS, 8)
     return byte, 1 << shift
