--- a/cottonladder/control/admin_socket.py
+++ b/cottonladder/control/admin_socket.py
@@ -1,6 +1,6 @@
 """The local administration socket: a Unix socket that answers one line of text with one line of JSON.
 
-It is disabled unless the operators' file sets its path.
+It is opened only if the operators' file sets its path.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 from ..config.errors import ConfigError
 
-TASKS_QUERY = "tasks"  # answered with the status of each background task
-SETTING = "control"  # of the operators' file: the socket's path
+TASKS_QUERY = "tasks"  # request for the status of each background task
+SETTING = "control"  # key of the socket's path in the operators' file
 MAX_REQUEST_BYTES = 256
-REQUEST_TIMEOUT_S = 2.0  # to receive the request and send the answer
+REQUEST_TIMEOUT_S = 2.0  # for receiving the request and sending the answer
 MAX_CONNECTIONS = 8
 SOCKET_MODE = 0o600  # accessible to the process's user only
 
@@ -36,16 +36,21 @@
     async def listen(self, stack: AsyncExitStack) -> None:
         """Opens the socket; `stack` closes it and removes its file.
 
-        Replaces the socket of an earlier process at the path; raises ConfigError for any other file.
+        Replaces the socket of an earlier process at the path.  Raises ConfigError for any other file at the
+        path, and if the socket can't be opened.
         """
         with suppress(FileNotFoundError):
             if not stat.S_ISSOCK(os.stat(self._path).st_mode):
-                raise ConfigError(SETTING, f"{self._path} is there and is no socket")
+                raise ConfigError(
+                    SETTING, f"{self._path}: Unix socket or no file expected, got a file of another type"
+                )
             os.unlink(self._path)
         try:
             server = await asyncio.start_unix_server(self._serve, self._path, limit=MAX_REQUEST_BYTES)
         except OSError as exc:
-            raise ConfigError(SETTING, f"{self._path}: {exc.strerror or exc}") from None
+            raise ConfigError(
+                SETTING, f"{self._path}: Unix socket can't be opened: {exc.strerror or exc}"
+            ) from None
         os.chmod(self._path, SOCKET_MODE)
         stack.callback(self._remove_file)
         stack.callback(server.close)
@@ -66,7 +71,7 @@
                 writer.write(json.dumps(self._answer(request)).encode() + b"\n")
                 await writer.drain()
         except (OSError, TimeoutError, ValueError):
-            pass  # the client disconnected, or sent no request in time or one over the size limit
+            pass  # the client disconnected, sent no request in time, or sent one over the size limit
         finally:
             self._connection_count -= 1
             writer.close()
--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -1,8 +1,8 @@
 """Runs background work in slices between the control loop's batches.
 
 A task is a function that returns an iterator, and each step of the iterator is one slice.  A step may yield
-an awaitable, such as a thread that writes a file; the task is not scheduled again until that is done, while
-other tasks are.  `planning.priority_scheduling` chooses which task runs next.
+an awaitable, such as a thread that writes a file; the task is scheduled again once the awaitable is done, and
+other tasks run meanwhile.  `planning.priority_scheduling` selects the task that runs next.
 """
 
 from __future__ import annotations
@@ -19,17 +19,18 @@
 from ..config.fields import MS_PER_S
 from ..planning.priority_scheduling import PriorityScheduler, ScheduledTask, TaskPlan
 
-# Begins a run of a task; each step of the iterator is one slice.
+# Starts a run of a task; each step of the iterator is one slice.
 Work = Callable[[], Iterator[Awaitable[Any] | None]]
 
-LOOP_LAG_PAUSE_S = 0.05  # after a late batch or timer of the control loop, only starved tasks run
-STOP_TIMEOUT_S = 2.0  # for pending awaitables and the final runs, when the scheduler is closed
-MAX_IDLE_S = 1.0  # between two checks for due tasks
+# After a late batch or timer of the control loop, only starved tasks run for this time.
+LOOP_LAG_PAUSE_S = 0.05
+STOP_TIMEOUT_S = 2.0  # for pending awaitables and final runs while the scheduler closes
+MAX_IDLE_S = 1.0  # maximum time between two checks for due tasks
 
 
 @dataclass(frozen=True, slots=True)
 class _SliceResult:
-    """What one slice yielded, and whether it ended the task's run."""
+    """The awaitable that one slice yielded, if any, and whether the slice ended the task's run."""
 
     awaitable: Awaitable[Any] | None = None
     is_done: bool = False
@@ -37,10 +38,10 @@
 
 
 class BackgroundScheduler:
-    """Owns the task that runs the slices, and the tasks that await what slices yield.
+    """Owns the asyncio task that runs the slices, and those that wait for awaitables of slices.
 
-    A failure of one task is logged, and that task is retried with backoff; other tasks are unaffected.
-    `uniform` returns a random number in 0 to 1.
+    A failed task is logged and retried with backoff; other tasks are unaffected.
+    `uniform` returns a random number from 0 to 1.
     """
 
     def __init__(self, uniform: Callable[[], float]) -> None:
@@ -55,13 +56,13 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def add(self, plan: TaskPlan, work: Work) -> None:
-        """Adds a task, whose first run is due at a random moment within its period."""
+        """Adds a task; its first run is due at a random time within its period."""
         self._work[plan.name] = work
         self._scheduler.add(time.monotonic(), plan, self._uniform())
         self._wake.set()
 
     def start(self) -> None:
-        """Starts to run due tasks, in the running event loop."""
+        """Starts running due tasks in the running event loop."""
         self._task = asyncio.create_task(self._run())
 
     def pause_for_loop_lag(self) -> None:
@@ -74,7 +75,10 @@
         self._wake.set()
 
     async def close(self, final_tasks: tuple[str, ...] = ()) -> None:
-        """Awaits what is pending and runs `final_tasks` once more; cancels all after `STOP_TIMEOUT_S`."""
+        """Waits for pending awaitables, then runs `final_tasks` once more.
+
+        Cancels both after `STOP_TIMEOUT_S`.
+        """
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -82,10 +86,10 @@
             async with asyncio.timeout(STOP_TIMEOUT_S):
                 await asyncio.gather(*self._awaited.values(), return_exceptions=True)
                 for name in final_tasks:
-                    await self._finish(name)
+                    await self._complete_run(name)
         except TimeoutError:
             self.log.warning("tasks_cancelled", tasks=",".join(self._awaited) or ",".join(final_tasks))
-        except Exception as exc:  # a failed task must not keep the process from ending
+        except Exception as exc:  # a failed task must not prevent the process from ending
             self._log_failure(",".join(final_tasks), exc, consecutive_failures=1)
         cancelled = list(self._awaited.values())
         for task in cancelled:
@@ -93,7 +97,7 @@
         await asyncio.gather(*cancelled, return_exceptions=True)
 
     def status_rows(self) -> list[dict[str, object]]:
-        """Returns a row for each task, with its plan and counts, for the admin socket."""
+        """Returns a row for each task, with its plan and its counters, for the admin socket."""
         now = time.monotonic()
         return [_status_row(task, now) for task in self._scheduler.tasks.values()]
 
@@ -103,13 +107,13 @@
             is_late = now < self._paused_until
             name = self._scheduler.next_task(now, is_late, self._awaited)
             if name is None:
-                await self._wait(now)
+                await self._wait_for_due_task(now)
             else:
                 self._run_slice(name, now)
                 await asyncio.sleep(0)  # lets the control loop handle a batch between two slices
 
-    async def _wait(self, now: float) -> None:
-        """Waits until a task may be due, is added or is made due."""
+    async def _wait_for_due_task(self, now: float) -> None:
+        """Waits until a task may be due, or one is added or made due."""
         until_due_s = self._scheduler.time_until_next(now, self._awaited)
         wait_s = max(self._paused_until - now, until_due_s)
         self._wake.clear()
@@ -122,7 +126,7 @@
         if self._scheduler.record_slice_start(name, now):
             self._running[name] = iter(self._work[name]())
         started_at = time.monotonic()
-        result = self._step(name)
+        result = self._advance_task(name)
         ended_at = time.monotonic()
         duration_s = ended_at - started_at
         has_overrun = self._scheduler.record_slice_end(
@@ -133,21 +137,21 @@
         if result.is_done or result.has_failed:
             self._running.pop(name, None)
         elif result.awaitable is not None:
-            self._awaited[name] = asyncio.create_task(self._await(name, result.awaitable))
+            self._awaited[name] = asyncio.create_task(self._await_slice(name, result.awaitable))
 
-    def _step(self, name: str) -> _SliceResult:
+    def _advance_task(self, name: str) -> _SliceResult:
         try:
             return _SliceResult(awaitable=next(self._running[name]))
         except StopIteration:
             return _SliceResult(is_done=True)
-        except Exception as exc:  # a failed task must not end the others
+        except Exception as exc:  # a failed task must not stop other tasks
             self._log_repeated_failure(name, exc)
             return _SliceResult(has_failed=True)
 
-    async def _await(self, name: str, awaitable: Awaitable[Any]) -> None:
+    async def _await_slice(self, name: str, awaitable: Awaitable[Any]) -> None:
         try:
             await awaitable
-        except Exception as exc:  # a failed task must not end the others
+        except Exception as exc:  # a failed task must not stop other tasks
             self._log_repeated_failure(name, exc)
             self._running.pop(name, None)
             self._scheduler.record_slice_end(name, time.monotonic(), 0.0, True, True, self._uniform())
@@ -155,8 +159,8 @@
             self._awaited.pop(name, None)
             self._wake.set()
 
-    async def _finish(self, name: str) -> None:
-        """Completes the task's current run, or a new one if there is none."""
+    async def _complete_run(self, name: str) -> None:
+        """Completes the current run of a task, or a new run if there is none."""
         steps = self._running.pop(name, None) or iter(self._work[name]())
         for awaitable in steps:
             if awaitable is not None:
@@ -164,7 +168,7 @@
 
     def _log_overrun(self, name: str, duration_s: float) -> None:
         overrun_count = self._scheduler.tasks[name].overruns
-        if _is_power_of_two(overrun_count):  # ever more rarely, if a task overruns repeatedly
+        if _is_power_of_two(overrun_count):  # less and less often, if a task overruns repeatedly
             self.log.info(
                 "task_overran",
                 task=name,
@@ -174,7 +178,7 @@
 
     def _log_repeated_failure(self, name: str, exc: Exception) -> None:
         failure_count = self._scheduler.tasks[name].consecutive_failures + 1  # including this one
-        if failure_count == 1 or _is_power_of_two(failure_count - 1):  # ever more rarely in a long series
+        if failure_count == 1 or _is_power_of_two(failure_count - 1):  # less and less often in a long series
             self._log_failure(name, exc, failure_count)
 
     def _log_failure(self, name: str, exc: Exception, consecutive_failures: int) -> None:
--- a/cottonladder/control/clock.py
+++ b/cottonladder/control/clock.py
@@ -6,14 +6,14 @@
 
 
 class Clock:
-    """Unix time at the start, advanced by a monotonic clock.
+    """A monotonic clock that starts at the current Unix time.
 
-    Changes of the system's time do not affect it, and it can be compared with the start times of workers.
+    Later changes of the system time do not affect it.  Its values can be compared with workers' start times.
     """
 
     def __init__(self) -> None:
         self._offset_s = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """Seconds since 1970."""
+        """Returns the time in seconds since 1970."""
         return self._offset_s + time.monotonic()
--- a/cottonladder/control/connection_limits.py
+++ b/cottonladder/control/connection_limits.py
@@ -1,4 +1,4 @@
-"""How a manager's file descriptors and memory are divided among its connections."""
+"""Derives the limits on a manager's connections from its file descriptors and memory."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from ..config.manager_config import ManagerConfig
 from ..protocol.stream_listener import ACCEPT_QUEUE_LENGTH, ConnectionLimits
 
-RESERVED_DESCRIPTORS = 20  # for the log, the listener, discovery, gossip and the like, with some to spare
-CLOSE_DELAY_ITERATIONS = 4  # of the event loop, from an accept to the close of a connection over the limit
+RESERVED_DESCRIPTORS = 20  # for the log, the listener, discovery, gossip and others, with a margin
+CLOSE_DELAY_ITERATIONS = 4  # of the event loop, from accepting a connection over the limit to its close
 MIN_ACCEPT_BATCH = 2  # connections accepted in one iteration of the event loop
 MAX_ACCEPT_BATCH = 64  # connections accepted in one iteration of the event loop
-DESCRIPTORS_PER_ACCEPT = 64  # one more connection in the batch for each so many descriptors
+DESCRIPTORS_PER_ACCEPT = 64  # available descriptors for each connection of the accept batch
 MIN_HEALTH_CHECKS = 4  # in flight
 MAX_HEALTH_CHECKS = 64  # in flight
-DESCRIPTORS_PER_HEALTH_CHECK = 16  # one more in flight for each so many descriptors
-UNREAD_MEMORY_DIVISOR = 4  # messages that proxies have not read may take this part of the memory
+DESCRIPTORS_PER_HEALTH_CHECK = 16  # available descriptors for each health check in flight
+UNREAD_MEMORY_DIVISOR = 4  # messages that proxies have not read may use 1/4 of the memory
 BYTES_PER_MIB = 1 << 20
-CONNECTIONS_PER_ZONE = 2  # minimum, however few descriptors there are
+MIN_CONNECTIONS_PER_ZONE = 2  # regardless of the number of descriptors
 
 
 def connection_limits(config: ManagerConfig) -> ConnectionLimits:
-    """The limits that follow from the file's sockets and memory, and from what the system allows.
+    """Returns the limits for the configured sockets and memory, within the process's descriptor limit.
 
-    Accepts and health checks in flight get a part of the descriptors, connections what is left.
+    A fraction of the descriptors is for accepts and for health checks in flight; connections get the rest.
     """
     parameters = config.settings.parameters
     descriptors = _available_descriptors(config.sockets)
@@ -34,11 +34,11 @@
     remaining = descriptors - RESERVED_DESCRIPTORS - CLOSE_DELAY_ITERATIONS * accept_batch - health_checks
     memory_bytes = config.memory_mb * BYTES_PER_MIB
     return ConnectionLimits(
-        max_connections=max(CONNECTIONS_PER_ZONE * parameters.zone_count, remaining),
+        max_connections=max(MIN_CONNECTIONS_PER_ZONE * parameters.zone_count, remaining),
         accept_batch=accept_batch,
         max_health_checks=health_checks,
         max_unread_bytes=memory_bytes // (UNREAD_MEMORY_DIVISOR * max(1, parameters.proxy_count)),
-        # A proxy may have connected again before the end of its last connection is noticed.
+        # A proxy may connect again before the end of its last connection is detected.
         accept_queue_length=max(ACCEPT_QUEUE_LENGTH, 2 * parameters.proxy_count),
     )
 
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -1,4 +1,4 @@
-"""Control-loop extension that migrates held connections away from workers that drain.
+"""Control-loop extension that migrates held connections away from draining workers.
 
 It passes forwarders' reports to the planner, `planning.connection_migration`, and sends the planner's orders
 to forwarders.
@@ -36,16 +36,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _LoggedDrain:
-    """A worker whose held connections drain; the id is kept, as the worker may be removed before they end."""
+    """A logged drain of a worker's held connections; has the id, as the worker may be removed meanwhile."""
 
     worker_id: str
     open_count_at_start: int
 
 
 class ConnectionMigrator:
-    """Owns the planner, to which a forwarder belongs from its announcement to the end of its stream.
+    """Owns the planner, which plans for a forwarder from its announcement to the end of its stream.
 
-    `is_vetoed` tells whether a migration is to be postponed; None means that none is.
+    `is_vetoed` returns whether a migration is to be postponed; with None, no migration is postponed.
     """
 
     def __init__(
@@ -70,9 +70,9 @@
         )
         self._arrivals_per_s = config.arrivals_per_s
         self._workers = workers
-        self._proxy_zones: dict[int, int] = {}  # of joined proxies
-        self._announced: set[int] = set()
-        self._loads: dict[int, float] = {}  # by worker, as last given to the policy
+        self._proxy_zones: dict[int, int] = {}  # zone index by connected proxy
+        self._announced_forwarders: set[int] = set()
+        self._loads_by_worker: dict[int, float] = {}  # by worker, as last passed to the policy
         self._extra_lines = 0
         self._is_vetoed = is_vetoed
         self._next_plan_at = 0.0
@@ -81,10 +81,10 @@
         messages.extension_readers.update(dict.fromkeys(wire.TO_MANAGER, wire.read_for_manager))
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Does nothing: there is nothing to open."""
+        """Does nothing, as the extension has no resources to open."""
 
     def observe(self, _now: float, item: LoopInput) -> None:
-        """Follows which proxies are connected, and handles the messages of the upgrade extension."""
+        """Tracks which proxies are connected, and handles messages of the upgrade extension."""
         if isinstance(item, ProxyConnected):
             self._remove_proxy(item.proxy)
             self._proxy_zones[item.proxy] = item.zone
@@ -95,13 +95,13 @@
 
     def _remove_proxy(self, proxy: int) -> None:
         self._proxy_zones.pop(proxy, None)
-        self._announced.discard(proxy)
+        self._announced_forwarders.discard(proxy)
         self._planner.remove_forwarder(proxy)
 
     def _handle_message(self, proxy: int, body: object) -> None:
         if isinstance(body, wire.ForwarderAnnounced):
             self._handle_announcement(proxy, body)
-        elif proxy not in self._announced:
+        elif proxy not in self._announced_forwarders:
             return
         elif isinstance(body, wire.HeldConnections):
             self._planner.update_connections(proxy, body.is_complete, self._counts_by_index(body))
@@ -110,13 +110,13 @@
 
     def _handle_announcement(self, proxy: int, announcement: wire.ForwarderAnnounced) -> None:
         if announcement.version < wire.VERSION:
-            return  # a later version has this one's messages too, an earlier one has not
+            return  # later versions include this version's messages, earlier ones do not
         self._planner.add_forwarder(proxy, self._proxy_zones[proxy])
-        self._announced.add(proxy)
-        self._next_plan_at = 0.0  # the forwarder is answered in this step
+        self._announced_forwarders.add(proxy)
+        self._next_plan_at = 0.0  # so that this step answers the forwarder
 
     def _counts_by_index(self, body: wire.HeldConnections) -> dict[int, ConnectionCounts]:
-        """The reported counts of the known workers, by worker index."""
+        """Returns the reported counts of the known workers, by worker index."""
         counts: dict[int, ConnectionCounts] = {}
         for worker_id, row in body.counts_by_worker.items():
             worker_index = self._workers.find_index(worker_id)
@@ -125,7 +125,7 @@
         return counts
 
     def collect_inputs(self, now: float) -> list[Input]:
-        """Returns the channel lines of the last messages, and once an interval the changed loads."""
+        """Returns the channel lines of the last messages and, once per interval, the changed loads."""
         inputs: list[Input] = []
         if self._extra_lines:
             inputs.append(ExtraLinesWritten(self._extra_lines))
@@ -136,8 +136,8 @@
 
     def _changed_loads(self) -> list[ConnectionLoad]:
         loads = self._planner.load_by_worker()
-        previous = self._loads
-        self._loads = loads
+        previous = self._loads_by_worker
+        self._loads_by_worker = loads
         ended = [ConnectionLoad(index, 0.0) for index in previous if index not in loads]
         changed = [
             ConnectionLoad(index, load) for index, load in loads.items() if previous.get(index) != load
@@ -145,12 +145,12 @@
         return [*ended, *changed]
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
-        """Once an interval, plans and yields the orders as messages to forwarders."""
+        """Plans once per interval, and yields the orders as messages to forwarders."""
         if now < self._next_plan_at:
             return
         self._next_plan_at = now + PLAN_INTERVAL_S
         views = capacity_views(controller)
-        orders = [order for order in self._planner.plan(now, views) if not self._drop_vetoed(order)]
+        orders = [order for order in self._planner.plan(now, views) if not self._complete_if_vetoed(order)]
         self._extra_lines += self._planner.channel_lines(orders)
         self._log_drains(views)
         for order in orders:
@@ -159,7 +159,7 @@
                 yield order.forwarder, message
 
     def _encode(self, order: MigrationOrder) -> bytes | None:
-        """The order's message, or None if the source worker has been removed."""
+        """Returns the order's message, or None if the source worker has been removed."""
         if isinstance(order, SetArrivalShare):
             return wire.encode_acceptance(order.arrival_share, self._arrivals_per_s)
         source_id = self._workers.ids.get(order.source)
@@ -176,8 +176,11 @@
             order.number, ids[order.source], destinations, order.count, order.duration_s, order.grace_left_s
         )
 
-    def _drop_vetoed(self, order: MigrationOrder) -> bool:
-        """Whether a plug-in postpones a migration; if so, records it as done, so that it is planned again."""
+    def _complete_if_vetoed(self, order: MigrationOrder) -> bool:
+        """Returns whether a plug-in postpones a migration.
+
+        If so, the migration is recorded as done, so that it is planned again.
+        """
         if self._is_vetoed is None or not isinstance(order, MigrateConnections):
             return False
         if not self._is_vetoed(order):
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -1,4 +1,4 @@
-"""The control loop: one task that passes inputs to the routing policy and carries out the policy's orders.
+"""The control loop: one task that passes inputs to the routing policy and carries out its orders.
 
 A step awaits nothing, so a cancellation of the task never interrupts one.
 """
@@ -40,8 +40,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Effects:
-    """The owners of the sockets for orders that are not messages to proxies."""
+class NetworkClients:
+    """The network clients that carry out orders which are not messages to proxies."""
 
     discovery: DiscoveryClient
     health_checker: HealthChecker
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlLoopObservers:
-    """Functions that the control loop calls; None if there is none.
+    """Optional callbacks of the control loop.
 
     `on_loop_lag` is called after a late batch or timer, `on_state_change` with each state change of the
     policy.
@@ -66,8 +66,8 @@
 class ControlLoop:
     """Owns the routing controller and its timers.
 
-    Inputs come from a queue, orders go to the dispatcher or to the effects.  Extensions are called in the
-    order given.
+    Inputs are read from a queue; orders are passed to the dispatcher or to the network clients.  Extensions
+    are called in the given order.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         input_queue: InputQueue,
         sessions: ProxySessions,
         dispatcher: OrderDispatcher,
-        effects: Effects,
+        network_clients: NetworkClients,
         state_change_log: StateChangeLog,
         extensions: Iterable[ControlLoopExtension] = (),
         observers: ControlLoopObservers = NO_OBSERVERS,
@@ -85,7 +85,7 @@
         self._input_queue = input_queue
         self._sessions = sessions
         self._dispatcher = dispatcher
-        self._effects = effects
+        self._network_clients = network_clients
         self._state_change_log = state_change_log
         self._extensions = list(extensions)
         self._observers = observers
@@ -93,7 +93,7 @@
         self._clock = Clock()
         self._lag_monitor = LoopLagMonitor(observers.on_loop_lag)
         self._timers = PolicyTimers(input_queue.put, self._lag_monitor)
-        self._effect_handlers: dict[type, Callable[[Any], None]] = {
+        self._non_proxy_order_handlers: dict[type, Callable[[Any], None]] = {
             StartTimer: self._start_timer,
             WatchEndpoints: self._watch_endpoints,
             FetchEndpoints: self._fetch_endpoints,
@@ -105,7 +105,7 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     async def run(self) -> None:
-        """Handles batches of inputs until it is cancelled; raises what the policy raises."""
+        """Handles batches of inputs until it is cancelled; exceptions of the policy propagate."""
         while True:
             batch = await self._input_queue.get_all()
             started_at = time.monotonic()
@@ -113,7 +113,7 @@
             self._lag_monitor.record("batch", time.monotonic() - started_at)
 
     def run_once(self, batch: list[LoopInput]) -> None:
-        """Handles one batch: passes it to the policy, then carries out the orders and sends the messages."""
+        """Passes one batch to the policy, then carries out its orders and sends the messages to proxies."""
         now = self._clock.now()
         inputs = self._collect_inputs(now, batch)
         self._dispatcher.track_proxies(inputs)
@@ -137,7 +137,7 @@
         return inputs
 
     def _apply_order(self, order: Order) -> None:
-        handler = self._effect_handlers.get(type(order))
+        handler = self._non_proxy_order_handlers.get(type(order))
         if handler is None:
             self._dispatch(order)
         else:
@@ -162,16 +162,16 @@
         self._timers.start(order)
 
     def _watch_endpoints(self, order: WatchEndpoints) -> None:
-        self._effects.discovery.set_watching(order.enabled)
+        self._network_clients.discovery.set_watching(order.enabled)
 
     def _fetch_endpoints(self, _order: FetchEndpoints) -> None:
-        self._effects.discovery.fetch()
+        self._network_clients.discovery.fetch()
 
     def _check_health(self, order: HealthCheck) -> None:
-        self._effects.health_checker.start_check(order.worker_index)
+        self._network_clients.health_checker.start_check(order.worker_index)
 
     def _send_gossip(self, order: SendGossip) -> None:
-        self._effects.gossip.send_datagram(order.recipient, order.text)
+        self._network_clients.gossip.send_datagram(order.recipient, order.text)
 
     def _log_worker_state(self, change: WorkerStateChanged) -> None:
         self._state_change_log.worker_state_changed(change)
--- a/cottonladder/control/control_loop_extension.py
+++ b/cottonladder/control/control_loop_extension.py
@@ -1,4 +1,4 @@
-"""The interface of the control loop's extensions, which run beside the routing policy in the loop's task."""
+"""The interface of control-loop extensions, which run in the same task as the routing policy."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
         """Opens the extension's resources; `stack` closes them."""
 
     def observe(self, now: float, item: LoopInput) -> None:
-        """Called with each input, before the policy decides."""
+        """Receives each input of a step before the policy decides."""
 
     def collect_inputs(self, now: float) -> list[Input]:
-        """Returns further inputs for the policy in this step."""
+        """Returns additional inputs for the policy in this step."""
         ...
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterable[tuple[int, bytes]]:
--- a/cottonladder/control/extensions.py
+++ b/cottonladder/control/extensions.py
@@ -1,7 +1,7 @@
 """Creates the extensions and background services that the operators' file enables.
 
-Each module is imported only if its part of the file is present, so that a manager without extensions
-starts quickly and takes little memory.
+Each module is imported only if the file has its section, so that a manager without extensions starts quickly
+and uses little memory.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class BackgroundServices:
-    """The background scheduler and the snapshots; each None if disabled in the operators' file."""
+    """The background scheduler and the snapshot manager; each is None if the operators' file disables it."""
 
     scheduler: BackgroundScheduler | None = None
     snapshots: SnapshotManager | None = None
@@ -37,14 +37,14 @@
 
 @dataclass(slots=True)
 class Extensions:
-    """All extensions except snapshots; each None if disabled in the operators' file."""
+    """All extensions except snapshots; each is None if the operators' file disables it."""
 
     connection_migrator: ConnectionMigrator | None = None
     weight_advisor: WeightAdvisor | None = None
     plugins: PluginExtension | None = None
 
     def enabled(self) -> list[ControlLoopExtension]:
-        """The enabled extensions, in call order."""
+        """Returns the enabled extensions, in call order."""
         candidates: tuple[ControlLoopExtension | None, ...] = (
             self.connection_migrator,
             self.weight_advisor,
@@ -53,7 +53,7 @@
         return [extension for extension in candidates if extension is not None]
 
     def state_change_observer(self) -> Callable[[StateChange], None] | None:
-        """The function to call with each state change of the policy; None if nothing observes them."""
+        """Returns the function to call with each state change of the policy, or None if there is none."""
         if self.plugins is None:
             return None
         return self.plugins.queue_state_change
@@ -88,7 +88,7 @@
 
     snapshots = SnapshotManager(memory.folder, memory.interval_s, config, scheduler)
     await snapshots.start(stack)
-    # Pushed last, so that it runs before the folder closes and the last snapshot can be written.
+    # Pushed last so that it runs before the folder closes, and the last snapshot can still be written.
     stack.push_async_callback(scheduler.close, final_tasks=(SNAPSHOT_TASK,))
     return snapshots
 
@@ -129,7 +129,7 @@
 ) -> None:
     """Makes snapshots include the endpoint list's version and the advisors' credits.
 
-    An advisor's credit is how much its weights count, 0 to 1.
+    An advisor's credit is a number from 0 to 1: how much its weights count.
     """
     snapshots.current_list_version = lambda: discovery.version
     if extensions.weight_advisor is not None:
@@ -137,6 +137,6 @@
 
 
 def restore_advisor_credits(snapshots: SnapshotManager, extensions: Extensions) -> None:
-    """Gives the advisors the credits of the last snapshot."""
+    """Restores the credits of the advisors from the last snapshot."""
     if extensions.weight_advisor is not None:
         extensions.weight_advisor.weighting.restore_credits(snapshots.restored_credits)
--- a/cottonladder/control/input_queue.py
+++ b/cottonladder/control/input_queue.py
@@ -1,4 +1,4 @@
-"""The queue of inputs from sockets and timers to the control loop."""
+"""The queue of inputs that sockets and timers pass to the control loop."""
 
 from __future__ import annotations
 
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -1,6 +1,6 @@
 """Starts and stops one manager process.
 
-`serve` closes what it has opened in the opposite order.
+`serve` closes its resources in the reverse order of their opening.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from ..state.proxy_sessions import ProxySessions
 from . import signals
 from .connection_limits import connection_limits
-from .control_loop import ControlLoop, ControlLoopObservers, Effects
+from .control_loop import ControlLoop, ControlLoopObservers, NetworkClients
 from .extensions import (
     BackgroundServices,
     Extensions,
@@ -42,12 +42,12 @@
     from ..config.operator_config import OperatorConfig
 
 
-HEALTH_CHECK_PATH = "/healthz"  # on workers
-LOAD_CHECK_PATH = "/load"  # on workers that report their load with the answer
+HEALTH_CHECK_PATH = "/healthz"  # at workers
+LOAD_CHECK_PATH = "/load"  # at workers whose answers report their load
 
 
 async def serve(config: StartupConfig, config_path: str, operator: OperatorConfig | None = None) -> None:
-    """Runs one manager until SIGTERM or SIGINT; raises what the policy raises."""
+    """Runs one manager until SIGTERM or SIGINT; exceptions of the policy propagate."""
     log: structlog.stdlib.BoundLogger = structlog.get_logger()
     stop = _stop_event()
     limits = connection_limits(config.manager)
@@ -56,23 +56,27 @@
     messages = MessageReader(config.settings, config.workers.find_index)
     async with AsyncExitStack() as stack:
         background = await start_background_services(config, operator, stack)
-        known = _starting_list(config, background)
-        effects = await _open_effects(config, limits, known.version, input_queue, stack)
+        starting_list = _starting_list(config, background)
+        network_clients = await _open_network_clients(
+            config, limits, starting_list.version, input_queue, stack
+        )
         extensions = create_extensions(config, operator, messages)
         for extension in extensions.enabled():
             await extension.start(stack)
-        control_loop = _create_control_loop(config, input_queue, sessions, effects, extensions, background)
+        control_loop = _create_control_loop(
+            config, input_queue, sessions, network_clients, extensions, background
+        )
         stack.callback(control_loop.close)
-        # Before listening, so that the policy knows the workers when proxies connect.
-        control_loop.run_once([known.endpoints])
+        # Called before listening, so that the policy knows the workers when proxies connect.
+        control_loop.run_once([starting_list.endpoints])
         listener = StreamListener(messages, sessions, limits)
         stack.push_async_callback(listener.close)
         port = await listener.listen(*config.manager.listen)
         log.info("serving", name=config.manager.name, host=config.manager.listen[0], port=port)
-        reloader = ConfigReloader(config_path, config.manager, effects.discovery, listener)
+        reloader = ConfigReloader(config_path, config.manager, network_clients.discovery, listener)
         stack.callback(reloader.close)
         _reload_on_signal(reloader)
-        running = await stack.enter_async_context(_owned_task(control_loop.run()))
+        running = await stack.enter_async_context(_scoped_task(control_loop.run()))
         await _wait_for_first(running, stop)
         if running.done():
             running.result()  # raises the exception that ended it
@@ -89,20 +93,20 @@
 
 
 def _starting_list(config: StartupConfig, background: BackgroundServices) -> StartingList:
-    """The newer of the snapshot's endpoint list and the configuration's."""
+    """Returns the newer of the endpoint lists of the snapshot and of the configuration."""
     if background.snapshots is not None:
         return background.snapshots.starting_list
     return config.starting_list
 
 
-async def _open_effects(
+async def _open_network_clients(
     config: StartupConfig,
     limits: ConnectionLimits,
     list_version: int,
     input_queue: InputQueue,
     stack: AsyncExitStack,
-) -> Effects:
-    """Opens the discovery client, health checks and gossip; their results are put into the queue."""
+) -> NetworkClients:
+    """Opens the discovery client, health checker and gossip socket, which put inputs into the queue."""
     settings = config.settings
     workers = config.workers
     discovery = DiscoveryClient(
@@ -118,22 +122,22 @@
     stack.callback(gossip.close)
     if config.manager.peer_listen is not None:
         await gossip.listen(config.manager.peer_listen)
-    return Effects(discovery, health_checker, gossip)
+    return NetworkClients(discovery, health_checker, gossip)
 
 
 def _create_control_loop(
     config: StartupConfig,
     input_queue: InputQueue,
     sessions: ProxySessions,
-    effects: Effects,
+    network_clients: NetworkClients,
     extensions: Extensions,
     background: BackgroundServices,
 ) -> ControlLoop:
-    """Creates the control loop; snapshots are its first extension, because they restore the earlier state."""
+    """Creates the control loop; the snapshot manager comes first, as it restores the earlier state."""
     settings = config.settings
     loop_extensions = extensions.enabled()
     if background.snapshots is not None:
-        set_snapshot_sources(background.snapshots, extensions, effects.discovery)
+        set_snapshot_sources(background.snapshots, extensions, network_clients.discovery)
         restore_advisor_credits(background.snapshots, extensions)
         loop_extensions.insert(0, background.snapshots)
     scheduler = background.scheduler
@@ -146,7 +150,7 @@
         input_queue,
         sessions,
         OrderDispatcher(list(settings.classes), settings.parameters.manager_count, config.workers),
-        effects,
+        network_clients,
         StateChangeLog(config.workers, list(settings.zones)),
         loop_extensions,
         observers,
@@ -154,15 +158,15 @@
 
 
 def _reload_on_signal(reloader: ConfigReloader) -> None:
-    """Has each SIGHUP reload the file; reloads it now if one came while the manager was starting."""
+    """Makes SIGHUP reload the file; reloads it immediately if a SIGHUP arrived during the start."""
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reloader.reload)
     if signals.reload_was_requested():
         reloader.reload()
 
 
 @asynccontextmanager
-async def _owned_task(coroutine: Coroutine[Any, Any, None]) -> AsyncIterator[asyncio.Task[None]]:
-    """Runs a task that is cancelled and awaited when the context ends."""
+async def _scoped_task(coroutine: Coroutine[Any, Any, None]) -> AsyncIterator[asyncio.Task[None]]:
+    """Runs a coroutine as a task, which is cancelled and awaited when the context ends."""
     task = asyncio.create_task(coroutine)
     try:
         yield task
@@ -173,7 +177,7 @@
 
 async def _wait_for_first(running: asyncio.Task[None], stop: asyncio.Event) -> None:
     """Returns once the control loop has ended or the stop event is set."""
-    async with _owned_task(_wait_until_set(stop)) as stopping:
+    async with _scoped_task(_wait_until_set(stop)) as stopping:
         await asyncio.wait((running, stopping), return_when=asyncio.FIRST_COMPLETED)
 
 
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -1,6 +1,6 @@
-"""Control-loop extension for plug-ins, which give workers factors, veto migrations and receive events.
+"""Control-loop extension for plug-ins, which scale workers' capacities, veto migrations and receive events.
 
-`planning.plugin_bounds` limits what an answer may change, and the policy limits factors again.
+`planning.plugin_bounds` limits the effect of an answer, and the policy limits the capacity factors again.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from .input_queue import LoopInput
 from .plugin_records import UNKNOWN_WORKER_ID, event_record, migration_record, worker_record
 
-WORKERS_PER_STEP = 40  # takes a few ms of a tick of 250 ms
-MAX_EVENTS_PER_STEP = 32  # further ones are dropped and counted
+WORKERS_PER_STEP = 40  # calls for 40 workers take a few ms of a 250 ms tick
+MAX_EVENTS_PER_STEP = 32  # further events are dropped and counted
 
 
 class PluginExtension:
     """Owns the plug-in chain.
 
-    Plug-ins are called for each worker once an interval, in batches of `WORKERS_PER_STEP`, so that the length
-    of a step does not depend on the size of the fleet.
+    Plug-ins are called for each worker once per `SOLVE_INTERVAL_S`, in batches of `WORKERS_PER_STEP`, so that
+    the duration of a step does not depend on the number of workers.
     """
 
     def __init__(self, config: ManagerPluginsConfig, workers: WorkerRegistry) -> None:
@@ -42,11 +42,11 @@
             PluginSpec(plugin.name, plugin.path, False, frozenset(plugin.grants), plugin.seed)
             for plugin in config.chain
         )
-        self._pending_workers: list[int] = []  # not yet called for in this interval's round
+        self._pending_workers: list[int] = []  # not called for in the current round
         self._next_round_at = 0.0
         self._capacities: dict[int, WorkerCapacityView] = {}  # by worker
-        self._factors: dict[int, float] = {}  # by worker, as last given to the policy
-        self._event_records: list[bytes] = []  # for the next step
+        self._factors: dict[int, float] = {}  # by worker, as last passed to the policy
+        self._event_records: list[bytes] = []  # sent to plug-ins in the next step
         self.dropped_events = 0
 
     async def start(self, stack: AsyncExitStack) -> None:
@@ -61,12 +61,12 @@
             self._queue_event("listed", f"{worker_id} {endpoint.state.name.lower()}")
 
     def queue_state_change(self, change: StateChange) -> None:
-        """Queues an event for a state change of the policy, as text of the plug-in interface."""
+        """Queues an event for a state change of the policy, in the text form of the plug-in interface."""
         if self.chain.has_hook(EVENT):
             self._queue_event("mode", state_change_text(change))
 
     def collect_inputs(self, _now: float) -> list[Input]:
-        """Sends plug-ins the queued events, then calls them for the next batch of workers."""
+        """Sends queued events to plug-ins, then returns the changed factors of the next batch of workers."""
         self._send_events()
         if not self.chain.has_hook(WORKER):
             return []
@@ -75,7 +75,7 @@
         return list(self._changed_factors(batch))
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
-        """Sends proxies nothing; starts a round over the workers once an interval."""
+        """Yields no messages; starts a round over the workers once per `SOLVE_INTERVAL_S`."""
         if now >= self._next_round_at:
             self._next_round_at = now + SOLVE_INTERVAL_S
             self._start_round(controller)
@@ -83,9 +83,9 @@
         yield from ()
 
     def is_vetoed(self, migration: MigrateConnections) -> bool:
-        """Whether a plug-in postpones a migration.
+        """Returns whether a plug-in postpones a migration.
 
-        Near the end of the grace period vetoes are ignored, because the drain must end in time.
+        Vetoes near the end of the grace period are ignored, because the drain must end in time.
         """
         if not self.chain.has_hook(MOVE):
             return False
--- a/cottonladder/control/plugin_records.py
+++ b/cottonladder/control/plugin_records.py
@@ -1,4 +1,4 @@
-"""The records that a manager's plug-ins are called with; their field names are the plug-in interface's."""
+"""The input records of a manager's plug-ins, with the field names of the plug-in interface."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from ..planning.migration_orders import MigrateConnections
 from ..plugins.abi import EVENT, MOVE, WORKER, encode_record
 
-UNKNOWN_WORKER_ID = b"?"  # of a worker that has been removed
+UNKNOWN_WORKER_ID = b"?"  # stands for the id of a removed worker
 
 
 def worker_record(worker_id: str, view: WorkerCapacityView, labels: Iterable[str]) -> bytes:
-    """A worker's capacity as of the last solution, with the labels that operators gave the worker."""
+    """Returns the record of a worker: its capacity in the last solution, and its labels from operators."""
     pairs = [
         ("hook", WORKER),
         ("id", worker_id),
@@ -27,7 +27,7 @@
 
 
 def migration_record(migration: MigrateConnections, worker_ids: Mapping[int, bytes]) -> bytes:
-    """A migration of held connections; destinations that have been removed are left out."""
+    """Returns the record of a migration of held connections, without removed destinations."""
     source = worker_ids.get(migration.source, UNKNOWN_WORKER_ID).decode()
     pairs = [("hook", MOVE), ("from", source), ("count", str(migration.count))]
     for worker_index, count in migration.destinations:
@@ -38,5 +38,5 @@
 
 
 def event_record(event: str, text: str) -> bytes:
-    """An event of the manager, by its name in the plug-in interface."""
+    """Returns the record of an event of the manager; `event` is its name in the plug-in interface."""
     return encode_record([("hook", EVENT), ("event", event), ("words", text)])
--- a/cottonladder/control/policy_timers.py
+++ b/cottonladder/control/policy_timers.py
@@ -1,4 +1,4 @@
-"""Runs the timers that the routing policy orders."""
+"""Timers that the routing policy orders."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class PolicyTimers:
-    """Owns the running timers; each puts `TimerFired` into the queue when it is due.
+    """Owns the running timers; each puts `TimerFired` into the queue when it expires.
 
-    The policy may start a timer with the token of a running one, so timers are kept by a number of their own.
+    The policy may start a timer with the token of a running one, so each timer also has its own number.
     """
 
     def __init__(self, put_input: Callable[[TimerFired], None], lag_monitor: LoopLagMonitor) -> None:
--- a/cottonladder/control/reload.py
+++ b/cottonladder/control/reload.py
@@ -1,4 +1,4 @@
-"""Reloads the manager's file on SIGHUP, and determines which of its fields a reload can't change."""
+"""Reloads the manager's file on SIGHUP, and determines the changed fields that need a restart."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from .connection_limits import connection_limits
 from .startup_config import read_startup_config
 
-# Fields of the file that keep their value until the next start, under their names in the file.
+# Fields that keep their value until the next start; these are their names in the file.
 FIXED_FIELDS = ("name", "listen", "peer_listen", "peers", "peers_all", "settings")
 
 
 def unchangeable_fields(running: ManagerConfig, new: ManagerConfig) -> list[str]:
-    """Names of the fields that differ in the new file and can't be changed by a reload.
+    """Returns the names of the fields that differ in the new file and that a reload can't change.
 
     The seed is not compared, because it is only used at the start.
     """
@@ -28,9 +28,9 @@
 
 
 class ConfigReloader:
-    """Reads the manager's file again and applies discovery's address and the limits on sockets and memory.
+    """Reads the manager's file again; applies discovery's address and the limits on sockets and memory.
 
-    A file with any fault is rejected as a whole.
+    A file with any error is rejected as a whole.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def close(self) -> None:
-        """Makes later calls do nothing; the handler stays installed until the loop closes."""
+        """Makes later reloads do nothing, as the signal handler is installed until the event loop closes."""
         self._is_closed = True
 
     def reload(self) -> None:
--- a/cottonladder/control/signals.py
+++ b/cottonladder/control/signals.py
@@ -1,7 +1,7 @@
 """Signal handling before the event loop's handlers are installed and after the loop is closed.
 
 Without it, SIGTERM or SIGHUP during the start, or a second SIGTERM after the loop is closed, would end the
-process by the signal's default action, with another exit status than that of an orderly shutdown.
+process by the signal's default action, with a different exit status from that of a regular shutdown.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def install_early_handlers(arguments: list[str]) -> None:
-    """Installs handlers that act until the loop's replace them; called before anything else is imported."""
+    """Installs handlers to use until the event loop installs its own; called before other imports."""
     if arguments[1:2] and arguments[1] in SERVICE_COMMANDS:
         signal.signal(signal.SIGTERM, _exit_now)
         signal.signal(signal.SIGINT, _exit_now)
@@ -24,22 +24,22 @@
 
 
 def discard_pending_reloads() -> None:
-    """Discards the SIGHUPs so far; called just before the file is read, which makes a reload unnecessary."""
+    """Discards earlier SIGHUPs, whose reload is unnecessary; called just before the file is read."""
     _pending_reloads.clear()
 
 
 def reload_was_requested() -> bool:
-    """Whether a SIGHUP was received after the file was read and before the loop's handler was installed."""
+    """Returns whether a SIGHUP arrived after `discard_pending_reloads`, before the event loop's handler."""
     return bool(_pending_reloads)
 
 
 def block_signals() -> None:
-    """Blocks the handled signals, which must not change the exit status; called before the loop closes."""
+    """Blocks the handled signals so that they can't change the exit status; called before the loop closes."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def _exit_now(_number: int, _frame: FrameType | None) -> None:
-    os._exit(0)  # nothing is open yet that would have to be closed
+    os._exit(0)  # no resources are open yet
 
 
 def _record_reload(number: int, _frame: FrameType | None) -> None:
--- a/cottonladder/control/snapshot_collector.py
+++ b/cottonladder/control/snapshot_collector.py
@@ -10,13 +10,13 @@
 from ..snapshots.sections import EndpointSnapshot, ManagerSnapshot, WorkerSnapshot
 from ..state.worker_registry import WorkerRegistry
 
-ENTRIES_PER_SLICE = 200  # workers or proxies; keeps a slice to a millisecond or two
+ENTRIES_PER_SLICE = 200  # workers or proxies; a slice takes 1 to 2 ms
 
 
 class SnapshotCollector:
     """Reads the workers and proxies of a controller for one snapshot.
 
-    The controller goes on deciding between two slices, so the parts of a snapshot are not of the same moment.
+    The controller handles batches between slices, so the entries of a snapshot may be from different times.
     """
 
     def __init__(self, controller: RoutingController, workers: WorkerRegistry) -> None:
@@ -28,19 +28,19 @@
         self._last_checkpoint = 0
 
     def collect(self) -> Iterator[None]:
-        """Collects one slice at each step."""
+        """Collects one slice at each step of the iterator."""
         worker_indices = list(self._controller.state.workers.by_index)
         proxies = list(self._controller.state.proxies.by_number)
         yield None
         for first in range(0, len(worker_indices), ENTRIES_PER_SLICE):
             self._collect_workers(worker_indices[first : first + ENTRIES_PER_SLICE])
             yield None
-        for first in range(0, len(proxies) + 1, ENTRIES_PER_SLICE):  # once at least, for the checkpoint
+        for first in range(0, len(proxies) + 1, ENTRIES_PER_SLICE):  # at least once, for the checkpoint
             self._collect_proxies(proxies[first : first + ENTRIES_PER_SLICE])
             yield None
 
     def snapshot(self, list_version: int, advisor_credits: dict[str, float]) -> ManagerSnapshot:
-        """Builds the snapshot of what was collected."""
+        """Builds the snapshot from the collected entries."""
         return ManagerSnapshot(
             self._last_checkpoint,
             self._worker_snapshots,
--- a/cottonladder/control/snapshot_folder.py
+++ b/cottonladder/control/snapshot_folder.py
@@ -1,4 +1,4 @@
-"""The folder with a process's snapshots; a fault of the folder is logged and never stops the process."""
+"""The folder of a process's snapshots; errors of the folder are logged and never stop the process."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from ..config.fields import MS_PER_S
 from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 
-SNAPSHOT_TASK = "snapshot"  # name of the background task that writes
-SNAPSHOT_CPU_FRACTION = 0.05  # of a core that the background task may take
+SNAPSHOT_TASK = "snapshot"  # name of the background task that writes snapshots
+SNAPSHOT_CPU_FRACTION = 0.05  # CPU time of the background task, as a fraction of one core
 
 
 class SnapshotFolder:
-    """Reads the newest snapshot at the start and writes later ones.
+    """Reads the newest snapshot at the start, and writes new ones.
 
     If the folder can't be read, the process starts without a snapshot.  A failed write is raised to the
     background scheduler, which retries with backoff.
@@ -25,7 +25,7 @@
 
     def __init__(self, folder: str) -> None:
         self.store = SnapshotStore(folder)
-        self.size_bytes = 0  # of the file written last
+        self.size_bytes = 0  # of the last written file
         self._is_open = False
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
@@ -54,7 +54,7 @@
         return found
 
     def write(self, sections: Mapping[str, Any]) -> None:
-        """Writes a snapshot; blocks, so it is called in a thread.
+        """Writes a snapshot; blocks, so it must be called in a thread.
 
         Opens the folder again if it has been removed, or could not be opened before.
         """
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -1,6 +1,6 @@
 """Control-loop extension for snapshots: restores the last one at the start and writes new ones.
 
-`planning.snapshot_staleness` decides how much a restored value counts by its age.
+`planning.snapshot_staleness` discounts restored values by their age.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 class SnapshotManager:
     """Owns a manager's snapshot folder.
 
-    The constructor reads the last snapshot; the state restored from it is an input of the first step.
-    `current_list_version` and `current_credits` return what a new snapshot includes beside the controller's
-    state; `extensions.set_snapshot_sources` sets them.
+    The constructor reads the last snapshot; the restored state is an input of the first step.
+    `current_list_version` and `current_credits` return the values that a new snapshot includes in addition to
+    the controller's state; `extensions.set_snapshot_sources` sets them.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self._scheduler = scheduler
         self._interval_s = interval_s
         self._controller: RoutingController | None = None
-        self._restored_state: RestoredState | None = None  # until the first step has taken it
+        self._restored_state: RestoredState | None = None  # None once the first step has returned it
         self._starting_list = config.starting_list
         self.restored_credits: dict[str, float] = {}
         self.current_list_version: Callable[[], int] = lambda: self._starting_list.version
@@ -56,7 +56,7 @@
 
     @property
     def starting_list(self) -> StartingList:
-        """The endpoint list to start from: the newer of the snapshot's and the configuration's."""
+        """The endpoint list at the start: the newer of those of the snapshot and of the configuration."""
         return self._starting_list
 
     async def start(self, stack: AsyncExitStack) -> None:
@@ -72,10 +72,10 @@
         self._scheduler.add(plan, self._write_snapshot)
 
     def observe(self, now: float, item: LoopInput) -> None:
-        """Does nothing: snapshots are taken from the controller, not from its inputs."""
+        """Does nothing, as snapshots are read from the controller and not from its inputs."""
 
     def collect_inputs(self, _now: float) -> list[Input]:
-        """The restored state in the first step, nothing afterwards."""
+        """Returns the restored state in the first step, and nothing later."""
         restored = self._restored_state
         if restored is None:
             return []
@@ -89,7 +89,7 @@
         return [restored]
 
     def collect_messages(self, _now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
-        """Sends nothing; keeps the controller that the next snapshot is taken from."""
+        """Yields no messages; keeps the controller, from which the next snapshot is read."""
         self._controller = controller
         yield from ()
 
@@ -103,15 +103,17 @@
             self.log.warning("snapshot_rejected", reason=str(exc))
             return
         if snapshot is None:
-            self.log.warning("snapshot_rejected", reason=f"no section {MANAGER_SECTION.name}")
+            self.log.warning(
+                "snapshot_rejected", reason=f"section {MANAGER_SECTION.name}: missing from the snapshot"
+            )
             return
         age_s = snapshot_age(found.written_at, time.time())
-        self._starting_list = starting_list(config, snapshot)  # first, as it registers workers
+        self._starting_list = starting_list(config, snapshot)  # called first, as it registers the workers
         self._restored_state = restored_state(snapshot, config.workers, age_s)
         self.restored_credits = restored_credits(snapshot, age_s)
 
     def _write_snapshot(self) -> Iterator[Awaitable[Any] | None]:
-        """The background task: collects in slices, then writes the file in a thread."""
+        """Collects a snapshot in slices, then writes it in a thread; the work of the background task."""
         controller = self._controller
         if controller is None:
             return
--- a/cottonladder/control/snapshot_restore.py
+++ b/cottonladder/control/snapshot_restore.py
@@ -1,4 +1,4 @@
-"""Converts the snapshot of an earlier process to the state that a manager starts from."""
+"""Converts the snapshot of an earlier process to the initial state of a manager."""
 
 from __future__ import annotations
 
@@ -18,26 +18,29 @@
 from .starting_list import StartingList
 from .startup_config import StartupConfig
 
-STORED_STATES = (EndpointState.READY, EndpointState.DRAINING)  # states that a snapshot's endpoint may have
+RESTORABLE_STATES = (EndpointState.READY, EndpointState.DRAINING)  # of an endpoint in a snapshot
 
 
 def starting_list(config: StartupConfig, snapshot: ManagerSnapshot) -> StartingList:
-    """The newer of the snapshot's and the configuration's list; registers the workers of the snapshot's."""
+    """Returns the newer of the snapshot's and the configuration's list.
+
+    Registers the workers of the snapshot's list if that is the one returned.
+    """
     if snapshot.list_version <= config.starting_list.version:
         return config.starting_list
     zone_count = config.settings.parameters.zone_count
     endpoints = tuple(
         _restored_endpoint(stored, config.workers)
         for stored in snapshot.endpoints
-        if stored.id and 0 <= stored.zone < zone_count and stored.state in STORED_STATES
+        if stored.id and 0 <= stored.zone < zone_count and stored.state in RESTORABLE_STATES
     )
     return StartingList(snapshot.list_version, EndpointList(ListUpdateKind.CACHED, endpoints))
 
 
 def restored_state(snapshot: ManagerSnapshot, workers: WorkerRegistry, age_s: float) -> RestoredState:
-    """The snapshot's state of workers and proxies, discounted for its age of `age_s` seconds.
+    """Returns the snapshot's state of workers and proxies, discounted for its age of `age_s` seconds.
 
-    Workers that the starting endpoint list does not name are left out.
+    Workers that are not in the starting endpoint list are left out.
     """
     histories: list[WorkerHistory] = []
     for stored in snapshot.workers:
@@ -59,7 +62,7 @@
 
 
 def restored_credits(snapshot: ManagerSnapshot, age_s: float) -> dict[str, float]:
-    """The credit of each weight advisor, discounted for the snapshot's age of `age_s` seconds."""
+    """Returns the credit of each weight advisor, discounted for the snapshot's age of `age_s` seconds."""
     return {
         advisor: discounted_credit(credit, INITIAL_CREDIT, age_s)
         for advisor, credit in snapshot.advisor_credits.items()
--- a/cottonladder/control/startup_config.py
+++ b/cottonladder/control/startup_config.py
@@ -1,4 +1,4 @@
-"""Reads the configuration that a manager starts with, including the last known endpoint list."""
+"""Reads the initial configuration of a manager, including the last known endpoint list."""
 
 from __future__ import annotations
 
@@ -29,7 +29,8 @@
 def read_startup_config(path: str) -> StartupConfig:
     """Reads the file at `path`.
 
-    Raises InputError for the first fault; the settings are checked first, then the known list, then the rest.
+    Raises InputError for the first error.  The settings are checked first, then the known endpoint list, then
+    the other fields.
     """
     file = ManagerFile.load(path)
     with overflows_as_config_errors():
--- a/cottonladder/control/state_change_log.py
+++ b/cottonladder/control/state_change_log.py
@@ -21,7 +21,7 @@
 
 
 class StateChangeLog:
-    """Writes one log line for each change; `zone_names` are in the order of the zones' indices."""
+    """Writes one log line for each change; `zone_names` is by zone index."""
 
     def __init__(self, workers: WorkerRegistry, zone_names: Sequence[str]) -> None:
         self._workers = workers
@@ -42,7 +42,7 @@
         )
 
     def admission_changed(self, change: AdmissionChanged) -> None:
-        """Logs that load shedding began or ended."""
+        """Logs the start or the end of load shedding."""
         self.log.info(
             "admission_changed",
             from_ratio=round(change.from_ratio, 2),
@@ -52,7 +52,7 @@
 
 
 def _evidence_fields(evidence: Evidence | None) -> LogFields:
-    """The evidence for a change, as log fields whose names include the units."""
+    """Returns the evidence for a change as log fields, with units in their names."""
     match evidence:
         case EndpointEvidence(endpoint_state, uptime_s, is_start_known):
             fields: LogFields = {"endpoint_state": endpoint_state.name.lower()}
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -1,7 +1,7 @@
 """Control-loop extension for weight advice: advertises weights to load balancers, and follows advisors.
 
-`planning.advice_weighting` decides how much an advisor's weights count, `planning.advertised_weights` which
-weights load balancers are sent.
+`planning.advice_weighting` decides how much the weights of an advisor count, `planning.advertised_weights`
+which weights are sent to load balancers.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from .input_queue import LoopInput
 
 STATUS_LOG_INTERVAL_S = 30.0
-MAX_LOGGED_AGE_S = 1e6  # stands for an advisor that has sent no weight
+MAX_LOGGED_AGE_S = 1e6  # logged for an advisor that has sent no weight
 DEFAULT_TRUST = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class _WeightReport:
-    """Weights received from one advisor; `is_complete` means that its earlier weights no longer hold."""
+    """Weights received from one advisor; with `is_complete` they replace all its earlier weights."""
 
     advisor: str
     weights: list[ReportedWeight]
@@ -43,7 +43,7 @@
 
 
 class WeightAdvisor(AdviceListener):
-    """Owns the advice servers and the clients of outside advisors.
+    """Owns the advice servers and the clients of external advisors.
 
     Received weights are queued for the next step of the control loop.
     """
@@ -60,14 +60,14 @@
         self._connected_advisors: list[str] = []  # since the last step
         self._next_update_at = 0.0
         self._status_logged_at = 0.0
-        self._has_list_changed = False  # since the advertised workers were updated
-        self._factors: dict[int, float] = {}  # by worker, as last given to the policy
+        self._has_list_changed = False  # since the last update of the advertised workers
+        self._factors: dict[int, float] = {}  # by worker, as last passed to the policy
         self._capacities: dict[int, WorkerCapacityView] = {}  # by worker
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     @property
     def weighting(self) -> AdviceWeighting:
-        """The credits of the advisors, which snapshots keep."""
+        """The weighting of the advisors, whose credits are stored in snapshots."""
         return self._weighting
 
     async def start(self, stack: AsyncExitStack) -> None:
@@ -89,20 +89,20 @@
             client.start()
 
     def advisor_connected(self, advisor: str) -> None:
-        """Called by a client once its connection to the advisor is up."""
+        """Queues the connection of a client to its advisor for the next step."""
         self._connected_advisors.append(advisor)
 
     def weights_received(self, advisor: str, weights: Iterable[ReportedWeight], is_complete: bool) -> None:
-        """Called by a client with the weights that its advisor has sent."""
+        """Queues the weights that a client has received from its advisor for the next step."""
         self._reports.append(_WeightReport(advisor, list(weights), is_complete))
 
     def observe(self, _now: float, item: LoopInput) -> None:
-        """Records that the endpoint list changed, so that a draining worker is advertised at once."""
+        """Records a change of the endpoint list, so that a draining worker is advertised immediately."""
         if isinstance(item, EndpointList):
             self._has_list_changed = True
 
     def collect_inputs(self, now: float) -> list[Input]:
-        """Returns the changed factors on workers' capacities once an interval."""
+        """Applies queued events; returns the changed capacity factors once per `UPDATE_INTERVAL_S`."""
         self._apply_connections()
         self._apply_reports(now)
         if now < self._next_update_at:
@@ -110,12 +110,12 @@
         return list(self._changed_factors(now))
 
     def collect_messages(self, now: float, controller: RoutingController) -> Iterator[tuple[int, bytes]]:
-        """Sends proxies nothing; updates what servers advertise and what clients register."""
-        is_due = now >= self._next_update_at
-        if is_due or self._has_list_changed:
+        """Yields no messages; updates what servers advertise and which workers clients register."""
+        is_update_due = now >= self._next_update_at
+        if is_update_due or self._has_list_changed:
             self._has_list_changed = False
             self._update_advertised(controller)
-        if is_due:
+        if is_update_due:
             self._next_update_at = now + UPDATE_INTERVAL_S
             for client in self._clients:
                 client.poll()
@@ -175,7 +175,7 @@
 
 
 def _lowest_by_worker(reported: Iterable[ReportedWeight]) -> dict[int, AdvisoryWeight]:
-    """One weight for each worker: the lowest, if an advisor has several members that match the worker."""
+    """Returns one weight per worker: the lowest, if several members of the advisor match the worker."""
     weights: dict[int, AdvisoryWeight] = {}
     for report in reported:
         if report.worker_index is None:
--- a/tests/control/test_control_loop.py
+++ b/tests/control/test_control_loop.py
@@ -10,7 +10,7 @@
 
 from structlog.testing import capture_logs
 
-from cottonladder.control.control_loop import ControlLoop, ControlLoopObservers, Effects
+from cottonladder.control.control_loop import ControlLoop, ControlLoopObservers, NetworkClients
 from cottonladder.control.input_queue import InputQueue
 from cottonladder.control.loop_lag import LoopLagMonitor
 from cottonladder.control.policy_timers import PolicyTimers
@@ -53,7 +53,7 @@
             InputQueue(),
             mock.Mock(spec=ProxySessions),
             OrderDispatcher(["lookup"], 1, workers),
-            Effects(self.discovery, mock.Mock(spec=HealthChecker), mock.Mock(spec=GossipSocket)),
+            NetworkClients(self.discovery, mock.Mock(spec=HealthChecker), mock.Mock(spec=GossipSocket)),
             StateChangeLog(workers, ["a"]),
             observers=ControlLoopObservers(on_state_change=self.observed.append),
         )
--- a/tests/support/wire_manager.py
+++ b/tests/support/wire_manager.py
@@ -24,7 +24,7 @@
 from cottonladder.control.background_scheduler import BackgroundScheduler
 from cottonladder.control.clock import Clock
 from cottonladder.control.connection_migrator import ConnectionMigrator
-from cottonladder.control.control_loop import Effects
+from cottonladder.control.control_loop import NetworkClients
 from cottonladder.control.input_queue import InputQueue
 from cottonladder.control.snapshot_manager import SnapshotManager
 from cottonladder.control.startup_config import StartupConfig, read_startup_config
@@ -111,7 +111,7 @@
             InputQueue(),
             cast(ProxySessions, self.output),
             OrderDispatcher(list(self._settings.classes), parameters.manager_count, self._workers),
-            Effects(output, output, output),
+            NetworkClients(output, output, output),
             StateChangeLog(self._workers, list(self._settings.zones)),
             [self._snapshots, migrator],
         )
