--- a/cottonladder/control/admin_socket.py
+++ b/cottonladder/control/admin_socket.py
@@ -37,7 +37,7 @@
         """Opens the socket; `stack` closes it and removes its file.
 
         Replaces the socket of an earlier process at the path.  Raises ConfigError for any other file at the
-        path, and if the socket can't be opened.
+        path, and if the socket can't be bound there; OSError if the path can't be examined.
         """
         with suppress(FileNotFoundError):
             if not stat.S_ISSOCK(os.stat(self._path).st_mode):
--- a/tests/state/test_dispatch_scenarios.py
+++ b/tests/state/test_dispatch_scenarios.py
@@ -1,15 +1,15 @@
-"""Plays the scenarios of tests/state/dispatch_scenarios: orders in, their cost and message at each proxy out.
+"""Runs the scenarios of tests/state/dispatch_scenarios, which give orders and expect lines and messages.
 
-Grammar, one line a step; `#` starts a comment.  Workers are b0, b1 .., proxies p0, p1 ...
+Each line is one step; `#` starts a comment.  Workers are named b0, b1 .., proxies p0, p1 ..
 
-classes NAME .. | managers N    come first; one manager if not said
-listed bN[^STARTED] ..          the endpoint list names these workers
+classes NAME .. | managers N    before all other steps; the default is one manager
+listed bN[^STARTED] ..          the endpoint list has these workers, with start times if given
 join pN [fresh] | left pN       a proxy connects or disconnects
 weight TABLE bN WEIGHT | clear TABLE | bind pN TABLE all|CLASS | exclude bN | readmit bN
 admission TABLE|all CLASS ADMISSION RETRY_POLICY | checkpoint N [all_proxies] | remove bN
-rejected ORDER                  an order that must never be sent
-costs pN=LINES ..               lines since the last `costs` or `sends` to that proxy; all others none
-sends pN WORDS | WORDS ..       its whole message since the last `sends`, part by part; or: nothing
+rejected ORDER                  the dispatcher must reject this order
+costs pN=LINES ..               lines added for each proxy since the last `costs` or `sends`; 0 where left out
+sends pN WORDS | WORDS ..       its message since the last `sends`, parts separated by `|`; or: nothing
 """
 
 from __future__ import annotations
@@ -38,17 +38,17 @@
 SCENARIOS = Path(__file__).parent / "dispatch_scenarios"
 
 
-class ScenarioPlayer:
-    """Carries out the lines of one scenario; raises AssertionError where an expectation fails."""
+class ScenarioRunner:
+    """Runs the steps of one scenario; raises AssertionError for an expectation that fails."""
 
     def __init__(self) -> None:
         self.class_names = ["fetch"]
         self.manager_count = 1
         self.workers = WorkerRegistry()
         self._dispatcher: OrderDispatcher | None = None
-        self.counted: dict[int, int] = {}  # lines by proxy as of the last `costs` or `sends`
-        self.sent: dict[int, bytes] = {}  # messages that no `sends` has looked at
-        self._steps: dict[str, Callable[[list[str]], None]] = {
+        self.last_line_counts: dict[int, int] = {}  # pending lines by proxy at the last `costs` or `sends`
+        self.unchecked_messages: dict[int, bytes] = {}  # by proxy; messages not yet checked by a `sends` step
+        self._step_handlers: dict[str, Callable[[list[str]], None]] = {
             "classes": self.set_class_names,
             "managers": self.set_manager_count,
             "listed": self.list_workers,
@@ -71,16 +71,16 @@
 
     @property
     def dispatcher(self) -> OrderDispatcher:
-        """Made with the first `listed`."""
+        """The dispatcher, which the first `listed` step creates."""
         if self._dispatcher is None:
-            raise ValueError("no worker is listed yet")
+            raise ValueError("a `listed` step is expected before this one")
         return self._dispatcher
 
-    def play(self, verb: str, arguments: list[str]) -> None:
-        """Carries out one line."""
-        step = self._steps.get(verb)
-        if step is not None:
-            step(arguments)
+    def run_step(self, verb: str, arguments: list[str]) -> None:
+        """Runs one step; `verb` is its first word."""
+        handler = self._step_handlers.get(verb)
+        if handler is not None:
+            handler(arguments)
         else:
             self.dispatcher.apply(self.read_order(verb, arguments))
 
@@ -98,29 +98,29 @@
             self._dispatcher = OrderDispatcher(self.class_names, self.manager_count, self.workers)
 
     def connect_proxy(self, arguments: list[str]) -> None:
-        proxy = number_of(arguments[0])
+        proxy = index_of(arguments[0])
         self.dispatcher.connect_proxy(proxy, arguments[1:] == ["fresh"])
-        self.counted.pop(proxy, None)
+        self.last_line_counts.pop(proxy, None)
 
     def disconnect_proxy(self, arguments: list[str]) -> None:
-        proxy = number_of(arguments[0])
+        proxy = index_of(arguments[0])
         self.dispatcher.disconnect_proxy(proxy)
-        self.counted.pop(proxy, None)
+        self.last_line_counts.pop(proxy, None)
 
     def expect_costs(self, arguments: list[str]) -> None:
         expected: dict[int, int] = {}
         for argument in arguments:
             proxy, _, count = argument.partition("=")
-            expected[number_of(proxy)] = int(count)
+            expected[index_of(proxy)] = int(count)
         counts = self.dispatcher.pending_line_counts()
-        added = {proxy: count - self.counted.get(proxy, 0) for proxy, count in counts.items()}
+        added = {proxy: count - self.last_line_counts.get(proxy, 0) for proxy, count in counts.items()}
         expect_equal({proxy: count for proxy, count in added.items() if count > 0}, expected)
-        self.counted = counts
+        self.last_line_counts = counts
 
     def expect_message(self, arguments: list[str]) -> None:
-        self.sent.update(self.dispatcher.pop_messages())
-        self.counted = {}
-        data = self.sent.pop(number_of(arguments[0]), b"")
+        self.unchecked_messages.update(self.dispatcher.pop_messages())
+        self.last_line_counts = {}
+        data = self.unchecked_messages.pop(index_of(arguments[0]), b"")
         messages = list(RespReader(MAX_MESSAGE_SIZE).feed(data))
         expect_equal({message[0] for message in messages} or {b"CONFIG"}, {b"CONFIG"})
         parts = [b" ".join(message[1:]).decode() for message in messages]
@@ -131,17 +131,17 @@
             self.dispatcher.apply(self.read_order(arguments[0], arguments[1:]))
         except OrderRejectedError:
             return
-        raise AssertionError("was applied")
+        raise AssertionError("the order was applied, a rejection was expected")
 
     def read_order(self, verb: str, arguments: list[str]) -> Order:
         reader = self._order_readers.get(verb)
         if reader is None:
-            raise ValueError(f"unknown word {verb}")
+            raise ValueError(f"unknown step {verb}")
         return reader(arguments)
 
     def read_bind(self, arguments: list[str]) -> BindProxy:
         class_mask = 0 if arguments[2] == "all" else self.class_mask(arguments[2])
-        return BindProxy(number_of(arguments[0]), int(arguments[1]), class_mask)
+        return BindProxy(index_of(arguments[0]), int(arguments[1]), class_mask)
 
     def read_admission(self, arguments: list[str]) -> SetAdmission:
         table = ALL_TABLES if arguments[0] == "all" else int(arguments[0])
@@ -153,7 +153,7 @@
 
 
 def read_weight(arguments: list[str]) -> SetWeight:
-    return SetWeight(int(arguments[0]), number_of(arguments[1]), float(arguments[2]))
+    return SetWeight(int(arguments[0]), index_of(arguments[1]), float(arguments[2]))
 
 
 def read_clear(arguments: list[str]) -> ClearTable:
@@ -161,42 +161,42 @@
 
 
 def read_exclude(arguments: list[str]) -> ExcludeWorker:
-    return ExcludeWorker(number_of(arguments[0]), True)
+    return ExcludeWorker(index_of(arguments[0]), True)
 
 
 def read_readmit(arguments: list[str]) -> ExcludeWorker:
-    return ExcludeWorker(number_of(arguments[0]), False)
+    return ExcludeWorker(index_of(arguments[0]), False)
 
 
 def read_remove(arguments: list[str]) -> RemoveWorker:
-    return RemoveWorker(number_of(arguments[0]))
+    return RemoveWorker(index_of(arguments[0]))
 
 
 def read_checkpoint(arguments: list[str]) -> Checkpoint:
     return Checkpoint(int(arguments[0]), arguments[1:] == ["all_proxies"])
 
 
-def number_of(name: str) -> int:
-    """Of a worker `bN` or a proxy `pN`."""
+def index_of(name: str) -> int:
+    """Returns the index of a worker `bN` or a proxy `pN`."""
     return int(name[1:])
 
 
 def expect_equal(actual: object, expected: object) -> None:
     if actual != expected:
-        raise AssertionError(f"{actual!r} instead of {expected!r}")
+        raise AssertionError(f"{expected!r} expected, got {actual!r}")
 
 
 class DispatchScenarioTests(unittest.TestCase):
-    def test_orders_cost_and_send_what_each_scenario_states(self) -> None:
+    def test_orders_cause_the_lines_and_messages_that_each_scenario_expects(self) -> None:
         paths = sorted(SCENARIOS.glob("*.txt"))
         self.assertTrue(paths)
         for path in paths:
-            player = ScenarioPlayer()
+            runner = ScenarioRunner()
             for number, line in enumerate(path.read_text().splitlines(), 1):
                 tokens = line.split("#")[0].split()
                 with self.subTest(f"{path.name}:{number}: {line.strip()}"):
                     if tokens:
-                        player.play(tokens[0], tokens[1:])
+                        runner.run_step(tokens[0], tokens[1:])
 
 
 if __name__ == "__main__":
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher behind the routing controller: proxies hold what the controller takes them to hold."""
+"""The order dispatcher with the routing controller: proxies have the state that the controller assumes."""
 
 from __future__ import annotations
 
@@ -42,17 +42,17 @@
 
 
 class SimulatedProxy:
-    """A proxy by the protocol's pages, for tables that all classes read; messages wait until they arrive."""
+    """A proxy that follows the protocol, with one table for all classes and a queue of messages."""
 
     def __init__(self) -> None:
         self.weights: dict[bytes, float] = {}
         self.excluded: set[bytes] = set()
-        self.messages_under_way: list[bytes] = []
+        self.messages_in_flight: list[bytes] = []
 
     def receive_all(self) -> None:
-        """Applies the messages under way."""
-        data = b"".join(self.messages_under_way)
-        self.messages_under_way = []
+        """Applies all messages in flight."""
+        data = b"".join(self.messages_in_flight)
+        self.messages_in_flight = []
         for message in RespReader(MAX_MESSAGE_SIZE).feed(data):
             fields = dict(zip(message[1::2], message[2::2], strict=True))
             if b"replace" in fields:
@@ -66,10 +66,10 @@
 
 
 class RandomRun:
-    """Controller and dispatcher under inputs drawn at random.
+    """Controller and dispatcher with random inputs.
 
-    Streams break with messages under way.  With two managers, proxies come from the other one, which excluded
-    some of the workers that have restarted.
+    Streams break while messages are in flight.  With two managers, proxies come from the other manager, which
+    excluded some of the workers that have restarted.
     """
 
     def __init__(self, seed: int, manager_count: int) -> None:
@@ -103,10 +103,10 @@
         return EndpointList(kind, tuple(self.endpoint(number) for number in numbers))
 
     def connect(self, number: int) -> list[Input]:
-        """A proxy connects, again or for the first time; some of its last messages are lost."""
+        """Connects a proxy, possibly again, so that it loses some messages in flight; returns the inputs."""
         is_fresh = self.random.random() < 0.5 or number not in self.proxies
         proxy = SimulatedProxy() if is_fresh else self.proxies[number]
-        proxy.messages_under_way = proxy.messages_under_way[: self.random.randrange(3)]
+        proxy.messages_in_flight = proxy.messages_in_flight[: self.random.randrange(3)]
         proxy.receive_all()
         if self.manager_count > 1 and not is_fresh:
             proxy.excluded |= self.exclusions_of_other_manager()
@@ -150,11 +150,11 @@
             elif not isinstance(order, UNDISPATCHED_ORDERS):
                 self.dispatcher.apply(order)
         for number, data in self.dispatcher.pop_messages():
-            self.proxies[number].messages_under_way.append(data)
+            self.proxies[number].messages_in_flight.append(data)
 
 
 class OrderDispatcherTests(unittest.TestCase):
-    def test_proxies_hold_what_the_controller_takes_them_to_hold(self) -> None:
+    def test_proxies_have_the_weights_and_exclusions_that_the_controller_assumes(self) -> None:
         for seed in range(8):
             run = RandomRun(seed, manager_count=1 + seed % 2)
             run.step([run.endpoint_list(ListUpdateKind.CACHED)])
@@ -169,7 +169,7 @@
                         self._check_agreement(run)
 
     def _check_agreement(self, run: RandomRun) -> None:
-        """Once all messages have arrived, bound proxies have the weights and exclusions of the controller."""
+        """Delivers all messages, then asserts that bound proxies agree with the controller."""
         ids = run.workers.ids
         workers = run.controller.state.workers.by_index
         for table in run.controller.state.tables.all:
@@ -183,7 +183,7 @@
                 self.assertEqual(proxy.excluded & set(sent), excluded & set(sent))
 
     def test_a_table_larger_than_one_part_arrives_complete(self) -> None:
-        """All its lines arrive, in parts that the protocol allows; the last says that none follows."""
+        """The parts have all lines and the allowed size; all but the last one announce a further part."""
         workers = WorkerRegistry()
         dispatcher = OrderDispatcher(["fetch"], 1, workers)
         dispatcher.connect_proxy(0, True)
--- a/tests/state/test_order_errors.py
+++ b/tests/state/test_order_errors.py
@@ -1,4 +1,4 @@
-"""Rejected orders raise an error with the fields that the log gives."""
+"""Rejected orders raise an error with the fields that are logged."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
         self.dispatcher = OrderDispatcher(["lookup", "order"], 1, self.workers)
 
     def rejection(self, order: Order) -> tuple[str, dict[str, object]]:
-        """The reason and the details of the order's rejection."""
+        """Applies an order; returns the reason and the details of its rejection."""
         with self.assertRaises(OrderRejectedError) as caught:
             self.dispatcher.apply(order)
         self.assertIs(caught.exception.order, order)
         return caught.exception.reason.value, caught.exception.details()
 
-    def test_a_weight_below_zero_names_the_listed_worker(self) -> None:
+    def test_a_negative_weight_is_rejected_with_the_worker_id(self) -> None:
         self.assertEqual(
             self.rejection(SetWeight(1, self.worker_index, -0.5)),
             ("invalid_weight", {"worker_id": "s-1", "weight": -0.5}),
         )
 
-    def test_an_infinite_admission_names_the_request_classes(self) -> None:
+    def test_an_infinite_admission_is_rejected_with_the_names_of_the_request_classes(self) -> None:
         order = SetAdmission(ALL_TABLES, math.inf, 0b10, RetryPolicy.ONCE)
         expected = {"classes": "order", "admission": math.inf}
         self.assertEqual(self.rejection(order), ("invalid_admission", expected))
-        order = SetAdmission(1, math.inf, 0, RetryPolicy.ONCE)  # mask 0 stands for all classes
+        order = SetAdmission(1, math.inf, 0, RetryPolicy.ONCE)  # mask 0 means all classes
         expected = {"classes": "lookup,order", "admission": math.inf}
         self.assertEqual(self.rejection(order), ("invalid_admission", expected))
 
-    def test_a_worker_that_was_never_listed_has_only_its_index(self) -> None:
+    def test_an_order_for_an_unlisted_worker_is_rejected_with_its_index_alone(self) -> None:
         self.assertEqual(self.rejection(ExcludeWorker(7, True)), ("unknown_worker", {"worker_index": 7}))
 
 
