--- a/tests/control/test_background_scheduler.py
+++ b/tests/control/test_background_scheduler.py
@@ -1,6 +1,6 @@
-"""The background scheduler in an event loop: tasks that misbehave, and a stop in the middle of one.
+"""The background scheduler in an event loop: faulty tasks, and a close during a run.
 
-The loop and the scheduler have one clock that the machine does not drive, so each rate and duration is exact.
+The loop and the scheduler share a simulated clock, so rates and durations are exact.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 Slices = Iterator[Awaitable[None] | None]
 
-OBSERVED_S = 1.2  # long enough for ten runs of a task with a period of 20 ms, and for several backoffs
+OBSERVED_S = 1.2  # for at least ten runs of a task with a period of 20 ms, and several backoffs
 PERIOD_S = 0.02
 CPU_FRACTION = 0.2
 RUN_AFTER_STOP_S = 0.25
@@ -30,18 +30,18 @@
 
 
 def stepped_loop() -> SteppedEventLoop:
-    """The loop that runs the test."""
+    """Returns the event loop that runs the test."""
     return cast(SteppedEventLoop, asyncio.get_running_loop())
 
 
-class MisbehavingTasks:
-    """One task that behaves and three that don't; `runs` counts what each did."""
+class FaultyTasks:
+    """One correct task and three faulty ones; `runs` counts their runs or slices."""
 
     def __init__(self) -> None:
         self.runs: Counter[str] = Counter()
 
     def succeed(self) -> Slices:
-        """Three slices and an awaitable, then the run is done."""
+        """Completes a run after three slices and an awaitable."""
         for _ in range(3):
             yield None
         yield asyncio.sleep(0.001)
@@ -54,7 +54,7 @@
         raise ValueError("always")
 
     def never_end(self) -> Slices:
-        """Takes far longer in each slice than a slice may."""
+        """Never completes its run, and exceeds the allowed duration in each slice."""
         while True:
             stepped_loop().step(ENDLESS_SLICE_S)
             self.runs["never_end"] += 1
@@ -77,32 +77,34 @@
             with mock.patch.object(background_scheduler, "time", clock):
                 runner.run(test)
 
-    def test_tasks_that_misbehave_do_not_harm_others(self) -> None:
-        self.run_stepped(self.observe_misbehaving_tasks())
+    def test_faulty_tasks_do_not_affect_other_tasks(self) -> None:
+        self.run_stepped(self.observe_faulty_tasks())
 
-    async def observe_misbehaving_tasks(self) -> None:
+    async def observe_faulty_tasks(self) -> None:
         """Runs the four tasks for `OBSERVED_S`."""
-        tasks = MisbehavingTasks()
+        tasks = FaultyTasks()
         scheduler = BackgroundScheduler(lambda: 0.0)
         for work in (tasks.succeed, tasks.fail_in_slice, tasks.never_end, tasks.fail_in_awaitable):
             scheduler.add(TaskPlan(work.__name__, PERIOD_S, cpu_fraction=CPU_FRACTION), work)
         scheduler.start()
-        await asyncio.sleep(OBSERVED_S)  # the bounds below are rates
+        await asyncio.sleep(OBSERVED_S)  # the bounds below are for this duration
         await scheduler.close(("succeed",))
         rows = {row["task"]: row for row in scheduler.status_rows()}
         self.assertGreater(tasks.runs["succeed"], 10)
-        self.assertLess(tasks.runs["fail_in_slice"], 10)  # it backs off
+        self.assertLess(tasks.runs["fail_in_slice"], 10)  # retried with backoff
         self.assertLess(tasks.runs["fail_in_awaitable"], 10)
         self.assertGreater(int(str(rows["never_end"]["overruns"])), 0)
         endless_cpu_s = tasks.runs["never_end"] * ENDLESS_SLICE_S
-        self.assertLess(endless_cpu_s, OBSERVED_S * CPU_FRACTION + 0.25)  # its budget, though it never ends
+        self.assertLess(
+            endless_cpu_s, OBSERVED_S * CPU_FRACTION + 0.25
+        )  # CPU budget, although its run never ends
         self.assertEqual((rows["succeed"]["failures"], rows["never_end"]["runs"]), (0, 0))
 
-    def test_a_run_under_way_ends_at_the_stop_and_is_not_started_again(self) -> None:
+    def test_close_completes_the_current_run_and_does_not_start_another(self) -> None:
         self.run_stepped(self.stop_during_run())
 
     async def stop_during_run(self) -> None:
-        """Closes the scheduler, and lets the run under way go on `RUN_AFTER_STOP_S` later."""
+        """Closes the scheduler during a run, which continues after `RUN_AFTER_STOP_S`."""
         is_waiting = asyncio.Event()
         may_continue = asyncio.Event()
         ended_runs: list[str] = []
@@ -122,21 +124,21 @@
         stopping_at = stepped_loop().time()
         closing = asyncio.create_task(scheduler.close(("slow",)))
         await asyncio.sleep(RUN_AFTER_STOP_S)
-        self.assertFalse(closing.done())  # it waits for the run under way
+        self.assertFalse(closing.done())  # it waits for the current run
         may_continue.set()
         await in_time(closing)
         self.assertEqual(ended_runs, ["slow"])
         self.assertAlmostEqual(stepped_loop().time() - stopping_at, RUN_AFTER_STOP_S)
 
-    def test_work_that_does_not_end_in_time_is_cancelled_and_awaited(self) -> None:
+    def test_close_cancels_and_awaits_a_run_that_exceeds_the_stop_timeout(self) -> None:
         self.run_stepped(self.stop_endless_run())
 
     async def stop_endless_run(self) -> None:
-        """Closes the scheduler while a run waits for ever."""
+        """Closes the scheduler during a run that never ends."""
         is_waiting = asyncio.Event()
         cancelled: list[str] = []
 
-        async def wait_for_ever() -> None:
+        async def wait_forever() -> None:
             is_waiting.set()
             try:
                 await asyncio.Event().wait()
@@ -144,7 +146,7 @@
                 cancelled.append("endless")
 
         def endless() -> Slices:
-            yield wait_for_ever()
+            yield wait_forever()
 
         scheduler = BackgroundScheduler(lambda: 0.0)
         scheduler.add(TaskPlan("endless", 0.01), endless)
--- a/tests/control/test_configuration_files.py
+++ b/tests/control/test_configuration_files.py
@@ -1,4 +1,4 @@
-"""The manager's file at a start, at a reload, and as the `check` command compares two of them."""
+"""The manager's configuration file at a start, at a reload, and in the `check` command."""
 
 from __future__ import annotations
 
@@ -22,20 +22,22 @@
 
 
 def text_without(config: JsonObject, field: str) -> str:
-    """The configuration's text without one of its fields."""
+    """Returns the configuration as JSON without one of its fields."""
     return json.dumps({name: value for name, value in config.items() if name != field})
 
 
 class StartTests(ManagerTestCase):
-    async def test_a_faulty_file_is_one_line_on_standard_error_and_status_2(self) -> None:
+    async def test_an_invalid_file_ends_the_start_with_one_line_on_standard_error_and_status_2(self) -> None:
         config = ManagerProgram(self.discovery_address).config
-        texts = {field: text_without(config, field) for field in REQUIRED_FIELDS}  # by a word of the error
+        texts = {
+            field: text_without(config, field) for field in REQUIRED_FIELDS
+        }  # by a part of the error text
         texts["JSON"] = "{"
         texts["ColdFrom"] = json.dumps({**config, "settings": {**SETTINGS, "Rules": {}}})
         infinite_price = {**SETTINGS, "Prices": {"Probe": 10**400}}
         texts["too large"] = json.dumps({**config, "settings": infinite_price})
         texts["address"] = json.dumps({**config, "listen": "here"})
-        programs: dict[str, ManagerProgram] = {}  # all of them started before the first is looked at
+        programs: dict[str, ManagerProgram] = {}  # all started before the first one is checked
         for expected, text in texts.items():
             programs[expected] = ManagerProgram(self.discovery_address)
             await programs[expected].start(text)
@@ -50,8 +52,8 @@
 
 
 class ReloadTests(ManagerTestCase):
-    async def test_a_file_that_a_reload_can_not_take_is_one_line_and_changes_nothing(self) -> None:
-        """SIGHUP may follow the first log line at once."""
+    async def test_a_reload_of_an_invalid_file_is_logged_in_one_line_and_changes_nothing(self) -> None:
+        """SIGHUP is sent immediately after the first log line."""
         program = ManagerProgram(self.discovery_address)
         await program.start()
         self.addAsyncCleanup(self.end, program)
@@ -77,7 +79,7 @@
         client = await self.connect(program, "PING")
         self.assertEqual(await client.receive(), "PONG")
 
-    async def test_the_check_command_names_what_a_reload_would_not_change(self) -> None:
+    async def test_the_check_command_names_the_fields_that_a_reload_would_not_change(self) -> None:
         files: dict[str, dict[str, str]] = {"old": {}, "new": {"discovery": "h:1"}, "other": {"name": "n9"}}
         with TemporaryDirectory() as folder:
             for name, changes in files.items():
--- a/tests/control/test_connection_bounds.py
+++ b/tests/control/test_connection_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on connections: descriptors, the time to identify oneself, and messages left unread."""
+"""Limits on connections: file descriptors, the time until identification, and unread bytes."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from cottonladder.state.proxy_sessions import ProxySessions
 from tests.support.manager_test_case import ManagerTestCase
 
-DESCRIPTOR_LIMIT = 128  # of the manager's process
+DESCRIPTOR_LIMIT = 128  # file descriptors of the manager's process
 UNIDENTIFIED_CONNECTIONS = 400
 SUMMARY_INTERVAL = "cottonladder.protocol.fault_log.SUMMARY_INTERVAL_S"
 
 
 def open_transport() -> mock.Mock:
-    """A transport that takes all that is written and is never closed by its peer."""
+    """Returns a transport that accepts all written data and that its peer never closes."""
     transport = mock.Mock(spec=asyncio.Transport)
     transport.get_extra_info.return_value = ("127.0.0.1", 1)
     transport.is_closing.return_value = False
@@ -29,13 +29,17 @@
 
 
 class DescriptorLimitTests(ManagerTestCase):
-    async def test_unidentified_connections_do_not_use_up_what_proxies_need(self) -> None:
-        # The summary comes after the flood, as the interval is longer than the flood may take.
+    async def test_proxies_can_connect_while_unidentified_connections_exceed_the_descriptor_limit(
+        self,
+    ) -> None:
+        # The interval is longer than all connections need, so the summary is logged after them.
         program = await self.start_serving(
             limits={"memory_mb": 192, "sockets": DESCRIPTOR_LIMIT}, constants={SUMMARY_INTERVAL: 5.0}
         )
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
-        collector = await self.connect(program, "SOURCE locality a")  # says no more, and is not ended
+        collector = await self.connect(
+            program, "SOURCE locality a"
+        )  # stays open although it sends nothing more
         unidentified = await asyncio.gather(
             *(self.connect(program, "PING" * (number % 2)) for number in range(UNIDENTIFIED_CONNECTIONS))
         )
@@ -52,12 +56,12 @@
         await program.wait_for_log("connection_closed", "suppressed_count=")
         self.assertEqual(await program.stop(), 0)
         errors = await cast(asyncio.StreamReader, program.process.stderr).read()
-        self.assertEqual(errors, b"")  # asyncio reports here accepts that found no descriptor left
+        self.assertEqual(errors, b"")  # asyncio reports accepts here that failed for lack of descriptors
 
 
 class ConnectionLimitTests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_join_that_a_late_loop_left_unread_is_not_ended_by_one_sweep(self) -> None:
-        """Between the sweep that finds a connection late and the one that ends it, the loop reads."""
+    async def test_an_unidentified_connection_is_closed_by_the_second_sweep_after_its_timeout(self) -> None:
+        """Between the two sweeps, a delayed event loop can still read a message that has arrived."""
         listener = StreamListener(mock.Mock(), mock.Mock(), ConnectionLimits(8, 4, 4, 1000))
         transport = open_transport()
         ProtocolConnection(listener).connection_made(transport)
@@ -67,7 +71,7 @@
             self.assertEqual(transport.abort.called, is_ended, sweep_count)
         await listener.close()
 
-    async def test_a_proxy_that_reads_nothing_is_ended_over_the_limit_of_unread_bytes(self) -> None:
+    async def test_a_connection_over_the_limit_of_unread_bytes_is_aborted(self) -> None:
         transport = open_transport()
         limits = ConnectionLimits(
             max_connections=8, accept_batch=4, max_health_checks=4, max_unread_bytes=1000
--- a/tests/control/test_connection_migrator.py
+++ b/tests/control/test_connection_migrator.py
@@ -1,4 +1,4 @@
-"""The log lines of the connection migrator while a worker's held connections drain."""
+"""Log lines of the connection migrator while held connections of a worker drain."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
         self.migrator.observe(self.now, ExtensionMessage(body, FORWARDER))
 
     def report(self, counts: Mapping[bytes, ConnectionCounts]) -> None:
-        """The forwarder reports all connections that it holds."""
+        """Passes the migrator a complete report of the forwarder's held connections."""
         self.observe_message(HeldConnections(FORWARDER, True, dict(counts)))
 
     def plan(self, views: Mapping[int, WorkerCapacityView]) -> list[dict[str, object]]:
-        """The log lines of the next plan, with the workers as last solved."""
+        """Returns the log lines of the next plan; `views` are the workers in the last solution."""
         self.now += PLAN_INTERVAL_S
         controller = mock.Mock(spec=RoutingController)
         solved = mock.patch.object(connection_migrator, "capacity_views", return_value=dict(views))
@@ -61,7 +61,7 @@
     def expected(self, event: str, **fields: object) -> list[dict[str, object]]:
         return [{"event": event, "log_level": "info", "worker_id": "s-1", **fields}]
 
-    def test_a_drain_is_logged_at_its_start_and_once_the_removed_worker_holds_nothing(self) -> None:
+    def test_a_drain_is_logged_at_its_start_and_when_the_removed_worker_has_no_connections_left(self) -> None:
         self.report({b"s-1": ConnectionCounts(12, 2, 10)})
         self.assertEqual(self.plan({self.worker_index: IN_SERVICE}), [])
         started = self.plan({self.worker_index: DRAINING})
@@ -71,7 +71,7 @@
         self.workers.remove(self.worker_index)
         self.assertEqual(self.plan({}), self.expected("held_connections_drained", open_count_at_start=12))
 
-    def test_a_worker_that_is_ready_again_has_its_drain_cancelled(self) -> None:
+    def test_the_drain_of_a_worker_that_is_ready_again_is_logged_as_cancelled(self) -> None:
         self.report({b"s-1": ConnectionCounts(12, 2, 10)})
         self.plan({self.worker_index: DRAINING})
         self.assertEqual(
--- a/tests/control/test_control_loop.py
+++ b/tests/control/test_control_loop.py
@@ -1,4 +1,4 @@
-"""The control loop's step, its timers and its lag, without sockets."""
+"""The control loop's batches, timers and lag monitor, without sockets."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 
 class ScriptedController(RoutingController):
-    """A policy that gives the same orders in each step."""
+    """A policy that returns the same orders for each batch."""
 
     def __init__(self, orders: list[Order]) -> None:
         super().__init__(DEFAULT_PARAMETERS)
         self._orders = orders
 
     def decide_orders(self, _now: float, _inputs: Iterable[Input]) -> list[Order]:
-        """The orders of the script."""
+        """Returns the scripted orders."""
         return self._orders
 
 
 class ControlLoopTests(unittest.TestCase):
     def control_loop(self, orders: list[Order]) -> ControlLoop:
-        """A loop whose policy gives these orders, with the worker `s-1` of index 0."""
+        """Creates a loop whose policy returns these orders; worker `s-1` has index 0."""
         workers = WorkerRegistry()
         workers.register("s-1", "10.0.0.1:8080", 0.0)
         self.discovery = mock.Mock(spec=DiscoveryClient)
@@ -58,7 +58,7 @@
             observers=ControlLoopObservers(on_state_change=self.observed.append),
         )
 
-    def test_a_rejected_order_is_logged_with_its_fields_and_the_next_is_carried_out(self) -> None:
+    def test_a_rejected_order_is_logged_and_the_following_orders_are_carried_out(self) -> None:
         control_loop = self.control_loop([SetWeight(1, 0, math.inf), SetWeight(1, 7, 1.0), FetchEndpoints()])
         with capture_logs() as lines:
             control_loop.run_once([])
@@ -81,13 +81,13 @@
 
 
 class LoopLagMonitorTests(unittest.TestCase):
-    def test_each_late_batch_is_reported_and_only_far_longer_ones_are_logged(self) -> None:
+    def test_each_late_batch_is_reported_and_only_much_longer_ones_are_logged(self) -> None:
         reported: list[None] = []
         monitor = LoopLagMonitor(lambda: reported.append(None))
         with capture_logs() as lines:
             for lag_s in (0.005, 0.020, 0.029, 0.031, 0.012):
                 monitor.record("batch", lag_s)
-            monitor.record("timer", 0.012)  # the longest of its own source
+            monitor.record("timer", 0.012)  # the longest of its source
         self.assertEqual(len(reported), 5)
         self.assertEqual(
             [(line["event"], line["source"], line["duration_ms"]) for line in lines],
@@ -96,7 +96,7 @@
 
 
 class PolicyTimerTests(unittest.IsolatedAsyncioTestCase):
-    async def test_timers_with_the_same_token_all_fire_and_cancelled_ones_do_not(self) -> None:
+    async def test_all_timers_with_the_same_token_fire_and_cancelled_timers_do_not(self) -> None:
         fired: asyncio.Queue[TimerFired] = asyncio.Queue()
         timers = PolicyTimers(fired.put_nowait, LoopLagMonitor(None))
         timers.start(StartTimer(0.0, 3))
--- a/tests/control/test_endpoint_updates.py
+++ b/tests/control/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""How a manager follows discovery: failed calls, versions that go back, another address, a silent watch."""
+"""Endpoint updates from discovery: failed calls, lower versions, a new address and a silent watch."""
 
 from __future__ import annotations
 
@@ -23,34 +23,34 @@
 SHORT_RETRY_DELAY: JsonObject = {"Rules": {**SETTINGS["Rules"], "AskWithinMs": 100.0}}
 SILENCE_TIMEOUT = "cottonladder.protocol.discovery.SILENCE_TIMEOUT_S"
 FETCH_TIMEOUT = "cottonladder.protocol.discovery.FETCH_TIMEOUT_S"
-# For a call that discovery answers only once the test has seen something else.
+# For calls that discovery answers only after the test has observed another event.
 PENDING_CALL_LIMITS = {SILENCE_TIMEOUT: 60.0, FETCH_TIMEOUT: 60.0}
 
 
 def watch_line_answer(body: JsonObject) -> Handler:
-    """One line of a watch, after which discovery ends it."""
+    """Returns a handler that answers a watch with one line and then ends it."""
     return scripted_answer(json.dumps(body) + "\n")
 
 
 def complete_answer(version: int, *names: str) -> Handler:
-    """The answer to a call for the complete list."""
+    """Returns a handler that answers a call for the complete list."""
     entries = [endpoint_entry(name) for name in names]
     return scripted_answer(json.dumps(endpoint_list(version, *entries, full=True)))
 
 
 class EndpointUpdateTests(ManagerTestCase):
-    async def test_a_failed_call_leaves_the_list_as_it_is(self) -> None:
-        """Each bad answer is one failed call, repeated when the policy orders it, until a good one counts."""
+    async def test_a_failed_call_does_not_change_the_endpoint_list(self) -> None:
+        """Each invalid answer is one failed call; the policy orders calls until a valid answer arrives."""
         gone = endpoint_entry("s-1", "Gone")
         unknown_state = endpoint_entry("s", "No")
-        no_address = endpoint_entry("s-4", addr="x:y")
+        invalid_address = endpoint_entry("s-4", addr="x:y")
         infinite_weight = endpoint_entry("s-4", weight=10**400)
         bad_answers = {
             "status 503": scripted_answer("", 503),
             "not JSON": scripted_answer('{"version":42,\n'),
             "cut off": scripted_answer(json.dumps(endpoint_list(44, gone))),
             "state has an unknown value": watch_line_answer(endpoint_list(42, gone, unknown_state)),
-            "field addr": watch_line_answer(endpoint_list(42, gone, no_address)),
+            "field addr": watch_line_answer(endpoint_list(42, gone, invalid_address)),
             "recursion": scripted_answer("[" * 100_000 + "\n"),
             "float": watch_line_answer(endpoint_list(42, infinite_weight)),
             "ended by discovery": watch_line_answer(endpoint_list(42)),
@@ -64,8 +64,8 @@
         await self.discovery.send_updates(endpoint_list(44, gone))
         await program.wait_for_log("event=worker_state_changed", "from_state=healthy", "to_state=removed")
 
-    async def test_after_a_version_that_goes_back_the_complete_list_is_fetched(self) -> None:
-        """Discovery started over; without the complete list the manager would miss its drains."""
+    async def test_after_a_lower_version_the_complete_list_is_fetched(self) -> None:
+        """After a restart of discovery, the manager would miss draining workers without the complete list."""
         self.discovery.script = [
             watch_line_answer(endpoint_list(7, endpoint_entry("s-1", "Gone"))),
             complete_answer(7, "s-2"),
@@ -82,8 +82,8 @@
             "reason=not_listed",
         )
 
-    async def test_a_reload_moves_to_another_discovery_once_that_has_answered(self) -> None:
-        """It is asked for the complete list; the old one counts until the new one has answered."""
+    async def test_after_a_reload_a_new_discovery_address_is_used_once_it_has_answered(self) -> None:
+        """Updates of the old address are applied until the new one has answered with the complete list."""
         program = await self.start_serving(settings=SHORT_RETRY_DELAY, constants=PENDING_CALL_LIMITS)
         self.assertIn("after=41", await in_time(self.discovery.calls.get()))
         new = ScriptedDiscovery()
@@ -121,7 +121,7 @@
         )
         self.assertFalse([line for line in program.lines if "worker_id=s-2" in line])
 
-    async def test_a_fault_in_reading_the_list_is_a_failed_update(self) -> None:
+    async def test_an_exception_while_an_update_is_read_is_a_failed_update(self) -> None:
         def faulty_register(_worker_id: str, _address: str, _started_at: float) -> int:
             raise ZeroDivisionError
 
@@ -135,8 +135,8 @@
         self.assertEqual([update.kind for update in updates], [ListUpdateKind.DELTA, ListUpdateKind.FAILED])
         await client.close()
 
-    async def test_a_silent_watch_is_closed_and_opened_again(self) -> None:
-        """Discovery's machine is cut off: the watch stays open and brings not even its empty lines."""
+    async def test_a_watch_without_data_is_closed_and_opened_again(self) -> None:
+        """The connection to discovery is lost: the watch stays open, but not even its empty lines arrive."""
         watch_closed = asyncio.Event()
 
         async def silent_watch(request: web.BaseRequest) -> web.StreamResponse:
--- a/tests/control/test_log_events.py
+++ b/tests/control/test_log_events.py
@@ -1,6 +1,6 @@
-"""Each event that the code can log stands in the runbook with its fields, and the reverse.
+"""The runbook lists each event that the code can log, with its fields, and no other event.
 
-The runbook also gives the name that earlier releases logged for each event.
+The runbook also lists the name of each event in earlier releases.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 
 def program_modules() -> list[Path]:
-    """The modules whose events operators read."""
+    """Returns the modules whose events operators see, which are all except the testbed."""
     modules = (ROOT / "cottonladder").rglob("*.py")
     return [path for path in modules if "testbed" not in path.relative_to(ROOT).parts]
 
 
 def is_log_call(call: ast.Call) -> bool:
-    """`log.info(..)`, `self._log.info(..)` and the like, whoever holds the logger."""
+    """Returns whether a call logs an event, such as `log.info(..)` or `self._log.info(..)`."""
     function = call.func
     if not isinstance(function, ast.Attribute) or function.attr not in LOG_METHODS:
         return False
@@ -43,25 +43,25 @@
 
 
 def is_fault_log(call: ast.Call) -> bool:
-    """A log of summed faults, which is made with the name of its event."""
+    """Returns whether a call creates a rate-limited fault log, whose argument is the event."""
     return ast.unparse(call.func).split(".")[-1] == "RateLimitedFaultLog"
 
 
 def event_names(tree: ast.AST) -> Iterator[str]:
-    """Every text that a call logs as its event; a name or a conditional counts with all that it may be."""
-    texts: dict[str, list[ast.expr]] = {}
+    """Yields each event that a call can log, with all values of a variable or a conditional expression."""
+    values_by_name: dict[str, list[ast.expr]] = {}
     for node in ast.walk(tree):
         if isinstance(node, ast.Assign) and isinstance(node.targets[0], ast.Name):
-            texts.setdefault(node.targets[0].id, []).append(node.value)
+            values_by_name.setdefault(node.targets[0].id, []).append(node.value)
     for node in ast.walk(tree):
         if isinstance(node, ast.Call) and node.args and (is_log_call(node) or is_fault_log(node)):
             event = node.args[0]
-            for value in texts.get(event.id, []) if isinstance(event, ast.Name) else [event]:
+            for value in values_by_name.get(event.id, []) if isinstance(event, ast.Name) else [event]:
                 yield from constants(value)
 
 
 def event_fields(tree: ast.AST) -> Iterator[tuple[str, str]]:
-    """Event and field for each field that a call names, where the call names its event too."""
+    """Yields event and field for each field of a log call whose event is a constant."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Call) and node.args and is_log_call(node):
             for event in constants(node.args[0]):
@@ -69,7 +69,7 @@
 
 
 def constants(value: ast.expr) -> Iterator[str]:
-    """The texts of an expression's results; the test of a conditional is none of them."""
+    """Yields the string constants to which an expression can evaluate."""
     if isinstance(value, ast.IfExp):
         yield from constants(value.body)
         yield from constants(value.orelse)
@@ -78,28 +78,28 @@
 
 
 def runbook() -> str:
-    """The whole page."""
+    """Returns the text of the runbook."""
     return (ROOT / "docs" / "runbook.md").read_text()
 
 
 def runbook_section(title: str) -> str:
-    """One section of the runbook, up to the next of its kind."""
+    """Returns one section of the runbook, up to the next heading of the same level."""
     _, _, section = runbook().partition(f"\n## {title}\n")
     return section.partition("\n## ")[0]
 
 
 def event_table() -> str:
-    """The section of the runbook that lists each event."""
+    """Returns the section of the runbook that lists each event."""
     return runbook_section("Log events")
 
 
 def table_rows(section: str) -> list[str]:
-    """The rows of a section's table, without its head."""
+    """Returns the rows of a section's table, without its heading rows."""
     return [line for line in section.splitlines() if line.startswith("|")][2:]
 
 
 def reported_changes() -> Iterator[WorkerStateChanged]:
-    """Every state change that the policy can report for the log: each event in each state of a worker."""
+    """Yields each state change that the policy can report: each event in each state of a worker."""
     for event in WorkerEvent:
         for former in WorkerState:
             state = ControllerState(DEFAULT_PARAMETERS)
@@ -113,7 +113,7 @@
 
 
 class LogEventTests(unittest.TestCase):
-    def test_code_and_runbook_name_the_same_events(self) -> None:
+    def test_code_and_runbook_have_the_same_events(self) -> None:
         logged: set[str] = set()
         for path in program_modules():
             logged.update(event_names(ast.parse(path.read_text())))
@@ -156,7 +156,7 @@
         self.assertLessEqual(to_states, {change.to_state.value for change in changes})
         self.assertGreater(min(len(reasons), len(from_states), len(to_states)), 0)
 
-    def test_old_and_new_events_stand_side_by_side(self) -> None:
+    def test_runbook_lists_one_old_name_for_each_event_and_reason(self) -> None:
         section = runbook_section("Old event names")
         rows = OLD_EVENT_ROW.findall(section)
         self.assertEqual(len(rows), len(table_rows(section)))
--- a/tests/control/test_manager_program.py
+++ b/tests/control/test_manager_program.py
@@ -1,4 +1,4 @@
-"""A manager under its own command line: what proxies, collectors, workers and other managers see of it."""
+"""A manager process, tested through its proxies, collectors, workers and other managers."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 
 
 class GossipPeer(asyncio.DatagramProtocol):
-    """Another manager's socket, whose datagrams can be awaited."""
+    """The socket of another manager, which queues received datagrams."""
 
     def __init__(self) -> None:
         self.received: asyncio.Queue[bytes] = asyncio.Queue()
 
     def datagram_received(self, data: bytes, _address: object) -> None:
-        """Keeps the datagram for the test."""
+        """Queues a received datagram for the test."""
         self.received.put_nowait(data)
 
 
 class FaultyController(RoutingController):
-    """A policy that fails at its first timer."""
+    """A policy that raises an exception at its first timer."""
 
     def decide_orders(self, now: float, inputs: Iterable[Input]) -> list[Order]:
-        """As the controller, until a timer fires."""
+        """Returns the orders of the real controller, until a timer fires."""
         batch = list(inputs)
         if any(isinstance(item, TimerFired) for item in batch):
             raise ZeroDivisionError("a fault")
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingResult:
-    """How the `ping` command ended, and all that it wrote."""
+    """The exit status and the output of the `ping` command."""
 
     status: int | None
     output: str
@@ -69,7 +69,7 @@
 
 
 class ManagerProgramTests(ManagerTestCase):
-    async def test_a_manager_binds_proxies_takes_reports_drains_a_worker_and_restarts(self) -> None:
+    async def test_a_manager_binds_proxies_accepts_reports_drains_a_worker_and_restarts(self) -> None:
         program = await self.start_serving()
         self.assertIn("watch=1&after=41", await in_time(self.discovery.calls.get()))
         proxy = await self.join(program, 3)
@@ -95,10 +95,10 @@
             "reason=endpoint_not_ready",
             "endpoint_state=draining",
         )
-        self.assertNotIn("uptime_s", line)  # the list gives no start for this worker
+        self.assertNotIn("uptime_s", line)  # the list has no start time for this worker
         collector.send("PING")
         self.assertEqual(await collector.receive(), "PONG")
-        self.assertEqual(collector.received, [])  # nothing else was ever written to it
+        self.assertEqual(collector.received, [])  # nothing else has been written to it
         stopping_at = time.monotonic()
         self.assertEqual(await program.stop(), 0)
         self.assertLess(time.monotonic() - stopping_at, 5.0)
@@ -115,7 +115,7 @@
         client.writer.write(b"NG\r\n*1\r\n$4\r\nPING\r\n")
         self.assertEqual([await client.receive(), await client.receive()], ["PONG", "PONG"])
 
-    async def test_the_ping_command_reports_with_its_status_and_one_line(self) -> None:
+    async def test_the_ping_command_reports_the_result_by_its_status_and_one_line(self) -> None:
         program = await self.start_serving()
         http_server = await self.start_http_server(scripted_answer(""))  # speaks another protocol
         cases = (
@@ -130,14 +130,14 @@
                 self.assertEqual(result.output.count("\n"), 1, result.output)
                 self.assertIn(expected_text, result.output)
 
-    async def test_the_newest_stream_of_a_proxy_holds(self) -> None:
+    async def test_the_newest_stream_of_a_proxy_replaces_the_older_one(self) -> None:
         program = await self.start_serving(constants={SUPERSEDED_TIMEOUT: 0.5})
         old = await self.join(program, 3)
         await old.receive_until("replace")
         new = await self.join(program, 3, cold=0)
         await new.receive_until("replace")
-        old.send("ACK node 3 nonce 1 latency 1")  # was on its way when the new stream was accepted
-        await program.wait_for_log("connection_closed", "state=old", "another stream")  # it went silent
+        old.send("ACK node 3 nonce 1 latency 1")  # in flight when the new stream was accepted
+        await program.wait_for_log("connection_closed", "state=old", "another stream")  # it sent nothing more
         await self.discovery.send_updates(endpoint_list(42, endpoint_entry("s-1", "Terminating")))
         await new.receive_until("s-1:0.0")
 
@@ -171,14 +171,14 @@
             "lost_check_count=2",
         )
 
-    async def test_gossip_goes_to_all_peers_and_unreadable_datagrams_are_dropped(self) -> None:
+    async def test_gossip_is_sent_to_the_peers_and_invalid_datagrams_are_dropped(self) -> None:
         loop = asyncio.get_running_loop()
         peer_transport, peer = await loop.create_datagram_endpoint(GossipPeer, local_addr=(LOOPBACK, 0))
         unknown_transport, _ = await loop.create_datagram_endpoint(GossipPeer, local_addr=(LOOPBACK, 0))
         own_transport, _ = await loop.create_datagram_endpoint(GossipPeer, local_addr=(LOOPBACK, 0))
         own_port = own_transport.get_extra_info("sockname")[1]
         peer_port = peer_transport.get_extra_info("sockname")[1]
-        own_transport.close()  # it was opened to find a free port for the manager
+        own_transport.close()  # only opened to find a free port for the manager
         addresses = [f"{LOOPBACK}:{own_port}", f"{LOOPBACK}:{peer_port}"]
         program = await self.start_serving(
             settings={"Limits": {"Probing": False, "Peers": True}, "NInstances": 2},
@@ -186,8 +186,8 @@
             peers=addresses,
             peers_all=addresses[1],
         )
-        figures = (await in_time(peer.received.get())).decode().split()
-        self.assertEqual(len(figures), 4)  # proxies and demand, for each of two zones
+        values = (await in_time(peer.received.get())).decode().split()
+        self.assertEqual(len(values), 4)  # number of proxies and demand, for each of two zones
         unknown_transport.sendto(b"9 9 9 9", (LOOPBACK, own_port))
         for data in (b"\xff\xfe", b"1 2 " * 99, b"1 2 3 4"):
             peer_transport.sendto(data, (LOOPBACK, own_port))
@@ -196,14 +196,14 @@
         peer_transport.close()
         unknown_transport.close()
 
-    async def test_a_gossip_socket_takes_datagrams_of_its_peers_up_to_the_limit(self) -> None:
+    async def test_a_gossip_socket_accepts_datagrams_of_its_peers_up_to_the_size_limit(self) -> None:
         received: list[Input] = []
         gossip = GossipSocket(0, [(LOOPBACK, 1), (LOOPBACK, 2)], None, received.append)
         for port, data in ((9, b"9"), (1, b"echo"), (2, b"\xff"), (2, b"1" * 257), (2, b"1" * 256)):
             gossip.datagram_received(data, (LOOPBACK, port))
         self.assertEqual(received, [GossipReceived(1, "1" * 256)])
 
-    async def test_a_fault_of_the_policy_ends_the_manager(self) -> None:
+    async def test_an_exception_of_the_policy_ends_the_manager(self) -> None:
         program = await self.start_serving()
         config = read_startup_config(str(program.folder / "config.json"))
         await program.stop()
--- a/tests/control/test_protocol_violations.py
+++ b/tests/control/test_protocol_violations.py
@@ -13,16 +13,16 @@
 
 CASES_FILE = Path(__file__).parents[1] / "wire" / "bad.txt"
 SUMMARY_INTERVAL_CONSTANT = "cottonladder.protocol.fault_log.SUMMARY_INTERVAL_S"
-# Separators in the cases' file between the messages and the words of the log line.
+# Separators in the file of cases between the messages and the words of the log line.
 CONNECTION_KEPT = " ||"
 CONNECTION_CLOSED = " |"
-RAW_PREFIX = "raw "  # of a message that is written as it stands, with escapes
-FIRST_TABLE = "replace"  # part of the message with which a manager sends a proxy its first table
+RAW_PREFIX = "raw "  # of a message whose bytes are written as given, with escapes
+FIRST_TABLE = "replace"  # field of the message that sends a proxy its first table
 
 
 @dataclass(frozen=True, slots=True)
 class ViolationCase:
-    """One line of the cases' file; its grammar is at the head of that file."""
+    """One line of the file of cases, whose head describes the grammar."""
 
     line: str
     messages: list[str]
@@ -32,7 +32,7 @@
 
 
 def read_cases() -> Iterator[ViolationCase]:
-    """The cases in the order of the file."""
+    """Yields the cases in the order of the file."""
     for line in CASES_FILE.read_text().splitlines():
         if not line or line.startswith("#"):
             continue
@@ -42,12 +42,12 @@
 
 
 def decode_escapes(text: str) -> bytes:
-    r"""The bytes that a text with escapes such as `\r` stands for."""
+    r"""Returns the bytes of a text with escapes such as `\r`."""
     return text.encode().decode("unicode_escape").encode()
 
 
 def send_case(client: StreamClient, case: ViolationCase) -> None:
-    """Writes the case's messages."""
+    """Sends the messages of a case."""
     for message in case.messages:
         if message.startswith(RAW_PREFIX):
             client.writer.write(decode_escapes(message.removeprefix(RAW_PREFIX)))
--- a/tests/control/test_signal_races.py
+++ b/tests/control/test_signal_races.py
@@ -1,7 +1,7 @@
 """Signals at each stage of a start and a stop, on real sockets.
 
-A stand-in or an iteration of the event loop forces the order of two events, and each test fails without its
-fix; `docs/race-conditions.md` has the whole table.
+A test double or an iteration of the event loop forces the order of two events, and each test fails without
+its fix; `docs/race-conditions.md` lists all race conditions.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 from tests.support.scripted_discovery import ScriptedDiscovery, endpoint_entry, endpoint_list
 from tests.support.timeouts import in_time
 
-# Stands in for a module that the program imports, and waits there until a pipe is closed.
+# Replaces a module that the program imports; the import blocks until a pipe is closed.
 BLOCKING_STRUCTLOG = """
 import os, sys
-with open(os.environ["HELD"]) as held:
-    held.read()
+with open(os.environ["IMPORT_PIPE"]) as pipe:
+    pipe.read()
 sys.path.remove(os.path.dirname(__file__))
 del sys.modules["structlog"]
 import structlog
 """
-# A service that ends, and then gets a second SIGTERM.
+# A service that has ended, and then receives a second SIGTERM.
 STOP_AFTER_CLOSE = """
 import asyncio, os, signal, sys
 from cottonladder.cli import serving as cli; from cottonladder.control import signals
@@ -44,7 +44,7 @@
 signals.install_early_handlers(sys.argv)
 async def serving():
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, print, "told")
+    loop.add_signal_handler(signal.SIGTERM, print, "handled")
 asyncio.run(cli.serve_then_block_signals(serving()))
 os.kill(os.getpid(), signal.SIGTERM)
 print("ended")
@@ -52,10 +52,10 @@
 
 
 class SignalTests(ManagerTestCase):
-    """Signals at each stage of a start and a stop, which a pipe that the program reads holds open."""
+    """Signals at each stage of a start and a stop; a pipe that the program reads prolongs the stage."""
 
     async def program_with_pipe(self, name: str) -> tuple[ManagerProgram, Path]:
-        """A program that is not started, and a pipe of this name in its folder."""
+        """Returns a program that is not started, and a pipe of this name in its folder."""
         program = ManagerProgram(self.discovery_address)
         program.folder = Path(self.enterContext(TemporaryDirectory()))
         pipe = program.folder / name
@@ -75,31 +75,31 @@
         return await in_time(asyncio.to_thread(os.open, pipe, os.O_WRONLY))
 
     async def start_until_imports(self) -> tuple[ManagerProgram, int]:
-        """A program that is amid its imports until the descriptor returned is closed."""
-        program, pipe = await self.program_with_pipe("held")
+        """Starts a program whose imports block until the returned descriptor is closed."""
+        program, pipe = await self.program_with_pipe("import_pipe")
         (program.folder / "structlog.py").write_text(BLOCKING_STRUCTLOG)
-        await self.start(program, HELD=str(pipe), PYTHONPATH=str(program.folder))
+        await self.start(program, IMPORT_PIPE=str(pipe), PYTHONPATH=str(program.folder))
         return program, await self.open_once_read(pipe)
 
     async def read_errors(self, program: ManagerProgram) -> bytes:
-        """All of the program's standard error, up to its end."""
+        """Reads the program's standard error until it is closed."""
         return await in_time(cast(asyncio.StreamReader, program.process.stderr).read())
 
-    async def test_a_reload_during_imports_is_not_lost(self) -> None:
+    async def test_a_reload_during_imports_does_not_end_the_program(self) -> None:
         program, descriptor = await self.start_until_imports()
         program.process.send_signal(signal.SIGHUP)
         os.close(descriptor)
         await program.wait_for_log("event=serving")
 
-    async def test_a_stop_during_imports_ends_silently(self) -> None:
+    async def test_a_stop_during_imports_ends_the_program_without_output(self) -> None:
         program, descriptor = await self.start_until_imports()
         program.process.send_signal(signal.SIGTERM)
         errors = await self.read_errors(program)
         self.assertEqual((await program.ended(), errors, program.lines), (0, b"", []))
         os.close(descriptor)
 
-    async def test_a_reload_while_the_file_is_read_takes_the_new_file(self) -> None:
-        """The first read is held in the middle; the file is another one once a handler is installed."""
+    async def test_a_reload_while_the_file_is_read_applies_the_new_file(self) -> None:
+        """The first read is blocked halfway; the file is replaced before the signal handler is installed."""
         program, pipe = await self.program_with_pipe("config.json")
         await self.start(program)
         descriptor = await self.open_once_read(pipe)
@@ -114,7 +114,7 @@
         await program.wait_for_log("config_reloaded", f"discovery={new_address}")
         self.assertEqual(await in_time(new.calls.get()), "/v1/servers")
 
-    async def test_a_stop_while_the_file_is_read_ends_silently(self) -> None:
+    async def test_a_stop_while_the_file_is_read_ends_the_program_without_errors(self) -> None:
         program, pipe = await self.program_with_pipe("config.json")
         await self.start(program)
         descriptor = await self.open_once_read(pipe)
@@ -132,7 +132,7 @@
         self.assertEqual((process.returncode, output, errors), (0, b"ended\n", b""))
 
     async def test_signals_in_quick_succession_while_proxies_connect_end_the_program_cleanly(self) -> None:
-        """With a message half sent, orders half written to proxies that read nothing, and late reloads."""
+        """A message is half sent, proxies have not read their orders, and a reload follows the first stop."""
         endpoints = [endpoint_entry(f"s-{number:04}") for number in range(400)]
         program = await self.start_serving(known=endpoint_list(41, *endpoints, full=True))
         proxies = await asyncio.gather(*(self.connect(program) for _ in range(8)))
@@ -164,7 +164,7 @@
 
 class RestartTests(ManagerTestCase):
     async def test_checkpoints_of_two_incarnations_are_far_apart(self) -> None:
-        """An acknowledgement that is under way while its manager restarts must not count for the new one."""
+        """An acknowledgement for the old incarnation must not be taken for one of the new incarnation."""
         checkpoints: list[int] = []
         for seed in ("8c1f30d27a5be964", "11"):
             program = await self.start_serving(seed=seed)
--- a/tests/control/test_state_change_log.py
+++ b/tests/control/test_state_change_log.py
@@ -1,4 +1,4 @@
-"""The log fields of state changes, for each type of evidence and each reason."""
+"""Log fields of state changes, for each type of evidence and each reason."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self.worker_index = self.workers.register("s-2", "10.0.0.2:8080", 0.0)
 
     def logged(self, event: WorkerEvent, evidence: Evidence | None) -> dict[str, object]:
-        """The fields of the one line that a change of `s-2` from healthy to ejected causes."""
+        """Logs a change of `s-2` from healthy to ejected; returns the fields of the line."""
         change = WorkerStateChanged(
             self.worker_index, 1, WorkerState.HEALTHY, WorkerState.EJECTED, event, evidence
         )
@@ -38,7 +38,7 @@
         return dict(lines[0])
 
     def expected(self, reason: str, **evidence_fields: object) -> dict[str, object]:
-        """The whole line: names as discovery and the settings have them, and the evidence."""
+        """Returns all fields of the expected line, with names from discovery and from the settings."""
         return {
             "event": "worker_state_changed",
             "log_level": "info",
@@ -89,7 +89,7 @@
             with self.subTest(event=event):
                 self.assertEqual(self.logged(event, None), self.expected(event.value))
 
-    def test_a_worker_that_was_removed_is_logged_without_its_names(self) -> None:
+    def test_a_removed_worker_is_logged_without_id_and_address(self) -> None:
         self.workers.remove(self.worker_index)
         line = self.logged(WorkerEvent.NOT_LISTED, None)
         self.assertEqual(line, {**self.expected("not_listed"), "worker_id": "", "address": ""})
