--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -72,7 +72,7 @@
         self._workers = workers
         self._proxy_zones: dict[int, int] = {}  # zone index by connected proxy
         self._announced_forwarders: set[int] = set()
-        self._loads_by_worker: dict[int, float] = {}  # by worker, as last passed to the policy
+        self._loads_by_worker: dict[int, float] = {}  # as last passed to the policy
         self._extra_lines = 0
         self._is_vetoed = is_vetoed
         self._next_plan_at = 0.0
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -168,7 +168,7 @@
         return table is None or worker_index in self._weights[table]
 
     def _set_admission(self, order: SetAdmission) -> None:
-        """Adds lines for each proxy that reads the table, only for the classes for which it reads it."""
+        """Adds lines for each proxy, limited to the request classes for which it reads the order's table."""
         class_indices = self._classes_in(order.class_mask or self._all_classes)
         setting = AdmissionSetting(order.admission, int(order.retry_policy))
         if order.table == ALL_TABLES:
--- a/tests/control/test_background_scheduler.py
+++ b/tests/control/test_background_scheduler.py
@@ -95,9 +95,7 @@
         self.assertLess(tasks.runs["fail_in_awaitable"], 10)
         self.assertGreater(int(str(rows["never_end"]["overruns"])), 0)
         endless_cpu_s = tasks.runs["never_end"] * ENDLESS_SLICE_S
-        self.assertLess(
-            endless_cpu_s, OBSERVED_S * CPU_FRACTION + 0.25
-        )  # CPU budget, although its run never ends
+        self.assertLess(endless_cpu_s, OBSERVED_S * CPU_FRACTION + 0.25)  # CPU budget of the endless run
         self.assertEqual((rows["succeed"]["failures"], rows["never_end"]["runs"]), (0, 0))
 
     def test_close_completes_the_current_run_and_does_not_start_another(self) -> None:
--- a/tests/control/test_configuration_files.py
+++ b/tests/control/test_configuration_files.py
@@ -29,9 +29,8 @@
 class StartTests(ManagerTestCase):
     async def test_an_invalid_file_ends_the_start_with_one_line_on_standard_error_and_status_2(self) -> None:
         config = ManagerProgram(self.discovery_address).config
-        texts = {
-            field: text_without(config, field) for field in REQUIRED_FIELDS
-        }  # by a part of the error text
+        # By a word of the expected error.
+        texts = {field: text_without(config, field) for field in REQUIRED_FIELDS}
         texts["JSON"] = "{"
         texts["ColdFrom"] = json.dumps({**config, "settings": {**SETTINGS, "Rules": {}}})
         infinite_price = {**SETTINGS, "Prices": {"Probe": 10**400}}
--- a/tests/control/test_connection_bounds.py
+++ b/tests/control/test_connection_bounds.py
@@ -29,17 +29,13 @@
 
 
 class DescriptorLimitTests(ManagerTestCase):
-    async def test_proxies_can_connect_while_unidentified_connections_exceed_the_descriptor_limit(
-        self,
-    ) -> None:
+    async def test_unidentified_connections_over_the_descriptor_limit_do_not_block_proxies(self) -> None:
         # The interval is longer than all connections need, so the summary is logged after them.
         program = await self.start_serving(
             limits={"memory_mb": 192, "sockets": DESCRIPTOR_LIMIT}, constants={SUMMARY_INTERVAL: 5.0}
         )
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
-        collector = await self.connect(
-            program, "SOURCE locality a"
-        )  # stays open although it sends nothing more
+        collector = await self.connect(program, "SOURCE locality a")  # identified, so it stays open
         unidentified = await asyncio.gather(
             *(self.connect(program, "PING" * (number % 2)) for number in range(UNIDENTIFIED_CONNECTIONS))
         )
--- a/tests/state/__init__.py
+++ b/tests/state/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what a manager keeps between inputs."""
+"""Tests of the state that a manager keeps between inputs."""
