--- a/cottonladder/state/order_errors.py
+++ b/cottonladder/state/order_errors.py
@@ -10,6 +10,8 @@
 
 from ..model.orders import ExcludeWorker, Order, RemoveWorker, SetAdmission, SetWeight
 
+VALID_NUMBER = "a finite number of 0 or more"
+
 
 class RejectionReason(StrEnum):
     """Reasons for rejecting an order; the values are logged."""
@@ -22,8 +24,8 @@
 class OrderRejectedError(Exception):
     """An order was rejected, and no part of it was applied."""
 
-    def __init__(self, order: Order, reason: RejectionReason) -> None:
-        super().__init__(f"{type(order).__name__}: {reason.value}")
+    def __init__(self, order: Order, reason: RejectionReason, fault: str) -> None:
+        super().__init__(f"{type(order).__name__}: {fault}")
         self.order = order
         self.reason = reason
 
@@ -36,7 +38,8 @@
     """A weight that is not a finite number of 0 or more."""
 
     def __init__(self, order: SetWeight, worker_id: str) -> None:
-        super().__init__(order, RejectionReason.INVALID_WEIGHT)
+        fault = f"weight of worker index {order.worker_index}: {VALID_NUMBER} expected, got {order.weight}"
+        super().__init__(order, RejectionReason.INVALID_WEIGHT, fault)
         self.weight = order.weight
         self.worker_id = worker_id
 
@@ -49,7 +52,8 @@
     """An admission ratio or rate that is not a finite number of 0 or more."""
 
     def __init__(self, order: SetAdmission, class_names: Sequence[str]) -> None:
-        super().__init__(order, RejectionReason.INVALID_ADMISSION)
+        fault = f"admission of table {order.table}: {VALID_NUMBER} expected, got {order.admission}"
+        super().__init__(order, RejectionReason.INVALID_ADMISSION, fault)
         self.admission = order.admission
         self.class_names = class_names
 
@@ -65,7 +69,8 @@
     """
 
     def __init__(self, order: SetWeight | ExcludeWorker | RemoveWorker) -> None:
-        super().__init__(order, RejectionReason.UNKNOWN_WORKER)
+        fault = f"index of a known worker expected, got {order.worker_index}"
+        super().__init__(order, RejectionReason.UNKNOWN_WORKER, fault)
         self.worker_index = order.worker_index
 
     def details(self) -> dict[str, object]:
--- a/tests/state/test_order_errors.py
+++ b/tests/state/test_order_errors.py
@@ -22,6 +22,7 @@
         with self.assertRaises(OrderRejectedError) as caught:
             self.dispatcher.apply(order)
         self.assertIs(caught.exception.order, order)
+        self.text = str(caught.exception)
         return caught.exception.reason.value, caught.exception.details()
 
     def test_a_negative_weight_is_rejected_with_the_worker_id(self) -> None:
@@ -29,6 +30,9 @@
             self.rejection(SetWeight(1, self.worker_index, -0.5)),
             ("invalid_weight", {"worker_id": "s-1", "weight": -0.5}),
         )
+        self.assertEqual(
+            self.text, "SetWeight: weight of worker index 0: a finite number of 0 or more expected, got -0.5"
+        )
 
     def test_an_infinite_admission_is_rejected_with_the_names_of_the_request_classes(self) -> None:
         order = SetAdmission(ALL_TABLES, math.inf, 0b10, RetryPolicy.ONCE)
@@ -37,9 +41,13 @@
         order = SetAdmission(1, math.inf, 0, RetryPolicy.ONCE)  # mask 0 means all classes
         expected = {"classes": "lookup,order", "admission": math.inf}
         self.assertEqual(self.rejection(order), ("invalid_admission", expected))
+        self.assertEqual(
+            self.text, "SetAdmission: admission of table 1: a finite number of 0 or more expected, got inf"
+        )
 
     def test_an_order_for_an_unlisted_worker_is_rejected_with_its_index_alone(self) -> None:
         self.assertEqual(self.rejection(ExcludeWorker(7, True)), ("unknown_worker", {"worker_index": 7}))
+        self.assertEqual(self.text, "ExcludeWorker: index of a known worker expected, got 7")
 
 
 if __name__ == "__main__":
