--- a/cottonladder/state/order_errors.py
+++ b/cottonladder/state/order_errors.py
@@ -1,6 +1,6 @@
 """Errors for orders that must never be sent to a proxy.
 
-They point to a fault of the routing policy; the dispatcher checks an order before it applies any part of it.
+Such an order is a fault of the routing policy.  The dispatcher checks each order before it applies it.
 """
 
 from __future__ import annotations
@@ -10,9 +10,11 @@
 
 from ..model.orders import ExcludeWorker, Order, RemoveWorker, SetAdmission, SetWeight
 
+VALID_NUMBER = "a finite number of 0 or more"
+
 
 class RejectionReason(StrEnum):
-    """Why an order was rejected; the values are those that the log gives."""
+    """Reasons for rejecting an order; the values are logged."""
 
     INVALID_WEIGHT = "invalid_weight"
     INVALID_ADMISSION = "invalid_admission"
@@ -22,52 +24,55 @@
 class OrderRejectedError(Exception):
     """An order was rejected, and no part of it was applied."""
 
-    def __init__(self, order: Order, reason: RejectionReason) -> None:
-        super().__init__(f"{type(order).__name__}: {reason.value}")
+    def __init__(self, order: Order, reason: RejectionReason, fault: str) -> None:
+        super().__init__(f"{type(order).__name__}: {fault}")
         self.order = order
         self.reason = reason
 
     def details(self) -> dict[str, object]:
-        """The log fields that tell what was wrong with the order."""
+        """Returns the log fields that describe the fault of the order."""
         return {}
 
 
 class InvalidWeightError(OrderRejectedError):
-    """A weight that is not a finite number of at least 0."""
+    """A weight that is not a finite number of 0 or more."""
 
     def __init__(self, order: SetWeight, worker_id: str) -> None:
-        super().__init__(order, RejectionReason.INVALID_WEIGHT)
+        fault = f"weight of worker index {order.worker_index}: {VALID_NUMBER} expected, got {order.weight}"
+        super().__init__(order, RejectionReason.INVALID_WEIGHT, fault)
         self.weight = order.weight
         self.worker_id = worker_id
 
     def details(self) -> dict[str, object]:
-        """The worker as discovery lists it, and the weight ordered."""
+        """Returns the id of the worker, empty if unknown, and the ordered weight."""
         return {"worker_id": self.worker_id, "weight": self.weight}
 
 
 class InvalidAdmissionError(OrderRejectedError):
-    """An admission ratio or rate that is not a finite number of at least 0."""
+    """An admission ratio or rate that is not a finite number of 0 or more."""
 
     def __init__(self, order: SetAdmission, class_names: Sequence[str]) -> None:
-        super().__init__(order, RejectionReason.INVALID_ADMISSION)
+        fault = f"admission of table {order.table}: {VALID_NUMBER} expected, got {order.admission}"
+        super().__init__(order, RejectionReason.INVALID_ADMISSION, fault)
         self.admission = order.admission
         self.class_names = class_names
 
     def details(self) -> dict[str, object]:
-        """The request classes by name, and the admission ordered."""
+        """Returns the names of the request classes and the ordered admission."""
         return {"classes": ",".join(self.class_names), "admission": self.admission}
 
 
 class UnknownWorkerError(OrderRejectedError):
     """An order for a worker that was never listed, or that was removed.
 
-    No id is known for it, so the index is all that identifies it.
+    No id is known for the worker, so it is identified by its index alone.
     """
 
     def __init__(self, order: SetWeight | ExcludeWorker | RemoveWorker) -> None:
-        super().__init__(order, RejectionReason.UNKNOWN_WORKER)
+        fault = f"index of a known worker expected, got {order.worker_index}"
+        super().__init__(order, RejectionReason.UNKNOWN_WORKER, fault)
         self.worker_index = order.worker_index
 
     def details(self) -> dict[str, object]:
-        """The index by which the policy named the worker."""
+        """Returns the worker index of the order."""
         return {"worker_index": self.worker_index}
