--- a/cottonladder/model/demand.py
+++ b/cottonladder/model/demand.py
@@ -16,7 +16,7 @@
         """Returns the requests/s of all proxies by zone."""
         return [own + others for own, others in zip(self.own_rates, self.peer_rates, strict=True)]
 
-    def own_shares(self, flow: list[list[float]]) -> list[float]:
+    def own_flow_shares(self, flow: list[list[float]]) -> list[float]:
         """Returns this manager's share of what a flow brings each worker zone.
 
         `flow` is in requests/s by proxy zone and worker zone.
--- a/cottonladder/model/inputs.py
+++ b/cottonladder/model/inputs.py
@@ -78,12 +78,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyConnected:
-    """A proxy connected; `is_fresh` means that it holds no manager's table yet."""
+    """A proxy connected; `has_no_table` means that it holds no manager's table yet."""
 
     proxy: int
     zone: int
     requests_per_s: float
-    is_fresh: bool
+    has_no_table: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/cottonladder/model/latency.py
+++ b/cottonladder/model/latency.py
@@ -27,9 +27,9 @@
             return 0.0
         return float(self.min_latency_s * self.bin_ratio**mean_bin)
 
-    def decay(self, keep: float) -> None:
+    def decay(self, keep_ratio: float) -> None:
         """Keeps this part of every count."""
-        self.bins = [count * keep for count in self.bins]
+        self.bins = [count * keep_ratio for count in self.bins]
 
 
 class LinkLatencies:
--- a/cottonladder/model/line_account.py
+++ b/cottonladder/model/line_account.py
@@ -45,7 +45,7 @@
         self.waiting_lines = 0.0  # falls with time and with acknowledgements
         self.in_flight = InFlightLines()  # falls with acknowledgements alone
         self.written_at: dict[int, list[float]] = {}  # times of the last messages by proxy
-        self.orders: list[Order] = []
+        self.reserved_orders: list[Order] = []
         self.reserved_lines: dict[int, int] = {}  # of these orders, by proxy
         self.reserved_total = 0
         self.count_readmissions: ReadmissionCounter = _no_readmissions
@@ -78,7 +78,7 @@
 
     def add_reservation(self, orders: list[Order], cost: dict[int, int]) -> None:
         """Reserves lines by proxy for orders; headers are added."""
-        self.orders += orders
+        self.reserved_orders += orders
         for proxy, count in cost.items():
             lines = count + self.header_cost([proxy])
             self.reserved_total += lines
@@ -104,7 +104,7 @@
 
     def commit(self, max_checkpoints: int) -> tuple[list[Order], dict[int, int]]:
         """Returns the reserved orders with a checkpoint, and their lines by proxy, which count as written."""
-        orders = self.orders
+        orders = self.reserved_orders
         lines = self.reserved_lines
         if lines:
             self.last_checkpoint = (self.last_checkpoint + 1) % CHECKPOINT_NUMBER_MODULUS
@@ -114,7 +114,7 @@
                 times = [*self.written_at.get(proxy, []), self.updated_at]
                 self.written_at[proxy] = times[-max(1, self.parameters.max_messages) :]
             self.in_flight.add(self.last_checkpoint, lines, max_checkpoints)
-        self.orders = []
+        self.reserved_orders = []
         self.reserved_lines = {}
         self.reserved_total = 0
         return orders, lines
--- a/cottonladder/model/parameters.py
+++ b/cottonladder/model/parameters.py
@@ -35,7 +35,7 @@
     request_classes: tuple[RequestClass, ...]
     proxy_count: int
     watches_endpoints: bool
-    poll_within_s: float
+    max_poll_interval_s: float
     health_checks: bool
     gossip: bool
     admission_mode: AdmissionMode
@@ -47,7 +47,7 @@
     message_window_s: float
     drain_grace_s: float
     warm_up_start_ratio: float
-    collapse_multiple: float
+    collapse_load_multiple: float
     proxies_eject_outliers: bool
     warm_up_s: float
     cross_zone_cost: float
--- a/cottonladder/model/proxies.py
+++ b/cottonladder/model/proxies.py
@@ -22,14 +22,14 @@
     def __init__(self, zone_count: int, class_count: int) -> None:
         self.by_number: dict[int, ProxyRecord] = {}
         self.restored_rates: dict[int, float] = {}  # requests/s by proxy, from the snapshot
-        self.highest_joining_rate = 0.0  # requests/s of all connected proxies together, ever
+        self.max_total_initial_rate = 0.0  # requests/s of all connected proxies together, ever
         self._zones = range(zone_count)
         self._classes = range(class_count)
 
-    def connect(self, number: int, zone: int, joining_rate: float, now: float) -> None:
+    def connect(self, number: int, zone: int, initial_rate: float, now: float) -> None:
         """Adds a proxy that connected; a former record under the same number is replaced."""
         self.disconnect(number)
-        self.by_number[number] = ProxyRecord(zone, joining_rate, len(self._classes), now)
+        self.by_number[number] = ProxyRecord(zone, initial_rate, len(self._classes), now)
 
     def disconnect(self, number: int) -> None:
         """Removes a proxy, which then reads no table any more."""
@@ -37,10 +37,10 @@
         if proxy is not None and proxy.table is not None:
             proxy.table.readers.pop(number, None)
 
-    def update_joining_rate(self) -> float:
+    def update_total_initial_rate(self) -> float:
         """Returns the requests/s of the connected proxies as they connected, and records a new maximum."""
-        rate = sum(proxy.joining_rate for proxy in self.by_number.values())
-        self.highest_joining_rate = max(self.highest_joining_rate, rate)
+        rate = sum(proxy.initial_rate for proxy in self.by_number.values())
+        self.max_total_initial_rate = max(self.max_total_initial_rate, rate)
         return rate
 
     def request_rate(self, numbers: Iterable[int]) -> float:
--- a/cottonladder/model/proxy_record.py
+++ b/cottonladder/model/proxy_record.py
@@ -9,12 +9,12 @@
 class ProxyRecord:
     """A connected proxy, with its request counts by class and the seconds that they cover."""
 
-    def __init__(self, zone: int, joining_rate: float, class_count: int, connected_at: float) -> None:
+    def __init__(self, zone: int, initial_rate: float, class_count: int, connected_at: float) -> None:
         self.table: RoutingTable | None = None
         self.connected_at = connected_at
         self.zone = zone
-        self.joining_rate = joining_rate
-        self.request_counts = [joining_rate / class_count] * class_count
+        self.initial_rate = initial_rate
+        self.request_counts = [initial_rate / class_count] * class_count
         self.count_spans_s = [1.0] * class_count
 
     def class_rate(self, class_index: int) -> float:
@@ -28,6 +28,6 @@
     def add_arrivals(self, report: ArrivalReport, window_s: float) -> None:
         """Adds a report, and scales earlier counts down so that all together cover at most `window_s`."""
         k = report.class_index
-        keep = min(1.0, max(0.0, window_s - report.interval_s) / self.count_spans_s[k])
-        self.request_counts[k] = self.request_counts[k] * keep + report.requests
-        self.count_spans_s[k] = self.count_spans_s[k] * keep + report.interval_s
+        keep_ratio = min(1.0, max(0.0, window_s - report.interval_s) / self.count_spans_s[k])
+        self.request_counts[k] = self.request_counts[k] * keep_ratio + report.requests
+        self.count_spans_s[k] = self.count_spans_s[k] * keep_ratio + report.interval_s
--- a/cottonladder/model/routing_tables.py
+++ b/cottonladder/model/routing_tables.py
@@ -41,7 +41,7 @@
         proxy = proxies.by_number[number]
         proxy.table = table
         table.readers[number] = None
-        table.request_rate += proxy.joining_rate
+        table.request_rate += proxy.initial_rate
 
     def mark_written(self, checkpoint: int, now: float, lines_by_proxy: dict[int, int]) -> None:
         """Records which tables wait for their readers to acknowledge a checkpoint."""
--- a/cottonladder/model/weight_ring.py
+++ b/cottonladder/model/weight_ring.py
@@ -19,11 +19,13 @@
     ]
 
 
-def weights_in_arc(ring: dict[int, float], start: float, end: float, min_part: float) -> dict[int, float]:
+def weights_in_arc(
+    ring: dict[int, float], start: float, end: float, min_weight_ratio: float
+) -> dict[int, float]:
     """Returns the weights between start and end on a ring of length 1.
 
     The weights follow each other in the order of `ring`, each as long as its part of their sum.  Parts up to
-    `min_part` of a weight are left out.
+    `min_weight_ratio` of a weight are left out.
     """
     unit = max(MIN_WEIGHT_SUM, sum(ring.values()))
     parts: dict[int, float] = {}
@@ -31,7 +33,7 @@
     for index, weight in ring.items():
         finish = begin + weight / unit
         overlap = sum(max(0.0, min(finish + turn, end) - max(begin + turn, start)) for turn in (0, 1))
-        if overlap > min_part * (finish - begin):
+        if overlap > min_weight_ratio * (finish - begin):
             parts[index] = overlap / (end - start)
         begin = finish
     return parts
--- a/cottonladder/model/worker_record.py
+++ b/cottonladder/model/worker_record.py
@@ -82,10 +82,10 @@
         product = math.prod(self.advised_factors.values())
         self.advised_factor = min(max_factor, max(1.0 / max_factor, product))
 
-    def add_capacity_sample(self, own_share: float, min_utilization: float) -> None:
+    def add_capacity_sample(self, own_attempt_share: float, min_utilization: float) -> None:
         """Adds a capacity sample of this interval's succeeded attempts, if a utilization was reported.
 
-        `own_share` is the part of all attempts that this manager's proxies made; the rate is scaled up by it.
+        The rate is divided by `own_attempt_share`: the share of the attempts made by this manager's proxies.
         """
         rate = sum(
             attempts.attempt_count / attempts.span_s
@@ -94,7 +94,7 @@
         )
         if self.utilization >= 0 and rate > 0:
             utilization = max(min_utilization, self.utilization)
-            self.capacity_samples.append(CapacitySample(rate / own_share, utilization))
+            self.capacity_samples.append(CapacitySample(rate / own_attempt_share, utilization))
 
     def update_base_latency(self, fall_step: float, rise_step: float) -> None:
         """Moves the base latency towards the mean latency by a step for a lower or for a higher mean.
@@ -128,8 +128,8 @@
         request_rate = sum(sample.request_rate for sample in self.capacity_samples)
         return request_rate / sum(sample.utilization for sample in self.capacity_samples)
 
-    def decay_counts(self, keep: float) -> None:
+    def decay_counts(self, keep_ratio: float) -> None:
         """Keeps this part of the counts of attempts, failures and latencies."""
-        self.attempt_count *= keep
-        self.failed_count *= keep
-        self.latency_histogram.decay(keep)
+        self.attempt_count *= keep_ratio
+        self.failed_count *= keep_ratio
+        self.latency_histogram.decay(keep_ratio)
--- a/cottonladder/model/zone_groups.py
+++ b/cottonladder/model/zone_groups.py
@@ -30,11 +30,11 @@
         """Divides an amount among a zone's workers in proportion to their capacities."""
         return {i: amount * self.capacities[i] / self.zone_capacities[zone] for i in self.workers[zone]}
 
-    def has_warm(self, zone: int) -> bool:
+    def has_warm_worker(self, zone: int) -> bool:
         """Returns whether any worker of a zone is past its warm-up."""
         return any(i in self.warm_capacities for i in self.workers[zone])
 
-    def warm_shares(self) -> dict[int, float]:
+    def warm_capacity_shares(self) -> dict[int, float]:
         """Returns each warm worker's share of the capacity of all warm workers."""
         total = sum(self.warm_capacities.values())
         return {i: capacity / total for i, capacity in self.warm_capacities.items()}
--- a/cottonladder/policy/cadence.py
+++ b/cottonladder/policy/cadence.py
@@ -1,10 +1,10 @@
-"""How often the policy acts.
+"""Tick and solve intervals of the policy.
 
-At each tick the policy updates the states of workers and sends what the channel budget allows. A solution
-estimates capacities and solves the flow: once an interval, and after a change of a worker's state, the
-start of an overload or a new proxy also at the next tick, endpoint list or acknowledgement that a table has
-waited for. Workers are measured once an interval, however often the flow is solved. Many inputs in a short
-time thus cost one pass over the fleet and not one pass each.
+At each tick the policy updates the states of the workers and sends what the channel budget allows. Once per
+solve interval it estimates the capacities and solves the flow. After a change of a worker's state, the start
+of an overload or the connection of a proxy, it also does so at the next tick, endpoint list, or
+acknowledgement that a table has waited for. Workers are measured once per solve interval, however often the
+flow is solved. A burst of inputs thus costs one pass over the fleet instead of one pass per input.
 """
 
 TICK_INTERVAL_S = 0.25
--- a/cottonladder/policy/capacity.py
+++ b/cottonladder/policy/capacity.py
@@ -1,10 +1,11 @@
-"""Capacity: how many requests each worker can take.
+"""Estimates of the capacity of each worker: how many requests it can take.
 
-A worker's capacity is its listed weight, times a speed from its load reports or else from its base latency,
-times its latency factor, times its zone's correction, times outside advice. Samples are taken once an
-interval from the load reports, and the estimate is made at each solution. Few or distorted samples are left
-out, speeds and advice are bounded, and `warm_up` bounds workers that have just started: a wrong estimate
-would overload a worker for minutes.
+A worker's capacity is the product of its listed weight, its relative speed (from its load reports, or else
+from its base latency), its latency factor, its zone's correction, and the factor that advisors and plug-ins
+advise. Samples are taken from the load reports once per solve interval, and the estimate is made at each
+solution. Samples from a small share of the attempts or from a warm-up are left out, speeds and advice are
+bounded, and `warm_up` bounds workers that have just started, because a wrong estimate would overload a
+worker for minutes.
 """
 
 from ..model import IN_SERVICE_STATES, ControllerState, WorkerRecord, WorkerState, median_or_zero
@@ -13,39 +14,40 @@
 from .load_shedding import LoadShedding
 from .overload_signal import OverloadSignal
 
-MAX_CAPACITY_SAMPLES = 10  # of a worker, one in each interval
-MIN_UTILIZATION = 0.1  # of a sample; a lower one counts as this
-MIN_OWN_SHARE = 0.25  # of a zone's attempts: under it a sample depends on chance
-MAX_SPEED_RATIO = 2.5  # between workers of the same listed weight, either way
-MAX_ADVISED_FACTOR = 2.0  # of all sources together; its inverse is the lowest
+MAX_CAPACITY_SAMPLES = 10  # per worker, one per solve interval
+MIN_UTILIZATION = 0.1  # a sample with a lower utilization counts with this one
+MIN_OWN_SHARE = 0.25  # of the attempts in a zone; a sample of a smaller share depends on chance
+MAX_SPEED_RATIO = 2.5  # highest speed relative to the median worker's; the lowest is its inverse
+MAX_ADVISED_FACTOR = 2.0  # highest product of all sources' factors; the lowest is its inverse
 
 
 class CapacityEstimator:
-    """Measures once an interval, and estimates at each solution."""
+    """Measures the workers once per solve interval, and estimates their capacities at each solution."""
 
     def __init__(self, state: ControllerState, overload: OverloadSignal, shedding: LoadShedding) -> None:
-        self.own_share = [1.0 for _ in state.zones]  # this manager's part of the attempts at a zone's workers
+        # By worker zone: the share of the attempts that this manager's proxies make.
+        self.own_attempt_shares = [1.0 for _ in state.zones]
         self.nominal_total = 1.0  # of all usable workers, before latency factors, advice and warm-up
         self._state = state
         self._warm_up_shares = warm_up.WarmUpShares(state, overload, shedding)
         self._latency_factors = LatencyFactors(state, overload)
 
-    def measure(self) -> None:
+    def measure_workers(self) -> None:
         """Takes a capacity sample of each worker, and updates the latency factors."""
         for worker in self._state.workers.by_index.values():
-            share = self.own_share[worker.zone]
-            if share >= MIN_OWN_SHARE and not warm_up.is_warming_up(self._state, worker):
-                worker.add_capacity_sample(share, MIN_UTILIZATION)
+            own_share = self.own_attempt_shares[worker.zone]
+            if own_share >= MIN_OWN_SHARE and not warm_up.is_warming_up(self._state, worker):
+                worker.add_capacity_sample(own_share, MIN_UTILIZATION)
             worker.succeeded_attempts.clear()
         self._latency_factors.update(uses_queues=not self._warm_up_shares.proxies_eject)
 
-    def estimate(self, tick: int) -> dict[int, float]:
+    def estimate_capacities(self, tick: int) -> dict[int, float]:
         """Returns the capacity by worker, in requests/s where utilization is reported, or else in weights.
 
-        If the bounds leave nobody any capacity, all have the same.
+        If the bounds leave no worker any capacity, all usable workers get the same.
         """
         workers = self._state.workers
-        # With nobody in service, ejected workers are better than none.
+        # If no worker is in service, ejected workers are used instead.
         usable = workers.in_state(*IN_SERVICE_STATES) or workers.in_state(WorkerState.EJECTED)
         nominal = self._nominal_capacities(usable)
         self.nominal_total = sum(nominal.values())
@@ -61,18 +63,21 @@
         self, worker: WorkerRecord, nominal_capacity: float, worker_count: int, tick: int
     ) -> float:
         is_warming_up = warm_up.is_warming_up(self._state, worker)
-        advised_factor = warm_up.bounded_advice(worker) if is_warming_up else worker.advised_factor
+        advised_factor = warm_up.capped_advised_factor(worker) if is_warming_up else worker.advised_factor
         zone_correction = self._latency_factors.zone_correction[worker.zone]
         capacity = nominal_capacity * (worker.latency_factor * zone_correction * advised_factor)
         if worker.state == WorkerState.SLOW_START:
             average = self.nominal_total / worker_count
             capacity = min(warm_up.slow_start_limit(self._state, worker, average), capacity)
         if is_warming_up:
-            capacity *= self._warm_up_shares.share(worker, tick)
+            capacity *= self._warm_up_shares.capacity_share(worker, tick)
         return capacity
 
     def _nominal_capacities(self, workers: dict[int, WorkerRecord]) -> dict[int, float]:
-        """Returns weight times relative speed, times the fleet's median capacity for each unit of weight."""
+        """Returns capacities by worker, without latency factors, advice and warm-up.
+
+        Each is weight times relative speed, times the fleet's median capacity for each unit of weight.
+        """
         capacity_per_weight = {
             index: worker.measured_capacity() / worker.weight
             for index, worker in workers.items()
--- a/cottonladder/policy/channel_budget.py
+++ b/cottonladder/policy/channel_budget.py
@@ -1,10 +1,10 @@
 """The channel budget: how many lines may be written to proxies, and when.
 
-Lines that were written wait in a channel of limited rate, and proxies take a limited number of messages in
-a window of time. Each order for proxies reserves its lines here at the tick that sends it. Removals,
-exclusions, binds and other urgent orders count the lines that still wait in the channel by its assumed
-rate. Other deltas count all lines that are not acknowledged, under a lower limit. This keeps the queue
-short, so that a drain never waits behind changes that could have waited.
+Lines that were written wait in a channel of limited rate, and proxies accept a limited number of messages
+per time window. Each order for proxies reserves its lines here at the tick that sends it. For removals,
+exclusions, binds and other urgent orders, the budget counts the lines that still wait in the channel,
+estimated from its assumed rate. For other deltas it counts all lines that are not acknowledged, and applies
+a lower limit. This keeps the queue short, so that a drain never waits behind changes that could have waited.
 """
 
 import math
@@ -12,12 +12,12 @@
 
 from ..model import LineAccount, LineLimit, orders
 
-MAX_CHANNEL_SLOWDOWN = 16.0  # times slower than deployed: the channel's assumed rate until acknowledgements
-MAX_CHECKPOINTS = 256  # without acknowledgement; when there are more, the oldest counts as lost
+MAX_CHANNEL_SLOWDOWN = 16.0  # assumed, against the deployed channel rate, until acknowledgements arrive
+MAX_IN_FLIGHT_CHECKPOINTS = 256  # if there are more, the oldest one counts as lost
 
 # For removals, exclusions, overdue binds, and tables whose readers have no usable worker.
 CRITICAL_LIMIT = LineLimit(queue_ratio=0.9, channel_s=math.inf, is_deferrable=False)
-# For binds that are not overdue, and lines of overweight workers.
+# For binds that are not overdue, and changes that include lines of overweight workers.
 URGENT_LIMIT = LineLimit(queue_ratio=0.9, channel_s=2.5, is_deferrable=False)
 # For all other changes of tables.
 DELTA_LIMIT = LineLimit(queue_ratio=0.45, channel_s=1.5, is_deferrable=True)
@@ -27,7 +27,7 @@
     """Reserves lines for orders to proxies, if they fit into the limits."""
 
     def available_lines(self, proxies: Iterable[int], limit: LineLimit) -> int:
-        """Returns how many lines may still be ordered for these proxies, beside headers and checkpoints."""
+        """Returns how many more lines fit, beyond headers and checkpoints; negative over the limit."""
         waiting = self.in_flight.total if limit.is_deferrable else self.waiting_lines
         queue_lines = self.parameters.max_queued_lines * limit.queue_ratio
         channel_lines = self.parameters.channel_lines_per_s * limit.channel_s
@@ -35,7 +35,10 @@
         return int(min(queue_lines, channel_lines) - used_lines - self.header_cost(proxies))
 
     def reserve(self, changes: list[orders.Order], cost: dict[int, int], limit: LineLimit) -> bool:
-        """Reserves the lines of orders if they fit; `cost` is lines by proxy, to which headers are added."""
+        """Reserves the lines of orders if they fit the limit, and returns whether they do.
+
+        `cost` is the number of lines by proxy, to which header lines are added.
+        """
         if cost and sum(cost.values()) > self.available_lines(cost, limit):
             return False
         if not all(proxy in self.reserved_lines or self._may_write(proxy, limit) for proxy in cost):
@@ -46,8 +49,8 @@
     def _may_write(self, proxy: int, limit: LineLimit) -> bool:
         """Returns whether a proxy may be sent a message now.
 
-        Deferrable orders use at most two thirds of the messages of a window.  Other orders may use the rest
-        too, at an even distance.
+        Deferrable orders use at most two thirds of the messages that a window allows.  Other orders may also
+        use the rest, if the last message is at least an even share of the window ago.
         """
         times = self.message_times(proxy)
         allowed = self.parameters.max_messages
--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -1,10 +1,10 @@
-"""The routing controller: inputs in, and at each tick orders out.
+"""The routing controller, which receives inputs and returns orders at each tick.
 
-The controller gives each input to the part of the policy that it concerns, and keeps the cadence of ticks
-and solutions. Most inputs only change records; orders follow at a tick, at an endpoint list, or at the
-acknowledgement that a table has waited for. It reads no clock, does no I/O, and draws chance from its seed
-alone, so that the same inputs always give the same orders. `docs/design.md` tells how the policy differs
-from its sources, and why.
+The controller passes each input to the policy module that it concerns, and keeps the cadence of ticks and
+solutions. Most inputs only change records; orders follow at a tick, at an endpoint list, or at the
+acknowledgement that a table has waited for. It reads no clock, does no I/O, and takes random numbers only
+from a generator with its seed, so that the same inputs always give the same orders. `docs/design.md`
+explains how the policy differs from its sources, and why.
 """
 
 import math
@@ -14,7 +14,7 @@
 from ..model import IN_SERVICE_STATES, ControllerState, DeploymentParameters, WorkerState, inputs, orders
 from .cadence import SOLVE_INTERVAL_S, TICK_INTERVAL_S
 from .capacity import CapacityEstimator
-from .channel_budget import MAX_CHANNEL_SLOWDOWN, MAX_CHECKPOINTS, ChannelBudget
+from .channel_budget import MAX_CHANNEL_SLOWDOWN, MAX_IN_FLIGHT_CHECKPOINTS, ChannelBudget
 from .demand import estimate_demand
 from .gossip_exchange import GossipExchange
 from .health_check_schedule import HealthCheckSchedule
@@ -28,11 +28,12 @@
 from .warm_up import overweight_workers
 from .worker_discovery import WorkerDiscovery
 from .worker_exclusion import send_exclusions
-from .worker_removal import due_removals, first_departure, forget_departed
+from .worker_removal import due_removals, first_departure_time, forget_departed_workers
 from .zone_flow import FlowPlanner
 from .zone_reachability import ZoneReachability
 
-DRAIN_HOLD_RATIO = 0.4  # of the drain grace: older departures and unbound proxies are overdue
+# Of the drain grace: departures and unbound proxies that are older are overdue.
+OVERDUE_GRACE_RATIO = 0.4
 
 
 class RoutingController:
@@ -45,7 +46,7 @@
         self._overload = OverloadSignal(self.state)
         self._shedding = LoadShedding(self.state, self._overload)
         self.capacity = CapacityEstimator(self.state, self._overload, self._shedding)
-        self.capacities: dict[int, float] = {}  # by worker, as last solved
+        self.capacities: dict[int, float] = {}  # by worker index, at the last solution
         self._deltas = TableDeltas(self.state, self.channel_budget)
         self._binding = ProxyBinding(self.state, self.channel_budget, self._deltas)
         self._flow = FlowPlanner(
@@ -54,7 +55,7 @@
         self._discovery = WorkerDiscovery(self.state)
         self._health_checks = HealthCheckSchedule(self.state)
         self._reachability = ZoneReachability(self.state)
-        self._reports = ReportIntake(self.state, self._flow.links, self._reachability)
+        self._reports = ReportIntake(self.state, self._flow.link_latencies, self._reachability)
         self.tick = 0
         self._next_solve_at = 0.0
         self._next_measure_at = 0.0
@@ -82,7 +83,10 @@
         return self._discovery.has_endpoint_list
 
     def decide_orders(self, now: float, arrived: Iterable[inputs.Input]) -> list[orders.Order]:
-        """Applies the inputs, and returns the orders that follow; most follow at a later tick only."""
+        """Applies the inputs that arrived by `now`, in seconds, and returns the orders that are due.
+
+        Most inputs lead to orders only at a later tick.
+        """
         self.state.now = now
         self._is_send_due = False
         if self.tick == 0:
@@ -94,11 +98,11 @@
         if self._is_send_due:
             if self.has_endpoint_list and (self.state.needs_solution or now >= self._next_solve_at):
                 self._solve()
-            self._send()
+            self._send_orders()
         return self.state.pending_orders.pop_all()
 
     def _on_timer(self, timer: inputs.TimerFired) -> None:
-        """Begins a tick: orders what does not depend on a solution, and updates the states of workers."""
+        """Starts a tick: orders the next timer, watches and health checks, and updates the worker states."""
         if timer.token != self.tick:
             return
         state = self.state
@@ -106,13 +110,13 @@
         self._is_send_due = True
         state.pending_orders.add(orders.StartTimer(TICK_INTERVAL_S, self.tick))
         self._discovery.order_watch_if_due()
-        joining_rate = state.proxies.update_joining_rate()
+        total_initial_rate = state.proxies.update_total_initial_rate()
         if state.parameters.health_checks and self.has_endpoint_list:
-            self._health_checks.order_due_checks(joining_rate)
+            self._health_checks.order_due_checks(total_initial_rate)
         self._overload.update()
-        checked = list(state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE_STATES).values())
-        unreachable = self._reachability.unreachable_zones(checked)
-        OutlierDetector(state, checked, unreachable).update_worker_states()
+        checked_workers = list(state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE_STATES).values())
+        is_zone_unreachable = self._reachability.unreachable_zones(checked_workers)
+        OutlierDetector(state, checked_workers, is_zone_unreachable).update_worker_states()
 
     def _on_endpoint_list(self, endpoint_list: inputs.EndpointList) -> None:
         self._discovery.apply_endpoint_list(endpoint_list)
@@ -126,7 +130,7 @@
 
     def _on_proxy_connected(self, connected: inputs.ProxyConnected) -> None:
         self._reports.connect_proxy(connected)
-        # Messages on the former connection do not count against the new one.
+        # Messages on the previous connection do not count towards the limit of the new one.
         self.channel_budget.written_at.pop(connected.proxy, None)
         self._next_solve_at = self.state.now
 
@@ -138,49 +142,49 @@
             self._is_send_due |= self._deltas.acknowledge(acknowledged)
 
     def _solve(self) -> None:
-        """Estimates capacities and demand and solves the flow.  Once an interval, it measures first."""
+        """Estimates capacities and demand, and solves the flow; once per solve interval, measures before."""
         now = self.state.now
         is_new_interval = now >= self._next_measure_at
         if is_new_interval:
-            forget_departed(self.state)
-            self.capacity.measure()
+            forget_departed_workers(self.state)
+            self.capacity.measure_workers()
             self._shedding.update_admission_ratio()
-            self._flow.links.start_interval()
+            self._flow.link_latencies.start_interval()
             self._next_measure_at = now + SOLVE_INTERVAL_S
         self._next_solve_at = now + SOLVE_INTERVAL_S
         self.state.needs_solution = False
-        self.capacities = self.capacity.estimate(self.tick)
+        self.capacities = self.capacity.estimate_capacities(self.tick)
         demand = estimate_demand(self.state, self.gossip)
         if is_new_interval and self.state.parameters.gossip:
             self.gossip.send(demand.own_rates)
-        plan = self._flow.plan(demand, self.capacities, is_new_interval)
+        plan = self._flow.plan_flow(demand, self.capacities, is_new_interval)
         self._overload.planned_utilization = plan.utilization
-        self.capacity.own_share = plan.own_shares
+        self.capacity.own_attempt_shares = plan.own_attempt_shares
 
-    def _send(self) -> None:
+    def _send_orders(self) -> None:
         """Sends exclusions, binds, removals, then other deltas, as far as the channel budget allows."""
         state = self.state
         self.channel_budget.advance_time(state.now, MAX_CHANNEL_SLOWDOWN)
         self._deltas.class_admissions = self._shedding.class_admissions()
         send_exclusions(state, self.channel_budget)
-        overdue_before = state.now - DRAIN_HOLD_RATIO * state.parameters.drain_grace_s
+        overdue_before = state.now - OVERDUE_GRACE_RATIO * state.parameters.drain_grace_s
         if not state.parameters.slice_count:
             self._binding.bind_proxies(overdue_before)
         self._send_removals(overdue_before)
         overweight = overweight_workers(state)
         for table in state.tables.all:
             self._deltas.send_update(table, overweight)
-        written, lines_by_proxy = self.channel_budget.commit(MAX_CHECKPOINTS)
+        written, lines_by_proxy = self.channel_budget.commit(MAX_IN_FLIGHT_CHECKPOINTS)
         state.pending_orders.extend(written)
         state.tables.mark_written(self.channel_budget.last_checkpoint, state.now, lines_by_proxy)
 
     def _send_removals(self, overdue_before: float) -> None:
-        """Takes departed workers out of the tables, first from the table with the earliest departure.
+        """Removes departed workers from the tables, starting with the table with the earliest departure.
 
-        While there are proxies to bind, a table is left alone until its earliest departure is overdue.
+        While any proxy is unbound, none is removed from a table before its earliest departure is overdue.
         """
         state = self.state
         if all(proxy.table for proxy in state.proxies.by_number.values()):
             overdue_before = math.inf
-        for table in sorted(state.tables.all, key=lambda table: first_departure(state, table)):
+        for table in sorted(state.tables.all, key=lambda table: first_departure_time(state, table)):
             self._deltas.send_removals(table, due_removals(state, table, overdue_before))
--- a/cottonladder/policy/gossip_exchange.py
+++ b/cottonladder/policy/gossip_exchange.py
@@ -1,9 +1,9 @@
 """Gossip between managers: what they send about their proxies, and how long it is valid.
 
-Once an interval each manager sends the number of its proxies and their demand by zone to all others, where
-the deployment allows gossip. What another manager sent replaces its former figures and is valid for three
-intervals. A datagram that does not have the right number of figures is dropped, which protects the demand
-estimate from corrupted datagrams; a lost one is replaced by an estimate.
+Once per solve interval each manager sends the number and the demand of its proxies by zone to all others,
+where the deployment allows gossip. A datagram replaces the sender's previous values, and is valid for three
+intervals. A datagram with a wrong number of values is dropped, which protects the demand estimate from
+corrupted datagrams. The demand of proxies that no valid gossip covers is estimated.
 """
 
 from ..model import (
@@ -17,30 +17,30 @@
 )
 from .cadence import SOLVE_INTERVAL_S
 
-MAX_GOSSIP_ZONES = 18  # that one datagram holds
+MAX_GOSSIP_ZONES = 18  # per datagram
 PEER_DEMAND_TTL_S = 3 * SOLVE_INTERVAL_S
 ALL_PEERS = -1
 
 
 class GossipExchange:
-    """Sends this manager's figures, and keeps those of the others."""
+    """Sends the demand of this manager's proxies, and keeps that of the other managers' proxies."""
 
     def __init__(self, state: ControllerState) -> None:
         self._state = state
         self._peers = PeerDemand(state.parameters.zone_count)
 
     def receive(self, gossip: inputs.GossipReceived) -> None:
-        """Records another manager's figures."""
-        figures = decode_zone_demand(gossip.text, len(self._state.zones), MAX_GOSSIP_ZONES)
-        if figures is not None:
-            self._peers.update(gossip.sender, self._state.now, figures)
+        """Records the demand that another manager sent; malformed text is dropped."""
+        zone_demand = decode_zone_demand(gossip.text, len(self._state.zones), MAX_GOSSIP_ZONES)
+        if zone_demand is not None:
+            self._peers.update(gossip.sender, self._state.now, zone_demand)
 
     def send(self, request_rates: list[float]) -> None:
-        """Orders gossip of the connected proxies and their requests/s by zone."""
+        """Orders gossip with the number of connected proxies and their requests/s by zone."""
         counts = self._state.proxies.zone_counts()
         texts = encode_zone_demand(counts, request_rates, MAX_GOSSIP_ZONES)
         self._state.pending_orders.extend(orders.SendGossip(ALL_PEERS, text) for text in texts)
 
-    def recent(self) -> list[ProxyDemand]:
-        """Returns the demand and the proxies of each other manager whose figures are valid."""
+    def recent_peer_demands(self) -> list[ProxyDemand]:
+        """Returns the demand and the proxy counts of each other manager whose gossip is still valid."""
         return self._peers.recent_demands(self._state.now, PEER_DEMAND_TTL_S)
--- a/cottonladder/policy/health_check_schedule.py
+++ b/cottonladder/policy/health_check_schedule.py
@@ -2,8 +2,8 @@
 
 All workers that are in service or ejected are checked together, at intervals that follow from the price of
 a health check and from the present request rate. A worker that lost one check is checked again at the next
-tick. Health checks show an unresponsive worker or a long queue before load reports do; the price limit
-keeps their cost small beside that of the requests.
+tick. Health checks detect an unresponsive worker or a long queue before load reports do; the price limit
+keeps their cost small compared to that of the requests.
 """
 
 import math
@@ -12,8 +12,8 @@
 from .outlier_ejection import LOST_CHECKS_TO_EJECT
 
 MIN_CHECK_INTERVAL_S = 1.0
-CHECK_JITTER = (-0.1, 0.1)  # of MIN_CHECK_INTERVAL_S, so that managers do not check at the same moment
-MAX_CHECK_PRICE_RATIO = 0.003  # of the requests' priority weight, that health checks may cost
+CHECK_JITTER = (-0.1, 0.1)  # of MIN_CHECK_INTERVAL_S, so that managers do not check simultaneously
+MAX_CHECK_PRICE_RATIO = 0.003  # highest cost of health checks over the requests' priority weight
 
 
 class HealthCheckSchedule:
@@ -23,18 +23,18 @@
         self._state = state
         self._interval_began_at = -math.inf
 
-    def order_due_checks(self, joining_rate: float) -> None:
-        """Orders the checks that are due; `joining_rate` is the requests/s that proxies connected with."""
+    def order_due_checks(self, total_initial_rate: float) -> None:
+        """Orders the checks that are due; `total_initial_rate` sums the initial requests/s of all proxies."""
         state = self._state
-        checked = state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE_STATES)
-        cost = len(checked) * state.parameters.health_check_cost
+        checked_workers = state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE_STATES)
+        cost = len(checked_workers) * state.parameters.health_check_cost
         request_rate = state.proxies.request_rate(state.proxies.by_number)
-        price_ratio_s = cost / max(1.0, joining_rate, request_rate)
+        price_ratio_s = cost / max(1.0, total_initial_rate, request_rate)
         interval_s = max(MIN_CHECK_INTERVAL_S, price_ratio_s / MAX_CHECK_PRICE_RATIO)
         is_due = state.now >= self._interval_began_at + interval_s
         if is_due:
             jitter_s = MIN_CHECK_INTERVAL_S * state.random.uniform(*CHECK_JITTER)
             self._interval_began_at = state.now + jitter_s
-        for index, worker in checked.items():
+        for index, worker in checked_workers.items():
             if is_due or 0 < worker.lost_check_count < LOST_CHECKS_TO_EJECT:
                 state.pending_orders.add(orders.HealthCheck(index))
--- a/cottonladder/policy/latency_factor.py
+++ b/cottonladder/policy/latency_factor.py
@@ -1,9 +1,9 @@
-"""The latency factor: how far a worker's capacity is cut for latency, failures and queue.
+"""The latency factor, by which a worker's capacity is reduced for latency, failures and queue length.
 
-Each interval a worker's mean latency is compared with its base latency, its failures and its requests in
-flight with those of the fleet, and its factor moves towards what they suggest. The mean factor of a zone
-moves more slowly than that of a single worker, because all managers see the same fault and would leave the
-zone at the same moment. Factors protect against slow and failing workers, which ejection does not catch.
+Each solve interval a worker's mean latency is compared with its base latency, its failures and its requests
+in flight with those of the fleet, and its factor moves towards the target that results. The mean factor of a
+zone moves more slowly than that of a single worker, because all managers see the same fault and would leave
+the zone at the same moment. Factors protect against slow and failing workers that are not ejected.
 """
 
 from statistics import fmean
@@ -11,27 +11,27 @@
 from ..model import IN_SERVICE_STATES, ControllerState, WorkerRecord, median_or_zero
 from .overload_signal import OverloadSignal
 
-MIN_LATENCY_RATIO = 1 / 64  # of the tightest latency objective: the lower bound of the first histogram bin
-LATENCY_BIN_RATIO = 1.5  # of a bin's upper bound to its lower bound
+MIN_LATENCY_RATIO = 1 / 64  # lower bound of the first histogram bin over the tightest latency objective
+LATENCY_BIN_RATIO = 1.5  # upper bound of a bin over its lower bound
 LATENCY_BIN_COUNT = 16
-COUNT_DECAY = 0.5  # part of all counts that is kept at the end of each interval
-BASE_LATENCY_FALL = 0.8  # step of a base latency towards a lower mean, in each interval
-BASE_LATENCY_RISE = 0.01  # step towards a higher mean, which may be a fault
-SLOWDOWN_TOLERANCE = 2.0  # times the fleet's median slowdown or queue, up to which a factor is not cut
-SUCCESS_EXPONENT = 3.0  # of the succeeded part of attempts, relative to the fleet's
-MIN_MEDIAN_SUCCESS = 0.1  # lower bound of the fleet's succeeded part of attempts, as a divisor
+COUNT_KEEP_RATIO = 0.5  # fraction of all counts that is kept at the end of each solve interval
+BASE_LATENCY_FALL = 0.8  # fraction of the distance to a lower mean latency, per solve interval
+BASE_LATENCY_RISE = 0.01  # the same for a higher mean latency, which a fault may cause
+SLOWDOWN_TOLERANCE = 2.0  # a factor is reduced above this multiple of the fleet's median slowdown or queue
+SUCCESS_EXPONENT = 3.0  # of a worker's success ratio relative to the fleet's median
+MIN_MEDIAN_SUCCESS_RATIO = 0.1  # lower bound of the fleet's median success ratio, as a divisor
 MIN_LATENCY_FACTOR = 0.03
-FACTOR_FALL = 0.8  # step of a factor towards a lower target, in each interval
-FACTOR_RISE = 0.5  # step towards a higher target
-MIN_SLOWDOWN_DIVISOR = 1e-9  # instead of 0
-ZONE_FACTOR_STEP = 0.25  # step of a zone's mean factor, in each interval
+FACTOR_FALL = 0.8  # fraction of the distance to a lower target, per solve interval
+FACTOR_RISE = 0.5  # the same for a higher target
+MIN_SLOWDOWN_DIVISOR = 1e-9  # avoids a division by 0
+ZONE_FACTOR_STEP = 0.25  # fraction of the distance to a zone's mean factor, per solve interval
 
 
 class LatencyFactors:
     """Updates the factors of workers and zones once an interval."""
 
     def __init__(self, state: ControllerState, overload: OverloadSignal) -> None:
-        # By zone: the smoothed mean factor over the present mean factor.
+        # By zone: the smoothed mean factor divided by the present mean factor.
         self.zone_correction = [1.0 for _ in state.zones]
         self._state = state
         self._overload = overload
@@ -52,7 +52,7 @@
         self._update_zone_factors(in_service)
 
     def _update_base_latencies(self, queues: dict[int, float], median_queue: float) -> None:
-        """Follows each worker's mean latency; a first base latency is not taken while its queue is long."""
+        """Updates the base latencies; while a worker's queue is long, its first one is not recorded."""
         for index, worker in self._state.workers.by_index.items():
             if worker.base_latency_s or queues.get(index, 0.0) < SLOWDOWN_TOLERANCE * median_queue:
                 worker.update_base_latency(BASE_LATENCY_FALL, BASE_LATENCY_RISE)
@@ -71,7 +71,7 @@
             if worker.attempt_count >= 1.0
         }
         median_slowdown = max(median_or_zero(slowdowns.values()), MIN_SLOWDOWN_DIVISOR)
-        median_success = max(MIN_MEDIAN_SUCCESS, 1.0 - median_or_zero(failed_ratios.values()))
+        median_success = max(MIN_MEDIAN_SUCCESS_RATIO, 1.0 - median_or_zero(failed_ratios.values()))
         # Under overload the latencies of healthy workers differ too.
         overload = max(1.0, self._overload.value)
         for index, worker in in_service.items():
@@ -81,7 +81,7 @@
             target = min(1.0, overload * SLOWDOWN_TOLERANCE / slowdown)
             target *= min(1.0, success) ** (SUCCESS_EXPONENT / overload)
             worker.update_latency_factor(target, FACTOR_FALL, FACTOR_RISE, MIN_LATENCY_FACTOR)
-            worker.decay_counts(COUNT_DECAY)
+            worker.decay_counts(COUNT_KEEP_RATIO)
 
     def _update_zone_factors(self, in_service: dict[int, WorkerRecord]) -> None:
         for zone in self._state.zones:
--- a/cottonladder/policy/load_shedding.py
+++ b/cottonladder/policy/load_shedding.py
@@ -1,10 +1,10 @@
-"""Load shedding: what part of the requests is admitted under overload, and which classes are shed first.
+"""Load shedding: which share of the requests is admitted under overload, and which classes are shed first.
 
-The admission ratio falls once an interval while the overload signal is over 1, and rises while it is well
-under 1. What has to be shed is taken first from the class with the lowest priority weight for its latency
-objective, then from the next. Shedding protects the most valuable requests from latencies over their
-objectives; limits on each step and on the lowest ratio protect against shedding far more than the overload
-asks for.
+The admission ratio falls once per solve interval while the overload signal is over 1, and rises while it is
+under ADMISSION_SETPOINT. Requests are shed first from the class with the lowest ratio of priority weight to
+latency objective, then from the next. Shedding protects the most valuable requests from latencies over their
+objectives; the limits on each step and on the lowest ratio prevent shedding far more than the overload
+requires.
 """
 
 from ..model import (
@@ -17,13 +17,13 @@
 )
 from .overload_signal import OverloadSignal
 
-ADMISSION_STEP = 0.5  # of the distance between the signal and its setpoint, in each interval
-ADMISSION_SETPOINT = 0.8  # signal under which admission rises
-MAX_ADMISSION_FALL = 0.35  # of all requests, in each interval
-MIN_ADMISSION_RATIO = 0.4  # of all requests
-MIN_CLASS_ADMISSION_RATIO = 0.1  # of one class
-MIN_ADMISSION_RATE = 0.1  # requests/s of a proxy, where admission is ordered as a rate
-UNLIMITED_RATE = 1e6  # requests/s that stand for no limit
+ADMISSION_STEP = 0.5  # of the distance between the signal and its setpoint, per solve interval
+ADMISSION_SETPOINT = 0.8  # overload signal under which the admission ratio rises
+MAX_ADMISSION_FALL = 0.35  # decrease of the admission ratio per solve interval
+MIN_ADMISSION_RATIO = 0.4  # over all classes
+MIN_CLASS_ADMISSION_RATIO = 0.1  # of each class
+MIN_ADMISSION_RATE = 0.1  # requests/s per proxy, where admission is ordered as a rate
+UNLIMITED_RATE = 1e6  # requests/s that are ordered where no limit is needed
 
 
 class LoadShedding:
@@ -35,9 +35,9 @@
         self._overload = overload
 
     def update_admission_ratio(self) -> None:
-        """Moves the admission ratio by one step, and reports where shedding begins or ends."""
+        """Moves the admission ratio by one step, and reports when shedding begins or ends."""
         former = self.admission_ratio
-        signal = self._overload.value if self._is_enabled() else 0.0
+        signal = self._overload.value if self._is_admission_ordered() else 0.0
         is_near_setpoint = ADMISSION_SETPOINT <= signal <= 1.0
         step = 0.0 if is_near_setpoint else ADMISSION_STEP * (ADMISSION_SETPOINT - signal)
         limited_step = max(-MAX_ADMISSION_FALL, step)
@@ -46,8 +46,8 @@
             self._state.pending_orders.add(AdmissionChanged(former, self.admission_ratio, signal))
 
     def class_admissions(self) -> dict[int, ClassAdmission]:
-        """Returns what is admitted of each class, in the order of shedding; empty where it is not ordered."""
-        if not self._is_enabled():
+        """Returns the admission by class, in the order of shedding; empty where admission is not ordered."""
+        if not self._is_admission_ordered():
             return {}
         request_classes = self._state.parameters.request_classes
         weights_by_latency = [item.priority_weight / item.latency_objective_s for item in request_classes]
@@ -57,7 +57,7 @@
         shares = admitted_shares(arrivals, order, shed, MIN_CLASS_ADMISSION_RATIO)
         return {k: ClassAdmission(share, self._ordered_admission(k, share)) for k, share in shares.items()}
 
-    def _is_enabled(self) -> bool:
+    def _is_admission_ordered(self) -> bool:
         return self._state.parameters.admission_mode is not AdmissionMode.NONE
 
     def _ordered_admission(self, class_index: int, share: float) -> float:
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -1,11 +1,11 @@
 """Outlier ejection: which workers are taken out of service for a fault, and when they return.
 
-A worker is ejected if nearly all its attempts fail while the others' succeed, or if its health checks are
-lost while its zone can be reached. Each worker is judged at each tick; an ejected one returns by slow start
-after the ejection time, once a health check succeeds or where no health check can tell. No worker is
-ejected if the ejected ones would then hold over 34% of the fleet's weight, which protects against a fault
-of the network or of the reports that makes many workers look unresponsive at once. Ejections restored from
-a snapshot are not limited here.
+A worker is ejected if nearly all its attempts fail while the other workers' attempts succeed, or if its
+health checks are lost while its zone can be reached. Each worker is judged at each tick. An ejected worker
+returns by slow start after the ejection time, once a health check succeeds, or without one where health
+checks cannot tell. No worker is ejected if the ejected workers would then have over 34% of the fleet's
+weight, which protects against a fault of the network or of the reports that makes many workers look
+unresponsive at the same time. Ejections restored from a snapshot are not limited here.
 """
 
 from ..model import (
@@ -21,26 +21,28 @@
 from .slow_start import complete_slow_start
 from .worker_states import apply_event
 
-OUTLIER_FAILED_RATIO = 0.85  # failed part of attempts; an unresponsive worker fails nearly all
-MAX_OTHERS_FAILED_RATIO = 0.2  # failed part of the others' attempts; over it the fault is not the worker's
-MIN_OUTLIER_ATTEMPTS = 4.0  # attempts to judge by
-LOST_CHECKS_TO_EJECT = 2  # consecutive lost health checks that eject a worker
-MAX_EJECTED_RATIO = 0.34  # of the fleet's weight
+OUTLIER_FAILED_RATIO = 0.85  # of a worker's attempts; an unresponsive worker fails nearly all
+MAX_OTHERS_FAILED_RATIO = 0.2  # of all other workers' attempts; over it the fault is not the worker's
+MIN_OUTLIER_ATTEMPTS = 4.0  # a worker with fewer attempts is not judged by its failures
+LOST_CHECKS_TO_EJECT = 2  # consecutive lost health checks
+MAX_EJECTED_RATIO = 0.34  # ejected weight over the weight of all health-checked workers
 
 
 class OutlierDetector:
-    """Judges each worker for one tick, by sums over the fleet that are taken at the beginning."""
+    """Detects outliers at one tick, by sums over the fleet that are computed when it is created."""
 
-    def __init__(self, state: ControllerState, checked: list[WorkerRecord], unreachable: list[bool]) -> None:
+    def __init__(
+        self, state: ControllerState, checked_workers: list[WorkerRecord], is_zone_unreachable: list[bool]
+    ) -> None:
         self._state = state
-        self._unreachable = unreachable  # by zone
+        self._is_zone_unreachable = is_zone_unreachable
         self._attempts, self._failed = state.workers.attempt_counts(IN_SERVICE_STATES)
         ejected = state.workers.in_state(WorkerState.EJECTED).values()
         self._ejected_weight = sum(worker.weight for worker in ejected)
-        self._max_ejected_weight = MAX_EJECTED_RATIO * sum(worker.weight for worker in checked)
+        self._max_ejected_weight = MAX_EJECTED_RATIO * sum(worker.weight for worker in checked_workers)
 
     def update_worker_states(self) -> None:
-        """Ejects outliers, completes slow starts, and lets workers return whose ejection is over."""
+        """Ejects outliers, completes slow starts, and ends ejections that have expired."""
         for index, worker in self._state.workers.by_index.items():
             if worker.state in IN_SERVICE_STATES:
                 if not self._eject_if_outlier(index, worker):
@@ -49,10 +51,10 @@
                 self._return_if_expired(index, worker)
 
     def _eject_if_outlier(self, index: int, worker: WorkerRecord) -> bool:
-        """Ejects a worker that is an outlier, as far as the limit on ejected weight allows."""
+        """Ejects an outlier if the limit on ejected weight allows it, and returns whether it did."""
         others_failed_ratio = self._others_failed_ratio(worker)
         has_lost_checks = (
-            worker.lost_check_count >= LOST_CHECKS_TO_EJECT and not self._unreachable[worker.zone]
+            worker.lost_check_count >= LOST_CHECKS_TO_EJECT and not self._is_zone_unreachable[worker.zone]
         )
         if not has_lost_checks and not self._fails_alone(worker, others_failed_ratio):
             return False
@@ -77,17 +79,17 @@
         return worker.failed_count >= OUTLIER_FAILED_RATIO * worker.attempt_count
 
     def _return_if_expired(self, index: int, worker: WorkerRecord) -> None:
-        """Ends an ejection by time alone where no health check can tell whether the worker is healthy."""
+        """Ends an expired ejection where no health check can tell whether the worker is healthy."""
         if self._state.now < worker.ejected_until:
             return
-        if self._unreachable[worker.zone] or not self._state.parameters.health_checks:
+        if self._is_zone_unreachable[worker.zone] or not self._state.parameters.health_checks:
             apply_event(self._state, index, WorkerEvent.EJECTION_EXPIRED)
 
 
 def return_after_health_check(
     state: ControllerState, worker: WorkerRecord, result: inputs.HealthCheckResult
 ) -> None:
-    """Lets an ejected worker return if its ejection time is over and the health check succeeded."""
+    """Ends an ejection if its time is over and the health check succeeded."""
     if result.succeeded and state.now >= worker.ejected_until:
         evidence = HealthCheckEvidence(result.duration_s)
         apply_event(state, result.worker_index, WorkerEvent.HEALTH_CHECK_SUCCEEDED, evidence)
--- a/cottonladder/policy/proxy_binding.py
+++ b/cottonladder/policy/proxy_binding.py
@@ -1,9 +1,9 @@
-"""Which proxies are bound to a table first, and to which table.
+"""The order in which proxies are bound to tables, and the table that each one is bound to.
 
-At each tick the proxies that read no table are bound, as many as the channel budget allows: first those
-that have waited over DRAIN_HOLD_RATIO of the drain grace, then the busiest. Each gets the table of its zone
-that names no departed workers and whose readers have the lowest demand. The order protects most requests
-from a table of another manager that is out of date, and keeps a quiet proxy from waiting indefinitely.
+At each tick the proxies that read no table are bound, as many as the channel budget allows: first those that
+have waited longer than OVERDUE_GRACE_RATIO of the drain grace, then the busiest. Each is bound to the table
+of its zone that names no departed workers and has the lowest demand. The order keeps most requests off
+outdated tables of other managers, and keeps a quiet proxy from waiting indefinitely.
 """
 
 from ..model import ControllerState, ProxyRecord, RoutingTable, orders
@@ -11,7 +11,7 @@
 from .table_deltas import TableDeltas
 from .worker_removal import removed_workers
 
-ALL_CLASSES = 0  # as a class mask of a bind
+ALL_CLASSES = 0  # class mask of a bind
 
 
 class ProxyBinding:
@@ -23,10 +23,10 @@
         self._deltas = deltas
 
     def bind_proxies(self, overdue_before: float) -> None:
-        """Binds unbound proxies: first those that connected up to `overdue_before`, then the busiest."""
+        """Binds unbound proxies: first those that connected by `overdue_before`, then the busiest."""
         unbound = {n: proxy for n, proxy in self._state.proxies.by_number.items() if proxy.table is None}
         ranks = {
-            number: (proxy.connected_at > overdue_before, -proxy.joining_rate, number)
+            number: (proxy.connected_at > overdue_before, -proxy.initial_rate, number)
             for number, proxy in unbound.items()
         }
         for number in sorted(unbound, key=ranks.__getitem__):
@@ -36,13 +36,13 @@
     def _try_bind(self, number: int, proxy: ProxyRecord, overdue_before: float) -> bool:
         """Binds a proxy if its lines fit, and returns False only if no lines are left at all.
 
-        Before, departed workers are taken out of the table, and a table without readers is completed.
+        Before the bind, departed workers are removed from the table, and a table without readers is updated.
         """
         limit = URGENT_LIMIT if proxy.connected_at > overdue_before else CRITICAL_LIMIT
         if self._budget.available_lines([number], limit) <= 0:
             return False
         table = self._select_table(proxy.zone)
-        # Otherwise the new reader would be sent the lines of departed workers, and then their removal.
+        # Otherwise the new reader would be sent the departed workers' lines, and then their removal.
         self._deltas.send_removals(table, removed_workers(self._state, table))
         if not table.readers:
             # Without readers these orders cost no lines.
--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -1,9 +1,10 @@
-"""How reports are added to the records of workers and proxies.
+"""Application of reports to the records of workers and proxies.
 
-Load reports, arrival reports, health check results, held connections, advised factors, and the coming and
-going of proxies are applied to the records as they arrive; no order for a proxy follows at once. Reports on
-an unknown worker or proxy are dropped. `report_plausibility` says which figures are believed; this protects
-the estimates from corrupted reports and from late reports on forgotten workers.
+Load reports, arrival reports, health check results, held connections, advised factors, and connections and
+disconnections of proxies are applied to the records as they arrive, and lead to no order for a proxy until
+later. Reports on an unknown worker or proxy are dropped, which protects the estimates from late reports on
+forgotten workers. `report_plausibility` decides which values are accepted, which protects them from corrupted
+reports.
 """
 
 from ..model import ControllerState, LinkLatencies, inputs
@@ -12,23 +13,25 @@
 from .outlier_ejection import return_after_health_check
 from .zone_reachability import ZoneReachability
 
-DEMAND_WINDOW_S = 4.0  # that the counts of arrivals cover at most
+DEMAND_WINDOW_S = 4.0  # the longest time that a proxy's request counts cover
 
 
 class ReportIntake:
     """Applies reports to the records."""
 
-    def __init__(self, state: ControllerState, links: LinkLatencies, reachability: ZoneReachability) -> None:
+    def __init__(
+        self, state: ControllerState, link_latencies: LinkLatencies, reachability: ZoneReachability
+    ) -> None:
         self._state = state
-        self._links = links
+        self._link_latencies = link_latencies
         self._reachability = reachability
 
     def connect_proxy(self, connected: inputs.ProxyConnected) -> None:
-        """Adds a proxy at its restored request rate, or else at the rate that it states."""
+        """Adds a proxy with its request rate from the snapshot, or else with the rate that it reports."""
         proxies = self._state.proxies
         rate = proxies.restored_rates.pop(connected.proxy, connected.requests_per_s)
-        believed = report_plausibility.capped_request_rate(rate)
-        proxies.connect(connected.proxy, connected.zone, believed, self._state.now)
+        initial_rate = report_plausibility.capped_request_rate(rate)
+        proxies.connect(connected.proxy, connected.zone, initial_rate, self._state.now)
         self._reachability.record_proxy(connected.zone)
 
     def disconnect_proxy(self, disconnected: inputs.ProxyDisconnected) -> None:
@@ -36,12 +39,12 @@
         self._state.proxies.disconnect(disconnected.proxy)
 
     def add_load_report(self, report: inputs.LoadReport) -> None:
-        """Adds the attempts at a worker, and their latency if it is believed."""
+        """Adds the attempts at a worker if their count is plausible, and their latency if that is too."""
         state = self._state
         worker = state.workers.by_index.get(report.worker_index)
         if worker is None or report.attempts <= 0:
             return
-        reference_rate = state.proxies.highest_joining_rate
+        reference_rate = state.proxies.max_total_initial_rate
         if not report_plausibility.is_plausible_request_count(
             report.attempts, report.interval_s, reference_rate
         ):
@@ -50,16 +53,16 @@
         is_plausible = report_plausibility.is_plausible_latency(report.duration_s, state.tightest_objective_s)
         if report.attempts > report.failed and is_plausible:
             worker.latency_histogram.add(report.duration_s, report.attempts - report.failed)
-            self._links.add(report.zone, worker.zone, report.duration_s)
+            self._link_latencies.add(report.zone, worker.zone, report.duration_s)
             self._reachability.record_worker_answer(worker.zone)
 
     def add_arrivals(self, report: inputs.ArrivalReport) -> None:
-        """Adds the requests that arrived at a proxy."""
+        """Adds the requests that arrived at a proxy, if their count is plausible."""
         proxy = self._state.proxies.by_number.get(report.proxy)
         if proxy is None:
             return
         if report_plausibility.is_plausible_request_count(
-            report.requests, report.interval_s, proxy.joining_rate
+            report.requests, report.interval_s, proxy.initial_rate
         ):
             proxy.add_arrivals(report, DEMAND_WINDOW_S)
 
@@ -68,7 +71,7 @@
         worker = self._state.workers.by_index.get(result.worker_index)
         if worker is None:
             return
-        reference_rate = self._state.proxies.highest_joining_rate
+        reference_rate = self._state.proxies.max_total_initial_rate
         worker.add_health_check(result, report_plausibility.max_in_flight(reference_rate))
         return_after_health_check(self._state, worker, result)
 
@@ -79,7 +82,7 @@
             worker.connection_load = report_plausibility.capped_request_rate(load.requests_per_s)
 
     def set_advised_factor(self, advised: inputs.AdvisedFactor) -> None:
-        """Records one source's factor for a worker."""
+        """Records the factor that one source advises for a worker."""
         worker = self._state.workers.by_index.get(advised.worker_index)
         if worker is not None:
             worker.set_advised_factor(advised.source, advised.factor, MAX_ADVISED_FACTOR)
--- a/cottonladder/policy/table_deltas.py
+++ b/cottonladder/policy/table_deltas.py
@@ -1,10 +1,11 @@
 """Table deltas: which changes of a table are sent to its readers, and when.
 
-Each tick, a table's sent weights and admission are compared with the wanted ones, and the largest changes
-that the channel budget allows are sent. A delta waits until most readers have acknowledged the former one,
-or for a timeout. Lines of departed workers and lines that give a warming-up worker too much do not wait for
-acknowledgements, and as many other changes as fit go with them, so that the remaining workers take over in
-proportion. This protects the channel from many small changes, and the remaining workers from sudden load.
+At each tick, a table's sent weights and admission are compared with the desired ones, and the largest
+changes that the channel budget allows are sent. A delta waits until most readers have acknowledged the
+previous one, or for a timeout. Lines of departed workers and lines that give a warming-up worker too much do
+not wait for acknowledgements, and as many other changes as fit are sent with them, so that the remaining
+workers take over in proportion. This protects the channel from many small changes, and the remaining workers
+from a sudden load.
 """
 
 from collections.abc import Collection
@@ -13,17 +14,17 @@
 from .channel_budget import CRITICAL_LIMIT, DELTA_LIMIT, URGENT_LIMIT, ChannelBudget
 from .warm_up import is_warming_up
 
-# Of the sent weight, or for admission of all requests of the class.  Smaller changes are not sent, except the
-# end of shedding.
+# Fraction of the sent weight; for admission, difference of the admitted shares.  Smaller changes are not
+# sent, except the end of shedding.
 MIN_WEIGHT_CHANGE = 0.1
-MAX_TABLE_ORDERS = 65536  # as many as a manager keeps workers
+MAX_TABLE_ORDERS = 65536  # the highest number of workers that a manager keeps
 ACK_TIMEOUT_S = 3.0
-ACK_QUORUM = 0.5  # of a table's readers; once more have acknowledged, its next delta may be sent
+ACK_QUORUM = 0.5  # of a table's readers; its next delta is sent once more than this have acknowledged
 RETRY_POLICY = orders.RetryPolicy.ONCE_IF_NOT_PROCESSED  # a failed attempt may still be processed
 
 
 class TableDeltas:
-    """Writes the changes of tables through the channel budget."""
+    """Orders the changes of tables within the channel budget."""
 
     def __init__(self, state: ControllerState, budget: ChannelBudget) -> None:
         self.class_admissions: dict[int, ClassAdmission] = {}
@@ -38,14 +39,14 @@
         return proxy.table.checkpoint == acknowledged.checkpoint and proxy.table.acknowledge(ACK_QUORUM)
 
     def send_removals(self, table: RoutingTable, removed_workers: list[int]) -> None:
-        """Takes departed workers out of a table, without waiting for acknowledgements."""
+        """Removes departed workers from a table, without waiting for acknowledgements."""
         self._expire_acknowledgement(table)
         urgent = self._not_excluded(removed_workers)
         if urgent and table.readers and table.desired_weights:
-            self._send(table, urgent, CRITICAL_LIMIT, self._keeps_usable_worker(table, urgent))
+            self._send_changes(table, urgent, CRITICAL_LIMIT, self._keeps_usable_worker(table, urgent))
 
     def send_update(self, table: RoutingTable, overweight: Collection[int]) -> None:
-        """Brings a table closer to what is wanted; lines of `overweight` workers go first and do not wait."""
+        """Sends changes towards the desired table; lines of `overweight` workers go first and do not wait."""
         self._expire_acknowledgement(table)
         if not table.readers or not table.desired_weights:
             return
@@ -56,11 +57,11 @@
         limit = URGENT_LIMIT if urgent else DELTA_LIMIT
         if not keeps_usable_worker:
             limit = CRITICAL_LIMIT
-        self._send(table, urgent, limit, keeps_usable_worker)
+        self._send_changes(table, urgent, limit, keeps_usable_worker)
 
     def draft_all_changes(self, table: RoutingTable) -> list[orders.Order]:
-        """Returns orders that bring a table without readers fully to what is wanted; they count as sent."""
-        return self._draft(table, 0.0, MAX_TABLE_ORDERS, [])
+        """Returns orders for all changes of a table without readers, and records them as sent."""
+        return self._draft_changes(table, 0.0, MAX_TABLE_ORDERS, [])
 
     def _expire_acknowledgement(self, table: RoutingTable) -> None:
         if self._state.now - table.written_at > ACK_TIMEOUT_S:
@@ -71,51 +72,54 @@
         return [index for index in worker_indices if not workers[index].is_excluded]
 
     def _keeps_usable_worker(self, table: RoutingTable, urgent: list[int]) -> bool:
-        """Returns whether readers still have a wanted worker that is not urgent.
+        """Returns whether readers keep a desired worker that is not among the urgent ones.
 
-        A warming-up worker counts only if all wanted ones are warming up.
+        A warming-up worker counts only if all desired workers are warming up.
         """
         workers = self._state.workers.by_index
         warm = {index for index in table.desired_weights if not is_warming_up(self._state, workers[index])}
         usable = warm or table.desired_weights.keys()
         return any(index in usable and index not in urgent for index in table.sent_weights)
 
-    def _send(
+    def _send_changes(
         self, table: RoutingTable, urgent: list[int], limit: LineLimit, keeps_usable_worker: bool
     ) -> None:
         """Sends as many changes as the budget allows; urgent ones go first if a usable worker remains."""
-        max_orders = self._available_orders(table, limit)
+        max_orders = self._affordable_order_count(table, limit)
         if urgent and keeps_usable_worker:
-            max_orders = min(max_orders, max(len(urgent), self._available_orders(table, DELTA_LIMIT)))
+            max_orders = min(max_orders, max(len(urgent), self._affordable_order_count(table, DELTA_LIMIT)))
         former = table.copy_sent()
-        changes = self._draft(table, MIN_WEIGHT_CHANGE, max_orders, urgent if keeps_usable_worker else [])
+        changes = self._draft_changes(
+            table, MIN_WEIGHT_CHANGE, max_orders, urgent if keeps_usable_worker else []
+        )
         if not self._budget.reserve(changes, self._budget.delta_cost(changes, table.readers), limit):
             table.restore_sent(former)
 
-    def _available_orders(self, table: RoutingTable, limit: LineLimit) -> int:
+    def _affordable_order_count(self, table: RoutingTable, limit: LineLimit) -> int:
         """Returns how many orders may be sent to every reader of the table."""
         return max(0, self._budget.available_lines(table.readers, limit) // len(table.readers))
 
-    def _draft(
+    def _draft_changes(
         self, table: RoutingTable, threshold: float, max_orders: int, urgent: list[int]
     ) -> list[orders.Order]:
-        """Returns at most so many orders towards what is wanted, which then count as sent.
+        """Returns orders towards the desired table, and records them as sent.
 
-        Admission comes first, then urgent workers, then the largest changes of weight.
+        All changes of admission come first.  Then follow changes of weight, until there are `max_orders`:
+        those of urgent workers first, then the largest.
         """
         admissions = table.order_admission_changes(self.class_admissions, threshold, RETRY_POLICY)
         weight_changes = table.weight_changes(threshold)
-        names_no_wanted_worker = not any(index in table.desired_weights for index in table.sent_weights)
+        names_no_desired_worker = not any(index in table.desired_weights for index in table.sent_weights)
         workers = self._state.workers.by_index
 
         def sort_key(index: int) -> tuple[bool, bool, float]:
             """Sorts urgent workers first, then the largest changes; excluded workers come last.
 
-            If no sent line is wanted any more, removals come after the new lines, so that readers are not
+            If no sent line is desired any more, removals come after the new lines, so that readers are not
             left with an empty table.
             """
             change = weight_changes[index]
-            is_deferred_removal = names_no_wanted_worker and change < 0
+            is_deferred_removal = names_no_desired_worker and change < 0
             return index not in urgent, is_deferred_removal, -abs(change) * (not workers[index].is_excluded)
 
         ranked = sorted(weight_changes, key=sort_key)[: max(0, max_orders - len(admissions))]
--- a/cottonladder/policy/warm_up.py
+++ b/cottonladder/policy/warm_up.py
@@ -2,21 +2,22 @@
 
 A worker warms up for a deployed time after its start. Its capacity estimate is bounded at each solution by
 advice, slow start and its warm-up share; then its weight in the tables is bounded by the planned flow; and
-at each tick its lines are corrected before other changes if they send it too much. Ejected workers fall
-under this last bound as well. Inputs are its start time, its queue, the overload signal, failures, whether
-load is shed, and how long the manager runs. The bounds protect a worker that collapses under a load that it
-could bear later, and the proxies that would send everything to it after they eject their other workers.
+at each tick its lines are corrected before other changes if they send it too much. This last bound applies
+to ejected workers as well. Inputs are the worker's start time and queue, the overload signal, failures,
+whether load is shed, and how long the manager has been running. The bounds protect a worker that collapses
+under a load that it could handle later, and the proxies that would send everything to it after they eject
+their other workers.
 
-1. `bounded_advice`: outside advice never raises its capacity.
+1. `capped_advised_factor`: the factor of advisors and plug-ins never raises its capacity.
 2. `slow_start_limit`: in slow start its capacity is at most a growing share of an average worker's.
-3. `WarmUpShares.share`: its capacity grows linearly with its age, and falls with its queue; where proxies
-   eject outliers, it also falls with failures or overload, to nothing if they are high.
+3. `WarmUpShares.capacity_share`: its capacity grows linearly with its age, and falls with its queue; where
+   proxies eject outliers, it also falls with failures or overload, down to 0 if they are high.
 4. `weight_limit`: its weight in a table is at most what its capacity allows under the admitted demand.
-5. `overweight_workers`: if all tables together send it over 1.2 times what is wanted, its lines are
-   corrected at once.
+5. `overweight_workers`: if all tables together send it over 1.2 times the desired load, its lines are
+   corrected immediately.
 
-Beside these bounds, `zone_flow` sends overflow to zones with warm workers, and neither a zone nor a table
-is left with warming-up workers alone while others exist.
+In addition, `zone_flow` sends overflow to zones with warm workers, and neither a zone nor a table has only
+warming-up workers while others exist.
 """
 
 import math
@@ -26,16 +27,18 @@
 from .overload_signal import OVERLOAD_LATENCY_RATIO, OverloadSignal
 from .slow_start import slow_start_share
 
-COLLAPSE_RATIO = 0.33  # of the load at which a warming-up worker collapses, as the part that it is given
-FAILED_WEIGHT = 12.0  # of the fleet's failed part of attempts, in the part of the share that is withheld
-MIN_RAMP = 0.75  # of capacity: where proxies eject outliers, a worker gets nothing below it
-FIRST_TICKS = 16  # ticks after the start of the manager, while little is known of the fleet
-MIN_EJECTING_RATE = 0.4  # requests/s of a proxy at a worker: under it the proxy ejects too slowly to harm
-EJECTABLE_PART = 0.5  # of a median table's lines, which one proxy may eject at once
-MAX_WARM_UP_RATIO = 1.2  # of the load sent to a warming-up or ejected worker to its planned load
-NO_REQUEST_RATE = 1e-9  # requests/s instead of 0
-MIN_WEIGHT_SUM = 1e-9  # stands for the 0 of an empty table in divisors
-READER_RATE = 1e-6  # requests/s that each reader of a table counts for at least
+# Highest capacity given to a warming-up worker, over the load at which it collapses.
+COLLAPSE_LOAD_FRACTION = 0.33
+# Withheld fraction of a warm-up share for each unit of the fleet's failed ratio.
+FAILED_RATIO_WEIGHT = 12.0
+MIN_RAMP = 0.75  # of capacity; below it a worker gets no load where proxies eject outliers
+EARLY_TICK_COUNT = 16  # ticks after the manager's start during which little is known of the fleet
+MIN_EJECTING_RATE = 0.4  # requests/s of a proxy at a worker; below it the proxy ejects too slowly to harm
+EJECTABLE_LINE_RATIO = 0.5  # of a median table's lines, which one proxy may eject at the same time
+MAX_WARM_UP_RATIO = 1.2  # highest load sent to a warming-up or ejected worker over its planned load
+NO_REQUEST_RATE = 1e-9  # requests/s, instead of 0
+MIN_WEIGHT_SUM = 1e-9  # divisor for an empty table, instead of 0
+MIN_READER_RATE = 1e-6  # requests/s that each reader adds to its table's rate
 
 
 def is_warming_up(state: ControllerState, worker: WorkerRecord) -> bool:
@@ -43,64 +46,65 @@
     return worker.started_at > 0 and state.now - worker.started_at < state.parameters.warm_up_s
 
 
-def bounded_advice(worker: WorkerRecord) -> float:
+def capped_advised_factor(worker: WorkerRecord) -> float:
     """Returns the advised factor, which is at most 1 while the worker warms up."""
     return min(worker.advised_factor, 1.0)
 
 
 def slow_start_limit(state: ControllerState, worker: WorkerRecord, average_capacity: float) -> float:
-    """Returns the capacity that a worker in slow start has at most."""
+    """Returns the highest capacity of a worker in slow start, in the unit of `average_capacity`."""
     return average_capacity * slow_start_share(state, worker)
 
 
 class WarmUpShares:
-    """Decides which share of its capacity a warming-up worker is given."""
+    """Decides which share of its capacity each warming-up worker is given."""
 
     def __init__(self, state: ControllerState, overload: OverloadSignal, shedding: LoadShedding) -> None:
-        self.proxies_eject = False  # proxies eject outliers by themselves, and often enough to matter
+        self.proxies_eject = False  # whether proxies eject outliers often enough to matter
         self._state = state
         self._overload = overload
         self._shedding = shedding
 
     def update(self, worker_count: int) -> None:
-        """Judges whether the ejections of proxies matter.
+        """Updates whether the ejections of proxies matter.
 
-        They do where a proxy can eject its other workers, and so turn to a warming-up worker whatever its
-        weight, before reports reach a manager.
+        They do where a proxy can eject its other workers before reports reach a manager: it then sends to a
+        warming-up worker whatever its weight is.
         """
         state = self._state
-        rates = [proxy.joining_rate for proxy in state.proxies.by_number.values()]
+        rates = [proxy.initial_rate for proxy in state.proxies.by_number.values()]
         lines = median_or_zero(len(table.desired_weights) for table in state.tables.all)
-        share = max(len(state.zones) / max(1, worker_count), EJECTABLE_PART / (lines or math.inf))
+        share = max(len(state.zones) / max(1, worker_count), EJECTABLE_LINE_RATIO / (lines or math.inf))
         is_often = sum(rate * rate for rate in rates) * share > MIN_EJECTING_RATE * sum(rates)
         self.proxies_eject = state.parameters.proxies_eject_outliers and is_often
 
-    def share(self, worker: WorkerRecord, tick: int) -> float:
+    def capacity_share(self, worker: WorkerRecord, tick: int) -> float:
         """Returns the share of its capacity that a warming-up worker is given.
 
-        It grows linearly with the worker's age, and is less under load or failures.
+        The share grows linearly with the worker's age, and is lower under load or failures.
         """
         parameters = self._state.parameters
         age = (self._state.now - worker.started_at) / parameters.warm_up_s
         ramp = parameters.warm_up_start_ratio + (1.0 - parameters.warm_up_start_ratio) * age
-        load_limit = min(1.0, COLLAPSE_RATIO * parameters.collapse_multiple) / max(1.0, self._queue(worker))
+        collapse_limit = min(1.0, COLLAPSE_LOAD_FRACTION * parameters.collapse_load_multiple)
+        load_limit = collapse_limit / max(1.0, self._queue_ratio(worker))
         return ramp * load_limit * max(0.0, 1.0 - self.proxies_eject * self._withheld_ratio(ramp, tick))
 
-    def _queue(self, worker: WorkerRecord) -> float:
+    def _queue_ratio(self, worker: WorkerRecord) -> float:
         """Returns the requests in flight relative to those at which overload begins."""
         objective_s = self._state.tightest_objective_s
         return worker.in_flight / max(1.0, worker.planned_rate * objective_s * OVERLOAD_LATENCY_RATIO)
 
     def _withheld_ratio(self, ramp: float, tick: int) -> float:
-        """Returns how much of the share is withheld where proxies eject outliers: 1 or more is all of it."""
-        is_early = ramp < MIN_RAMP or tick < FIRST_TICKS
+        """Returns the withheld fraction of the share where proxies eject outliers; over 1 counts as 1."""
+        is_early = ramp < MIN_RAMP or tick < EARLY_TICK_COUNT
         is_withheld = self._shedding.admission_ratio < 1.0 or is_early
-        failures = FAILED_WEIGHT * self._overload.failed_ratio
+        failures = FAILED_RATIO_WEIGHT * self._overload.failed_ratio
         return max(failures, self._overload.value, float(is_withheld))
 
 
 def weight_limit(overload: OverloadSignal, fleet_demand: float, scaled_capacity: float) -> float:
-    """Returns the highest weight for each unit of capacity of a warming-up worker in one zone's tables.
+    """Returns a warming-up worker's highest weight per unit of its capacity, in one zone's tables.
 
     `fleet_demand` is the admitted requests/s of the fleet; `scaled_capacity` is the fleet's nominal capacity
     times the zone's flow.
@@ -117,16 +121,16 @@
         if worker.state == WorkerState.EJECTED or is_warming_up(state, worker)
     }
     sent = dict.fromkeys(guarded, NO_REQUEST_RATE)  # requests/s by worker
-    wanted = dict.fromkeys(guarded, NO_REQUEST_RATE)
+    desired = dict.fromkeys(guarded, NO_REQUEST_RATE)
     for table in state.tables.all:
-        reader_rate = table.request_rate + READER_RATE * len(table.readers)
+        reader_rate = table.request_rate + MIN_READER_RATE * len(table.readers)
         _add_rates(sent, table.sent_weights, reader_rate)
-        _add_rates(wanted, table.desired_weights, reader_rate)
-    return {index for index in guarded if sent[index] > MAX_WARM_UP_RATIO * wanted[index]}
+        _add_rates(desired, table.desired_weights, reader_rate)
+    return {index for index in guarded if sent[index] > MAX_WARM_UP_RATIO * desired[index]}
 
 
 def _add_rates(rates: dict[int, float], weights: dict[int, float], reader_rate: float) -> None:
-    """Adds the requests/s that a table brings each of the workers in `rates`."""
+    """Adds the requests/s that a table's readers send to each of the workers in `rates`."""
     unit = reader_rate / max(MIN_WEIGHT_SUM, sum(weights.values()))
     for index in weights.keys() & rates.keys():
         rates[index] += weights[index] * unit
--- a/cottonladder/policy/worker_discovery.py
+++ b/cottonladder/policy/worker_discovery.py
@@ -3,8 +3,8 @@
 Each endpoint list that arrives adds workers, updates them and turns their listed state into events: new
 workers enter slow start, and workers that are not ready or not listed depart. The watch on the list is
 ordered again when a call was not answered in time, and after a random delay when it failed, which keeps
-managers from calling discovery all at once. A snapshot is applied once, after the first list, so that a
-restarted manager keeps known faults out of service.
+managers from calling discovery simultaneously. A snapshot is applied once, after the first list, so that a
+restarted manager keeps draining and ejected workers out of service.
 """
 
 import math
@@ -23,8 +23,8 @@
 from .worker_states import apply_event
 
 WATCH_TIMEOUT_S = 5.0
-RETRY_DELAY_RATIO = (0.1, 0.2)  # of the time within which the list is to be polled
-MIN_WEIGHT = 1e-6  # a listed weight of 0 would be divided by
+RETRY_DELAY_RATIO = (0.1, 0.2)  # of the deployment's longest poll interval
+MIN_WEIGHT = 1e-6  # replaces a listed weight of 0, which is used as a divisor
 
 
 class WorkerDiscovery:
@@ -52,7 +52,7 @@
         self.has_endpoint_list = True
 
     def restore(self, histories: tuple[inputs.WorkerHistory, ...]) -> None:
-        """Applies what a snapshot says of the workers that have not been restarted since."""
+        """Applies a snapshot's records of the workers that have not been restarted since."""
         for history in histories:
             worker = self._state.workers.by_index.get(history.worker_index)
             if worker is None or worker.started_at != history.started_at:
@@ -69,7 +69,7 @@
         if kind in (inputs.ListUpdateKind.CACHED, inputs.ListUpdateKind.SUPERSEDED):
             return
         state = self._state
-        delay_s = state.parameters.poll_within_s * state.random.uniform(*RETRY_DELAY_RATIO)
+        delay_s = state.parameters.max_poll_interval_s * state.random.uniform(*RETRY_DELAY_RATIO)
         has_failed = kind == inputs.ListUpdateKind.FAILED
         self._next_watch_at = state.now + delay_s if has_failed else math.inf
 
@@ -95,7 +95,7 @@
         apply_event(self._state, endpoint.worker_index, event, evidence)
 
     def _update_record(self, endpoint: inputs.Endpoint) -> bool:
-        """Updates a worker's record, and returns whether a new start is listed, within the warm-up time."""
+        """Updates a record, and returns whether the endpoint lists a new start within the warm-up time."""
         state = self._state
         worker = state.workers.by_index.get(endpoint.worker_index)
         if worker is None:
--- a/cottonladder/policy/worker_exclusion.py
+++ b/cottonladder/policy/worker_exclusion.py
@@ -1,10 +1,9 @@
-"""Worker exclusion: when proxies must leave a departed worker out of every table that they hold.
+"""Worker exclusion: when proxies must not send to a departed worker through any of their tables.
 
-Usually a departed worker loses its line in the tables, and no exclusion is needed. As long as any connected
-proxy cannot be given a table, because its zone has none or because slices are deployed, every proxy that
-may know the worker is ordered to exclude it, and to readmit it once it is back. Exclusions are checked at
-each tick. They protect against requests to a departed worker through a table that the proxy received from
-another manager.
+Usually a departed worker loses its line in the tables, and no exclusion is needed. While any connected proxy
+cannot be given a table, because its zone has none or because slices are deployed, every proxy that may know
+the worker is ordered to exclude it, and to readmit it once it is back. Exclusions are checked at each tick.
+They prevent requests to a departed worker through a table that the proxy received from another manager.
 """
 
 from ..model import ControllerState, WorkerState, orders
@@ -18,7 +17,7 @@
         is_departed = worker.state == WorkerState.REMOVED
         if worker.is_excluded == is_departed or (is_departed and not cannot_give_tables):
             continue
-        cost = dict.fromkeys(_holders(state, index), 1)
+        cost = dict.fromkeys(_proxies_that_may_know(state, index), 1)
         if budget.reserve([orders.ExcludeWorker(index, is_departed)], cost, CRITICAL_LIMIT):
             worker.is_excluded = is_departed
 
@@ -30,8 +29,8 @@
     return bool(state.parameters.slice_count) or any(p.zone not in zones_with_tables for p in proxies)
 
 
-def _holders(state: ControllerState, worker_index: int) -> list[int]:
-    """Returns the proxies that may know a worker: its table names it, or the proxy is not bound yet."""
+def _proxies_that_may_know(state: ControllerState, worker_index: int) -> list[int]:
+    """Returns the proxies that are not bound yet, or whose table names the worker."""
     return [
         number
         for number, proxy in state.proxies.by_number.items()
--- a/cottonladder/policy/worker_removal.py
+++ b/cottonladder/policy/worker_removal.py
@@ -1,9 +1,9 @@
-"""How a worker that departed leaves the tables, and when it is forgotten.
+"""How a departed worker is removed from the tables, and when its record is deleted.
 
-A worker departs when the endpoint list calls it not ready or leaves it out. At each tick the tables that
-still name it lose its line; at each interval its record is forgotten once it departed long enough ago, no
-table names it, it holds no connections, and every connected proxy reads a table of this manager. The last
-condition protects against a proxy that still sends to the worker by a table of another manager.
+A worker departs when the endpoint list has it as not ready or leaves it out. At each tick the tables that
+still name it lose its line. Once per solve interval its record is deleted if it departed long enough ago, no
+table names it, it has no held connections, and every connected proxy reads a table of this manager. The last
+condition protects against a proxy that still sends to the worker through a table of another manager.
 """
 
 import math
@@ -14,20 +14,20 @@
 
 
 def removed_workers(state: ControllerState, table: RoutingTable) -> list[int]:
-    """Returns the departed workers that a table still names, as sent."""
+    """Returns the departed workers that a table, as sent, still names."""
     workers = state.workers.by_index
     removed = WorkerState.REMOVED
     return [index for index in table.sent_weights if workers[index].state is removed]
 
 
-def first_departure(state: ControllerState, table: RoutingTable) -> float:
-    """Returns when the first departed worker that a table still names left; infinite if there is none."""
+def first_departure_time(state: ControllerState, table: RoutingTable) -> float:
+    """Returns the earliest departure of the workers that a table still names; infinite if none departed."""
     workers = state.workers.by_index
     return min([workers[index].departed_at for index in removed_workers(state, table)], default=math.inf)
 
 
 def due_removals(state: ControllerState, table: RoutingTable, overdue_before: float) -> list[int]:
-    """Returns all departed workers that a table still names, if the first left by `overdue_before`."""
+    """Returns all departed workers that a table still names, if the first departed by `overdue_before`."""
     removed = removed_workers(state, table)
     workers = state.workers.by_index
     if removed and min([workers[index].departed_at for index in removed]) > overdue_before:
@@ -35,8 +35,8 @@
     return removed
 
 
-def forget_departed(state: ControllerState) -> None:
-    """Forgets departed workers that nobody can reach any more."""
+def forget_departed_workers(state: ControllerState) -> None:
+    """Deletes the records of departed workers to which no proxy can send any more."""
     if state.tables.reader_count() != len(state.proxies.by_number):
         return
     named = {index for table in state.tables.all for index in table.sent_weights}
--- a/cottonladder/policy/worker_states.py
+++ b/cottonladder/policy/worker_states.py
@@ -1,10 +1,10 @@
-"""The states of a worker, and the one transition table between them.
+"""The states of a worker, and the single transition table between them.
 
-Each event moves a worker out of some states into one other state, and workers in other states ignore it.
-The events come from the endpoint list, from outlier ejection, from health checks, from slow start and from
-a snapshot, at the moment that they are noticed. A change of state is reported as an order for the log,
-except a worker's first state and a restart during slow start. A single table protects against two parts of
-the policy that disagree on what may follow a state.
+Each event moves a worker out of some states into one other state, and is ignored in all other states. The
+events come from the endpoint list, from outlier ejection, from health checks, from slow start and from a
+snapshot. A change of state is reported as an order for the log, except a worker's first state and a restart
+during slow start. A single table keeps the modules of the policy from disagreeing on which state may follow
+another.
 """
 
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 )
 
 EJECTION_TIME_S = 5.0
-EJECTION_JITTER = (0.9, 1.1)  # times EJECTION_TIME_S, so that workers do not return all at once
+EJECTION_JITTER = (0.9, 1.1)  # factors on EJECTION_TIME_S, so that workers return at different times
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 def apply_event(
     state: ControllerState, worker_index: int, event: WorkerEvent, evidence: Evidence | None = None
 ) -> None:
-    """Applies one event to a worker, unless the worker's state ignores it."""
+    """Applies one event to a worker, if there is a transition for it from the worker's state."""
     worker = state.workers.by_index[worker_index]
     transition = TRANSITIONS[event]
     if worker.state not in transition.sources:
@@ -80,8 +80,8 @@
 def _enter_slow_start(worker: WorkerRecord, now: float) -> None:
     """Starts slow start.
 
-    The latency factor, the queue, lost checks and counts are reset, because the worker may have been replaced
-    or repaired since.  Base latency, capacity samples and utilization stay.
+    The latency factor, the requests in flight, lost checks and counts are reset, because the worker may have
+    been replaced or repaired since.  Base latency, capacity samples and utilization are kept.
     """
     worker.slow_start_began_at = now
     worker.latency_factor = 1.0
--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -1,11 +1,11 @@
-"""The min-cost flow from proxy zones to groups of workers, and the shares of workers that follow from it.
-
-A group is the workers of one zone. At each solution the demand of the zones and the capacities of the
-groups give the flow, in which a request to another zone costs more than one to the own zone; a zone's share
-of each worker follows from it. Groups are filled to little more than the fleet's mean utilization and not
-to their full capacity, which protects against capacities that are estimated too high. Slow links to other
-zones carry nothing. Demand that the flow cannot place goes to the own group if it has warm workers, or else
-to the nearest group that has.
+"""The min-cost flow from proxy zones to groups of workers, and the workers' weights that follow from it.
+
+A group is the workers of one zone. At each solution the demand of the zones and the capacities of the groups
+give the flow, in which a request to another zone costs more than one within the zone. A zone's share of each
+worker follows from the flow. Groups are filled to slightly more than the fleet's mean utilization and not to
+their full capacity, which protects against capacities that are estimated too high. Slow links to other zones
+are not used. Demand that the flow cannot assign goes to the own group if it has warm workers, or else to the
+nearest group that has.
 """
 
 import math
@@ -19,25 +19,25 @@
 from .warm_up import is_warming_up, weight_limit
 
 LINK_INTERVALS = 3  # solve intervals over which the lowest latency of a link is kept
-CROSS_ZONE_COST = 1.0  # of a request to another zone; one to the own zone costs 0
-MAX_LINK_RATIO = 2.0  # of a link's latency to the median link's: a slower link to another zone is cut
+CROSS_ZONE_COST = 1.0  # of a request to another zone; one within the zone costs 0
+MAX_LINK_RATIO = 2.0  # of a link's latency to the median link's; slower links to other zones are not used
 MIN_FLOW_SHARE = 0.02  # of a zone's demand; a smaller flow is left out of its tables
-CAPACITY_SLACK = 0.05  # over the mean utilization up to which a group is filled
-SLACK_PER_CROSS_ZONE_COST = 0.5  # more slack, for each unit of the deployment's cost of crossing zones
-MIN_FREE_RATIO = 0.1  # of a worker's capacity, left to requests beside held connections
+CAPACITY_SLACK = 0.05  # relative excess over the mean utilization up to which groups are filled
+SLACK_PER_CROSS_ZONE_COST = 0.5  # additional slack for each unit of the deployment's cross-zone cost
+MIN_FREE_CAPACITY_RATIO = 0.1  # of a worker's capacity, which held connections always leave to requests
 MIN_NOMINAL_CAPACITY = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class FlowPlan:
-    """What other parts of the policy use of a solved flow."""
+    """The results of a solved flow that other modules of the policy use."""
 
     utilization: float  # admitted demand over capacity; 0 where capacities are relative
-    own_shares: list[float]  # this manager's part of the attempts at the workers of each zone
+    own_attempt_shares: list[float]  # by worker zone: this manager's share of the attempts
 
 
 class FlowPlanner:
-    """Solves the flow, and gives each zone's tables their wanted weights."""
+    """Solves the flow, and updates the desired weights of each zone's tables."""
 
     def __init__(
         self,
@@ -47,15 +47,15 @@
         shedding: LoadShedding,
         tables: TablePartition,
     ) -> None:
-        self.links = LinkLatencies(state.parameters.zone_count, LINK_INTERVALS)
+        self.link_latencies = LinkLatencies(state.parameters.zone_count, LINK_INTERVALS)
         self._state = state
         self._capacity = capacity
         self._overload = overload
         self._shedding = shedding
         self._tables = tables
 
-    def plan(self, demand: Demand, capacities: dict[int, float], is_new_interval: bool) -> FlowPlan:
-        """Solves the flow, and updates the wanted tables and the planned rates."""
+    def plan_flow(self, demand: Demand, capacities: dict[int, float], is_new_interval: bool) -> FlowPlan:
+        """Solves the flow, and updates the desired weights of tables and the planned rates of workers."""
         state = self._state
         # Other managers see the same overload, so their demand is taken to be shed as much.
         admitted = [rate * self._shedding.admission_ratio for rate in demand.total()]
@@ -64,17 +64,17 @@
         utilization = fleet_demand / sum(groups.zone_capacities) if sum(groups.zone_capacities) > 0 else 0.0
         slack = SLACK_PER_CROSS_ZONE_COST * state.parameters.cross_zone_cost
         fill_ratio = utilization * (1.0 + CAPACITY_SLACK + slack)
-        latencies = self.links.min_latencies()
+        latencies = self.link_latencies.min_latencies()
         limits = [total * fill_ratio for total in groups.zone_capacities]
         flow = min_cost_flow(admitted, limits, self._link_costs(latencies, groups))
         for zone in state.zones:
             overflow_group = self._overflow_group(zone, groups, latencies[zone])
             flow[zone][overflow_group] += max(0.0, admitted[zone] - sum(flow[zone]))
-            weights = self._weights(flow[zone], overflow_group, fleet_demand, groups)
+            weights = self._zone_weights(flow[zone], overflow_group, fleet_demand, groups)
             self._tables.update_desired_weights(zone, weights, groups.warm_capacities)
         groups.record_plan(flow, is_new_interval)
         has_measured_capacity = any(worker.capacity_samples for worker in state.workers.by_index.values())
-        return FlowPlan(utilization if has_measured_capacity else 0.0, demand.own_shares(flow))
+        return FlowPlan(utilization if has_measured_capacity else 0.0, demand.own_flow_shares(flow))
 
     def _group_workers(self, capacities: dict[int, float], fleet_demand: float) -> ZoneGroups:
         workers = self._state.workers.by_index
@@ -83,20 +83,20 @@
         return ZoneGroups(workers, self._state.zones, free, warming_up)
 
     def _free_capacities(self, capacities: dict[int, float], fleet_demand: float) -> dict[int, float]:
-        """Returns what the workers' held connections leave of their capacities for requests."""
+        """Returns the workers' capacities less the load of their held connections."""
         workers = self._state.workers.by_index
         connection_loads = {index: workers[index].connection_load for index in capacities}
         if not sum(connection_loads.values()):
             return capacities
-        # Held connections are in requests/s and capacities may be relative, hence the conversion.
+        # Capacities may be relative, so the connections' requests/s are converted to their unit.
         unit = sum(capacities.values()) / (fleet_demand + sum(connection_loads.values()))
         return {
-            index: max(MIN_FREE_RATIO * capacity, capacity - unit * connection_loads[index])
+            index: max(MIN_FREE_CAPACITY_RATIO * capacity, capacity - unit * connection_loads[index])
             for index, capacity in capacities.items()
         }
 
     def _link_costs(self, latencies: list[list[float]], groups: ZoneGroups) -> list[list[float | None]]:
-        """Returns costs by proxy zone and group; None means that the link is cut or leads to no worker."""
+        """Returns costs by proxy zone and group; None means that a link is too slow or leads to no worker."""
         median_s = median_or_zero(latency for row in latencies for latency in row if latency < math.inf)
         max_latency_s = MAX_LINK_RATIO * median_s
         zones = self._state.zones
@@ -108,9 +108,9 @@
     def _link_cost(
         self, zone: int, group: int, groups: ZoneGroups, latency_s: float, max_latency_s: float
     ) -> float | None:
-        """Returns the cost, or None.
+        """Returns the cost of one link, or None if it is not used.
 
-        A slow link to the own group is not cut: its workers, not the network, make it slow.
+        A slow link within a zone is used: its workers, not the network, make it slow.
         """
         is_slow = max_latency_s <= latency_s < math.inf
         if not groups.workers[group] or (is_slow and zone != group):
@@ -118,21 +118,21 @@
         return CROSS_ZONE_COST * (zone != group)
 
     def _overflow_group(self, zone: int, groups: ZoneGroups, latencies: list[float]) -> int:
-        """Returns the group that takes the demand that the flow could not place.
+        """Returns the group for the demand that the flow could not assign.
 
         Candidates are the groups with warm workers, or all groups if there are none.  The own group is
         preferred, then the one with the lowest latency.
         """
-        candidates = [group for group in self._state.zones if groups.has_warm(group)]
+        candidates = [group for group in self._state.zones if groups.has_warm_worker(group)]
         return min(candidates or self._state.zones, key=lambda group: (group != zone, latencies[group]))
 
-    def _weights(
+    def _zone_weights(
         self, flow: list[float], overflow_group: int, fleet_demand: float, groups: ZoneGroups
     ) -> dict[int, float]:
-        """Returns the weights of workers that a zone's tables should have together."""
+        """Returns the weights of workers that a zone's tables together should have."""
         zone_flow = sum(flow)
         if zone_flow > 0:
-            shares = [part / zone_flow for part in flow]
+            shares = [group_flow / zone_flow for group_flow in flow]
         else:
             shares = [float(group == overflow_group) for group in range(len(flow))]
         weights: dict[int, float] = {}
@@ -140,7 +140,7 @@
             if share >= MIN_FLOW_SHARE:
                 weights |= groups.split_by_capacity(group, share)
         if groups.warm_capacities and not any(index in groups.warm_capacities for index in weights):
-            weights = groups.warm_shares()
+            weights = groups.warm_capacity_shares()
         scaled_capacity = max(self._capacity.nominal_total * zone_flow, MIN_NOMINAL_CAPACITY)
         limit = weight_limit(self._overload, fleet_demand, scaled_capacity)
         return {
--- a/cottonladder/policy/zone_reachability.py
+++ b/cottonladder/policy/zone_reachability.py
@@ -1,9 +1,10 @@
-"""Which zones count as unreachable, so that lost health checks there are no sign against a worker.
+"""Detection of unreachable zones, in which lost health checks do not count against the workers.
 
-A zone is unresponsive if the median number of health checks that its workers lost in a row is at least one.
-It counts as unreachable, unless other zones respond and its proxies were heard after its workers last
-answered: then the network works and the workers do not. This is judged at each tick, and it protects the
-workers of a zone from ejection when only the network path from this manager to the zone is interrupted.
+A zone is unresponsive if the median number of consecutive health checks that its workers lost is at least 1.
+It then counts as unreachable, unless other zones respond and its proxies were heard from after its workers
+last answered: in that case the network works and the workers do not. This is evaluated at each tick. It
+protects the workers of a zone from ejection when only the network path from this manager to the zone is
+interrupted.
 """
 
 import math
@@ -13,7 +14,7 @@
 
 
 class ZoneReachability:
-    """Records when each zone was last heard."""
+    """Records when the proxies and the workers of each zone were last heard from."""
 
     def __init__(self, state: ControllerState) -> None:
         self._state = state
@@ -28,12 +29,9 @@
         """Records that a worker of the zone answered a request."""
         self._worker_answered_at[zone] = self._state.now
 
-    def unreachable_zones(self, checked: list[WorkerRecord]) -> list[bool]:
-        """Returns by zone whether it is unreachable; zones that respond are recorded as answering.
-
-        `checked` are the workers that are health-checked.
-        """
-        is_unresponsive = [self._is_unresponsive(zone, checked) for zone in self._state.zones]
+    def unreachable_zones(self, checked_workers: list[WorkerRecord]) -> list[bool]:
+        """Returns by zone whether it is unreachable, and records an answer of each zone that responds."""
+        is_unresponsive = [self._is_unresponsive(zone, checked_workers) for zone in self._state.zones]
         for zone in self._state.zones:
             if not is_unresponsive[zone]:
                 self.record_worker_answer(zone)
@@ -41,9 +39,11 @@
             return is_unresponsive
         return [is_unresponsive[zone] and not self._proxies_are_heard(zone) for zone in self._state.zones]
 
-    def _is_unresponsive(self, zone: int, checked: list[WorkerRecord]) -> bool:
-        return median_or_zero(worker.lost_check_count for worker in checked if worker.zone == zone) >= 1
+    def _is_unresponsive(self, zone: int, checked_workers: list[WorkerRecord]) -> bool:
+        return (
+            median_or_zero(worker.lost_check_count for worker in checked_workers if worker.zone == zone) >= 1
+        )
 
     def _proxies_are_heard(self, zone: int) -> bool:
-        """Returns whether proxies of a zone were heard well after its workers last answered."""
+        """Returns whether proxies of a zone were heard from well after its workers last answered."""
         return self._proxy_heard_at[zone] > self._worker_answered_at[zone] + MIN_CHECK_INTERVAL_S
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -63,7 +63,7 @@
         """
         for item in inputs:
             if isinstance(item, ProxyConnected):
-                self.connect_proxy(item.proxy, item.is_fresh)
+                self.connect_proxy(item.proxy, item.has_no_table)
             elif isinstance(item, ProxyDisconnected):
                 self.disconnect_proxy(item.proxy)
 
--- a/tests/config/test_manager_file.py
+++ b/tests/config/test_manager_file.py
@@ -87,7 +87,7 @@
 def run_controller(config: StartupConfig) -> None:
     """Runs a controller for `TICK_COUNT` ticks, with one proxy and the reports of one worker."""
     controller = RoutingController(config.settings.parameters)
-    proxy = ProxyConnected(proxy=0, zone=0, requests_per_s=10.0, is_fresh=True)
+    proxy = ProxyConnected(proxy=0, zone=0, requests_per_s=10.0, has_no_table=True)
     controller.decide_orders(START_TIME_S, [config.starting_list.endpoints, proxy])
     reports: list[Input] = [
         LoadReport(worker_index=0, zone=0, attempts=20, failed=1, interval_s=1.0, duration_s=0.1, metrics={}),
--- a/tests/model/test_weight_ring.py
+++ b/tests/model/test_weight_ring.py
@@ -5,7 +5,7 @@
 import unittest
 
 from cottonladder.model.weight_ring import weights_in_arc
-from cottonladder.policy.table_partition import MIN_ARC_PART
+from cottonladder.policy.table_partition import MIN_ARC_WEIGHT_RATIO
 
 ARC_COUNT = 10
 ARC_LENGTH = 0.2  # of the ring: each point lies in two arcs
@@ -17,7 +17,7 @@
         sums = dict.fromkeys(ring, 0.0)
         for number in range(ARC_COUNT):
             start = number / ARC_COUNT
-            arc = weights_in_arc(ring, start, start + ARC_LENGTH, MIN_ARC_PART)
+            arc = weights_in_arc(ring, start, start + ARC_LENGTH, MIN_ARC_WEIGHT_RATIO)
             self.assertAlmostEqual(sum(arc.values()), 1.0, delta=0.05)
             for index, weight in arc.items():
                 sums[index] += weight / ARC_COUNT
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -103,7 +103,7 @@
                 self.bindings[proxy] = table
                 reached.add(proxy)
             case ExcludeWorker(worker_index):
-                holders = self._holders(worker_index)
+                holders = self._proxies_with_worker(worker_index)
                 reached |= holders | (connected - set(self.bindings))
             case StartTimer(delay_s, token):
                 self.timer_token = token
@@ -115,7 +115,7 @@
     def _readers(self, table: int) -> set[int]:
         return {proxy for proxy, bound in self.bindings.items() if bound == table}
 
-    def _holders(self, worker_index: int) -> set[int]:
+    def _proxies_with_worker(self, worker_index: int) -> set[int]:
         return {proxy for proxy, table in self.bindings.items() if worker_index in self.tables[table]}
 
     def run_until(self, end: float, acknowledges: bool) -> None:
--- a/tests/policy/test_worker_removal.py
+++ b/tests/policy/test_worker_removal.py
@@ -156,7 +156,7 @@
         for index in range(60):
             worker_index = fleet.workers.register(f"n-{index:04x}", "127.0.0.1:1", 0.0)
             planned_rate = controller.state.workers.by_index[worker_index].planned_rate
-            own_rate = planned_rate * controller.capacity.own_share[index % ZONE_COUNT]
+            own_rate = planned_rate * controller.capacity.own_attempt_shares[index % ZONE_COUNT]
             self.assertLess(load.get(b"n-%04x" % index, 0.0), 1.5 * own_rate)
 
     def test_all_workers_are_excluded_when_none_is_left(self) -> None:
