--- a/cottonladder/model/connection_counts.py
+++ b/cottonladder/model/connection_counts.py
@@ -1,4 +1,4 @@
-"""How many upgraded connections are held to one worker."""
+"""Counts of the upgraded connections to one worker."""
 
 from __future__ import annotations
 
--- a/cottonladder/model/controller_state.py
+++ b/cottonladder/model/controller_state.py
@@ -1,4 +1,4 @@
-"""What one routing controller knows: its clock, its deployment, and the owners of its records."""
+"""The state of one routing controller: its clock, its deployment, and the owners of its records."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class ControllerState:
-    """The records that the parts of the policy share.  Each owner keeps one kind of record."""
+    """The records that the modules of the policy share.  Each owner keeps one kind of record."""
 
     def __init__(self, parameters: DeploymentParameters) -> None:
         self.parameters = parameters
-        self.now = 0.0  # s, the time of the present call
+        self.now = 0.0  # seconds, at the present call
         self.random = random.Random(parameters.seed)
         self.zones = range(parameters.zone_count)
         self.classes = range(len(parameters.request_classes))
--- a/cottonladder/model/demand.py
+++ b/cottonladder/model/demand.py
@@ -14,10 +14,10 @@
 
     def total(self) -> list[float]:
         """Returns the requests/s of all proxies by zone."""
-        return [own + others for own, others in zip(self.own_rates, self.peer_rates, strict=True)]
+        return [own + peer for own, peer in zip(self.own_rates, self.peer_rates, strict=True)]
 
     def own_flow_shares(self, flow: list[list[float]]) -> list[float]:
-        """Returns this manager's share of what a flow brings each worker zone.
+        """Returns this manager's share of the flow to each worker zone; 1 where there is no flow.
 
         `flow` is in requests/s by proxy zone and worker zone.
         """
--- a/cottonladder/model/gossip_text.py
+++ b/cottonladder/model/gossip_text.py
@@ -1,7 +1,7 @@
 """The text of gossip datagrams: proxies and demand by zone.
 
 3 21.5 1 7.0            three proxies with 21.5 requests/s in zone 0, one with 7.0 in zone 1
-@18 2 9.0 0 0.0         the same from zone 18 on, where one datagram can't hold all zones
+@18 2 9.0 0 0.0         the same from zone 18 on, where one datagram cannot contain all zones
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneDemand:
-    """Proxy count and requests/s of each zone in turn, from `first_zone` on."""
+    """Proxy count and requests/s, alternating, of each zone from `first_zone` on."""
 
     first_zone: int
     counts_and_rates: list[float]
@@ -27,12 +27,12 @@
 
 
 def decode_zone_demand(text: str, zone_count: int, max_zones: int) -> ZoneDemand | None:
-    """Returns None for a text that does not have two numbers for each of its zones."""
-    first = "0"
+    """Returns the demand in a text, or None if the text does not have two numbers for each of its zones."""
+    first_zone = "0"
     rest = text
     if text[:1] == "@":
-        first, _, rest = text[1:].partition(" ")
+        first_zone, _, rest = text[1:].partition(" ")
     values = [float(value) for value in rest.split() if value.replace(".", "", 1).isdecimal()]
-    if not first.isdecimal() or len(values) != 2 * min(max_zones, zone_count - int(first)):
+    if not first_zone.isdecimal() or len(values) != 2 * min(max_zones, zone_count - int(first_zone)):
         return None
-    return ZoneDemand(int(first), values)
+    return ZoneDemand(int(first_zone), values)
--- a/cottonladder/model/inputs.py
+++ b/cottonladder/model/inputs.py
@@ -1,7 +1,7 @@
 """The inputs of a controller: endpoint lists, reports, acknowledgements and timers.
 
-Times are in seconds.  Workers, zones and request classes are small indices; the code that reads the wire maps
-the names there to them.
+Times are in seconds.  Workers, zones and request classes are small indices, to which the code that reads the
+wire maps their names.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One worker as the endpoint list has it; `started_at` is 0 if the worker started long ago."""
+    """A worker in the endpoint list; `started_at` is 0 if the worker started long ago."""
 
     worker_index: int
     zone: int
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """Gossip from another manager; it may be late."""
+    """Gossip from another manager, which may arrive late."""
 
     sender: int
     text: str
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyConnected:
-    """A proxy connected; `has_no_table` means that it holds no manager's table yet."""
+    """A proxy connected; `has_no_table` means that it has no table of any manager yet."""
 
     proxy: int
     zone: int
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredWeight:
-    """A weight that a slice table already holds."""
+    """A weight that a slice table already contains."""
 
     table: int
     worker_index: int
@@ -162,11 +162,11 @@
     requests_per_s: float
 
 
-NEUTRAL_FACTOR = 1.0  # advised factor of a worker for which a source has no advice
+NEUTRAL_FACTOR = 1.0  # of a worker for which a source has no advice
 
 
 class AdviceSource(IntEnum):
-    """What advises a factor on a worker's capacity."""
+    """A source of advised factors."""
 
     ADVISORS = 0
     PLUGINS = 1
@@ -183,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerHistory:
-    """What a snapshot says of a worker, as far as it still holds; a base latency of 0 is unknown."""
+    """A snapshot's record of a worker, as far as it is still valid; a base latency of 0 is unknown."""
 
     worker_index: int
     started_at: float
@@ -197,7 +197,7 @@
 class RestoredState:
     """A snapshot of an earlier incarnation, given once, directly after the first endpoint list.
 
-    `proxy_rates` holds proxies with their requests/s.
+    `proxy_rates` contains pairs of a proxy and its requests/s.
     """
 
     last_checkpoint: int
@@ -207,7 +207,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExtraLinesWritten:
-    """Lines that were written to proxies beside the orders, and wait in the same channel."""
+    """Lines that were written to proxies in addition to the orders, and wait in the same channel."""
 
     line_count: int
 
--- a/cottonladder/model/latency.py
+++ b/cottonladder/model/latency.py
@@ -14,7 +14,7 @@
         self.bins = [0.0] * bin_count
 
     def add(self, latency_s: float, count: float) -> None:
-        """Adds requests of one latency; a latency over the last bin is counted in it."""
+        """Adds requests of one latency; a latency over the last bin is counted in that bin."""
         ratio = max(latency_s / self.min_latency_s, 1.0)
         bin_index = min(int(math.log(ratio, self.bin_ratio)), len(self.bins) - 1)
         self.bins[bin_index] += count
@@ -28,7 +28,7 @@
         return float(self.min_latency_s * self.bin_ratio**mean_bin)
 
     def decay(self, keep_ratio: float) -> None:
-        """Keeps this part of every count."""
+        """Multiplies every count by `keep_ratio`."""
         self.bins = [count * keep_ratio for count in self.bins]
 
 
@@ -49,5 +49,5 @@
         return [[min(intervals) for intervals in row] for row in self._intervals]
 
     def start_interval(self) -> None:
-        """Starts an interval and drops the oldest."""
+        """Starts a new interval and drops the oldest one."""
         self._intervals = [[[math.inf, *intervals[:-1]] for intervals in row] for row in self._intervals]
--- a/cottonladder/model/line_account.py
+++ b/cottonladder/model/line_account.py
@@ -12,10 +12,10 @@
 from .parameters import DeploymentParameters
 from .routing_table import RoutingTable
 
-CHECKPOINT_NUMBER_MODULUS = 65536  # checkpoint numbers start again at 0 after so many
+CHECKPOINT_NUMBER_MODULUS = 65536  # checkpoint numbers wrap around to 0 at this number
 
-# Returns how many lines that readmit workers the order dispatcher adds for a proxy when weights of these
-# workers are sent to it; the last argument says whether the proxy is bound to a table.
+# Returns how many lines the order dispatcher adds to readmit workers when weights of these workers are sent
+# to a proxy.  Arguments: the proxy, the worker indices, and whether the order binds the proxy to a table.
 ReadmissionCounter = Callable[[int, Iterable[int], bool], int]
 
 
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LineLimit:
-    """How many lines may wait: a part of the queue's limit, and seconds of the channel's deployed rate.
+    """How many lines may wait: a fraction of the queue's limit, and seconds at the channel's deployed rate.
 
-    Orders that are deferrable count all lines that are not acknowledged, other orders those that still wait.
+    For deferrable orders all lines that are not acknowledged count, for other orders those that still wait.
     """
 
     queue_ratio: float
@@ -42,18 +42,18 @@
         self.parameters = parameters
         self.last_checkpoint = parameters.seed % CHECKPOINT_NUMBER_MODULUS
         self.updated_at = 0.0
-        self.waiting_lines = 0.0  # falls with time and with acknowledgements
-        self.in_flight = InFlightLines()  # falls with acknowledgements alone
-        self.written_at: dict[int, list[float]] = {}  # times of the last messages by proxy
+        self.waiting_lines = 0.0  # decreases over time and with acknowledgements
+        self.in_flight = InFlightLines()  # decreases with acknowledgements only
+        self.written_at: dict[int, list[float]] = {}  # by proxy: times of the last messages
         self.reserved_orders: list[Order] = []
-        self.reserved_lines: dict[int, int] = {}  # of these orders, by proxy
+        self.reserved_lines: dict[int, int] = {}  # of the reserved orders, with headers, by proxy
         self.reserved_total = 0
         self.count_readmissions: ReadmissionCounter = _no_readmissions
 
     def advance_time(self, now: float, slowdown: float) -> None:
-        """Subtracts the lines that have left since, on a channel `slowdown` times slower than deployed."""
-        drained = (now - self.updated_at) * self.parameters.channel_lines_per_s / slowdown
-        self.waiting_lines = max(0.0, self.waiting_lines - drained)
+        """Subtracts the lines sent since the last call, at the deployed rate divided by `slowdown`."""
+        sent_lines = (now - self.updated_at) * self.parameters.channel_lines_per_s / slowdown
+        self.waiting_lines = max(0.0, self.waiting_lines - sent_lines)
         self.updated_at = now
 
     def acknowledge(self, checkpoint: int, proxy: int) -> None:
@@ -62,7 +62,7 @@
         self.waiting_lines = min(self.waiting_lines, self.in_flight.total)
 
     def add_extra_lines(self, extra: ExtraLinesWritten) -> None:
-        """Adds lines that were written to the proxies beside the orders."""
+        """Adds lines that were written to the proxies in addition to the orders."""
         self.waiting_lines += extra.line_count
 
     def message_times(self, proxy: int) -> list[float]:
@@ -71,7 +71,7 @@
         return [t for t in self.written_at.get(proxy, []) if self.updated_at - t <= window_s]
 
     def header_cost(self, proxies: Iterable[int]) -> int:
-        """Returns the header lines for those of these proxies that have no message reserved yet."""
+        """Returns the header and checkpoint lines for the proxies without a reserved message."""
         return sum(proxy not in self.reserved_lines for proxy in proxies) * (
             self.parameters.message_header_lines + 1
         )
@@ -85,20 +85,20 @@
             self.reserved_lines[proxy] = self.reserved_lines.get(proxy, 0) + lines
 
     def delta_cost(self, changes: list[Order], readers: Iterable[int]) -> dict[int, int]:
-        """Returns the lines by proxy of changes to a table, with those that the dispatcher adds."""
+        """Returns the lines by proxy of changes to a table, including those that the dispatcher adds."""
         if not changes:
             return {}
         weighted = [c.worker_index for c in changes if isinstance(c, SetWeight) and c.weight > 0]
         return {proxy: len(changes) + self.count_readmissions(proxy, weighted, False) for proxy in readers}
 
     def bind_cost(self, proxy: int, table: RoutingTable, excluded: Collection[int]) -> dict[int, int]:
-        """Returns the lines of binding a proxy to a table; `excluded` workers in it take one line more."""
+        """Returns the lines of binding a proxy to a table; each `excluded` worker in it takes one more."""
         included = [index for index in table.sent_weights if index not in excluded]
         lines = 1 + 2 * len(table.sent_weights) - len(included) + len(table.sent_admission)
         return {proxy: lines + self.count_readmissions(proxy, included, True)}
 
     def record_written(self, written: dict[int, int]) -> None:
-        """Replaces the reserved lines by those written, by proxy and without headers."""
+        """Replaces the reserved lines by `written`: lines by proxy, without headers."""
         lines = {proxy: count + self.parameters.message_header_lines for proxy, count in written.items()}
         self.waiting_lines += self.in_flight.replace(self.last_checkpoint, lines)
 
--- a/cottonladder/model/min_cost_flow.py
+++ b/cottonladder/model/min_cost_flow.py
@@ -20,7 +20,7 @@
     network = _Network(demand, capacity, cost)
     for _ in range(2 * len(network.residual)):
         path = network.cheapest_path()
-        if not path:  # The remaining demand finds no capacity, and no further search would find any.
+        if not path:  # No further search would find capacity for the remaining demand either.
             break
         network.push(path)
     return network.flow()
@@ -51,14 +51,14 @@
         self._cost[end, start] = -unit_cost
 
     def push(self, path: list[Arc]) -> None:
-        """Sends as much along a path as its narrowest arc allows."""
+        """Sends as much flow along a path as its smallest residual capacity allows."""
         pushed = min(self.residual[arc] for arc in path)
         for start, end in path:
             self.residual[start, end] -= pushed
             self.residual[end, start] += pushed
 
     def flow(self) -> Matrix:
-        """Returns what was sent from each zone to each group."""
+        """Returns the flow by zone and group."""
         return [
             [self.residual[self._first_group + group, 1 + zone] for group in range(self._group_count)]
             for zone in range(self._zone_count)
--- a/cottonladder/model/orders.py
+++ b/cottonladder/model/orders.py
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExcludeWorker:
-    """Makes proxies exclude a worker from all their tables, or lifts that."""
+    """Makes proxies exclude a worker from all their tables, or lifts the exclusion."""
 
     worker_index: int
     excluded: bool
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmission:
-    """Sets the admission of the classes in a bit mask: a share or a rate, as deployed."""
+    """Sets the admission of the classes in a bit mask: a share or a rate, depending on the admission mode."""
 
     table: int
     admission: float
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Starts or ends the watch on the changes of the endpoint list."""
+    """Starts or ends the watch on changes of the endpoint list."""
 
     enabled: bool
 
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoveWorker:
-    """Tells that a worker is forgotten: no further order names it, and its state may be deleted."""
+    """Reports that no further order names a worker, so its state may be deleted."""
 
     worker_index: int
 
--- a/cottonladder/model/parameters.py
+++ b/cottonladder/model/parameters.py
@@ -1,6 +1,6 @@
-"""The deployment as the settings describe it, which a controller is given at its start.
+"""The deployment parameters that a controller receives when it starts, as the settings describe them.
 
-Times are in seconds.  Workers, zones and request classes are small indices everywhere behind the wire.
+Times are in seconds.  Workers, zones and request classes are small indices everywhere except on the wire.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 
 class AdmissionMode(StrEnum):
-    """What the figure of an admission order means at the proxies; the values are those of the setting."""
+    """How proxies interpret the value of an admission order; the enum values are those of the setting."""
 
     NONE = "none"  # admission is not ordered
-    RATIO = "ratio"  # the part of the requests that is admitted
-    RATE = "rps"  # the number of requests a second that each proxy admits
+    RATIO = "ratio"  # the fraction of the requests that is admitted
+    RATE = "rps"  # the requests/s that each proxy admits
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentParameters:
-    """What this manager may do in the deployment, and which limits it must keep."""
+    """What this manager may do in the deployment, and which limits it must keep.
+
+    `max_poll_interval_s` is the time within which the endpoint list is to be polled.  `warm_up_start_ratio`
+    is the fraction of its capacity that a worker has when it starts.  `collapse_load_multiple` is the load at
+    which a warming-up worker collapses, as a multiple of its capacity.
+    """
 
     seed: int
     manager_count: int
--- a/cottonladder/model/peer_demand.py
+++ b/cottonladder/model/peer_demand.py
@@ -1,4 +1,4 @@
-"""The demand of other managers' proxies, as gossip has it: counts and requests/s by zone."""
+"""The demand of other managers' proxies, from gossip: counts and requests/s by zone."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(slots=True)
 class _PeerReport:
-    """The last figures of one manager: proxy count and requests/s of each zone in turn."""
+    """The last values of one manager: proxy count and requests/s, alternating, of each zone."""
 
     received_at: float
     counts_and_rates: list[float]
 
 
 class PeerDemand:
-    """The last figures by sender.  Zones that a datagram leaves out keep their former figures."""
+    """The last values by sender.  Zones that a datagram leaves out keep their previous values."""
 
     def __init__(self, zone_count: int) -> None:
         self._zone_count = zone_count
         self._by_sender: dict[int, _PeerReport] = {}
 
     def update(self, sender: int, now: float, received: ZoneDemand) -> None:
-        """Replaces the sender's figures for the zones that the gossip covers."""
+        """Replaces the sender's values for the zones that the gossip covers."""
         if sender not in self._by_sender:
             self._by_sender[sender] = _PeerReport(now, [0.0] * 2 * self._zone_count)
         peer = self._by_sender[sender]
@@ -33,7 +33,7 @@
         peer.received_at = now
 
     def recent_demands(self, now: float, ttl_s: float) -> list[ProxyDemand]:
-        """Returns the figures of each sender heard within the time to live."""
+        """Returns the values of each sender whose last gossip is more recent than `ttl_s`."""
         return [
             ProxyDemand(request_rates=peer.counts_and_rates[1::2], proxy_counts=peer.counts_and_rates[0::2])
             for peer in self._by_sender.values()
--- a/cottonladder/model/pending_orders.py
+++ b/cottonladder/model/pending_orders.py
@@ -1,4 +1,4 @@
-"""Orders that wait for the end of the present call of the controller."""
+"""Orders that are collected until the present call of the controller ends."""
 
 from __future__ import annotations
 
--- a/cottonladder/model/proxies.py
+++ b/cottonladder/model/proxies.py
@@ -22,12 +22,12 @@
     def __init__(self, zone_count: int, class_count: int) -> None:
         self.by_number: dict[int, ProxyRecord] = {}
         self.restored_rates: dict[int, float] = {}  # requests/s by proxy, from the snapshot
-        self.max_total_initial_rate = 0.0  # requests/s of all connected proxies together, ever
+        self.max_total_initial_rate = 0.0  # requests/s; highest total of the connected proxies so far
         self._zones = range(zone_count)
         self._classes = range(class_count)
 
     def connect(self, number: int, zone: int, initial_rate: float, now: float) -> None:
-        """Adds a proxy that connected; a former record under the same number is replaced."""
+        """Adds a proxy that connected; an existing record with the same number is replaced."""
         self.disconnect(number)
         self.by_number[number] = ProxyRecord(zone, initial_rate, len(self._classes), now)
 
@@ -38,7 +38,7 @@
             proxy.table.readers.pop(number, None)
 
     def update_total_initial_rate(self) -> float:
-        """Returns the requests/s of the connected proxies as they connected, and records a new maximum."""
+        """Returns the sum of the connected proxies' initial requests/s, and updates its maximum."""
         rate = sum(proxy.initial_rate for proxy in self.by_number.values())
         self.max_total_initial_rate = max(self.max_total_initial_rate, rate)
         return rate
--- a/cottonladder/model/proxy_record.py
+++ b/cottonladder/model/proxy_record.py
@@ -7,7 +7,10 @@
 
 
 class ProxyRecord:
-    """A connected proxy, with its request counts by class and the seconds that they cover."""
+    """A connected proxy, with its request counts by class and the seconds that they cover.
+
+    `initial_rate` is the requests/s from the snapshot, or else those that the proxy reported on connecting.
+    """
 
     def __init__(self, zone: int, initial_rate: float, class_count: int, connected_at: float) -> None:
         self.table: RoutingTable | None = None
--- a/cottonladder/model/routing_table.py
+++ b/cottonladder/model/routing_table.py
@@ -1,4 +1,4 @@
-"""One routing table: what its readers were sent, and what they should have."""
+"""One routing table: what was sent to its readers, and what they should have."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SentLines:
-    """A copy of what a table's readers were sent: weights by worker, and admitted shares by class."""
+    """A copy of what was sent to a table's readers: weights by worker, and admitted shares by class."""
 
     weights: dict[int, float]
     admission: dict[int, float]
 
 
 class RoutingTable:
-    """Weights of workers for proxies of one zone, as sent and as wanted.
+    """Weights of workers for proxies of one zone, as sent and as desired.
 
     The table also counts which of its readers have acknowledged the last checkpoint.
     """
@@ -53,7 +53,7 @@
         return changes
 
     def order_desired_weight(self, worker_index: int) -> SetWeight:
-        """Returns the order for a worker's wanted weight, and records the weight as sent."""
+        """Returns the order for a worker's desired weight, and records the weight as sent."""
         self.sent_weights.pop(worker_index, None)
         weight = self.desired_weights.get(worker_index, 0.0)
         if worker_index in self.desired_weights:
@@ -70,7 +70,7 @@
         self.sent_admission = copy.admission
 
     def weight_changes(self, threshold: float) -> dict[int, float]:
-        """Returns wanted minus sent weight by worker, where that is over `threshold` of the sent weight."""
+        """Returns desired minus sent weight by worker, where that is over `threshold` of the sent weight."""
         changes = {
             i: self.desired_weights.get(i, 0.0) - self.sent_weights.get(i, 0.0)
             for i in self.desired_weights | self.sent_weights
--- a/cottonladder/model/routing_tables.py
+++ b/cottonladder/model/routing_tables.py
@@ -23,7 +23,7 @@
         return sum(len(table.readers) for table in self.all)
 
     def replace(self, zone: int, count: int, proxies: Proxies) -> list[RoutingTable]:
-        """Puts new, empty tables in place of a zone's tables, whose readers are unbound.
+        """Replaces a zone's tables by `count` new, empty ones, and unbinds their readers.
 
         The new tables get numbers that were not used recently.
         """
@@ -37,7 +37,7 @@
         return tables
 
     def bind(self, number: int, table: RoutingTable, proxies: Proxies) -> None:
-        """Makes a proxy a reader of a table."""
+        """Records that a proxy is bound to a table."""
         proxy = proxies.by_number[number]
         proxy.table = table
         table.readers[number] = None
--- a/cottonladder/model/state_change_text.py
+++ b/cottonladder/model/state_change_text.py
@@ -1,4 +1,4 @@
-"""Text form of state changes, as the simulator's wire and the plug-ins' `event` hook carry it.
+"""Text form of state changes, for the simulator's wire and the plug-ins' `event` hook.
 
 The texts for states and events are fixed by those interfaces and appear nowhere else.
 """
@@ -47,7 +47,7 @@
 
 
 def state_change_text(change: StateChange) -> str:
-    """Returns one line that names the change and the figures behind it."""
+    """Returns one line with the change and its evidence."""
     if not isinstance(change, WorkerStateChanged):
         ratios = f"{change.from_ratio:.2f}>{change.to_ratio:.2f}"
         return f"levels {ratios}: overload {change.overload_signal:.2f}"
--- a/cottonladder/model/state_changes.py
+++ b/cottonladder/model/state_changes.py
@@ -1,4 +1,4 @@
-"""State changes of the controller that operators want to see, with the reason and the figures behind it."""
+"""State changes of the controller that are reported to operators, with their reasons and evidence."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class WorkerEvent(StrEnum):
-    """What moves a worker from one state to another; the values are the reasons that the log gives."""
+    """What moves a worker from one state to another; the values are the reasons in the log."""
 
     LISTED_AT_START = "listed_at_start"
     DISCOVERED = "discovered"
@@ -37,11 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEvidence:
-    """What the endpoint list said of the worker."""
+    """The worker's entry in the endpoint list that caused the change."""
 
     endpoint_state: EndpointState
     uptime_s: float
-    is_start_known: bool = True  # else the list gives no start, and `uptime_s` counts from 1970
+    is_start_known: bool = True  # otherwise the list has no start time, and `uptime_s` counts from 1970
 
 
 @dataclass(frozen=True, slots=True)
--- a/cottonladder/model/views.py
+++ b/cottonladder/model/views.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerCapacityView:
-    """A worker's capacity as last solved, for planners beside the policy.
+    """A worker's capacity at the last solution, for planning outside the policy.
 
     `capacity` is in the unit of the flow, with the bounds on warm-up applied, and 0 where the worker takes no
     new load.  `draining_since` is when this manager learned that the worker drains or departed, and negative
--- a/cottonladder/model/weight_ring.py
+++ b/cottonladder/model/weight_ring.py
@@ -2,13 +2,14 @@
 
 from __future__ import annotations
 
-MIN_WEIGHT_SUM = 1e-9  # stands for the 0 of an empty ring in divisors
+MIN_WEIGHT_SUM = 1e-9  # divisor for an empty ring, instead of 0
 
 
 def overlapping_arcs(loads: list[float], overlap: float) -> list[tuple[float, float]]:
     """Returns start and end of consecutive arcs on a ring of length 1.
 
-    Each arc is as long as its load's part of all loads, and reaches into the next arc by `overlap` of that.
+    The length of each arc is its load's share of the total load; it also covers the fraction `overlap` of the
+    next arc.  An end may be over 1, where the arc continues at the start of the ring.
     """
     total = sum(loads)
     edges = [sum(loads[:index]) / total for index in range(len(loads) + 1)]
@@ -24,16 +25,17 @@
 ) -> dict[int, float]:
     """Returns the weights between start and end on a ring of length 1.
 
-    The weights follow each other in the order of `ring`, each as long as its part of their sum.  Parts up to
-    `min_weight_ratio` of a weight are left out.
+    The weights occupy consecutive segments in the order of `ring`, in proportion to their size.  A worker is
+    left out if at most `min_weight_ratio` of its segment lies in the arc.  A returned weight is the fraction
+    of the arc that the worker's segment covers.
     """
     unit = max(MIN_WEIGHT_SUM, sum(ring.values()))
-    parts: dict[int, float] = {}
+    arc_weights: dict[int, float] = {}
     begin = 0.0
     for index, weight in ring.items():
         finish = begin + weight / unit
         overlap = sum(max(0.0, min(finish + turn, end) - max(begin + turn, start)) for turn in (0, 1))
         if overlap > min_weight_ratio * (finish - begin):
-            parts[index] = overlap / (end - start)
+            arc_weights[index] = overlap / (end - start)
         begin = finish
-    return parts
+    return arc_weights
--- a/cottonladder/model/worker_record.py
+++ b/cottonladder/model/worker_record.py
@@ -14,7 +14,7 @@
 
 
 class CapacitySample(NamedTuple):
-    """The succeeded requests/s of one interval, and the utilization at which they were measured."""
+    """The succeeded requests/s of one solve interval, and the utilization at which they were measured."""
 
     request_rate: float
     utilization: float
@@ -28,7 +28,7 @@
 
 
 class WorkerRecord:
-    """What one manager knows of a worker."""
+    """What one manager knows about a worker."""
 
     def __init__(self, latency: LatencyHistogram, max_samples: int) -> None:
         self.state = WorkerState.ABSENT
@@ -42,17 +42,17 @@
         self.attempt_count = 0.0
         self.failed_count = 0.0
         self.succeeded_attempts: dict[int, SucceededAttempts] = {}  # in this interval, by zone of the proxies
-        self.planned_rate = 0.0  # requests/s that the last solution plans for it
-        self.previous_planned_rate = 0.0  # the same, one interval ago
+        self.planned_rate = 0.0  # requests/s, at the last solution
+        self.previous_planned_rate = 0.0  # the same, one solve interval ago
         self.capacity_samples: deque[CapacitySample] = deque(maxlen=max_samples)
         self.latency_histogram = latency
         self.base_latency_s = 0.0  # its latency without overload; 0 if unknown
         self.latency_factor = 1.0
         self.utilization = -1.0  # negative if not reported
-        self.lost_check_count = 0  # in a row
+        self.lost_check_count = 0  # consecutive
         self.in_flight = -1.0  # requests at the last health check; negative if unknown
         self.smoothed_in_flight = -1.0
-        self.connection_load = 0.0  # requests/s that stand for its held connections
+        self.connection_load = 0.0  # requests/s that its held connections are equivalent to
         self.advised_factor = 1.0
         self.advised_factors: dict[AdviceSource, float] = {}
 
@@ -77,7 +77,7 @@
             self.smoothed_in_flight = (self.smoothed_in_flight + self.in_flight) / 2
 
     def set_advised_factor(self, source: AdviceSource, factor: float, max_factor: float) -> None:
-        """Records one source's factor; the product of all stays within `max_factor` and its inverse."""
+        """Records one source's factor; the product of all is kept within `max_factor` and its inverse."""
         self.advised_factors[source] = factor
         product = math.prod(self.advised_factors.values())
         self.advised_factor = min(max_factor, max(1.0 / max_factor, product))
@@ -97,9 +97,10 @@
             self.capacity_samples.append(CapacitySample(rate / own_attempt_share, utilization))
 
     def update_base_latency(self, fall_step: float, rise_step: float) -> None:
-        """Moves the base latency towards the mean latency by a step for a lower or for a higher mean.
+        """Moves the base latency towards the mean latency, by a fraction of the distance.
 
-        The first mean is taken as it is.
+        The fraction is `fall_step` if the mean is lower, and `rise_step` if it is higher.  The first mean
+        becomes the base latency unchanged.
         """
         mean = self.latency_histogram.mean()
         if mean <= 0:
@@ -112,12 +113,12 @@
     def update_latency_factor(
         self, target: float, fall_step: float, rise_step: float, min_factor: float
     ) -> None:
-        """Moves the latency factor towards a target by a step for a fall or for a rise."""
+        """Moves the latency factor by a fraction of its distance to a target, for a fall or for a rise."""
         step = fall_step if target < self.latency_factor else rise_step
         self.latency_factor = max(min_factor, self.latency_factor + (target - self.latency_factor) * step)
 
     def failed_ratio(self) -> float:
-        """Returns the failed part of the attempts."""
+        """Returns the fraction of the attempts that failed; there must have been attempts."""
         return self.failed_count / self.attempt_count
 
     def measured_capacity(self) -> float:
@@ -129,7 +130,7 @@
         return request_rate / sum(sample.utilization for sample in self.capacity_samples)
 
     def decay_counts(self, keep_ratio: float) -> None:
-        """Keeps this part of the counts of attempts, failures and latencies."""
+        """Multiplies the counts of attempts, failures and latencies by `keep_ratio`."""
         self.attempt_count *= keep_ratio
         self.failed_count *= keep_ratio
         self.latency_histogram.decay(keep_ratio)
--- a/cottonladder/model/workers.py
+++ b/cottonladder/model/workers.py
@@ -19,6 +19,6 @@
         return {index: worker for index, worker in self.by_index.items() if worker.state in states}
 
     def attempt_counts(self, states: Iterable[WorkerState]) -> tuple[float, float]:
-        """Returns how many attempts went to the workers in these states, and how many of them failed."""
+        """Returns the number of attempts at the workers in these states, and how many of them failed."""
         workers = self.in_state(*states).values()
         return sum(worker.attempt_count for worker in workers), sum(worker.failed_count for worker in workers)
--- a/cottonladder/model/zone_groups.py
+++ b/cottonladder/model/zone_groups.py
@@ -27,7 +27,7 @@
         self._records = workers
 
     def split_by_capacity(self, zone: int, amount: float) -> dict[int, float]:
-        """Divides an amount among a zone's workers in proportion to their capacities."""
+        """Returns the amount divided among a zone's workers in proportion to their capacities."""
         return {i: amount * self.capacities[i] / self.zone_capacities[zone] for i in self.workers[zone]}
 
     def has_warm_worker(self, zone: int) -> bool:
