--- a/tests/model/test_min_cost_flow.py
+++ b/tests/model/test_min_cost_flow.py
@@ -1,4 +1,4 @@
-"""The flow solver beside an independent reference, which examines every assignment of units."""
+"""The flow solver, compared with a reference that enumerates all assignments of whole units."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 def assignments(units: int, group_count: int) -> list[tuple[int, ...]]:
-    """Returns every assignment of at most so many units to so many groups."""
+    """Returns every assignment of at most `units` units to `group_count` groups."""
     return [counts for counts in product(range(units + 1), repeat=group_count) if sum(counts) <= units]
 
 
 def assignment_cost(counts: tuple[int, ...], unit_costs: list[float | None]) -> float | None:
-    """Returns what one zone's assignment costs, or None if it uses a link that does not exist."""
+    """Returns the cost of one zone's assignment, or None if it uses a link that does not exist."""
     cost = 0.0
     for count, unit_cost in zip(counts, unit_costs, strict=True):
         if count and unit_cost is None:
@@ -42,7 +42,7 @@
 
 
 def best_assignment(demand: list[int], capacity: list[int], costs: Costs) -> BestAssignment:
-    """Examines every assignment zone by zone; all figures are whole, so whole units are enough."""
+    """Enumerates all assignments by zone; all values are integers, so an optimum in whole units exists."""
     reachable: dict[tuple[int, ...], float] = {tuple(capacity): 0.0}  # lowest cost by remaining capacity
     for zone, units in enumerate(demand):
         next_reachable: dict[tuple[int, ...], float] = {}
@@ -59,9 +59,9 @@
     return BestAssignment(sum(capacity) - least_left, lowest_cost)
 
 
-def random_costs(chance: random.Random, zones: range) -> Costs:
-    """Returns the costs of links of which about a fifth do not exist."""
-    return [[float(zone != group) if chance.random() < 0.8 else None for group in zones] for zone in zones]
+def random_costs(rng: random.Random, zones: range) -> Costs:
+    """Returns the costs of the links, of which about a fifth do not exist."""
+    return [[float(zone != group) if rng.random() < 0.8 else None for group in zones] for zone in zones]
 
 
 def linked_groups(unit_costs: list[float | None]) -> set[int]:
@@ -79,12 +79,12 @@
 class MinCostFlowTests(unittest.TestCase):
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.data())
-    def test_is_as_good_as_the_best_assignment(self, data: st.DataObject) -> None:
+    def test_flow_is_as_good_as_the_best_assignment(self, data: st.DataObject) -> None:
         zone_count = data.draw(st.integers(1, 3))
         group_count = data.draw(st.integers(1, 3))
-        few = st.integers(0, 3)
-        demand = data.draw(st.lists(few, min_size=zone_count, max_size=zone_count))
-        capacity = data.draw(st.lists(few, min_size=group_count, max_size=group_count))
+        unit_count = st.integers(0, 3)
+        demand = data.draw(st.lists(unit_count, min_size=zone_count, max_size=zone_count))
+        capacity = data.draw(st.lists(unit_count, min_size=group_count, max_size=group_count))
         unit_cost = st.sampled_from([None, 0.0, 1.0, 2.0])
         cost_row = st.lists(unit_cost, min_size=group_count, max_size=group_count)
         costs = data.draw(st.lists(cost_row, min_size=zone_count, max_size=zone_count))
@@ -95,12 +95,12 @@
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.integers(1, 9), st.integers(0, 1 << 30))
-    def test_keeps_demand_capacity_and_links(self, zone_count: int, seed: int) -> None:
-        chance = random.Random(seed)
+    def test_flow_respects_demand_capacity_and_links(self, zone_count: int, seed: int) -> None:
+        rng = random.Random(seed)
         zones = range(zone_count)
-        demand = [chance.expovariate(0.01) for _ in zones]
-        capacity = [chance.choice([0.0, chance.expovariate(0.01)]) for _ in zones]
-        costs = random_costs(chance, zones)
+        demand = [rng.expovariate(0.01) for _ in zones]
+        capacity = [rng.choice([0.0, rng.expovariate(0.01)]) for _ in zones]
+        costs = random_costs(rng, zones)
         flow = min_cost_flow(demand, capacity, costs)
         group_totals = [sum(row[group] for row in flow) for group in zones]
         full_groups = {group for group in zones if group_totals[group] >= capacity[group] - TOLERANCE}
@@ -108,11 +108,11 @@
             self.assertLessEqual(group_totals[group], capacity[group] + TOLERANCE)
         for zone in zones:
             self.assert_row_is_valid(flow[zone], demand[zone], costs[zone])
-            if sum(flow[zone]) < demand[zone] - TOLERANCE:  # the rest finds no capacity in any linked group
+            if sum(flow[zone]) < demand[zone] - TOLERANCE:  # all linked groups must be full
                 self.assertLessEqual(linked_groups(costs[zone]), full_groups)
 
     def assert_row_is_valid(self, row: list[float], demand: float, unit_costs: list[float | None]) -> None:
-        """A zone's flow is within its demand, not negative, and 0 where there is no link."""
+        """Asserts that a zone's flow is within its demand, not negative, and 0 where there is no link."""
         self.assertLessEqual(sum(row), demand + TOLERANCE)
         linked = linked_groups(unit_costs)
         for group, amount in enumerate(row):
@@ -121,7 +121,7 @@
                 self.assertLessEqual(amount, TOLERANCE)
 
     def test_stops_when_no_path_is_left(self) -> None:
-        """24 zones took 32 s of CPU while every round after the last path was completed."""
+        """24 zones took 32 s of CPU when the solver continued its rounds after the last path."""
         zones = range(24)
         demand = [100.0 + 13.0 * zone for zone in zones]
         capacity = [380.0 - 11.0 * group for group in zones]
--- a/tests/model/test_weight_ring.py
+++ b/tests/model/test_weight_ring.py
@@ -11,7 +11,7 @@
 ARC_LENGTH = 0.2  # of the ring: each point lies in two arcs
 
 
-class CutTests(unittest.TestCase):
+class WeightsInArcTests(unittest.TestCase):
     def test_overlapping_arcs_together_have_the_weights_of_the_ring(self) -> None:
         ring = {index: 1.0 + index % 3 for index in range(30)}
         sums = dict.fromkeys(ring, 0.0)
--- a/tests/policy/test_channel_budget.py
+++ b/tests/policy/test_channel_budget.py
@@ -1,4 +1,4 @@
-"""The channel budget's account of lines beside what is written, message by message, with 1,000 proxies."""
+"""The lines that the channel budget counts, compared with those written to 1,000 proxies."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 
 class ChannelBudgetTests(unittest.TestCase):
     def test_every_written_line_is_reserved(self) -> None:
-        """Workers depart and return under their ids and others, proxies come from other managers and
-        disconnect, and the run is long enough that departed workers are forgotten."""
+        """Workers depart, and return with the same and with other ids.  Proxies connect from other managers
+        and disconnect.  The run is long enough for the records of departed workers to be deleted."""
         fleet = start_fleet()
         fleet.connect_proxies(range(400), fresh=True)
         fleet.run(4)
@@ -58,9 +58,9 @@
         self.assertEqual(fleet.budget_faults, [])
 
     def test_queue_stays_short_when_all_proxies_come_from_other_managers(self) -> None:
-        """All workers had started lately when a manager restarted, and each proxy's table needed as many
-        lines again to lift exclusions, none of them reserved: 15,507 lines waited where 15,400 may
-        (roll+mass)."""
+        """When a manager restarted shortly after all workers had started, each proxy's table needed as many
+        lines again to lift exclusions.  None of them were reserved, so 15,507 lines waited, over the limit
+        of 15,400 (roll+mass)."""
         fleet = SimulatedFleet(
             fleet_parameters(proxies=1000, max_queued_lines=6000.0), acknowledged_share=0.7
         )
@@ -80,13 +80,13 @@
         self.assertLess(fleet.longest_queue, 6000)
 
     def test_deltas_and_binds_never_wait_long(self) -> None:
-        """With a limit of 16 s of the channel, tables waited 14 s, and drains behind them."""
+        """With a limit of 16 s of the channel's rate, tables waited for 14 s, and drains after them."""
         fleet = start_fleet()
         fleet.connect_proxies(range(700))
         fleet.run(3)
         self.assertLess(fleet.longest_queue, 3.0 * fleet.parameters.channel_lines_per_s)
         list_workers(fleet, EndpointState.DRAINING, range(40))
-        fleet.run(12)  # 700 messages of a header and 20 lines take 7 s
+        fleet.run(12)  # 700 messages of a header and 20 lines each take 7 s
         draining = {worker_id.encode() for worker_id in WORKER_IDS[:40]}
         still_sending = [
             number
--- a/tests/policy/test_deploy_file.py
+++ b/tests/policy/test_deploy_file.py
@@ -1,4 +1,4 @@
-"""The deploy file names the files of the policy package."""
+"""The list of policy files in the deploy file."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_recorded_orders.py
+++ b/tests/policy/test_recorded_orders.py
@@ -1,9 +1,9 @@
-"""What managers write on the wire for recorded inputs, compared to the byte.
+"""What managers write on the wire for recorded inputs, compared byte for byte.
 
 The digests in `tests/recorded/orders.json` are of the simulator's replies (without the texts of their log
 lines) and of RESP2 messages, datagrams and snapshot files, never of Python names.  They stay the same through
-every rename and change of structure, and differ only where the program behaves differently.  After a change
-that is meant to do so, `python -m tests.policy.test_recorded_orders` prints the new digests.
+every rename and restructuring, and change only if the program behaves differently.  After an intended change
+of behaviour, `python -m tests.policy.test_recorded_orders` prints the new digests.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 }
 
 
-class RecordedDay(TypedDict):
-    """The digest of a day's replies, and the number of actions of each type."""
+class RecordedRun(TypedDict):
+    """The digest of a simulated run's replies, and the number of actions of each type."""
 
     digest: str
     actions: dict[str, int]
 
 
-def play_simulated_days() -> dict[str, RecordedDay]:
-    """Returns what each simulated day gives, by name."""
-    played: dict[str, RecordedDay] = {}
+def play_simulated_runs() -> dict[str, RecordedRun]:
+    """Returns the result of each simulated run, by name."""
+    played: dict[str, RecordedRun] = {}
     for name in DAYS:
-        day = SimulatedDay(name, SimulatorHost().handle_batch)
-        digest = day.play()
-        played[name] = {"digest": digest, "actions": dict(sorted(day.action_counts.items()))}
+        run = SimulatedDay(name, SimulatorHost().handle_batch)
+        digest = run.play()
+        played[name] = {"digest": digest, "actions": dict(sorted(run.action_counts.items()))}
     return played
 
 
@@ -53,13 +53,13 @@
         self.recorded = json.loads(RECORDED.read_text())
 
     def test_replies_to_the_simulator(self) -> None:
-        played = play_simulated_days()
-        for name, day in played.items():
+        played = play_simulated_runs()
+        for name, run in played.items():
             with self.subTest(name):
-                self.assertEqual(day, self.recorded["simulated"][name])
-        self.assertEqual({name for day in played.values() for name in day["actions"]}, ALL_ACTIONS)
+                self.assertEqual(run, self.recorded["simulated"][name])
+        self.assertEqual({action for run in played.values() for action in run["actions"]}, ALL_ACTIONS)
 
-    def test_resp2_messages_datagrams_and_snapshots(self) -> None:
+    def test_resp2_messages_datagrams_and_snapshots_are_as_recorded(self) -> None:
         self.assertEqual(play_two_incarnations(INCARNATION_S), self.recorded["wire"])
 
 
@@ -67,6 +67,6 @@
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     print(
         json.dumps(
-            {"simulated": play_simulated_days(), "wire": play_two_incarnations(INCARNATION_S)}, indent=2
+            {"simulated": play_simulated_runs(), "wire": play_two_incarnations(INCARNATION_S)}, indent=2
         )
     )
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -1,13 +1,13 @@
 """Plays every scenario in tests/policy/scenarios against the routing controller.
 
-Grammar, one group of fields a line; `#` starts a comment.  Workers are b0, b1 .., proxies p0, p1 .., times
-are in seconds.
-
-    parameters NAME=VALUE ..       replaces default deployment parameters (below); comes first
-    T list KIND ITEM ..            KIND is full, delta, cached or failed; an ITEM is bN@ZONE with, if wanted,
-                                   *WEIGHT, /draining or /gone, and ^STARTED (a time)
-    T join pN[-pM]@ZONE RATE [kept]  one or more proxies connect; kept: with tables of another manager
-    T left pN | T answer           its stream is closed | every proxy acknowledges all its checkpoints so far
+Grammar of a line, whose fields are separated by spaces; `#` starts a comment.  Workers are b0, b1 .., proxies
+p0, p1 .., times T are in seconds.
+
+    parameters NAME=VALUE ..       replaces default deployment parameters; the first line
+    T list KIND ITEM ..            KIND is full, delta, cached or failed; an ITEM is bN@ZONE, optionally
+                                   followed by *WEIGHT, /draining or /gone, and ^STARTED (a time)
+    T join pN[-pM]@ZONE RATE [kept]  proxies connect; kept: with tables of another manager
+    T left pN | T answer           a proxy disconnects | every proxy acknowledges all checkpoints sent to it
     T tally bN@ZONE ATTEMPTS/FAILED MS [NAME=VALUE ..]    a load report of one second, with metrics
     T ingress pN CLASS REQUESTS    an arrival report of one second
     T probed bN MS|lost [NAME=VALUE ..]  the result of a health check, with metrics
@@ -16,10 +16,10 @@
                                    acknowledged before each of them
     every S until T LINE           the input LINE (without its time) each S seconds
     expect table Z has|lacks bN .. | expect table Z bN < SHARE | expect table Z bN > SHARE
-    expect excluded bN .. | expect open bN ..        by proxies, or not
+    expect excluded bN .. | expect open bN ..       excluded by the proxies, or not excluded
     expect bound pN .. (in that order) | expect unbound pN ..
     expect admission Z CLASS < SHARE | expect admission Z CLASS > SHARE
-    expect demand < RATE | expect others < RATE     requests/s, of the proxies here, of those elsewhere
+    expect demand < RATE | expect others < RATE     requests/s of this manager's proxies, of other managers'
     expect probes > COUNT          health checks ordered so far
     expect gossip_bytes < BYTES    of the longest gossip
     expect waiting < LINES | expect unacknowledged < LINES         lines in the channel
@@ -63,7 +63,7 @@
 
 
 class ScenarioPlayer:
-    """Feeds one controller, and keeps what its orders amount to."""
+    """Feeds one controller, and records the effect of its orders."""
 
     def __init__(self) -> None:
         self.controller = RoutingController(DEFAULT_PARAMETERS)
@@ -74,7 +74,7 @@
         self.admissions: dict[tuple[int, int], float] = {}  # by table and class
         self.bindings: dict[int, int] = {}  # table by proxy, in the order of binding
         self.orders: list[Order] = []
-        self.checkpoints: list[Acknowledged] = []  # not acknowledged yet
+        self.checkpoints: list[Acknowledged] = []  # sent and not acknowledged yet
         self.written_at: dict[int, list[float]] = defaultdict(list)  # by proxy
 
     def feed(self, *inputs: Input) -> None:
@@ -119,7 +119,7 @@
         return {proxy for proxy, table in self.bindings.items() if worker_index in self.tables[table]}
 
     def run_until(self, end: float, acknowledges: bool) -> None:
-        """Lets the controller's timers fire until a time."""
+        """Lets the controller's timers fire until the time `end`."""
         while 0 <= self.timer_due_at <= end:
             self.now = self.timer_due_at
             if acknowledges:
@@ -146,8 +146,8 @@
         elif fields[0] == "every":
             self._play_repeatedly(float(fields[1]), float(fields[3]), fields[4:])
         elif fields[0] == "expect":
-            if not Expectations(self).hold(fields[1], fields[2:]):
-                raise AssertionError("does not hold")
+            if not Expectations(self).is_met(fields[1], fields[2:]):
+                raise AssertionError("the expectation is not met")
         else:
             self.run_until(float(fields[0]), False)
             self._play_input(fields[1:])
@@ -177,20 +177,20 @@
                 self.bindings.pop(parsed.proxy, None)
             self.feed(parsed)
         else:
-            raise ValueError(f"unknown verb {verb}")
+            raise ValueError(f"the verb of an input is unknown: {verb!r}")
 
 
 class Expectations:
-    """Compares what a player has seen with the fields of an `expect` line."""
+    """Compares the state of a player with the fields of an `expect` line."""
 
     def __init__(self, player: ScenarioPlayer) -> None:
         self._player = player
 
-    def hold(self, subject: str, args: list[str]) -> bool:
-        """Returns whether an expectation holds."""
+    def is_met(self, subject: str, args: list[str]) -> bool:
+        """Returns whether an expectation is met; an unknown subject raises ValueError."""
         check: Callable[[list[str]], bool] | None = getattr(self, f"_check_{subject}", None)
         if check is None:
-            raise ValueError(f"unknown subject {subject}")
+            raise ValueError(f"the subject of an expectation is unknown: {subject!r}")
         return check(args)
 
     def _check_table(self, args: list[str]) -> bool:
@@ -288,7 +288,7 @@
 
 
 def play(path: Path) -> None:
-    """Plays one scenario file; a line that does not hold or is malformed is named in the error."""
+    """Plays one scenario file; an error names the line that is malformed or whose expectation is not met."""
     player = ScenarioPlayer()
     for number, line in enumerate(path.read_text().splitlines(), 1):
         fields = line.split("#")[0].split()
@@ -309,10 +309,22 @@
                 play(path)
 
     def test_unknown_verbs_and_subjects_are_rejected(self) -> None:
-        for line in ("0 lost p1", "expect tabel 0 has b0", "maybe"):
+        messages = {
+            "0 lost p1": "the verb of an input is unknown: 'lost'",
+            "expect tabel 0 has b0": "the subject of an expectation is unknown: 'tabel'",
+            "maybe": "could not convert string to float: 'maybe'",
+        }
+        for line, message in messages.items():
             player = ScenarioPlayer()
-            with self.subTest(line), self.assertRaises(ValueError):
+            with self.subTest(line), self.assertRaises(ValueError) as caught:
                 player.play_line(line.split())
+            self.assertEqual(str(caught.exception), message)
+
+    def test_expectation_that_is_not_met_is_an_error(self) -> None:
+        player = ScenarioPlayer()
+        with self.assertRaises(AssertionError) as caught:
+            player.play_line(["expect", "order", "HealthCheck"])
+        self.assertEqual(str(caught.exception), "the expectation is not met")
 
 
 if __name__ == "__main__":
--- a/tests/policy/test_table_partition.py
+++ b/tests/policy/test_table_partition.py
@@ -18,14 +18,14 @@
 
 
 def lowest_load_ratio(fleet: SimulatedFleet, worker_count: int) -> float:
-    """Returns the lowest load of a worker over the mean of so many workers; 0 if not all have a load."""
+    """Returns the lowest load of a worker over the mean of `worker_count` workers; 0 if any has no load."""
     load = fleet.worker_load()
     mean = sum(load.values()) / worker_count
     return min(load.values()) / mean * (len(load) == worker_count)
 
 
 def highest_load_ratio(fleet: SimulatedFleet, worker_count: int) -> float:
-    """Returns the highest load of a worker over the mean of so many workers."""
+    """Returns the highest load of a worker over the mean of `worker_count` workers."""
     load = fleet.worker_load()
     mean = sum(load.values()) / worker_count
     return max(load.values()) / mean
@@ -33,7 +33,7 @@
 
 class TablePartitionTests(unittest.TestCase):
     def test_a_third_of_the_proxies_is_bound_within_seconds(self) -> None:
-        """Binding 547 proxies to tables of all workers took 7 s, with 14 s of the channel waiting."""
+        """With tables of all workers, binding 547 proxies took 7 s, and 14 s of the channel were waiting."""
         fleet = start_fleet(200)
         fleet.connect_proxies(range(600))
         fleet.run(6)
@@ -44,9 +44,9 @@
 
     def test_tables_of_one_busy_zone_follow_its_weights(self) -> None:
         fleet = start_fleet(200)
-        fleet.connect_proxies(range(0, 1600, 4))  # all of one zone
+        fleet.connect_proxies(range(0, 1600, 4))  # all proxies of one zone
         fleet.run(12)
-        # Only the 50 workers of the zone count: proxies of other zones are taken to load theirs.
+        # Only the zone's 50 workers count: proxies of other zones are assumed to load the workers there.
         self.assertLess(highest_load_ratio(fleet, 50), 1.2)
         draining = tuple(
             fleet.endpoint(f"s-{index:04x}", index % ZONE_COUNT, EndpointState.DRAINING)
@@ -67,7 +67,7 @@
         self.assertEqual(numbers, [0, 1, 2, 3])
         self.assertEqual({len(proxy.weights) for proxy in fleet.proxies.values()}, {6})
 
-    def test_a_growing_group_is_partitioned_again(self) -> None:
+    def test_growing_groups_are_partitioned_again(self) -> None:
         """The groups grow from one worker to 64, while proxies are bound already."""
         fleet = start_fleet(4)
         fleet.connect_proxies(range(400))
--- a/tests/policy/test_worker_removal.py
+++ b/tests/policy/test_worker_removal.py
@@ -1,5 +1,8 @@
-"""Removal of draining workers: each connected proxy stops sending to them within the drain grace, or is bound
-to a table without them, however full the channel is and wherever the proxy's tables come from."""
+"""Removal of draining workers from the tables.
+
+Each connected proxy must stop sending to them within the drain grace, or be bound to a table without them,
+however full the channel is and whichever manager the proxy's tables come from.
+"""
 
 from __future__ import annotations
 
@@ -34,8 +37,8 @@
     fleet.run_batch("list", [EndpointList(ListUpdateKind.DELTA, endpoints)])
 
 
-def join_from_other_manager(fleet: SimulatedFleet, proxies: range) -> None:
-    """Connects proxies with another manager's tables: five workers each, of which some drain or departed."""
+def connect_from_other_manager(fleet: SimulatedFleet, proxies: range) -> None:
+    """Connects proxies with another manager's tables of five workers, some of which drain or departed."""
     for number in proxies:
         fleet.connect_proxies([number])
         indices = [(number * 7 + offset * 13) % len(WORKER_IDS) for offset in range(5)]
@@ -53,13 +56,13 @@
 
 class WorkerRemovalTests(unittest.TestCase):
     def test_workers_drain_in_steps_while_all_proxies_connect(self) -> None:
-        """1,456 proxies of four killed managers came to one manager; the removals of each step went to all of
-        them before the binds, and 1,792 requests reached workers listed as draining 13.4 s before
-        (herd+mass)."""
+        """1,456 proxies of four killed managers connected to one manager.  The removals of each step were
+        sent to all of them before the binds, so 1,792 requests reached workers that had been listed as
+        draining 13.4 s earlier (herd+mass)."""
         fleet = start_fleet(fleet_parameters())
         fleet.connect_proxies(range(300))
         fleet.run(5)
-        join_from_other_manager(fleet, range(300, 1600))
+        connect_from_other_manager(fleet, range(300, 1600))
         drains: list[tuple[float, range]] = []
         for step in range(4):
             worker_indices = range(50 * step, 50 * step + 50, 2)
@@ -74,18 +77,18 @@
         self.assertEqual(fleet.budget_faults, [])
 
     def test_slow_channel_with_lost_acknowledgements(self) -> None:
-        """The allowed time grows by as much as the channel is slower."""
+        """The allowed time is the drain grace times the slowdown of the channel."""
         fleet = start_fleet(fleet_parameters(), acknowledged_share=0.6)
         fleet.channel_speed = 0.5
-        join_from_other_manager(fleet, range(700))
+        connect_from_other_manager(fleet, range(700))
         list_workers(fleet, HALF_OF_THE_WORKERS)
         fleet.run(2.0 * fleet.parameters.drain_grace_s)
         self.assertEqual(proxies_sending_to(fleet, HALF_OF_THE_WORKERS), [])
         self.assertLess(fleet.longest_queue, fleet.parameters.max_queued_lines)
 
     def test_changes_sent_with_removals_delay_no_removal(self) -> None:
-        """In a release while channels send slowly, the other changes of tables with departed workers filled
-        the channel, and later drains were sent 15.7 s late (cairo-dispatch-later big-2)."""
+        """During a release over slow channels, the other changes of tables with departed workers filled the
+        channel, and later drains were sent 15.7 s late (cairo-dispatch-later big-2)."""
         fleet = start_fleet(fleet_parameters())
         fleet.connect_proxies(range(400))
         fleet.run(6)
@@ -97,25 +100,25 @@
                 fleet.endpoint(f"n-{index + step}", index % ZONE_COUNT, EndpointState.READY, started_at)
                 for index in range(25)
             ]
-            former = [
+            departing = [
                 fleet.endpoint(WORKER_IDS[index], zone_of(index), EndpointState.DRAINING)
                 for index in draining
             ]
-            fleet.run_batch("list", [EndpointList(ListUpdateKind.DELTA, (*former, *new))])
+            fleet.run_batch("list", [EndpointList(ListUpdateKind.DELTA, (*departing, *new))])
             fleet.run(10.0)
             self.assertEqual(proxies_sending_to(fleet, draining), [])
 
-    def test_restarted_manager_shares_the_channel_with_lines_of_its_former_incarnation(self) -> None:
-        """Lines that the former incarnation left in the channel still count."""
-        former = start_fleet(fleet_parameters())
-        former.connect_proxies(range(900))
-        former.run(3)
-        list_workers(former, HALF_OF_THE_WORKERS)
-        restarted = start_fleet(former.parameters)
-        restarted.channel = former.channel
+    def test_restarted_manager_shares_the_channel_with_lines_of_its_previous_incarnation(self) -> None:
+        """Lines that the previous incarnation left in the channel delay those of the restarted manager."""
+        previous = start_fleet(fleet_parameters())
+        previous.connect_proxies(range(900))
+        previous.run(3)
+        list_workers(previous, HALF_OF_THE_WORKERS)
+        restarted = start_fleet(previous.parameters)
+        restarted.channel = previous.channel
         self.assertGreater(restarted.queued_lines(), 1000)
         list_workers(restarted, HALF_OF_THE_WORKERS)
-        join_from_other_manager(restarted, range(900))
+        connect_from_other_manager(restarted, range(900))
         restarted.run(restarted.parameters.drain_grace_s - 1.0)
         self.assertEqual(proxies_sending_to(restarted, HALF_OF_THE_WORKERS), [])
         self.assertLess(restarted.longest_queue, restarted.parameters.max_queued_lines)
@@ -136,9 +139,9 @@
         self.assertEqual(proxies_sending_to(fleet, HALF_OF_THE_WORKERS), [])
 
     def test_warming_up_workers_do_not_inherit_the_load_of_draining_ones(self) -> None:
-        """Lines of departed workers were removed at once, and those of their successors were sent seconds
-        later, so a warming-up worker got twice its part for 3 s and collapsed: it was sent 5.2 times what it
-        could do then (join+vast)."""
+        """Lines of departed workers were removed immediately, and those of their successors were sent seconds
+        later.  A warming-up worker got twice its share for 3 s and collapsed: it was sent 5.2 times its
+        capacity at that time (join+vast)."""
         fleet = start_fleet(fleet_parameters(proxies=640))
         fleet.connect_proxies(range(128))
         fleet.run(6)
@@ -160,11 +163,11 @@
             self.assertLess(load.get(b"n-%04x" % index, 0.0), 1.5 * own_rate)
 
     def test_all_workers_are_excluded_when_none_is_left(self) -> None:
-        """No table can be given, so each proxy, bound or not, excludes them until one is ready."""
+        """No table has workers, so each proxy, bound or not, excludes all workers until one is ready."""
         fleet = start_fleet(fleet_parameters(proxies=60))
         fleet.connect_proxies(range(20))
         fleet.run(2)
-        join_from_other_manager(fleet, range(20, 30))
+        connect_from_other_manager(fleet, range(20, 30))
         list_workers(fleet, range(200), EndpointState.GONE)
         fleet.run(4)
         self.assertEqual(proxies_sending_to(fleet, range(200)), [])
--- a/tests/policy/test_worker_states.py
+++ b/tests/policy/test_worker_states.py
@@ -9,7 +9,7 @@
 from cottonladder.policy.worker_states import EJECTION_JITTER, EJECTION_TIME_S, TRANSITIONS, apply_event
 from tests.support.deployment_parameters import DEFAULT_PARAMETERS
 
-WORKER_INDEX = 3  # any
+WORKER_INDEX = 3  # arbitrary
 NOW = 100.0  # seconds
 
 
@@ -40,7 +40,7 @@
                     self.assertEqual(worker.state, transition.target if applies else former)
                     self.assertEqual(state.needs_solution, applies)
 
-    def test_changes_of_known_workers_are_reported(self) -> None:
+    def test_state_changes_are_reported_except_the_first_one(self) -> None:
         state = state_with_worker(WorkerState.HEALTHY)
         apply_event(state, WORKER_INDEX, WorkerEvent.HEALTH_CHECKS_LOST)
         expected = WorkerStateChanged(
@@ -51,7 +51,7 @@
         apply_event(absent, WORKER_INDEX, WorkerEvent.DISCOVERED)
         self.assertEqual(absent.pending_orders.pop_all(), [])
 
-    def test_ejection_has_an_end_and_takes_the_planned_load(self) -> None:
+    def test_ejection_sets_its_end_and_clears_the_planned_rate(self) -> None:
         state = state_with_worker(WorkerState.HEALTHY)
         apply_event(state, WORKER_INDEX, WorkerEvent.HIGH_FAILURE_RATIO)
         worker = state.workers.by_index[WORKER_INDEX]
@@ -60,7 +60,7 @@
         self.assertLessEqual(worker.ejected_until, NOW + EJECTION_TIME_S * longest)
         self.assertEqual(worker.planned_rate, 0.0)
 
-    def test_slow_start_drops_former_measurements(self) -> None:
+    def test_slow_start_resets_measurements(self) -> None:
         state = state_with_worker(WorkerState.EJECTED)
         apply_event(state, WORKER_INDEX, WorkerEvent.HEALTH_CHECK_SUCCEEDED)
         worker = state.workers.by_index[WORKER_INDEX]
