--- a/cottonladder/model/inputs.py
+++ b/cottonladder/model/inputs.py
@@ -22,7 +22,7 @@
     """How much of the list an `EndpointList` carries, and where it comes from.
 
     FULL is a complete list, CACHED a complete list from a snapshot or file, DELTA the changes, FAILED a call
-    without a result, and SUPERSEDED the changes from a former discovery address.
+    without a result, and SUPERSEDED the changes from a previous discovery address.
     """
 
     FULL = 0
@@ -156,13 +156,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLoad:
-    """The load of a worker's held connections in requests/s; each input replaces the former one."""
+    """The load of a worker's held connections in requests/s; each input replaces the previous one."""
 
     worker_index: int
     requests_per_s: float
 
 
-NEUTRAL_FACTOR = 1.0  # of a worker for which a source has no advice
+NEUTRAL_FACTOR = 1.0  # advised factor of a worker for which a source has no advice
 
 
 class AdviceSource(IntEnum):
--- a/cottonladder/model/zone_groups.py
+++ b/cottonladder/model/zone_groups.py
@@ -42,7 +42,7 @@
     def record_plan(self, flow: list[list[float]], is_new_interval: bool) -> None:
         """Records the planned rate of each worker from a flow by proxy zone and worker zone.
 
-        At a new interval the former planned rate becomes the previous one.
+        At a new interval the rate planned so far becomes the previous planned rate.
         """
         for zone in range(len(self.workers)):
             planned = sum(row[zone] for row in flow)
--- a/cottonladder/policy/capacity.py
+++ b/cottonladder/policy/capacity.py
@@ -14,9 +14,9 @@
 from .load_shedding import LoadShedding
 from .overload_signal import OverloadSignal
 
-MAX_CAPACITY_SAMPLES = 10  # per worker, one per solve interval
-MIN_UTILIZATION = 0.1  # a sample with a lower utilization counts with this one
-MIN_OWN_SHARE = 0.25  # of the attempts in a zone; a sample of a smaller share depends on chance
+MAX_CAPACITY_SAMPLES = 10  # samples kept per worker; one is taken per solve interval
+MIN_UTILIZATION = 0.1  # lower utilizations are counted as this one
+MIN_OWN_SHARE = 0.25  # fraction of a zone's attempts; with a smaller one, a sample depends on chance
 MAX_SPEED_RATIO = 2.5  # highest speed relative to the median worker's; the lowest is its inverse
 MAX_ADVISED_FACTOR = 2.0  # highest product of all sources' factors; the lowest is its inverse
 
--- a/cottonladder/policy/channel_budget.py
+++ b/cottonladder/policy/channel_budget.py
@@ -12,8 +12,8 @@
 
 from ..model import LineAccount, LineLimit, orders
 
-MAX_CHANNEL_SLOWDOWN = 16.0  # assumed, against the deployed channel rate, until acknowledgements arrive
-MAX_IN_FLIGHT_CHECKPOINTS = 256  # if there are more, the oldest one counts as lost
+MAX_CHANNEL_SLOWDOWN = 16.0  # assumed ratio of deployed to actual channel rate, until acknowledgements arrive
+MAX_IN_FLIGHT_CHECKPOINTS = 256  # with more checkpoints in flight, the oldest one counts as lost
 
 # For removals, exclusions, overdue binds, and tables whose readers have no usable worker.
 CRITICAL_LIMIT = LineLimit(queue_ratio=0.9, channel_s=math.inf, is_deferrable=False)
--- a/cottonladder/policy/gossip_exchange.py
+++ b/cottonladder/policy/gossip_exchange.py
@@ -17,7 +17,7 @@
 )
 from .cadence import SOLVE_INTERVAL_S
 
-MAX_GOSSIP_ZONES = 18  # per datagram
+MAX_GOSSIP_ZONES = 18  # zones per datagram
 PEER_DEMAND_TTL_S = 3 * SOLVE_INTERVAL_S
 ALL_PEERS = -1
 
--- a/cottonladder/policy/health_check_schedule.py
+++ b/cottonladder/policy/health_check_schedule.py
@@ -12,8 +12,9 @@
 from .outlier_ejection import LOST_CHECKS_TO_EJECT
 
 MIN_CHECK_INTERVAL_S = 1.0
-CHECK_JITTER = (-0.1, 0.1)  # of MIN_CHECK_INTERVAL_S, so that managers do not check simultaneously
-MAX_CHECK_PRICE_RATIO = 0.003  # highest cost of health checks over the requests' priority weight
+CHECK_JITTER = (-0.1, 0.1)  # fractions of MIN_CHECK_INTERVAL_S; managers then do not check simultaneously
+# Cost of health checks over the priority weight of the requests in the same time.
+MAX_CHECK_PRICE_RATIO = 0.003
 
 
 class HealthCheckSchedule:
--- a/cottonladder/policy/latency_factor.py
+++ b/cottonladder/policy/latency_factor.py
@@ -18,7 +18,7 @@
 BASE_LATENCY_FALL = 0.8  # fraction of the distance to a lower mean latency, per solve interval
 BASE_LATENCY_RISE = 0.01  # the same for a higher mean latency, which a fault may cause
 SLOWDOWN_TOLERANCE = 2.0  # a factor is reduced above this multiple of the fleet's median slowdown or queue
-SUCCESS_EXPONENT = 3.0  # of a worker's success ratio relative to the fleet's median
+SUCCESS_EXPONENT = 3.0  # exponent of a worker's success ratio relative to the fleet's median
 MIN_MEDIAN_SUCCESS_RATIO = 0.1  # lower bound of the fleet's median success ratio, as a divisor
 MIN_LATENCY_FACTOR = 0.03
 FACTOR_FALL = 0.8  # fraction of the distance to a lower target, per solve interval
@@ -28,7 +28,7 @@
 
 
 class LatencyFactors:
-    """Updates the factors of workers and zones once an interval."""
+    """Updates the factors of workers and zones once per solve interval."""
 
     def __init__(self, state: ControllerState, overload: OverloadSignal) -> None:
         # By zone: the smoothed mean factor divided by the present mean factor.
--- a/cottonladder/policy/load_shedding.py
+++ b/cottonladder/policy/load_shedding.py
@@ -17,11 +17,11 @@
 )
 from .overload_signal import OverloadSignal
 
-ADMISSION_STEP = 0.5  # of the distance between the signal and its setpoint, per solve interval
+ADMISSION_STEP = 0.5  # fraction of the distance of the signal from its setpoint, per solve interval
 ADMISSION_SETPOINT = 0.8  # overload signal under which the admission ratio rises
 MAX_ADMISSION_FALL = 0.35  # decrease of the admission ratio per solve interval
-MIN_ADMISSION_RATIO = 0.4  # over all classes
-MIN_CLASS_ADMISSION_RATIO = 0.1  # of each class
+MIN_ADMISSION_RATIO = 0.4  # admitted fraction of all requests
+MIN_CLASS_ADMISSION_RATIO = 0.1  # admitted fraction of one class's requests
 MIN_ADMISSION_RATE = 0.1  # requests/s per proxy, where admission is ordered as a rate
 UNLIMITED_RATE = 1e6  # requests/s that are ordered where no limit is needed
 
@@ -36,14 +36,14 @@
 
     def update_admission_ratio(self) -> None:
         """Moves the admission ratio by one step, and reports when shedding begins or ends."""
-        former = self.admission_ratio
+        previous_ratio = self.admission_ratio
         signal = self._overload.value if self._is_admission_ordered() else 0.0
         is_near_setpoint = ADMISSION_SETPOINT <= signal <= 1.0
         step = 0.0 if is_near_setpoint else ADMISSION_STEP * (ADMISSION_SETPOINT - signal)
         limited_step = max(-MAX_ADMISSION_FALL, step)
-        self.admission_ratio = min(1.0, max(MIN_ADMISSION_RATIO, former + limited_step))
-        if (former < 1.0) != (self.admission_ratio < 1.0):
-            self._state.pending_orders.add(AdmissionChanged(former, self.admission_ratio, signal))
+        self.admission_ratio = min(1.0, max(MIN_ADMISSION_RATIO, previous_ratio + limited_step))
+        if (previous_ratio < 1.0) != (self.admission_ratio < 1.0):
+            self._state.pending_orders.add(AdmissionChanged(previous_ratio, self.admission_ratio, signal))
 
     def class_admissions(self) -> dict[int, ClassAdmission]:
         """Returns the admission by class, in the order of shedding; empty where admission is not ordered."""
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -21,8 +21,9 @@
 from .slow_start import complete_slow_start
 from .worker_states import apply_event
 
-OUTLIER_FAILED_RATIO = 0.85  # of a worker's attempts; an unresponsive worker fails nearly all
-MAX_OTHERS_FAILED_RATIO = 0.2  # of all other workers' attempts; over it the fault is not the worker's
+OUTLIER_FAILED_RATIO = 0.85  # failed fraction of a worker's attempts; an unresponsive worker fails nearly all
+# Failed fraction of all other workers' attempts; above it, the fault is not the worker's.
+MAX_OTHERS_FAILED_RATIO = 0.2
 MIN_OUTLIER_ATTEMPTS = 4.0  # a worker with fewer attempts is not judged by its failures
 LOST_CHECKS_TO_EJECT = 2  # consecutive lost health checks
 MAX_EJECTED_RATIO = 0.34  # ejected weight over the weight of all health-checked workers
--- a/cottonladder/policy/overload_signal.py
+++ b/cottonladder/policy/overload_signal.py
@@ -30,9 +30,9 @@
         workers = self._state.workers
         attempts, failed = workers.attempt_counts(IN_SERVICE_STATES)
         self.failed_ratio = failed / attempts if attempts > 0 else 0.0
-        former = self.value
+        previous_value = self.value
         self.value = self._measure_signal(list(workers.in_state(*IN_SERVICE_STATES).values()))
-        self._state.needs_solution |= former < 1.0 <= self.value
+        self._state.needs_solution |= previous_value < 1.0 <= self.value
 
     def _measure_signal(self, in_service: list[WorkerRecord]) -> float:
         latency_ratio = self._median_latency_s(in_service) / self._state.tightest_objective_s
--- a/cottonladder/policy/report_plausibility.py
+++ b/cottonladder/policy/report_plausibility.py
@@ -8,7 +8,7 @@
 
 MAX_REPORT_RATIO = 8.0  # highest plausible ratio of a reported value to its reference
 MAX_REPORT_INTERVAL_S = 120.0
-MAX_UTILIZATION = MAX_REPORT_RATIO  # of a worker, where 1 is full load
+MAX_UTILIZATION = MAX_REPORT_RATIO  # utilization of a worker, where 1 is full load
 MAX_REQUEST_RATE = 1e5  # requests/s of one proxy or worker
 
 
--- a/cottonladder/policy/slow_start.py
+++ b/cottonladder/policy/slow_start.py
@@ -10,8 +10,8 @@
 from .cadence import SOLVE_INTERVAL_S
 from .worker_states import apply_event
 
-INITIAL_SHARE = 0.25  # of an average worker's capacity
-FINAL_SHARE = 4.0  # of an average worker's capacity; slow start ends at this share
+INITIAL_SHARE = 0.25  # fraction of an average worker's capacity
+FINAL_SHARE = 4.0  # multiple of an average worker's capacity; slow start ends at this share
 MAX_DOUBLINGS = 10.0  # keeps the share finite
 
 
--- a/cottonladder/policy/table_deltas.py
+++ b/cottonladder/policy/table_deltas.py
@@ -19,7 +19,7 @@
 MIN_WEIGHT_CHANGE = 0.1
 MAX_TABLE_ORDERS = 65536  # the highest number of workers that a manager keeps
 ACK_TIMEOUT_S = 3.0
-ACK_QUORUM = 0.5  # of a table's readers; its next delta is sent once more than this have acknowledged
+ACK_QUORUM = 0.5  # fraction of a table's readers; once more have acknowledged, its next delta may be sent
 RETRY_POLICY = orders.RetryPolicy.ONCE_IF_NOT_PROCESSED  # a failed attempt may still be processed
 
 
@@ -88,12 +88,12 @@
         max_orders = self._affordable_order_count(table, limit)
         if urgent and keeps_usable_worker:
             max_orders = min(max_orders, max(len(urgent), self._affordable_order_count(table, DELTA_LIMIT)))
-        former = table.copy_sent()
+        previously_sent = table.copy_sent()
         changes = self._draft_changes(
             table, MIN_WEIGHT_CHANGE, max_orders, urgent if keeps_usable_worker else []
         )
         if not self._budget.reserve(changes, self._budget.delta_cost(changes, table.readers), limit):
-            table.restore_sent(former)
+            table.restore_sent(previously_sent)
 
     def _affordable_order_count(self, table: RoutingTable, limit: LineLimit) -> int:
         """Returns how many orders may be sent to every reader of the table."""
--- a/cottonladder/policy/table_partition.py
+++ b/cottonladder/policy/table_partition.py
@@ -12,16 +12,17 @@
 
 from ..model import ControllerState, RoutingTable, overlapping_arcs, weights_in_arc
 
-BIND_TIME_RATIO = 0.5  # of the drain grace, in which all proxies could be bound
+BIND_TIME_RATIO = 0.5  # fraction of the drain grace within which all proxies can be bound
 MIN_TABLE_LINES = 8  # the limit on a table's length is never lower
-BIND_OVERHEAD_LINES = 2  # for the bind and the checkpoint, besides the table and the message header
-GOLDEN_RATIO = 0.618034  # of the ring, between consecutive worker indices; spreads them evenly over the ring
-UNBOUND_RATE_RATIO = 0.5  # of the mean table's demand: the least that a table counts with
+BIND_OVERHEAD_LINES = 2  # bind and checkpoint lines, besides the table and the message header
+GOLDEN_RATIO = 0.618034  # fraction of the ring between consecutive worker indices, which spreads them evenly
+UNBOUND_RATE_RATIO = 0.5  # lowest demand that a table is assumed to have, as a fraction of the mean table's
 MIN_PARTITIONED_TABLES = 3  # fewer tables contain all of the zone's workers each
 MIN_MEAN_RATE = 1e-9  # requests/s
-MIN_ARC_WEIGHT_RATIO = 0.1  # of a worker's weight; a smaller fraction on a table's arc is left out
-TABLES_PER_WORKER = 2  # in a partitioned zone, on average
-MAX_TABLE_GROWTH = 2  # a zone that needs over this multiple of its tables gets new, unread ones
+MIN_ARC_WEIGHT_RATIO = 0.1  # a smaller fraction of a worker's weight on a table's arc is left out
+TABLES_PER_WORKER = 2  # average number of tables with the same worker, in a partitioned zone
+# A zone that needs over this multiple of its tables gets new ones, even if they have readers.
+MAX_TABLE_GROWTH = 2
 
 
 class TablePartition:
--- a/cottonladder/policy/warm_up.py
+++ b/cottonladder/policy/warm_up.py
@@ -31,10 +31,10 @@
 COLLAPSE_LOAD_FRACTION = 0.33
 # Withheld fraction of a warm-up share for each unit of the fleet's failed ratio.
 FAILED_RATIO_WEIGHT = 12.0
-MIN_RAMP = 0.75  # of capacity; below it a worker gets no load where proxies eject outliers
+MIN_RAMP = 0.75  # fraction of capacity; below it a worker gets no load where proxies eject outliers
 EARLY_TICK_COUNT = 16  # ticks after the manager's start during which little is known of the fleet
 MIN_EJECTING_RATE = 0.4  # requests/s of a proxy at a worker; below it the proxy ejects too slowly to harm
-EJECTABLE_LINE_RATIO = 0.5  # of a median table's lines, which one proxy may eject at the same time
+EJECTABLE_LINE_RATIO = 0.5  # fraction of a median table's lines that one proxy may eject at the same time
 MAX_WARM_UP_RATIO = 1.2  # highest load sent to a warming-up or ejected worker over its planned load
 NO_REQUEST_RATE = 1e-9  # requests/s, instead of 0
 MIN_WEIGHT_SUM = 1e-9  # divisor for an empty table, instead of 0
--- a/cottonladder/policy/worker_discovery.py
+++ b/cottonladder/policy/worker_discovery.py
@@ -23,7 +23,7 @@
 from .worker_states import apply_event
 
 WATCH_TIMEOUT_S = 5.0
-RETRY_DELAY_RATIO = (0.1, 0.2)  # of the deployment's longest poll interval
+RETRY_DELAY_RATIO = (0.1, 0.2)  # bounds, as fractions of the deployment's longest poll interval
 MIN_WEIGHT = 1e-6  # replaces a listed weight of 0, which is used as a divisor
 
 
--- a/cottonladder/policy/worker_states.py
+++ b/cottonladder/policy/worker_states.py
@@ -58,11 +58,11 @@
     transition = TRANSITIONS[event]
     if worker.state not in transition.sources:
         return
-    former = worker.state
+    previous_state = worker.state
     target = transition.target
-    if former not in (target, WorkerState.ABSENT):
+    if previous_state not in (target, WorkerState.ABSENT):
         state.pending_orders.add(
-            WorkerStateChanged(worker_index, worker.zone, former, target, event, evidence)
+            WorkerStateChanged(worker_index, worker.zone, previous_state, target, event, evidence)
         )
     worker.state = target
     if target == WorkerState.SLOW_START:
--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -19,13 +19,14 @@
 from .warm_up import is_warming_up, weight_limit
 
 LINK_INTERVALS = 3  # solve intervals over which the lowest latency of a link is kept
-CROSS_ZONE_COST = 1.0  # of a request to another zone; one within the zone costs 0
-MAX_LINK_RATIO = 2.0  # of a link's latency to the median link's; slower links to other zones are not used
-MIN_FLOW_SHARE = 0.02  # of a zone's demand; a smaller flow is left out of its tables
+CROSS_ZONE_COST = 1.0  # cost of a request to another zone; one within the zone costs 0
+MAX_LINK_RATIO = 2.0  # latency over the median link's; slower links to other zones are not used
+MIN_FLOW_SHARE = 0.02  # fraction of a zone's demand; smaller flows are left out of its tables
 CAPACITY_SLACK = 0.05  # relative excess over the mean utilization up to which groups are filled
 SLACK_PER_CROSS_ZONE_COST = 0.5  # additional slack for each unit of the deployment's cross-zone cost
-MIN_FREE_CAPACITY_RATIO = 0.1  # of a worker's capacity, which held connections always leave to requests
-MIN_NOMINAL_CAPACITY = 1e-9
+# Lowest fraction of a worker's capacity that held connections leave to requests.
+MIN_FREE_CAPACITY_RATIO = 0.1
+MIN_NOMINAL_CAPACITY = 1e-9  # divisor, instead of 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +58,7 @@
     def plan_flow(self, demand: Demand, capacities: dict[int, float], is_new_interval: bool) -> FlowPlan:
         """Solves the flow, and updates the desired weights of tables and the planned rates of workers."""
         state = self._state
-        # Other managers see the same overload, so their demand is taken to be shed as much.
+        # Other managers see the same overload, so their demand is assumed to be shed by the same ratio.
         admitted = [rate * self._shedding.admission_ratio for rate in demand.total()]
         fleet_demand = sum(admitted)
         groups = self._group_workers(capacities, fleet_demand)
