--- a/cottonladder/model/parameters.py
+++ b/cottonladder/model/parameters.py
@@ -1,6 +1,6 @@
-"""The deployment as the settings describe it, which a controller is given at its start.
+"""The deployment parameters that a controller receives when it starts, as the settings describe them.
 
-Times are in seconds.  Workers, zones and request classes are small indices everywhere behind the wire.
+Times are in seconds.  Workers, zones and request classes are small indices everywhere except on the wire.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 
 class AdmissionMode(StrEnum):
-    """What the figure of an admission order means at the proxies; the values are those of the setting."""
+    """How proxies interpret the value of an admission order; the enum values are those of the setting."""
 
     NONE = "none"  # admission is not ordered
-    RATIO = "ratio"  # the part of the requests that is admitted
-    RATE = "rps"  # the number of requests a second that each proxy admits
+    RATIO = "ratio"  # the fraction of the requests that is admitted
+    RATE = "rps"  # the requests/s that each proxy admits
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentParameters:
-    """What this manager may do in the deployment, and which limits it must keep."""
+    """What this manager may do in the deployment, and which limits it must keep.
+
+    `max_poll_interval_s` is the time within which the endpoint list is to be polled.  `warm_up_start_ratio`
+    is the fraction of its capacity that a worker has when it starts.  `collapse_load_multiple` is the load at
+    which a warming-up worker collapses, as a multiple of its capacity.
+    """
 
     seed: int
     manager_count: int
@@ -35,7 +40,7 @@
     request_classes: tuple[RequestClass, ...]
     proxy_count: int
     watches_endpoints: bool
-    poll_within_s: float
+    max_poll_interval_s: float
     health_checks: bool
     gossip: bool
     admission_mode: AdmissionMode
@@ -47,7 +52,7 @@
     message_window_s: float
     drain_grace_s: float
     warm_up_start_ratio: float
-    collapse_multiple: float
+    collapse_load_multiple: float
     proxies_eject_outliers: bool
     warm_up_s: float
     cross_zone_cost: float
--- a/cottonladder/model/zone_groups.py
+++ b/cottonladder/model/zone_groups.py
@@ -27,14 +27,14 @@
         self._records = workers
 
     def split_by_capacity(self, zone: int, amount: float) -> dict[int, float]:
-        """Divides an amount among a zone's workers in proportion to their capacities."""
+        """Returns the amount divided among a zone's workers in proportion to their capacities."""
         return {i: amount * self.capacities[i] / self.zone_capacities[zone] for i in self.workers[zone]}
 
-    def has_warm(self, zone: int) -> bool:
+    def has_warm_worker(self, zone: int) -> bool:
         """Returns whether any worker of a zone is past its warm-up."""
         return any(i in self.warm_capacities for i in self.workers[zone])
 
-    def warm_shares(self) -> dict[int, float]:
+    def warm_capacity_shares(self) -> dict[int, float]:
         """Returns each warm worker's share of the capacity of all warm workers."""
         total = sum(self.warm_capacities.values())
         return {i: capacity / total for i, capacity in self.warm_capacities.items()}
@@ -42,7 +42,7 @@
     def record_plan(self, flow: list[list[float]], is_new_interval: bool) -> None:
         """Records the planned rate of each worker from a flow by proxy zone and worker zone.
 
-        At a new interval the former planned rate becomes the previous one.
+        At a new interval the rate planned so far becomes the previous planned rate.
         """
         for zone in range(len(self.workers)):
             planned = sum(row[zone] for row in flow)
