--- a/cottonladder/weight_advice/advertised_workers.py
+++ b/cottonladder/weight_advice/advertised_workers.py
@@ -1,4 +1,4 @@
-"""The workers that SASP and DFP servers advertise: their capacities and addresses."""
+"""The workers that SASP and DFP servers advertise: their capacities and locations."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class AdvertisedWorkers:
-    """Capacities (by worker index) and addresses of the workers, as of the last solution.
+    """The workers' capacities by worker index, and their locations, as last computed by the routing policy.
 
-    `version` increases with each update, so that servers and their connections notice one.
+    `version` increases with each update, so that servers and connections detect it.
     """
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         self.version = 0
 
     def update(self, capacities: Mapping[int, WorkerCapacityView], locations: list[WorkerLocation]) -> None:
-        """Replaces the advertised capacities and addresses."""
+        """Replaces the capacities and locations, and increases the version."""
         self.capacities = capacities
         self.locations = locations
         self.version += 1
--- a/cottonladder/weight_advice/load_balancer.py
+++ b/cottonladder/weight_advice/load_balancer.py
@@ -1,4 +1,4 @@
-"""A load balancer's registrations: its groups, their members, and the weights last sent for them."""
+"""A load balancer's registrations: its groups, their members, and the weights that were last sent."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """The workers' capacities as of the last solution, and the index that matches members to workers."""
+    """The workers' capacities by worker index, and the index that matches members to workers."""
 
     capacities: Mapping[int, WorkerCapacityView]
     members: MemberIndex
 
 
 class CurrentWeight(NamedTuple):
-    """A member's weight now; `is_known`: it matches a listed worker, `is_quiesced`: it takes no new work."""
+    """A member's weight, whether it matches a listed worker, and whether it is to accept no new work."""
 
     weight: AdvertisedWeight
     is_known: bool
@@ -68,14 +68,14 @@
         self.sent_weights.pop(member, None)
 
     def set_quiesced(self, member: MemberData, is_quiesced: bool) -> None:
-        """Records whether the load balancer keeps new work from a member."""
+        """Records whether a member is quiesced, which means that it accepts no new work."""
         if is_quiesced:
             self.quiesced.add(member)
         else:
             self.quiesced.discard(member)
 
     def current_weights(self, fleet: FleetView) -> CurrentWeights:
-        """Computes the weights of all members."""
+        """Returns the current weights of all members."""
         worker_by_member = {member: fleet.members.find(member) for member in self.members}
         workers = {index for index in worker_by_member.values() if index is not None}
         quiesced_workers = frozenset(
@@ -92,7 +92,7 @@
         return weights
 
     def changed_weights(self, weights: CurrentWeights) -> CurrentWeights:
-        """Returns those of the weights that differ enough from the last sent ones to be sent again."""
+        """Returns the weights that differ enough from the last sent ones to be sent again."""
         return {
             member: current
             for member, current in weights.items()
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True)
 class LoadBalancer:
-    """A connected load balancer: the UID and flags that it has set, and its groups by name."""
+    """A connected load balancer: its UID, the flags that it has set, and its groups by name."""
 
     lb_uid: bytes = b""
     flags: int = 0
@@ -115,22 +115,22 @@
 
     @property
     def wants_push(self) -> bool:
-        """Whether it asked for weights to be pushed."""
+        """Whether the load balancer asked for pushes of weights."""
         return bool(self.flags & sasp.PUSH_FLAG)
 
     @property
     def wants_changes_only(self) -> bool:
-        """Whether pushes leave out weights that did not change."""
+        """Whether the load balancer asked for pushes that contain only changed weights."""
         return bool(self.flags & sasp.NO_CHANGE_NO_SEND_FLAG)
 
     @property
     def trusts_members(self) -> bool:
-        """Whether members may register themselves in its groups."""
+        """Whether members may register themselves in the load balancer's groups."""
         return bool(self.flags & sasp.TRUST_FLAG)
 
     @property
     def member_count(self) -> int:
-        """Number of members over all of its groups."""
+        """Number of members over all groups."""
         return sum(len(group.members) for group in self.groups.values())
 
     def unmatched_count(self, members: MemberIndex) -> int:
@@ -138,7 +138,7 @@
         return sum(members.find(member) is None for group in self.groups.values() for member in group.members)
 
     def forget_sent_weights(self) -> None:
-        """Makes the next push carry every weight."""
+        """Forgets the weights that were sent, so that the next push contains all of them."""
         for group in self.groups.values():
             group.sent_weights.clear()
 
@@ -149,8 +149,8 @@
     def pushed_weights(self, fleet: FleetView) -> tuple[GroupOfEntries, ...]:
         """Returns the content of the next push, and records it as sent; empty unless a weight changed.
 
-        A load balancer that asked for changes only is not sent groups without a change; any other one is sent
-        all weights of all groups.
+        A load balancer that asked for changes only is sent the changed weights; any other one is sent all
+        weights of all groups.
         """
         current = {name: group.current_weights(fleet) for name, group in self.groups.items()}
         changed = {name: self.groups[name].changed_weights(weights) for name, weights in current.items()}
@@ -161,7 +161,7 @@
         return ()
 
     def _send(self, group_name: bytes, weights: CurrentWeights) -> GroupOfEntries:
-        """Builds a group's part of a message, and records its weights as sent."""
+        """Returns a group with the entries of its weights, and records the weights as sent."""
         self.groups[group_name].record_sent(weights)
         entries = tuple(current.entry(member) for member, current in weights.items())
         return GroupOfEntries(GroupData(self.lb_uid, group_name), entries)
--- a/cottonladder/weight_advice/registry.py
+++ b/cottonladder/weight_advice/registry.py
@@ -1,7 +1,8 @@
-"""The registrations of a SASP workload manager: which load balancer registered which members.
+"""The registrations of a SASP workload manager: the load balancers with their groups and members.
 
-A load balancer is identified by the number of its connection, and its registrations end with that connection.
-The registry builds the reply to each request; the weights in it come from `planning.advertised_weights`.
+A load balancer is identified by the number of its connection; its registrations are removed when the
+connection is closed.  The registry creates the reply to each request, with weights from
+`planning.advertised_weights`.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class RegistryError(Exception):
-    """A request that is answered with a response code other than success."""
+    """A request whose reply has a response code other than success."""
 
     def __init__(self, response_code: ResponseCode) -> None:
         super().__init__(sasp.response_text(response_code))
@@ -34,7 +35,7 @@
 
 
 class LoadBalancerRegistry:
-    """Load balancers by the number of their connection."""
+    """The connected load balancers and their registrations; handles their requests."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, LoadBalancer] = {}
@@ -49,16 +50,16 @@
         self._balancers[connection_number] = LoadBalancer()
 
     def connection_closed(self, connection_number: int) -> None:
-        """Removes the load balancer of a connection with all that it registered."""
+        """Removes the load balancer of a connection with its registrations."""
         self._balancers.pop(connection_number, None)
 
     def wants_push(self, connection_number: int) -> bool:
-        """Whether the load balancer of a connection asked for weights to be pushed."""
+        """Returns whether the load balancer of a connection asked for pushes of weights."""
         balancer = self._balancers.get(connection_number)
         return balancer is not None and balancer.wants_push
 
     def status(self) -> list[dict[str, object]]:
-        """Returns the status log fields of each load balancer.
+        """Returns the log fields that describe each load balancer.
 
         "unmatched" counts the members that match no listed worker.
         """
@@ -94,14 +95,14 @@
         )
 
     def push_message(self, connection_number: int) -> Message | None:
-        """Returns the message to push to a load balancer, or None if no weight changed."""
+        """Returns the Send Weights message for a load balancer, or None if no weight changed."""
         groups = self._balancers[connection_number].pushed_weights(self._fleet)
         if not groups:
             return None
         return Message(MessageType.SEND_WEIGHTS, 0, groups=groups)
 
     def _register(self, sender: LoadBalancer, request: Message) -> tuple[GroupOfEntries, ...]:
-        """Registers all members of the request, or none of them if one is rejected."""
+        """Registers all members of the request; raises RegistryError without a change if one is rejected."""
         balancer = self._resolve_balancer(sender, request)
         new_members = _new_members(balancer, request)
         member_count = balancer.member_count + sum(map(len, new_members.values()))
@@ -115,7 +116,10 @@
         return ()
 
     def _deregister(self, sender: LoadBalancer, request: Message) -> tuple[GroupOfEntries, ...]:
-        """Removes all members of the request, or none; a group named without members is removed entirely."""
+        """Deregisters all members of the request, and all members of a group that it names without members.
+
+        Raises RegistryError without a change if a group or member is not registered.
+        """
         balancer = self._resolve_balancer(sender, request)
         for group_name, entries in _entries_by_group(request):
             members = _registered_group(balancer, group_name).members
@@ -123,7 +127,7 @@
                 raise RegistryError(ResponseCode.MEMBER_NOT_REGISTERED)
         for group_name, entries in _entries_by_group(request):
             group = balancer.groups.get(group_name)
-            if group is None:  # an earlier part of the same request removed it
+            if group is None:  # removed by an earlier entry of the same request
                 continue
             for member in entries:
                 assert isinstance(member, MemberData)
@@ -133,7 +137,7 @@
         return ()
 
     def _get_weights(self, sender: LoadBalancer, request: Message) -> tuple[GroupOfEntries, ...]:
-        """Returns the weights of the named groups, or of all groups if none is named."""
+        """Returns the weights of the requested groups, or of all groups if the request names none."""
         if request.groups:
             self._resolve_balancer(sender, request)
         named = [group.group_name for group in request.groups if isinstance(group, GroupData)]
@@ -153,11 +157,14 @@
             raise RegistryError(ResponseCode.SENDER_NOT_ACCEPTED)
         sender.lb_uid = request.lb_uid
         sender.flags = request.flags
-        sender.forget_sent_weights()  # it may have restarted since
+        sender.forget_sent_weights()  # the load balancer may have restarted
         return ()
 
     def _set_member_state(self, sender: LoadBalancer, request: Message) -> tuple[GroupOfEntries, ...]:
-        """Quiesces or resumes all members of the request, or none of them if one is not registered."""
+        """Quiesces or resumes all members of the request.
+
+        Raises RegistryError without a change if a group or member is not registered.
+        """
         balancer = self._resolve_balancer(sender, request)
         states: list[tuple[RegisteredGroup, MemberStateInstance]] = []
         for group_name, entries in _entries_by_group(request):
@@ -172,9 +179,9 @@
         return ()
 
     def _resolve_balancer(self, sender: LoadBalancer, request: Message) -> LoadBalancer:
-        """Returns the load balancer that a request refers to.
+        """Returns the load balancer whose groups a request refers to; raises RegistryError without one.
 
-        That is the sender itself or, if a member sends the request, the load balancer with the request's UID,
+        That is the sender itself or, if a member sent the request, the load balancer with the request's UID,
         which must trust members to register themselves.
         """
         lb_uid = _request_uid(request)
@@ -242,7 +249,10 @@
 
 
 def _new_members(balancer: LoadBalancer, request: Message) -> NewMembers:
-    """Returns the members of a registration by group; raises RegistryError if one is registered already."""
+    """Returns the members of a registration by group.
+
+    Raises RegistryError if a group has no name, or if a member occurs twice or is registered already.
+    """
     new_members: NewMembers = {}
     for group_name, entries in _entries_by_group(request):
         if not group_name:
--- a/cottonladder/weight_advice/tls.py
+++ b/cottonladder/weight_advice/tls.py
@@ -6,9 +6,10 @@
 
 
 def tls_context(certificate: str, key: str, authorities: str, is_server: bool) -> ssl.SSLContext:
-    """Builds a context from the paths of PEM files; empty paths are left out.
+    """Creates a context from the paths of PEM files; an empty path is ignored.
 
-    With `authorities` the peer must present a certificate that one of them signed.
+    With `authorities`, the peer must present a certificate that one of them signed.  Raises OSError if a file
+    cannot be read or is invalid.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if is_server else ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
--- a/cottonladder/weight_advice/worker_locations.py
+++ b/cottonladder/weight_advice/worker_locations.py
@@ -1,4 +1,4 @@
-"""Matches members, as load balancers and advisors identify them, to the workers of the endpoint list."""
+"""Matches members of load balancers and advisors to the workers of the endpoint list."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class WorkerLocation(NamedTuple):
-    """A worker's id, address and port; `address` is None if the endpoint list has a host name."""
+    """A worker's index, id, address and port; `address` is None if the endpoint list has a host name."""
 
     worker_index: int
     worker_id: bytes
@@ -19,7 +19,7 @@
 
 
 class MemberIndex:
-    """Finds the worker of a member by its label, which is the worker's id, or else by address and port."""
+    """Finds the worker whose id is a member's label, or else the one at the member's address and port."""
 
     def __init__(self, locations: Iterable[WorkerLocation]) -> None:
         self._by_id: dict[bytes, int] = {}
--- a/tests/weight_advice/certificates.py
+++ b/tests/weight_advice/certificates.py
@@ -14,7 +14,10 @@
 
 
 def write_certificate(folder: Path, name: str, issuer_name: str | None = None) -> None:
-    """Writes a key and a certificate for localhost, signed by an earlier one or, without one, by itself."""
+    """Writes a key and a certificate for localhost to `{name}.key` and `{name}.pem`.
+
+    The certificate is signed with the key of the issuer, which must exist, or else with its own key.
+    """
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
     issuer = subject
--- a/tests/weight_advice/test_advisor_status.py
+++ b/tests/weight_advice/test_advisor_status.py
@@ -1,4 +1,4 @@
-"""The status of a followed advisor, in a manager's loop whose clock the test advances."""
+"""The logged status of an advisor, with times that the test passes in place of a clock."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from cottonladder.weight_advice.client import ReportedWeight
 from tests.weight_advice.manager_case import EVENT_TIMEOUT_S, WORKER_ADDRESS, WORKER_COUNT, dfp_hosts
 
-STARTED_AT = 1000.0  # seconds
+STARTED_AT_S = 1000.0
 
 
 class ObservedWeightAdvisor(WeightAdvisor):
-    """Tells when the first weights have been received."""
+    """A weight advisor that sets an event when it receives weights."""
 
     def __init__(self, config: AdviceConfig, workers: WorkerRegistry) -> None:
         super().__init__(config, workers)
@@ -35,7 +35,7 @@
 
 
 class AdvisorStatusTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_status_counts_weights_and_hosts_that_are_no_workers(self) -> None:
+    async def test_the_status_counts_weights_and_unmatched_hosts(self) -> None:
         agent = DfpAdvisor(dfp_hosts)
         address = await agent.start()
         self.addAsyncCleanup(agent.close)
@@ -45,14 +45,14 @@
             worker_index = workers.register(f"s-{n}", f"{WORKER_ADDRESS}:{8000 + n}", 0.0)
             endpoints.append(Endpoint(worker_index, 0, EndpointState.READY, 1.0, 0.0))
         controller = RoutingController(month_end.PARAMETERS)
-        controller.decide_orders(STARTED_AT, [EndpointList(ListUpdateKind.FULL, tuple(endpoints))])
+        controller.decide_orders(STARTED_AT_S, [EndpointList(ListUpdateKind.FULL, tuple(endpoints))])
         config = AdviceConfig(follow=[AdvisorFollowConfig(protocol="dfp", address=address)])
         advisor = ObservedWeightAdvisor(config, workers)
         async with AsyncExitStack() as stack:
             await advisor.start(stack)
-            list(advisor.collect_messages(STARTED_AT, controller))  # gives the client the workers
+            list(advisor.collect_messages(STARTED_AT_S, controller))  # passes the workers to the client
             await asyncio.wait_for(advisor.has_received.wait(), EVENT_TIMEOUT_S)
-            now = STARTED_AT + STATUS_LOG_INTERVAL_S
+            now = STARTED_AT_S + STATUS_LOG_INTERVAL_S
             advisor.collect_inputs(now)
             with capture_logs() as lines:
                 list(advisor.collect_messages(now, controller))
--- a/tests/weight_advice/test_command_line.py
+++ b/tests/weight_advice/test_command_line.py
@@ -22,7 +22,7 @@
 
 
 async def run_advice(*arguments: str) -> CommandResult:
-    """Runs `cottonladder advice` to its end."""
+    """Runs `cottonladder advice` with these arguments and returns its result."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-B",
@@ -39,7 +39,7 @@
 
 
 class AdviceCommandTest(ManagerTestCase):
-    async def test_show_prints_weights_and_probe_whether_an_advisor_answers(self) -> None:
+    async def test_show_prints_weights_and_probe_reports_whether_an_advisor_replies(self) -> None:
         manager = await self.start_manager({"protocol": "sasp"}, {"protocol": "dfp"})
         sasp_address = f"127.0.0.1:{await self.advice_port(manager, 'sasp')}"
         dfp_address = f"127.0.0.1:{await self.advice_port(manager, 'dfp')}"
--- a/tests/weight_advice/test_registry.py
+++ b/tests/weight_advice/test_registry.py
@@ -1,4 +1,4 @@
-"""SASP registrations without sockets: response codes, trust, pushes and bounds."""
+"""The registry of SASP load balancers: response codes, trusted members, pushes and limits."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     sasp.MemberData(6, 80, IPv4Address(f"10.0.0.{n}"), b"s-%d" % n) for n in (1, 2, 3)
 )
 IPV6_MEMBER = sasp.MemberData(17, 65535, IPv6Address("2001:db8::7"))
-# Worker 1 like `MEMBER_A`, matched by its address because the label is unknown.
-MEMBER_BY_ADDRESS = sasp.MemberData(6, 80, IPv4Address("10.0.0.1"), b"nobody's")
+# Another member of `MEMBER_A`'s worker, matched by its address because no worker has its label as id.
+MEMBER_BY_ADDRESS = sasp.MemberData(6, 80, IPv4Address("10.0.0.1"), b"unknown")
 LB_UID = b"lb-1"
 GROUP_NAME = b"workers"
-MESSAGE_ID = 9  # any, which the reply repeats
+MESSAGE_ID = 9  # arbitrary; the reply has the same
 
 
 @dataclass(frozen=True)
 class Case:
-    """A request, and the response code that it gets."""
+    """A request and the expected response code."""
 
     message_type: MessageType
     response_code: ResponseCode
@@ -60,7 +60,7 @@
         flags: int = sasp.LOAD_BALANCER_FLAG,
         connection_number: int = 0,
     ) -> sasp.Message:
-        """Sends a request about one group, and checks that the reply belongs to it."""
+        """Sends a request about one group, checks the type and id of the reply, and returns it."""
         group = sasp.GroupData(lb_uid, group_name)
         groups: tuple[sasp.GroupData | sasp.GroupOfEntries, ...] = (sasp.GroupOfEntries(group, entries),)
         if message_type == MessageType.GET_WEIGHTS_REQUEST:
@@ -72,7 +72,7 @@
         return reply
 
     def set_lb_state(self, flags: int, connection_number: int = 0) -> int:
-        """States a load balancer's flags and returns the response code."""
+        """Sends a Set LB State Request with these flags and returns the response code."""
         request = sasp.Message(MessageType.SET_LB_STATE_REQUEST, 1, lb_uid=LB_UID, flags=flags)
         reply = self.registry.handle_request(connection_number, request)
         assert reply is not None
@@ -93,7 +93,7 @@
 
 
 class ResponseCodeTest(RegistryTestCase):
-    def test_each_request_gets_its_response_code(self) -> None:
+    def test_each_request_is_answered_with_its_response_code(self) -> None:
         register = MessageType.REGISTRATION_REQUEST
         deregister = MessageType.DEREGISTRATION_REQUEST
         set_state = MessageType.SET_MEMBER_STATE_REQUEST
@@ -108,12 +108,12 @@
                 Case(register, codes.INVALID_LB_UID, (MEMBER_A,), lb_uid=b""),
                 Case(register, codes.INVALID_LB_UID, (MEMBER_A,), lb_uid=b"u" * 65),
                 Case(register, codes.SUCCESSFUL, (MEMBER_A, UNKNOWN_MEMBER, MEMBER_BY_ADDRESS)),
-                # The whole request is rejected, so that B can be registered later.
+                # The whole request is rejected: B is not registered, and can be registered later.
                 Case(register, codes.MEMBER_ALREADY_REGISTERED, (MEMBER_B, MEMBER_A)),
                 Case(deregister, codes.MEMBER_NOT_REGISTERED, (MEMBER_B,)),
                 Case(register, codes.SUCCESSFUL, (MEMBER_B,)),
                 Case(register, codes.SENDER_NOT_ACCEPTED, (MEMBER_A,), lb_uid=b"lb-2"),
-                Case(deregister, codes.GROUP_NOT_REGISTERED, (MEMBER_A,), group_name=b"what"),
+                Case(deregister, codes.GROUP_NOT_REGISTERED, (MEMBER_A,), group_name=b"unknown"),
                 Case(set_state, codes.MEMBER_NOT_REGISTERED, (quiesced_ipv6,)),
                 Case(set_state, codes.SUCCESSFUL, (quiesced_b,)),
                 Case(register, codes.LB_NOT_CONNECTED, (IPV6_MEMBER,), lb_uid=b"lb-9", flags=0),
@@ -144,7 +144,7 @@
         # Another connection can't take over the UID of a connected load balancer.
         self.assertEqual(self.set_lb_state(0, connection_number=1), ResponseCode.SENDER_NOT_ACCEPTED)
 
-    def test_groups_and_members_of_a_load_balancer_are_bounded(self) -> None:
+    def test_a_registration_over_the_limit_of_members_is_rejected(self) -> None:
         members = [
             sasp.MemberData(6, n % 65536, MEMBER_A.address, b"%d" % n) for n in range(limits.MAX_MEMBERS)
         ]
@@ -156,14 +156,14 @@
 
 class PushTest(RegistryTestCase):
     def pushed_entries(self) -> tuple[sasp.Entry, ...] | None:
-        """The entries of the first group in a push, or None if nothing is pushed."""
+        """Returns the entries of the first group in a push, or None if nothing is pushed."""
         message = self.registry.push_message(0)
         if message is None:
             return None
         assert isinstance(message.groups[0], sasp.GroupOfEntries)
         return message.groups[0].entries
 
-    def test_pushes_contain_changes_until_the_load_balancer_disconnects(self) -> None:
+    def test_pushes_contain_only_changes_and_a_disconnect_removes_the_groups(self) -> None:
         self.set_lb_state(sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG)
         self.ask(MessageType.REGISTRATION_REQUEST, MEMBER_A, MEMBER_B)
         first = self.pushed_entries()
@@ -186,7 +186,7 @@
         reply = self.ask(MessageType.GET_WEIGHTS_REQUEST)
         self.assertEqual(reply.response_code, ResponseCode.GROUP_NOT_REGISTERED)
 
-    def test_a_load_balancer_without_the_change_flag_gets_all_weights_once_one_changed(self) -> None:
+    def test_without_the_change_flag_a_push_contains_all_weights_once_one_changed(self) -> None:
         self.set_lb_state(sasp.PUSH_FLAG)
         self.ask(MessageType.REGISTRATION_REQUEST, MEMBER_A, MEMBER_B)
         self.assertEqual(len(self.pushed_entries() or ()), 2)
