--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -1,7 +1,7 @@
 """Base class of the SASP and DFP clients: connects to an advisor, receives weights, reconnects with backoff.
 
-Each client has one task and passes the weights to a listener.  `planning.advice_weighting` decides how much
-they count.
+Each client runs in one task and passes the weights to a listener; `planning.advice_weighting` decides how
+much they affect the routing.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 
 
 class AdviceListener(Protocol):
-    """Is notified by the clients of advisors, in the manager's event loop."""
+    """The receiver of the advisor clients' events; it is called in the manager's event loop."""
 
     def advisor_connected(self, advisor: str) -> None:
-        """A connection to the advisor is established."""
+        """Handles a new connection to the advisor."""
 
     def weights_received(self, advisor: str, weights: Iterable[ReportedWeight], is_complete: bool) -> None:
-        """The advisor sent weights; `is_complete` means that its earlier weights no longer hold."""
+        """Handles weights from the advisor; if `is_complete`, they replace all of its earlier ones."""
 
 
 class AdvisorClient(ABC):
     """Maintains the connection to one advisor; a subclass implements its protocol.
 
-    `uniform` draws from 0 to 1 for the jitter of the backoff.
+    `uniform` returns a random number from 0 to 1, for the jitter of the backoff.
     """
 
     def __init__(
@@ -59,7 +59,8 @@
         self.listener = listener
         self.locations: list[WorkerLocation] = []
         self.members = MemberIndex(())
-        self.unmatched_count = 0  # members of the last report that match no listed worker
+        # Number of members in the last report that match no listed worker.
+        self.unmatched_count = 0
         self.is_connected = False
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
         self._tls = tls
@@ -80,7 +81,7 @@
 
     @abstractmethod
     def locations_changed(self) -> None:
-        """Tells the advisor of the changed locations, if the protocol has a message for it."""
+        """Updates the advisor's list of workers, if the protocol has a message for it."""
 
     async def _run(self) -> None:
         backoff_s = limits.MIN_BACKOFF_S
@@ -97,12 +98,12 @@
             backoff_s = min(limits.MAX_BACKOFF_S, 2.0 * backoff_s)
 
     async def _connect_and_receive(self) -> str:
-        """Opens a connection and receives until it ends; returns the reason for its end."""
+        """Opens a connection and receives until it is closed; returns the reason why, for the log."""
         try:
             async with asyncio.timeout(limits.CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self.address, ssl=self._tls)
         except (OSError, TimeoutError, ssl.SSLError) as exc:
-            return f"no connection: {exc or 'timed out'}"
+            return f"connecting failed: {str(exc) or f'no connection within {limits.CONNECT_TIMEOUT_S:g} s'}"
         self._writer = writer
         self.is_connected = True
         self.log.info("advisor_connected", advisor=self.name)
@@ -114,17 +115,20 @@
                 async with asyncio.timeout(self.silence_timeout_s):
                     data = await reader.read(limits.READ_SIZE_BYTES)
                 if not data:
-                    return "ended by the advisor"
+                    return "closed by the peer"
                 self.receive(data)
         except (AdviceError, OSError) as exc:
             return str(exc) or type(exc).__name__
         except TimeoutError:
-            return f"silent for {self.silence_timeout_s:g} s"
+            return f"no data within {self.silence_timeout_s:g} s"
         finally:
             writer.transport.abort()
 
     def send(self, data: bytes) -> None:
-        """Writes to the advisor if it is connected; aborts the connection if it leaves too much unread."""
+        """Writes to the advisor if it is connected.
+
+        Aborts the connection instead if the advisor has left too many bytes unread.
+        """
         if self._writer is None or self._writer.transport.is_closing():
             return
         if self._writer.transport.get_write_buffer_size() > limits.MAX_UNREAD_BYTES:
@@ -134,7 +138,7 @@
 
     @property
     def silence_timeout_s(self) -> float:
-        """Time without a message after which the connection is closed."""
+        """Time in seconds without received data after which the connection is closed."""
         return limits.SILENCE_TIMEOUT_S
 
     @abstractmethod
@@ -147,7 +151,7 @@
 
     @abstractmethod
     def poll(self) -> None:
-        """Requests weights if a request is due; called periodically."""
+        """Requests weights if the polling interval has passed; called periodically."""
 
     async def close(self) -> None:
         """Cancels the task, which closes its connection, and waits for its end."""
--- a/cottonladder/weight_advice/dfp.py
+++ b/cottonladder/weight_advice/dfp.py
@@ -16,10 +16,10 @@
 from ipaddress import IPv4Address
 
 from .errors import (
-    DigestError,
     MessageHeaderError,
     MessageSizeError,
     MissingSecurityError,
+    SecurityTlvError,
     TlvLengthError,
     TlvTooLargeError,
     TlvTrailingDataError,
@@ -29,13 +29,15 @@
 )
 from .tlv import Cursor
 
-# Version that the signal header carries (draft-eck-dfp).
+# Version in the signal header (draft-eck-dfp).
 PROTOCOL_VERSION = 1
-# Largest message accepted: some 100,000 hosts.
+# Name of the protocol in errors.
+_PROTOCOL = "DFP"
+# Maximum size of an accepted message, which can have some 100,000 hosts.
 MAX_MESSAGE_BYTES = 1 << 20
-# Hosts accepted in one message, over all of its loads.
+# Maximum number of hosts in an accepted message, over all of its loads.
 MAX_HOSTS_PER_MESSAGE = 20_000
-# TLVs accepted in one message.
+# Maximum number of TLVs in an accepted message.
 MAX_TLVS_PER_MESSAGE = 4096
 
 
@@ -94,9 +96,9 @@
 # Reserved bytes after the number of entries of a BindID table.
 _RESERVED_BYTES = 2
 
-# Largest TLV: its length is stored in two bytes.
+# Maximum size of a TLV, whose length is stored in two bytes.
 MAX_TLV_BYTES = 0xFFFF
-# Hosts that fit a load TLV.
+# Maximum number of hosts in a load TLV.
 MAX_HOSTS_PER_TLV = (MAX_TLV_BYTES - _TLV.size - _LOAD.size) // _HOST.size
 
 
@@ -111,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Hosts that serve a port by a protocol (6 is TCP); port 0 means all ports."""
+    """Weights of hosts for a port and an IP protocol number (6 is TCP); port 0 means all ports."""
 
     port: int
     protocol: int
@@ -121,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BindIdEntry:
-    """A BindID and the network whose clients it identifies."""
+    """A BindID, and the network of the clients that it identifies."""
 
     bind_id: int
     network: IPv4Address
@@ -182,7 +184,8 @@
         port, protocol, flags, host_count, _ = _LOAD.unpack_from(body.data, body.advance(_LOAD.size))
         self._remaining_hosts -= host_count
         if self._remaining_hosts < 0:
-            raise TooManyItemsError(MAX_HOSTS_PER_MESSAGE, "hosts")
+            min_count = MAX_HOSTS_PER_MESSAGE - self._remaining_hosts
+            raise TooManyItemsError(_PROTOCOL, "hosts", min_count, MAX_HOSTS_PER_MESSAGE)
         hosts: list[HostPreference] = []
         for _ in range(host_count):
             address, bind_id, weight = _HOST.unpack_from(body.data, body.advance(_HOST.size))
@@ -190,7 +193,7 @@
         return Load(port, protocol, tuple(hosts), flags)
 
     def _check_security(self, body: Cursor) -> int:
-        """Returns the key id; raises DigestError if secrets are configured and the digest does not match."""
+        """Returns the key id; raises SecurityTlvError if secrets are configured and the TLV matches none."""
         start = body.advance(_SECURITY.size)
         algorithm, key_id, digest = _SECURITY.unpack_from(self._data, start)
         if not self._secrets:
@@ -198,10 +201,13 @@
         digest_start = start + _SECURITY.size - DIGEST_BYTES
         without_digest = self._data[:digest_start] + _EMPTY_DIGEST + self._data[digest_start + DIGEST_BYTES :]
         secret = self._secrets.get(key_id)
-        if algorithm != MD5_ALGORITHM or secret is None:
-            raise DigestError(algorithm, key_id)
+        if algorithm != MD5_ALGORITHM:
+            raise SecurityTlvError(algorithm, key_id, f"expected algorithm {MD5_ALGORITHM} (MD5)")
+        if secret is None:
+            expected_ids = ", ".join(map(str, self._secrets))
+            raise SecurityTlvError(algorithm, key_id, f"expected key id {expected_ids}")
         if not hmac.compare_digest(_digest(secret, without_digest), digest):
-            raise DigestError(algorithm, key_id)
+            raise SecurityTlvError(algorithm, key_id, "the digest does not match the configured secret")
         return int(key_id)
 
 
@@ -222,25 +228,29 @@
     `secrets` maps key ids to secrets.  If it is given, the message must have a security TLV with a valid
     digest.
     """
-    cursor = Cursor(data)
+    cursor = Cursor(data, "DFP message")
     version, _, message_type, size = _HEADER.unpack_from(data, cursor.advance(_HEADER.size))
     if version != PROTOCOL_VERSION or size != len(data):
-        raise MessageHeaderError(version, f"a length of {size}")
+        raise MessageHeaderError(
+            _PROTOCOL,
+            received=f"version {version}, message length {size}",
+            expected=f"version {PROTOCOL_VERSION}, message length {len(data)}",
+        )
     if message_type not in MESSAGE_NAMES:
-        raise UnknownMessageError(message_type)
+        raise UnknownMessageError(_PROTOCOL, message_type)
     decoder = _MessageDecoder(data, secrets)
     tlv_count = 0
     while cursor.remaining:
         tlv_count += 1
         if tlv_count > MAX_TLVS_PER_MESSAGE:
-            raise TooManyItemsError(MAX_TLVS_PER_MESSAGE, "TLVs")
+            raise TooManyItemsError(_PROTOCOL, "TLVs", tlv_count, MAX_TLVS_PER_MESSAGE)
         tlv_type, length = cursor.read_header()
         if length < _TLV.size:
-            raise TlvLengthError(tlv_type, length)
+            raise TlvLengthError(tlv_type, length, _TLV.size)
         start = cursor.advance(length - _TLV.size)
-        decoder.read_tlv(tlv_type, Cursor(data, start, cursor.position))
+        decoder.read_tlv(tlv_type, Cursor(data, f"DFP TLV {tlv_type:#06x}", start, cursor.position))
     if secrets and decoder.key_id is None:
-        raise MissingSecurityError
+        raise MissingSecurityError(MESSAGE_NAMES[message_type])
     return Message(
         message_type,
         tuple(decoder.loads),
@@ -252,13 +262,14 @@
 
 
 def _encode_tlv(tlv_type: int, body: bytes) -> bytes:
-    if _TLV.size + len(body) > MAX_TLV_BYTES:
-        raise TlvTooLargeError(tlv_type)
-    return _TLV.pack(tlv_type, _TLV.size + len(body)) + body
+    size = _TLV.size + len(body)
+    if size > MAX_TLV_BYTES:
+        raise TlvTooLargeError(tlv_type, size, MAX_TLV_BYTES)
+    return _TLV.pack(tlv_type, size) + body
 
 
 def _encode_load(load: Load) -> bytes:
-    """Encodes a load, in several TLVs if one can't hold all of its hosts."""
+    """Encodes a load, in several TLVs if its hosts do not fit one."""
     encoded = b""
     for start in range(0, len(load.hosts) or 1, MAX_HOSTS_PER_TLV):
         hosts = load.hosts[start : start + MAX_HOSTS_PER_TLV]
@@ -276,7 +287,10 @@
 
 
 def encode_message(message: Message, secret: tuple[int, bytes] | None = None) -> bytes:
-    """Encodes a message; with a secret, given as key id and bytes, it starts with a security TLV."""
+    """Encodes a message; with a secret, a pair of key id and bytes, its first TLV is a security TLV.
+
+    Raises TlvTooLargeError if a TLV exceeds `MAX_TLV_BYTES`.
+    """
     body = b"".join(map(_encode_load, message.loads))
     if message.keep_alive_s is not None:
         body += _encode_tlv(TlvType.KEEP_ALIVE, _KEEP_ALIVE.pack(message.keep_alive_s))
@@ -310,7 +324,7 @@
         self._buffer += data
         messages: list[Message] = []
         if self._buffer and self._buffer[0] != PROTOCOL_VERSION:
-            raise UnknownVersionError(self._buffer[0])
+            raise UnknownVersionError(_PROTOCOL, self._buffer[0], PROTOCOL_VERSION)
         while len(self._buffer) >= _HEADER.size:
             message_size = self._next_message_size()
             if len(self._buffer) < message_size:
@@ -323,7 +337,7 @@
         """Reads the size in bytes of the message whose header is at the start of the buffer."""
         version, _, _, message_size = _HEADER.unpack_from(self._buffer)
         if version != PROTOCOL_VERSION:
-            raise UnknownVersionError(version)
+            raise UnknownVersionError(_PROTOCOL, version, PROTOCOL_VERSION)
         if not _HEADER.size <= message_size <= self._max_message_bytes:
-            raise MessageSizeError(message_size, self._max_message_bytes)
+            raise MessageSizeError(_PROTOCOL, message_size, _HEADER.size, self._max_message_bytes)
         return int(message_size)
--- a/cottonladder/weight_advice/dfp_client.py
+++ b/cottonladder/weight_advice/dfp_client.py
@@ -1,4 +1,4 @@
-"""A DFP manager (draft-eck-dfp) that asks an agent for reports and receives the weights of the workers."""
+"""A DFP manager (draft-eck-dfp) that receives the weights of the workers from an agent."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from .errors import UnexpectedMessageError
 from .tlv import Address
 
-# Keep-alive interval that an agent is asked for.
+# Keep-alive interval that agents are asked for.
 REQUESTED_KEEP_ALIVE_S = 10
-# Number of keep-alive intervals without a message after which the connection is closed.
+# Number of keep-alive intervals without received data after which the connection is closed.
 SILENCE_TIMEOUT_INTERVALS = 2.0
-# Port number of a load that covers all ports of its hosts.
+# Port number of a load that applies to all ports of its hosts.
 ALL_PORTS = 0
 
 
 class DfpAdvisorClient(AdvisorClient):
-    """Receives the reports of an agent; `secret` is the id and the bytes of the key that signs messages."""
+    """Receives the reports of an agent; `secret` is the key id and key that authenticate messages."""
 
     def __init__(
         self,
@@ -33,24 +33,24 @@
         self._reader = dfp.MessageReader()
 
     def start_session(self) -> None:
-        """Asks for a report in each keep-alive interval."""
+        """Asks the agent for a report at least once per keep-alive interval."""
         self._reader = dfp.MessageReader(dict([self._secret]) if self._secret else None)
         parameters = dfp.Message(dfp.MessageType.DFP_PARAMETERS, keep_alive_s=REQUESTED_KEEP_ALIVE_S)
         self.send(dfp.encode_message(parameters, self._secret))
 
     def locations_changed(self) -> None:
-        """Does nothing: DFP has no message for it."""
+        """Does nothing, because a DFP manager has no message that lists workers."""
 
     def poll(self) -> None:
-        """Does nothing: an agent reports unasked."""
+        """Does nothing, because an agent sends reports without requests."""
 
     @property
     def silence_timeout_s(self) -> float:
-        """Time without a message after which the connection is closed."""
+        """Time in seconds without received data after which the connection is closed."""
         return SILENCE_TIMEOUT_INTERVALS * REQUESTED_KEEP_ALIVE_S
 
     def receive(self, data: bytes) -> None:
-        """Passes reported weights to the listener; a message of a manager ends the connection."""
+        """Passes reported weights to the listener; raises AdviceError for a message of a manager."""
         for message in self._reader.feed(data):
             if message.message_type == dfp.MessageType.PREFERENCE_INFORMATION:
                 self._report_weights(message)
@@ -58,11 +58,11 @@
                 dfp.MessageType.BIND_ID_REPORT,
                 dfp.MessageType.BIND_ID_CHANGE_NOTICE,
             ):
-                reason = f"{dfp.MESSAGE_NAMES[message.message_type]}: not an agent's"
-                raise UnexpectedMessageError(message.message_type, reason)
+                name = f"DFP message ({dfp.MESSAGE_NAMES[message.message_type]})"
+                raise UnexpectedMessageError(name, "a message of an agent")
 
     def _report_weights(self, message: dfp.Message) -> None:
-        """Passes one weight for each worker to the listener: the lowest, if several BindIDs have one."""
+        """Passes one weight of each reported worker to the listener: the lowest one over all BindIDs."""
         workers_by_address = self._workers_by_address()
         lowest: dict[int, int] = {}
         self.unmatched_count = 0
@@ -86,6 +86,6 @@
         return workers
 
     def _workers_at(self, load: dfp.Load, host: dfp.HostPreference) -> list[int]:
-        """The worker at the load's port of a host, or none."""
+        """Returns the index of the worker at a host and the load's port; empty if there is none."""
         worker_index = self.members.find(sasp.MemberData(load.protocol, load.port, host.address))
         return [] if worker_index is None else [worker_index]
--- a/cottonladder/weight_advice/dfp_server.py
+++ b/cottonladder/weight_advice/dfp_server.py
@@ -1,4 +1,4 @@
-"""A DFP agent (draft-eck-dfp): reports the weight of each worker as often as a connected manager asks for."""
+"""A DFP agent (draft-eck-dfp): reports the weights of the workers to each connected manager."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from .tlv import TCP_PROTOCOL_NUMBER
 from .worker_locations import WorkerLocation
 
-# Limits on the hosts and loads of one report: half of those of this project's decoder.
+# Maximum numbers of hosts and loads in one report: half of those that this project's decoder accepts.
 MAX_HOSTS_PER_REPORT = dfp.MAX_HOSTS_PER_MESSAGE // 2
 MAX_LOADS_PER_REPORT = dfp.MAX_TLVS_PER_MESSAGE // 2
 
-# The only binding that the server reports: all clients get the same weights.
+# The only BindID that the server reports, because all clients get the same weights.
 ALL_CLIENTS = dfp.BindIdEntry(0, IPv4Address(0), IPv4Address(0))
 
 
 class DfpServer(AdviceServer):
-    """Serves DFP managers; `secret` is the key id and key that their messages must be signed with."""
+    """Serves DFP managers; `secret` is the key id and key that authenticate messages."""
 
     def __init__(
         self, advertised: AdvertisedWorkers, max_clients: int, secret: tuple[int, bytes] | None = None
@@ -48,7 +48,7 @@
         self._sent_weights: dict[int, AdvertisedWeight] = {}  # by worker index
 
     def handle_data(self, data: bytes) -> None:
-        """Handles the messages of a manager; a message of an agent ends the connection."""
+        """Handles the messages of a manager; raises AdviceError for a message of an agent."""
         for message in self._reader.feed(data):
             self.has_sent_message = True
             self._handle_message(message)
@@ -58,12 +58,12 @@
             self._keep_alive_s = _checked_keep_alive(message.keep_alive_s)
         elif message.message_type == dfp.MessageType.BIND_ID_REQUEST:
             self._send_message(dfp.Message(dfp.MessageType.BIND_ID_REPORT, bindings=(ALL_CLIENTS,)))
-        elif message.message_type != dfp.MessageType.SERVER_STATE:  # accepted and ignored
-            reason = f"{dfp.MESSAGE_NAMES[message.message_type]}: not from a manager"
-            raise UnexpectedMessageError(message.message_type, reason)
+        elif message.message_type != dfp.MessageType.SERVER_STATE:  # which is ignored
+            name = f"DFP message ({dfp.MESSAGE_NAMES[message.message_type]})"
+            raise UnexpectedMessageError(name, "a message of a manager")
 
     def push_due_weights(self, now: float) -> None:
-        """Reports all weights at half of the keep-alive interval, or sooner if one of them changed."""
+        """Reports all weights every half keep-alive interval, or sooner if one of them changed."""
         version = self._advertised.version
         elapsed_s = now - self.pushed_at
         is_keep_alive_due = elapsed_s >= self._keep_alive_s / 2
@@ -87,16 +87,19 @@
 
 
 def _checked_keep_alive(keep_alive_s: int | None) -> float:
-    """Returns the interval that a manager asks for, or the default; raises KeepAliveError if out of range."""
+    """Returns the interval, in seconds, that a manager asks for, or the default if it asks for none.
+
+    Raises KeepAliveError if the interval is out of range.
+    """
     if keep_alive_s is None:
         return float(limits.KEEP_ALIVE_INTERVAL_S)
     if not 0 < keep_alive_s <= limits.MAX_KEEP_ALIVE_INTERVAL_S:
-        raise KeepAliveError(keep_alive_s)
+        raise KeepAliveError(keep_alive_s, limits.MAX_KEEP_ALIVE_INTERVAL_S)
     return float(keep_alive_s)
 
 
 class _Host(NamedTuple):
-    """A worker that DFP can report: the protocol has IPv4 addresses alone."""
+    """A worker with an IPv4 address, as DFP supports no other addresses."""
 
     worker_index: int
     address: IPv4Address
@@ -118,7 +121,7 @@
 def _preferences_by_port(
     hosts: list[_Host], weights: Mapping[int, AdvertisedWeight]
 ) -> dict[int, list[dfp.HostPreference]]:
-    """The weight of each host, grouped by port, as a load has one port."""
+    """Returns the weights of the hosts by port, as each load has a single port."""
     preferences: dict[int, list[dfp.HostPreference]] = {}
     for host in hosts:
         weight = weights[host.worker_index].weight
@@ -130,7 +133,7 @@
 def _split_into_reports(
     preferences_by_port: Mapping[int, list[dfp.HostPreference]],
 ) -> list[tuple[dfp.Load, ...]]:
-    """The loads of each report: one load for each port, as many as fit the limits on a report."""
+    """Returns the loads of each report: one load per port, and no more per report than its limits allow."""
     reports: list[tuple[dfp.Load, ...]] = []
     loads: list[dfp.Load] = []
     host_count = 0
--- a/cottonladder/weight_advice/query.py
+++ b/cottonladder/weight_advice/query.py
@@ -9,13 +9,15 @@
 from ..config.errors import InputError
 from ..config.fields import parse_host_port
 from . import dfp, limits, sasp
-from .errors import ConnectionEndedError, RequestRejectedError
+from .errors import ConnectionClosedError, RequestRejectedError
 from .sasp import MessageType, ResponseCode
 from .tlv import TCP_PROTOCOL_NUMBER, parse_address
 
 BALANCER_UID = b"cottonladder-show"
 GROUP_NAME = b"shown"
 DFP_KEEP_ALIVE_S = 1
+# Maximum number of characters of an argument that an error quotes.
+MAX_QUOTED_CHARACTERS = 60
 FLAG_NAMES = {
     sasp.CONTACT_SUCCESS_FLAG: "contact",
     sasp.QUIESCE_FLAG: "quiesced",
@@ -26,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberWeight:
-    """An advisor's weight of one member; `place` is its host:port.
+    """An advisor's weight of one member; `place` is the member's host:port.
 
     The names of the fields are the keys of the command's JSON output.
     """
@@ -38,12 +40,13 @@
 
 
 def parse_member(text: str) -> sasp.MemberData:
-    """Parses `[LABEL@]HOST:PORT`, where the host must be an IP address."""
+    """Parses `[LABEL@]HOST:PORT`; raises InputError unless the host is an IP address."""
     label, _, host_port = text.rpartition("@")
     host, port = parse_host_port(host_port, "member", "--member")
     ip_address = parse_address(host.strip("[]"))
     if ip_address is None:
-        raise InputError(f"--member: {host} is no literal address")
+        quoted_host = repr(host)[:MAX_QUOTED_CHARACTERS]
+        raise InputError(f"--member: expected an IP address as the host, got {quoted_host}")
     return sasp.MemberData(TCP_PROTOCOL_NUMBER, port, ip_address, label.encode())
 
 
@@ -57,7 +60,7 @@
         self._message_id = 0
 
     async def request(self, message_type: MessageType, **fields: object) -> sasp.Message:
-        """Sends a request and waits for its reply; raises RequestRejectedError if it reports a fault."""
+        """Sends a request and waits for its reply; raises RequestRejectedError unless it reports success."""
         self._message_id += 1
         request = sasp.Message(message_type, self._message_id, **fields)  # type: ignore[arg-type]
         self._writer.write(sasp.encode_message(request))
@@ -68,14 +71,15 @@
                     continue
                 if message.response_code != ResponseCode.SUCCESSFUL:
                     reason = sasp.response_text(message.response_code)
-                    raise RequestRejectedError(message.response_code, reason)
+                    name = f"SASP {sasp.MESSAGE_NAMES[message_type]}"
+                    raise RequestRejectedError(name, message.response_code, reason)
                 return message
 
 
 async def _read_chunk(reader: asyncio.StreamReader) -> bytes:
     data = await reader.read(limits.READ_SIZE_BYTES)
     if not data:
-        raise ConnectionEndedError
+        raise ConnectionClosedError
     return data
 
 
@@ -118,7 +122,10 @@
 
 
 async def query_dfp(host: str, port: int, first_answer: bool = False) -> list[MemberWeight]:
-    """Connects as a DFP manager and waits for a report, or with `first_answer` for any message."""
+    """Connects as a DFP manager and returns the weights of the first report.
+
+    With `first_answer` it returns after any first message, without weights if that is not a report.
+    """
     reader, writer = await asyncio.open_connection(host, port)
     try:
         writer.write(
--- a/cottonladder/weight_advice/sasp/codes.py
+++ b/cottonladder/weight_advice/sasp/codes.py
@@ -1,12 +1,12 @@
-"""The numbers that SASP defines (RFC 4678): component and message types, flags and response codes."""
+"""Numeric constants of SASP (RFC 4678): component and message types, flags and response codes."""
 
 from __future__ import annotations
 
 from enum import IntEnum
 
-# Version that the header of each message carries (RFC 4678).
+# Version in the header of each message (RFC 4678).
 PROTOCOL_VERSION = 1
-# Highest health that a load balancer can state of itself (RFC 4678, Set LB State Request).
+# Maximum health of a load balancer in a Set LB State Request (RFC 4678).
 MAX_LB_HEALTH = 0x7F
 
 
@@ -39,6 +39,20 @@
     SET_MEMBER_STATE_REPLY = 0x1065
 
 
+MESSAGE_NAMES: dict[int, str] = {
+    MessageType.REGISTRATION_REQUEST: "Registration Request",
+    MessageType.REGISTRATION_REPLY: "Registration Reply",
+    MessageType.DEREGISTRATION_REQUEST: "Deregistration Request",
+    MessageType.DEREGISTRATION_REPLY: "Deregistration Reply",
+    MessageType.GET_WEIGHTS_REQUEST: "Get Weights Request",
+    MessageType.GET_WEIGHTS_REPLY: "Get Weights Reply",
+    MessageType.SEND_WEIGHTS: "Send Weights",
+    MessageType.SET_LB_STATE_REQUEST: "Set LB State Request",
+    MessageType.SET_LB_STATE_REPLY: "Set LB State Reply",
+    MessageType.SET_MEMBER_STATE_REQUEST: "Set Member State Request",
+    MessageType.SET_MEMBER_STATE_REPLY: "Set Member State Reply",
+}
+
 REPLY_TYPES: dict[int, MessageType] = {
     MessageType.REGISTRATION_REQUEST: MessageType.REGISTRATION_REPLY,
     MessageType.DEREGISTRATION_REQUEST: MessageType.DEREGISTRATION_REPLY,
@@ -59,14 +73,14 @@
 
 # Bit of a weight entry's flags: the workload manager can reach the member.
 CONTACT_SUCCESS_FLAG = 0x01
-# Bit of a weight entry's flags: the member takes no new work.
+# Bit of a weight entry's flags: the member accepts no new work.
 QUIESCE_FLAG = 0x02
 # Bit of a weight entry's flags: the member registered itself.
 REGISTRATION_FLAG = 0x04
 # Bit of a weight entry's flags: the workload manager is confident in the weight.
 CONFIDENT_FLAG = 0x08
 
-# Bit of a member state's flags: the member takes no new work.
+# Bit of a member state's flags: the member accepts no new work.
 MEMBER_QUIESCE_FLAG = 0x01
 
 # Bit of a deregistration's reason: the load balancer learned that the member was removed on purpose.
@@ -93,21 +107,21 @@
 
 RESPONSE_TEXTS: dict[int, str] = {
     ResponseCode.SUCCESSFUL: "done",
-    ResponseCode.MESSAGE_NOT_UNDERSTOOD: "not understood",
-    ResponseCode.SENDER_NOT_ACCEPTED: "not accepted from this sender",
-    ResponseCode.MEMBER_ALREADY_REGISTERED: "already registered",
-    ResponseCode.DUPLICATE_MEMBER_IN_REQUEST: "a member twice",
-    ResponseCode.INVALID_GROUP: "group not allowed",
-    ResponseCode.DUPLICATE_GROUP: "a group twice",
-    ResponseCode.MEMBER_NOT_REGISTERED: "not registered",
-    ResponseCode.GROUP_NOT_REGISTERED: "unknown group",
-    ResponseCode.DUPLICATE_MEMBER: "a member twice",
-    ResponseCode.MISSING_GROUP_NAME: "group without a name",
-    ResponseCode.INVALID_LB_UID: "bad balancer uid",
-    ResponseCode.LB_NOT_CONNECTED: "its balancer is not here",
+    ResponseCode.MESSAGE_NOT_UNDERSTOOD: "message not understood",
+    ResponseCode.SENDER_NOT_ACCEPTED: "message not accepted from this sender",
+    ResponseCode.MEMBER_ALREADY_REGISTERED: "member already registered",
+    ResponseCode.DUPLICATE_MEMBER_IN_REQUEST: "duplicate member in the request",
+    ResponseCode.INVALID_GROUP: "invalid group",
+    ResponseCode.DUPLICATE_GROUP: "duplicate group",
+    ResponseCode.MEMBER_NOT_REGISTERED: "member not registered",
+    ResponseCode.GROUP_NOT_REGISTERED: "group not registered",
+    ResponseCode.DUPLICATE_MEMBER: "duplicate member",
+    ResponseCode.MISSING_GROUP_NAME: "missing group name",
+    ResponseCode.INVALID_LB_UID: "invalid load balancer UID",
+    ResponseCode.LB_NOT_CONNECTED: "load balancer not connected",
 }
 
 
 def response_text(response_code: int) -> str:
-    """Describes a response code for logs and the command line; an unknown one is given in hexadecimal."""
-    return RESPONSE_TEXTS.get(response_code, hex(response_code))
+    """Returns the description of a response code for logs and the command line."""
+    return RESPONSE_TEXTS.get(response_code, f"unknown response code {response_code:#04x}")
--- a/cottonladder/weight_advice/sasp/decoding.py
+++ b/cottonladder/weight_advice/sasp/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes SASP messages by the layouts in `messages`, with bounds on everything that the sender controls."""
+"""Decodes SASP messages by the layouts in `messages`; limits the sizes and counts that the sender states."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 
 from ..errors import (
     ComponentLengthError,
-    MemberError,
     MessageHeaderError,
     MessageSizeError,
     MissingHeaderError,
@@ -41,19 +40,21 @@
     WeightEntry,
 )
 
-# Largest message accepted: some 100,000 members.
+# Name of the protocol in errors.
+_PROTOCOL = "SASP"
+# Maximum size of an accepted message, which can have some 100,000 members.
 MAX_MESSAGE_BYTES = 4 << 20
-# Members accepted in one message, over all of its groups.
+# Maximum number of members in an accepted message, over all of its groups.
 MAX_MEMBERS_PER_MESSAGE = 20_000
-# Groups accepted in one message.
+# Maximum number of groups in an accepted message.
 MAX_GROUPS_PER_MESSAGE = 1024
 
-# Smallest message: the header and an empty component.
+# Minimum size of a message: the header and an empty component.
 _MIN_MESSAGE_BYTES = HEADER_STRUCT.size + COMPONENT_STRUCT.size
-# Bytes of unexpected input that an error quotes.
+# Maximum number of bytes of unexpected input that an error quotes.
 _QUOTED_BYTES = 4
 
-# Component types as plain integers, because the lookup of an Enum member is slow for ten thousand entries.
+# Component types as integers, because the lookup of an Enum member is slow for ten thousand entries.
 _MEMBER_TYPE = int(ComponentType.MEMBER_DATA)
 _WEIGHT_TYPE = int(ComponentType.WEIGHT_ENTRY)
 _STATE_TYPE = int(ComponentType.MEMBER_STATE_INSTANCE)
@@ -83,29 +84,33 @@
         """Reads the size in bytes of the message whose header is at the start of the buffer."""
         component_type, length, version, message_size = HEADER_START_STRUCT.unpack_from(self._buffer)
         if component_type != ComponentType.HEADER or length != HEADER_STRUCT.size:
-            raise MissingHeaderError(bytes(self._buffer[:_QUOTED_BYTES]))
+            raise self._missing_header_error()
         if version != PROTOCOL_VERSION:
-            raise UnknownVersionError(version)
+            raise UnknownVersionError(_PROTOCOL, version, PROTOCOL_VERSION)
         if not _MIN_MESSAGE_BYTES <= message_size <= self._max_message_bytes:
-            raise MessageSizeError(message_size, self._max_message_bytes)
+            raise MessageSizeError(_PROTOCOL, message_size, _MIN_MESSAGE_BYTES, self._max_message_bytes)
         return int(message_size)
 
     def _check_partial_header(self) -> None:
-        """Rejects a buffer that can't become a message, whatever follows."""
+        """Raises MissingHeaderError if the buffer is not the start of a header."""
         expected = COUNT_STRUCT.pack(ComponentType.HEADER)
         if self._buffer[: len(expected)] != expected[: len(self._buffer)]:
-            raise MissingHeaderError(bytes(self._buffer[:_QUOTED_BYTES]))
+            raise self._missing_header_error()
+
+    def _missing_header_error(self) -> MissingHeaderError:
+        received = bytes(self._buffer[:_QUOTED_BYTES])
+        return MissingHeaderError(ComponentType.HEADER, HEADER_STRUCT.size, received)
 
 
 def decode_message(data: bytes) -> Message:
     """Decodes one complete message with its header; raises AdviceError for anything else."""
-    cursor = Cursor(data)
+    cursor = Cursor(data, "SASP message")
     message_id = _read_message_header(cursor)
     start = cursor.position
     message_type, length = cursor.read_header()
     layout = MESSAGE_LAYOUTS.get(message_type)
     if layout is None:
-        raise UnknownMessageError(message_type)
+        raise UnknownMessageError(_PROTOCOL, message_type)
     fields = {fixed_field.name: _read_field(cursor, fixed_field) for fixed_field in layout.fields}
     groups: list[Group] = []
     fixed_size = cursor.position - start
@@ -113,7 +118,7 @@
         group_count = cursor.read_u16()
         fixed_size = cursor.position - start
         if group_count > MAX_GROUPS_PER_MESSAGE:
-            raise TooManyItemsError(MAX_GROUPS_PER_MESSAGE, "groups")
+            raise TooManyItemsError(_PROTOCOL, "groups", group_count, MAX_GROUPS_PER_MESSAGE)
         groups = _read_groups(cursor, layout.nested_type, group_count)
     _check_length(cursor, message_type, start, length, fixed_size)
     if cursor.remaining:
@@ -122,13 +127,19 @@
 
 
 def _read_message_header(cursor: Cursor) -> int:
-    """Checks the header and returns the message id."""
-    length = _expect(cursor, ComponentType.HEADER)
+    """Returns the message id; raises MessageHeaderError if another field of the header is invalid."""
+    length = _read_component_length(cursor, ComponentType.HEADER)
     version = cursor.read_u8()
     message_size = cursor.read_u32()
     message_id = cursor.read_u32()
     if length != HEADER_STRUCT.size or version != PROTOCOL_VERSION or message_size != len(cursor.data):
-        raise MessageHeaderError(version, f"lengths {length} and {message_size}")
+        raise MessageHeaderError(
+            _PROTOCOL,
+            received=f"length {length}, version {version}, message length {message_size}",
+            expected=(
+                f"length {HEADER_STRUCT.size}, version {PROTOCOL_VERSION}, message length {len(cursor.data)}"
+            ),
+        )
     return message_id
 
 
@@ -143,30 +154,30 @@
 def _read_groups(cursor: Cursor, nested_type: ComponentType, group_count: int) -> list[Group]:
     if nested_type == ComponentType.GROUP_DATA:
         return [_read_group(cursor) for _ in range(group_count)]
-    budget = _MemberBudget()
-    return [_read_group_of_entries(cursor, nested_type, budget) for _ in range(group_count)]
+    counter = _MemberCounter()
+    return [_read_group_of_entries(cursor, nested_type, counter) for _ in range(group_count)]
 
 
-class _MemberBudget:
+class _MemberCounter:
     """Limits the number of members in one message, over all of its groups."""
 
     def __init__(self) -> None:
-        self._remaining = MAX_MEMBERS_PER_MESSAGE
+        self._count = 0
 
-    def reserve(self, member_count: int) -> None:
-        """Takes members off the budget before any of them is read; raises AdviceError if it is exceeded."""
-        self._remaining -= member_count
-        if self._remaining < 0:
-            raise TooManyItemsError(MAX_MEMBERS_PER_MESSAGE, "members")
+    def add(self, member_count: int) -> None:
+        """Adds members to the count before any of them is read; raises TooManyItemsError over the limit."""
+        self._count += member_count
+        if self._count > MAX_MEMBERS_PER_MESSAGE:
+            raise TooManyItemsError(_PROTOCOL, "members", self._count, MAX_MEMBERS_PER_MESSAGE)
 
 
 def _read_group_of_entries(
-    cursor: Cursor, component_type: ComponentType, budget: _MemberBudget
+    cursor: Cursor, component_type: ComponentType, counter: _MemberCounter
 ) -> GroupOfEntries:
     start = cursor.position
-    length = _expect(cursor, component_type)
+    length = _read_component_length(cursor, component_type)
     entry_count = cursor.read_u16()
-    budget.reserve(entry_count)
+    counter.add(entry_count)
     group = _read_group(cursor)
     read_entry = _ENTRY_READERS[ENTRY_TYPES[component_type]]
     entries = tuple(read_entry(cursor) for _ in range(entry_count))
@@ -176,12 +187,12 @@
 
 def _read_group(cursor: Cursor) -> GroupData:
     start = cursor.position
-    length = _expect(cursor, ComponentType.GROUP_DATA)
+    length = _read_component_length(cursor, ComponentType.GROUP_DATA)
     lb_uid = cursor.read_label()
     group_name = cursor.read_label()
     size = cursor.position - start
     if length != size:
-        raise ComponentLengthError("group data", length, str(size))
+        raise ComponentLengthError(ComponentType.GROUP_DATA, start, length, str(size))
     return GroupData(lb_uid, group_name)
 
 
@@ -190,14 +201,16 @@
     component_type, length, protocol, port, address, label_size = MEMBER_STRUCT.unpack_from(
         cursor.data, start
     )
-    if component_type != _MEMBER_TYPE or length != MEMBER_STRUCT.size + label_size:
-        raise MemberError(component_type, length)
+    if component_type != _MEMBER_TYPE:
+        raise UnexpectedComponentError(start, component_type, _MEMBER_TYPE)
+    if length != MEMBER_STRUCT.size + label_size:
+        raise ComponentLengthError(_MEMBER_TYPE, start, length, str(MEMBER_STRUCT.size + label_size))
     return MemberData(protocol, port, decode_address(address), cursor.read_bytes(label_size))
 
 
 def _read_weight(cursor: Cursor) -> WeightEntry:
     start = cursor.position
-    length = _expect(cursor, _WEIGHT_TYPE)
+    length = _read_component_length(cursor, _WEIGHT_TYPE)
     member = _read_member(cursor)
     weight_start = cursor.advance(WEIGHT_STRUCT.size)
     opaque_state, flags, weight = WEIGHT_STRUCT.unpack_from(cursor.data, weight_start)
@@ -208,7 +221,7 @@
 
 def _read_state(cursor: Cursor) -> MemberStateInstance:
     start = cursor.position
-    length = _expect(cursor, _STATE_TYPE)
+    length = _read_component_length(cursor, _STATE_TYPE)
     member = _read_member(cursor)
     opaque_state, flags = STATE_STRUCT.unpack_from(cursor.data, cursor.advance(STATE_STRUCT.size))
     fixed_size = COMPONENT_STRUCT.size + STATE_STRUCT.size
@@ -223,20 +236,20 @@
 }
 
 
-def _expect(cursor: Cursor, expected_type: int) -> int:
-    """Reads the header of a component of this type and returns its length."""
+def _read_component_length(cursor: Cursor, expected_type: int) -> int:
+    """Reads the type and length of a component; raises UnexpectedComponentError if it has another type."""
+    offset = cursor.position
     component_type, length = cursor.read_header()
     if component_type != expected_type:
-        raise UnexpectedComponentError(component_type, expected_type)
+        raise UnexpectedComponentError(offset, component_type, expected_type)
     return length
 
 
 def _check_length(cursor: Cursor, component_type: int, start: int, length: int, fixed_size: int) -> None:
-    """Checks a container's length, which may cover its fixed part alone or the nested components as well.
+    """Raises ComponentLengthError unless the length of a component covers its fixed part or all of it.
 
-    The RFC can be read either way.  Any other length is an AdviceError.
+    RFC 4678 can be read either way for a component with nested ones.
     """
-    nested_size = cursor.position - start
-    if length not in (fixed_size, nested_size):
-        component = f"component {component_type:#06x}"
-        raise ComponentLengthError(component, length, f"{fixed_size} or {nested_size}")
+    total_size = cursor.position - start
+    if length not in (fixed_size, total_size):
+        raise ComponentLengthError(component_type, start, length, f"{fixed_size} or {total_size}")
--- a/cottonladder/weight_advice/sasp/encoding.py
+++ b/cottonladder/weight_advice/sasp/encoding.py
@@ -34,10 +34,10 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Encodes a message with its header; raises AdviceError if a label is too long.
+    """Encodes a message with its header; raises LabelTooLongError for a UID or group name over 255 bytes.
 
-    The length of a container covers its fixed part only, because its two bytes could not express the size of
-    ten thousand nested members.
+    The length of a component with nested ones covers its fixed part only, because the two bytes of the length
+    could not express the size of ten thousand nested members.
     """
     layout = MESSAGE_LAYOUTS[message.message_type]
     fixed = b"".join(_encode_field(message, fixed_field) for fixed_field in layout.fields)
@@ -57,7 +57,7 @@
 def _encode_field(message: Message, fixed_field: FixedField) -> bytes:
     value = getattr(message, fixed_field.name)
     if fixed_field.size_bytes == LABEL_FIELD:
-        return encode_label(value)
+        return encode_label(value, fixed_field.name)
     encoded: bytes = value.to_bytes(fixed_field.size_bytes, "big")
     return encoded
 
@@ -74,7 +74,7 @@
 
 
 def _encode_group(group: GroupData) -> bytes:
-    body = encode_label(group.lb_uid) + encode_label(group.group_name)
+    body = encode_label(group.lb_uid, "lb_uid") + encode_label(group.group_name, "group_name")
     return COMPONENT_STRUCT.pack(ComponentType.GROUP_DATA, COMPONENT_STRUCT.size + len(body)) + body
 
 
--- a/cottonladder/weight_advice/sasp/messages.py
+++ b/cottonladder/weight_advice/sasp/messages.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberData:
-    """A member of a group: protocol number (6 is TCP), port and address, and a label of the sender's own.
+    """A member of a group: IP protocol number (6 is TCP), port, address, and a label chosen by the sender.
 
     Either the label or the address and port may identify the member.
     """
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStateInstance:
-    """A member's opaque state and flags, as the member or its load balancer states them."""
+    """A member's opaque state and flags, as sent by the member itself or by its load balancer."""
 
     member: MemberData
     opaque_state: int
@@ -65,9 +65,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message; fields that its type does not have keep their defaults.
+    """One message; the fields that its type does not have keep their defaults.
 
-    `interval_s` is the pause that the workload manager asks for between two requests for weights.
+    `interval_s` is the polling interval that the workload manager asks for.
     """
 
     message_type: int
@@ -85,7 +85,7 @@
 class FixedField:
     """A field of `Message` in the fixed part of its layout.
 
-    `size_bytes` is its width; `LABEL_FIELD` marks a label, which is one byte of length and that many bytes.
+    `size_bytes` is its size, or `LABEL_FIELD` for a label: one byte with the length, and that many bytes.
     """
 
     name: str
--- a/cottonladder/weight_advice/sasp_client.py
+++ b/cottonladder/weight_advice/sasp_client.py
@@ -13,9 +13,9 @@
 from .sasp import MemberData, Message, MessageType
 from .tlv import TCP_PROTOCOL_NUMBER
 
-# Message ids are unsigned integers of 32 bits.
+# Maximum message id: ids are unsigned integers of 32 bits.
 MAX_MESSAGE_ID = 0xFFFFFFFF
-# Minimum number of polls within the silence timeout, however long an interval the advisor asks for.
+# Minimum number of polls within the silence timeout, even if the advisor asks for a longer interval.
 MIN_POLLS_PER_SILENCE_TIMEOUT = 3
 
 
@@ -40,7 +40,7 @@
         self._poll_interval_s = float(limits.POLL_INTERVAL_S)
 
     def start_session(self) -> None:
-        """States the load balancer's UID, asks for pushes, and registers the workers."""
+        """Sends the load balancer's UID and flags, which ask for pushes, and registers the workers."""
         self._reader = sasp.MessageReader()
         self._registered = {}
         self._send_message(
@@ -52,7 +52,7 @@
         self.locations_changed()
 
     def locations_changed(self) -> None:
-        """Deregisters workers that left the list and registers new ones."""
+        """Deregisters the workers that are no longer listed and registers the new ones."""
         if not self.is_connected:
             return
         members = {
@@ -70,22 +70,22 @@
         self._polled_at = 0.0
 
     def poll(self) -> None:
-        """Asks for the weights of the group if the advisor's interval has passed."""
+        """Requests the weights of the group if the polling interval has passed."""
         now = time.monotonic()
         if self.is_connected and self._registered and now - self._polled_at >= self._poll_interval_s:
             self._polled_at = now
             self._send_message(MessageType.GET_WEIGHTS_REQUEST, groups=(self._group,))
 
     def receive(self, data: bytes) -> None:
-        """Passes weights to the listener and logs rejected requests; a request ends the connection."""
+        """Passes weights to the listener and logs rejected requests; raises AdviceError for a request."""
         for message in self._reader.feed(data):
             self._handle_message(message)
 
     def _handle_message(self, message: Message) -> None:
         has_weights = message.message_type in (MessageType.GET_WEIGHTS_REPLY, MessageType.SEND_WEIGHTS)
         if not has_weights and message.message_type not in sasp.REPLY_TYPES.values():
-            reason = f"message {message.message_type:#06x} is not an advisor's"
-            raise UnexpectedMessageError(message.message_type, reason)
+            name = f"SASP {sasp.MESSAGE_NAMES[message.message_type]}"
+            raise UnexpectedMessageError(name, "a reply or Send Weights")
         if message.response_code != sasp.ResponseCode.SUCCESSFUL:
             reason = sasp.response_text(message.response_code)
             self.log.info("advisor_rejected_request", advisor=self.name, reason=reason)
--- a/cottonladder/weight_advice/sasp_server.py
+++ b/cottonladder/weight_advice/sasp_server.py
@@ -1,4 +1,4 @@
-"""A SASP workload manager (RFC 4678): answers load balancers' requests and pushes weights."""
+"""A SASP workload manager (RFC 4678): replies to load balancers' requests and pushes weights to them."""
 
 from __future__ import annotations
 
@@ -12,9 +12,6 @@
 from .server import AdviceServer, ClientConnection
 from .worker_locations import MemberIndex
 
-# Reason, as logged, of the end of a connection whose client sent no message in time.
-NO_FIRST_MESSAGE_REASON = "said nothing"
-
 
 class SaspServer(AdviceServer):
     """Serves load balancers that register groups of members."""
@@ -24,25 +21,26 @@
     ) -> None:
         super().__init__(advertised, max_clients, tls)
         self.registry = LoadBalancerRegistry()
-        self._registry_version = -1  # of the advertised workers
+        # Version of the advertised workers that the registry has.
+        self._registry_version = -1
 
     def create_connection(self) -> ClientConnection:
         """Creates the connection of a new load balancer."""
         return SaspConnection(self)
 
     def update_registry(self) -> None:
-        """Gives the registry the advertised workers if they changed."""
+        """Passes the advertised workers to the registry if they changed since the last call."""
         if self._registry_version != self.advertised.version:
             self._registry_version = self.advertised.version
             self.registry.update(self.advertised.capacities, MemberIndex(self.advertised.locations))
 
     def status(self) -> list[dict[str, object]]:
-        """Returns the status log fields of each load balancer."""
+        """Returns the log fields that describe each load balancer."""
         return self.registry.status()
 
 
 class SaspConnection(ClientConnection):
-    """The connection of a load balancer; its registrations end with it."""
+    """The connection of a load balancer, whose registrations are removed when it is closed."""
 
     def __init__(self, server: SaspServer) -> None:
         super().__init__(server)
@@ -61,30 +59,29 @@
         super().connection_lost(exc)
 
     def handle_data(self, data: bytes) -> None:
-        """Answers requests; any other message ends the connection."""
+        """Replies to requests; raises AdviceError for any other message."""
         for message in self._reader.feed(data):
             self.has_sent_message = True
-            self._answer(message)
+            self._reply(message)
 
-    def _answer(self, message: sasp.Message) -> None:
+    def _reply(self, message: sasp.Message) -> None:
         self._sasp_server.update_registry()
         reply = self._registry.handle_request(self.number, message)
         if reply is None:
-            reason = f"message {message.message_type:#06x} is no request"
-            raise UnexpectedMessageError(message.message_type, reason)
+            raise UnexpectedMessageError(f"SASP {sasp.MESSAGE_NAMES[message.message_type]}", "a request")
         self.send(sasp.encode_message(reply))
 
     def disconnect_if_silent(self, now: float) -> None:
-        """Ends the connection if the first message has not come within `FIRST_MESSAGE_TIMEOUT_S`."""
+        """Closes the connection if no message was received within `FIRST_MESSAGE_TIMEOUT_S`."""
         if not self.has_sent_message and now - self.connected_at > limits.FIRST_MESSAGE_TIMEOUT_S:
-            self.abort(NO_FIRST_MESSAGE_REASON)
+            self.abort(f"no message within {limits.FIRST_MESSAGE_TIMEOUT_S:g} s")
 
     def push_due_weights(self, now: float) -> None:
-        """Pushes changed weights if the load balancer asked for it."""
+        """Pushes changed weights at most every `PUSH_INTERVAL_S`, if the load balancer asked for pushes."""
         version = self._sasp_server.advertised.version
         if now - self.pushed_at < limits.PUSH_INTERVAL_S or self.checked_version == version:
             return
-        # A client that has not read the last push gets the newer weights with a later one.
+        # A client that has not read the last push receives the newer weights with a later one.
         if not self._registry.wants_push(self.number) or self.unread_bytes:
             return
         self._sasp_server.update_registry()
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -1,6 +1,6 @@
 """Base classes of the SASP and DFP servers and of their connections.
 
-A client's registrations and unsent data are discarded when its connection ends
+A client's registrations and unsent data are discarded when its connection is closed
 (`ClientConnection.connection_lost`).
 """
 
@@ -23,30 +23,29 @@
 from .advertised_workers import AdvertisedWorkers
 from .errors import AdviceError
 
-# Interval between sweeps, which push due weights and disconnect silent clients.
+# Interval between sweeps, which push weights and disconnect silent clients.
 SWEEP_INTERVAL_S = 0.5
-# Connections that the kernel holds until they are accepted.
+# Maximum number of connections in the kernel's queue until they are accepted.
 LISTEN_BACKLOG_CONNECTIONS = 1024
-# Connections accepted in one iteration of the event loop (asyncio's `backlog`).
+# Maximum number of connections accepted in one iteration of the event loop (asyncio's `backlog`).
 MAX_ACCEPTED_CONNECTIONS = 64
 
-# Reasons of a connection's end, as logged.
-CLIENT_CLOSED_REASON = "ended by the other side"
-UNREAD_DATA_REASON = "left its advice unread"
-CLIENT_LIMIT_REASON = "too many clients"
+# Logged reason for the end of a connection that the client closed.
+CLIENT_CLOSED_REASON = "closed by the peer"
 
 
 class ClientConnection(asyncio.Protocol, ABC):
     """The connection of one load balancer or DFP manager; a subclass implements its protocol."""
 
     def __init__(self, server: AdviceServer) -> None:
-        self.number = -1  # set by the server once the connection is made
+        self.number = -1  # assigned by the server in `client_connected`
         self.peer = "?"
         self.has_sent_message = False
         self.end_reason = CLIENT_CLOSED_REASON
         self.connected_at = 0.0
         self.pushed_at = 0.0
-        self.checked_version = -1  # of the advertised workers, as last compared with the sent weights
+        # Version of the advertised workers that was last compared with the sent weights.
+        self.checked_version = -1
         self._server = server
         self._transport: asyncio.Transport | None = None
 
@@ -56,13 +55,13 @@
 
     @abstractmethod
     def push_due_weights(self, now: float) -> None:
-        """Sends the client the weights that are due at this time."""
+        """Sends the weights that the protocol requires at the time `now`, in s of the monotonic clock."""
 
     def disconnect_if_silent(self, now: float) -> None:
-        """Ends the connection if the client has not sent a message in time; the base class never does."""
+        """Closes the connection if the client has not sent a message in time; the base class does nothing."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Adds the connection to its server."""
+        """Records the peer's address and adds the connection to its server."""
         self._transport = cast(asyncio.Transport, transport)
         host, port = transport.get_extra_info("peername", ("?", "?"))[:2]
         self.peer = f"{host}:{port}"
@@ -70,7 +69,7 @@
         self._server.client_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Handles the client's messages; ends the connection at the first invalid one."""
+        """Handles the client's messages; closes the connection at the first invalid one."""
         if self._transport is None or self._transport.is_closing():
             return
         try:
@@ -79,30 +78,30 @@
             self.abort(str(exc))
 
     def send(self, data: bytes) -> None:
-        """Writes to the client; ends the connection instead if the client leaves too much unread."""
+        """Writes to the client; closes the connection instead if the unread bytes exceed the limit."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
         if transport.get_write_buffer_size() + len(data) > limits.MAX_UNREAD_BYTES:
-            self.abort(UNREAD_DATA_REASON)
+            self.abort(f"more than {limits.MAX_UNREAD_BYTES} bytes unread by the client")
         else:
             transport.write(data)
 
     @property
     def unread_bytes(self) -> int:
-        """Bytes that were written and that the client has not read."""
+        """Number of bytes that were written and that the client has not read."""
         if self._transport is None:
             return 0
         return self._transport.get_write_buffer_size()
 
     def abort(self, reason: str) -> None:
-        """Aborts the connection; the reason is logged."""
+        """Aborts the connection, unless it is closing already; the reason is logged."""
         if self._transport is not None and not self._transport.is_closing():
             self.end_reason = reason
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - part of asyncio.Protocol
-        """Removes the connection from its server, whichever side ended it."""
+        """Removes the connection from its server, whichever side closed it."""
         self._server.client_disconnected(self)
 
 
@@ -127,7 +126,7 @@
         """Creates the connection of a new client."""
 
     async def listen(self, address: HostPort, stack: AsyncExitStack) -> int:
-        """Starts to accept clients and returns the port; `stack` closes the server."""
+        """Starts to accept clients and returns the port; the server is closed with `stack`."""
         loop = asyncio.get_running_loop()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         listener = socket.create_server(address, family=family)
@@ -145,7 +144,7 @@
     def client_connected(self, client: ClientConnection) -> None:
         """Adds a client.
 
-        Over the limit, disconnects the oldest client that has sent no message, possibly this one.
+        If there are too many, disconnects the oldest one that has sent no message, which may be the new one.
         """
         client.number = self._next_number
         self._next_number += 1
@@ -153,16 +152,17 @@
         if len(self._clients) > self._max_clients:
             silent_clients = (other for other in self._clients.values() if not other.has_sent_message)
             oldest = next(silent_clients)
-            oldest.abort(CLIENT_LIMIT_REASON)
-            del self._clients[oldest.number]  # now: asyncio reports the lost connection in its next iteration
+            oldest.abort(f"too many clients: expected at most {self._max_clients}")
+            # asyncio calls `connection_lost` only in the next iteration of the event loop.
+            del self._clients[oldest.number]
 
     def client_disconnected(self, client: ClientConnection) -> None:
-        """Removes a client and logs why its connection ended."""
+        """Removes a client and logs why its connection was closed."""
         self._clients.pop(client.number, None)
         self._disconnect_log.report(client.end_reason, peer=client.peer)
 
     def push_due_weights_to_all(self) -> None:
-        """Sends each client the weights that are due now."""
+        """Sends each client the weights that its protocol requires now."""
         now = time.monotonic()
         for client in list(self._clients.values()):
             client.push_due_weights(now)
@@ -173,18 +173,18 @@
             client.disconnect_if_silent(now)
 
     def _sweep(self) -> None:
-        """Does what is due by time, and schedules the next sweep."""
+        """Disconnects silent clients, pushes weights, logs repeated disconnects; schedules the next sweep."""
         self._disconnect_silent_clients()
         self.push_due_weights_to_all()
         self._disconnect_log.summarize(time.monotonic())
         self._timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def status(self) -> list[dict[str, object]]:
-        """Returns the status log fields of each client; the base class has none."""
+        """Returns the log fields that describe each client; empty in the base class."""
         return []
 
     def close(self) -> None:
-        """Stops accepting clients and ends the connections."""
+        """Stops accepting clients and closes the connections."""
         if self._timer is not None:
             self._timer.cancel()
         if self._listener is not None:
--- a/cottonladder/weight_advice/tlv.py
+++ b/cottonladder/weight_advice/tlv.py
@@ -1,4 +1,4 @@
-"""Field encodings that SASP and DFP share: big-endian integers, labels and addresses, read within bounds."""
+"""Encodings of the fields that SASP and DFP share: big-endian integers, labels and addresses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 _U32 = struct.Struct("!I")
 # Type and length of a component or TLV.
 _HEADER = struct.Struct("!HH")
-# Longest label: its length is stored in one byte.
+# Maximum size of a label, whose length is stored in one byte.
 MAX_LABEL_BYTES = 255
 # IANA's protocol number of TCP, which identifies the protocol of members and loads.
 TCP_PROTOCOL_NUMBER = 6
@@ -20,17 +20,21 @@
 _MAPPED_PREFIX = bytes(10) + b"\xff\xff"
 _COMPATIBLE_PREFIX = bytes(12)
 _PREFIX_BYTES = 12
-# Last 4 bytes of ::1; up to it (unspecified and loopback address) an IPv4-compatible form is no IPv4 address.
+# Last 4 bytes of ::1.  With these or lower ones the address is ::1 or ::, and not an IPv4-compatible one.
 _LOOPBACK_SUFFIX = b"\0\0\0\1"
 
 
 class Cursor:
-    """Reads consecutive fields of `data` up to `end`; raises TruncatedDataError for a field beyond it."""
+    """Reads consecutive fields of the message `data` from `position` up to `end`, both in bytes.
 
-    __slots__ = ("data", "end", "position")
+    Raises TruncatedDataError, with `container` as the name of what is read, for a field beyond the end.
+    """
 
-    def __init__(self, data: bytes, position: int = 0, end: int | None = None) -> None:
+    __slots__ = ("container", "data", "end", "position")
+
+    def __init__(self, data: bytes, container: str, position: int = 0, end: int | None = None) -> None:
         self.data = data
+        self.container = container
         self.position = position
         self.end = len(data) if end is None else end
 
@@ -43,7 +47,7 @@
         """Skips `size` bytes and returns the position of the first of them."""
         start = self.position
         if start + size > self.end:
-            raise TruncatedDataError(size, self.end - start)
+            raise TruncatedDataError(self.container, start, size, self.end - start)
         self.position = start + size
         return start
 
@@ -74,10 +78,10 @@
         return self.read_bytes(self.read_u8())
 
 
-def encode_label(label: bytes) -> bytes:
-    """Encodes a label with its length in front; raises AdviceError if it is too long."""
+def encode_label(label: bytes, name: str) -> bytes:
+    """Encodes the label of the field `name` after its length; raises LabelTooLongError if it is too long."""
     if len(label) > MAX_LABEL_BYTES:
-        raise LabelTooLongError(len(label), MAX_LABEL_BYTES)
+        raise LabelTooLongError(name, len(label), MAX_LABEL_BYTES)
     return bytes([len(label)]) + label
 
 
@@ -85,7 +89,7 @@
 
 
 def encode_address(address: Address) -> bytes:
-    """Encodes an address in 16 bytes; IPv4 takes the IPv4-mapped form (RFC 4291, 2.5.5.2)."""
+    """Encodes an address in 16 bytes; an IPv4 address becomes an IPv4-mapped one (RFC 4291, 2.5.5.2)."""
     if isinstance(address, IPv4Address):
         return _MAPPED_PREFIX + address.packed
     return address.packed
--- a/tests/weight_advice/manager_case.py
+++ b/tests/weight_advice/manager_case.py
@@ -1,4 +1,4 @@
-"""A test case with a manager that serves or follows weight advice, and what connects to it, on loopback."""
+"""Base class of tests with a manager that serves or follows weight advice, on loopback."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 TABLE_TIMEOUT_S = 60.0
 WORKER_ADDRESS = IPv4Address("127.0.0.9")
 WORKER_COUNT = 4
-OperatorPart = dict[str, Any]
+OperatorEntry = dict[str, Any]
 
 
 def member(label: str, port: int = 80) -> sasp.MemberData:
-    """A member at the workers' address."""
+    """Returns a member at the workers' address."""
     return sasp.MemberData(6, port, WORKER_ADDRESS, label.encode())
 
 
 def dfp_hosts() -> dict[int, tuple[dfp.HostPreference, ...]]:
-    """Weights by port: two workers have weights of two BindIDs, and one host is no worker."""
+    """Returns weights by port: two workers have weights for two BindIDs, and one host is not a worker."""
     unknown_host = dfp.HostPreference(WORKER_ADDRESS + 68, 0, 50)  # 127.0.0.77
     return {
         8001: (dfp.HostPreference(WORKER_ADDRESS, 0, 100), dfp.HostPreference(WORKER_ADDRESS, 3, 90)),
@@ -40,7 +40,7 @@
 
 
 class ManagerTestCase(unittest.IsolatedAsyncioTestCase):
-    """Simulated discovery with four workers, and managers that are stopped after the test."""
+    """Base class with simulated discovery of four workers, and managers that are stopped after the test."""
 
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
@@ -52,12 +52,12 @@
 
     async def start_manager(
         self,
-        *serve: OperatorPart,
-        follow: list[OperatorPart] | None = None,
+        *serve: OperatorEntry,
+        follow: list[OperatorEntry] | None = None,
         constants: Mapping[str, float] | None = None,
         **settings: Any,
     ) -> ManagerProcess:
-        """Starts a manager with these parts of the operators' file, these settings and constants."""
+        """Starts a manager with these entries of the operators' file, settings and module constants."""
         servers = [{"listen": "127.0.0.1:0", **part} for part in serve]
         advice = {"serve": servers, "follow": follow or []}
         manager = ManagerProcess(
@@ -70,29 +70,29 @@
         return manager
 
     async def advice_port(self, manager: ManagerProcess, protocol: str) -> int:
-        """The port on which a manager serves advice over a protocol."""
+        """Returns the port on which a manager serves advice over a protocol."""
         return int((await manager.wait_for_log("advice_server_started", protocol)).split("port=")[1])
 
     async def connect_balancer(self, port: int, uid: bytes = b"lb-1", **options: object) -> SaspBalancer:
-        """A load balancer that is disconnected after the test."""
+        """Connects a load balancer, which is disconnected after the test."""
         balancer = SaspBalancer(uid)
         await balancer.connect(port, **options)
         self.addAsyncCleanup(balancer.close)
         return balancer
 
     async def connect_proxy(self, manager: ManagerProcess) -> StreamClient:
-        """A proxy that has subscribed to the manager's orders."""
+        """Connects a proxy that subscribes to the manager's orders."""
         proxy = StreamClient(*await asyncio.open_connection("127.0.0.1", manager.port))
         self.addCleanup(proxy.close)
         proxy.join(1)
         return proxy
 
     async def apply_orders(
-        self, proxy: StreamClient, table: dict[str, float], until: Callable[[], bool]
+        self, proxy: StreamClient, table: dict[str, float], predicate: Callable[[], bool]
     ) -> None:
-        """Applies orders to a routing table until a condition holds; the table must never become empty."""
+        """Applies orders to a routing table until a condition is true; fails if the table becomes empty."""
         end = time.monotonic() + TABLE_TIMEOUT_S
-        while not until():
+        while not predicate():
             message = await proxy.receive()
             self.assertLess(time.monotonic(), end, table)
             fields = dict(zip(message.split()[1::2], message.split()[2::2], strict=True))
--- a/tests/weight_advice/test_advisor_clients.py
+++ b/tests/weight_advice/test_advisor_clients.py
@@ -1,4 +1,4 @@
-"""A manager that follows advisors: advice that moves weights, ages, is invalid, or contradicts discovery."""
+"""A manager that follows advisors: valid, outdated and invalid advice, and advice against discovery."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
     TABLE_TIMEOUT_S,
     WORKER_ADDRESS,
     ManagerTestCase,
-    OperatorPart,
+    OperatorEntry,
     dfp_hosts,
 )
 
 WORKER_IDS = {"s-1", "s-2", "s-3", "s-4"}
-# Time for a faded factor to reach the proxies, beyond the age at which advice no longer counts.
+# Time for the routing table to reach the proxies after the advice has become too old to count.
 FADE_MARGIN_S = 12.0
-# Ages of weights that the manager is given in place of its own, so that the test need not wait for them.
+# Ages of weights that replace those of the manager, so that the test takes less time.
 SHORT_FRESH_AGE_S = 2.0
 SHORT_MAX_WEIGHT_AGE_S = 6.0
+NO_HEADER = "no SASP header: expected component type 0x2010 with length 13, got bytes"
 SHORT_WEIGHT_AGES = {
     f"{advice_weighting.__name__}.FRESH_AGE_S": SHORT_FRESH_AGE_S,
     f"{advice_weighting.__name__}.MAX_WEIGHT_AGE_S": SHORT_MAX_WEIGHT_AGE_S,
@@ -31,14 +32,14 @@
 
 @dataclass
 class Advisor:
-    """A running advisor, and the part of the operators' file that follows it."""
+    """A running advisor, and the entry of the operators' file that makes a manager follow it."""
 
     service: SaspAdvisor
-    follow: OperatorPart
+    follow: OperatorEntry
 
 
 def first_to_last_ratio(table: dict[str, float]) -> float:
-    """The weight of the first worker over that of the last; 0 without either."""
+    """Returns the weight of the first worker divided by that of the last; 0 if either has none."""
     if not table.get("s-4"):
         return 0.0
     return table.get("s-1", 0.0) / table["s-4"]
@@ -51,7 +52,7 @@
         self.addAsyncCleanup(service.close)
         return Advisor(service, {"protocol": "sasp", "at": address})
 
-    async def test_advice_moves_weights_and_fades_when_the_advisor_stalls(self) -> None:
+    async def test_advice_changes_weights_until_it_is_outdated(self) -> None:
         def weight_of(member: sasp.MemberData) -> int:
             return 100 if member.label in (b"s-1", b"s-2") else 10
 
@@ -67,7 +68,7 @@
         self.assertLess(time.monotonic() - stalled_at, SHORT_MAX_WEIGHT_AGE_S + FADE_MARGIN_S)
         self.assertEqual(set(table), WORKER_IDS)
 
-    async def test_advice_does_not_undo_a_drain_and_members_follow_the_endpoint_list(self) -> None:
+    async def test_advice_does_not_undo_a_drain_and_members_are_those_of_the_endpoint_list(self) -> None:
         def weight_of(member: sasp.MemberData) -> int:
             return 65535 if member.label == b"s-1" else 1
 
@@ -85,21 +86,21 @@
         )
         self.assertNotIn("s-1", table)
 
-    async def test_invalid_or_truncated_advice_ends_its_connection_only(self) -> None:
+    async def test_invalid_or_truncated_advice_closes_only_its_connection(self) -> None:
         advisor = await self.start_advisor(lambda _: 10)
         manager = await self.start_manager(follow=[advisor.follow])
         await manager.wait_for_log("advisor_connected")
         advisor.service.mode = AdvisorMode.GARBLE
-        await manager.wait_for_log("advisor_disconnected", "no header")
+        await manager.wait_for_log("advisor_disconnected", NO_HEADER)
         advisor.service.mode = AdvisorMode.CUT
 
         def is_end_of_cut(line: str) -> bool:
-            """The connection may end by a close or by a reset."""
-            return "advisor_disconnected" in line and "no header" not in line
+            """Returns whether the line reports a close or a reset of a connection."""
+            return "advisor_disconnected" in line and "no SASP header" not in line
 
         await manager.wait_for_log_line(is_end_of_cut, "another reason", timeout_s=TABLE_TIMEOUT_S)
         advisor.service.mode = AdvisorMode.HONEST
-        # The manager may have connected again already; what it sends from now on comes on that connection.
+        # The manager may have reconnected already, so only messages that it sends from now on count.
         received_count = len(advisor.service.received_types)
         await advisor.service.wait_until(lambda: len(advisor.service.received_types) > received_count)
         proxy = await self.connect_proxy(manager)
--- a/tests/weight_advice/test_codecs.py
+++ b/tests/weight_advice/test_codecs.py
@@ -1,4 +1,4 @@
-"""The codecs of SASP and DFP: valid, truncated, corrupted and random messages."""
+"""The codecs of SASP and DFP, with valid, truncated, corrupted and random messages."""
 
 from __future__ import annotations
 
@@ -12,13 +12,20 @@
 from hypothesis import strategies as st
 
 from cottonladder.weight_advice import dfp, sasp
-from cottonladder.weight_advice.errors import AdviceError
+from cottonladder.weight_advice.errors import (
+    AdviceError,
+    ComponentLengthError,
+    MissingSecurityError,
+    SecurityTlvError,
+)
 from cottonladder.weight_advice.sasp import MessageType, ResponseCode
 
 MEMBER_A, MEMBER_B = (sasp.MemberData(6, 80, IPv4Address(f"10.0.0.{n}"), b"s-%d" % n) for n in (1, 2))
 IPV6_MEMBER = sasp.MemberData(17, 65535, IPv6Address("2001:db8::7"))
 GROUP = sasp.GroupData(b"lb-1", b"workers")
 SECRET = b"month's end"
+NO_SASP_HEADER = "no SASP header: expected component type 0x2010 with length 13"
+SASP_LENGTH_EXPECTED = "SASP header: expected a message length of 17 to 4194304 bytes"
 SASP_MESSAGES = [
     sasp.Message(
         MessageType.REGISTRATION_REQUEST,
@@ -79,7 +86,7 @@
 
 
 class RoundTripTest(unittest.TestCase):
-    def test_encoded_messages_are_decoded_from_fragments_of_any_size(self) -> None:
+    def test_encoded_messages_are_decoded_from_fragments(self) -> None:
         for codec, messages in CODECS:
             data = b"".join(codec.encode_message(message) for message in messages)
             for size in (1, 7, len(data)):
@@ -94,8 +101,10 @@
         struct.pack_into("!H", data, 15, len(data) - 13)
         self.assertEqual(sasp.decode_message(bytes(data)), SASP_MESSAGES[0])
         struct.pack_into("!H", data, 15, len(data) - 14)
-        with self.assertRaisesRegex(AdviceError, "a length of"):
+        with self.assertRaises(ComponentLengthError) as caught:
             sasp.decode_message(bytes(data))
+        expected = "SASP component 0x1010 at offset 13: expected a length of 7 or 108, got 107"
+        self.assertEqual(str(caught.exception), expected)
 
     def test_ten_thousand_members_fit_one_message(self) -> None:
         entries = tuple(
@@ -111,7 +120,7 @@
         self.assertEqual([host for load in decoded.loads for host in load.hosts], list(hosts))
 
     def test_unknown_dfp_tlvs_are_skipped_and_counted(self) -> None:
-        data = dfp.encode_message(DFP_MESSAGES[2]) + struct.pack("!HH4s", 0x7777, 8, b"what")
+        data = dfp.encode_message(DFP_MESSAGES[2]) + struct.pack("!HH4s", 0x7777, 8, b"data")
         data = data[:4] + struct.pack("!I", len(data)) + data[8:]
         decoded = dfp.decode_message(data)
         self.assertEqual((decoded, decoded.unknown_tlv_count), (DFP_MESSAGES[2], 1))
@@ -119,10 +128,12 @@
 
 class InvalidMessageTest(unittest.TestCase):
     def assert_rejected(self, codec: Codec, data: bytes, error: str) -> None:
-        with self.subTest(error), self.assertRaisesRegex(AdviceError, error):
-            codec.MessageReader().feed(data)
+        with self.subTest(error):
+            with self.assertRaises(AdviceError) as caught:
+                codec.MessageReader().feed(data)
+            self.assertEqual(str(caught.exception), error)
 
-    def test_truncated_messages_are_awaited_or_rejected_and_never_half_decoded(self) -> None:
+    def test_truncated_messages_are_buffered_by_readers_and_rejected_by_decoders(self) -> None:
         for codec, messages in CODECS:
             for message in messages:
                 data = codec.encode_message(message)
@@ -138,46 +149,75 @@
             return valid[:position] + bytes(values) + valid[position + len(values) :]
 
         for data, error in (
-            (corrupted(0, 0x20, 0x11), "no header"),
-            (corrupted(4, 2), "unknown version 2"),
-            (corrupted(5, 0xFF), "bytes, 4194304 at most"),
-            (corrupted(5, 0, 0, 0, 3), "a message of 3 bytes"),
-            (corrupted(13, 0x10, 0x11), "unknown message 0x1011"),
-            (corrupted(18, 0, 9), "cut short|component"),
-            (corrupted(18, 0xFF, 0xFF), "over 1024 groups"),
-            (corrupted(24, 0xFF, 0xFF), "over 20000 members"),
-            (corrupted(20, 0x40, 0x11), "component 0x4011 where 0x4010"),
-            (b"GET / HTTP/1.1\r\n", "no header"),
+            (corrupted(0, 0x20, 0x11), f"{NO_SASP_HEADER}, got bytes 2011000d"),
+            (corrupted(4, 2), "SASP header: unknown version 2, expected 1"),
+            (corrupted(5, 0xFF), f"{SASP_LENGTH_EXPECTED}, got {0xFF000000 + len(valid)}"),
+            (corrupted(5, 0, 0, 0, 3), f"{SASP_LENGTH_EXPECTED}, got 3"),
+            (corrupted(13, 0x10, 0x11), "unknown SASP message type 0x1011"),
+            (corrupted(18, 0, 9), "SASP message truncated: expected 4 bytes at offset 121, got 0"),
+            (corrupted(18, 0xFF, 0xFF), "SASP message: expected at most 1024 groups, got at least 65535"),
+            (corrupted(24, 0xFF, 0xFF), "SASP message: expected at most 20000 members, got at least 65535"),
+            (corrupted(20, 0x40, 0x11), "SASP message: expected component 0x4010 at offset 20, got 0x4011"),
+            (corrupted(43, 0x30, 0x12), "SASP message: expected component 0x3010 at offset 43, got 0x3012"),
+            (
+                corrupted(45, 0, 9),
+                "SASP component 0x3010 at offset 43: expected a length of 27, got 9",
+            ),
+            (corrupted(28, 0, 9), "SASP component 0x3011 at offset 26: expected a length of 17, got 9"),
+            (b"GET / HTTP/1.1\r\n", f"{NO_SASP_HEADER}, got bytes 47455420"),
+            (b"G", f"{NO_SASP_HEADER}, got bytes 47"),
         ):
             self.assert_rejected(sasp, data, error)
 
     def test_dfp_errors_name_the_fault(self) -> None:
         valid = dfp.encode_message(DFP_MESSAGES[0])
         for data, error in (
-            (b"\2" + valid[1:], "unknown version 2"),
-            (valid[:2] + b"\xff\xff" + valid[4:], "unknown message"),
-            (valid[:4] + b"\xff\xff\xff\xff" + valid[8:], "at most"),
-            (valid[:10] + b"\0\3" + valid[12:], "TLV 0x0002 of 3 bytes"),
-            (valid[:16] + b"\x50\0" + valid[18:], "over 20000 hosts"),
-            (valid[:16] + b"\0\1" + valid[18:], "bytes too many"),
+            (b"\2" + valid[1:], "DFP header: unknown version 2, expected 1"),
+            (valid[:2] + b"\xff\xff" + valid[4:], "unknown DFP message type 0xffff"),
+            (
+                valid[:4] + b"\xff\xff\xff\xff" + valid[8:],
+                "DFP header: expected a message length of 8 to 1048576 bytes, got 4294967295",
+            ),
+            (
+                valid[:10] + b"\0\3" + valid[12:],
+                "DFP TLV 0x0002: expected a length of at least 4 bytes, got 3",
+            ),
+            (
+                valid[:16] + b"\x50\0" + valid[18:],
+                "DFP message: expected at most 20000 hosts, got at least 20480",
+            ),
+            (
+                valid[:16] + b"\0\1" + valid[18:],
+                "DFP TLV 0x0002: expected its end after the last field, got 8 more bytes",
+            ),
+            (
+                valid[:16] + b"\0\3" + valid[18:],
+                "DFP TLV 0x0002 truncated: expected 8 bytes at offset 36, got 0",
+            ),
         ):
             self.assert_rejected(dfp, data, error)
 
     def test_dfp_messages_without_a_valid_digest_are_rejected(self) -> None:
         data = dfp.encode_message(DFP_MESSAGES[0], (7, SECRET))
         self.assertEqual(dfp.decode_message(data, {7: SECRET}).loads, DFP_MESSAGES[0].loads)
-        for secrets, invalid in (
-            ({7: b"other"}, data),
-            ({8: SECRET}, data),
-            ({7: SECRET}, data[:-1] + bytes([data[-1] ^ 1])),
-            ({7: SECRET}, dfp.encode_message(DFP_MESSAGES[0])),
+        mismatch = "the digest does not match the configured secret"
+        for secrets, invalid, fault in (
+            ({7: b"other"}, data, mismatch),
+            ({8: SECRET}, data, "expected key id 8"),
+            ({7: SECRET}, data[:-1] + bytes([data[-1] ^ 1]), mismatch),
         ):
-            with self.assertRaisesRegex(AdviceError, "security"):
+            with self.subTest(fault), self.assertRaises(SecurityTlvError) as caught:
                 dfp.decode_message(invalid, secrets)
+            expected = f"DFP security TLV with algorithm 1 and key id 7: {fault}"
+            self.assertEqual(str(caught.exception), expected)
+        with self.assertRaises(MissingSecurityError) as missing:
+            dfp.decode_message(dfp.encode_message(DFP_MESSAGES[0]), {7: SECRET})
+        expected = "DFP message (preference information): expected a security TLV, got none"
+        self.assertEqual(str(missing.exception), expected)
 
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(st.data())
-    def test_corrupted_messages_raise_no_other_error(self, data: st.DataObject) -> None:
+    def test_corrupted_messages_raise_only_advice_errors(self, data: st.DataObject) -> None:
         codec, messages = CODECS[data.draw(st.integers(0, 1))]
         encoded = bytearray(codec.encode_message(messages[data.draw(st.integers(0, len(messages) - 1))]))
         for _ in range(data.draw(st.integers(1, 4))):
@@ -189,7 +229,7 @@
 
     @settings(max_examples=100, derandomize=True, deadline=None)
     @given(st.binary(max_size=200))
-    def test_random_bytes_raise_no_other_error(self, data: bytes) -> None:
+    def test_random_bytes_raise_only_advice_errors(self, data: bytes) -> None:
         for codec, _ in CODECS:
             with suppress(AdviceError):
                 codec.MessageReader().feed(data)
--- a/tests/weight_advice/test_servers.py
+++ b/tests/weight_advice/test_servers.py
@@ -1,4 +1,4 @@
-"""A manager that serves weight advice: load balancers and DFP managers, and clients that misbehave."""
+"""A manager that serves weight advice to load balancers, DFP managers and faulty clients."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 )
 
 IDLE_CLIENT_COUNT = 4000
-CONCURRENT_CONNECTS_COUNT = 100
+CONCURRENT_CONNECT_COUNT = 100
 MAX_MEMORY_GROWTH_BYTES = 8 << 20
 
 
 class SaspServerTest(ManagerTestCase):
-    async def test_load_balancers_ask_for_weights_and_are_pushed_changes(self) -> None:
+    async def test_load_balancers_request_weights_and_changes_are_pushed(self) -> None:
         manager = await self.start_manager({"protocol": "sasp"})
         balancer = await self.connect_balancer(await self.advice_port(manager, "sasp"))
         flags = sasp.PUSH_FLAG | sasp.NO_CHANGE_NO_SEND_FLAG
         reply = await balancer.ask(MessageType.SET_LB_STATE_REQUEST, lb_uid=b"lb-1", lb_health=9, flags=flags)
         self.assertEqual(reply.response_code, ResponseCode.SUCCESSFUL)
         member_by_address = sasp.MemberData(6, 8002, WORKER_ADDRESS, b"another name")
-        registered = await balancer.register(b"g", member("s-1"), member_by_address, member("nobody"))
+        registered = await balancer.register(b"g", member("s-1"), member_by_address, member("unknown"))
         self.assertEqual(registered, ResponseCode.SUCCESSFUL)
         weights = {label: entry.weight for label, entry in (await balancer.weights(b"g")).items()}
-        self.assertEqual(weights, {b"s-1": MAX_WEIGHT, b"another name": MAX_WEIGHT, b"nobody": 0})
+        self.assertEqual(weights, {b"s-1": MAX_WEIGHT, b"another name": MAX_WEIGHT, b"unknown": 0})
         await self.discovery.set_state("s-1", "Terminating")
         pushed = await self.next_push(balancer)
-        if pushed.keys() == weights.keys():  # the server's timer came between registration and request
+        if pushed.keys() == weights.keys():  # the server pushed between the registration and the request
             self.assertEqual({label: entry.weight for label, entry in pushed.items()}, weights)
             pushed = await self.next_push(balancer)
         self.assertEqual(set(pushed), {b"s-1"})
@@ -52,7 +52,7 @@
         )
 
     async def next_push(self, balancer: SaspBalancer) -> dict[bytes, sasp.WeightEntry]:
-        """The weights of the next push by member."""
+        """Returns the weight entries of the next push by the members' labels."""
         return weights_by_label(await asyncio.wait_for(balancer.pushed.get(), EVENT_TIMEOUT_S))
 
     async def test_a_warming_up_worker_has_a_small_weight(self) -> None:
@@ -91,7 +91,7 @@
 
 
 class DfpServerTest(ManagerTestCase):
-    async def test_managers_get_reports_and_must_know_the_secret(self) -> None:
+    async def test_managers_receive_reports_and_a_wrong_secret_is_rejected(self) -> None:
         with TemporaryDirectory() as folder:
             path = Path(folder) / "secret"
             path.write_bytes(b"month's end\n")
@@ -119,12 +119,15 @@
         reports = dfp.MessageReader({7: b"month's end"}).feed(received)
         answers = {message.message_type for message in reports} - {dfp.MessageType.PREFERENCE_INFORMATION}
         self.assertEqual(answers, set())
-        await manager.wait_for_log("advice_client_disconnected", "digest")
+        await manager.wait_for_log(
+            "advice_client_disconnected",
+            "DFP security TLV with algorithm 1 and key id 7: the digest does not match the configured secret",
+        )
 
     async def send_wrongly_signed(self, port: int) -> bytes:
-        """Sends requests under a wrong secret; returns what arrives until the server ends the connection.
+        """Sends requests signed with a wrong secret; returns all data until the server closes the connection.
 
-        A report may be among it, as the server's timer may send one before it reads the first request.
+        The data may contain a report, because the server may send one before it reads the first request.
         """
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         parameters = dfp.Message(dfp.MessageType.DFP_PARAMETERS, keep_alive_s=2)
@@ -136,8 +139,8 @@
             writer.close()
 
 
-class HostileClientTest(ManagerTestCase):
-    async def test_invalid_and_idle_clients_are_ended_and_others_are_served(self) -> None:
+class FaultyClientTest(ManagerTestCase):
+    async def test_invalid_and_idle_clients_are_disconnected_and_others_are_served(self) -> None:
         manager = await self.start_manager({"protocol": "sasp", "clients": 32}, {"protocol": "dfp"})
         port = await self.advice_port(manager, "sasp")
         balancer = await self.connect_balancer(port)
@@ -145,8 +148,8 @@
         await self.send_invalid_messages(port)
         before = manager.resident_bytes()
         connected: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-        for _ in range(IDLE_CLIENT_COUNT // CONCURRENT_CONNECTS_COUNT):
-            batch = [asyncio.open_connection("127.0.0.1", port) for _ in range(CONCURRENT_CONNECTS_COUNT)]
+        for _ in range(IDLE_CLIENT_COUNT // CONCURRENT_CONNECT_COUNT):
+            batch = [asyncio.open_connection("127.0.0.1", port) for _ in range(CONCURRENT_CONNECT_COUNT)]
             results = await asyncio.gather(*batch, return_exceptions=True)
             connected += [result for result in results if isinstance(result, tuple)]
         self.assertGreater(len(connected), 3900)
@@ -156,15 +159,15 @@
         for _, writer in connected:
             writer.close()
         self.assertLess(manager.resident_bytes() - before, MAX_MEMORY_GROWTH_BYTES)
-        await manager.wait_for_log("too many clients")
-        await manager.wait_for_log("said nothing")
-        logged_ends = sum("too many clients" in line for line in manager.lines)
-        self.assertLess(logged_ends, 20)  # repetitions are summed up
+        await manager.wait_for_log("too many clients: expected at most 32")
+        await manager.wait_for_log("no message within 5 s")
+        logged_count = sum("too many clients: expected at most 32" in line for line in manager.lines)
+        self.assertLess(logged_count, 20)  # the log summarizes repetitions
         proxy = await self.connect_proxy(manager)
         await proxy.receive_until("replace")
 
     async def send_invalid_messages(self, port: int) -> None:
-        """Sends each of several invalid messages on a connection of its own, which must be closed."""
+        """Sends invalid messages, each on its own connection, and waits until the server closes it."""
         request = sasp.Message(MessageType.SET_LB_STATE_REQUEST, 1, lb_uid=b"lb-1")
         valid = sasp.encode_message(request)
         for invalid in (
@@ -178,7 +181,7 @@
             await read_until_closed(reader)
             writer.close()
 
-    async def test_a_client_that_never_reads_is_ended(self) -> None:
+    async def test_a_client_that_never_reads_is_disconnected(self) -> None:
         manager = await self.start_manager({"protocol": "sasp"})
         port = await self.advice_port(manager, "sasp")
         _, writer = await asyncio.open_connection("127.0.0.1", port, limit=1024)
@@ -194,7 +197,9 @@
         for _ in range(60):
             request = sasp.Message(MessageType.GET_WEIGHTS_REQUEST, 2, groups=(group,))
             writer.write(sasp.encode_message(request))
-        await manager.wait_for_log("advice_client_disconnected", "unread")
+        await manager.wait_for_log(
+            "advice_client_disconnected", "more than 4194304 bytes unread by the client"
+        )
         writer.transport.abort()
         other = await self.connect_balancer(port)
         self.assertEqual(await other.register(b"g", member("s-1")), ResponseCode.SUCCESSFUL)
