--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -117,10 +117,10 @@
                 if not data:
                     return "closed by the peer"
                 self.receive(data)
+        except TimeoutError as exc:
+            return str(exc) or f"no data within {self.silence_timeout_s:g} s"
         except (AdviceError, OSError) as exc:
             return str(exc) or type(exc).__name__
-        except TimeoutError:
-            return f"no data within {self.silence_timeout_s:g} s"
         finally:
             writer.transport.abort()
 
--- a/cottonladder/weight_advice/dfp.py
+++ b/cottonladder/weight_advice/dfp.py
@@ -33,7 +33,7 @@
 PROTOCOL_VERSION = 1
 # Name of the protocol in errors.
 _PROTOCOL = "DFP"
-# Maximum size of an accepted message, which can have some 100,000 hosts.
+# Maximum size of an accepted message: that of some 100,000 hosts.
 MAX_MESSAGE_BYTES = 1 << 20
 # Maximum number of hosts in an accepted message, over all of its loads.
 MAX_HOSTS_PER_MESSAGE = 20_000
--- a/cottonladder/weight_advice/limits.py
+++ b/cottonladder/weight_advice/limits.py
@@ -4,7 +4,7 @@
 
 # Time within which a SASP client must send its first request.
 FIRST_MESSAGE_TIMEOUT_S = 5.0
-# Maximum number of bytes sent to a client that it has not read: one weights message of 100,000 members.
+# Maximum number of bytes that a client has not read: the size of a weights message of 100,000 members.
 MAX_UNREAD_BYTES = 4 << 20
 # Minimum interval between two pushes to one client; the routing policy computes new weights every 2 s.
 PUSH_INTERVAL_S = 1.0
--- a/cottonladder/weight_advice/sasp/decoding.py
+++ b/cottonladder/weight_advice/sasp/decoding.py
@@ -42,7 +42,7 @@
 
 # Name of the protocol in errors.
 _PROTOCOL = "SASP"
-# Maximum size of an accepted message, which can have some 100,000 members.
+# Maximum size of an accepted message: that of some 100,000 members.
 MAX_MESSAGE_BYTES = 4 << 20
 # Maximum number of members in an accepted message, over all of its groups.
 MAX_MEMBERS_PER_MESSAGE = 20_000
@@ -237,7 +237,7 @@
 
 
 def _read_component_length(cursor: Cursor, expected_type: int) -> int:
-    """Reads the type and length of a component; raises UnexpectedComponentError if it has another type."""
+    """Reads a component's header and returns its length; raises UnexpectedComponentError for another type."""
     offset = cursor.position
     component_type, length = cursor.read_header()
     if component_type != expected_type:
--- a/tests/weight_advice/test_errors.py
+++ b/tests/weight_advice/test_errors.py
@@ -1,16 +1,22 @@
-"""The texts of errors that `test_codecs` does not cover: what was expected and what was received."""
+"""The texts of errors that `test_codecs` does not cover, and the logged reasons of disconnects."""
 
 from __future__ import annotations
 
+import asyncio
+import errno
+import socket
 import struct
 import unittest
 from collections.abc import Callable, Iterable
 from contextlib import AsyncExitStack
 from ipaddress import IPv4Address
+from unittest import mock
+
+from structlog.testing import capture_logs
 
 from cottonladder.config.errors import InputError
 from cottonladder.testbed.advisors import AdvisorMode, SaspAdvisor
-from cottonladder.weight_advice import dfp, sasp
+from cottonladder.weight_advice import dfp, limits, sasp
 from cottonladder.weight_advice.advertised_workers import AdvertisedWorkers
 from cottonladder.weight_advice.client import ReportedWeight
 from cottonladder.weight_advice.dfp_client import DfpAdvisorClient
@@ -31,6 +37,7 @@
 from cottonladder.weight_advice.query import parse_member, query_sasp
 from cottonladder.weight_advice.sasp_client import SaspAdvisorClient
 from cottonladder.weight_advice.sasp_server import SaspServer
+from tests.weight_advice.manager_case import EVENT_TIMEOUT_S
 
 ADVISOR_ADDRESS = ("127.0.0.1", 1)
 MAX_CLIENTS = 4
@@ -155,6 +162,67 @@
         self.assert_error(UnexpectedMessageError, text, client.receive, parameters(10))
 
 
+class ServerDisconnectReasonTest(unittest.TestCase):
+    def test_a_client_that_closes_its_connection_is_logged(self) -> None:
+        connection = SaspServer(AdvertisedWorkers(), MAX_CLIENTS).create_connection()
+        connection.connection_made(asyncio.Transport())
+        with capture_logs() as lines:
+            connection.connection_lost(None)
+        self.assertEqual([line["reason"] for line in lines], ["closed by the peer"])
+
+
+class ClientDisconnectReasonTest(unittest.IsolatedAsyncioTestCase):
+    """The reasons that an advisor's client logs when its connection is closed."""
+
+    async def asyncSetUp(self) -> None:
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.addCleanup(self.listener.close)
+        self.address = self.listener.getsockname()[:2]
+        self.backoff_started = asyncio.Event()
+
+    async def disconnect_reason(self) -> str:
+        """Starts a client and returns the logged reason of its first disconnect."""
+        client = SaspAdvisorClient(
+            self.address, IgnoringListener(), None, self.start_backoff, "lb-1", "workers"
+        )
+        with capture_logs() as lines:
+            client.start()
+            async with asyncio.timeout(EVENT_TIMEOUT_S):
+                await self.backoff_started.wait()
+            await client.close()
+        return next(str(line["reason"]) for line in lines if line["event"] == "advisor_disconnected")
+
+    def start_backoff(self) -> float:
+        """Returns the random number of a backoff, which starts once the disconnect is logged."""
+        self.backoff_started.set()
+        return 0.0
+
+    async def test_a_refused_connection_is_logged(self) -> None:
+        self.listener.close()
+        host, port = self.address
+        text = f"connecting failed: [Errno {errno.ECONNREFUSED}] Connect call failed ('{host}', {port})"
+        self.assertEqual(await self.disconnect_reason(), text)
+
+    async def test_a_connection_timeout_is_logged(self) -> None:
+        with mock.patch.object(limits, "CONNECT_TIMEOUT_S", 0.0):
+            reason = await self.disconnect_reason()
+        self.assertEqual(reason, "connecting failed: no connection within 0 s")
+
+    async def test_a_silent_advisor_is_logged(self) -> None:
+        with mock.patch.object(limits, "SILENCE_TIMEOUT_S", 0.01):
+            reason = await self.disconnect_reason()
+        self.assertEqual(reason, "no data within 0.01 s")
+
+    async def test_an_advisor_that_closes_the_connection_is_logged(self) -> None:
+        async def close_after_request(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await reader.read(limits.READ_SIZE_BYTES)
+            writer.close()
+
+        server = await asyncio.start_server(close_after_request, sock=self.listener)
+        self.addCleanup(server.close)
+        self.assertEqual(await self.disconnect_reason(), "closed by the peer")
+
+
 class QueryErrorTextTest(ErrorTextTestCase):
     async def test_a_rejected_request_is_named_with_the_reason(self) -> None:
         server = SaspServer(AdvertisedWorkers(), MAX_CLIENTS)
