--- a/cottonladder/forwarder/config_parts.py
+++ b/cottonladder/forwarder/config_parts.py
@@ -1,4 +1,4 @@
-"""Reads the parts of a CONFIG, the message with which managers order tables, exclusions and admission."""
+"""Parses the parts of CONFIG, the message by which managers order tables, exclusions and admission."""
 
 from __future__ import annotations
 
@@ -6,22 +6,23 @@
 
 from ..config.errors import InputError
 from ..model.orders import RetryPolicy
-from ..protocol.message_fields import MessageFields, parse_number
+from ..protocol.message_fields import MAX_SHOWN_LENGTH, MessageFields, parse_number
 from .routing_orders import AdmissionOrder, ReceivedConfigPart
 
-MAX_WEIGHTS = 65_536  # of one part: more than any fleet has workers
+MAX_SHOWN_BYTES = 12  # bytes of a value in an error, each of which may be shown as 4 characters
+MAX_WEIGHTS_PER_PART = 65_536  # more than any fleet has workers
 
 
 @dataclass(frozen=True, slots=True)
-class ReadPart:
-    """One part of a message, and whether another part of the message follows."""
+class ParsedPart:
+    """One part of a message; `has_more` tells that another part of the same message follows."""
 
     part: ReceivedConfigPart
     has_more: bool
 
 
-def read_part(arguments: list[bytes]) -> ReadPart:
-    """Reads one part.  Raises InputError."""
+def read_part(arguments: list[bytes]) -> ParsedPart:
+    """Parses one part from the message's names and values.  Raises InputError if it is not valid."""
     fields = MessageFields("CONFIG", arguments)
     weights = _weights(fields)
     admission = _admission(fields)
@@ -35,15 +36,18 @@
         checkpoint=fields.count("stamp") if b"stamp" in fields.values else None,
     )
     has_more = b"part" in fields.values and fields.flag("part")
-    return ReadPart(part, has_more)
+    return ParsedPart(part, has_more)
 
 
 def _names(fields: MessageFields, field: bytes, separator: str) -> tuple[str, ...]:
-    """The names in a field; none if the field is missing."""
+    """Returns the names in a field; an empty tuple if the field is missing."""
+    value = fields.values.get(field, b"")
     try:
-        text = fields.values.get(field, b"").decode()
+        text = value.decode()
     except UnicodeDecodeError:
-        raise InputError("CONFIG: a name that is not text") from None
+        raise InputError(
+            f"CONFIG: field {field.decode()}: expected UTF-8 text, got {value[:MAX_SHOWN_BYTES]!r}"
+        ) from None
     return tuple(name for name in text.split(separator) if name)
 
 
@@ -52,19 +56,24 @@
     for pair in _names(fields, b"rows", ","):
         worker_id, separator, weight = pair.rpartition(":")
         if not separator or not worker_id:
-            raise InputError("CONFIG: field rows is not id:weight")
+            raise InputError(f"CONFIG: field rows: expected id:weight, got {pair[:MAX_SHOWN_LENGTH]!r}")
         weights.append((worker_id, parse_number(weight.encode(), "CONFIG: field rows")))
-    if len(weights) > MAX_WEIGHTS:
-        raise InputError(f"CONFIG: field rows has over {MAX_WEIGHTS} lines")
+    if len(weights) > MAX_WEIGHTS_PER_PART:
+        raise InputError(
+            f"CONFIG: field rows: expected at most {MAX_WEIGHTS_PER_PART} weights, got {len(weights)}"
+        )
     return tuple(weights)
 
 
 def _admission(fields: MessageFields) -> AdmissionOrder | None:
     if (b"gate" in fields.values) != (b"again" in fields.values):
-        raise InputError("CONFIG: fields gate and again come together")
+        present = "gate" if b"gate" in fields.values else "again"
+        raise InputError(f"CONFIG: expected both fields gate and again or neither, got only {present}")
     if b"gate" not in fields.values:
         return None
     retry_policy = fields.count("again")
     if retry_policy > max(RetryPolicy):
-        raise InputError("CONFIG: field again is not 0 to 3")
+        raise InputError(
+            f"CONFIG: field again: expected a retry policy from 0 to {max(RetryPolicy)}, got {retry_policy}"
+        )
     return AdmissionOrder(fields.number("gate"), RetryPolicy(retry_policy))
--- a/cottonladder/forwarder/errors.py
+++ b/cottonladder/forwarder/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the forwarder: one base class, and subclasses that carry what was found."""
+"""The errors of the forwarder: a base class, and a subclass for each cause."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 
 
 class OrderRejectedError(ForwarderError, ValueError):
-    """An order that can't be carried out; the stream that brought it is closed."""
+    """An order that can't be carried out; the forwarder closes the stream on which it arrived."""
 
 
 class UnknownClassError(OrderRejectedError):
     """An order for a request class that the operators' file does not name."""
 
     def __init__(self, class_name: str) -> None:
-        super().__init__(f"CONFIG: unknown class {class_name[:MAX_SHOWN_LENGTH]!r}")
+        shown = class_name[:MAX_SHOWN_LENGTH]
+        super().__init__(f"CONFIG: field for: expected a request class of the operators' file, got {shown!r}")
         self.class_name = class_name
 
 
 class UnlistedWorkerError(OrderRejectedError):
-    """An order for a worker that discovery has never listed."""
+    """An order for a worker that the forwarder does not know from discovery's endpoint list."""
 
     def __init__(self, message_type: str, worker_id: str) -> None:
         shown = worker_id[:MAX_SHOWN_LENGTH]
-        super().__init__(f"{message_type}: worker {shown!r} was never listed")
+        super().__init__(f"{message_type}: expected a worker of the endpoint list, got {shown!r}")
         self.message_type = message_type
         self.worker_id = worker_id
 
@@ -37,10 +38,10 @@
 
 
 class BodyTooLargeError(ForwarderError):
-    """A request body over the limit."""
+    """A request body that is larger than `max_bytes`."""
 
     def __init__(self, max_bytes: int) -> None:
-        super().__init__(f"body over {max_bytes} bytes")
+        super().__init__(f"request body: expected at most {max_bytes} bytes, got more")
         self.max_bytes = max_bytes
 
 
@@ -53,17 +54,17 @@
 
 
 class ClientGoneError(ForwarderError, ConnectionResetError):
-    """The client has closed its connection before it became an end of a tunnel."""
+    """The client closed its connection before the forwarder had opened the tunnel."""
 
     def __init__(self) -> None:
-        super().__init__("the client has gone")
+        super().__init__("client closed the connection before its upgrade was answered")
 
 
 class AttemptError(ForwarderError):
-    """An attempt without an answer from the worker.
+    """An attempt that ended without an answer from the worker.
 
     `may_have_run`: the worker may have processed the request.
-    `timed_out`: no answer came in time; only `WorkerError` sets it.
+    `timed_out`: the attempt ended because its time limit expired; only `WorkerError` sets it.
     """
 
     def __init__(self, reason: str, may_have_run: bool, timed_out: bool = False) -> None:
--- a/cottonladder/forwarder/manager_orders.py
+++ b/cottonladder/forwarder/manager_orders.py
@@ -13,7 +13,7 @@
 
 
 class ManagerOrders:
-    """Passes each order to the part of the forwarder that it concerns; implements `OrderHandler`."""
+    """Passes each order to the component that carries it out; implements `OrderHandler`."""
 
     def __init__(
         self,
@@ -28,19 +28,19 @@
         self._extension = extension
 
     def check(self, parts: Sequence[ReceivedConfigPart]) -> None:
-        """Raises OrderRejectedError if a part can't be carried out; changes nothing."""
+        """Raises OrderRejectedError if a part of a CONFIG can't be carried out; changes nothing."""
         self._router.check(parts, self._workers.is_known)
 
     def apply(self, parts: Sequence[ReceivedConfigPart]) -> list[int]:
-        """Carries out the parts of one CONFIG; returns the checkpoints to acknowledge."""
+        """Carries out the parts of one CONFIG, and returns the checkpoints to acknowledge."""
         return self._router.apply(parts)
 
     def refresh_list(self) -> None:
-        """Fetches the endpoint list, as an order names a worker that is not known."""
+        """Starts to fetch the endpoint list, after an order for an unknown worker."""
         self._follower.refresh()
 
     def extension_accepted(self) -> None:
-        """Sends a full report of the upgraded connections."""
+        """Sends a full report of the upgraded connections, after the manager has accepted the extension."""
         self._extension.accepted()
 
     def apply_extension(self, message: upgrades.FromManager) -> None:
--- a/cottonladder/forwarder/manager_reports.py
+++ b/cottonladder/forwarder/manager_reports.py
@@ -12,9 +12,9 @@
 
 
 class ManagerReports:
-    """Sends what the forwarder has counted.
+    """Sends the reports over the stream, and the load of workers over the collector's connection.
 
-    `load_reporter` is None unless this forwarder is a collector; its attempts are then not reported.
+    `load_reporter` is None unless this forwarder is a collector; without it, attempts are not reported.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
             self._load_reporter.send(self._stream.manager, b"".join(reports.loads))
 
     def report_connections(self, now: float, is_full: bool) -> None:
-        """Reports the upgraded connections by worker: all, or what has changed since the last report."""
+        """Reports the upgraded connections by worker: all counts, or those changed since the last report."""
         for report in self._registry.take_reports(now, is_full):
             message = upgrades.encode_held_connections(self._node, report.starts_full_report, report.counts)
             self._stream.send_extension(message)
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -1,7 +1,8 @@
 """The forwarder's connection to a manager: subscribes, reads orders, and sends reports.
 
-There is one connection at a time.  The forwarder leaves a manager that fails, is silent, or sends what can't
-be used, and connects to the next one after a backoff with jitter, so that a fleet does not reconnect at once.
+There is one connection at a time.  The forwarder disconnects from a manager that fails, is silent, or sends
+an invalid message, and connects to the next one after a backoff with jitter, so that a fleet of forwarders
+does not reconnect at the same time.
 """
 
 from __future__ import annotations
@@ -21,37 +22,37 @@
 from .errors import OrderRejectedError
 from .order_handling import ManagerMessageReader, OrderHandler
 
-CONNECT_TIMEOUT_S = 1.0  # for a connection to a manager
-MIN_RECONNECT_DELAY_S = 0.1  # after a stream that brought orders; it doubles with each one that did not
-MAX_RECONNECT_DELAY_S = 2.0  # the backoff's longest delay
-MIN_DELAY_FACTOR = 0.5  # lower end of the random factor on a delay, whose upper end is 1
-PING_INTERVAL_S = 1.0  # time without a message after which a PING is sent
-# Time without a message after which the forwarder leaves the manager.  TCP keep-alive would notice much later
-# that a machine is cut off.
+CONNECT_TIMEOUT_S = 1.0
+MIN_RECONNECT_DELAY_S = 0.1  # delay after a stream with orders; it doubles after each stream without any
+MAX_RECONNECT_DELAY_S = 2.0
+MIN_DELAY_FACTOR = 0.5  # lower bound of the random factor applied to a delay; the upper bound is 1
+PING_INTERVAL_S = 1.0  # time without received data after which a PING is sent
+# Time without received data after which the forwarder disconnects from the manager.  TCP keep-alive would
+# detect a machine that is cut off much later.
 SILENCE_TIMEOUT_S = 3.0
-MAX_READ_BYTES = 65_536  # read at a time
-MAX_UNREAD_BYTES = 131_072  # most bytes that wait for the manager to read them
+MAX_READ_BYTES = 65_536  # size of one read
+MAX_UNREAD_BYTES = 131_072  # limit of the bytes that a manager has not read yet
 
 
 @dataclass(frozen=True, slots=True)
 class Subscription:
-    """How the forwarder presents itself; `arrival_rate` is its expected number of requests a second."""
+    """What the forwarder states of itself in SUBSCRIBE; `arrival_rate` is its expected requests a second."""
 
     node: int
     zone: str
     arrival_rate: float
 
     def encode(self, needs_table: bool) -> bytes:
-        """The SUBSCRIBE message; `needs_table` tells that the forwarder has no routing table yet."""
+        """Encodes the SUBSCRIBE message; `needs_table` states that the forwarder has no routing table yet."""
         text = f"SUBSCRIBE node {self.node} locality {self.zone} w {self.arrival_rate!r}"
         text += f" cold {int(needs_table)}"
         return resp.encode(text.encode().split())
 
 
 class ManagerStream:
-    """Owns the connection to the present manager and the task that connects to one after the other.
+    """Owns the connection to the current manager, and the task that connects to the managers in turn.
 
-    `needs_table`: no routing table has been ordered or restored yet.
+    `needs_table` is true until a routing table has been ordered or restored.
     """
 
     def __init__(
@@ -74,22 +75,22 @@
 
     @property
     def manager(self) -> HostPort | None:
-        """The address of the manager that the forwarder is connected to."""
+        """The address of the manager that the forwarder is connected to; None if it is not connected."""
         return self._managers[self._manager_index] if self._writer is not None else None
 
     @property
     def speaks_extension(self) -> bool:
-        """Whether the present manager has accepted the extension."""
+        """Whether the current manager has accepted the extension."""
         return self._messages is not None and self._messages.speaks_extension
 
     # Connections.
 
     def start(self, orders: OrderHandler) -> None:
-        """Begins to connect; `orders` carries out what managers order."""
+        """Starts to connect; `orders` carries out the orders that arrive."""
         self._task = asyncio.create_task(self._run(orders), name="manager stream")
 
     async def close(self) -> None:
-        """Closes the connection."""
+        """Closes the connection and does not connect again."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -111,12 +112,12 @@
             await asyncio.sleep(delay_s * self._uniform(MIN_DELAY_FACTOR, 1.0))
 
     async def _serve(self, host: str, port: int, messages: ManagerMessageReader, orders: OrderHandler) -> str:
-        """Serves one connection to its end; returns the reason of the end."""
+        """Connects and handles messages until the connection ends; returns the reason of the end."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, port)
         except (OSError, TimeoutError) as exc:
-            return f"no connection: {exc or 'timed out'}"
+            return f"connection failed: {exc or f'no connection within {CONNECT_TIMEOUT_S:g} s'}"
         self._writer = writer
         self._messages = messages
         try:
@@ -134,25 +135,25 @@
             orders.stream_lost()
 
     async def _read(self, reader: asyncio.StreamReader, messages: ManagerMessageReader) -> str:
-        """Reads until the connection ends; returns the reason of the end."""
+        """Reads and handles messages until the connection ends; returns the reason of the end."""
         decoder = resp.RespReader(resp.MAX_MESSAGE_SIZE)
         last_received_at = time.monotonic()
         is_ping_sent = False
         while True:
             try:
-                # Not `wait_for`: it drops a cancellation that comes in the same iteration of the event loop
-                # as data.
+                # `asyncio.wait_for` is not used here: it drops a cancellation that arrives in the same
+                # iteration of the event loop as data.
                 async with asyncio.timeout(PING_INTERVAL_S):
                     data = await reader.read(MAX_READ_BYTES)
             except TimeoutError:
                 if time.monotonic() - last_received_at > SILENCE_TIMEOUT_S:
-                    return f"silent for {SILENCE_TIMEOUT_S:g} s"
+                    return f"manager was silent for over {SILENCE_TIMEOUT_S:g} s"
                 if not is_ping_sent:
                     self.send_message(PING)
                 is_ping_sent = True
                 continue
             if not data:
-                return "ended by the manager"
+                return "manager closed the connection"
             last_received_at = time.monotonic()
             is_ping_sent = False
             for fields in decoder.feed(data):
@@ -163,7 +164,7 @@
     # Messages to the manager.
 
     def send_message(self, data: bytes) -> None:
-        """Sends a message; leaves a manager that does not read what it is sent."""
+        """Sends an encoded message if connected; disconnects from a manager that reads too slowly."""
         writer = self._writer
         if writer is None or writer.transport.is_closing() or not data:
             return
@@ -173,6 +174,6 @@
             writer.write(data)
 
     def send_extension(self, data: bytes) -> None:
-        """Sends a message of the extension if the manager has accepted the extension."""
+        """Sends an encoded message of the extension if the manager has accepted the extension."""
         if self.speaks_extension:
             self.send_message(data)
--- a/cottonladder/forwarder/order_handling.py
+++ b/cottonladder/forwarder/order_handling.py
@@ -1,4 +1,4 @@
-"""Reads the messages of one manager's stream and hands the orders in them to their handler."""
+"""Parses the messages on a manager's stream and passes the orders in them to an `OrderHandler`."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from .errors import OrderRejectedError
 from .routing_orders import ReceivedConfigPart
 
-MAX_PARTS = 64  # of one message, by the protocol
-LIST_TIMEOUT_S = 2.0  # longest wait of an order for an unknown worker until the endpoint list arrives
-LIST_CHECK_INTERVAL_S = 0.1  # between two checks whether the list has arrived
+MAX_PARTS = 64  # parts of one CONFIG message, a limit of the protocol
+LIST_TIMEOUT_S = 2.0  # time limit for an unknown worker of an order to appear in the endpoint list
+LIST_CHECK_INTERVAL_S = 0.1  # interval between checks whether the worker is known
 IGNORED_MESSAGES = (b"PONG", b"NACK")
 
 
@@ -26,31 +26,31 @@
     """Carries out the orders of managers."""
 
     def check(self, parts: Sequence[ReceivedConfigPart]) -> None:
-        """Raises OrderRejectedError if a part can't be carried out; changes nothing."""
+        """Raises OrderRejectedError if a part of a message can't be carried out; changes nothing."""
 
     def apply(self, parts: Sequence[ReceivedConfigPart]) -> list[int]:
-        """Carries out the parts of one message; returns the checkpoints to acknowledge."""
+        """Carries out the parts of one message, and returns the checkpoints to acknowledge."""
         ...
 
     def apply_extension(self, message: upgrades.FromManager) -> None:
-        """Carries out a message of the extension."""
+        """Carries out a message of the extension.  Raises OrderRejectedError."""
 
     def refresh_list(self) -> None:
-        """Fetches the endpoint list."""
+        """Starts to fetch the endpoint list."""
 
     def extension_accepted(self) -> None:
-        """Begins to report connections, as the manager has accepted the extension."""
+        """Starts to report connections, after the manager has accepted the extension."""
 
     def stream_lost(self) -> None:
-        """Cancels the orders under way, as the stream that brought them has ended."""
+        """Cancels the migrations that the manager has ordered, after its stream has ended."""
 
 
 class ManagerMessageReader:
-    """Handles the messages of one stream in their order.
+    """Handles the messages of one stream in the order of their arrival.
 
-    `has_orders` and `has_table` tell whether the stream has brought orders, and a complete routing table.
-    Whatever can't be used raises InputError or OrderRejectedError, upon which the protocol asks the forwarder
-    to end the stream.
+    `has_orders` and `has_table` state whether orders and a complete routing table have been carried out.  A
+    message that is invalid or can't be carried out raises InputError or OrderRejectedError; the protocol then
+    requires that the forwarder closes the stream.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
     ) -> None:
         self.has_orders = False
         self.has_table = False
-        self.speaks_extension = False  # the manager has accepted the extension
+        self.speaks_extension = False  # whether the manager has accepted the extension
         self._node = node
         self._orders = orders
         self._uses_extension = uses_extension
@@ -75,15 +75,21 @@
         elif self._uses_extension and name in upgrades.TO_FORWARDER:
             self._handle_extension(fields)
         else:
-            raise InputError(f"{printable(name) or 'message'}: unknown kind of order")
+            raise InputError(f"expected a {self._expected_messages()} message, got {printable(name)!r}")
+
+    def _expected_messages(self) -> str:
+        """Returns the names of the messages that a manager may send."""
+        extension = sorted(upgrades.TO_FORWARDER) if self._uses_extension else []
+        names = [name.decode() for name in (b"CONFIG", *extension, *IGNORED_MESSAGES)]
+        return f"{', '.join(names[:-1])} or {names[-1]}"
 
     async def _handle_config(self, fields: list[bytes]) -> None:
-        """Collects the parts of a message and carries them out together."""
+        """Collects the parts of a message, and carries them out together after the last one."""
         received_at = time.monotonic()
         read = read_part(fields)
         self._parts.append(read.part)
         if len(self._parts) > MAX_PARTS:
-            raise InputError(f"CONFIG: over {MAX_PARTS} parts")
+            raise InputError(f"CONFIG: expected at most {MAX_PARTS} parts of a message, got more")
         if read.has_more:
             return
         parts = self._parts
@@ -92,7 +98,10 @@
         self._apply(parts, received_at)
 
     async def _wait_for_list(self, parts: list[ReceivedConfigPart]) -> None:
-        """Waits for the endpoint list if an order names a worker that discovery has listed only now."""
+        """Fetches the endpoint list if the parts name an unknown worker, and waits until it is known.
+
+        Raises OrderRejectedError if the parts can't be carried out after `LIST_TIMEOUT_S`.
+        """
         if self._is_applicable(parts):
             return
         self._orders.refresh_list()
--- a/cottonladder/forwarder/router.py
+++ b/cottonladder/forwarder/router.py
@@ -1,8 +1,8 @@
-"""Selects the worker of a request and decides whether the request is admitted, as managers have ordered.
+"""Decides whether a request is admitted and selects its worker, as managers have ordered.
 
 Pure: no clock, no I/O; random numbers come from the function passed to the router.  The router carries out
-the orders (the protocol's "Orders on a stream").  Of its own it only avoids workers that have failed
-repeatedly, and spreads requests evenly until a table is ordered.
+orders (the protocol's "Orders on a stream").  On its own it only avoids workers that have failed repeatedly,
+and spreads requests evenly until a routing table is ordered.
 """
 
 from __future__ import annotations
@@ -17,32 +17,34 @@
 from .routing_orders import ReceivedConfigPart
 from .token_bucket import TokenBucket
 
-MAX_CONSECUTIVE_FAILURES = 3  # failed attempts in a row after which a worker is avoided
-AVOIDANCE_TIME_S = 4.0  # mean time for which a worker is avoided
-MIN_AVOIDANCE_FACTOR = 0.75  # of AVOIDANCE_TIME_S; jitter keeps forwarders from returning all at once
-AVOIDANCE_JITTER_FACTOR = 0.5  # of AVOIDANCE_TIME_S, the largest random addition to the minimum
-MAX_RESTORED_AVOIDANCE_S = 2.0 * AVOIDANCE_TIME_S  # longest avoidance that is restored from a snapshot
-DEFAULT_TABLE_WORKERS = 5  # of the own zone if it has any; they are used until there is a table
+MAX_CONSECUTIVE_FAILURES = 3  # consecutive failed attempts after which a worker is avoided
+# A worker is avoided for AVOIDANCE_TIME_S, the mean, times a random factor, so that forwarders do not all
+# return to it at the same time.  The factor is MIN_AVOIDANCE_FACTOR plus up to AVOIDANCE_JITTER_FACTOR.
+AVOIDANCE_TIME_S = 4.0
+MIN_AVOIDANCE_FACTOR = 0.75
+AVOIDANCE_JITTER_FACTOR = 0.5
+MAX_RESTORED_AVOIDANCE_S = 2.0 * AVOIDANCE_TIME_S  # upper limit of an avoidance restored from a snapshot
+DEFAULT_TABLE_SIZE = 5  # workers in use until a table is ordered or restored
 
 
 class AdmissionMode(Enum):
-    """What the figure of an admission order means; the values are those of the operators' file."""
+    """The meaning of the number in an admission order; the values are those of the operators' file."""
 
     NONE = "none"  # admission orders have no effect
-    RATIO = "ratio"  # the part of the requests that is admitted
-    RATE = "rate"  # the number of requests a second that is admitted
+    RATIO = "ratio"  # the fraction of requests that are admitted
+    RATE = "rate"  # the number of requests a second that are admitted
 
 
 @dataclass(slots=True)
 class ClassTable:
-    """The orders for one request class; without an `admission`, all requests are admitted."""
+    """The routing table of one request class; if `admission` is None, all requests are admitted."""
 
     weights: dict[str, float] = field(default_factory=dict)
     admission: float | None = None
     retry_policy: RetryPolicy = RetryPolicy.ONCE_IF_NOT_PROCESSED
 
     def clear(self) -> None:
-        """Returns to the state before any order."""
+        """Resets the table to its state before any order."""
         self.weights = {}
         self.admission = None
         self.retry_policy = RetryPolicy.ONCE_IF_NOT_PROCESSED
@@ -56,11 +58,11 @@
 
 
 class Router:
-    """The routing tables by class, the excluded workers, and the workers that are avoided after failures.
+    """The routing tables by class, the excluded workers, and the workers avoided after failures.
 
-    `excluded` holds the workers that managers have excluded, which outlives their streams; `leaving` holds
-    those that the endpoint list has as draining or gone.  `has_table` tells whether a routing table has been
-    ordered or restored; until then the default table is in use.
+    `excluded` contains the workers that managers have excluded, which stay excluded after the stream ends;
+    `leaving` contains those that the endpoint list states as draining or gone.  `has_table` states whether a
+    routing table has been ordered or restored; until then the default table is used.
     """
 
     def __init__(
@@ -80,7 +82,7 @@
     # Orders.
 
     def check(self, parts: Iterable[ReceivedConfigPart], is_known: Callable[[str], bool]) -> None:
-        """Raises OrderRejectedError if a part can't be carried out; changes nothing."""
+        """Raises OrderRejectedError if a part of a message can't be carried out; changes nothing."""
         for part in parts:
             for name in part.classes:
                 if name not in self.classes:
@@ -90,7 +92,7 @@
                     raise UnlistedWorkerError("CONFIG", worker_id)
 
     def apply(self, parts: Iterable[ReceivedConfigPart]) -> list[int]:
-        """Carries out all parts of one message; returns the checkpoints to acknowledge."""
+        """Carries out the parts of one message, and returns the checkpoints to acknowledge."""
         checkpoints: list[int] = []
         for part in parts:
             for name in part.classes or self.classes:
@@ -112,17 +114,20 @@
             table.retry_policy = part.admission.retry_policy
 
     def use_default_table(self, listed: Iterable[str]) -> None:
-        """Spreads requests evenly over a few listed workers until a table is ordered or restored."""
+        """Spreads requests evenly over the first `DEFAULT_TABLE_SIZE` workers until there is another table.
+
+        `listed` contains the workers of the own zone if it has any.
+        """
         if self.has_table:
             return
-        workers = list(listed)[:DEFAULT_TABLE_WORKERS]
+        workers = list(listed)[:DEFAULT_TABLE_SIZE]
         for table in self.tables.values():
             table.weights = dict.fromkeys(workers, 1.0)
 
     def restore(
         self, request_class: str, weights: dict[str, float], admission: float | None, retry_policy: int
     ) -> None:
-        """Restores a table from a snapshot; an unknown retry policy gives way to the default."""
+        """Restores a table from a snapshot; an unknown retry policy is replaced by the default."""
         is_known = retry_policy in tuple(RetryPolicy)
         policy = RetryPolicy(retry_policy) if is_known else RetryPolicy.ONCE_IF_NOT_PROCESSED
         self.tables[request_class] = ClassTable(dict(weights), admission, policy)
@@ -131,16 +136,16 @@
     # Workers that have failed.
 
     def avoided_until(self) -> dict[str, float]:
-        """The workers that are avoided, and until when."""
+        """Returns the time until which each worker is avoided; some of the times may have passed."""
         return dict(self._avoided_until)
 
     def avoid(self, now: float, seconds_left: Mapping[str, float]) -> None:
-        """Avoids workers that a snapshot has as avoided."""
+        """Restores the avoided workers of a snapshot, with the seconds that remained for each."""
         for worker_id, left_s in seconds_left.items():
             self._avoided_until[worker_id] = now + min(left_s, MAX_RESTORED_AVOIDANCE_S)
 
     def record_result(self, now: float, worker_id: str, succeeded: bool) -> None:
-        """Counts the result of an attempt; after several failures in a row the worker is avoided."""
+        """Records the result of an attempt; `MAX_CONSECUTIVE_FAILURES` in a row make the worker avoided."""
         if succeeded:
             self._consecutive_failures.pop(worker_id, None)
             self._avoided_until.pop(worker_id, None)
@@ -154,7 +159,7 @@
         self._avoided_until[worker_id] = now + AVOIDANCE_TIME_S * factor
 
     def retain_workers(self, known: set[str]) -> None:
-        """Forgets the workers that are neither known nor in a table."""
+        """Deletes the state of the workers that are neither known nor in a table."""
         retained = known | {worker_id for table in self.tables.values() for worker_id in table.weights}
         self.excluded &= retained
         self.leaving &= retained
@@ -166,16 +171,16 @@
     # Requests.
 
     def is_excluded(self, worker_id: str) -> bool:
-        """Whether no request may go to a worker, by a manager's order or by the endpoint list."""
+        """Returns whether a manager's order or the endpoint list excludes a worker from requests."""
         return worker_id in self.excluded or worker_id in self.leaving
 
     def candidates(
         self, request_class: str, preferred: Mapping[str, float] | None = None
     ) -> dict[str, float]:
-        """The workers that requests of a class may go to, with their weights.
+        """Returns the workers that requests of a class may be sent to, with their weights.
 
-        `preferred` are the weights chosen for one request, which replace those of the table; those of workers
-        that the table does not have, or that are excluded, are ignored.
+        `preferred` contains the weights chosen for one request, which replace those of the table; workers
+        that are excluded or not in the table are ignored.
         """
         table = self.tables[request_class].weights
         candidates = {worker: weight for worker, weight in table.items() if not self.is_excluded(worker)}
@@ -190,10 +195,10 @@
         attempted: Iterable[str] = (),
         preferred: Mapping[str, float] | None = None,
     ) -> str | None:
-        """Selects a worker by weight, among those that are not avoided if there are any.
+        """Selects a worker at random by weight, if possible one that is not avoided; None if there is none.
 
-        `attempted` are workers that have failed this request, which are left out.  For `preferred` see
-        `candidates`.
+        `attempted` names the workers that have already failed this request, which are not selected again.
+        For `preferred` see `candidates`.
         """
         candidates = self.candidates(request_class, preferred)
         usable = {worker: weight for worker, weight in candidates.items() if worker not in attempted}
@@ -211,7 +216,7 @@
         return next(reversed(list(weights)), None)
 
     def admits(self, now: float, request_class: str) -> bool:
-        """Whether a request is admitted, by the admission ratio or rate in force."""
+        """Returns whether the ordered admission ratio or rate admits a request, which it counts if so."""
         admission = self.tables[request_class].admission
         if admission is None or self._admission_mode is AdmissionMode.NONE:
             return True
--- a/cottonladder/forwarder/routing_orders.py
+++ b/cottonladder/forwarder/routing_orders.py
@@ -1,4 +1,4 @@
-"""The orders of a manager for routing, as the forwarder carries them out."""
+"""The routing orders of managers, as the forwarder carries them out."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionOrder:
-    """The admission ratio or rate of a class, and its retry policy; managers order both together."""
+    """The admission ratio or rate of a class and its retry policy, which managers order together."""
 
     admission: float
     retry_policy: RetryPolicy
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedConfigPart:
-    """One part of a CONFIG message, as it was read.
+    """One part of a CONFIG message.
 
-    `classes` names the request classes concerned, all of them if it is empty.  `replaces_table` clears their
-    routing tables before `weights` (worker id and weight) are set.
+    The part applies to the request classes in `classes`, or to all if it is empty.  `replaces_table` clears
+    their routing tables before `weights` (pairs of worker id and weight) are set.
     """
 
     classes: tuple[str, ...] = ()
@@ -32,6 +32,6 @@
     checkpoint: int | None = None
 
     def worker_ids(self) -> list[str]:
-        """The ids of all workers that the part names."""
+        """Returns the ids of all workers that the part names."""
         weighted = [worker_id for worker_id, _ in self.weights]
         return [*weighted, *self.excluded, *self.readmitted]
--- a/tests/forwarder/test_manager_messages.py
+++ b/tests/forwarder/test_manager_messages.py
@@ -5,9 +5,11 @@
 import unittest
 from collections.abc import Callable
 from dataclasses import dataclass
+from unittest import mock
 
 from cottonladder.config.errors import InputError
-from cottonladder.forwarder.config_parts import read_part
+from cottonladder.forwarder.config_parts import MAX_WEIGHTS_PER_PART, read_part
+from cottonladder.forwarder.order_handling import MAX_PARTS, ManagerMessageReader
 from cottonladder.forwarder.routing_orders import AdmissionOrder, ReceivedConfigPart
 from cottonladder.model.connection_counts import ConnectionCounts
 from cottonladder.model.orders import RetryPolicy
@@ -104,6 +106,36 @@
             with self.subTest(text), self.assertRaises(InputError):
                 read_part(text.encode().split())
 
+    def test_errors_state_the_field_what_was_expected_and_what_was_received(self) -> None:
+        both_or_neither = "CONFIG: expected both fields gate and again or neither, got only"
+        too_many = ",".join(["s-1:1"] * (MAX_WEIGHTS_PER_PART + 1)).encode()
+        for config, error in (
+            ([b"gate", b"0.9"], f"{both_or_neither} gate"),
+            ([b"again", b"1"], f"{both_or_neither} again"),
+            (
+                [b"gate", b"1", b"again", b"4"],
+                "CONFIG: field again: expected a retry policy from 0 to 3, got 4",
+            ),
+            ([b"rows", b"s-1"], "CONFIG: field rows: expected id:weight, got 's-1'"),
+            ([b"rows", b":2"], "CONFIG: field rows: expected id:weight, got ':2'"),
+            ([b"rows", too_many], "CONFIG: field rows: expected at most 65536 weights, got 65537"),
+            ([b"for", b"a\xff"], "CONFIG: field for: expected UTF-8 text, got b'a\\xff'"),
+        ):
+            with self.subTest(error), self.assertRaises(InputError) as raised:
+                read_part(config)
+            self.assertEqual(str(raised.exception), error)
+
+
+class ConfigParts(unittest.IsolatedAsyncioTestCase):
+    async def test_a_message_of_too_many_parts_is_rejected(self) -> None:
+        reader = ManagerMessageReader(0, mock.Mock(), False, mock.Mock())
+        part = b"CONFIG rows s-1:1 part 1".split()
+        for _ in range(MAX_PARTS):
+            await reader.handle(part)
+        with self.assertRaises(InputError) as raised:
+            await reader.handle(part)
+        self.assertEqual(str(raised.exception), "CONFIG: expected at most 64 parts of a message, got more")
+
 
 if __name__ == "__main__":
     unittest.main()
--- a/tests/forwarder/test_manager_stream_close.py
+++ b/tests/forwarder/test_manager_stream_close.py
@@ -1,4 +1,4 @@
-"""A forwarder's stream ends when it is closed, whatever arrives in the same iteration of the event loop."""
+"""A closed stream ends, even if a message arrives in the same iteration of the event loop as the close."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from cottonladder.forwarder.manager_stream import ManagerStream, Subscription
 from tests.support.timeouts import in_time
 
-# Of the event loop; a message takes fewer from its arrival to its handling.
+# Iterations of the event loop between a message and the close.  A message is handled within fewer than these.
 ITERATIONS_BEFORE_CLOSE = range(6)
-ITERATIONS_TO_CONNECT = 8  # more than a connection takes
+ITERATIONS_TO_CONNECT = 8  # iterations after which the stream is connected
 PONG_MESSAGE = b"*1\r\n$4\r\nPONG\r\n"
 
 
-class StoppedOrders:
-    """An order handler that gets no orders."""
+class NoOrders:
+    """An order handler for a stream without orders."""
 
     def stream_lost(self) -> None:
-        """Nothing is kept of a stream."""
+        """Does nothing, as there are no orders to cancel."""
 
 
 class CloseTests(unittest.IsolatedAsyncioTestCase):
@@ -37,7 +37,7 @@
             stream = ManagerStream(
                 Subscription(0, "a", 1.0), [("manager", 1)], lambda _low, high: high, False
             )
-            stream.start(cast(Any, StoppedOrders()))
+            stream.start(cast(Any, NoOrders()))
             for _ in range(ITERATIONS_TO_CONNECT):
                 await asyncio.sleep(0)
             self.assertIsNotNone(stream.manager)
--- a/tests/forwarder/test_router.py
+++ b/tests/forwarder/test_router.py
@@ -1,4 +1,4 @@
-"""Request classes, retries, orders, selection of workers and admission."""
+"""Request classification, retries, routing orders, worker selection and admission."""
 
 from __future__ import annotations
 
@@ -52,23 +52,23 @@
 
 
 class Retries(unittest.TestCase):
-    def test_retries_follow_policy_idempotency_and_proof(self) -> None:
-        """A request that is not idempotent is never retried without proof that it has not run."""
+    def test_retries_depend_on_policy_idempotency_and_whether_the_request_may_have_run(self) -> None:
+        """A request that is not idempotent is never retried unless it is certain that it has not run."""
         for request_class in (FETCH, RELEASE):
             for policy in RetryPolicy:
                 for attempts in range(1, 5):
-                    proved = should_retry(request_class, policy, attempts, may_have_run=False)
-                    self.assertEqual(proved, attempts <= MAX_RETRIES[policy])
-                    unproved = should_retry(request_class, policy, attempts, may_have_run=True)
+                    if_not_run = should_retry(request_class, policy, attempts, may_have_run=False)
+                    self.assertEqual(if_not_run, attempts <= MAX_RETRIES[policy])
+                    if_may_have_run = should_retry(request_class, policy, attempts, may_have_run=True)
                     is_allowed = request_class is FETCH and policy >= 2 and attempts <= policy - 1
-                    self.assertEqual(unproved, is_allowed)
+                    self.assertEqual(if_may_have_run, is_allowed)
 
 
 class RoutingOrders(unittest.TestCase):
     def setUp(self) -> None:
         self.router = new_router()
 
-    def test_orders_are_carried_out(self) -> None:
+    def test_orders_change_tables_admission_and_exclusions(self) -> None:
         router = self.router
         router.use_default_table(["s-1", "s-2"])
         self.assertEqual(router.candidates("fetch"), {"s-1": 1.0, "s-2": 1.0})
@@ -89,22 +89,25 @@
         self.assertEqual(router.tables["release"].retry_policy, RetryPolicy.NEVER)
         router.apply([ReceivedConfigPart(replaces_table=True, weights=(("s-4", 1.0),))])
         self.assertIsNone(router.tables["release"].admission)
-        self.assertEqual(router.candidates("release"), {})  # the exclusion stays in force
+        self.assertEqual(router.candidates("release"), {})  # the worker is still excluded
         router.apply([ReceivedConfigPart(readmitted=("s-4",), weights=(("s-4", 0.0), ("s-9", 1.0)))])
         self.assertEqual(router.candidates("fetch"), {"s-9": 1.0})
         router.use_default_table(["s-1"])  # a later list does not replace an ordered table
         self.assertEqual(router.candidates("fetch"), {"s-9": 1.0})
 
-    def test_unusable_orders_are_rejected_before_any_of_them_counts(self) -> None:
-        for part in (
-            ReceivedConfigPart(classes=("what",)),
-            ReceivedConfigPart(weights=(("s-9", 1.0),)),
-            ReceivedConfigPart(excluded=("s-9",)),
+    def test_a_message_with_an_invalid_order_is_rejected(self) -> None:
+        unknown_class = "CONFIG: field for: expected a request class of the operators' file, got 'what'"
+        unlisted_worker = "CONFIG: expected a worker of the endpoint list, got 's-9'"
+        for part, error in (
+            (ReceivedConfigPart(classes=("what",)), unknown_class),
+            (ReceivedConfigPart(weights=(("s-9", 1.0),)), unlisted_worker),
+            (ReceivedConfigPart(excluded=("s-9",)), unlisted_worker),
         ):
-            with self.assertRaises(OrderRejectedError):
+            with self.assertRaises(OrderRejectedError) as raised:
                 self.router.check(
                     [ReceivedConfigPart(weights=(("s-1", 1.0),)), part], lambda worker_id: worker_id == "s-1"
                 )
+            self.assertEqual(str(raised.exception), error)
 
 
 class WorkerSelection(unittest.TestCase):
@@ -119,7 +122,7 @@
     def selected(self, now: float) -> set[str | None]:
         return {self.router.select_worker(now, "fetch") for _ in range(50)}
 
-    def test_selection_goes_by_weight_and_avoids_failed_workers(self) -> None:
+    def test_workers_are_selected_by_weight_and_avoided_after_failures(self) -> None:
         selections = Counter(self.router.select_worker(0.0, "fetch") for _ in range(4000))
         self.assertAlmostEqual(selections["s-1"] / 4000, 0.75, delta=0.03)
         self.assertEqual(self.router.select_worker(0.0, "fetch", ["s-1"]), "s-2")
@@ -127,14 +130,15 @@
         self.fail_repeatedly("s-1")
         self.assertEqual(self.selected(now=1.0), {"s-2"})
         self.fail_repeatedly("s-2")
-        self.assertIn(self.router.select_worker(1.0, "fetch"), ("s-1", "s-2"))  # if all are avoided, none is
+        # If all workers are avoided, they are selected nevertheless.
+        self.assertIn(self.router.select_worker(1.0, "fetch"), ("s-1", "s-2"))
         self.assertEqual(self.selected(now=99.0), {"s-1", "s-2"})
         self.router.leaving.add("s-1")
         self.assertEqual(self.selected(now=99.0), {"s-2"})
 
 
 class Admission(unittest.TestCase):
-    def test_a_ratio_admits_that_part_of_the_requests(self) -> None:
+    def test_a_ratio_admits_that_fraction_of_the_requests(self) -> None:
         router = new_router()
         router.apply([ReceivedConfigPart(admission=AdmissionOrder(0.3, RetryPolicy.ONCE_IF_NOT_PROCESSED))])
         admitted = sum(router.admits(0.0, "fetch") for _ in range(4000))
@@ -144,7 +148,7 @@
         router = new_router(AdmissionMode.RATE)
         router.apply([ReceivedConfigPart(admission=AdmissionOrder(5.0, RetryPolicy.ONCE_IF_NOT_PROCESSED))])
         admitted = sum(router.admits(tick / 100, "fetch") for tick in range(1000))
-        self.assertEqual(admitted, 54)  # 5 a second, and 5 at once
+        self.assertEqual(admitted, 54)  # 5 a second, after a burst of 5
 
 
 if __name__ == "__main__":
