--- a/cottonladder/forwarder/admission_pacer.py
+++ b/cottonladder/forwarder/admission_pacer.py
@@ -1,7 +1,7 @@
 """Limits the rate of new upgraded connections to each worker and reserves slots for reconnecting clients.
 
-Pure: the caller passes the time.  The pace protects the remaining workers when one with many connections
-fails and all its clients reconnect at once.
+Pure: the caller passes the time.  The rate limit protects the remaining workers when one with many
+connections fails and all its clients reconnect at the same time.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
     """A token bucket and reserved slots for each worker.
 
     `arrival_rate` is the number of new connections a second that an average worker accepts from all
-    forwarders, and `arrival_share` the part of them that this forwarder may bring.  Reserved slots are
-    exempt: a manager has counted them, or the clients held them before a restart.
+    forwarders, and `arrival_share` the fraction of them that this forwarder may open, 0 to 1.  Reserved slots
+    are exempt from the limit: a manager has counted them, or the clients held them before a restart.
     """
 
-    RESERVATION_TTL_S = 15.0  # time that a reserved slot is kept for the client that reconnects
+    RESERVATION_TTL_S = 15.0  # time after which an unused reservation expires
 
     def __init__(self, arrival_rate: float, arrival_share: float) -> None:
         self.arrival_rate = arrival_rate
         self.arrival_share = arrival_share
         self._buckets: dict[str, TokenBucket] = {}
-        self._reserved_until: dict[str, list[float]] = {}  # by worker, the expiry of each reserved slot
+        self._reserved_until: dict[str, list[float]] = {}  # expiry times of the reserved slots, by worker
 
     def reserve(self, now: float, worker_id: str, count: int) -> None:
-        """Reserves slots at a worker for clients that reconnect."""
+        """Reserves `count` slots at a worker for clients that reconnect."""
         self._reserved_until.setdefault(worker_id, []).extend([now + self.RESERVATION_TTL_S] * count)
 
     def cancel_reservations(self, worker_id: str) -> None:
-        """Gives up the slots reserved at a worker that accepts no more connections."""
+        """Cancels the reservations at a worker that accepts no more connections."""
         self._reserved_until.pop(worker_id, None)
 
     def reserved_worker(self, now: float) -> str | None:
-        """The worker with the most reserved slots; the reservation stays until it is used."""
+        """Returns the worker with the most reserved slots, or None; `use_reservation` uses one of them."""
         for worker_id in list(self._reserved_until):
             self._reserved_until[worker_id] = [
                 until for until in self._reserved_until[worker_id] if until > now
@@ -46,23 +46,23 @@
         )
 
     def use_reservation(self, worker_id: str) -> None:
-        """Gives up one reserved slot, as a connection uses it."""
+        """Removes the oldest reservation at a worker, if there is any, as a connection now uses the slot."""
         if slots := self._reserved_until.get(worker_id):
             slots.pop(0)
 
     def worker_rate(self, weight: float, mean_weight: float) -> float:
-        """How many new connections a second this forwarder may bring to a worker of this weight."""
+        """Returns how many new connections a second this forwarder may open to a worker of this weight."""
         relative_weight = weight / mean_weight if mean_weight > 0 else 1.0
         return self.arrival_rate * self.arrival_share * min(1.0, relative_weight)
 
     def acquire(self, now: float, worker_id: str, rate: float) -> float:
-        """Counts a new connection and returns 0, or returns the time in seconds until one is allowed."""
+        """Counts a new connection and returns 0, or returns the seconds until `rate` allows one."""
         bucket = self._buckets.setdefault(worker_id, TokenBucket.full(now, rate))
         if bucket.try_acquire(now, rate):
             return 0.0
         return bucket.time_to_token_s(rate)
 
     def retain_workers(self, known: set[str]) -> None:
-        """Forgets the token buckets of workers that are not known any more."""
+        """Deletes the token buckets of all workers that are not in `known`."""
         for worker_id in set(self._buckets) - known:
             del self._buckets[worker_id]
--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts the clients' connections with aiohttp's server, and detaches those that become tunnels."""
+"""Accepts client connections with aiohttp's server, and detaches those that become tunnels."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from .resource_limits import HEADER_TIMEOUT_S
 from .tunnel_ends import ClientEnd
 
-SWEEP_INTERVAL_S = 0.5  # between two searches for connections without a request head
-STOP_TIMEOUT_S = 5.0  # for plain requests in flight at the stop
-SHUTDOWN_MARGIN_S = 1.0  # added to STOP_TIMEOUT_S, in which aiohttp closes the connections
-LINGERING_TIME_S = 0.5  # for reading the rest of a body that is not needed
-MAX_PENDING_CONNECTIONS = 1024  # the operating system's queue of connections to accept
+SWEEP_INTERVAL_S = 0.5  # interval between checks for connections without a request head
+STOP_TIMEOUT_S = 5.0  # time limit for the plain requests in flight at the stop
+SHUTDOWN_MARGIN_S = 1.0  # added to STOP_TIMEOUT_S for aiohttp to close the connections
+LINGERING_TIME_S = 0.5  # time limit for reading the unused rest of a request body
+MAX_PENDING_CONNECTIONS = 1024  # backlog of the listening socket
 CONNECTION_LIMIT_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
 
 
 class LimitedRequestHandler(RequestHandler):
-    """aiohttp's protocol for one connection, which also occupies one of the listener's slots."""
+    """aiohttp's protocol for one connection, extended by the slot that the connection occupies."""
 
     __slots__ = ("accepted_at", "client_address", "has_slot", "listener")
 
@@ -42,7 +42,7 @@
         self.has_slot = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio."""
+        """Handles a new connection: acquires a slot for it, or rejects it."""
         super().connection_made(transport)
         peer = transport.get_extra_info("peername")
         self.client_address = str(peer[0]) if peer else "?"
@@ -50,7 +50,7 @@
         self.listener.connection_opened(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Called by asyncio."""
+        """Handles the end of the connection: releases its slot."""
         self.listener.connection_closed(self)
         super().connection_lost(exc)
 
@@ -59,8 +59,8 @@
 class DetachedClient:
     """A client's connection that aiohttp no longer serves.
 
-    `buffered` holds the bytes received after the request head.  The owner of the tunnel releases the slot of
-    `address` when the tunnel ends.
+    `buffered` contains the bytes received after the request head.  The owner of the tunnel releases the slot
+    of `address`, the client's IP address, when the tunnel ends.
     """
 
     end: ClientEnd
@@ -79,13 +79,13 @@
         self.slots = ConnectionSlots(limits.connections, limits.connections_per_client)
         self.faults = RateLimitedFaultLog("client_fault")
         self._awaiting_head: dict[LimitedRequestHandler, None] = {}
-        self._overdue: list[LimitedRequestHandler] = []  # without a request head at the last sweep
+        self._overdue: list[LimitedRequestHandler] = []  # over `HEADER_TIMEOUT_S` at the last sweep
         self._server = web.Server(self._answer, handler_cancellation=True)
         self._listener: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """Begins to accept connections; returns the port."""
+        """Starts to accept connections and returns the port; `port` 0 selects a free one."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             self._connection_handler, host, port, backlog=MAX_PENDING_CONNECTIONS
@@ -107,7 +107,7 @@
         )
 
     def connection_opened(self, handler: LimitedRequestHandler) -> None:
-        """Takes a slot for a connection, or answers 503 and closes it."""
+        """Acquires a slot for a connection, or answers 503 and closes it."""
         if self.slots.acquire(handler.client_address):
             handler.has_slot = True
             self._awaiting_head[handler] = None
@@ -118,24 +118,26 @@
         handler.force_close()
 
     def connection_closed(self, handler: LimitedRequestHandler) -> None:
-        """Releases the slot of a connection."""
+        """Releases the slot of a connection, unless the connection was rejected or detached."""
         self._awaiting_head.pop(handler, None)
         if handler.has_slot:
             handler.has_slot = False
             self.slots.release(handler.client_address)
 
     def _close_overdue(self) -> None:
-        """Closes the connections that have sent no request head in time.
+        """Closes the connections that have sent no request head within `HEADER_TIMEOUT_S`.
 
-        A connection is closed one sweep after it was found overdue: the loop may have been late itself, and
-        reads in between whatever had arrived by then.
+        A connection is closed one sweep after it was found overdue: the event loop itself may have been late,
+        and between the two sweeps it reads whatever had arrived in time.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
         for handler in self._overdue:
             if handler in self._awaiting_head:
                 del self._awaiting_head[handler]
-                self.faults.report("no request in time", client=handler.client_address)
+                self.faults.report(
+                    f"no request head within {HEADER_TIMEOUT_S:g} s", client=handler.client_address
+                )
                 handler.force_close()
         self._overdue = [
             handler for handler in self._awaiting_head if now - handler.accepted_at >= HEADER_TIMEOUT_S
@@ -148,7 +150,7 @@
         return await self._handle(request)
 
     def detach(self, request: web.BaseRequest) -> DetachedClient:
-        """Takes a client's connection away from aiohttp, to become an end of a tunnel.
+        """Detaches a client's connection from aiohttp, so that it can become an end of a tunnel.
 
         Raises ClientGoneError if the client has closed the connection.
         """
@@ -157,17 +159,17 @@
         if transport is None or transport.is_closing():
             raise ClientGoneError
         collector = _ByteCollector()
-        handler.set_parser(cast(Any, collector))  # passes on the bytes received after the head
+        handler.set_parser(cast(Any, collector))  # receives the bytes that arrived after the head
         end = ClientEnd()
         handler.has_slot = False
         transport.set_protocol(end)
         end.connection_made(transport)
-        handler.transport = None  # so that aiohttp does not close it
-        handler.connection_lost(None)  # lets aiohttp release whatever it keeps for the connection
+        handler.transport = None  # prevents aiohttp from closing it
+        handler.connection_lost(None)  # makes aiohttp release its state of the connection
         return DetachedClient(end, bytes(collector.data), handler.client_address)
 
     async def close(self) -> None:
-        """Closes every connection, after a bounded wait for the plain requests in flight."""
+        """Closes every connection, after waiting up to `STOP_TIMEOUT_S` for the plain requests in flight."""
         if self._timer is not None:
             self._timer.cancel()
         self.stop_listening()
@@ -175,36 +177,36 @@
             await asyncio.wait_for(self._server.shutdown(STOP_TIMEOUT_S), STOP_TIMEOUT_S + SHUTDOWN_MARGIN_S)
 
     def stop_listening(self) -> None:
-        """Accepts no more connections."""
+        """Closes the listening socket, so that no more connections are accepted."""
         if self._listener is not None:
             self._listener.close()
 
 
 class _ByteCollector:
-    """A parser for aiohttp that only collects the bytes."""
+    """A substitute for aiohttp's parser that stores the bytes unparsed."""
 
     def __init__(self) -> None:
         self.data = bytearray()
 
     def feed_data(self, data: bytes) -> tuple[bool, bytes]:
-        """Called by aiohttp."""
+        """Stores received bytes; returns that the protocol is not upgraded and no bytes are left."""
         self.data += data
         return False, b""
 
     def feed_eof(self) -> None:
-        """Called by aiohttp."""
+        """Ignores the end of the client's data."""
 
 
 def switching_protocols_head(reply: HandshakeReply) -> bytes:
-    """The head of a worker's status 101, for the client."""
+    """Encodes the head of the 101 response for the client from the worker's reply."""
     lines = [b"HTTP/1.1 101 " + (reply.reason or b"Switching Protocols")]
     lines += [name + b": " + value for name, value in reply.headers]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 class UpgradedResponse(web.StreamResponse):
-    """Tells aiohttp that there is no response to send: the connection belongs to a tunnel or has ended."""
+    """A response that is never sent, as the connection belongs to a tunnel or has ended."""
 
     async def prepare(self, request: web.BaseRequest) -> None:  # noqa: ARG002 - aiohttp's signature
-        """Called by aiohttp."""
-        raise ConnectionResetError("handed over")
+        """Raises ConnectionResetError, so that aiohttp sends no response."""
+        raise ConnectionResetError("no response to send: the connection belongs to a tunnel or has ended")
--- a/cottonladder/forwarder/endpoint_follower.py
+++ b/cottonladder/forwarder/endpoint_follower.py
@@ -12,18 +12,19 @@
 from .worker_list import WorkerList
 from .worker_removal import WorkerRemoval
 
-MIN_LIST_RETRY_DELAY_S = 0.3  # before the watch is started again after a failed call, the jitter's lower end
-MAX_LIST_RETRY_DELAY_S = 1.0  # before the watch is started again after a failed call, the jitter's upper end
-# The backoff multiplies the delay by up to this factor, as the calls of a whole fleet could overload a
-# discovery service that is recovering.
+# After a failed call the watch is started again after a random delay between these, times the backoff factor.
+MIN_LIST_RETRY_DELAY_S = 0.3
+MAX_LIST_RETRY_DELAY_S = 1.0
+# The backoff factor doubles with each failed call up to this maximum, as the calls of a whole fleet could
+# overload a discovery service that is recovering.
 MAX_BACKOFF_FACTOR = 8.0
-NO_VERSION = 0  # of the endpoint list, before the first one is accepted
+NO_VERSION = 0  # version of the endpoint list before the first list is accepted
 
 
 class EndpointFollower:
-    """Passes the endpoint list on to the workers' list, and starts the watch again after a failed call.
+    """Updates the worker list from the endpoint list, and starts the watch again after a failed call.
 
-    `record_labels` is called with each entry of the list as it was decoded.
+    `record_labels` is called with the decoded JSON object of each endpoint.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         )
 
     def start(self) -> None:
-        """Fetches the list and watches its changes."""
+        """Fetches the list and starts to watch its changes."""
         self.refresh()
         self._watch()
 
@@ -59,7 +60,7 @@
         await self._discovery.close()
 
     def refresh(self) -> None:
-        """Fetches the list at once."""
+        """Starts to fetch the list immediately."""
         self._discovery.fetch()
 
     def _watch(self) -> None:
@@ -77,7 +78,7 @@
         self._removal.forget_expired(now)
 
     def _retry_later(self) -> None:
-        self.stop_timers()  # a call and the watch may fail together
+        self.stop_timers()  # a fetch and the watch may fail at the same time
         delay_s = self._rng.uniform(MIN_LIST_RETRY_DELAY_S, MAX_LIST_RETRY_DELAY_S) * self._backoff_factor
         self._retry_timer = self._loop.call_later(delay_s, self._watch)
         self._backoff_factor = min(MAX_BACKOFF_FACTOR, 2.0 * self._backoff_factor)
--- a/cottonladder/forwarder/final_answers.py
+++ b/cottonladder/forwarder/final_answers.py
@@ -1,22 +1,22 @@
-"""The answers that the forwarder gives by itself: every status and text in one place.
+"""The answers that the forwarder itself gives to clients: the status and text of each.
 
-Clients see the texts, so they stay as they are.
+Clients and tools match the texts, so they must not change.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-OUTCOME_UNKNOWN = "outcome unknown"  # also the message of a close frame
-MAX_PLUGIN_REASON_CHARACTERS = 200  # of the reason that a plug-in gives for a rejection
+OUTCOME_UNKNOWN = "outcome unknown"  # also sent as the reason of a WebSocket close frame
+MAX_PLUGIN_REASON_CHARACTERS = 200  # longer rejection reasons of plug-ins are truncated
 
 
 @dataclass(frozen=True, slots=True)
 class FinalAnswer:
     """An answer that the forwarder gives in place of a worker.
 
-    `has_retry_after` adds a Retry-After header; `is_outcome_unknown` adds the header by which a client learns
-    that the request may have run.
+    `has_retry_after` adds a Retry-After header.  `is_outcome_unknown` adds the header `Outcome: unknown`,
+    which tells the client that the request may have run; it needs `has_retry_after`.
     """
 
     status: int
@@ -41,12 +41,12 @@
 
 
 def rejected_by_plugin(reason: str) -> FinalAnswer:
-    """The answer to a request that a plug-in has rejected."""
+    """Returns the answer to a request that a plug-in has rejected."""
     return FinalAnswer(403, f"denied: {reason[:MAX_PLUGIN_REASON_CHARACTERS]}")
 
 
 def failure_answer(may_have_run: bool, timed_out: bool = False) -> FinalAnswer:
-    """The answer to a request that no worker answered; it tells whether the request may have run."""
+    """Returns the answer to a request that no worker answered, which states whether it may have run."""
     if not may_have_run:
         return NO_WORKER_ANSWERED
     return MAY_HAVE_RUN_TIMED_OUT if timed_out else MAY_HAVE_RUN
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -1,6 +1,6 @@
-"""One forwarder: builds and starts its parts, and drains connections at the stop.
+"""One forwarder: builds and starts its components, and drains its connections at the stop.
 
-Whatever `start` opens is closed by the caller's exit stack in the opposite order.
+Whatever `start` opens is closed by the caller's exit stack in reverse order.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 from .worker_list import WorkerList, Zones
 from .worker_removal import WorkerRemoval
 
-MAX_STOP_TIME_S = 10.0  # limit of the stop time, which is otherwise the grace period
-STOP_CLOSE_FRACTION = 0.8  # part of the stop time over which the closes are spread evenly
-STOP_BUSY_TIME_S = 2.0  # added to that part, for the connections closed last
+MAX_STOP_TIME_S = 10.0  # upper limit of the stop time, which is otherwise the grace period
+CLOSING_TIME_FRACTION = 0.8  # fraction of the stop time over which connections are closed at an even rate
+LAST_CLOSE_TIMEOUT_S = 2.0  # added to that time, for the connections closed last to end
 
 
 class Forwarder:
-    """Owns the parts of one forwarder, all of which run on one event loop."""
+    """Owns the components of one forwarder, all of which run on one event loop."""
 
     def __init__(self, operator: OperatorConfig) -> None:
         config = operator.forwarder
@@ -77,7 +77,7 @@
         return ManagerOrders(self.router, self.workers, self._follower, extension)
 
     async def start(self, stack: AsyncExitStack) -> int:
-        """Opens everything; returns the port that clients connect to."""
+        """Starts discovery, the listener and the manager stream; returns the port for clients."""
         stack.push_async_callback(self._follower.close)
         stack.push_async_callback(self.handler.close)
         stack.push_async_callback(self.stream.close)
@@ -95,23 +95,23 @@
         self._periodic_work.stop()
 
     async def drain(self) -> None:
-        """Accepts no more connections and closes those that exist evenly over time, the busy ones last."""
+        """Stops accepting connections and closes the open ones at an even rate, the busy ones last."""
         self.handler.stop_accepting()
         self.handler.listener.stop_listening()
         tunnels = self.handler.tunnels
-        ends_at = self.loop.time() + min(MAX_STOP_TIME_S, self.drainer.grace_s) * STOP_CLOSE_FRACTION
+        ends_at = self.loop.time() + min(MAX_STOP_TIME_S, self.drainer.grace_s) * CLOSING_TIME_FRACTION
         while not self._is_drained(ends_at):
             time_left_s = max(TICK_INTERVAL_S, ends_at - self.loop.time())
             open_count = tunnels.close_fraction(min(1.0, TICK_INTERVAL_S / time_left_s))
-            if not open_count and self.loop.time() > ends_at + STOP_BUSY_TIME_S:
+            if not open_count and self.loop.time() > ends_at + LAST_CLOSE_TIMEOUT_S:
                 return
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def _is_drained(self, ends_at: float) -> bool:
-        """Whether every tunnel has ended, and every request in flight too unless `ends_at` has passed."""
+        """Returns whether all tunnels have ended, and until `ends_at` also all requests in flight."""
         if self.handler.tunnels.registry.total():
             return False
-        # The handler's close answers the requests that are still in flight after `ends_at`.
+        # `RequestHandler.close` answers the requests that are still in flight after `ends_at`.
         return not self.handler.in_flight or self.loop.time() > ends_at
 
 
@@ -123,5 +123,5 @@
 def _manager_stream(config: ForwarderConfig, uses_extension: bool, rng: random.Random) -> ManagerStream:
     subscription = Subscription(config.node, config.zone, config.expected_requests_per_s)
     managers = [host_port(text) for text in config.managers]
-    rng.shuffle(managers)  # a fleet of forwarders spreads over its managers
+    rng.shuffle(managers)  # spreads a fleet of forwarders over its managers
     return ManagerStream(subscription, managers, rng.uniform, uses_extension)
--- a/cottonladder/forwarder/load_recorder.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -1,4 +1,4 @@
-"""Counts the attempts at each worker and the arrivals of each class between two reports to managers."""
+"""Counts the attempts by worker and the arrivals by request class for the periodic reports to managers."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from ..config.fields import MS_PER_S
 from ..protocol import resp
 
-REPORT_INTERVAL_S = 1.0  # between two reports, shorter than the managers' interval between solutions
-MIN_INTERVAL_MS = 1.0  # shortest interval that a report states
+REPORT_INTERVAL_S = 1.0  # shorter than the interval at which managers compute their routing tables
+MIN_STATED_INTERVAL_MS = 1.0  # shortest interval that a report states
 
 
 @dataclass(slots=True)
 class WorkerCounts:
-    """The attempts at one worker; `duration_s` is the total duration of those that succeeded."""
+    """The attempts at one worker; `duration_s` is the total duration of the successful ones."""
 
     attempts: int = 0
     failures: int = 0
@@ -21,7 +21,7 @@
 
     @property
     def mean_duration_ms(self) -> float:
-        """The mean duration of the attempts that succeeded."""
+        """The mean duration of the successful attempts; 0 if there are none."""
         return self.duration_s * MS_PER_S / max(1, self.attempts - self.failures)
 
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReports:
-    """Encoded messages: `loads` (LOAD) go to the zone's collector, `rates` (RATE) to the manager."""
+    """Encoded messages: `loads` (LOAD) for the collector's connection, `rates` (RATE) for the stream."""
 
     loads: list[bytes]
     rates: list[bytes]
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class LoadRecorder:
-    """The counts since the last report, which was made at `started_at`."""
+    """The counts since `started_at`, the time of the last report or of the start, in seconds."""
 
     zone: str
     node: int
@@ -52,7 +52,7 @@
     _by_class: dict[str, ClassCounts] = field(default_factory=dict)
 
     def record_attempt(self, worker_id: str, succeeded: bool, duration_s: float) -> None:
-        """Counts an attempt that has ended."""
+        """Counts a completed attempt."""
         counts = self._by_worker.setdefault(worker_id, WorkerCounts())
         counts.attempts += 1
         if succeeded:
@@ -69,8 +69,8 @@
         self._by_class.setdefault(request_class, ClassCounts()).failures += 1
 
     def report(self, now: float) -> LoadReports:
-        """Returns the messages for what was counted, and resets the counts."""
-        interval_ms = max(MIN_INTERVAL_MS, (now - self.started_at) * MS_PER_S)
+        """Encodes the counts as messages, and resets them."""
+        interval_ms = max(MIN_STATED_INTERVAL_MS, (now - self.started_at) * MS_PER_S)
         loads = [self._encode_load(worker, counts, interval_ms) for worker, counts in self._by_worker.items()]
         rates = [self._encode_rate(name, counts, interval_ms) for name, counts in self._by_class.items()]
         self._by_worker = {}
--- a/cottonladder/forwarder/load_reporter.py
+++ b/cottonladder/forwarder/load_reporter.py
@@ -9,7 +9,7 @@
 from ..protocol import resp
 from .manager_stream import CONNECT_TIMEOUT_S, MAX_UNREAD_BYTES
 
-MAX_DISCARDED_BYTES = 4096  # in one read; a manager has nothing to say to a collector
+MAX_DISCARDED_BYTES = 4096  # size of one read; the forwarder ignores what a manager sends to a collector
 
 
 class LoadReporter:
@@ -38,9 +38,9 @@
             writer.transport.abort()
 
     def send(self, manager: HostPort | None, data: bytes) -> None:
-        """Sends reports; drops them while no connection is open or the manager reads too slowly.
+        """Sends encoded reports; drops them while no connection is open or the manager reads too slowly.
 
-        Connects if the manager has changed or the connection has ended.
+        Connects again if the manager has changed or the connection has ended.
         """
         if self._task is not None and (self._task.done() or manager != self._manager):
             self._task.cancel()
--- a/cottonladder/forwarder/operator_settings.py
+++ b/cottonladder/forwarder/operator_settings.py
@@ -1,4 +1,4 @@
-"""Maps the forwarder's part of the operators' file to the forwarder's own types."""
+"""Converts the forwarder's section of the operators' file to the forwarder's own types."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from .request_classes import Idempotency, MatchRule, RequestClass
 from .upgrade_policy import UpgradePolicy
 
-DEFAULT_GRACE_S = 30.0  # the grace period of a drain where the operators' file states none
+DEFAULT_GRACE_S = 30.0  # grace period of a drain if the operators' file has no `upgrades` section
 
 
 def request_classes(config: ForwarderConfig) -> list[RequestClass]:
-    """The request classes in the order of the file."""
+    """Returns the request classes in the order of the file."""
     return [_request_class(request_class) for request_class in config.request_classes]
 
 
@@ -23,7 +23,7 @@
 
 
 def upgrade_policies(config: ForwarderConfig) -> dict[str, UpgradePolicy]:
-    """The policies for upgraded connections by request class."""
+    """Returns the policies for upgraded connections, by the name of the request class."""
     return {request_class.name: _upgrade_policy(request_class) for request_class in config.request_classes}
 
 
@@ -38,14 +38,14 @@
 
 
 def drain_grace_s(operator: OperatorConfig) -> float:
-    """The time within which a draining worker's connections end."""
+    """Returns the grace period in seconds, within which the connections of a draining worker are ended."""
     return DEFAULT_GRACE_S if operator.upgrades is None else operator.upgrades.grace_s
 
 
 def worker_arrivals_per_s(operator: OperatorConfig, config: ForwarderConfig) -> float:
-    """The upgraded connections that an average worker accepts in a second, until a manager states it.
+    """Returns how many upgraded connections a second an average worker accepts until a manager states it.
 
-    Where the operators' file states no rate, a worker may be filled up to its limit within a second.
+    Without a rate in the operators' file, a worker may accept connections up to its limit within a second.
     """
     if operator.upgrades is None:
         return float(config.limits.connections_per_worker)
--- a/cottonladder/forwarder/periodic_work.py
+++ b/cottonladder/forwarder/periodic_work.py
@@ -1,4 +1,4 @@
-"""Carries out, on one timer, what is due of the drains and of the reports to managers."""
+"""Runs the periodic steps of drains and the periodic reports to managers on one timer."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from .manager_stream import ManagerStream
 from .request_handler import RequestHandler
 
-CONNECTION_REPORT_INTERVAL_S = 0.25  # between two reports on upgraded connections
+CONNECTION_REPORT_INTERVAL_S = 0.25  # interval between reports of upgraded connections
 
 
 class PeriodicWork:
-    """Owns the timer, which runs from `start` to `stop`."""
+    """Owns the timer, which runs every `TICK_INTERVAL_S` from `start` to `stop`."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Carries out what is due at once, and from now on at each interval."""
+        """Runs the work that is due immediately, and repeats this at each interval."""
         self._tick()
 
     def stop(self) -> None:
@@ -60,7 +60,7 @@
         self._drainer.results.clear()
 
     def _report_and_log(self, now: float) -> None:
-        """Reports the load to managers, and logs what has ended since the last report."""
+        """Reports the load to managers, and logs the ended connections and the plug-ins' status."""
         self._reports.report_load(now)
         self._handler.tunnels.log_ended_connections()
         if self._handler.verdicts.chain is not None:
--- a/cottonladder/forwarder/plain_requests.py
+++ b/cottonladder/forwarder/plain_requests.py
@@ -1,4 +1,4 @@
-"""Forwards one plain request: selects a worker, makes an attempt, retries, and relays the answer."""
+"""Forwards a plain request: selects a worker, makes an attempt, retries if allowed, and relays the answer."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class PlainRequestForwarder:
-    """Sends requests to workers, one worker after the other as far as retries are allowed."""
+    """Sends each request to one worker, and after a failure to the next one if a retry is allowed."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self._responses = responses
 
     async def forward(self, context: RequestContext) -> web.StreamResponse:
-        """Makes attempts until a worker has answered or no retry is allowed."""
+        """Makes attempts until a worker answers or no retry is allowed; returns the response."""
         max_bytes = self._services.limits.body_bytes
         length = context.request.content_length
         if length is not None and length > max_bytes:
--- a/cottonladder/forwarder/plugin_loading.py
+++ b/cottonladder/forwarder/plugin_loading.py
@@ -1,4 +1,4 @@
-"""Loads the plug-ins of the operators' file at the start and on reload, and keeps the workers' labels."""
+"""Loads the plug-ins of the operators' file at the start and on reload, and collects the workers' labels."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 if TYPE_CHECKING:
     from ..plugins.chain import PluginSpec
 
-MAX_LABELS = 64  # of one worker
-MAX_LABEL_LENGTH = 255  # characters
+MAX_LABELS_PER_WORKER = 64
+MAX_LABEL_CHARACTERS = 255
+RELOAD_REJECTION = "a reload can change plug-ins, but not add or remove the plugins section; restart for that"
 
 
 def plugin_specs(config: PluginsConfig) -> list[PluginSpec]:
-    """The plug-ins that the file names; their runtime is imported only if there are any."""
+    """Returns the plug-ins that the file names; their runtime is imported only when this is called."""
     from ..plugins.chain import PluginSpec
 
     return [
@@ -28,7 +29,7 @@
 
 
 class PluginLoader:
-    """Sets the plug-ins and labels that `verdicts` uses; `config` is the part of the file at the start."""
+    """Sets the plug-ins and labels of `verdicts`; `config` is the file's `plugins` section at the start."""
 
     def __init__(self, config: PluginsConfig | None, verdicts: PluginVerdicts) -> None:
         self._config = config
@@ -36,7 +37,7 @@
         self._log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def load(self) -> None:
-        """Loads the plug-ins at the start; raises PluginLoadError for one that can't be loaded."""
+        """Loads the plug-ins at the start.  Raises PluginLoadError for one that can't be loaded."""
         if self._config is None:
             return
         from ..plugins.chain import PluginChain
@@ -45,10 +46,10 @@
         self._apply(self._config)
 
     def reload(self, config: PluginsConfig | None) -> None:
-        """Loads the plug-ins again; the old ones stay in use unless every new one loads."""
+        """Loads the plug-ins of a changed file; the old ones stay in use unless all of them can be loaded."""
         chain = self._verdicts.chain
         if config is None or chain is None:
-            self._log.error("plugins_rejected", reason="they can be changed, but not switched on or off")
+            self._log.error("plugins_rejected", reason=RELOAD_REJECTION)
         elif chain.reload(plugin_specs(config)):
             self._apply(config)
 
@@ -59,11 +60,11 @@
         self._verdicts.allowed_headers = frozenset(name.lower() for name in config.headers)
 
     def record_labels(self, endpoint: Mapping[str, object]) -> None:
-        """Adds the labels of an endpoint, as discovery lists it, to those of the operators' file."""
+        """Sets a worker's labels to those of its endpoint in discovery and those of the operators' file."""
         labels = endpoint.get("labels")
         if self._config is None or not isinstance(labels, list):
             return
-        listed = {str(label)[:MAX_LABEL_LENGTH] for label in labels[:MAX_LABELS]}
+        listed = {str(label)[:MAX_LABEL_CHARACTERS] for label in labels[:MAX_LABELS_PER_WORKER]}
         worker_id = str(endpoint["id"])
         configured = set(self._config.labels.get(worker_id, ()))
         self._verdicts.labels = {**self._verdicts.labels, worker_id: frozenset(listed | configured)}
--- a/cottonladder/forwarder/plugin_verdicts.py
+++ b/cottonladder/forwarder/plugin_verdicts.py
@@ -1,4 +1,4 @@
-"""Applies the plug-ins' verdicts to a request: its class, workers and headers, or its rejection."""
+"""Applies the plug-ins' verdicts to a request: a changed class, workers or headers, or a rejection."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from ..plugins.abi import Answer
     from ..plugins.chain import PluginChain
 
-# The hooks' names as in `plugins.abi`, which is imported only if plug-ins are configured.
+# Names of the hooks, the same as in `plugins.abi`, which is imported only if plug-ins are configured.
 ROUTE_HOOK = "route"
 UPGRADE_HOOK = "upgrade"
 RETRY_HOOK = "further"
@@ -29,9 +29,9 @@
 class PluginVerdicts:
     """Calls the plug-ins and applies their verdicts within the bounds that operators have set.
 
-    `chain` is None unless the operators' file names plug-ins.  `labels` holds the labels by worker.
-    `falls_back` tells whether a request goes to any worker of the table if none has the labels it needs.
-    `allowed_headers` are the headers, in lower case, that plug-ins may change.
+    `chain` is None unless the operators' file names plug-ins.  `labels` contains the labels of each worker.
+    `falls_back` states whether a request may go to any worker of the table if none has the required labels.
+    `allowed_headers` contains the lower-case names of the headers that plug-ins may change.
     """
 
     def __init__(self, classes: list[RequestClass], services: RequestServices) -> None:
@@ -43,11 +43,11 @@
         self.allowed_headers: frozenset[str] = frozenset()
 
     def apply(self, context: RequestContext) -> RequestContext:
-        """The request with the changes of the plug-ins.  Raises RequestRejectedError."""
+        """Returns the request with the plug-ins' changes.  Raises RequestRejectedError if one rejects it."""
         if self.chain is None:
             return context
-        # Plug-ins see every request with `Upgrade` at this hook, even one without `Connection: upgrade`,
-        # which is forwarded as a plain request.
+        # The upgrade hook is called for every request with an `Upgrade` header, even one without
+        # `Connection: upgrade`, which is forwarded as a plain request.
         hook = UPGRADE_HOOK if "Upgrade" in context.request.headers else ROUTE_HOOK
         if not self.chain.has_hook(hook):
             return context
@@ -61,7 +61,7 @@
         return self._with_headers(self.chain, context, verdict)
 
     def forbids_retry(self, context: RequestContext, failed: FailedAttempts) -> bool:
-        """Whether a plug-in forbids a retry; none can ask for one."""
+        """Returns whether a plug-in forbids a retry; a plug-in can't request one."""
         if self.chain is None or not self.chain.has_hook(RETRY_HOOK):
             return False
         fields = (("tries", str(failed.count)), ("ran", str(int(failed.may_have_run))))
@@ -77,16 +77,16 @@
         return chain.request_record(hook, request.method, request.raw_path, name, request.headers, fields)
 
     def _with_class(self, chain: PluginChain, context: RequestContext, verdict: Answer) -> RequestContext:
-        """Changes the class, and with it table and deadline, but never makes a request idempotent."""
+        """Changes the class, and with it routing table and deadline, but never makes a request idempotent."""
         if verdict.request_class is None:
             return context
-        other = self._classes.get(verdict.request_class)
-        if other is None:
+        new_class = self._classes.get(verdict.request_class)
+        if new_class is None:
             chain.record_clipped()
             return context
         if not context.request_class.is_idempotent:
-            other = replace(other, idempotency=context.request_class.idempotency)
-        return replace(context, request_class=other)
+            new_class = replace(new_class, idempotency=context.request_class.idempotency)
+        return replace(context, request_class=new_class)
 
     def _with_workers(self, chain: PluginChain, context: RequestContext, verdict: Answer) -> RequestContext:
         if not (verdict.required_labels or verdict.preferred_labels):
@@ -101,7 +101,7 @@
         return replace(context, preferred=choice.weights)
 
     def _with_headers(self, chain: PluginChain, context: RequestContext, verdict: Answer) -> RequestContext:
-        """Changes those headers that the operators allow."""
+        """Drops and sets headers, as far as the operators allow changes of them."""
         if not (verdict.set_headers or verdict.drop_headers):
             return context
         headers = CIMultiDict(context.request.headers)
--- a/cottonladder/forwarder/request_body.py
+++ b/cottonladder/forwarder/request_body.py
@@ -1,4 +1,4 @@
-"""The body of a request: a small one of known length is buffered for a retry, any other is streamed."""
+"""Request bodies: a small body of known length is buffered for retries, any other is streamed."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class RequestBody(ABC):
-    """The body of a request; by default it can be sent again and is within the limit."""
+    """The body of a request.  By default it can be sent again and is within the size limit."""
 
     @property
     def can_resend(self) -> bool:
@@ -38,19 +38,19 @@
 
     @property
     def is_too_large(self) -> bool:
-        """Whether the body has proved to be over the limit while it was sent."""
+        """Whether the body exceeded the size limit while it was streamed."""
         return False
 
     @abstractmethod
     def data(self) -> bytes | AsyncIterator[bytes] | None:
-        """The bytes to send with one attempt; None if the request has no body."""
+        """Returns the bytes to send with one attempt; None if the request has no body."""
 
 
 class EmptyBody(RequestBody):
     """The body of a request without one."""
 
     def data(self) -> None:
-        """None, as there is nothing to send."""
+        """Returns None, as there is nothing to send."""
 
 
 class BufferedBody(RequestBody):
@@ -60,12 +60,12 @@
         self._content = content
 
     def data(self) -> bytes:
-        """The complete body."""
+        """Returns the complete body."""
         return self._content
 
 
 class StreamedBody(RequestBody):
-    """A body that is sent as it arrives from the client, and can be sent only once."""
+    """A body that is sent while it arrives from the client; it can be sent only once."""
 
     def __init__(self, source: AsyncIterator[bytes]) -> None:
         self._source = source
@@ -79,7 +79,7 @@
 
     @property
     def is_too_large(self) -> bool:
-        """Whether the client has sent more than the limit allows."""
+        """Whether the client has sent more than the size limit."""
         return self._is_too_large
 
     async def data(self) -> AsyncIterator[bytes]:
@@ -94,7 +94,7 @@
 
 
 async def read_body(request: web.BaseRequest, max_bytes: int) -> RequestBody:
-    """Buffers a body stated to be small, and prepares any other to be streamed.
+    """Reads a body with a Content-Length up to `MAX_BUFFERED_BODY_BYTES`; prepares any other for streaming.
 
     Raises the same errors as `body_pieces`.
     """
--- a/cottonladder/forwarder/request_classes.py
+++ b/cottonladder/forwarder/request_classes.py
@@ -1,4 +1,4 @@
-"""Request classes: which class a request belongs to, and whether it is idempotent.
+"""Classifies requests, and defines for each class whether its requests are idempotent.
 
 Pure: no clock, no I/O.
 """
@@ -14,20 +14,20 @@
     """Whether a request may run twice; the values are those of `replays` in the operators' file."""
 
     IDEMPOTENT = "replayable"  # a repetition has no further effect
-    BY_KEY = "uniqued"  # the request carries a key by which workers recognise a repetition
+    BY_KEY = "uniqued"  # the request has a key by which workers recognise a repetition
     NOT_IDEMPOTENT = "non-replayable"  # the request may run only once
 
 
 @dataclass(frozen=True, slots=True)
 class MatchRule:
-    """What a request of a class looks like; an empty field matches anything."""
+    """The conditions for a request to match; an empty field matches any request."""
 
     methods: frozenset[str] = frozenset()
     path: str = ""
     headers: tuple[tuple[str, str], ...] = ()
 
     def matches(self, method: str, path: str, headers: Mapping[str, str]) -> bool:
-        """Whether a request matches; the rule's path matches itself and every path below it."""
+        """Returns whether a request matches; `path` of the rule matches itself and every path below it."""
         if self.methods and method not in self.methods:
             return False
         prefix = self.path.rstrip("/")
@@ -40,7 +40,7 @@
 class RequestClass:
     """A class of requests.
 
-    `deadline_s` is the time from a request's arrival to the clients' deadline; 0 if none is stated.
+    `deadline_s` is the time from a request's arrival to its deadline; 0 stands for no deadline.
     """
 
     name: str
@@ -50,14 +50,14 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request that may have run already may be sent again."""
+        """Whether a request that may already have run may be sent again."""
         return self.idempotency is not Idempotency.NOT_IDEMPOTENT
 
 
 def classify(
     classes: Iterable[RequestClass], method: str, path: str, headers: Mapping[str, str]
 ) -> RequestClass | None:
-    """The first class with a matching rule, else the first class without rules."""
+    """Returns the first class with a matching rule, else the first class without rules, else None."""
     default = None
     for request_class in classes:
         if any(rule.matches(method, path, headers) for rule in request_class.rules):
--- a/cottonladder/forwarder/request_context.py
+++ b/cottonladder/forwarder/request_context.py
@@ -1,4 +1,4 @@
-"""One request while the forwarder handles it."""
+"""The state of one request while the forwarder handles it."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(slots=True)
 class RequestProgress:
-    """How far a request has come, which decides how it is answered if it has to be given up.
+    """The progress of a request, which decides how it is answered if the forwarder stops before it completes.
 
-    `may_have_run`: a worker may have received the request.  `is_answering`: the client may have received a
-    part of the answer.
+    `may_have_run`: a worker may have received the request.  `is_answering`: the client may have received the
+    beginning of the answer.
     """
 
     may_have_run: bool = False
@@ -26,8 +26,8 @@
 class RequestContext:
     """A request with its class and the changes that plug-ins have made.
 
-    `headers` are those for the worker.  `preferred` holds the weights of workers chosen for this request; if
-    it is None, the table of the request's class applies.
+    `headers` are those to send to the worker.  `preferred` contains the weights of workers chosen for this
+    request; None means that the routing table of its class applies.
     """
 
     request: web.BaseRequest
@@ -38,6 +38,6 @@
 
     @property
     def is_upgrade(self) -> bool:
-        """Whether the client asks for another protocol on its connection."""
+        """Whether the client asks to upgrade its connection to another protocol."""
         connection = self.request.headers.get("Connection", "")
         return "Upgrade" in self.request.headers and "upgrade" in connection.lower()
--- a/cottonladder/forwarder/request_handler.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -1,4 +1,4 @@
-"""Handles each client request: classifies it, admits or rejects it, asks the plug-ins, and forwards it."""
+"""Handles each client request: classifies it, admits or rejects it, calls the plug-ins, and forwards it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from .upgrade_requests import UpgradeForwarder
 from .worker_connections import WorkerConnections
 
-FINAL_ANSWER_TIMEOUT_S = 1.0  # for the last answers at the stop
+FINAL_ANSWER_TIMEOUT_S = 1.0  # time limit for answering the requests still in flight at the stop
 
 
 class RequestHandler:
@@ -43,7 +43,7 @@
         self.connections = WorkerConnections(services.limits)
         self.verdicts = PluginVerdicts(classes, services)
         self.tunnels = TunnelManager(services, drainer, self.listener)
-        self.in_flight: dict[asyncio.Task[Any], None] = {}  # requests and handshakes not answered yet
+        self.in_flight: dict[asyncio.Task[Any], None] = {}  # tasks of the requests and handshakes in flight
         self._is_closing = False
         self._responses = ResponseBuilder(services.rng)
         relay = ResponseRelay(services, self.listener.faults)
@@ -51,11 +51,11 @@
         self._upgrades = UpgradeForwarder(policies, services, self.listener, self.tunnels, self._responses)
 
     def stop_accepting(self) -> None:
-        """Rejects every further request with a Retry-After header."""
+        """Rejects all further requests with a Retry-After header."""
         self._responses.stopping = True
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Handles one request; if it is still in flight at the close, it is answered all the same."""
+        """Handles one request and returns the response, also if `close` cancels the handling."""
         task = asyncio.current_task()
         assert task is not None
         self.in_flight[task] = None
@@ -64,7 +64,7 @@
             return await self._process(request, progress)
         except asyncio.CancelledError:
             if not self._is_closing or progress.is_answering:
-                raise  # the client has gone, or has received a part of the answer
+                raise  # the client has disconnected, or has received the beginning of the answer
             task.uncancel()
             answer = failure_answer(may_have_run=True) if progress.may_have_run else STOPPING
             return self._responses.build(answer)
@@ -72,7 +72,7 @@
             del self.in_flight[task]
 
     async def _process(self, request: web.BaseRequest, progress: RequestProgress) -> web.StreamResponse:
-        """Classifies, admits and forwards a request that has just arrived."""
+        """Classifies, admits and forwards a request."""
         request_class = classify(self._classes, request.method, request.rel_url.raw_path, request.headers)
         if request_class is None:
             return self._responses.build(NO_REQUEST_CLASS)
@@ -94,7 +94,7 @@
     async def close(self) -> None:
         """Answers the requests in flight and closes every connection.
 
-        Handshakes end before the tunnels do, as each could still open another tunnel.
+        Handshakes are ended before the tunnels, as each could still open a tunnel.
         """
         self.stop_accepting()
         self._is_closing = True
--- a/cottonladder/forwarder/request_services.py
+++ b/cottonladder/forwarder/request_services.py
@@ -1,4 +1,4 @@
-"""What the handlers of plain requests, of upgrades and of plug-ins' verdicts share."""
+"""The services that the handlers of plain requests, upgrades and plug-in verdicts share."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from .load_recorder import LoadRecorder
 from .router import Router
 
-FIRST_SERVER_ERROR_STATUS = 500  # statuses from here on count as a failure of the worker
+FIRST_SERVER_ERROR_STATUS = 500  # this and higher statuses count as failures of the worker
 
 
 class RequestServices:
     """The routing state, the limits, the workers' addresses, and the record of attempts.
 
-    `address_of` gives a worker's host:port, or None for an unknown worker; `now` is the loop's clock.
+    `address_of` returns a worker's host:port, or None for an unknown worker.  `now` returns the time of the
+    event loop's clock in seconds.
     """
 
     def __init__(
@@ -39,11 +40,11 @@
         self.now: Callable[[], float] = asyncio.get_running_loop().time
 
     def record_attempt(self, worker_id: str, succeeded: bool, started_at: float) -> None:
-        """Counts the result of an attempt in the load report and in the router."""
+        """Records the result of an attempt in the load recorder and in the router."""
         now = self.now()
         self.recorder.record_attempt(worker_id, succeeded, now - started_at)
         self.router.record_result(now, worker_id, succeeded)
 
     def retry_policy(self, request_class: str) -> RetryPolicy:
-        """The retry policy that managers have ordered for a class."""
+        """Returns the retry policy of a class, as managers have ordered it."""
         return self.router.tables[request_class].retry_policy
--- a/cottonladder/forwarder/response_relay.py
+++ b/cottonladder/forwarder/response_relay.py
@@ -1,4 +1,4 @@
-"""Relays a worker's answer to the client as it arrives."""
+"""Relays a worker's answer to the client while it arrives."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     async def relay(
         self, context: RequestContext, answer: aiohttp.ClientResponse, worker_id: str, started_at: float
     ) -> web.StreamResponse:
-        """Relays one answer to its end and records the result of its attempt."""
+        """Relays one answer completely and records the result of its attempt."""
         succeeded = False
         reply = self._reply(context.request, answer)
         context.progress.is_answering = True
@@ -37,8 +37,9 @@
             succeeded = answer.status < FIRST_SERVER_ERROR_STATUS
             await asyncio.wait_for(reply.write_eof(), STALL_TIMEOUT_S)
         except (aiohttp.ClientError, TimeoutError) as exc:
-            # The client has a part of the answer: closing its connection tells it that the rest is missing.
-            self._faults.report(f"answer cut off: {type(exc).__name__}")
+            # The client may have the beginning of the answer: closing its connection shows that the rest is
+            # missing.
+            self._faults.report(f"answer relayed incompletely: {type(exc).__name__}")
             if context.request.transport is not None:
                 context.request.transport.abort()
         finally:
@@ -51,7 +52,7 @@
 
     @staticmethod
     def _reply(request: web.BaseRequest, answer: aiohttp.ClientResponse) -> web.StreamResponse:
-        """The head of the response to the client."""
+        """Returns the response to the client with the status and headers of the worker's answer."""
         headers = forwarded_headers(answer.headers)
         reply = web.StreamResponse(status=answer.status, reason=answer.reason, headers=headers)
         has_body = answer.status not in STATUSES_WITHOUT_BODY
--- a/cottonladder/forwarder/responses.py
+++ b/cottonladder/forwarder/responses.py
@@ -1,4 +1,4 @@
-"""Turns the forwarder's own answers into HTTP responses."""
+"""Builds HTTP responses for the answers that the forwarder itself gives."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from .final_answers import FinalAnswer
 from .retry_after import retry_after
 
-DEFAULT_RETRY_DELAY_S = 1.0  # for a client to wait, where nothing else is known
-NO_SLOT_RETRY_DELAY_S = 5.0  # for a client to wait, where no worker will have a slot soon
+DEFAULT_RETRY_DELAY_S = 1.0  # delay before a client's retry if the forwarder has no estimate
+NO_SLOT_RETRY_DELAY_S = 5.0  # delay before a client's retry if no worker is expected to have a free slot soon
 
 
 class ResponseBuilder:
-    """Builds responses.
+    """Builds responses, with a random jitter in their Retry-After headers.
 
     Once `stopping` is set, a response that `build` gives a Retry-After header also closes its connection.
     """
@@ -24,7 +24,7 @@
         self.stopping = False
 
     def build(self, answer: FinalAnswer, delay_s: float = DEFAULT_RETRY_DELAY_S) -> web.Response:
-        """Builds a response.
+        """Builds the response for an answer.
 
         If the answer has a Retry-After header, its value is at least `delay_s`, up to `MAX_RETRY_AFTER_S`.
         """
@@ -36,10 +36,10 @@
         if answer.is_outcome_unknown:
             response.headers["Outcome"] = "unknown"
         if self.stopping:
-            response.force_close()  # otherwise the client's next request could meet the closing connection
+            response.force_close()  # otherwise the client's next request could arrive while it closes
         return response
 
     def upgrade_rejected(self, status: int, retry_after_header: str) -> web.Response:
-        """Builds the response to a handshake that a worker has answered without accepting it."""
+        """Builds the response to a handshake that a worker has answered with another status than 101."""
         headers = {"Retry-After": retry_after_header} if retry_after_header else {}
         return web.Response(status=status, headers=headers, text="the worker didn't agree\n")
--- a/cottonladder/forwarder/retries.py
+++ b/cottonladder/forwarder/retries.py
@@ -16,14 +16,14 @@
 class RetryRule:
     """How many retries are allowed.
 
-    `only_if_not_processed` asks for proof that no worker has processed the request in an earlier attempt.
+    `only_if_not_processed` allows them only if it is certain that no worker has processed an earlier attempt.
     """
 
     max_retries: int
     only_if_not_processed: bool
 
 
-# The rule by policy and by whether the request is idempotent.
+# The rule by retry policy and by whether the request is idempotent.
 RETRY_RULES: dict[tuple[RetryPolicy, bool], RetryRule] = {
     (RetryPolicy.NEVER, True): RetryRule(max_retries=0, only_if_not_processed=True),
     (RetryPolicy.NEVER, False): RetryRule(max_retries=0, only_if_not_processed=True),
@@ -37,10 +37,10 @@
 
 
 def should_retry(request_class: RequestClass, policy: RetryPolicy, attempts: int, may_have_run: bool) -> bool:
-    """Whether a request that has failed `attempts` times may be sent to another worker.
+    """Returns whether a request that has failed `attempts` times may be sent to another worker.
 
-    `may_have_run` tells that a worker may have processed an earlier attempt.  Such a request is sent again
-    only if its class is idempotent, whatever managers have ordered.
+    `may_have_run` states that a worker may have processed an earlier attempt.  Such a request is sent again
+    only if its class is idempotent, whichever policy managers have ordered.
     """
     rule = RETRY_RULES[policy, request_class.is_idempotent]
     if may_have_run and rule.only_if_not_processed:
@@ -50,14 +50,14 @@
 
 @dataclass(slots=True)
 class FailedAttempts:
-    """The workers that have failed one request; `may_have_run` once any of them may have processed it."""
+    """The workers at which one request has failed, and whether any of them may have processed it."""
 
     workers: list[str] = field(default_factory=list)
     may_have_run: bool = False
 
     @property
     def count(self) -> int:
-        """How many attempts have failed."""
+        """The number of failed attempts."""
         return len(self.workers)
 
     def add(self, worker_id: str, error: AttemptError) -> None:
--- a/cottonladder/forwarder/service.py
+++ b/cottonladder/forwarder/service.py
@@ -1,4 +1,4 @@
-"""The forwarder as a program: its start, reload and stop, and the signals that cause them."""
+"""The forwarder as a program: its start, reload and stop, and the signals that trigger them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def serve(operator: OperatorConfig, path: str) -> None:
-    """Serves until SIGTERM or SIGINT, then drains the connections; a second signal ends the drain."""
+    """Serves until SIGTERM or SIGINT, then drains the connections; a second signal ends the drain early."""
     stop = asyncio.Event()
     stop_now = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -44,7 +44,7 @@
     log: structlog.stdlib.BoundLogger = structlog.get_logger()
     forwarder.plugins.load()
     if operator.memory or operator.control:
-        from .background import start_background  # imported only where the file asks for it
+        from .background import start_background  # imported only if the file configures it
 
         await start_background(forwarder, operator, stack)
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, _reload, forwarder, path)
@@ -54,13 +54,13 @@
     status_port = 0
     if config.status:
         status_port = await serve_status(forwarder, host_port(config.status), stack)
-    gc.freeze()  # the objects of the start live on, and garbage collections need not visit them
+    gc.freeze()  # excludes the long-lived objects of the start from garbage collections
     host = host_port(config.listen)[0]
     log.info("forwarding", node=config.node, host=host, port=port, status=status_port)
 
 
 def _reload(forwarder: Forwarder, path: str) -> None:
-    """Reads the operators' file again and applies its plug-ins part; the other parts need a restart."""
+    """Reads the operators' file again and applies its `plugins` section; other changes need a restart."""
     try:
         operator = read_operator_config(path)
     except InputError as error:
@@ -70,7 +70,7 @@
 
 
 async def _drain(forwarder: Forwarder, stop_now: asyncio.Event) -> None:
-    """Drains the forwarder's connections until that is done or a second signal arrives."""
+    """Drains the forwarder's connections until all have ended or a second signal arrives."""
     forwarder.log.info("draining", held_connections=forwarder.handler.tunnels.registry.total())
     draining = asyncio.create_task(forwarder.drain(), name="drain")
     stopping = asyncio.create_task(stop_now.wait(), name="wait for a second signal")
--- a/cottonladder/forwarder/status.py
+++ b/cottonladder/forwarder/status.py
@@ -1,4 +1,4 @@
-"""The state of a forwarder as operators read it, over HTTP and through the admin socket."""
+"""The forwarder's status for operators, over HTTP and through the admin socket."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from ..config.fields import HostPort
 from .forwarder import Forwarder
 
-WEIGHT_DIGITS = 4  # digits after the decimal point of a weight
+WEIGHT_DECIMALS = 4
 
 
 def forwarder_status(forwarder: Forwarder) -> dict[str, object]:
-    """The state under the keys that the operators' pages fix."""
+    """Returns the status; its keys are documented for operators and must not change."""
     router = forwarder.router
     drainer = forwarder.drainer
     tunnels = forwarder.handler.tunnels
@@ -37,14 +37,14 @@
 
 
 def _rounded(weights: dict[str, float]) -> dict[str, float]:
-    return {worker_id: round(weight, WEIGHT_DIGITS) for worker_id, weight in weights.items()}
+    return {worker_id: round(weight, WEIGHT_DECIMALS) for worker_id, weight in weights.items()}
 
 
 async def serve_status(forwarder: Forwarder, address: HostPort, stack: AsyncExitStack) -> int:
-    """Serves the state as JSON to any GET on `address`; returns the port."""
+    """Serves the status as JSON in answer to any request on `address`; returns the port."""
 
     async def respond(_request: web.BaseRequest) -> web.StreamResponse:
-        """Answers with the present state."""
+        """Answers with the current status."""
         return web.Response(text=json.dumps(forwarder_status(forwarder)), content_type="application/json")
 
     runner = web.ServerRunner(web.Server(respond))
--- a/cottonladder/forwarder/token_bucket.py
+++ b/cottonladder/forwarder/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket, which limits the rate of events and allows a burst of as many as accrue in a second.
+"""A token bucket, which limits the rate of events and allows bursts of one second's tokens.
 
 Pure: the caller passes the time.
 """
@@ -8,28 +8,28 @@
 import math
 from dataclasses import dataclass
 
-MIN_BURST_TOKENS = 1.0  # so that a rate below 1 a second still lets an event happen now and then
+MIN_BURST_TOKENS = 1.0  # with a smaller bucket, a rate below 1 a second would never allow an event
 
 
 def burst_size(rate: float) -> float:
-    """How many tokens a bucket holds at most: those that accrue in one second at `rate`."""
+    """Returns the capacity of a bucket: the tokens that accrue in one second at `rate`, at least 1."""
     return max(MIN_BURST_TOKENS, rate)
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """The tokens left at the time `updated_at`; the rate may differ from call to call."""
+    """A bucket that held `tokens` at the time `updated_at`; the rate may differ from call to call."""
 
     tokens: float
     updated_at: float
 
     @classmethod
     def full(cls, now: float, rate: float) -> TokenBucket:
-        """A bucket that allows a burst at once."""
+        """Returns a full bucket, which allows a burst immediately."""
         return cls(burst_size(rate), now)
 
     def try_acquire(self, now: float, rate: float) -> bool:
-        """Adds the tokens that have accrued at `rate` a second, then takes one; False if there is none."""
+        """Adds the tokens accrued at `rate` a second, then removes one; returns False if there is none."""
         refilled = self.tokens + (now - self.updated_at) * rate
         self.tokens = min(burst_size(rate), refilled)
         self.updated_at = now
@@ -39,5 +39,5 @@
         return True
 
     def time_to_token_s(self, rate: float) -> float:
-        """The time in seconds from the last update until the bucket holds a token."""
+        """Returns the time in seconds from the last update until the bucket holds a token."""
         return (1.0 - self.tokens) / rate if rate > 0 else math.inf
--- a/cottonladder/forwarder/worker_connections.py
+++ b/cottonladder/forwarder/worker_connections.py
@@ -1,4 +1,4 @@
-"""Sends plain requests to workers through aiohttp's client, which keeps a connection pool for each worker."""
+"""Sends plain requests to workers through aiohttp's client, with a connection pool for each worker."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from .errors import WorkerError
 from .resource_limits import RELAY_BUFFER_BYTES
 
-KEEPALIVE_TIMEOUT_S = 15.0  # time for which an idle pooled connection is kept
+KEEPALIVE_TIMEOUT_S = 15.0  # time after which an idle pooled connection is closed
 
-# Headers that concern a connection and not the request (RFC 9110, section 7.6.1).
+# Headers that apply to one connection and are not forwarded (RFC 9110, section 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
     {"connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te",
      "trailer", "transfer-encoding", "upgrade"}
@@ -24,7 +24,7 @@
 
 
 def forwarded_headers(headers: Mapping[str, str] | CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    """The headers to forward: those of the connection, and those that `Connection` names, are left out."""
+    """Returns the headers without the hop-by-hop headers and those that `Connection` names."""
     connection_headers = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
     forwarded: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRequest:
-    """A request as it is sent to a worker; `target` is the client's own path and query, unchanged."""
+    """A request to send to a worker; `target` is the client's path and query, unchanged."""
 
     method: str
     target: str
@@ -61,14 +61,16 @@
             max_line_size=limits.header_bytes,
             max_field_size=limits.header_bytes,
         )
-        # By itself aiohttp repeats an idempotent method when the worker has closed the pooled connection.
-        # Only the managers' orders and the request's class may decide on a retry; a test counts attempts.
+        # By default aiohttp repeats a request with an idempotent method if the worker has closed the pooled
+        # connection.  Only the managers' orders and the request's class may decide on a retry; a test counts
+        # the attempts.
         self._session._retry_connection = False
 
     async def send(self, address: str, request: WorkerRequest, timeout_s: float) -> aiohttp.ClientResponse:
-        """Sends a request and returns the answer once its head has arrived.  Raises WorkerError.
+        """Sends a request and returns the answer after its head has arrived.
 
-        The caller reads the body of the answer and releases or closes the answer.
+        Raises WorkerError if no head arrives within `timeout_s`, or the connection fails.  The caller reads
+        the body of the answer, and releases or closes the answer.
         """
         url = URL(f"http://{address}{request.target}", encoded=True)
         timeout = aiohttp.ClientTimeout(
@@ -87,13 +89,15 @@
                 timeout_s,
             )
         except (aiohttp.ConnectionTimeoutError, aiohttp.ClientConnectorError) as exc:
-            raise WorkerError(f"no connection: {exc}", may_have_run=False) from None
+            raise WorkerError(f"connection to {address} failed: {exc}", may_have_run=False) from None
         except (TimeoutError, aiohttp.ServerTimeoutError):
             raise WorkerError(
-                f"no answer within {timeout_s:g} s", may_have_run=True, timed_out=True
+                f"{address} sent no answer within {timeout_s:g} s", may_have_run=True, timed_out=True
             ) from None
         except (aiohttp.ClientError, OSError, ValueError) as exc:
-            raise WorkerError(f"{type(exc).__name__}: {exc}", may_have_run=True) from None
+            raise WorkerError(
+                f"request to {address} failed: {type(exc).__name__}", may_have_run=True
+            ) from None
 
     async def close(self) -> None:
         """Closes the session and its connections."""
--- a/tests/forwarder/test_operator_file.py
+++ b/tests/forwarder/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operators' file and its schema, at the command line."""
+"""The operators' file and its schema, as the command line checks and prints them."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultyFile:
-    """The text of a file, and a pattern for the line that names its fault."""
+    """The text of an invalid file, and a pattern of the error message about it."""
 
     text: str
     error: str
@@ -45,13 +45,13 @@
     def setUp(self) -> None:
         process = ForwarderProcess(1, "127.0.0.1:1", ["127.0.0.1:2"], UPGRADES)
         self.addCleanup(shutil.rmtree, process.folder)
-        self.valid_part = process.part
+        self.valid_section = process.part
 
     def with_forwarder(self, **changes: Any) -> str:
-        """A file whose forwarder's part is valid but for these changes."""
-        return json.dumps({"forwarder": {**self.valid_part, **changes}})
+        """Returns a file whose forwarder section is valid except for these changes."""
+        return json.dumps({"forwarder": {**self.valid_section, **changes}})
 
-    def test_faults_name_file_place_and_what_was_expected(self) -> None:
+    def test_an_error_states_the_file_the_key_and_what_was_expected(self) -> None:
         faulty_files = (
             FaultyFile("{upgrades: {grace: 0}}", r"\$\.upgrades\.grace: Expected `float` > 0"),
             FaultyFile("{upgrades: {}}", r"\$\.upgrades: .*missing required field `grace`"),
@@ -75,7 +75,7 @@
                     self.assertEqual(result.output.count("\n"), 1, result.output)
                     self.assertRegex(result.output, f"^{path}: .*{file.error}")
 
-    def test_a_missing_file_is_one_line_at_the_start(self) -> None:
+    def test_a_missing_file_is_reported_in_one_line(self) -> None:
         with TemporaryDirectory() as folder:
             result = run("forward", "--config", str(Path(folder) / "none"))
         self.assertEqual(result.exit_code, 2)
@@ -89,7 +89,7 @@
         schema = json.loads(run("schema").output)
         self.assertIn("UpgradesConfig", schema["$defs"])
 
-    def test_a_manager_without_the_file_imports_none_of_it(self) -> None:
+    def test_optional_modules_are_not_imported_without_the_file(self) -> None:
         code = "import sys, cottonladder.cli.main as c; print(*sys.modules)"
         completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
         loaded = set(completed.stdout.split())
--- a/tests/forwarder/test_resource_limits.py
+++ b/tests/forwarder/test_resource_limits.py
@@ -1,4 +1,4 @@
-"""Limits on resources, slots for connections, the pace of new connections, and Retry-After."""
+"""Resource limits, connection slots, the rate limit of new connections, and Retry-After."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Slots(unittest.TestCase):
-    def test_slots_are_released_once(self) -> None:
+    def test_slots_are_limited_in_total_and_by_client(self) -> None:
         slots = ConnectionSlots(max_total=3, max_per_client=2)
         acquired = [slots.acquire(client) for client in "aaabb"]
         self.assertEqual(acquired, [True, True, False, True, False])
@@ -43,10 +43,10 @@
     def setUp(self) -> None:
         self.pacer = AdmissionPacer(arrival_rate=20.0, arrival_share=0.5)
 
-    def test_a_rush_is_paced(self) -> None:
+    def test_new_connections_are_limited_to_the_rate_after_a_burst(self) -> None:
         rate = self.pacer.worker_rate(1.0, 1.0)
         admitted = sum(self.pacer.acquire(tick / 100, "s-1", rate) == 0.0 for tick in range(1000))
-        self.assertEqual(admitted, 109)  # 10 a second for 10 s, and 10 at once
+        self.assertEqual(admitted, 109)  # 10 a second for 10 s, after a burst of 10
         self.assertAlmostEqual(self.pacer.acquire(9.99, "s-1", rate), 0.1, delta=0.1)
         self.assertEqual(self.pacer.worker_rate(0.5, 1.0), 5.0)
 
@@ -59,7 +59,7 @@
 
 
 class RetryAfterHeader(unittest.TestCase):
-    def test_retry_after_is_in_full_seconds_with_jitter(self) -> None:
+    def test_retry_after_is_in_whole_seconds_with_jitter(self) -> None:
         self.assertEqual(retry_after(0.0, 0.0), 1)
         self.assertEqual(retry_after(4.0, 0.5), 6)
         self.assertEqual(retry_after(1e9, 1.0), 30)
