--- a/cottonladder/forwarder/admission_pacer.py
+++ b/cottonladder/forwarder/admission_pacer.py
@@ -12,15 +12,15 @@
 class AdmissionPacer:
     """A token bucket and reserved slots for each worker.
 
-    `arrival_rate` is the number of new connections a second that an average worker accepts from all
+    `worker_arrivals_per_s` is the number of new connections a second that an average worker accepts from all
     forwarders, and `arrival_share` the fraction of them that this forwarder may open, 0 to 1.  Reserved slots
     are exempt from the limit: a manager has counted them, or the clients held them before a restart.
     """
 
     RESERVATION_TTL_S = 15.0  # time after which an unused reservation expires
 
-    def __init__(self, arrival_rate: float, arrival_share: float) -> None:
-        self.arrival_rate = arrival_rate
+    def __init__(self, worker_arrivals_per_s: float, arrival_share: float) -> None:
+        self.worker_arrivals_per_s = worker_arrivals_per_s
         self.arrival_share = arrival_share
         self._buckets: dict[str, TokenBucket] = {}
         self._reserved_until: dict[str, list[float]] = {}  # expiry times of the reserved slots, by worker
@@ -53,7 +53,7 @@
     def worker_rate(self, weight: float, mean_weight: float) -> float:
         """Returns how many new connections a second this forwarder may open to a worker of this weight."""
         relative_weight = weight / mean_weight if mean_weight > 0 else 1.0
-        return self.arrival_rate * self.arrival_share * min(1.0, relative_weight)
+        return self.worker_arrivals_per_s * self.arrival_share * min(1.0, relative_weight)
 
     def acquire(self, now: float, worker_id: str, rate: float) -> float:
         """Counts a new connection and returns 0, or returns the seconds until `rate` allows one."""
--- a/cottonladder/forwarder/extension_orders.py
+++ b/cottonladder/forwarder/extension_orders.py
@@ -42,7 +42,7 @@
         """Carries out a message of the extension.  Raises OrderRejectedError."""
         if isinstance(message, upgrades.AnnouncementAccepted):
             self._pacer.arrival_share = message.arrival_share
-            self._pacer.arrival_rate = message.worker_arrivals_per_s
+            self._pacer.worker_arrivals_per_s = message.worker_arrivals_per_s
         elif isinstance(message, upgrades.MigrationStopped):
             self._drainer.orders_stopped(self._now(), message.source)
         else:
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -36,15 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscription:
-    """What the forwarder states of itself in SUBSCRIBE; `arrival_rate` is its expected requests a second."""
+    """What the forwarder states about itself in its SUBSCRIBE message."""
 
     node: int
     zone: str
-    arrival_rate: float
+    expected_requests_per_s: float
 
     def encode(self, needs_table: bool) -> bytes:
         """Encodes the SUBSCRIBE message; `needs_table` states that the forwarder has no routing table yet."""
-        text = f"SUBSCRIBE node {self.node} locality {self.zone} w {self.arrival_rate!r}"
+        text = f"SUBSCRIBE node {self.node} locality {self.zone} w {self.expected_requests_per_s!r}"
         text += f" cold {int(needs_table)}"
         return resp.encode(text.encode().split())
 
--- a/tests/forwarder/test_operator_file.py
+++ b/tests/forwarder/test_operator_file.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FaultyFile:
+class InvalidFile:
     """The text of an invalid file, and a pattern of the error message about it."""
 
     text: str
@@ -52,22 +52,22 @@
         return json.dumps({"forwarder": {**self.valid_section, **changes}})
 
     def test_an_error_states_the_file_the_key_and_what_was_expected(self) -> None:
-        faulty_files = (
-            FaultyFile("{upgrades: {grace: 0}}", r"\$\.upgrades\.grace: Expected `float` > 0"),
-            FaultyFile("{upgrades: {}}", r"\$\.upgrades: .*missing required field `grace`"),
-            FaultyFile("{upgrades: {grace: 1, graec: 2}}", r"\$\.upgrades: .*unknown field `graec`"),
-            FaultyFile("{upgrades: {grace: 1}, upgrades: {grace: 2}}", "not JSON5"),
-            FaultyFile("{upgrades: {grace: }}", r"not JSON5: line 1"),
-            FaultyFile("[" * 100_000, "not JSON5"),
-            FaultyFile(self.with_forwarder(zone="z"), r"\$\.forwarder\.zone: one of zones"),
-            FaultyFile(self.with_forwarder(listen="here"), r"\$\.forwarder\.listen: Expected"),
-            FaultyFile(self.with_forwarder(listen="h:99999"), "listen is not an address"),
-            FaultyFile(self.with_forwarder(kinds=[]), r"\$\.forwarder\.kinds: Expected"),
-            FaultyFile(self.with_forwarder(kinds=REQUEST_CLASSES * 2), "a name comes twice"),
+        invalid_files = (
+            InvalidFile("{upgrades: {grace: 0}}", r"\$\.upgrades\.grace: Expected `float` > 0"),
+            InvalidFile("{upgrades: {}}", r"\$\.upgrades: .*missing required field `grace`"),
+            InvalidFile("{upgrades: {grace: 1, graec: 2}}", r"\$\.upgrades: .*unknown field `graec`"),
+            InvalidFile("{upgrades: {grace: 1}, upgrades: {grace: 2}}", "not JSON5"),
+            InvalidFile("{upgrades: {grace: }}", r"not JSON5: line 1"),
+            InvalidFile("[" * 100_000, "not JSON5"),
+            InvalidFile(self.with_forwarder(zone="z"), r"\$\.forwarder\.zone: one of zones"),
+            InvalidFile(self.with_forwarder(listen="here"), r"\$\.forwarder\.listen: Expected"),
+            InvalidFile(self.with_forwarder(listen="h:99999"), "listen is not an address"),
+            InvalidFile(self.with_forwarder(kinds=[]), r"\$\.forwarder\.kinds: Expected"),
+            InvalidFile(self.with_forwarder(kinds=REQUEST_CLASSES * 2), "a name comes twice"),
         )
         with TemporaryDirectory() as folder:
             path = Path(folder) / "operator.json5"
-            for file in faulty_files:
+            for file in invalid_files:
                 with self.subTest(file.text[:60]):
                     path.write_text(file.text)
                     result = run("check", "--operator", str(path))
--- a/tests/forwarder/test_resource_limits.py
+++ b/tests/forwarder/test_resource_limits.py
@@ -41,7 +41,7 @@
 
 class AdmissionPace(unittest.TestCase):
     def setUp(self) -> None:
-        self.pacer = AdmissionPacer(arrival_rate=20.0, arrival_share=0.5)
+        self.pacer = AdmissionPacer(worker_arrivals_per_s=20.0, arrival_share=0.5)
 
     def test_new_connections_are_limited_to_the_rate_after_a_burst(self) -> None:
         rate = self.pacer.worker_rate(1.0, 1.0)
