--- a/cottonladder/forwarder/config_parts.py
+++ b/cottonladder/forwarder/config_parts.py
@@ -6,10 +6,10 @@
 
 from ..config.errors import InputError
 from ..model.orders import RetryPolicy
-from ..protocol.message_fields import MAX_SHOWN_LENGTH, MessageFields, parse_number
+from ..protocol.message_fields import MessageFields, parse_number
+from .errors import quoted
 from .routing_orders import AdmissionOrder, ReceivedConfigPart
 
-MAX_SHOWN_BYTES = 12  # bytes of a value in an error, each of which may be shown as 4 characters
 MAX_WEIGHTS_PER_PART = 65_536  # more than any fleet has workers
 
 
@@ -46,7 +46,7 @@
         text = value.decode()
     except UnicodeDecodeError:
         raise InputError(
-            f"CONFIG: field {field.decode()}: expected UTF-8 text, got {value[:MAX_SHOWN_BYTES]!r}"
+            f"CONFIG: field {field.decode()}: expected UTF-8 text, got {quoted(value)}"
         ) from None
     return tuple(name for name in text.split(separator) if name)
 
@@ -56,7 +56,7 @@
     for pair in _names(fields, b"rows", ","):
         worker_id, separator, weight = pair.rpartition(":")
         if not separator or not worker_id:
-            raise InputError(f"CONFIG: field rows: expected id:weight, got {pair[:MAX_SHOWN_LENGTH]!r}")
+            raise InputError(f"CONFIG: field rows: expected id:weight, got {quoted(pair)}")
         weights.append((worker_id, parse_number(weight.encode(), "CONFIG: field rows")))
     if len(weights) > MAX_WEIGHTS_PER_PART:
         raise InputError(
--- a/cottonladder/forwarder/errors.py
+++ b/cottonladder/forwarder/errors.py
@@ -5,6 +5,13 @@
 from ..protocol.message_fields import MAX_SHOWN_LENGTH
 from .final_answers import FinalAnswer
 
+MAX_QUOTED_LENGTH = 60  # characters of a quoted and escaped value in an error
+
+
+def quoted(value: str | bytes) -> str:
+    """Returns the beginning of a value that a peer sent, quoted and escaped, to show it in an error."""
+    return repr(value[:MAX_SHOWN_LENGTH])[:MAX_QUOTED_LENGTH]
+
 
 class ForwarderError(Exception):
     """Base class of every error that the forwarder itself raises."""
@@ -18,8 +25,8 @@
     """An order for a request class that the operators' file does not name."""
 
     def __init__(self, class_name: str) -> None:
-        shown = class_name[:MAX_SHOWN_LENGTH]
-        super().__init__(f"CONFIG: field for: expected a request class of the operators' file, got {shown!r}")
+        shown = quoted(class_name)
+        super().__init__(f"CONFIG: field for: expected a request class of the operators' file, got {shown}")
         self.class_name = class_name
 
 
@@ -27,8 +34,8 @@
     """An order for a worker that the forwarder does not know from discovery's endpoint list."""
 
     def __init__(self, message_type: str, worker_id: str) -> None:
-        shown = worker_id[:MAX_SHOWN_LENGTH]
-        super().__init__(f"{message_type}: expected a worker of the endpoint list, got {shown!r}")
+        shown = quoted(worker_id)
+        super().__init__(f"{message_type}: expected a worker of the endpoint list, got {shown}")
         self.message_type = message_type
         self.worker_id = worker_id
 
--- a/cottonladder/forwarder/order_handling.py
+++ b/cottonladder/forwarder/order_handling.py
@@ -13,7 +13,7 @@
 from ..protocol import upgrade_extension as upgrades
 from ..protocol.message_fields import printable
 from .config_parts import read_part
-from .errors import OrderRejectedError
+from .errors import OrderRejectedError, quoted
 from .routing_orders import ReceivedConfigPart
 
 MAX_PARTS = 64  # parts of one CONFIG message, a limit of the protocol
@@ -75,7 +75,7 @@
         elif self._uses_extension and name in upgrades.TO_FORWARDER:
             self._handle_extension(fields)
         else:
-            raise InputError(f"expected a {self._expected_messages()} message, got {printable(name)!r}")
+            raise InputError(f"expected a {self._expected_messages()} message, got {quoted(printable(name))}")
 
     def _expected_messages(self) -> str:
         """Returns the names of the messages that a manager may send."""
--- a/tests/forwarder/test_manager_messages.py
+++ b/tests/forwarder/test_manager_messages.py
@@ -108,6 +108,7 @@
 
     def test_errors_state_the_field_what_was_expected_and_what_was_received(self) -> None:
         both_or_neither = "CONFIG: expected both fields gate and again or neither, got only"
+        control_characters = (r"\x01" * 40)[:59]  # of the 60 characters that are shown, the first is a quote
         too_many = ",".join(["s-1:1"] * (MAX_WEIGHTS_PER_PART + 1)).encode()
         for config, error in (
             ([b"gate", b"0.9"], f"{both_or_neither} gate"),
@@ -118,6 +119,7 @@
             ),
             ([b"rows", b"s-1"], "CONFIG: field rows: expected id:weight, got 's-1'"),
             ([b"rows", b":2"], "CONFIG: field rows: expected id:weight, got ':2'"),
+            ([b"rows", b"\x01" * 40], f"CONFIG: field rows: expected id:weight, got '{control_characters}"),
             ([b"rows", too_many], "CONFIG: field rows: expected at most 65536 weights, got 65537"),
             ([b"for", b"a\xff"], "CONFIG: field for: expected UTF-8 text, got b'a\\xff'"),
         ):
