--- a/cottonladder/forwarder/__init__.py
+++ b/cottonladder/forwarder/__init__.py
@@ -1,1 +1,1 @@
-"""A reference forwarder: carries HTTP/1.1 and upgraded connections to workers as its managers order."""
+"""A reference forwarder: sends requests and upgraded connections to workers as its managers order."""
--- a/cottonladder/forwarder/request_body.py
+++ b/cottonladder/forwarder/request_body.py
@@ -47,7 +47,7 @@
 
 
 class EmptyBody(RequestBody):
-    """The body of a request without one."""
+    """The body object of a request that has no body."""
 
     def data(self) -> None:
         """Returns None, as there is nothing to send."""
