--- a/cottonladder/snapshots/errors.py
+++ b/cottonladder/snapshots/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the snapshot folder and its files; the text of each is one line."""
+"""Errors of the snapshot folder and its files.  The text of each error is one line."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class SnapshotError(Exception):
-    """The folder or a file can't be used; the base class of this package's errors."""
+    """Base class of the errors of this package: the folder or a file can't be used."""
 
 
 class SnapshotFolderError(SnapshotError):
-    """The folder can't be made, listed or locked."""
+    """The folder can't be created, listed or locked."""
 
     def __init__(self, folder: Path, reason: str | None) -> None:
         super().__init__(f"{folder}: {reason}")
@@ -28,14 +28,16 @@
 
 
 class SnapshotFormatError(SnapshotError):
-    """Bytes are not a snapshot file of the present format or an earlier one."""
+    """The bytes are not a snapshot file of the current format or an earlier one."""
 
 
 class SnapshotTooLargeError(SnapshotError):
-    """The sections are larger than a file may be."""
+    """The encoded sections are larger than `max_size_bytes`, before compression."""
 
     def __init__(self, size_bytes: int, max_size_bytes: int) -> None:
-        super().__init__(f"{size_bytes} bytes to keep, {max_size_bytes} at most")
+        super().__init__(
+            f"sections: expected at most {max_size_bytes} bytes before compression, got {size_bytes}"
+        )
         self.size_bytes = size_bytes
         self.max_size_bytes = max_size_bytes
 
@@ -49,22 +51,26 @@
 
 
 class UnversionedSectionError(SnapshotSectionError):
-    """A section does not state its version."""
+    """A section is not a map with a version number; `fault` says where it differs."""
 
-    def __init__(self, section: str) -> None:
-        super().__init__(section, "no version")
+    def __init__(self, section: str, fault: str) -> None:
+        super().__init__(section, f"expected a map with a version number v: {fault}")
+        self.fault = fault
 
 
 class NewerSectionError(SnapshotSectionError):
     """A section was written by a newer version of the program."""
 
-    def __init__(self, section: str, version: int) -> None:
-        super().__init__(section, f"of a newer version, {version}")
+    def __init__(self, section: str, version: int, newest_version: int) -> None:
+        super().__init__(
+            section, f"expected at most version {newest_version}, got version {version} of a newer program"
+        )
         self.version = version
+        self.newest_version = newest_version
 
 
 class InvalidSectionError(SnapshotSectionError):
-    """The content of a section is not what its version prescribes; `fault` says where it differs."""
+    """A section does not have the fields of its version, or its version is unknown; `fault` says which."""
 
     def __init__(self, section: str, fault: str) -> None:
         super().__init__(section, fault)
--- a/cottonladder/snapshots/sections.py
+++ b/cottonladder/snapshots/sections.py
@@ -1,8 +1,8 @@
-"""The sections of a snapshot file, each with its own version and checked when it is read.
+"""The sections of a snapshot file: each has its own version and is validated when it is read.
 
-A section that is not valid does not keep the others from being used.  Workers are named by id, as their
-indices are different after a restart.  The stored names of fields are fixed; this module maps them to the
-terms of the code.
+An invalid section does not prevent the others from being used.  Workers are identified by id, because their
+indices change with a restart.  The stored field names are fixed; this module maps them to the names in the
+code.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 T = TypeVar("T", bound=Struct)
 
-# Stored names of the fields that have another name in the code.
+# Stored names, by name in the code, of the fields where they differ.
 STORED_SECTION_NAMES = {"version": "v"}
 MANAGER_NAMES = {
     "last_checkpoint": "mark",
@@ -32,7 +32,7 @@
 
 
 class WorkerSnapshot(Struct, array_like=True):
-    """What a manager has learned about one worker, stored by position; `started_at` is in Unix s."""
+    """What a manager has learned about a worker, stored as an array; `started_at` is in Unix seconds."""
 
     id: str
     started_at: float
@@ -43,7 +43,7 @@
 
 
 class EndpointSnapshot(Struct, array_like=True):
-    """One endpoint of the list, stored by position; `state` is a value of `model.inputs.EndpointState`."""
+    """An endpoint of the list, stored as an array; `state` is a value of `model.inputs.EndpointState`."""
 
     id: str
     address: str
@@ -77,12 +77,12 @@
 
     tables: dict[str, TableSnapshot]  # by name of the request class
     excluded: list[str]  # ids of workers
-    avoid_for_s: dict[str, float]  # by worker id: time left during which the worker is not selected
+    avoid_for_s: dict[str, float]  # by worker id: remaining time in which the worker is not selected
     held_connections: dict[str, int]  # by worker id: number of upgraded connections
 
 
 class StoredSection(Struct, rename=STORED_SECTION_NAMES):
-    """A section as a snapshot file has it: its version, and its content in that version."""
+    """A section as stored in a file: its version, and its content in that version."""
 
     version: int
     data: Any = None
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SectionType(Generic[T]):
-    """The name of a section, its present version and type, and the migration from each earlier version."""
+    """The name, current version and type of a section, and by earlier version the migration to the next."""
 
     name: str
     version: int
@@ -98,11 +98,11 @@
     migrations: Mapping[int, Callable[[Any], Any]] = field(default_factory=dict)
 
     def encode(self, snapshot: T) -> StoredSection:
-        """The section in its present version, ready for `SnapshotStore.write`."""
+        """Returns the section in its current version, for `SnapshotStore.write`."""
         return StoredSection(self.version, snapshot)
 
     def decode(self, sections: Mapping[str, Any]) -> T | None:
-        """This one of the sections of a file, migrated if an earlier version wrote it; None if it is missing.
+        """Returns this section of a file, migrated to the current version; None if the file does not have it.
 
         Raises SnapshotSectionError if the section can't be used.
         """
@@ -111,10 +111,10 @@
             return None
         try:
             stored = msgspec.convert(section, StoredSection)
-        except msgspec.ValidationError:
-            raise UnversionedSectionError(self.name) from None
+        except msgspec.ValidationError as exc:
+            raise UnversionedSectionError(self.name, str(exc)) from None
         if stored.version > self.version:
-            raise NewerSectionError(self.name, stored.version)
+            raise NewerSectionError(self.name, stored.version, self.version)
         try:
             data = self._migrate(stored)
             return msgspec.convert(data, self.type, strict=False)
@@ -124,6 +124,10 @@
     def _migrate(self, stored: StoredSection) -> Any:
         data = stored.data
         for version in range(stored.version, self.version):
+            if version not in self.migrations:
+                raise InvalidSectionError(
+                    self.name, f"no migration from version {version} to version {self.version}"
+                )
             data = self.migrations[version](data)
         return data
 
--- a/cottonladder/snapshots/store.py
+++ b/cottonladder/snapshots/store.py
@@ -1,8 +1,9 @@
 """A folder of snapshot generations, each a file of named sections that is either complete or absent.
 
-A generation is written to a new file, synced, and renamed, and then its folder is synced.  A few older ones
-are kept to fall back on.  A file that can't be read is quarantined under another name; the newest few of them
-are kept.  One process owns the folder, by a lock that the system releases when the process ends.
+A generation is written to a new file, which is synced and renamed; then the folder is synced.  The last few
+generations are kept, so that an older one can be read if a newer one is invalid.  A file that can't be read
+is quarantined, that is, renamed; the newest few quarantined files are kept.  One process owns the folder, by
+a lock that the operating system releases when the process ends.
 """
 
 from __future__ import annotations
@@ -19,16 +20,18 @@
 
 from .errors import SnapshotError as SnapshotError
 from .errors import SnapshotFileError, SnapshotFolderError
-from .file_format import HEADER, MAX_UNCOMPRESSED_SIZE, Sections, decode_file, encode_file
+from .file_format import HEADER, MAX_UNCOMPRESSED_BYTES, Sections, decode_file, encode_file
 
-KEPT_GENERATIONS = 3  # two consecutive ones may be unreadable for the same reason
-MAX_QUARANTINED_FILES = 4  # kept for a diagnosis
+MAX_FILE_BYTES = HEADER.size + MAX_UNCOMPRESSED_BYTES
+KEPT_GENERATIONS = 3  # the same fault may make two consecutive generations unreadable
+MAX_QUARANTINED_FILES = 4  # kept for diagnosis
 FILE_NAME = re.compile(r"^state-(\d{1,12})\.clm$")
 LOCK_FILE = "lock"
-LOCK_MODE = 0o600  # read and written by the owner alone
+LOCK_MODE = 0o600
 NO_DESCRIPTOR = -1
-QUARANTINE_MARK = ".aside-"  # in the name of a quarantined file, before the time of its quarantine
-# Around the number, in the name of a file that is being written.
+# In the name of a quarantined file: separates the original name from the time in Unix nanoseconds.
+QUARANTINE_MARK = ".aside-"
+# In the name of a file that is being written: precede and follow the number of the generation.
 UNFINISHED_PREFIX = ".state-"
 UNFINISHED_SUFFIX = ".new"
 
@@ -51,12 +54,14 @@
 
     def __init__(self, folder: str) -> None:
         self.folder = Path(folder)
-        self.quarantine_messages: list[str] = []  # lines for the log; the caller empties the list
+        self.quarantine_messages: list[
+            str
+        ] = []  # a line per unreadable file; the caller logs and clears them
         self._lock_descriptor = NO_DESCRIPTOR
         self._newest_number = 0
 
     def open(self) -> None:
-        """Creates the folder if it does not exist, and takes its lock."""
+        """Creates the folder if it does not exist, and locks it."""
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             self._lock_descriptor = os.open(
@@ -65,7 +70,7 @@
             fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             self.close()
-            raise SnapshotFolderError(self.folder, "another process owns it") from None
+            raise SnapshotFolderError(self.folder, "locked by another process") from None
         except OSError as exc:
             self.close()
             raise SnapshotFolderError(self.folder, exc.strerror) from None
@@ -77,7 +82,7 @@
             self._lock_descriptor = NO_DESCRIPTOR
 
     def generation_numbers(self) -> list[int]:
-        """Numbers of the existing generations, the newest first."""
+        """Returns the numbers of the existing generations, newest first."""
         try:
             names = os.listdir(self.folder)
         except OSError as exc:
@@ -86,15 +91,18 @@
         return sorted((int(match.group(1)) for match in matches if match), reverse=True)
 
     def generation_path(self, number: int) -> Path:
-        """The path of the generation with this number."""
+        """Returns the path of the generation with this number."""
         return self.folder / f"state-{number}.clm"
 
     def read(self, number: int) -> Generation:
         """Reads one generation; raises SnapshotFileError if it can't be read or is not valid."""
         path = self.generation_path(number)
         try:
-            if path.stat().st_size > MAX_UNCOMPRESSED_SIZE + HEADER.size:
-                raise SnapshotFileError(path.name, "over its size")
+            size_bytes = path.stat().st_size
+            if size_bytes > MAX_FILE_BYTES:
+                raise SnapshotFileError(
+                    path.name, f"expected at most {MAX_FILE_BYTES} bytes, got {size_bytes}"
+                )
             data = path.read_bytes()
         except OSError as exc:
             raise SnapshotFileError(path.name, exc.strerror) from None
@@ -105,7 +113,7 @@
         return Generation(number, decoded.written_at, decoded.sections)
 
     def read_newest(self) -> Generation | None:
-        """The newest valid generation, or None; newer ones that are not valid are quarantined."""
+        """Returns the newest valid generation, or None if there is none; quarantines invalid newer ones."""
         for number in self.generation_numbers():
             self._newest_number = max(self._newest_number, number)
             try:
@@ -123,10 +131,10 @@
             for name in quarantined[:-MAX_QUARANTINED_FILES]:
                 os.unlink(self.folder / name)
         except OSError as exc:
-            self.quarantine_messages.append(f"{path.name}: can't be set aside: {exc.strerror}")
+            self.quarantine_messages.append(f"{path.name}: can't be quarantined: {exc.strerror}")
 
     def write(self, sections: Mapping[str, Any], written_at: float) -> int:
-        """Writes a new generation and returns its size in bytes; one thread at a time may call it.
+        """Writes a new generation, and returns the size of its file in bytes; not thread-safe.
 
         `written_at` is in Unix seconds.
         """
@@ -160,9 +168,9 @@
             path.unlink(missing_ok=True)
 
     def remove_old_generations(self, count: int) -> int:
-        """Keeps the newest `count` generations; removes older ones and the files of interrupted writes.
+        """Removes all but the newest `count` generations, and the files of interrupted writes.
 
-        Returns the number of removed generations.
+        Returns the number of generations that it removed.
         """
         outdated = self.generation_numbers()[count:]
         for number in outdated:
--- a/tests/snapshots/test_restarts.py
+++ b/tests/snapshots/test_restarts.py
@@ -1,4 +1,4 @@
-"""Managers and forwarders, each as a process of its own, that restart with their snapshots."""
+"""Managers and forwarders, each in its own process, that restart from their snapshots."""
 
 from __future__ import annotations
 
@@ -26,30 +26,31 @@
 WORKER_COUNT = 4
 SNAPSHOT_INTERVAL_S = 0.2
 SNAPSHOT_TIMEOUT_S = 20.0
-# Between two looks at the folder of another process, which logs no event for a snapshot.
+# Between two checks of the folder of another process, which logs nothing when it writes a snapshot.
 FOLDER_POLL_INTERVAL_S = 0.05
+LOCKED = "locked by another process"
 
 
 @dataclass(frozen=True, slots=True)
 class UnusableFile:
-    """Something that is no valid snapshot, made at a path, and what the log says of it after its name."""
+    """Creates an invalid snapshot at a path; `reason` follows the file's name in the log."""
 
     create: Callable[[Path], object]
     reason: str
 
 
 UNUSABLE_FILES = (
-    UnusableFile(lambda path: path.write_bytes(b"what"), "cut short"),
+    UnusableFile(lambda path: path.write_bytes(b"what"), "truncated header: expected 44 bytes, got 4"),
     UnusableFile(lambda path: path.mkdir(), "Is a directory"),
     UnusableFile(
         lambda path: path.write_bytes(file_format.encode_file(SECTIONS, written_at=1.0, format_version=9)),
-        "of a newer format",
+        "expected at most format version 2, got version 9 of a newer program",
     ),
 )
 
 
 class RestartTestCase(unittest.IsolatedAsyncioTestCase):
-    """A simulated discovery with four workers, and folders for the snapshots of each process."""
+    """A simulated discovery with four workers, and a snapshot folder for each process."""
 
     async def asyncSetUp(self) -> None:
         asyncio.get_running_loop().set_debug(False)
@@ -66,7 +67,7 @@
             await self.discovery.put(f"s-{number}", f"127.0.0.9:{8000 + number}", "a")
 
     async def start_manager(self, known: Mapping[str, object] | None = None) -> ManagerProcess:
-        """A manager that serves; `known` is the list of its file, by default discovery's."""
+        """Starts a manager; `known` is the endpoint list in its file, by default that of discovery."""
         manager = ManagerProcess(
             self.discovery_address,
             self.discovery.endpoint_list() if known is None else known,
@@ -84,21 +85,21 @@
         return forwarder
 
     async def read_table(self, manager: ManagerProcess) -> str:
-        """The first routing table that the manager sends to a proxy."""
+        """Returns the first routing table that the manager sends to a proxy."""
         proxy = StreamClient(*await asyncio.open_connection("127.0.0.1", manager.port))
         self.addCleanup(proxy.close)
         proxy.join(1)
         return await proxy.receive_until("replace")
 
     def newest_generation(self) -> int:
-        """The number of the manager's newest snapshot, 0 where there is none."""
+        """Returns the number of the manager's newest snapshot, or 0 if there is none."""
         try:
             return max(SnapshotStore(str(self.manager_folder)).generation_numbers(), default=0)
         except SnapshotError:
             return 0  # the folder does not exist yet
 
     def create_as_newest(self, unusable: UnusableFile) -> str:
-        """Creates it as the newest snapshot, which the next start reads first; returns its name."""
+        """Creates the file as the newest snapshot, which a restart reads first; returns its name."""
         path = self.manager_folder / f"state-{self.newest_generation() + 1}.clm"
         unusable.create(path)
         return path.name
@@ -143,7 +144,7 @@
             await self.check_start(f"{name}: {unusable.reason}")
 
     async def check_start(self, logged: str) -> None:
-        """Starts a manager, which logs this of its folder, serves its table, and stops with status 0."""
+        """Checks that a manager starts, logs `logged` about its folder, serves its table, and stops."""
         manager = await self.start_manager()
         await manager.wait_for_log("event=snapshot_", logged)
         self.assertIn("s-0", await self.read_table(manager))
@@ -157,8 +158,8 @@
         lock_holder.open()
         self.addCleanup(lock_holder.close)
         manager = await self.start_manager()
-        await manager.wait_for_log("snapshot_unreadable", "another process owns it")
-        await manager.wait_for_log("task_failed", "another process owns it")
+        await manager.wait_for_log("snapshot_unreadable", f"{self.manager_folder}: {LOCKED}")
+        await manager.wait_for_log("task_failed", f"{self.manager_folder}: {LOCKED}")
         self.assertIn("s-0", await self.read_table(manager))
         newest = self.newest_generation()
         lock_holder.close()
@@ -187,7 +188,7 @@
         self.assertIn("table fetch", await restarted.wait_for_log("snapshot_restored"))
 
     def has_stored_table(self) -> bool:
-        """Whether the forwarder's newest snapshot has a routing table."""
+        """Returns whether the forwarder's newest snapshot has a routing table."""
         exported = CliRunner().invoke(cli.main, ["memory", "export", str(self.forwarder_folder)])
         if exported.exit_code != 0:
             return False
--- a/tests/snapshots/test_store.py
+++ b/tests/snapshots/test_store.py
@@ -1,14 +1,16 @@
-"""Snapshot files that are cut short, corrupted, quarantined, or interrupted while being written."""
+"""The snapshot store: truncated and corrupted files, quarantine, and interrupted writes."""
 
 from __future__ import annotations
 
 import errno
+import hashlib
 import json
 import os
 import subprocess
 import sys
 import tempfile
 import unittest
+import zlib
 from pathlib import Path
 from unittest import mock
 
@@ -22,6 +24,10 @@
     InvalidSectionError,
     NewerSectionError,
     SnapshotError,
+    SnapshotFileError,
+    SnapshotFolderError,
+    SnapshotFormatError,
+    SnapshotTooLargeError,
     UnversionedSectionError,
 )
 from cottonladder.testbed.fleet import ROOT
@@ -29,7 +35,22 @@
 SECTIONS: file_format.Sections = {"manager": {"v": 1, "data": {"mark": 7}}}
 CRASH_COUNT = 1000
 CRASH_TEST_TIMEOUT_S = 120
-MIN_CRASHES_IN_WRITES = 20  # so that the test does interrupt writes
+MIN_CRASHES_IN_WRITES = 20  # fewer would not show that writes are interrupted
+
+
+def digest_of(file: bytes) -> bytes:
+    """Returns the digest of a file, in which the digest itself counts as zeros."""
+    digest_at = file_format.HEADER.size - file_format.DIGEST_BYTES
+    without_digest = file[:digest_at] + bytes(file_format.DIGEST_BYTES) + file[file_format.HEADER.size :]
+    return hashlib.blake2b(without_digest, digest_size=file_format.DIGEST_BYTES).digest()
+
+
+def file_with_body(compressed: bytes, uncompressed_size: int) -> bytes:
+    """Returns a file of the current format with this body and a valid digest."""
+    fields = (file_format.MAGIC, file_format.FORMAT_VERSION, file_format.NO_FLAGS, 0)
+    sizes = (uncompressed_size, len(compressed))
+    unsigned = file_format.HEADER.pack(*fields, *sizes, b"") + compressed
+    return file_format.HEADER.pack(*fields, *sizes, digest_of(unsigned)) + compressed
 
 
 class StoreTestCase(unittest.TestCase):
@@ -48,7 +69,7 @@
         self.store = self.open()
 
     def read_newest(self) -> store.Generation:
-        """The newest valid generation, as another process would read it."""
+        """Returns the newest valid generation, read by a newly opened store."""
         self.reopen()
         generation = self.store.read_newest()
         assert generation is not None
@@ -71,7 +92,7 @@
         self.store.write({"manager": 9}, 2000.0)
         self.assertEqual(self.store.generation_numbers()[0], 7)
 
-    def test_cut_at_every_byte(self) -> None:
+    def test_a_file_truncated_at_any_byte_is_rejected(self) -> None:
         data = file_format.encode_file(SECTIONS, 5.0)
         self.assertEqual(file_format.decode_file(data), (5.0, SECTIONS))
         for size in range(len(data)):
@@ -80,7 +101,7 @@
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.data())
-    def test_flipped_bytes_are_detected(self, data: st.DataObject) -> None:
+    def test_a_file_with_flipped_bytes_is_rejected(self, data: st.DataObject) -> None:
         encoded = bytearray(file_format.encode_file(SECTIONS, 5.0))
         for position in data.draw(st.sets(st.integers(0, len(encoded) - 1), min_size=1, max_size=4)):
             encoded[position] ^= data.draw(st.integers(1, 255))
@@ -91,32 +112,77 @@
         older = file_format.encode_file({"manager": {"mark": 7}}, 5.0, format_version=1)
         self.assertEqual(file_format.decode_file(older).sections, SECTIONS)
 
-    def test_unknown_formats_are_rejected(self) -> None:
-        for data, reason in (
-            (file_format.encode_file(SECTIONS, 5.0, format_version=9), "newer format, 9"),
-            (file_format.encode_file(SECTIONS, 5.0, format_version=0), "unknown format"),
-            (b"", "cut short"),
-            (b"x" * 200, "not a memory file"),
+    def test_invalid_files_are_rejected_with_the_expected_and_the_actual_value(self) -> None:
+        valid = file_format.encode_file(SECTIONS, 5.0)
+        corrupted = valid[:-1] + bytes([valid[-1] ^ 1])
+        for data, error in (
+            (
+                file_format.encode_file(SECTIONS, 5.0, format_version=9),
+                "expected at most format version 2, got version 9 of a newer program",
+            ),
+            (
+                file_format.encode_file(SECTIONS, 5.0, format_version=0),
+                "unknown format version: expected 1 to 2, got 0",
+            ),
+            (b"", "truncated header: expected 44 bytes, got 0"),
+            (
+                b"x" * 200,
+                r"not a snapshot file: expected magic number b'CTNLMEM\x00', got b'xxxxxxxx'",
+            ),
+            (valid[:-1], f"expected {len(valid)} bytes, got {len(valid) - 1}"),
+            (
+                file_with_body(b"", file_format.MAX_UNCOMPRESSED_BYTES + 1),
+                "uncompressed size: expected at most 67108864 bytes, got 67108865",
+            ),
+            (
+                corrupted,
+                f"BLAKE2b digest: expected {digest_of(valid).hex()}, got {digest_of(corrupted).hex()}",
+            ),
+            (
+                file_with_body(b"garbage", 1),
+                "body is not MessagePack compressed by zlib: Error -3 while decompressing data: "
+                "incorrect header check",
+            ),
+            (file_with_body(zlib.compress(b"\x80"), 9), "uncompressed body: expected 9 bytes, got 1"),
+            (file_with_body(zlib.compress(b"\x80"), 0), "uncompressed body: expected 0 bytes, got more"),
         ):
-            with self.subTest(reason), self.assertRaisesRegex(SnapshotError, reason):
+            with self.subTest(error), self.assertRaises(SnapshotFormatError) as raised:
                 file_format.decode_file(data)
+            self.assertEqual(str(raised.exception), error)
+
+    def test_a_file_over_the_size_limit_is_not_read(self) -> None:
+        with open(self.store.generation_path(1), "wb") as file:
+            file.truncate(store.MAX_FILE_BYTES + 1)
+        with self.assertRaises(SnapshotFileError) as raised:
+            self.store.read(1)
+        self.assertEqual(str(raised.exception), "state-1.clm: expected at most 67108908 bytes, got 67108909")
+
+    def test_sections_over_the_size_limit_are_not_written(self) -> None:
+        with self.assertRaises(SnapshotTooLargeError) as raised:
+            self.store.write({"manager": b"x" * file_format.MAX_UNCOMPRESSED_BYTES}, 5.0)
+        self.assertEqual(
+            str(raised.exception),
+            "sections: expected at most 67108864 bytes before compression, got 67108878",
+        )
+        self.assertEqual(self.store.generation_numbers(), [])
 
-    def test_a_folder_in_the_place_of_a_file_is_skipped(self) -> None:
+    def test_a_folder_with_the_name_of_a_generation_is_skipped(self) -> None:
         self.store.write(SECTIONS, 5.0)
         self.store.generation_path(9).mkdir()
         self.assertEqual(self.read_newest().number, 1)
 
     def test_a_folder_has_one_owner(self) -> None:
-        with self.assertRaisesRegex(SnapshotError, "another process owns it"):
+        with self.assertRaises(SnapshotFolderError) as raised:
             store.SnapshotStore(str(self.folder)).open()
+        self.assertEqual(str(raised.exception), f"{self.folder}: locked by another process")
 
-    def test_a_file_in_the_place_of_the_folder_is_an_error(self) -> None:
+    def test_a_file_with_the_name_of_the_folder_is_an_error(self) -> None:
         file = self.folder / "file"
         file.write_text("")
         with self.assertRaises(SnapshotError):
             store.SnapshotStore(str(file)).open()
 
-    def test_a_full_disk_and_errors_of_sync_lose_nothing(self) -> None:
+    def test_a_write_that_fails_keeps_the_previous_generation(self) -> None:
         self.store.write(SECTIONS, 5.0)
         disk_full = OSError(errno.ENOSPC, "No space left on device")
         for name in ("fsync", "rename"):
@@ -143,23 +209,40 @@
         self.assertGreater(counts["mid_write"], MIN_CRASHES_IN_WRITES)
         self.assertLessEqual(counts["leftovers"], 1)
 
-    def test_sections_that_are_not_valid_are_left_out(self) -> None:
+    def test_invalid_sections_are_rejected_with_the_reason(self) -> None:
         snapshot = sections.ForwarderSnapshot({}, ["s-1"], {}, {})
         encoded = file_format.encode_file({"forwarder": sections.FORWARDER_SECTION.encode(snapshot)}, 1)
         decoded = file_format.decode_file(encoded)
         self.assertEqual(sections.FORWARDER_SECTION.decode(decoded.sections), snapshot)
         self.assertIsNone(sections.FORWARDER_SECTION.decode({}))
         for section, expected_error, expected_text in (
-            ({"v": 9, "data": {}}, NewerSectionError, "section forwarder: of a newer version, 9"),
+            (
+                {"v": 9, "data": {}},
+                NewerSectionError,
+                "section forwarder: expected at most version 1, got version 9 of a newer program",
+            ),
             (
                 {"v": 1, "data": {"out": 3}},
                 InvalidSectionError,
                 "section forwarder: Expected `array`, got `int` - at `$.out`",
             ),
-            ({"v": 0, "data": {}}, InvalidSectionError, "section forwarder: 0"),
+            (
+                {"v": 0, "data": {}},
+                InvalidSectionError,
+                "section forwarder: no migration from version 0 to version 1",
+            ),
             ({"v": 1}, InvalidSectionError, "section forwarder: Expected `object`, got `null`"),
-            ([], UnversionedSectionError, "section forwarder: no version"),
-            ({"v": "1", "data": {}}, UnversionedSectionError, "section forwarder: no version"),
+            (
+                [],
+                UnversionedSectionError,
+                "section forwarder: expected a map with a version number v: Expected `object`, got `array`",
+            ),
+            (
+                {"v": "1", "data": {}},
+                UnversionedSectionError,
+                "section forwarder: expected a map with a version number v: Expected `int`, got `str`"
+                " - at `$.v`",
+            ),
         ):
             with self.subTest(section), self.assertRaises(expected_error) as raised:
                 sections.FORWARDER_SECTION.decode({"forwarder": section})
@@ -167,7 +250,7 @@
 
 
 class MemoryCommandTests(StoreTestCase):
-    """`cottonladder memory` on a folder with two generations that know the workers s-1 and s-2."""
+    """`cottonladder memory` on a folder with two generations, each with the workers s-1 and s-2."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -177,13 +260,14 @@
             self.store.write(body, 1000.0 + number)
 
     def run_command(self, command: str, *options: str, expected_status: int = 0) -> str:
-        """The output of a command on the folder, whose status must be the expected one."""
+        """Runs a command on the folder, checks its exit status and returns its output."""
         result = CliRunner().invoke(cli.main, ["memory", command, str(self.folder), *options])
         self.assertEqual(result.exit_code, expected_status, result.output)
         return result.output
 
     def test_an_owned_folder_is_not_changed(self) -> None:
-        self.assertIn("owns it", self.run_command("compact", expected_status=1))
+        output = self.run_command("compact", expected_status=1)
+        self.assertIn(f"{self.folder}: locked by another process", output)
 
     def test_generations_are_shown_and_verified(self) -> None:
         self.store.close()
@@ -197,7 +281,7 @@
         exported = json.loads(self.run_command("export"))
         workers = exported["sections"]["manager"]["data"]["workers"]
         self.assertEqual([worker[0] for worker in workers], ["s-2"])
-        self.assertEqual(exported["written"], 1001.0)  # the time of the generation that it was made from
+        self.assertEqual(exported["written"], 1001.0)  # the time at which the generation with s-1 was written
         self.run_command("forget", "--worker", "s-9", expected_status=1)
 
     def test_an_invalid_generation_is_reported_and_removed(self) -> None:
