--- a/cottonladder/snapshots/store.py
+++ b/cottonladder/snapshots/store.py
@@ -27,7 +27,7 @@
 MAX_QUARANTINED_FILES = 4  # kept for diagnosis
 FILE_NAME = re.compile(r"^state-(\d{1,12})\.clm$")
 LOCK_FILE = "lock"
-LOCK_MODE = 0o600
+LOCK_MODE = 0o600  # read and written by the owner alone
 NO_DESCRIPTOR = -1
 # In the name of a quarantined file: separates the original name from the time in Unix nanoseconds.
 QUARANTINE_MARK = ".aside-"
@@ -54,9 +54,8 @@
 
     def __init__(self, folder: str) -> None:
         self.folder = Path(folder)
-        self.quarantine_messages: list[
-            str
-        ] = []  # a line per unreadable file; the caller logs and clears them
+        # A line for each unreadable file; the caller logs them and clears the list.
+        self.quarantine_messages: list[str] = []
         self._lock_descriptor = NO_DESCRIPTOR
         self._newest_number = 0
 
--- a/tests/snapshots/test_store.py
+++ b/tests/snapshots/test_store.py
@@ -150,6 +150,19 @@
                 file_format.decode_file(data)
             self.assertEqual(str(raised.exception), error)
 
+    def test_a_file_that_can_t_be_quarantined_is_reported_and_skipped(self) -> None:
+        self.store.write(SECTIONS, 5.0)
+        self.store.generation_path(2).write_bytes(b"x")
+        with mock.patch("os.rename", side_effect=OSError(errno.EROFS, "Read-only file system")):
+            self.assertEqual(self.read_newest().number, 1)
+        self.assertEqual(
+            self.store.quarantine_messages,
+            [
+                "state-2.clm: truncated header: expected 44 bytes, got 1",
+                "state-2.clm: can't be quarantined: Read-only file system",
+            ],
+        )
+
     def test_a_file_over_the_size_limit_is_not_read(self) -> None:
         with open(self.store.generation_path(1), "wb") as file:
             file.truncate(store.MAX_FILE_BYTES + 1)
