--- a/cottonladder/planning/plugin_bounds.py
+++ b/cottonladder/planning/plugin_bounds.py
@@ -142,7 +142,7 @@
     open_duration_s: float = MIN_OPEN_DURATION_S
     open_count: int = 0
 
-    def try_acquire(self, now: float) -> bool:
+    def allow_call(self, now: float) -> bool:
         """Returns whether the plug-in may be called now; after the open duration, one call is allowed."""
         if self.state == BreakerState.OPEN and now >= self.open_until:
             self.state = BreakerState.HALF_OPEN
