--- a/cottonladder/protocol/errors.py
+++ b/cottonladder/protocol/errors.py
@@ -9,15 +9,7 @@
 
 
 class ProtocolError(InputError):
-    """A violation of a protocol by a peer; the base class of this package's errors.
-
-    `summary` is the text without the received value.  Log lines are rate-limited by it, so that a peer that
-    varies the value of an invalid field does not get a log line for each value.
-    """
-
-    def __init__(self, summary: str, received: str = "") -> None:
-        super().__init__(f"{summary}, got {received}" if received else summary)
-        self.summary = summary
+    """A violation of a protocol by a peer; the base class of this package's errors."""
 
 
 class FramingError(ProtocolError):
@@ -71,6 +63,6 @@
 
 def error_summary(error: Exception) -> str:
     """Returns the text that log lines about `error` are rate-limited by."""
-    if isinstance(error, ProtocolError):
+    if isinstance(error, InputError):
         return error.summary
     return str(error) or type(error).__name__
--- a/tests/config/test_error_texts.py
+++ b/tests/config/test_error_texts.py
@@ -152,6 +152,25 @@
         error = UnknownValueError("event", "Mode", (0, 1, 2), 3)
         self.assertEqual(str(error), "event: field Mode must be one of 0, 1, 2, got 3")
 
+    def test_the_summary_leaves_out_the_received_value(self) -> None:
+        for error, summary in (
+            (ConfigError("file", "not JSON", "'x'"), "file: not JSON"),
+            (OperatorFileError("file", "$.node", "not a number"), "file: $.node: not a number"),
+            (NotAnObjectError("file", 7), "file: must be an object"),
+            (
+                UnknownNameError("file", "zone", "x"),
+                "file: unknown zone, expected one from the settings",
+            ),
+            (MissingFieldError("file", "a", "a string"), "file: field a is missing, expected a string"),
+            (FieldTypeError("file", "a", "a string", 7), "file: field a must be a string"),
+            (FieldTooLargeError("file", "a", 5, 7), "file: field a is too large: must be at most 5"),
+            (FieldValueError("file", "a", "at least 8", 7), "file: field a must be at least 8"),
+            (DuplicateValueError("file", "a", "x"), "file: field a must not list a value more than once"),
+            (UnknownValueError("file", "a", (1, 2), 7), "file: field a must be one of 1, 2"),
+        ):
+            with self.subTest(type(error).__name__):
+                self.assertEqual(error.summary, summary)
+
 
 class ManagerFileErrorTextTests(ErrorTextTestCase):
     def setUp(self) -> None:
--- a/tests/protocol/test_fault_log.py
+++ b/tests/protocol/test_fault_log.py
@@ -6,7 +6,13 @@
 
 from structlog.testing import capture_logs
 
+from cottonladder.config.deployment import read_settings
+from cottonladder.config.errors import UnknownNameError
+from cottonladder.protocol.errors import error_summary
 from cottonladder.protocol.fault_log import SUMMARY_INTERVAL_S, RateLimitedFaultLog
+from cottonladder.protocol.messages import MessageReader
+from cottonladder.state.worker_registry import WorkerRegistry
+from tests.support.manager_program import SETTINGS
 
 
 class RateLimitedFaultLogTests(unittest.TestCase):
@@ -34,6 +40,28 @@
             [("too many connections", None), ("closed by the peer", None), ("too many connections", 1)],
         )
 
+    def test_unknown_names_are_repetitions_however_the_names_vary(self) -> None:
+        reader = MessageReader(read_settings(SETTINGS, 1, "settings"), WorkerRegistry().find_index)
+        with capture_logs() as lines:
+            faults = RateLimitedFaultLog("message_rejected")
+            for text in ("SUBSCRIBE node 1 locality {}", "RATE node 1 route {}"):
+                for name in ("x", "y", "z"):
+                    with self.assertRaises(UnknownNameError) as raised:
+                        reader.read(text.format(name).encode().split())
+                    faults.report(str(raised.exception), error_summary(raised.exception))
+            faults.summarize(SUMMARY_INTERVAL_S)
+        reasons = [(line["reason"], line.get("suppressed_count")) for line in lines]
+        expected = "expected one from the settings"
+        self.assertEqual(
+            reasons,
+            [
+                (f"SUBSCRIBE: field locality: unknown zone 'x', {expected}", None),
+                (f"RATE: field route: unknown request class 'x', {expected}", None),
+                (f"SUBSCRIBE: field locality: unknown zone, {expected}", 2),
+                (f"RATE: field route: unknown request class, {expected}", 2),
+            ],
+        )
+
 
 if __name__ == "__main__":
     unittest.main()
