--- a/cottonladder/config/described_value.py
+++ b/cottonladder/config/described_value.py
@@ -9,7 +9,8 @@
 def describe_value(value: object) -> str:
     """Returns a decoded JSON value as one line of at most MAX_SHOWN_CHARACTERS printable ASCII characters.
 
-    The content of objects and arrays is left out, as it may be long.
+    The content of objects and arrays is left out, as it may be long.  Unlike the values of messages, which
+    protocol/message_fields.py shows, a value may have any JSON type, and a text that is cut off is marked.
     """
     if value is None:
         return "null"
--- a/cottonladder/protocol/message_fields.py
+++ b/cottonladder/protocol/message_fields.py
@@ -95,7 +95,10 @@
 
 
 def quoted_text(text: str) -> str:
-    """Returns the first `MAX_SHOWN_LENGTH` characters of a text in quotes, without control characters."""
+    """Returns the first `MAX_SHOWN_LENGTH` characters of a text in quotes, without control characters.
+
+    `config.described_value.describe_value` describes values of decoded JSON, which may have any type.
+    """
     return repr("".join(char if char.isprintable() else UNPRINTABLE for char in text[:MAX_SHOWN_LENGTH]))
 
 
--- a/cottonladder/weight_advice/query.py
+++ b/cottonladder/weight_advice/query.py
@@ -6,6 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from ..config.described_value import describe_value
 from ..config.errors import InputError
 from ..config.fields import parse_host_port
 from . import dfp, limits, sasp
@@ -16,8 +17,6 @@
 BALANCER_UID = b"cottonladder-show"
 GROUP_NAME = b"shown"
 DFP_KEEP_ALIVE_S = 1
-# Maximum number of characters of an argument that an error quotes.
-MAX_QUOTED_CHARACTERS = 60
 FLAG_NAMES = {
     sasp.CONTACT_SUCCESS_FLAG: "contact",
     sasp.QUIESCE_FLAG: "quiesced",
@@ -45,8 +44,7 @@
     host, port = parse_host_port(host_port, "member", "--member")
     ip_address = parse_address(host.strip("[]"))
     if ip_address is None:
-        quoted_host = repr(host)[:MAX_QUOTED_CHARACTERS]
-        raise InputError(f"--member: expected an IP address as the host, got {quoted_host}")
+        raise InputError(f"--member: expected an IP address as the host, got {describe_value(host)}")
     return sasp.MemberData(TCP_PROTOCOL_NUMBER, port, ip_address, label.encode())
 
 
