--- a/cottonladder/cli/advice.py
+++ b/cottonladder/cli/advice.py
@@ -86,7 +86,7 @@
     failure_reason = ""
     started_at = time.monotonic()
     try:
-        _run(_query_weights(host_port, protocol, members=(), first_answer=True))
+        _run(_query_weights(host_port, protocol, members=(), accept_any_message=True))
     except NoAnswerError as exc:
         failure_reason = str(exc)
     duration_ms = round((time.monotonic() - started_at) * MS_PER_S, 1)
@@ -105,16 +105,16 @@
 
 
 async def _query_weights(
-    host_port: str, protocol: str, members: Sequence[str], first_answer: bool = False
+    host_port: str, protocol: str, members: Sequence[str], accept_any_message: bool = False
 ) -> list[MemberWeight]:
     """Queries an advisor for its weights: over SASP those of `members`, over DFP those that it reports.
 
-    With `first_answer`, the first message of a DFP advisor ends the query, even one without weights.
+    With `accept_any_message`, the first message of a DFP advisor ends the query, even one without weights.
     """
     host, port = parse_address_argument(host_port)
     async with asyncio.timeout(QUERY_TIMEOUT_S):
         if protocol == "dfp":
-            return await query_dfp(host, port, first_answer=first_answer)
+            return await query_dfp(host, port, accept_any_message=accept_any_message)
         return await query_sasp(host, port, members)
 
 
--- a/cottonladder/config/fields.py
+++ b/cottonladder/config/fields.py
@@ -1,7 +1,7 @@
 """Reads and checks single fields of decoded JSON objects.
 
-Each function takes the object, the field's name, and `where`, which names the object in error messages.  If
-the field is missing or null, the function returns the default, or raises MissingFieldError without one.
+Each function takes the object, the field's name, and `location`, which names the object in error messages.
+If the field is missing or null, the function returns the default, or raises MissingFieldError without one.
 """
 
 from __future__ import annotations
@@ -38,70 +38,75 @@
 }
 
 
-def read_field(body: Any, name: str, types: Any, where: str, default: Any = _MISSING) -> Any:
+def read_field(body: Any, name: str, types: Any, location: str, default: Any = _MISSING) -> Any:
     """Returns a field's value, which must be of one of `types`; a bool is not accepted as a number.
 
     `types` is a key of `_TYPE_NAMES`.
     """
     if not isinstance(body, dict):
-        raise NotAnObjectError(where, body)
+        raise NotAnObjectError(location, body)
     value = body.get(name)
     if value is None:
         if default is _MISSING:
-            raise MissingFieldError(where, name, _TYPE_NAMES[types])
+            raise MissingFieldError(location, name, _TYPE_NAMES[types])
         return default
     is_unexpected_bool = isinstance(value, bool) and types is not bool
     if is_unexpected_bool or not isinstance(value, types):
-        raise FieldTypeError(where, name, _TYPE_NAMES[types], value)
+        raise FieldTypeError(location, name, _TYPE_NAMES[types], value)
     return value
 
 
 def read_number(
-    body: Any, name: str, where: str, minimum: float = 0.0, default: Any = _MISSING, types: Any = NUMBER_TYPES
+    body: Any,
+    name: str,
+    location: str,
+    minimum: float = 0.0,
+    default: Any = _MISSING,
+    types: Any = NUMBER_TYPES,
 ) -> float:
     """Returns a number from `minimum` to `MAX_NUMBER`; NaN is not accepted."""
-    value = read_field(body, name, types, where, default)
+    value = read_field(body, name, types, location, default)
     if value > MAX_NUMBER:
-        raise FieldTooLargeError(where, name, MAX_NUMBER, value)
+        raise FieldTooLargeError(location, name, MAX_NUMBER, value)
     if not value >= minimum:  # unlike `value < minimum`, this is true of NaN
-        raise FieldValueError(where, name, f"at least {minimum:g}", value)
+        raise FieldValueError(location, name, f"at least {minimum:g}", value)
     return float(value)
 
 
-def read_integer(body: Any, name: str, where: str, minimum: int = 0, default: Any = _MISSING) -> int:
+def read_integer(body: Any, name: str, location: str, minimum: int = 0, default: Any = _MISSING) -> int:
     """Returns an integer from `minimum` to `MAX_NUMBER`."""
-    return int(read_number(body, name, where, minimum, default, types=int))
+    return int(read_number(body, name, location, minimum, default, types=int))
 
 
 def read_bounded_seconds(
-    body: Any, name: str, where: str, minimum_ms: float = 0.0, default: Any = _MISSING
+    body: Any, name: str, location: str, minimum_ms: float = 0.0, default: Any = _MISSING
 ) -> float:
     """Returns a field in milliseconds as seconds; the bounds are those of `read_number`, in milliseconds."""
-    return read_number(body, name, where, minimum_ms, default) / MS_PER_S
+    return read_number(body, name, location, minimum_ms, default) / MS_PER_S
 
 
-def read_seconds(body: Any, name: str, where: str, default: Any = _MISSING) -> float:
+def read_seconds(body: Any, name: str, location: str, default: Any = _MISSING) -> float:
     """Returns a field in milliseconds as seconds; its value is not bounded."""
-    return float(read_field(body, name, NUMBER_TYPES, where, default)) / MS_PER_S
+    return float(read_field(body, name, NUMBER_TYPES, location, default)) / MS_PER_S
 
 
-def read_names(body: Any, name: str, where: str) -> list[str]:
+def read_names(body: Any, name: str, location: str) -> list[str]:
     """Returns a field whose value is an array of one or more different, non-empty names."""
-    value = read_field(body, name, list, where)
-    check_names(value, name, where)
+    value = read_field(body, name, list, location)
+    check_names(value, name, location)
     return list(value)
 
 
-def check_names(values: list[Any], name: str, where: str) -> None:
+def check_names(values: list[Any], name: str, location: str) -> None:
     """Raises FieldError unless the field's `values` are one or more different, non-empty strings."""
     if not values:
-        raise FieldValueError(where, name, NAMES_FORM, values)
+        raise FieldValueError(location, name, NAMES_FORM, values)
     for value in values:
         if not isinstance(value, str) or not value:
-            raise FieldValueError(where, name, NAMES_FORM, value)
+            raise FieldValueError(location, name, NAMES_FORM, value)
     duplicate = first_duplicate(values)
     if duplicate is not None:
-        raise DuplicateValueError(where, name, duplicate)
+        raise DuplicateValueError(location, name, duplicate)
 
 
 def first_duplicate(names: Sequence[str]) -> str | None:
@@ -114,15 +119,15 @@
     return None
 
 
-def read_address(body: Any, name: str, where: str) -> HostPort:
+def read_address(body: Any, name: str, location: str) -> HostPort:
     """Returns the host and port of a field of the form host:port."""
-    return parse_host_port(read_field(body, name, str, where), name, where)
+    return parse_host_port(read_field(body, name, str, location), name, location)
 
 
-def parse_host_port(text: str, name: str, where: str) -> HostPort:
+def parse_host_port(text: str, name: str, location: str) -> HostPort:
     """Parses a text of the form host:port, the value of the field or argument `name`."""
     host, _, port = text.rpartition(":")
     is_number = port.isascii() and port.isdigit()
     if not host or not is_number or int(port[:COMPARED_PORT_DIGITS]) > MAX_PORT:
-        raise FieldValueError(where, name, HOST_PORT_FORM, text)
+        raise FieldValueError(location, name, HOST_PORT_FORM, text)
     return host, int(port)
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -61,11 +61,11 @@
         """Returns the deployment's settings, with the seed of the policy's random choices."""
         seed = self._read_seed()
         body = read_field(self.body, "settings", dict, self.path)
-        where = f"{self.path}: settings"
-        settings = read_settings(body, seed, where)
+        location = f"{self.path}: settings"
+        settings = read_settings(body, seed, location)
         slice_count = settings.parameters.slice_count
         if slice_count:
-            raise FieldValueError(where, "KeyRanges", "0 (the wire protocol has no slices)", slice_count)
+            raise FieldValueError(location, "KeyRanges", "0 (the wire protocol has no slices)", slice_count)
         return settings
 
     def known_list(self) -> JsonObject:
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -239,7 +239,7 @@
     forwarder: ForwarderConfig | None = None
 
 
-def host_port(text: str) -> HostPort:
+def parse_configured_address(text: str) -> HostPort:
     """Parses an address from the operators' file, whose addresses were checked when the file was read."""
     return parse_host_port(text, "address", "operators' file")
 
--- a/cottonladder/config/operator_file.py
+++ b/cottonladder/config/operator_file.py
@@ -25,18 +25,18 @@
 )
 
 MAX_FILE_CHARACTERS = 1 << 20
-VALIDATION_PLACE_MARK = " - at `"  # separates fault and place in an error message of msgspec
-ROOT_PLACE = "$"  # JSON path of the whole file; msgspec names no place for a fault at the root
+VALIDATION_PATH_MARK = " - at `"  # separates the fault from its JSON path in a message of msgspec
+ROOT_JSON_PATH = "$"  # JSON path of the whole file; msgspec names no path for a fault at the root
 
 
 def read_operator_config(path: str) -> OperatorConfig:
-    """Reads the file at `path`; raises a ConfigError that names the file, the place and the fault."""
+    """Reads the file at `path`; raises a ConfigError that names the file, the JSON path and the fault."""
     body = _read_json5(path)
     try:
         config = msgspec.convert(body, OperatorConfig)
     except msgspec.ValidationError as exc:
-        fault, _, place = str(exc).partition(VALIDATION_PLACE_MARK)
-        raise OperatorFileError(path, place.rstrip("`") or ROOT_PLACE, fault) from None
+        fault, _, json_path = str(exc).partition(VALIDATION_PATH_MARK)
+        raise OperatorFileError(path, json_path.rstrip("`") or ROOT_JSON_PATH, fault) from None
     if config.advice is not None:
         _check_advice(path, config.advice)
     if config.forwarder is not None:
@@ -75,21 +75,21 @@
     _check_no_duplicates(path, "$.forwarder.managers", config.managers)
     for index, name in enumerate(class_names):
         if "+" in name:
-            place = f"$.forwarder.kinds[{index}].name"
+            json_path = f"$.forwarder.kinds[{index}].name"
             fault = f"must not contain '+', which joins names on the wire, got {describe_value(name)}"
-            raise OperatorFileError(path, place, fault)
-    where = f"{path}: $.forwarder"
-    parse_host_port(config.listen, "listen", where)
-    parse_host_port(config.discovery, "discovery", where)
+            raise OperatorFileError(path, json_path, fault)
+    location = f"{path}: $.forwarder"
+    parse_host_port(config.listen, "listen", location)
+    parse_host_port(config.discovery, "discovery", location)
     for index, manager in enumerate(config.managers):
-        parse_host_port(manager, f"managers[{index}]", where)
+        parse_host_port(manager, f"managers[{index}]", location)
 
 
-def _check_no_duplicates(path: str, place: str, names: Sequence[str]) -> None:
+def _check_no_duplicates(path: str, json_path: str, names: Sequence[str]) -> None:
     duplicate = first_duplicate(names)
     if duplicate is not None:
         fault = f"must not list {describe_value(duplicate)} more than once"
-        raise OperatorFileError(path, place, fault)
+        raise OperatorFileError(path, json_path, fault)
 
 
 def _check_advice(path: str, config: AdviceConfig) -> None:
@@ -102,7 +102,7 @@
 
 def _check_advice_peers(
     path: str,
-    list_place: str,
+    list_json_path: str,
     entries: Sequence[AdviceServerConfig | AdvisorFollowConfig],
     address_key: str,
     addresses: Sequence[str],
@@ -110,16 +110,16 @@
     """Checks the entries of one list, whose addresses are in the field `address_key`."""
     seen: set[str] = set()
     for index, (entry, address) in enumerate(zip(entries, addresses, strict=True)):
-        place = f"{list_place}[{index}]"
-        parse_host_port(address, address_key, f"{path}: {place}")
+        json_path = f"{list_json_path}[{index}]"
+        parse_host_port(address, address_key, f"{path}: {json_path}")
         is_any_free_port = address.endswith(":0")
         if address in seen and not is_any_free_port:
             fault = f"must have another address than the entries before it, got {describe_value(address)}"
-            raise OperatorFileError(path, place, fault)
+            raise OperatorFileError(path, json_path, fault)
         seen.add(address)
         if entry.tls is not None and entry.protocol != "sasp":
             fault = f"is valid only with protocol sasp (DFP has no TLS), got {entry.protocol}"
-            raise OperatorFileError(path, f"{place}.tls", fault)
+            raise OperatorFileError(path, f"{json_path}.tls", fault)
         if entry.secret is not None and entry.protocol != "dfp":
             fault = f"is valid only with protocol dfp, got {entry.protocol}"
-            raise OperatorFileError(path, f"{place}.secret", fault)
+            raise OperatorFileError(path, f"{json_path}.secret", fault)
--- a/cottonladder/control/advice_connections.py
+++ b/cottonladder/control/advice_connections.py
@@ -12,7 +12,7 @@
     AdvisorFollowConfig,
     SecretConfig,
     TlsConfig,
-    host_port,
+    parse_configured_address,
 )
 from ..weight_advice.advertised_workers import AdvertisedWorkers
 from ..weight_advice.client import AdviceListener, AdvisorClient
@@ -48,7 +48,7 @@
     `uniform` returns a random number from 0 to 1, for the backoff; `setting_path` is the client's path in the
     operators' file.  Raises ConfigError if its secret or its TLS files can't be loaded.
     """
-    address = host_port(config.address)
+    address = parse_configured_address(config.address)
     if config.protocol == "sasp":
         tls = _tls_context(config.tls, setting_path, is_server=False)
         return SaspAdvisorClient(address, listener, tls, uniform, config.uid, config.group)
--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -114,7 +114,7 @@
 
     async def _wait_for_due_task(self, now: float) -> None:
         """Waits until a task may be due, or one is added or made due."""
-        until_due_s = self._scheduler.time_until_next(now, self._awaited)
+        until_due_s = self._scheduler.seconds_until_next_task(now, self._awaited)
         wait_s = max(self._paused_until - now, until_due_s)
         self._wake.clear()
         with suppress(TimeoutError):
@@ -167,7 +167,7 @@
                 await awaitable
 
     def _log_overrun(self, name: str, duration_s: float) -> None:
-        overrun_count = self._scheduler.tasks[name].overruns
+        overrun_count = self._scheduler.tasks[name].overrun_count
         if _is_power_of_two(overrun_count):  # less and less often, if a task overruns repeatedly
             self.log.info(
                 "task_overran",
@@ -200,10 +200,10 @@
         "priority": task.plan.priority,
         "period": task.plan.period_s,
         "due_in": round(task.due_at - now, 3),
-        "runs": task.runs,
-        "slices": task.slices,
-        "overruns": task.overruns,
-        "failures": task.failures,
+        "runs": task.run_count,
+        "slices": task.slice_count,
+        "overruns": task.overrun_count,
+        "failures": task.failure_count,
         "missed": task.missed_deadlines,
         "cpu_s": round(task.cpu_s, 4),
         "longest_ms": round(task.longest_slice_s * MS_PER_S, 2),
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -149,7 +149,7 @@
         RoutingController(settings.parameters),
         input_queue,
         sessions,
-        OrderDispatcher(list(settings.classes), settings.parameters.manager_count, config.workers),
+        OrderDispatcher(list(settings.request_classes), settings.parameters.manager_count, config.workers),
         network_clients,
         StateChangeLog(config.workers, list(settings.zones)),
         loop_extensions,
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -14,7 +14,7 @@
 
 import structlog
 
-from ..config.operator_config import AdviceConfig, host_port
+from ..config.operator_config import AdviceConfig, parse_configured_address
 from ..model.inputs import NEUTRAL_FACTOR, AdviceSource, AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
 from ..planning.advice_weighting import UPDATE_INTERVAL_S, AdviceWeighting, AdvisoryWeight
@@ -74,7 +74,7 @@
         """Starts the servers and the clients; `stack` closes them."""
         for number, server_config in enumerate(self._config.serve):
             server = create_advice_server(server_config, self._advertised, f"$.advice.serve[{number}]")
-            host, port = host_port(server_config.listen)
+            host, port = parse_configured_address(server_config.listen)
             bound_port = await server.listen((host, port), stack)
             self._servers.append(server)
             self.log.info(
@@ -125,13 +125,13 @@
     def _apply_connections(self) -> None:
         for advisor in self._connected_advisors:
             trust = self._trust_by_advisor.get(advisor, DEFAULT_TRUST)
-            self._weighting.advisor_connected(advisor, trust)
+            self._weighting.set_trust(advisor, trust)
         self._connected_advisors.clear()
 
     def _apply_reports(self, now: float) -> None:
         for report in self._reports:
             weights = _lowest_by_worker(report.weights)
-            self._weighting.receive(report.advisor, now, weights, report.is_complete)
+            self._weighting.update_weights(report.advisor, now, weights, report.is_complete)
         self._reports.clear()
 
     def _changed_factors(self, now: float) -> Iterator[AdvisedFactor]:
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -12,7 +12,7 @@
 
 import structlog
 
-from ..config.operator_config import ForwarderConfig, OperatorConfig, host_port
+from ..config.operator_config import ForwarderConfig, OperatorConfig, parse_configured_address
 from .admission_pacer import AdmissionPacer
 from .connection_drainer import ConnectionDrainer
 from .drain_orders import TICK_INTERVAL_S
@@ -68,7 +68,7 @@
 
     def _endpoint_follower(self, rng: random.Random) -> EndpointFollower:
         removal = WorkerRemoval(self.workers, self.router, self.pacer, self.handler.tunnels.registry)
-        discovery = host_port(self.config.discovery)
+        discovery = parse_configured_address(self.config.discovery)
         return EndpointFollower(discovery, self.workers, removal, rng, self.plugins.record_labels)
 
     def _manager_orders(self) -> ManagerOrders:
@@ -85,7 +85,7 @@
             stack.push_async_callback(self._load_reporter.close)
         stack.callback(self._stop_timers)
         self._follower.start()
-        port = await self.handler.listener.listen(*host_port(self.config.listen))
+        port = await self.handler.listener.listen(*parse_configured_address(self.config.listen))
         self.stream.start(self._manager_orders())
         self._periodic_work.start()
         return port
@@ -122,6 +122,6 @@
 
 def _manager_stream(config: ForwarderConfig, uses_extension: bool, rng: random.Random) -> ManagerStream:
     subscription = Subscription(config.node, config.zone, config.expected_requests_per_s)
-    managers = [host_port(text) for text in config.managers]
+    managers = [parse_configured_address(text) for text in config.managers]
     rng.shuffle(managers)  # spreads a fleet of forwarders over its managers
     return ManagerStream(subscription, managers, rng.uniform, uses_extension)
--- a/cottonladder/forwarder/order_handling.py
+++ b/cottonladder/forwarder/order_handling.py
@@ -16,7 +16,7 @@
 from .errors import OrderRejectedError, quoted
 from .routing_orders import ReceivedConfigPart
 
-MAX_PARTS = 64  # parts of one CONFIG message, a limit of the protocol
+MAX_PARTS_PER_MESSAGE = 64  # parts of one CONFIG message, a limit of the protocol
 LIST_TIMEOUT_S = 2.0  # time limit for an unknown worker of an order to appear in the endpoint list
 LIST_CHECK_INTERVAL_S = 0.1  # interval between checks whether the worker is known
 IGNORED_MESSAGES = (b"PONG", b"NACK")
@@ -88,8 +88,8 @@
         received_at = time.monotonic()
         read = read_part(fields)
         self._parts.append(read.part)
-        if len(self._parts) > MAX_PARTS:
-            raise InputError(f"CONFIG: expected at most {MAX_PARTS} parts of a message, got more")
+        if len(self._parts) > MAX_PARTS_PER_MESSAGE:
+            raise InputError(f"CONFIG: expected at most {MAX_PARTS_PER_MESSAGE} parts of a message, got more")
         if read.has_more:
             return
         parts = self._parts
--- a/cottonladder/forwarder/service.py
+++ b/cottonladder/forwarder/service.py
@@ -10,7 +10,7 @@
 import structlog
 
 from ..config.errors import InputError
-from ..config.operator_config import OperatorConfig, host_port
+from ..config.operator_config import OperatorConfig, parse_configured_address
 from ..config.operator_file import read_operator_config
 from ..control import signals
 from .forwarder import Forwarder
@@ -53,9 +53,9 @@
     port = await forwarder.start(stack)
     status_port = 0
     if config.status:
-        status_port = await serve_status(forwarder, host_port(config.status), stack)
+        status_port = await serve_status(forwarder, parse_configured_address(config.status), stack)
     gc.freeze()  # excludes the long-lived objects of the start from garbage collections
-    host = host_port(config.listen)[0]
+    host = parse_configured_address(config.listen)[0]
     log.info("forwarding", node=config.node, host=host, port=port, status=status_port)
 
 
--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -18,10 +18,10 @@
     def __init__(self, names: Sequence[str]) -> None:
         self._index = {name: index for index, name in enumerate(names)}
 
-    def zone_index(self, name: str, where: str) -> int:
-        """The index of a zone.  Raises UnknownNameError, which names `where`, for an unknown zone."""
+    def zone_index(self, name: str, location: str) -> int:
+        """Returns the index of a zone; raises UnknownNameError with `location` for an unknown one."""
         if name not in self._index:
-            raise UnknownNameError(where, "zone", name)
+            raise UnknownNameError(location, "zone", name)
         return self._index[name]
 
 
--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -102,18 +102,18 @@
 class AdviceWeighting:
     """Computes the factors for the workers of one manager.
 
-    Call `receive` when weights arrive, and `update_factors` once per `UPDATE_INTERVAL_S`.
+    Call `update_weights` when weights arrive, and `update_factors` once per `UPDATE_INTERVAL_S`.
     """
 
     def __init__(self) -> None:
         self._advisors: dict[str, _Advisor] = {}
         self._log_factors: dict[int, float] = {}  # by worker index
 
-    def advisor_connected(self, advisor: str, trust: float = DEFAULT_TRUST) -> None:
+    def set_trust(self, advisor: str, trust: float = DEFAULT_TRUST) -> None:
         """Sets the trust of an advisor that connected; the credit of a known advisor does not change."""
         self._advisors.setdefault(advisor, _Advisor(trust)).trust = trust
 
-    def receive(
+    def update_weights(
         self, advisor: str, now: float, weights: Mapping[int, AdvisoryWeight], is_complete: bool
     ) -> None:
         """Stores weights by worker index; `is_complete` means that they replace all earlier ones."""
--- a/cottonladder/planning/priority_scheduling.py
+++ b/cottonladder/planning/priority_scheduling.py
@@ -60,10 +60,10 @@
     refilled_at: float
     is_running: bool = False
     started_at: float = 0.0
-    runs: int = 0
-    slices: int = 0
-    overruns: int = 0
-    failures: int = 0
+    run_count: int = 0
+    slice_count: int = 0
+    overrun_count: int = 0
+    failure_count: int = 0
     consecutive_failures: int = 0
     missed_deadlines: int = 0
     cpu_s: float = 0.0
@@ -100,7 +100,7 @@
             return None
         return min(eligible, key=lambda task: (task.plan.priority, task.due_at, task.plan.name)).plan.name
 
-    def time_until_next(self, now: float, blocked: Container[str] = ()) -> float:
+    def seconds_until_next_task(self, now: float, blocked: Container[str] = ()) -> float:
         """Returns the seconds until a task that is not in `blocked` may run, at least `MIN_WAIT_S`."""
         waits_s = [
             _seconds_until_runnable(task, now)
@@ -128,11 +128,11 @@
         task = self.tasks[name]
         _refill(task, now)
         task.budget_s = max(-MAX_DEBT_S * task.plan.cpu_fraction, task.budget_s - duration_s)
-        task.slices += 1
+        task.slice_count += 1
         task.cpu_s += duration_s
         task.longest_slice_s = max(task.longest_slice_s, duration_s)
         has_overrun = duration_s > MAX_SLICE_DURATION_S
-        task.overruns += has_overrun
+        task.overrun_count += has_overrun
         if is_done or has_failed:
             _finish_run(task, now, has_failed, jitter)
         return has_overrun
@@ -167,11 +167,11 @@
 def _finish_run(task: ScheduledTask, now: float, has_failed: bool, jitter: float) -> None:
     """Counts a run that ended, and sets the time when the next one is due."""
     task.is_running = False
-    task.runs += 1
+    task.run_count += 1
     task.missed_deadlines += now - task.due_at > task.plan.deadline_s
     backoff = 1.0
     if has_failed:
-        task.failures += 1
+        task.failure_count += 1
         task.consecutive_failures += 1
         backoff = min(MAX_BACKOFF_PERIODS, 2.0 ** min(task.consecutive_failures, MAX_BACKOFF_EXPONENT))
     else:
--- a/cottonladder/policy/capacity.py
+++ b/cottonladder/policy/capacity.py
@@ -16,7 +16,7 @@
 
 MAX_CAPACITY_SAMPLES = 10  # samples kept per worker; one is taken per solve interval
 MIN_UTILIZATION = 0.1  # lower utilizations are counted as this one
-MIN_OWN_SHARE = 0.25  # fraction of a zone's attempts; with a smaller one, a sample depends on chance
+MIN_OWN_ATTEMPT_SHARE = 0.25  # fraction of a zone's attempts; with a smaller one, a sample depends on chance
 MAX_SPEED_RATIO = 2.5  # highest speed relative to the median worker's; the lowest is its inverse
 MAX_ADVISED_FACTOR = 2.0  # highest product of all sources' factors; the lowest is its inverse
 
@@ -36,7 +36,7 @@
         """Takes a capacity sample of each worker, and updates the latency factors."""
         for worker in self._state.workers.by_index.values():
             own_share = self.own_attempt_shares[worker.zone]
-            if own_share >= MIN_OWN_SHARE and not warm_up.is_warming_up(self._state, worker):
+            if own_share >= MIN_OWN_ATTEMPT_SHARE and not warm_up.is_warming_up(self._state, worker):
                 worker.add_capacity_sample(own_share, MIN_UTILIZATION)
             worker.succeeded_attempts.clear()
         self._latency_factors.update(uses_queues=not self._warm_up_shares.proxies_eject)
--- a/cottonladder/policy/overload_signal.py
+++ b/cottonladder/policy/overload_signal.py
@@ -11,7 +11,7 @@
 OVERLOAD_FAILED_RATIO = 0.1  # median of the workers' failed ratios at which overload begins
 OVERLOAD_LATENCY_RATIO = 0.35  # median latency over the tightest latency objective at which overload begins
 OVERLOAD_UTILIZATION = 0.92  # median utilization at which overload begins
-MAX_FAILED_WEIGHT = 2.0  # failures raise the signal at most to this multiple of its value without them
+MAX_FAILURE_MULTIPLE = 2.0  # failures raise the signal at most to this multiple of its value without them
 MAX_DEMAND_RATIO = 1.4  # planned utilization counts up to this multiple of the reported utilization
 
 
@@ -39,7 +39,7 @@
         load = self._median_load(in_service)
         signal = max(latency_ratio / OVERLOAD_LATENCY_RATIO, load / OVERLOAD_UTILIZATION)
         failed = median_or_zero(worker.failed_ratio() for worker in in_service if worker.attempt_count >= 1.0)
-        return max(signal, min(failed / OVERLOAD_FAILED_RATIO, MAX_FAILED_WEIGHT * signal))
+        return max(signal, min(failed / OVERLOAD_FAILED_RATIO, MAX_FAILURE_MULTIPLE * signal))
 
     def _median_latency_s(self, in_service: list[WorkerRecord]) -> float:
         """Returns the median latency: by Little's law from requests in flight, or else as reported."""
--- a/cottonladder/policy/warm_up.py
+++ b/cottonladder/policy/warm_up.py
@@ -31,7 +31,8 @@
 COLLAPSE_LOAD_FRACTION = 0.33
 # Withheld fraction of a warm-up share for each unit of the fleet's failed ratio.
 FAILED_RATIO_WEIGHT = 12.0
-MIN_RAMP = 0.75  # fraction of capacity; below it a worker gets no load where proxies eject outliers
+# Fraction of capacity; below it a worker gets no load where proxies eject outliers.
+MIN_EJECTION_SAFE_RAMP = 0.75
 EARLY_TICK_COUNT = 16  # ticks after the manager's start during which little is known of the fleet
 MIN_EJECTING_RATE = 0.4  # requests/s of a proxy at a worker; below it the proxy ejects too slowly to harm
 EJECTABLE_LINE_RATIO = 0.5  # fraction of a median table's lines that one proxy may eject at the same time
@@ -97,7 +98,7 @@
 
     def _withheld_ratio(self, ramp: float, tick: int) -> float:
         """Returns the withheld fraction of the share where proxies eject outliers; over 1 counts as 1."""
-        is_early = ramp < MIN_RAMP or tick < EARLY_TICK_COUNT
+        is_early = ramp < MIN_EJECTION_SAFE_RAMP or tick < EARLY_TICK_COUNT
         is_withheld = self._shedding.admission_ratio < 1.0 or is_early
         failures = FAILED_RATIO_WEIGHT * self._overload.failed_ratio
         return max(failures, self._overload.value, float(is_withheld))
--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -20,7 +20,7 @@
 
 LINK_INTERVALS = 3  # solve intervals over which the lowest latency of a link is kept
 CROSS_ZONE_COST = 1.0  # cost of a request to another zone; one within the zone costs 0
-MAX_LINK_RATIO = 2.0  # latency over the median link's; slower links to other zones are not used
+MAX_LINK_LATENCY_RATIO = 2.0  # latency over the median link's; slower links to other zones are not used
 MIN_FLOW_SHARE = 0.02  # fraction of a zone's demand; smaller flows are left out of its tables
 CAPACITY_SLACK = 0.05  # relative excess over the mean utilization up to which groups are filled
 SLACK_PER_CROSS_ZONE_COST = 0.5  # additional slack for each unit of the deployment's cross-zone cost
@@ -99,7 +99,7 @@
     def _link_costs(self, latencies: list[list[float]], groups: ZoneGroups) -> list[list[float | None]]:
         """Returns costs by proxy zone and group; None means that a link is too slow or leads to no worker."""
         median_s = median_or_zero(latency for row in latencies for latency in row if latency < math.inf)
-        max_latency_s = MAX_LINK_RATIO * median_s
+        max_latency_s = MAX_LINK_LATENCY_RATIO * median_s
         zones = self._state.zones
         return [
             [self._link_cost(zone, group, groups, latencies[zone][group], max_latency_s) for group in zones]
--- a/cottonladder/protocol/endpoint_list.py
+++ b/cottonladder/protocol/endpoint_list.py
@@ -25,8 +25,8 @@
 class ZoneIndex(Protocol):
     """Finds the index of a zone by its name."""
 
-    def zone_index(self, name: str, where: str) -> int:
-        """Returns the index of a zone; raises `InputError` for an unknown one, with `where` in its text."""
+    def zone_index(self, name: str, location: str) -> int:
+        """Returns the index of a zone; raises `InputError` with `location` for an unknown one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,15 +42,15 @@
 
 
 def read_endpoint_list(
-    body: Any, zones: ZoneIndex, register: RegisterWorker, where: str
+    body: Any, zones: ZoneIndex, register: RegisterWorker, location: str
 ) -> tuple[int, EndpointList]:
     """Returns the version and the list, with workers as the indices that `register` returns.
 
-    No worker is registered unless every entry is valid.  Raises `InputError`; `where` begins its text.
+    No worker is registered unless every entry is valid.  Raises `InputError`; `location` begins its text.
     """
-    version = read_field(body, "version", int, where)
-    kind = ListUpdateKind.FULL if read_field(body, "full", bool, where) else ListUpdateKind.DELTA
-    workers = [_read_entry(entry, zones, where) for entry in read_field(body, "servers", list, where)]
+    version = read_field(body, "version", int, location)
+    kind = ListUpdateKind.FULL if read_field(body, "full", bool, location) else ListUpdateKind.DELTA
+    workers = [_read_entry(entry, zones, location) for entry in read_field(body, "servers", list, location)]
     endpoints = tuple(
         Endpoint(
             register(worker.worker_id, worker.address, worker.started_at),
@@ -64,23 +64,25 @@
     return version, EndpointList(kind, endpoints)
 
 
-def _read_entry(entry: Any, zones: ZoneIndex, where: str) -> _ListedWorker:
-    worker_id = read_field(entry, "id", str, where)
-    state = read_field(entry, "state", str, where)
+def _read_entry(entry: Any, zones: ZoneIndex, location: str) -> _ListedWorker:
+    worker_id = read_field(entry, "id", str, location)
+    state = read_field(entry, "state", str, location)
     if state not in STATES:
-        raise EndpointListError(where, f"field state is not one of {', '.join(STATES)}", quoted_text(state))
+        raise EndpointListError(
+            location, f"field state is not one of {', '.join(STATES)}", quoted_text(state)
+        )
     if not _is_valid_worker_id(worker_id):
         expected = f"1 to {MAX_WORKER_ID_LENGTH} printable ASCII characters without space, comma or colon"
-        raise EndpointListError(where, f"field id is not {expected}", quoted_text(worker_id))
-    weight = float(read_field(entry, "weight", NUMBER_TYPES, where))
-    started_at = read_seconds(entry, "started_ms", where)
+        raise EndpointListError(location, f"field id is not {expected}", quoted_text(worker_id))
+    weight = float(read_field(entry, "weight", NUMBER_TYPES, location))
+    started_at = read_seconds(entry, "started_ms", location)
     if not 0 <= weight < float("inf"):
-        raise EndpointListError(where, "field weight is not a finite number of 0 or more", str(weight))
+        raise EndpointListError(location, "field weight is not a finite number of 0 or more", str(weight))
     if not 0 <= started_at < float("inf"):
         received = str(started_at * MS_PER_S)
-        raise EndpointListError(where, "field started_ms is not a finite number of 0 or more", received)
-    zone = zones.zone_index(read_field(entry, "zone", str, where), f"{where}: field zone")
-    host, port = read_address(entry, "addr", where)
+        raise EndpointListError(location, "field started_ms is not a finite number of 0 or more", received)
+    zone = zones.zone_index(read_field(entry, "zone", str, location), f"{location}: field zone")
+    host, port = read_address(entry, "addr", location)
     return _ListedWorker(worker_id, f"{host}:{port}", zone, STATES[state], weight, started_at)
 
 
--- a/cottonladder/protocol/errors.py
+++ b/cottonladder/protocol/errors.py
@@ -37,11 +37,11 @@
 
 
 class NumberError(ProtocolError):
-    """A value that is not `expected`, such as a finite number of 0 or more; `where` names its place."""
+    """A value that is not `expected`, such as a finite number of 0 or more; `location` says where it is."""
 
-    def __init__(self, where: str, expected: str, received: str) -> None:
-        super().__init__(f"{where} is not {expected}", received)
-        self.where = where
+    def __init__(self, location: str, expected: str, received: str) -> None:
+        super().__init__(f"{location} is not {expected}", received)
+        self.location = location
 
 
 class UnencodableNumberError(ProtocolError):
@@ -53,11 +53,11 @@
 
 
 class EndpointListError(ProtocolError):
-    """An endpoint list, or an answer of discovery, that is not valid; `where` names which."""
+    """An endpoint list, or an answer of discovery, that is not valid; `location` names which."""
 
-    def __init__(self, where: str, fault: str, received: str = "") -> None:
-        super().__init__(f"{where}: {fault}", received)
-        self.where = where
+    def __init__(self, location: str, fault: str, received: str = "") -> None:
+        super().__init__(f"{location}: {fault}", received)
+        self.location = location
         self.fault = fault
 
 
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -24,8 +24,8 @@
     for pair in text.removeprefix(METRICS_PREFIX).split(","):
         name, sign, value = pair.strip().partition("=")
         if sign:
-            where = f"health check: metric {name[:MAX_SHOWN_LENGTH]}"
-            metrics[name] = parse_number(value.strip().encode(), where)
+            location = f"health check: metric {name[:MAX_SHOWN_LENGTH]}"
+            metrics[name] = parse_number(value.strip().encode(), location)
     return metrics
 
 
--- a/cottonladder/protocol/message_fields.py
+++ b/cottonladder/protocol/message_fields.py
@@ -51,7 +51,7 @@
 
     def number(self, name: str) -> float:
         """Returns a required field that is a finite number of 0 or more."""
-        return parse_number(self.raw(name), self._place_of(name))
+        return parse_number(self.raw(name), self._location_of(name))
 
     def flag(self, name: str) -> bool:
         """Returns whether a required field, which is 1 or 0, is 1."""
@@ -73,14 +73,14 @@
         for pair in self.values.get(name.encode(), b"").split(b","):
             if pair:
                 key, _, value = pair.rpartition(b":")
-                metrics[key.decode(errors="replace")] = parse_number(value, self._place_of(name))
+                metrics[key.decode(errors="replace")] = parse_number(value, self._location_of(name))
         return metrics
 
     def error(self, name: str, fault: str) -> FieldError:
         """Returns an error about the value of a field; its text shows the beginning of the value."""
         return FieldError(self.message_type, name, fault, quoted(self.values.get(name.encode(), b"")))
 
-    def _place_of(self, name: str) -> str:
+    def _location_of(self, name: str) -> str:
         return f"{self.message_type}: field {name}"
 
 
@@ -102,12 +102,12 @@
     return repr("".join(char if char.isprintable() else UNPRINTABLE for char in text[:MAX_SHOWN_LENGTH]))
 
 
-def parse_number(raw: bytes, where: str) -> float:
-    """Parses a finite number of 0 or more; `where` names its place in the text of a NumberError."""
+def parse_number(raw: bytes, location: str) -> float:
+    """Parses a finite number of 0 or more; `location` begins the text of a NumberError."""
     try:
         value = float(raw)
     except ValueError:
-        raise NumberError(where, "a number", quoted(raw)) from None
+        raise NumberError(location, "a number", quoted(raw)) from None
     if not math.isfinite(value) or value < 0 or b"_" in raw:
-        raise NumberError(where, "a finite number of 0 or more", quoted(raw))
+        raise NumberError(location, "a finite number of 0 or more", quoted(raw))
     return value
--- a/cottonladder/protocol/messages.py
+++ b/cottonladder/protocol/messages.py
@@ -119,7 +119,9 @@
         return Acknowledged(self._proxy(fields), fields.count("nonce"), fields.number("latency") / MS_PER_S)
 
     def _read_rate(self, fields: MessageFields) -> IncomingMessage:
-        class_index = self.settings.class_index(fields.text("route"), f"{fields.message_type}: field route")
+        class_index = self.settings.request_class_index(
+            fields.text("route"), f"{fields.message_type}: field route"
+        )
         requests = fields.count("total")
         # May exceed the total: a request that arrived in an earlier interval may fail in this one.
         errors = fields.count("errors")
--- a/cottonladder/simulator/event_decoder.py
+++ b/cottonladder/simulator/event_decoder.py
@@ -46,122 +46,124 @@
 class EventDecoder:
     """Decodes the events of one simulated manager.
 
-    `where` names the event and the manager in error messages.
+    `location` names the event and the manager in error messages.
     """
 
     def __init__(self, settings: DeploymentSettings, worker_ids: WorkerIds) -> None:
         self._settings = settings
         self._worker_ids = worker_ids
 
-    def decode(self, name: str, body: Any, where: str) -> Input:
+    def decode(self, name: str, body: Any, location: str) -> Input:
         """Decodes one event; raises ConfigError if the simulator's protocol does not allow it."""
         decode_event = _EVENT_DECODERS.get(name)
         if decode_event is None:
-            raise ConfigError(where, "unknown event")
-        return decode_event(self, body, where)
+            raise ConfigError(location, "unknown event")
+        return decode_event(self, body, location)
 
-    def _worker(self, body: Any, where: str) -> int:
-        return self._worker_ids.index_of(read_field(body, "Worker", int, where))
+    def _worker(self, body: Any, location: str) -> int:
+        return self._worker_ids.index_of(read_field(body, "Worker", int, location))
 
-    def _zone(self, body: Any, where: str) -> int:
-        return self._settings.zone_index(read_field(body, "Locality", str, where), where)
+    def _zone(self, body: Any, location: str) -> int:
+        return self._settings.zone_index(read_field(body, "Locality", str, location), location)
 
-    def _request_class(self, body: Any, where: str) -> int:
-        return self._settings.class_index(read_field(body, "Lane", str, where), where)
+    def _request_class(self, body: Any, location: str) -> int:
+        return self._settings.request_class_index(read_field(body, "Lane", str, location), location)
 
-    def _metrics(self, body: Any, where: str) -> dict[str, float]:
-        metrics = read_field(body, "HealthInfo", dict, where, {})
+    def _metrics(self, body: Any, location: str) -> dict[str, float]:
+        metrics = read_field(body, "HealthInfo", dict, location, {})
         return {name: float(value) for name, value in metrics.items() if isinstance(value, NUMBER_TYPES)}
 
-    def _endpoint_list(self, body: Any, where: str) -> Input:
-        kind = read_field(body, "How", int, where)
+    def _endpoint_list(self, body: Any, location: str) -> Input:
+        kind = read_field(body, "How", int, location)
         if kind not in LIST_UPDATE_KINDS:
-            raise UnknownValueError(where, "How", LIST_UPDATE_KINDS, kind)
-        entries = read_field(body, "Entries", list, where, [])
-        endpoints = tuple(self._endpoint(entry, where) for entry in entries)
+            raise UnknownValueError(location, "How", LIST_UPDATE_KINDS, kind)
+        entries = read_field(body, "Entries", list, location, [])
+        endpoints = tuple(self._endpoint(entry, location) for entry in entries)
         return EndpointList(ListUpdateKind(kind), endpoints)
 
-    def _endpoint(self, body: Any, where: str) -> Endpoint:
-        state = read_field(body, "Mode", int, where)
+    def _endpoint(self, body: Any, location: str) -> Endpoint:
+        state = read_field(body, "Mode", int, location)
         if state not in ENDPOINT_STATES:
-            raise UnknownValueError(where, "Mode", ENDPOINT_STATES, state)
+            raise UnknownValueError(location, "Mode", ENDPOINT_STATES, state)
         return Endpoint(
-            worker_index=self._worker(body, where),
-            zone=self._zone(body, where),
+            worker_index=self._worker(body, location),
+            zone=self._zone(body, location),
             state=EndpointState(state),
-            weight=float(read_field(body, "Size", NUMBER_TYPES, where, 1.0)),
-            started_at=read_seconds(body, "CameUpMs", where, 0.0),
+            weight=float(read_field(body, "Size", NUMBER_TYPES, location, 1.0)),
+            started_at=read_seconds(body, "CameUpMs", location, 0.0),
         )
 
-    def _timer_fired(self, body: Any, where: str) -> Input:
-        return TimerFired(read_field(body, "Nonce", int, where))
+    def _timer_fired(self, body: Any, location: str) -> Input:
+        return TimerFired(read_field(body, "Nonce", int, location))
 
-    def _health_check_result(self, body: Any, where: str) -> Input:
-        has_succeeded = read_field(body, "StateCode", str, where) == SERVED
+    def _health_check_result(self, body: Any, location: str) -> Input:
+        has_succeeded = read_field(body, "StateCode", str, location) == SERVED
         return HealthCheckResult(
-            self._worker(body, where),
+            self._worker(body, location),
             has_succeeded,
-            read_seconds(body, "RttMs", where, 0.0),
-            self._metrics(body, where),
+            read_seconds(body, "RttMs", location, 0.0),
+            self._metrics(body, location),
         )
 
-    def _gossip(self, body: Any, where: str) -> Input:
-        return GossipReceived(read_field(body, "From", int, where), read_field(body, "Data", str, where, ""))
+    def _gossip(self, body: Any, location: str) -> Input:
+        return GossipReceived(
+            read_field(body, "From", int, location), read_field(body, "Data", str, location, "")
+        )
 
-    def _proxy_connected(self, body: Any, where: str) -> Input:
+    def _proxy_connected(self, body: Any, location: str) -> Input:
         return ProxyConnected(
-            read_field(body, "Proxy", int, where),
-            self._zone(body, where),
-            float(read_field(body, "Size", NUMBER_TYPES, where, 0.0)),
-            read_field(body, "Active", bool, where, False),
+            read_field(body, "Proxy", int, location),
+            self._zone(body, location),
+            float(read_field(body, "Size", NUMBER_TYPES, location, 0.0)),
+            read_field(body, "Active", bool, location, False),
         )
 
-    def _proxy_disconnected(self, body: Any, where: str) -> Input:
-        return ProxyDisconnected(read_field(body, "Proxy", int, where))
+    def _proxy_disconnected(self, body: Any, location: str) -> Input:
+        return ProxyDisconnected(read_field(body, "Proxy", int, location))
 
-    def _load_report(self, body: Any, where: str) -> Input:
+    def _load_report(self, body: Any, location: str) -> Input:
         return LoadReport(
-            self._worker(body, where),
-            self._zone(body, where),
-            read_field(body, "Many", int, where),
-            read_field(body, "Failed", int, where, 0),
-            read_seconds(body, "ElapsedMs", where),
-            read_seconds(body, "RttMs", where, 0.0),
-            self._metrics(body, where),
+            self._worker(body, location),
+            self._zone(body, location),
+            read_field(body, "Many", int, location),
+            read_field(body, "Failed", int, location, 0),
+            read_seconds(body, "ElapsedMs", location),
+            read_seconds(body, "RttMs", location, 0.0),
+            self._metrics(body, location),
         )
 
-    def _arrival_report(self, body: Any, where: str) -> Input:
+    def _arrival_report(self, body: Any, location: str) -> Input:
         return ArrivalReport(
-            read_field(body, "Proxy", int, where),
-            self._request_class(body, where),
-            read_field(body, "Many", int, where),
-            read_field(body, "Failed", int, where, 0),
-            read_seconds(body, "ElapsedMs", where),
+            read_field(body, "Proxy", int, location),
+            self._request_class(body, location),
+            read_field(body, "Many", int, location),
+            read_field(body, "Failed", int, location, 0),
+            read_seconds(body, "ElapsedMs", location),
         )
 
-    def _slice_load_report(self, body: Any, where: str) -> Input:
+    def _slice_load_report(self, body: Any, location: str) -> Input:
         return SliceLoadReport(
-            read_field(body, "SetId", int, where),
-            self._request_class(body, where),
-            read_field(body, "Many", int, where),
-            read_field(body, "Failed", int, where, 0),
-            read_seconds(body, "ElapsedMs", where),
+            read_field(body, "SetId", int, location),
+            self._request_class(body, location),
+            read_field(body, "Many", int, location),
+            read_field(body, "Failed", int, location, 0),
+            read_seconds(body, "ElapsedMs", location),
         )
 
-    def _slice_assigned(self, body: Any, where: str) -> Input:
+    def _slice_assigned(self, body: Any, location: str) -> Input:
         return SliceAssigned(
-            read_field(body, "SetId", int, where), read_field(body, "Active", bool, where, False)
+            read_field(body, "SetId", int, location), read_field(body, "Active", bool, location, False)
         )
 
-    def _stored_weight(self, body: Any, where: str) -> Input:
-        table = read_field(body, "SetId", int, where)
-        worker = self._worker(body, where)
-        return StoredWeight(table, worker, float(read_field(body, "Size", NUMBER_TYPES, where, 1.0)))
+    def _stored_weight(self, body: Any, location: str) -> Input:
+        table = read_field(body, "SetId", int, location)
+        worker = self._worker(body, location)
+        return StoredWeight(table, worker, float(read_field(body, "Size", NUMBER_TYPES, location, 1.0)))
 
-    def _acknowledged(self, body: Any, where: str) -> Input:
-        proxy = read_field(body, "Proxy", int, where)
-        number = read_field(body, "Rev", int, where)
-        return Acknowledged(proxy, number, read_seconds(body, "RttMs", where, 0.0))
+    def _acknowledged(self, body: Any, location: str) -> Input:
+        proxy = read_field(body, "Proxy", int, location)
+        number = read_field(body, "Rev", int, location)
+        return Acknowledged(proxy, number, read_seconds(body, "RttMs", location, 0.0))
 
 
 _EVENT_DECODERS: dict[str, Callable[[EventDecoder, Any, str], Input]] = {
--- a/cottonladder/simulator/host.py
+++ b/cottonladder/simulator/host.py
@@ -26,18 +26,18 @@
 class SimulatedManager:
     """One simulated manager: its controller, the decoder of its events and the encoder of its actions."""
 
-    def __init__(self, body: Any, where: str) -> None:
+    def __init__(self, body: Any, location: str) -> None:
         """Reads the settings from the body of an ATTACH event; raises ConfigError if they are invalid."""
-        info = read_field(body, "Info", dict, where)
-        settings = read_settings(info, read_field(body, "Prng", int, where), where)
+        info = read_field(body, "Info", dict, location)
+        settings = read_settings(info, read_field(body, "Prng", int, location), location)
         worker_ids = WorkerIds()
         self._decoder = EventDecoder(settings, worker_ids)
         self._encoder = ActionEncoder(worker_ids)
         self._controller = RoutingController(settings.parameters)
 
-    def decode(self, name: str, body: Any, where: str) -> Input:
+    def decode(self, name: str, body: Any, location: str) -> Input:
         """Decodes an event as an input of the policy; raises ConfigError if it is invalid."""
-        return self._decoder.decode(name, body, where)
+        return self._decoder.decode(name, body, location)
 
     def decide_actions(self, now: float, inputs: list[Input]) -> list[Action]:
         """Returns the actions for these inputs, or only the action CRASH if an exception was raised."""
@@ -94,7 +94,7 @@
         inputs: list[Input] = []
         for event in events:
             name, body = _name_and_body(event, manager_id)
-            where = f"{name} for instance {manager_id}"
+            location = f"{name} for instance {manager_id}"
             if name in (ATTACH, RETIRE):
                 actions += self._decide(manager_id, now, inputs)
                 inputs = []
@@ -102,11 +102,11 @@
             if name == RETIRE:
                 actions = []  # a manager that ends loses what it has not sent yet
             elif name == ATTACH:
-                self._managers[manager_id] = SimulatedManager(body, where)
+                self._managers[manager_id] = SimulatedManager(body, location)
             elif manager_id not in self._managers:
-                raise ConfigError(where, f"expected an {ATTACH} event before it")
+                raise ConfigError(location, f"expected an {ATTACH} event before it")
             else:
-                inputs.append(self._managers[manager_id].decode(name, body, where))
+                inputs.append(self._managers[manager_id].decode(name, body, location))
         return actions + self._decide(manager_id, now, inputs)
 
     def _decide(self, manager_id: int, now: float, inputs: list[Input]) -> list[Action]:
--- a/cottonladder/state/exclusions.py
+++ b/cottonladder/state/exclusions.py
@@ -25,17 +25,18 @@
         self._excluded: dict[int, None] = {}  # workers, in the order of their exclusion
         self._views: dict[int, ProxyView] = {}  # by proxy, connected or not
 
-    def connect_proxy(self, proxy: int, is_fresh: bool) -> None:
+    def connect_proxy(self, proxy: int, has_no_table: bool) -> None:
         """Starts a new connection of a proxy.
 
-        `is_fresh`: the proxy has no table yet; it is assumed that no other manager has sent it anything.
+        `has_no_table`: the proxy has no table of any manager yet; it is assumed that no other manager has
+        sent it anything.
         """
         known = self._views.get(proxy)
         if known is None:
-            self._views[proxy] = ProxyView(is_authoritative=is_fresh)
+            self._views[proxy] = ProxyView(is_authoritative=has_no_table)
         else:
             was_authoritative = self._is_only_manager and known.is_authoritative
-            self._views[proxy] = known.after_reconnection(is_fresh or was_authoritative)
+            self._views[proxy] = known.after_reconnection(has_no_table or was_authoritative)
 
     def count_readmissions(self, proxy: int, worker_indices: Iterable[int], binds_table: bool) -> int:
         """Returns how many readmission lines the proxy gets in addition to the lines of these workers.
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -67,14 +67,15 @@
             elif isinstance(item, ProxyDisconnected):
                 self.disconnect_proxy(item.proxy)
 
-    def connect_proxy(self, proxy: int, is_fresh: bool) -> None:
+    def connect_proxy(self, proxy: int, has_no_table: bool) -> None:
         """Adds a proxy with a new connection; until it is bound it reads another manager's tables.
 
-        `is_fresh`: the proxy has no table yet; it is assumed that no other manager has sent it anything.
+        `has_no_table`: the proxy has no table of any manager yet; it is assumed that no other manager has
+        sent it anything.
         """
         self.disconnect_proxy(proxy)
         self._bindings.connect(proxy)
-        self._exclusions.connect_proxy(proxy, is_fresh)
+        self._exclusions.connect_proxy(proxy, has_no_table)
 
     def disconnect_proxy(self, proxy: int) -> None:
         """Removes a proxy and discards its pending operations; its view of exclusions is kept."""
@@ -122,7 +123,7 @@
         # Lines are shared by proxies, most of which read one table for all classes.
         lines_by_mask: dict[int, LineOperation] = {}
         for proxy in self._bindings.readers(order.table):
-            class_mask = self._bindings.reading_class_mask(proxy, order.table)
+            class_mask = self._bindings.class_mask_of_table(proxy, order.table)
             if class_mask not in lines_by_mask:
                 lines_by_mask[class_mask] = weight_line(class_mask, order.worker_index, order.weight)
             lines = (
@@ -135,7 +136,7 @@
         self._weights[order.table] = {}
         self._admission.clear_table(order.table)
         for proxy in self._bindings.readers(order.table):
-            class_mask = self._bindings.reading_class_mask(proxy, order.table)
+            class_mask = self._bindings.class_mask_of_table(proxy, order.table)
             self._pending.add(proxy, [replacement_line(class_mask)])
 
     def _bind_proxy(self, order: BindProxy) -> None:
--- a/cottonladder/state/proxy_bindings.py
+++ b/cottonladder/state/proxy_bindings.py
@@ -49,7 +49,7 @@
         """Returns a connected proxy's table for each request class."""
         return self._tables[proxy]
 
-    def reading_class_mask(self, proxy: int, table: int) -> int:
+    def class_mask_of_table(self, proxy: int, table: int) -> int:
         """Returns the mask of the request classes for which this proxy reads this table."""
         tables = self._tables[proxy]
         return sum(1 << class_index for class_index, read in enumerate(tables) if read == table)
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -242,7 +242,7 @@
         for name, advisor in self._advisors.items():
             weights = advisor(now - START_TIME_S, self)
             if weights is not None:
-                self.advice.receive(name, now, weights, is_complete=True)
+                self.advice.update_weights(name, now, weights, is_complete=True)
         factors = self.advice.update_factors(now, self._capacity_views) if self._capacity_views else {}
         ended = {index: NEUTRAL_FACTOR for index in self._factors if index not in factors}
         self._factors = factors
--- a/cottonladder/weight_advice/query.py
+++ b/cottonladder/weight_advice/query.py
@@ -119,10 +119,10 @@
     return weights
 
 
-async def query_dfp(host: str, port: int, first_answer: bool = False) -> list[MemberWeight]:
+async def query_dfp(host: str, port: int, accept_any_message: bool = False) -> list[MemberWeight]:
     """Connects as a DFP manager and returns the weights of the first report.
 
-    With `first_answer` it returns after any first message, without weights if that is not a report.
+    With `accept_any_message` it returns after any first message, without weights if that is not a report.
     """
     reader, writer = await asyncio.open_connection(host, port)
     try:
@@ -135,7 +135,7 @@
             for message in decoder.feed(await _read_chunk(reader)):
                 if message.message_type == dfp.MessageType.PREFERENCE_INFORMATION:
                     return _dfp_weights(message)
-                if first_answer:
+                if accept_any_message:
                     return []
     finally:
         writer.close()
--- a/tests/config/test_error_texts.py
+++ b/tests/config/test_error_texts.py
@@ -229,7 +229,7 @@
                 "file: unknown zone 'z', expected one from the settings",
             ),
             ErrorCase(
-                partial(settings.class_index, "c", "file"),
+                partial(settings.request_class_index, "c", "file"),
                 UnknownNameError,
                 "file: unknown request class 'c', expected one from the settings",
             ),
--- a/tests/forwarder/test_manager_messages.py
+++ b/tests/forwarder/test_manager_messages.py
@@ -9,7 +9,7 @@
 
 from cottonladder.config.errors import InputError
 from cottonladder.forwarder.config_parts import MAX_WEIGHTS_PER_PART, read_part
-from cottonladder.forwarder.order_handling import MAX_PARTS, ManagerMessageReader
+from cottonladder.forwarder.order_handling import MAX_PARTS_PER_MESSAGE, ManagerMessageReader
 from cottonladder.forwarder.routing_orders import AdmissionOrder, ReceivedConfigPart
 from cottonladder.model.connection_counts import ConnectionCounts
 from cottonladder.model.orders import RetryPolicy
@@ -170,7 +170,7 @@
     async def test_a_message_of_too_many_parts_is_rejected(self) -> None:
         reader = ManagerMessageReader(0, mock.Mock(), False, mock.Mock())
         part = b"CONFIG rows s-1:1 part 1".split()
-        for _ in range(MAX_PARTS):
+        for _ in range(MAX_PARTS_PER_MESSAGE):
             await reader.handle(part)
         with self.assertRaises(InputError) as raised:
             await reader.handle(part)
--- a/tests/planning/test_advice_weighting.py
+++ b/tests/planning/test_advice_weighting.py
@@ -38,7 +38,7 @@
 
     def receive(self, weights: dict[int, float], advisor: str) -> None:
         advisory = {worker: AdvisoryWeight(weight) for worker, weight in weights.items()}
-        self.advice.receive(advisor, self.now, advisory, True)
+        self.advice.update_weights(advisor, self.now, advisory, True)
 
     def step(self, weights: dict[int, float] | None, advisor: str = ADVISOR) -> dict[int, float]:
         """Runs one interval with these weights, or without any if None; the factors change the capacities."""
@@ -99,7 +99,7 @@
         for _ in range(8):
             self.step(self.lying_weights())
         lost_credit = self.credit()
-        self.advice.advisor_connected(ADVISOR)
+        self.advice.set_trust(ADVISOR)
         self.assertEqual(self.credit(), lost_credit)
 
     def test_equal_weights_change_nothing(self) -> None:
--- a/tests/planning/test_priority_scheduling.py
+++ b/tests/planning/test_priority_scheduling.py
@@ -31,7 +31,7 @@
         while now < end:
             name = self.scheduler.next_task(now, is_late)
             if name is None:
-                now += self.scheduler.time_until_next(now)
+                now += self.scheduler.seconds_until_next_task(now)
                 continue
             self.scheduler.record_slice_start(name, now)
             now += slice_s[name]
--- a/tests/state/test_order_dispatcher.py
+++ b/tests/state/test_order_dispatcher.py
@@ -104,16 +104,16 @@
 
     def connect(self, number: int) -> list[Input]:
         """Connects a proxy, possibly again, so that it loses some messages in flight; returns the inputs."""
-        is_fresh = self.random.random() < 0.5 or number not in self.proxies
-        proxy = SimulatedProxy() if is_fresh else self.proxies[number]
+        has_no_table = self.random.random() < 0.5 or number not in self.proxies
+        proxy = SimulatedProxy() if has_no_table else self.proxies[number]
         proxy.messages_in_flight = proxy.messages_in_flight[: self.random.randrange(3)]
         proxy.receive_all()
-        if self.manager_count > 1 and not is_fresh:
+        if self.manager_count > 1 and not has_no_table:
             proxy.excluded |= self.exclusions_of_other_manager()
         inputs: list[Input] = []
         if number in self.proxies:
             inputs.append(ProxyDisconnected(number))
-        inputs.append(ProxyConnected(number, number % ZONE_COUNT, 10.0, is_fresh))
+        inputs.append(ProxyConnected(number, number % ZONE_COUNT, 10.0, has_no_table))
         self.proxies[number] = proxy
         return inputs
 
--- a/tests/support/recorded_inputs.py
+++ b/tests/support/recorded_inputs.py
@@ -67,7 +67,7 @@
         self._workers = WorkerRegistry()
         self._messages = MessageReader(self._settings, self._workers.find_index)
         self._controller = RoutingController(parameters)
-        class_names = list(self._settings.classes)
+        class_names = list(self._settings.request_classes)
         self._dispatcher = OrderDispatcher(class_names, parameters.manager_count, self._workers)
         self._controller.channel_budget.count_readmissions = self._dispatcher.count_readmissions
         self._timer = DueTimer(START_TIME_S, 0)
--- a/tests/support/wire_manager.py
+++ b/tests/support/wire_manager.py
@@ -110,7 +110,7 @@
             RoutingController(parameters),
             InputQueue(),
             cast(ProxySessions, self.output),
-            OrderDispatcher(list(self._settings.classes), parameters.manager_count, self._workers),
+            OrderDispatcher(list(self._settings.request_classes), parameters.manager_count, self._workers),
             NetworkClients(output, output, output),
             StateChangeLog(self._workers, list(self._settings.zones)),
             [self._snapshots, migrator],
