--- a/cottonladder/protocol/protocol_connection.py
+++ b/cottonladder/protocol/protocol_connection.py
@@ -25,7 +25,7 @@
 from .resp import MAX_MESSAGE_SIZE, RespReader
 
 MAX_FIRST_MESSAGE_SIZE = 4096  # bytes of one message while the connection is unidentified
-ENDED_BY_PEER = "closed by the peer"
+CLOSED_BY_PEER_REASON = "closed by the peer"  # logged as the reason for the end of a connection
 
 
 class ConnectionState(Enum):
@@ -137,7 +137,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Reports the closed connection and the reason to the listener; called by asyncio."""
-        self.listener.connection_closed(self, self.close_reason or str(exc or ENDED_BY_PEER))
+        self.listener.connection_closed(self, self.close_reason or str(exc or CLOSED_BY_PEER_REASON))
 
     def send(self, data: bytes) -> None:
         """Writes an encoded message; ends the connection if its peer has left too much unread."""
--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -17,6 +17,7 @@
 import structlog
 
 from ..config.fields import HostPort
+from ..protocol.protocol_connection import CLOSED_BY_PEER_REASON
 from . import limits
 from .errors import AdviceError
 from .worker_locations import MemberIndex, WorkerLocation
@@ -115,7 +116,7 @@
                 async with asyncio.timeout(self.silence_timeout_s):
                     data = await reader.read(limits.READ_SIZE_BYTES)
                 if not data:
-                    return "closed by the peer"
+                    return CLOSED_BY_PEER_REASON
                 self.receive(data)
         except TimeoutError as exc:
             return str(exc) or f"no data within {self.silence_timeout_s:g} s"
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -18,6 +18,7 @@
 
 from ..config.fields import HostPort
 from ..protocol.fault_log import RateLimitedFaultLog
+from ..protocol.protocol_connection import CLOSED_BY_PEER_REASON
 from ..protocol.stream_listener import STOP_REASON
 from . import limits
 from .advertised_workers import AdvertisedWorkers
@@ -30,9 +31,6 @@
 # Maximum number of connections accepted in one iteration of the event loop (asyncio's `backlog`).
 MAX_ACCEPTED_CONNECTIONS = 64
 
-# Logged reason for the end of a connection that the client closed.
-CLIENT_CLOSED_REASON = "closed by the peer"
-
 
 class ClientConnection(asyncio.Protocol, ABC):
     """The connection of one load balancer or DFP manager; a subclass implements its protocol."""
@@ -41,7 +39,7 @@
         self.number = -1  # assigned by the server in `client_connected`
         self.peer = "?"
         self.has_sent_message = False
-        self.end_reason = CLIENT_CLOSED_REASON
+        self.end_reason = CLOSED_BY_PEER_REASON
         self.connected_at = 0.0
         self.pushed_at = 0.0
         # Version of the advertised workers that was last compared with the sent weights.
