--- a/benchmarks/advice.py
+++ b/benchmarks/advice.py
@@ -59,13 +59,13 @@
 SCENARIOS: dict[str, tuple[month_end.Advisor, ...]] = {
     "none": (),
     "honest": (month_end_advisors.honest_advisor,),
-    "lying": (month_end_advisors.lying_advisor,),
-    "stalled": (month_end_advisors.stalling_advisor,),
+    "lying": (month_end_advisors.inverted_advisor,),
+    "stalled": (month_end_advisors.stopping_advisor,),
     "random": (month_end_advisors.random_advisor,),
     "all_0": (month_end_advisors.zero_advisor,),
     "all_most": (month_end_advisors.maximum_advisor,),
-    "stalls_then_lies": (month_end_advisors.stalling_then_lying_advisor,),
-    "two_differ": (month_end_advisors.honest_advisor, month_end_advisors.lying_advisor),
+    "stalls_then_lies": (month_end_advisors.stopping_then_inverted_advisor,),
+    "two_differ": (month_end_advisors.honest_advisor, month_end_advisors.inverted_advisor),
 }
 
 
@@ -142,7 +142,7 @@
 def warm_up_loads(advisors: dict[str, month_end.Advisor]) -> list[float]:
     """The largest load of a new worker in the run of each seed."""
     runs = [MonthEndRun(advisors, seed=seed, duration_s=WARM_UP_RUN_S, load=LOAD) for seed in SEEDS]
-    return [run.run(add_new_worker).worst_warm_up_load for run in runs]
+    return [run.run(add_new_worker).max_warm_up_load for run in runs]
 
 
 def measure_warm_up() -> WarmUpFigures:
--- a/benchmarks/connection_drain.py
+++ b/benchmarks/connection_drain.py
@@ -12,7 +12,7 @@
 
 from benchmarks.harness import start_discovery
 from cottonladder.config.fields import MS_PER_S
-from cottonladder.testbed.configuration_files import SETTINGS, UpgradesPart
+from cottonladder.testbed.configuration_files import SETTINGS, UpgradesSection
 from cottonladder.testbed.fleet import ForwarderProcess, ManagerProcess
 from cottonladder.testbed.holding_clients import ClientCounters, HoldingClient
 from cottonladder.testbed.workers import EffectLedger, SimulatedWorker, TicketSession
@@ -82,7 +82,7 @@
 
     def __init__(self, is_orderly: bool) -> None:
         self.is_orderly = is_orderly
-        self.upgrades: UpgradesPart | None = None
+        self.upgrades: UpgradesSection | None = None
         if is_orderly:
             self.upgrades = {"grace": GRACE_S, "arrivals": ARRIVALS_PER_S}
         self.ledger = EffectLedger()
@@ -137,7 +137,7 @@
                 f"d{number}",
                 busy=number < BUSY_CLIENTS,
                 releases=True,
-                reconnects_at_once=not self.is_orderly,
+                reconnects_immediately=not self.is_orderly,
             )
             self.clients.append(client)
             stack.push_async_callback(client.stop)
--- a/cottonladder/testbed/__init__.py
+++ b/cottonladder/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds managers and forwarders: for the demo, the tests and the benchmarks."""
+"""Simulated workers, clients, advisors and discovery for the demo, the tests and the benchmarks."""
--- a/cottonladder/testbed/advisors.py
+++ b/cottonladder/testbed/advisors.py
@@ -1,6 +1,6 @@
-"""Simulated advisors for SASP and DFP, whose weights and faults their owner controls.
+"""Simulated SASP and DFP advisors whose weights and faults are controlled by the code that creates them.
 
-A SASP advisor can also stall, close in the middle of a message, or send invalid bytes.
+A SASP advisor can also stop or disconnect in the middle of a message, or send invalid bytes.
 """
 
 from __future__ import annotations
@@ -16,46 +16,46 @@
 from ..weight_advice.tlv import TCP_PROTOCOL_NUMBER
 from .http_server import LOOPBACK
 
-WeightFunction = Callable[[sasp.MemberData], int]  # gives the weight of a member
+WeightFunction = Callable[[sasp.MemberData], int]
 EVENT_TIMEOUT_S = 20.0
-POLLING_INTERVAL_S = 1  # that replies with weights state
-GARBAGE_SEED = 3  # of the random bytes
-GARBAGE_SIZE_BYTES = 64
+POLLING_INTERVAL_S = 1  # stated in each GetWeights reply
+INVALID_BYTES_SEED = 3
+INVALID_BYTES_COUNT = 64
 
 
 def server_address(server: asyncio.Server) -> str:
-    """Host and port of a listening server."""
+    """Returns the `host:port` address of a listening server."""
     return f"{LOOPBACK}:{server.sockets[0].getsockname()[1]}"
 
 
 class AdvisorMode(StrEnum):
-    """How a SASP advisor answers."""
+    """Whether a SASP advisor replies correctly, or which fault its replies have."""
 
     HONEST = "honest"
-    STALL = "stall"  # half a message, then nothing
-    CUT = "cut"  # half a message, then the end of the connection
-    GARBLE = "garble"  # bytes that are no message
-    SILENT = "silent"  # reads messages and answers nothing
+    PARTIAL_MESSAGE = "stall"  # sends half a message, then changes to SILENT
+    DISCONNECT = "cut"  # sends half a message, then closes the connection
+    INVALID_BYTES = "garble"  # sends random bytes that are not a valid message
+    SILENT = "silent"  # reads messages and sends no reply
 
 
 class SaspAdvisor:
-    """A SASP workload manager that gives its members the weights of `weight_of`, as its `mode` says."""
+    """A SASP workload manager that reports `weight_of(member)` for each member, with the fault in `mode`."""
 
     def __init__(self, weight_of: WeightFunction, seed: int = 7) -> None:
         self.weight_of = weight_of
         self.mode = AdvisorMode.HONEST
         self.flags = sasp.CONTACT_SUCCESS_FLAG | sasp.CONFIDENT_FLAG
-        self.members: dict[sasp.MemberData, None] = {}  # a set in the order of registration
+        self.members: dict[sasp.MemberData, None] = {}  # an ordered set, in registration order
         self.group: sasp.GroupData | None = None
-        self.received_types: list[int] = []  # of all messages
+        self.received_types: list[int] = []  # message types, in order of arrival
         self.connection_count = 0
-        self.random = random.Random(seed)  # reorders the members of each message
+        self.random = random.Random(seed)  # shuffles the members in each message
         self._changed = asyncio.Condition()  # notified after each connection and message
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self, port: int = 0) -> str:
-        """Listens on a port, by default a free one; gives the address."""
+        """Listens on `port`, or on a free port if it is 0, and returns the address."""
         self._server = await asyncio.start_server(self._serve, LOOPBACK, port)
         return server_address(self._server)
 
@@ -67,14 +67,17 @@
             writer.transport.abort()
 
     def push(self) -> None:
-        """Sends the weights to all connected load balancers without a request."""
+        """Sends an unsolicited SendWeights message to all connected load balancers."""
         if self.group is None:
             return
         for writer in self._writers:
             self._send(writer, sasp.Message(sasp.MessageType.SEND_WEIGHTS, 0, groups=(self._weights(),)))
 
     async def wait_until(self, predicate: Callable[[], bool], timeout_s: float = EVENT_TIMEOUT_S) -> None:
-        """Waits until the predicate holds; it is evaluated after each connection and message."""
+        """Waits until the predicate is true; evaluates it after each connection and each message.
+
+        Raises TimeoutError after `timeout_s`.
+        """
         async with asyncio.timeout(timeout_s), self._changed:
             await self._changed.wait_for(predicate)
 
@@ -90,7 +93,7 @@
         try:
             while data := await reader.read(limits.READ_SIZE_BYTES):
                 for message in decoder.feed(data):
-                    self._answer(writer, message)
+                    self._reply(writer, message)
                 await self._notify()
         except (ConnectionError, AdviceError):
             pass
@@ -98,12 +101,12 @@
             self._writers.discard(writer)
             writer.close()
 
-    def _answer(self, writer: asyncio.StreamWriter, message: sasp.Message) -> None:
+    def _reply(self, writer: asyncio.StreamWriter, message: sasp.Message) -> None:
         self.received_types.append(message.message_type)
         for group in message.groups:
             if isinstance(group, sasp.GroupOfEntries):
                 is_registration = message.message_type == sasp.MessageType.REGISTRATION_REQUEST
-                self._change_members(group, is_registration)
+                self._update_members(group, is_registration)
         groups: tuple[sasp.GroupOfEntries, ...] = ()
         interval_s = 0
         if message.message_type == sasp.MessageType.GET_WEIGHTS_REQUEST:
@@ -113,7 +116,7 @@
         reply = sasp.Message(reply_type, message.message_id, interval_s=interval_s, groups=groups)
         self._send(writer, reply)
 
-    def _change_members(self, group: sasp.GroupOfEntries, is_registration: bool) -> None:
+    def _update_members(self, group: sasp.GroupOfEntries, is_registration: bool) -> None:
         self.group = group.group
         for member in group.entries:
             assert isinstance(member, sasp.MemberData)
@@ -134,18 +137,21 @@
         half = data[: len(data) // 2]
         if self.mode == AdvisorMode.HONEST:
             writer.write(data)
-        elif self.mode == AdvisorMode.GARBLE:
-            writer.write(random.Random(GARBAGE_SEED).randbytes(GARBAGE_SIZE_BYTES))
-        elif self.mode == AdvisorMode.CUT:
+        elif self.mode == AdvisorMode.INVALID_BYTES:
+            writer.write(random.Random(INVALID_BYTES_SEED).randbytes(INVALID_BYTES_COUNT))
+        elif self.mode == AdvisorMode.DISCONNECT:
             writer.write(half)
             writer.close()
-        elif self.mode == AdvisorMode.STALL:
+        elif self.mode == AdvisorMode.PARTIAL_MESSAGE:
             writer.write(half)
             self.mode = AdvisorMode.SILENT
 
 
 class DfpAdvisor:
-    """A DFP agent that reports the preferences of `hosts`, by port, each `report_interval_s`."""
+    """A DFP agent that sends a report every `report_interval_s`.
+
+    `hosts` returns the host preferences to report, by port.
+    """
 
     def __init__(
         self,
@@ -156,17 +162,17 @@
         self.secret = secret
         self.report_interval_s = 0.5
         self.is_silent = False
-        self.keep_alive_s: int | None = None  # as the DFP manager has last sent it
+        self.keep_alive_s: int | None = None  # the last value received from the DFP manager
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> str:
-        """Listens on a free port; gives the address."""
+        """Listens on a free port and returns the address."""
         self._server = await asyncio.start_server(self._serve, LOOPBACK, 0)
         return server_address(self._server)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        task = asyncio.create_task(self._report(writer))
+        task = asyncio.create_task(self._send_reports(writer))
         self._tasks.add(task)
         decoder = dfp.MessageReader(dict([self.secret]) if self.secret else None)
         with suppress(ConnectionError, AdviceError):
@@ -178,7 +184,7 @@
         self._tasks.discard(task)
         writer.close()
 
-    async def _report(self, writer: asyncio.StreamWriter) -> None:
+    async def _send_reports(self, writer: asyncio.StreamWriter) -> None:
         while True:
             if not self.is_silent:
                 loads = tuple(
@@ -189,7 +195,7 @@
             await asyncio.sleep(self.report_interval_s)
 
     async def close(self) -> None:
-        """Stops listening and reporting."""
+        """Stops listening and sending reports."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
--- a/cottonladder/testbed/configuration_files.py
+++ b/cottonladder/testbed/configuration_files.py
@@ -1,7 +1,7 @@
 """The types and default values of the configuration files that the testbed writes for its processes.
 
-The keys are those of the files, which are fixed; `config.deployment` and `config.operator_config` map them to
-the terms of the code.
+The keys are those of the file formats; `config.deployment` and `config.operator_config` map them to the names
+in the code.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import TypedDict
 
-OperatorPart = Mapping[str, object]  # a part of the operators' file that needs no type of its own
+OperatorSection = Mapping[str, object]  # a section of the operators' file without a TypedDict
 
 
 class RequestClassProfile(TypedDict):
@@ -33,7 +33,7 @@
 
 
 class Rules(TypedDict):
-    """Limits and times of the policy, in a manager's settings."""
+    """Thresholds and durations of the routing policy, in a manager's settings."""
 
     ColdFrom: float
     FallMultiple: float
@@ -42,28 +42,28 @@
 
 
 class Limits(TypedDict):
-    """What a manager may do, in its settings."""
+    """Whether a manager may send health checks and gossip, in its settings."""
 
     Probing: bool
     Peers: bool
 
 
 class Prices(TypedDict):
-    """Costs that the policy weighs, in a manager's settings."""
+    """Costs that the routing policy takes into account, in a manager's settings."""
 
     CrossZone: float
     Probe: float
 
 
 class Stats(TypedDict):
-    """Where load reports come from, in a manager's settings."""
+    """The source of load reports, in a manager's settings."""
 
     Via: str
     Fields: list[str]
 
 
 class ManagerSettings(TypedDict, total=False):
-    """A manager's settings, or some of them, which replace those of SETTINGS."""
+    """A manager's settings; a key that is left out has its value in SETTINGS."""
 
     NInstances: int
     Me: int
@@ -86,7 +86,7 @@
 
 
 class ManagerFile(TypedDict):
-    """A manager's file."""
+    """The content of a manager's configuration file."""
 
     name: str
     listen: str
@@ -98,18 +98,18 @@
 
 
 class RequestClassEntry(TypedDict, total=False):
-    """A request class in a forwarder's part of the operators' file."""
+    """A request class in the `forwarder` section of the operators' file."""
 
     name: str
-    match: list[OperatorPart]
+    match: list[OperatorSection]
     replays: str
     timeout: float
     ticket: str
-    busy: OperatorPart
+    busy: OperatorSection
 
 
 class ForwarderOptions(TypedDict, total=False):
-    """Keys of a forwarder's part of the operators' file for which the testbed has default values."""
+    """Keys of the `forwarder` section of the operators' file that are optional in the testbed."""
 
     zone: str
     zones: list[str]
@@ -119,20 +119,20 @@
     seed: int
     rate: float
     status: str
-    limits: OperatorPart
-    plugins: OperatorPart
+    limits: OperatorSection
+    plugins: OperatorSection
 
 
-class ForwarderPart(ForwarderOptions):
-    """A forwarder's part of the operators' file."""
+class ForwarderSection(ForwarderOptions):
+    """The `forwarder` section of the operators' file."""
 
     node: int
     discovery: str
     managers: list[str]
 
 
-class UpgradesPart(TypedDict):
-    """How upgraded connections drain, in the operators' file."""
+class UpgradesSection(TypedDict):
+    """The `upgrades` section of the operators' file: grace period (s) and arrival limit (1/s) of drains."""
 
     grace: float
     arrivals: float
@@ -163,7 +163,10 @@
     seed: str = "8c1f30d27a5be964",
     sockets: int = 1024,
 ) -> ManagerFile:
-    """The file of a manager with one core; `known` is the endpoint list that it starts from."""
+    """Returns the content of the file of a manager with one core.
+
+    `known` is the last known endpoint list, from which the manager starts.
+    """
     return {
         "name": "n0",
         "listen": listen,
--- a/cottonladder/testbed/crash_test.py
+++ b/cottonladder/testbed/crash_test.py
@@ -1,9 +1,9 @@
-"""Kills a process that writes snapshots at random instants, and reads the folder after each kill.
+"""Kills a process at random times while it writes snapshots, and reads the snapshot folder after each kill.
 
     python -m cottonladder.testbed.crash_test FOLDER --kills 1000 --seed 7
 
-Each time a child process writes generations as fast as it can and records in shared memory which ones it has
-finished. The parent kills it (SIGKILL) and reads the folder as a starting manager would.
+For each kill, a child process writes generations as fast as it can, and records the number of the last
+finished one in shared memory.  The parent kills it (SIGKILL), and reads the folder like a starting manager.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from ..snapshots.errors import SnapshotError
 from ..snapshots.store import UNFINISHED_SUFFIX, Generation, SnapshotStore
 
-MAX_WRITER_RUNTIME_S = 0.012  # enough for about ten generations
+MAX_WRITER_RUNTIME_S = 0.012  # time for about ten generations
 WORKERS_PER_GENERATION = 120
-FINISHED_COUNT = struct.Struct("!Q")  # the format of the last finished count in shared memory
+FINISHED_COUNT = struct.Struct("!Q")  # the count of the last finished generation, in shared memory
 
 
 @dataclass(slots=True)
@@ -33,12 +33,12 @@
     kills: int = 0
     half_written: int = 0  # incomplete generations that were read as complete
     states_lost: int = 0  # kills after which the newest finished generation was missing
-    leftovers: int = 0  # the largest number of unfinished files at a time
-    mid_write: int = 0  # kills during a write
+    leftovers: int = 0  # the largest number of unfinished files after a kill
+    mid_write: int = 0  # kills that interrupted a write
 
 
 class CrashTest:
-    """Starts and kills writers of one folder, one after another."""
+    """Starts and kills processes that write snapshots into one folder, one at a time."""
 
     def __init__(self, folder: str, seed: int) -> None:
         self.counts = CrashCounts()
@@ -48,7 +48,7 @@
         self._last_count = 0
 
     def kill_one(self) -> None:
-        """Starts a writer, kills it, and counts the faults that it left in the folder."""
+        """Starts a writer, kills it, and counts the faults that it has left in the folder."""
         child = os.fork()
         if child == 0:
             try:
@@ -59,18 +59,18 @@
         os.kill(child, signal.SIGKILL)
         os.waitpid(child, 0)
         self.counts.kills += 1
-        self._count_leftovers()
-        self._count_losses()
+        self._count_unfinished_files()
+        self._check_newest_generation()
 
-    def _count_leftovers(self) -> None:
+    def _count_unfinished_files(self) -> None:
         leftovers = [name for name in os.listdir(self._folder) if name.endswith(UNFINISHED_SUFFIX)]
         self.counts.leftovers = max(self.counts.leftovers, len(leftovers))
         self.counts.mid_write += bool(leftovers)
 
-    def _count_losses(self) -> None:
+    def _check_newest_generation(self) -> None:
         (finished_count,) = FINISHED_COUNT.unpack(self._finished_count[:])
         store = SnapshotStore(self._folder)
-        generation = open_newest(store)
+        generation = read_newest_generation(store)
         if store.quarantine_messages:
             self.counts.half_written += 1
         data = generation.sections["manager"]["data"] if generation else {"count": 0, "workers": []}
@@ -82,7 +82,7 @@
 
 
 def write_generations(folder: str, last_count: int, finished_count: mmap.mmap) -> None:
-    """Writes generations after `last_count` until the process is killed; records each finished one."""
+    """Writes generations from `last_count` + 1 on until the process is killed; records each finished one."""
     store = SnapshotStore(folder)
     store.open()
     count = last_count
@@ -93,8 +93,8 @@
         finished_count[:] = FINISHED_COUNT.pack(count)
 
 
-def open_newest(store: SnapshotStore) -> Generation | None:
-    """The newest complete generation, as a starting manager would read it."""
+def read_newest_generation(store: SnapshotStore) -> Generation | None:
+    """Returns the newest complete generation as a starting manager would read it, or None without one."""
     try:
         store.open()
         return store.read_newest()
@@ -105,7 +105,7 @@
 
 
 def crash_test(folder: str, kills: int, seed: int) -> CrashCounts:
-    """Kills a writer of the folder `kills` times."""
+    """Starts and kills a writer of the folder `kills` times, and returns the counts."""
     test = CrashTest(folder, seed)
     for _ in range(kills):
         test.kill_one()
@@ -113,7 +113,7 @@
 
 
 def main() -> None:
-    """The command line."""
+    """Runs the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("folder")
     parser.add_argument("--kills", type=int, default=1000)
--- a/cottonladder/testbed/demo.py
+++ b/cottonladder/testbed/demo.py
@@ -1,4 +1,4 @@
-"""The demo: managers, forwarders, simulated workers and clients on loopback; one of the workers drains."""
+"""The demo: the drain of one worker, with managers, forwarders, simulated workers and clients on loopback."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import aiohttp
 
-from .configuration_files import SETTINGS, FamilyInfo, UpgradesPart
+from .configuration_files import SETTINGS, FamilyInfo, UpgradesSection
 from .discovery import EndpointEntry, SimulatedDiscovery
 from .fleet import ForwarderProcess, ManagerProcess, free_port
 from .forwarder_status import ForwarderStatus
@@ -22,15 +22,15 @@
 FORWARDER_COUNT = 4
 MANAGER_COUNT = 2
 COLLECTOR_COUNT = 2  # forwarders that send load reports
-GRACE_S = 12.0  # the time that the drain may take
-GRACE_MARGIN_S = 2.0  # for which the demo waits longer
-STEADY_S = 4.0  # shown before the drain
-AFTER_DRAIN_S = 3.0  # shown after it
+GRACE_S = 12.0
+GRACE_MARGIN_S = 2.0  # how long the demo waits after the grace period for the drain to end
+STEADY_S = 4.0  # how long the demo shows the fleet before the drain
+AFTER_DRAIN_S = 3.0
 CONNECT_TIMEOUT_S = 30.0
 REFRESH_INTERVAL_S = 0.5
 DRAINED_WORKER = "s-0"
-UPGRADES: UpgradesPart = {"grace": GRACE_S, "arrivals": 100.0}
-DRAIN_PHASES = {  # what the demo prints, by the word in a forwarder's status
+UPGRADES: UpgradesSection = {"grace": GRACE_S, "arrivals": 100.0}
+DRAIN_PHASES = {  # printed names of the drain phases, by their names in a forwarder's status
     "waits": "awaiting orders",
     "led": "paced by a manager",
     "alone": "paced by the forwarder",
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRow:
-    """One row of the table; `shares` has the worker's share of the requests of each of ZONES."""
+    """One row of the table; `shares` has the worker's share of the requests from each zone of ZONES."""
 
     name: str
     zone: str
@@ -52,14 +52,14 @@
     max_connections: int
 
     def cells(self) -> tuple[str, ...]:
-        """The cells in the order of COLUMNS."""
+        """Returns the cells in the order of COLUMNS."""
         counts = (str(self.connections), str(self.migrated), str(self.max_connections))
         return (self.name, self.zone, self.state, *self.shares, *counts)
 
 
 @dataclass(frozen=True, slots=True)
 class ForwarderState:
-    """What the demo shows of a forwarder's status.
+    """The fields of a forwarder's status that the demo shows.
 
     Weights and drain phases are by worker id, admission limits by request class.
     """
@@ -72,7 +72,7 @@
 
     @classmethod
     def from_status(cls, status: ForwarderStatus) -> ForwarderState:
-        """Takes over what the demo shows, in the words that it prints."""
+        """Converts a status; drain phases get the names that the demo prints."""
         limits = status.admission_limits.items()
         phases = status.drain_phases.items()
         return cls(
@@ -84,11 +84,11 @@
         )
 
 
-Show = Callable[[str, list[WorkerRow], str], None]  # shows a title, rows, and a line below them
+ShowTable = Callable[[str, list[WorkerRow], str], None]  # arguments: title, rows, line below the rows
 
 
 class DemoFleet:
-    """Discovery, managers, forwarders, workers and clients; the stack that `start` is given closes them."""
+    """Discovery, managers, forwarders, workers and clients, which the exit stack passed to `start` stops."""
 
     def __init__(self) -> None:
         self.ledger = EffectLedger()
@@ -102,7 +102,7 @@
         self._http: aiohttp.ClientSession | None = None
 
     async def start(self, stack: AsyncExitStack, client_count: int) -> None:
-        """Starts everything; the stack closes it in the opposite order."""
+        """Starts all processes, workers and clients; the exit stack stops them in reverse order."""
         discovery_address = await self.discovery.start()
         stack.push_async_callback(self.discovery.close)
         for number in range(WORKER_COUNT):
@@ -173,12 +173,12 @@
         await asyncio.gather(*(client.stop() for client in self.clients))
 
     async def table(self) -> tuple[list[WorkerRow], str]:
-        """A row for each listed worker, and a line on managers, admission limits and drains."""
+        """Returns a row for each listed worker, and a line on managers, admission limits and drains."""
         assert self._http is not None
         http = self._http
         statuses = await asyncio.gather(*(forwarder.status(http) for forwarder in self.forwarders))
         states = [ForwarderState.from_status(status) for status in statuses]
-        shares = {zone: zone_shares(zone, states) for zone in ZONES}
+        shares = {zone: worker_shares(zone, states) for zone in ZONES}
         rows = []
         for name, worker in self.workers.items():
             entry = self.discovery.entries.get(name)
@@ -187,7 +187,7 @@
         return rows, fleet_line(states)
 
     def summary(self, connection_count: int, duration_s: float) -> str:
-        """The last line of the demo, on the result of the drain."""
+        """Returns the last line of the demo, which states the result of the drain."""
         resumed = sum(worker.resumed_count for worker in self.workers.values())
         return (
             f"{DRAINED_WORKER} drained {connection_count} connections "
@@ -199,8 +199,8 @@
         )
 
 
-def zone_shares(zone: str, states: list[ForwarderState]) -> dict[str, float]:
-    """Each worker's share of a zone's requests, by the table of the zone's last forwarder."""
+def worker_shares(zone: str, states: list[ForwarderState]) -> dict[str, float]:
+    """Returns each worker's share of a zone's requests, from the table of the zone's last forwarder."""
     shares: dict[str, float] = {}
     for state in states:
         if state.zone == zone:
@@ -212,7 +212,7 @@
 def worker_row(
     worker: SimulatedWorker, entry: EndpointEntry, shares: dict[str, dict[str, float]]
 ) -> WorkerRow:
-    """One worker's row, from its entry in the endpoint list and each zone's shares."""
+    """Returns a worker's row, from its entry in the endpoint list and the shares by zone."""
     return WorkerRow(
         name=worker.name,
         zone=entry["zone"],
@@ -225,7 +225,7 @@
 
 
 def fleet_line(states: list[ForwarderState]) -> str:
-    """How many forwarders have a manager, which admission limits hold, and which workers drain."""
+    """Returns a line on the connected forwarders, the admission limits, and the draining workers."""
     admission = set()
     drains = set()
     for state in states:
@@ -239,10 +239,10 @@
     )
 
 
-async def watch(
-    fleet: DemoFleet, show: Show, title: str, timeout_s: float, until: Callable[[], bool] = lambda: False
+async def show_until(
+    fleet: DemoFleet, show: ShowTable, title: str, timeout_s: float, until: Callable[[], bool] = lambda: False
 ) -> float:
-    """Refreshes the table until a condition holds or the time is over; gives the elapsed seconds."""
+    """Refreshes the table until a condition is true or the timeout; returns the elapsed seconds."""
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     while not until() and loop.time() - started_at < timeout_s:
@@ -251,37 +251,37 @@
     return loop.time() - started_at
 
 
-async def run_demo(client_count: int, show: Show) -> str:
-    """Starts the fleet, drains one worker, and stops everything; gives the last line to print."""
+async def run_demo(client_count: int, show: ShowTable) -> str:
+    """Starts the fleet, drains one worker, stops the fleet, and returns the last line to print."""
     async with AsyncExitStack() as stack:
         fleet = DemoFleet()
         await fleet.start(stack, client_count)
         drained = fleet.workers[DRAINED_WORKER]
-        await watch(
+        await show_until(
             fleet,
             show,
             "clients connect",
             CONNECT_TIMEOUT_S,
             until=lambda: all(client.connected.is_set() for client in fleet.clients),
         )
-        await watch(fleet, show, "steady state", STEADY_S)
+        await show_until(fleet, show, "steady state", STEADY_S)
         connection_count = drained.held_connections
         await fleet.discovery.set_state(DRAINED_WORKER, "Terminating")
-        duration_s = await watch(
+        duration_s = await show_until(
             fleet,
             show,
             f"{DRAINED_WORKER} drains, grace period {GRACE_S:g} s",
             GRACE_S + GRACE_MARGIN_S,
             until=lambda: not drained.held_connections,
         )
-        await watch(fleet, show, "after the drain", AFTER_DRAIN_S)
+        await show_until(fleet, show, "after the drain", AFTER_DRAIN_S)
         return fleet.summary(connection_count, duration_s)
 
 
 def show_demo(client_count: int, plain: bool) -> str:
-    """Runs the demo; gives its last line.
+    """Runs the demo and returns its last line.
 
-    Shows a table if the library rich is installed and `plain` is false, otherwise one line at each refresh.
+    Shows a table if the library rich is installed and `plain` is false, otherwise prints a line per refresh.
     """
     if plain:
         return asyncio.run(run_demo(client_count, print_line))
@@ -293,7 +293,7 @@
     with Live(auto_refresh=False) as live:
 
         def show(title: str, rows: list[WorkerRow], line: str) -> None:
-            """Shows one refresh as a table."""
+            """Updates the table on the terminal."""
             table = Table(*COLUMNS, title=title, caption=line)
             for row in rows:
                 table.add_row(*row.cells(), style="yellow" if row.state != "Ready" else "")
@@ -303,6 +303,6 @@
 
 
 def print_line(title: str, rows: list[WorkerRow], line: str) -> None:
-    """Prints one refresh as a single line."""
+    """Prints the held connections of each worker, and the line on the fleet, as one line."""
     connections = " ".join(f"{row.name}={row.connections}" for row in rows)
     print(f"{title}: connections {connections}; {line}", flush=True)
--- a/cottonladder/testbed/deployment_parameters.py
+++ b/cottonladder/testbed/deployment_parameters.py
@@ -1,4 +1,4 @@
-"""The deployment parameters of simulations; each simulation replaces those in which it differs."""
+"""Base values of the deployment parameters; each simulation replaces the values that differ."""
 
 from __future__ import annotations
 
--- a/cottonladder/testbed/discovery.py
+++ b/cottonladder/testbed/discovery.py
@@ -1,4 +1,4 @@
-"""A simulated discovery service: the endpoint list, watches on its changes, and faults on command."""
+"""A simulated discovery service that serves the endpoint list and watches, and can be made unavailable."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from ..config.fields import MS_PER_S
 from .http_server import start_server
 
-KEEP_ALIVE_INTERVAL_S = 1.0  # after which a watch without changes gets an empty line
+KEEP_ALIVE_INTERVAL_S = 1.0  # a watch without changes gets an empty line this often
 
 
 class EndpointEntry(TypedDict):
-    """A worker in the service's JSON; the keys are those of the protocol."""
+    """A worker in the JSON of the discovery protocol."""
 
     id: str
     addr: str
@@ -29,7 +29,7 @@
 
 
 class EndpointListBody(TypedDict):
-    """An endpoint list in the service's JSON: complete if `full`, otherwise the changes."""
+    """An endpoint list in the JSON of the discovery protocol: complete if `full`, otherwise the changes."""
 
     version: int
     full: bool
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointChange:
-    """A worker's entry, and the version of the list that brought it."""
+    """A worker's new entry, and the version of the endpoint list that introduced it."""
 
     version: int
     entry: EndpointEntry
 
 
 class SimulatedDiscovery:
-    """Serves the endpoint list and watches on it; keeps all changes, as a watch may begin at any version."""
+    """Serves the endpoint list and watches on it; keeps all changes, as a watch can start at any version."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -57,7 +57,7 @@
         self.address = ""
 
     async def start(self) -> str:
-        """Listens on a free port; gives the address."""
+        """Listens on a free port and returns the address."""
         self._runner, self.address = await start_server(self._handle)
         return self.address
 
@@ -75,9 +75,9 @@
         weight: float = 1.0,
         started_at: float = 0.0,
     ) -> None:
-        """Lists a worker, or changes its entry, which the state "Gone" removes.
+        """Adds or replaces a worker's entry; the state "Gone" removes it.
 
-        `started_at` is a Unix time, 0 if unknown.
+        `started_at` is a Unix time in seconds, 0 if unknown.
         """
         entry: EndpointEntry = {
             "id": name, "addr": address, "zone": zone, "kind": "stand-in", "cell": 0, "state": state,
@@ -99,7 +99,7 @@
         await self.put(name, entry["addr"], entry["zone"], state, entry["weight"], started_at)
 
     def endpoint_list(self) -> EndpointListBody:
-        """The complete endpoint list, in the form of the service's answer."""
+        """Returns the complete endpoint list, as the service sends it."""
         return {"version": self.version, "full": True, "servers": list(self.entries.values())}
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -110,7 +110,7 @@
         return await self._watch(request, int(request.rel_url.query["after"]))
 
     async def _watch(self, request: web.BaseRequest, after: int) -> web.StreamResponse:
-        """Sends what has changed since version `after`, at once and at each change, and keep-alive lines."""
+        """Sends the changes since version `after` immediately, then later changes and keep-alive lines."""
         response = web.StreamResponse()
         await response.prepare(request)
         is_first = True
@@ -132,7 +132,7 @@
         return response
 
     async def _wait_for_change(self, version: int) -> None:
-        """Waits until the list is newer than a version, or a keep-alive is due."""
+        """Waits until the list is newer than `version`, the service is down, or a keep-alive line is due."""
         try:
             async with asyncio.timeout(KEEP_ALIVE_INTERVAL_S), self._changed:
                 while self.version <= version and not self.is_down:
@@ -141,7 +141,7 @@
             pass
 
     async def set_down(self, down: bool) -> None:
-        """Takes the service down or up: while it is down, requests get 503 and watches end."""
+        """Makes the service unavailable or available; while it is down, requests get 503 and watches end."""
         async with self._changed:
             self.is_down = down
             self._changed.notify_all()
--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -22,31 +22,31 @@
     REQUEST_CLASSES,
     SETTINGS,
     ForwarderOptions,
-    ForwarderPart,
+    ForwarderSection,
     ManagerSettings,
-    OperatorPart,
+    OperatorSection,
     manager_file,
 )
 from .forwarder_status import ForwarderStatus
 from .process_log import ProcessLog
 
-START_TIMEOUT_S = 30.0  # until a process serves; long enough for a slow machine
+START_TIMEOUT_S = 30.0  # long enough for a slow machine
 STOP_TIMEOUT_S = 20.0
-MAX_LOG_LINES = 5000  # kept of one process, the newest
-ROOT = Path(__file__).parents[2]  # of the source tree
+MAX_LOG_LINES = 5000  # per process; older lines are dropped
+ROOT = Path(__file__).parents[2]  # root of the source tree
 
 
 def free_port() -> int:
-    """A port on loopback that is free now; another process may take it before it is used."""
+    """Returns a free port on loopback; another process may bind it before the caller does."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return int(listener.getsockname()[1])
 
 
 class Process:
-    """A process of the project's command line, with a folder for its files and its log lines.
+    """A process of the project's command line, with its temporary folder and its log lines.
 
-    A test may set `module` and `environment` before the start, to run another module or add environment
-    variables.
+    A test may set `module` (run instead of the command line) and `environment` (additional variables) before
+    the start.
     """
 
     module = "cottonladder"
@@ -58,50 +58,54 @@
         self.process: asyncio.subprocess.Process | None = None
         self.port = 0
         self._arguments = arguments
-        self._reading: asyncio.Task[None] | None = None
+        self._log_task: asyncio.Task[None] | None = None
 
     def write_json(self, name: str, body: object) -> str:
-        """Writes a JSON file into the process's folder; gives its path."""
+        """Writes a JSON file into the process's folder and returns its path."""
         path = self.folder / name
         path.write_text(json.dumps(body))
         return str(path)
 
     async def start(self, *arguments: str, env: dict[str, str] | None = None) -> None:
-        """Starts the process with further arguments and environment variables."""
+        """Starts the process with additional arguments and environment variables."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-B", "-m", self.module, *self._arguments, *arguments, cwd=ROOT,
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT,
             env={**os.environ, **self.environment, **(env or {})},
         )  # fmt: skip
         assert self.process.stdout is not None
-        self._reading = asyncio.create_task(self.log.read(self.process.stdout))
+        self._log_task = asyncio.create_task(self.log.read(self.process.stdout))
 
     @property
     def lines(self) -> list[str]:
         """The newest log lines."""
         return self.log.lines
 
-    async def wait_for_log(self, *parts: str, timeout_s: float = START_TIMEOUT_S) -> str:
-        """Waits for the first log line that contains all of `parts`."""
-        return await self.log.wait_for_parts(*parts, timeout_s=timeout_s)
+    async def wait_for_log(self, *substrings: str, timeout_s: float = START_TIMEOUT_S) -> str:
+        """Waits for the first log line that contains all of the substrings, and returns it."""
+        return await self.log.wait_for_substrings(*substrings, timeout_s=timeout_s)
 
     async def wait_for_log_line(
         self, is_match: Callable[[str], bool], description: object, timeout_s: float = START_TIMEOUT_S
     ) -> str:
-        """Waits for the first log line for which `is_match` holds; `description` names it in the error."""
+        """Waits for the first log line that `is_match` accepts, and returns it.
+
+        `description` names the line in the error.
+        """
         return await self.log.wait_for_line(is_match, description, timeout_s)
 
     def send_signal(self, number: signal.Signals) -> None:
         """Sends a signal, unless the process has ended.
 
-        asyncio's own method would reap a process that has just ended, and its exit status would be lost.
+        `asyncio.subprocess.Process.send_signal` would reap a process that has just ended, and its exit status
+        would be lost.
         """
         if self.process is not None and self.process.returncode is None:
             with suppress(ProcessLookupError):
                 os.kill(self.process.pid, number)
 
     async def stop(self, number: signal.Signals = signal.SIGTERM) -> int:
-        """Stops the process by a signal, or by SIGKILL after a timeout; gives its exit status."""
+        """Stops the process by a signal, or by SIGKILL after a timeout, and returns its exit status."""
         assert self.process is not None
         self.send_signal(signal.SIGCONT)  # a process that a test has suspended would not handle the signal
         self.send_signal(number)
@@ -110,13 +114,13 @@
         except TimeoutError:
             self.send_signal(signal.SIGKILL)
             status = await self.process.wait()
-        if self._reading is not None:
-            await self._reading
+        if self._log_task is not None:
+            await self._log_task
         shutil.rmtree(self.folder, ignore_errors=True)
         return status
 
     def resident_bytes(self) -> int:
-        """The memory that the process has in RAM now."""
+        """Returns the resident set size of the process, in bytes."""
         assert self.process is not None
         pages = int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1])
         return pages * os.sysconf("SC_PAGE_SIZE")
@@ -125,40 +129,40 @@
 class ManagerProcess(Process):
     """A manager process.
 
-    The parts of the operators' file that are None are left out of it; `settings` replace those of SETTINGS.
+    Sections of the operators' file that are None are omitted; `settings` replace values of SETTINGS.
     """
 
     def __init__(
         self,
         discovery: str,
         known: Mapping[str, object],
-        upgrades: OperatorPart | None,
-        advice: OperatorPart | None = None,
+        upgrades: OperatorSection | None,
+        advice: OperatorSection | None = None,
         *,
-        memory: OperatorPart | None = None,
+        memory: OperatorSection | None = None,
         control: str | None = None,
-        plugins: OperatorPart | None = None,
+        plugins: OperatorSection | None = None,
         **settings: Unpack[ManagerSettings],
     ) -> None:
         super().__init__("serve")
         self._discovery = discovery
         self._known = known
-        parts = {
+        sections = {
             "upgrades": upgrades,
             "advice": advice,
             "memory": memory,
             "control": control,
             "plugins": plugins,
         }
-        self._operator = {name: part for name, part in parts.items() if part is not None}
+        self._operator_sections = {name: section for name, section in sections.items() if section is not None}
         self._settings = {**SETTINGS, **settings}
 
     async def start_serving(self, port: int = 0) -> int:
-        """Starts the manager and waits until it serves; gives its port."""
+        """Starts the manager, waits until it serves, and returns its port."""
         config = manager_file(f"127.0.0.1:{port}", self._discovery, self._known, self._settings)
         arguments = ["--config", self.write_json("manager.json", config)]
-        if self._operator:
-            arguments += ["--operator", self.write_json("operator.json5", self._operator)]
+        if self._operator_sections:
+            arguments += ["--operator", self.write_json("operator.json5", self._operator_sections)]
         await self.start(*arguments)
         self.port = int((await self.wait_for_log("event=serving")).split("port=")[1])
         return self.port
@@ -167,8 +171,8 @@
 class ForwarderProcess(Process):
     """A forwarder process with a status address.
 
-    The parts of the operators' file that are None are left out of it; `options` replace default values in the
-    forwarder's own part.
+    Sections of the operators' file that are None are omitted; `options` replace default values of the
+    `forwarder` section.
     """
 
     def __init__(
@@ -176,25 +180,25 @@
         node: int,
         discovery: str,
         managers: list[str],
-        upgrades: OperatorPart | None,
+        upgrades: OperatorSection | None,
         *,
-        memory: OperatorPart | None = None,
+        memory: OperatorSection | None = None,
         control: str | None = None,
         **options: Unpack[ForwarderOptions],
     ) -> None:
         super().__init__("forward")
-        self.part: ForwarderPart = {
+        self.section: ForwarderSection = {
             "node": node, "zone": "a", "zones": ["a", "b"], "listen": "127.0.0.1:0", "discovery": discovery,
             "managers": managers, "kinds": REQUEST_CLASSES, "collector": False, "seed": node + 1,
             "rate": 10.0, "status": "127.0.0.1:0", **options,
         }  # fmt: skip
-        self._other_parts = {"memory": memory, "control": control, "upgrades": upgrades}
+        self._other_sections = {"memory": memory, "control": control, "upgrades": upgrades}
         self.status_port = 0
 
     async def start_serving(self) -> int:
-        """Starts the forwarder and waits until it serves; gives its port."""
-        others = {name: part for name, part in self._other_parts.items() if part is not None}
-        body = {"forwarder": self.part, **others}
+        """Starts the forwarder, waits until it serves, and returns its port."""
+        others = {name: section for name, section in self._other_sections.items() if section is not None}
+        body = {"forwarder": self.section, **others}
         await self.start("--config", self.write_json("operator.json5", body))
         line = await self.wait_for_log("event=forwarding")
         self.port = int(line.split(" port=")[1].split()[0])
@@ -207,6 +211,6 @@
         return f"http://127.0.0.1:{self.port}"
 
     async def status(self, session: aiohttp.ClientSession) -> ForwarderStatus:
-        """Reads the forwarder's state from its status address."""
+        """Returns the forwarder's state, read from its status address."""
         async with session.get(f"http://127.0.0.1:{self.status_port}/") as reply:
             return msgspec.json.decode(await reply.read(), type=ForwarderStatus)
--- a/cottonladder/testbed/forwarder_status.py
+++ b/cottonladder/testbed/forwarder_status.py
@@ -1,10 +1,10 @@
-"""Types that decode the JSON of a forwarder's status address; an unknown key is an error."""
+"""Types for the JSON that a forwarder serves at its status address; an unknown key is an error."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-# Names in the JSON by names in the code, for the fields where the two differ.
+# JSON keys by field name, for the fields whose key differs.
 STATUS_NAMES = {
     "admission_limits": "levels",
     "excluded": "shut",
@@ -23,7 +23,7 @@
 
 
 class UpgradedConnections(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """How many upgraded connections to a worker are open, busy with a request, and resumable by a ticket."""
+    """Counts of upgraded connections to a worker: open, busy with a request, and resumable by a ticket."""
 
     open: int
     busy: int
@@ -31,7 +31,7 @@
 
 
 class PluginStatus(Struct, frozen=True, forbid_unknown_fields=True, rename=PLUGIN_NAMES):
-    """What a plug-in has done since it was loaded."""
+    """The state and counters of a plug-in since it was loaded."""
 
     name: str
     breaker_state: str
@@ -46,14 +46,14 @@
 
 
 class ForwarderStatus(Struct, frozen=True, forbid_unknown_fields=True, rename=STATUS_NAMES):
-    """A forwarder's state; maps are by request class or by worker id."""
+    """A forwarder's state; dicts are keyed by request class or by worker id."""
 
     node: int
     zone: str
-    manager: str | None  # the address of the connected manager, None without one
-    tables: dict[str, dict[str, float]]  # weights by request class and worker id
+    manager: str | None  # address of the connected manager, None if not connected
+    tables: dict[str, dict[str, float]]  # weights by request class, then by worker id
     admission_limits: dict[str, float | None]
-    excluded: list[str]  # by a manager, or because they drain
+    excluded: list[str]  # ids of workers that a manager has excluded or that drain
     upgraded_connections: dict[str, UpgradedConnections]
     drain_phases: dict[str, str]
     connection_count: int
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -1,8 +1,9 @@
-"""A simulation of the peak load at the end of a month: the real controller, with or without weight advisors.
+"""A discrete-time simulation of the routing controller under the peak load at the end of a month.
 
-Time is simulated, and inputs and orders pass without a protocol.  Workers of different speeds, which the
-endpoint list does not state, serve requests in order of arrival on a few cores each.  Proxies route by the
-tables that the controller orders, and load reports reach it with a delay.
+Time is simulated, and inputs and orders are passed directly, without a protocol.  Workers have different
+speeds, which the endpoint list does not state, and serve requests in order of arrival on a few cores each.
+Proxies route by the tables that the controller orders, and load reports reach it with a delay.  A run can
+have weight advisors.
 """
 
 from __future__ import annotations
@@ -41,23 +42,23 @@
 from .month_end_workers import WorkerPool
 
 STEP_S = 0.25
-START_TIME_S = 1000.0  # of the controller's clock; not 0, which as a worker's start means long ago
+START_TIME_S = 1000.0  # controller clock; not 0, because a worker with start time 0 counts as warm
 REPORT_INTERVAL_S = 2.0
 REPORT_DELAY_S = 0.5
-ORDER_DELAY_S = 0.2  # until proxies have applied an order
-LIST_DELAY_S = 0.2  # until a started worker is listed
-CONNECT_DELAY_S = 0.01  # of proxies at the start of the run
-MIN_RECONNECT_DELAY_S = 0.2  # of a proxy after a restart of the manager
-RECONNECT_SPREAD_S = 0.8
+ACKNOWLEDGEMENT_DELAY_S = 0.2  # between an order and its acknowledgement by the proxies
+LIST_DELAY_S = 0.2  # between the start of a worker and its entry in the endpoint list
+CONNECT_DELAY_S = 0.01  # between the start of the run and the connections of the proxies
+MIN_RECONNECT_DELAY_S = 0.2  # between a restart of the manager and the first reconnect of a proxy
+RECONNECT_JITTER_S = 0.8  # added to it at random
 LATENCY_OBJECTIVE_S = 1.0
-WINDOW_S = 10.0  # for the worst share of served requests
-MIN_WINDOW_REQUESTS = 50  # windows with no more are not considered
-TIMER_TOLERANCE_S = 1e-6  # for rounding errors: a timer must not miss its step
+WINDOW_S = 10.0  # duration of the windows for `MonthEndResult.worst_share`
+MIN_WINDOW_REQUESTS = 50  # windows with this many requests or fewer are ignored
+TIMER_TOLERANCE_S = 1e-6  # timers fire earlier by this, so that no rounding error delays one by a step
 PROXY_COUNT = 12
 ZONE_COUNT = 2
 WORKER_SPEEDS = (1.6, 1.5, 1.0, 1.0, 0.9, 0.9, 0.6, 0.55, 0.5, 1.4)
-FALLBACK_WORKER_COUNT = 5  # the first of the list, used by a proxy without a usable weight
-UNBOUND = -1  # in place of the number of a proxy's table
+FALLBACK_WORKER_COUNT = 5  # a proxy without a usable weight uses this many workers, the first in the list
+UNBOUND = -1  # table number of a proxy without a routing table
 PARAMETERS = replace(
     BASE_PARAMETERS,
     seed=1,
@@ -73,7 +74,7 @@
 
 
 def _do_nothing(_elapsed_s: float, _run: MonthEndRun) -> None:
-    """The event function of a run without events."""
+    """Changes nothing; the default event function of a run."""
 
 
 @dataclass(slots=True)
@@ -82,11 +83,11 @@
 
     requests: int = 0
     served: int = 0  # within the latency objective
-    worst_share: float = 1.0  # of requests served, in the worst window
-    worst_warm_up_load: float = 0.0  # of any warming-up worker, as a part of the load that collapses it
-    proxies_without_worker: int = 0  # summed over the steps: bound proxies without a usable weight
-    credit: dict[str, float] = field(default_factory=dict)  # by advisor, at the end
-    factors: list[dict[int, float]] = field(default_factory=list)  # by worker, at each interval
+    worst_share: float = 1.0  # lowest share of served requests in a window
+    max_warm_up_load: float = 0.0  # largest load of a warming-up worker; it collapses at 1.0
+    proxies_without_worker: int = 0  # bound proxies without a usable weight, summed over the steps
+    credit: dict[str, float] = field(default_factory=dict)  # by advisor, at the end of the run
+    factors: list[dict[int, float]] = field(default_factory=list)  # by worker, one dict per advice interval
 
     @property
     def served_share(self) -> float:
@@ -95,7 +96,7 @@
 
 
 class ScheduledInput(NamedTuple):
-    """An input on its way; inputs of the same time are delivered in the order of scheduling."""
+    """An input to be delivered at a given time; inputs with the same time keep their scheduling order."""
 
     delivered_at: float
     sequence: int
@@ -103,9 +104,10 @@
 
 
 class MonthEndRun:
-    """One seeded run of `duration_s`, at a `load` that is a part of the workers' capacity.
+    """One seeded run of `duration_s` simulated seconds.
 
-    The `advisors` are asked for their weights at each interval.
+    `load` is the peak request rate as a fraction of the workers' capacity, before the waves.  The `advisors`
+    are polled for their weights at each advice interval.
     """
 
     def __init__(
@@ -122,7 +124,7 @@
         self.advice = AdviceWeighting()
         self.result = MonthEndResult()
         self._advisors = advisors
-        self._tables: dict[int, dict[int, float]] = defaultdict(dict)  # weights by table and worker
+        self._tables: dict[int, dict[int, float]] = defaultdict(dict)  # weights by table, then by worker
         self._bound_tables = dict.fromkeys(range(PROXY_COUNT), UNBOUND)
         self._excluded: set[int] = set()
         self._scheduled: list[ScheduledInput] = []  # a heap
@@ -133,7 +135,7 @@
         self._arrivals: dict[int, int] = defaultdict(int)  # by proxy, since the last report
 
     def request_rate(self, elapsed_s: float) -> float:
-        """Requests/s: 70% of the load at the start, rising to all of it half-way, with waves of 8%."""
+        """Returns the requests/s: 70% of the load at first, 100% from half-way on, with waves of 8%."""
         wave = 0.08 * math.sin(elapsed_s / 9.0)
         return (
             self._pool.capacity()
@@ -142,19 +144,19 @@
         )
 
     def schedule(self, delivered_at: float, message: Input) -> None:
-        """Delivers an input to the controller at a given time."""
+        """Schedules the delivery of an input to the controller."""
         self._schedule_count += 1
         scheduled = ScheduledInput(delivered_at, self._schedule_count, message)
         heapq.heappush(self._scheduled, scheduled)
 
     def start_worker(self, worker_index: int, zone: int, speed: float, now: float) -> None:
-        """Starts and lists a new worker, which warms up."""
+        """Starts a new worker, which warms up, and schedules its entry in the endpoint list."""
         self.workers[worker_index] = QueueingWorker(zone, speed, now)
         endpoint = Endpoint(worker_index, zone, EndpointState.READY, 1.0, now)
         self.schedule(now + LIST_DELAY_S, EndpointList(ListUpdateKind.DELTA, (endpoint,)))
 
     def drain_worker(self, worker_index: int, now: float) -> None:
-        """Lists a worker as draining."""
+        """Changes the state of a worker in the endpoint list to draining."""
         zone = self.workers[worker_index].zone
         endpoint = Endpoint(worker_index, zone, EndpointState.DRAINING, 1.0, 0.0)
         self.schedule(now, EndpointList(ListUpdateKind.DELTA, (endpoint,)))
@@ -162,8 +164,8 @@
     def restart_manager(self, restore: Callable[[RestoredState], RestoredState | None]) -> None:
         """Replaces the controller by a new one.
 
-        The new one gets the endpoint list and what `restore` makes of the old one's state.  Proxies keep
-        their tables and reconnect within a second.
+        The new one gets the endpoint list and, unless it is None, the result of `restore` for the state of
+        the old one.  Proxies keep their tables and reconnect within a second.
         """
         workers = list(self.controller.state.workers.by_index)
         state = restore(
@@ -181,7 +183,7 @@
         request_rate = self.request_rate(now - START_TIME_S) / PROXY_COUNT
         for proxy in range(PROXY_COUNT):
             connected = ProxyConnected(proxy, proxy % ZONE_COUNT, request_rate, False)
-            reconnects_at = now + MIN_RECONNECT_DELAY_S + self.random.random() * RECONNECT_SPREAD_S
+            reconnects_at = now + MIN_RECONNECT_DELAY_S + self.random.random() * RECONNECT_JITTER_S
             self.schedule(reconnects_at, connected)
 
     def _endpoints(self) -> tuple[Endpoint, ...]:
@@ -191,17 +193,20 @@
         )
 
     def run(self, events: Callable[[float, MonthEndRun], None] = _do_nothing) -> MonthEndResult:
-        """Runs to the end; calls `events` at each step with the seconds since the start."""
-        self._start()
+        """Runs the simulation and returns its result.
+
+        `events` is called at each step with the seconds since the start.
+        """
+        self._schedule_start()
         now = START_TIME_S
         report_at = START_TIME_S + REPORT_INTERVAL_S
-        advise_at = START_TIME_S
+        poll_at = START_TIME_S
         while now < START_TIME_S + self.duration_s:
             events(now - START_TIME_S, self)
-            inputs = self._take_scheduled(now)
-            if now >= advise_at:
-                advise_at = now + UPDATE_INTERVAL_S
-                inputs += self._ask_advisors(now)
+            inputs = self._pop_due_inputs(now)
+            if now >= poll_at:
+                poll_at = now + UPDATE_INTERVAL_S
+                inputs += self._poll_advisors(now)
             self._apply_orders(now, self.controller.decide_orders(now, inputs))
             self._capacity_views = capacity_views(self.controller)
             self._count_proxies_without_worker()
@@ -209,45 +214,44 @@
             now += STEP_S
             if now >= report_at:
                 report_at += REPORT_INTERVAL_S
-                self._report(now)
-        self._finish(now)
+                self._schedule_reports(now)
+        self._complete_result(now)
         return self.result
 
-    def _start(self) -> None:
+    def _schedule_start(self) -> None:
         self.schedule(START_TIME_S, EndpointList(ListUpdateKind.FULL, self._endpoints()))
         request_rate = self.request_rate(0.0) / PROXY_COUNT
         for proxy in range(PROXY_COUNT):
             connected = ProxyConnected(proxy, proxy % ZONE_COUNT, request_rate, True)
             self.schedule(START_TIME_S + CONNECT_DELAY_S, connected)
 
-    def _finish(self, now: float) -> None:
-        """Completes the result."""
+    def _complete_result(self, now: float) -> None:
         shares = [
             window.served / window.requests
             for window in self._windows.values()
             if window.requests > MIN_WINDOW_REQUESTS
         ]
         self.result.worst_share = min(shares, default=1.0)
-        self.result.worst_warm_up_load = self._pool.worst_warm_up_load
+        self.result.max_warm_up_load = self._pool.max_warm_up_load
         self.result.credit = {name: view.credit for name, view in self.advice.status(now).items()}
 
-    def _take_scheduled(self, now: float) -> list[Input]:
+    def _pop_due_inputs(self, now: float) -> list[Input]:
         inputs: list[Input] = []
         while self._scheduled and self._scheduled[0].delivered_at <= now:
             inputs.append(heapq.heappop(self._scheduled).message)
         return inputs
 
-    def _ask_advisors(self, now: float) -> list[Input]:
-        """Asks the advisors for their weights; gives the factors to be applied."""
+    def _poll_advisors(self, now: float) -> list[Input]:
+        """Polls the advisors for their weights and returns the resulting factors as inputs."""
         for name, advisor in self._advisors.items():
             weights = advisor(now - START_TIME_S, self)
             if weights is not None:
                 self.advice.receive(name, now, weights, is_complete=True)
         factors = self.advice.update_factors(now, self._capacity_views) if self._capacity_views else {}
-        ended = {index: NEUTRAL_FACTOR for index in self._factors if index not in factors}
+        expired = {index: NEUTRAL_FACTOR for index in self._factors if index not in factors}
         self._factors = factors
         self.result.factors.append(factors)
-        return [AdvisedFactor(index, factor) for index, factor in (ended | factors).items()]
+        return [AdvisedFactor(index, factor) for index, factor in (expired | factors).items()]
 
     def _apply_orders(self, now: float, orders: list[Order]) -> None:
         for order in orders:
@@ -261,8 +265,8 @@
                 self._exclude(order)
             elif isinstance(order, Checkpoint):
                 for proxy in self._bound_tables:
-                    acknowledged = Acknowledged(proxy, order.number, ORDER_DELAY_S)
-                    self.schedule(now + ORDER_DELAY_S, acknowledged)
+                    acknowledged = Acknowledged(proxy, order.number, ACKNOWLEDGEMENT_DELAY_S)
+                    self.schedule(now + ACKNOWLEDGEMENT_DELAY_S, acknowledged)
             elif isinstance(order, StartTimer):
                 fires_at = now + order.delay_s - TIMER_TOLERANCE_S
                 self.schedule(fires_at, TimerFired(order.token))
@@ -274,20 +278,20 @@
             self._excluded.discard(order.worker_index)
 
     def usable_weights(self, proxy: int) -> dict[int, float]:
-        """A proxy's positive weights by worker, without the excluded workers."""
+        """Returns a proxy's positive weights by worker, without the excluded workers."""
         table = self._tables[self._bound_tables[proxy]]
         return {
             index: weight for index, weight in table.items() if weight > 0 and index not in self._excluded
         }
 
     def _count_proxies_without_worker(self) -> None:
-        """Counts bound proxies without a usable weight, which must never occur."""
+        """Counts bound proxies without a usable weight; a correct controller leaves none."""
         for proxy, table in self._bound_tables.items():
             if table != UNBOUND and not self.usable_weights(proxy):
                 self.result.proxies_without_worker += 1
 
     def _send_requests(self, now: float) -> None:
-        """Serves all requests that arrive before the next step, in order of arrival."""
+        """Generates and serves the requests that arrive before the next step."""
         fallback = dict.fromkeys(list(self.workers)[:FALLBACK_WORKER_COUNT], 1.0)
         weights = [self.usable_weights(proxy) or fallback for proxy in range(PROXY_COUNT)]
         request_rate = self.request_rate(now - START_TIME_S)
@@ -296,14 +300,14 @@
             proxy = self._choose_proxy()
             self._arrivals[proxy] += 1
             worker_index = self.random.choices(list(weights[proxy]), list(weights[proxy].values()))[0]
-            self._count(arrived_at, self._pool.serve(arrived_at, worker_index, proxy % ZONE_COUNT))
+            self._count_request(arrived_at, self._pool.serve(arrived_at, worker_index, proxy % ZONE_COUNT))
             arrived_at += self.random.expovariate(request_rate)
 
     def _choose_proxy(self) -> int:
-        """Chooses a proxy at random; the square makes a few of them carry most requests."""
+        """Chooses a proxy at random; squaring the random number gives a few proxies most of the requests."""
         return min(int(PROXY_COUNT * self.random.random() ** 2), PROXY_COUNT - 1)
 
-    def _count(self, arrived_at: float, request: FinishedRequest) -> None:
+    def _count_request(self, arrived_at: float, request: FinishedRequest) -> None:
         window = self._windows[int((arrived_at - START_TIME_S) / WINDOW_S)]
         window.requests += 1
         self.result.requests += 1
@@ -311,10 +315,10 @@
             window.served += 1
             self.result.served += 1
 
-    def _report(self, now: float) -> None:
-        """Sends load and arrival reports for the time since the last ones."""
+    def _schedule_reports(self, now: float) -> None:
+        """Schedules the load and arrival reports for the time since the last ones."""
         arrives_at = now + REPORT_DELAY_S
-        for (worker_index, zone), attempts in self._pool.take_finished(now).items():
+        for (worker_index, zone), attempts in self._pool.pop_finished(now).items():
             report = LoadReport(
                 worker_index,
                 zone,
@@ -331,12 +335,12 @@
 
 
 def is_step_at(time_s: float, elapsed_s: float) -> bool:
-    """Whether the step at `elapsed_s` is the one for an event at `time_s`."""
+    """Returns whether an event at `time_s` occurs in the step at `elapsed_s`."""
     return abs(elapsed_s - time_s) < STEP_S / 2
 
 
 def slow_two_workers(elapsed_s: float, run: MonthEndRun) -> None:
-    """Slows two of the fast workers half-way, as a noisy neighbour would."""
+    """Slows two workers half-way through the run, as a noisy neighbour would."""
     if is_step_at(run.duration_s / 2, elapsed_s):
         run.workers[0].speed = 0.8
         run.workers[3].speed = 0.5
--- a/cottonladder/testbed/process_log.py
+++ b/cottonladder/testbed/process_log.py
@@ -1,4 +1,4 @@
-"""Reads the log lines of a process that the testbed or a test has started."""
+"""The log lines of a process that the testbed or a test has started."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-SHOWN_LINES = 200  # the newest, in the message of an error
+MAX_ERROR_LINES = 200  # log lines in an error message, the newest ones
 
 
 class ProcessLog:
-    """Keeps the lines of a process's output, and lets its owner wait for one of them.
+    """Keeps the newest `max_lines` lines of a process's output, and waits for lines that match.
 
-    At most `max_lines` are kept, the newest.  `decoding_errors` is the `errors` argument of `bytes.decode`.
+    `decoding_errors` is the `errors` argument of `bytes.decode`.
     """
 
     def __init__(self, max_lines: int = sys.maxsize, decoding_errors: str = "strict") -> None:
@@ -39,23 +39,26 @@
             del self.lines[: -self._max_lines]
             self._changed.notify_all()
 
-    async def wait_for_parts(self, *parts: str, timeout_s: float) -> str:
-        """Waits for the first line that contains all of `parts`."""
-        return await self.wait_for_line(lambda line: all(part in line for part in parts), parts, timeout_s)
+    async def wait_for_substrings(self, *substrings: str, timeout_s: float) -> str:
+        """Waits for the first kept line that contains all of the substrings, and returns it."""
+        return await self.wait_for_line(
+            lambda line: all(substring in line for substring in substrings), substrings, timeout_s
+        )
 
     async def wait_for_line(
         self, is_match: Callable[[str], bool], description: object, timeout_s: float
     ) -> str:
-        """Waits for the first kept line for which `is_match` holds.
+        """Waits for the first kept line that `is_match` accepts, and returns it.
 
-        Raises AssertionError, which names the line by `description`, if the process ends or the time is over.
+        Raises AssertionError with `description` if the process closes its output or `timeout_s` have passed.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout_s), self._changed:
                 await self._changed.wait_for(lambda: self._find(is_match) is not None or self.has_ended)
         line = self._find(is_match)
         if line is None:
-            raise AssertionError(f"no line with {description} in:\n{''.join(self.lines[-SHOWN_LINES:])}")
+            shown = "".join(self.lines[-MAX_ERROR_LINES:])
+            raise AssertionError(f"expected a log line with {description}; the newest lines are:\n{shown}")
         return line
 
     def _find(self, is_match: Callable[[str], bool]) -> str | None:
--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -1,6 +1,6 @@
-"""One manager of a large fleet, in memory, with its channel and the proxies that apply its messages.
+"""A simulation of one manager of a large fleet, with the channel to its proxies and the proxies themselves.
 
-The random choices are seeded, the caller advances the clock, and no sockets are used.
+Random choices are seeded, the caller advances the clock, and no sockets are used.
 """
 
 from __future__ import annotations
@@ -54,12 +54,12 @@
     warm_up_s=17.0,
     cross_zone_cost=0.08,
 )
-START_TIME_S = 1000.0  # of the fleet's clock
-ACKNOWLEDGEMENT_DELAY_S = (0.1, 0.6)  # the least and the largest delay
-ACKNOWLEDGED_LATENCY_S = 0.3  # that proxies state in an acknowledgement
-CLOCK_TOLERANCE_S = 1e-9  # for the rounding errors of added steps
-TICK = "tick"  # the name of the batches that `run` gives the manager
-LOCAL_ORDERS = (  # those that the manager carries out itself, which has no effect here
+START_TIME_S = 1000.0  # simulated clock
+ACKNOWLEDGEMENT_DELAY_RANGE_S = (0.1, 0.6)
+ACKNOWLEDGED_LATENCY_S = 0.3  # stated by proxies in an acknowledgement
+CLOCK_TOLERANCE_S = 1e-9  # rounding errors of the clock
+TICK = "tick"  # name of the batches of `SimulatedFleet.run`
+LOCAL_ORDERS = (  # orders that a manager executes itself; they have no effect here
     WatchEndpoints,
     FetchEndpoints,
     HealthCheck,
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedMessage:
-    """A message that waits in the channel, and the lines that it takes there."""
+    """A message in the channel, and its size in lines."""
 
     proxy: int
     message: bytes
@@ -79,10 +79,10 @@
 
 
 class SimulatedFleet:
-    """One manager, the channel that its messages wait in, and the proxies that apply them.
+    """One manager, the channel that queues its messages, and the proxies that apply them.
 
-    `channel_speed` is the channel's pace as a ratio of the deployed one, `acknowledged_share` the share of
-    checkpoints that proxies acknowledge.
+    `channel_speed` is the ratio of the channel's rate to `parameters.channel_lines_per_s`, and
+    `acknowledged_share` the share of checkpoints that proxies acknowledge.
     """
 
     def __init__(
@@ -98,36 +98,36 @@
         self.dispatcher = OrderDispatcher(list(REQUEST_CLASSES), parameters.manager_count, self.workers)
         self.controller.channel_budget.count_readmissions = self.dispatcher.count_readmissions
         self.proxies: dict[int, SimulatedProxy] = {}
-        self.channel: deque[QueuedMessage] = deque()  # the oldest first
-        self.sendable_lines = 0.0  # that the channel may send by now
-        self.longest_queue = 0  # lines that waited in the channel at a time
-        self.pending_inputs: list[tuple[float, Input]] = []  # acknowledgements by the time of their arrival
-        self.budget_faults: list[str] = []  # messages that did not match their reservation
-        self.batch_durations: list[float] = []  # s of each batch
+        self.channel: deque[QueuedMessage] = deque()  # oldest first
+        self.sendable_lines = 0.0  # lines that the channel can send now
+        self.longest_queue = 0  # largest number of lines in the channel
+        self.pending_inputs: list[tuple[float, Input]] = []  # arrival time and acknowledgement
+        self.budget_faults: list[str] = []  # descriptions of messages that do not match their reservation
+        self.batch_durations: list[float] = []  # seconds
         self.longest_batch_s = 0.0
         self.bytes_written = 0
         self.timer_token = 0
-        self.extra_inputs: Callable[[], Iterable[Input]] = tuple  # further inputs of each tick; none
+        self.extra_inputs: Callable[[], Iterable[Input]] = tuple  # additional inputs of each tick
         self.orders: list[Order] = []
 
     def endpoint(
         self, worker_id: str, zone: int, state: EndpointState = EndpointState.READY, started_at: float = 0.0
     ) -> Endpoint:
-        """An entry of the endpoint list; registers the worker if its id is new."""
+        """Returns an entry of the endpoint list; registers the worker if its id is new."""
         worker_index = self.workers.register(worker_id, "127.0.0.1:1", started_at)
         return Endpoint(worker_index, zone, state, 1.0, started_at)
 
     def queued_lines(self) -> int:
-        """Lines that wait in the channel."""
+        """Returns the number of lines in the channel."""
         return sum(queued.lines for queued in self.channel)
 
     def run_batch(self, name: str, inputs: Iterable[Input]) -> None:
-        """Gives the manager one batch of inputs, and queues the messages with its orders."""
+        """Passes a batch of inputs to the manager, and queues the messages with its orders."""
         inputs = list(inputs)
         started_at = perf_counter()
         self.dispatcher.track_proxies(inputs)
         self.orders = self.controller.decide_orders(self.now, inputs)
-        checkpoint = self._dispatch()
+        checkpoint = self._apply_orders()
         reserved = self._reserved_lines(checkpoint)
         if checkpoint is not None:
             self.controller.channel_budget.record_written(self.dispatcher.pending_line_counts())
@@ -135,13 +135,13 @@
         self._record_duration(perf_counter() - started_at)
         corrected = self._reserved_lines(checkpoint)
         for proxy, message in messages:
-            queued = self._queue(proxy, message)
+            queued = self._enqueue(proxy, message)
             if checkpoint is not None:
                 self._check_budget(name, queued, reserved.get(proxy, 0), corrected.get(proxy, 0))
         self.longest_queue = max(self.longest_queue, self.queued_lines())
 
-    def _dispatch(self) -> int | None:
-        """Hands the orders to the dispatcher; gives the number of the last checkpoint among them."""
+    def _apply_orders(self) -> int | None:
+        """Passes the orders to the dispatcher; returns the number of the last checkpoint, if any."""
         checkpoint = None
         for order in self.orders:
             if isinstance(order, StartTimer):
@@ -155,7 +155,7 @@
         return checkpoint
 
     def _reserved_lines(self, checkpoint: int | None) -> dict[int, int]:
-        """The lines that the controller has reserved under a checkpoint, by proxy."""
+        """Returns the lines that the controller has reserved for a checkpoint, by proxy."""
         if checkpoint is None:
             return {}
         return dict(self.controller.channel_budget.in_flight.by_checkpoint.get(checkpoint, {}))
@@ -164,14 +164,14 @@
         self.batch_durations.append(duration_s)
         self.longest_batch_s = max(self.longest_batch_s, duration_s)
 
-    def _queue(self, proxy: int, message: bytes) -> QueuedMessage:
+    def _enqueue(self, proxy: int, message: bytes) -> QueuedMessage:
         queued = QueuedMessage(proxy, message, count_lines(message, self.parameters.message_header_lines))
         self.channel.append(queued)
         self.bytes_written += len(message)
         return queued
 
     def _check_budget(self, name: str, queued: QueuedMessage, reserved: int, corrected: int) -> None:
-        """Records a fault if a message has more lines than reserved, or not as many as the correction."""
+        """Records a fault if a message has more lines than reserved, or differs from the corrected number."""
         if queued.lines <= reserved and queued.lines == corrected:
             return
         self.budget_faults.append(
@@ -179,24 +179,27 @@
             f"reserved {reserved}, corrected to {corrected}, written {queued.lines}"
         )
 
-    def connect_proxies(self, proxies: Iterable[int], rate: float = 1.0, fresh: bool = False) -> None:
-        """Connects proxies, which average `rate` requests/s; a `fresh` one states that it has no table."""
+    def connect_proxies(self, proxies: Iterable[int], rate: float = 1.0, have_no_table: bool = False) -> None:
+        """Connects proxies with a mean of `rate` requests/s each.
+
+        With `have_no_table`, they state that they have no routing table.
+        """
         joined = []
         for number in proxies:
             proxy = self.proxies.setdefault(number, SimulatedProxy())
             proxy.request_rate = rate * self.random.expovariate(1.0)
             proxy.joined_at = self.now
             zone = number % self.parameters.zone_count
-            joined.append(ProxyConnected(number, zone, proxy.request_rate, fresh))
+            joined.append(ProxyConnected(number, zone, proxy.request_rate, have_no_table))
         self.run_batch("joins", joined)
 
     def disconnect_proxies(self, proxies: Iterable[int]) -> None:
-        """Disconnects proxies; messages that wait for them still take their time in the channel."""
+        """Disconnects proxies; messages queued for them still use the channel."""
         disconnected = [number for number in proxies if self.proxies.pop(number, None) is not None]
         self.run_batch("leaves", [ProxyDisconnected(number) for number in disconnected])
 
     def send_queued_messages(self, seconds: float) -> None:
-        """Sends what the channel can send in this time, to proxies that apply and acknowledge it."""
+        """Sends the messages that the channel can send in this time; proxies apply and acknowledge them."""
         self.sendable_lines += seconds * self.parameters.channel_lines_per_s * self.channel_speed
         while self.channel and self.channel[0].lines <= self.sendable_lines:
             queued = self.channel.popleft()
@@ -212,12 +215,12 @@
         checkpoint = proxy.apply(queued.message)
         if checkpoint is None or self.random.random() >= self.acknowledged_share:
             return
-        arrives_at = self.now + self.random.uniform(*ACKNOWLEDGEMENT_DELAY_S)
+        arrives_at = self.now + self.random.uniform(*ACKNOWLEDGEMENT_DELAY_RANGE_S)
         acknowledged = Acknowledged(queued.proxy, checkpoint, ACKNOWLEDGED_LATENCY_S)
         self.pending_inputs.append((arrives_at, acknowledged))
 
     def worker_load(self) -> dict[bytes, float]:
-        """The requests/s that all proxies' weights send to each worker, by worker id."""
+        """Returns the requests/s that the weights of all proxies send to each worker, by worker id."""
         load: dict[bytes, float] = {}
         for proxy in self.proxies.values():
             weights = proxy.usable_weights()
@@ -227,7 +230,7 @@
         return load
 
     def run(self, seconds: float) -> None:
-        """Advances the clock by ticks of the controller's interval, with a batch at each."""
+        """Advances the clock by `seconds`, in ticks of TICK_INTERVAL_S with one batch each."""
         end = self.now + seconds
         while self.now < end - CLOCK_TOLERANCE_S:
             self.now += TICK_INTERVAL_S
@@ -240,7 +243,7 @@
 def fleet_parameters(
     proxies: int = 1600, zones: int = 4, managers: int = 5, max_queued_lines: float = 50000.0
 ) -> DeploymentParameters:
-    """The parameters of a fleet of this size; all others are the same at each size."""
+    """Returns the parameters of a fleet of this size; other parameters do not depend on the size."""
     return replace(
         PARAMETERS,
         proxy_count=proxies,
--- a/cottonladder/testbed/simulated_proxy.py
+++ b/cottonladder/testbed/simulated_proxy.py
@@ -1,4 +1,4 @@
-"""A simulated proxy that applies a manager's encoded messages, and the lines that a message takes."""
+"""A simulated proxy that applies a manager's encoded messages, and the size of a message in lines."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 from ..protocol.resp import MAX_MESSAGE_SIZE, RespReader
 
-LIST_FIELDS = (b"rows", b"drop", b"undrop")  # each item of their lists is a line
+LIST_FIELDS = (b"rows", b"drop", b"undrop")  # one line per list item
 SINGLE_LINE_FIELDS = (b"replace", b"gate", b"stamp")
 
 
 def message_fields(message: bytes) -> Iterator[dict[bytes, bytes]]:
-    """The named fields of each command in a message's bytes."""
+    """Yields the named fields of each command in an encoded message."""
     for arguments in RespReader(MAX_MESSAGE_SIZE).feed(message):
         yield dict(zip(arguments[1::2], arguments[2::2], strict=True))
 
 
 def count_lines(message: bytes, header_lines: int) -> int:
-    """The lines that a message takes in the channel, counted from its bytes.
+    """Returns the size in lines of an encoded message.
 
-    These are its header and one line for each weight, excluded or readmitted worker, admission limit,
+    Lines are those of the header and one for each weight, excluded or readmitted worker, admission limit,
     checkpoint and `replace`.
     """
     lines = header_lines
@@ -32,7 +32,7 @@
 
 @dataclass
 class SimulatedProxy:
-    """The state of a proxy; workers are named by their ids."""
+    """The state of a proxy; workers are identified by worker id."""
 
     weights: dict[bytes, float] = field(default_factory=dict)
     excluded: set[bytes] = field(default_factory=set)
@@ -40,7 +40,7 @@
     joined_at: float = 0.0
 
     def apply(self, message: bytes) -> int | None:
-        """Applies a message; gives the number of its checkpoint, if it has one."""
+        """Applies a message; returns the number of its checkpoint, None without one."""
         checkpoint = None
         for fields in message_fields(message):
             if b"replace" in fields:
@@ -60,7 +60,7 @@
                 self.weights[worker_id] = float(weight)
 
     def usable_weights(self) -> dict[bytes, float]:
-        """The weights by worker, without the excluded workers."""
+        """Returns the weights by worker, without the excluded workers."""
         return {
             worker_id: weight for worker_id, weight in self.weights.items() if worker_id not in self.excluded
         }
--- a/cottonladder/testbed/workers.py
+++ b/cottonladder/testbed/workers.py
@@ -1,13 +1,13 @@
 """Simulated workers that serve HTTP and WebSockets, with a ledger of the requests that took effect.
 
-A held connection carries text messages, where ID is that of a request and N a count of answers:
+The text messages on a held connection, where ID is a request id and N the number of responses so far:
 
-- `ask:ID` is answered by `answer:ID:N`, after the worker's `delay_s`;
-- `release:ID` takes effect in the ledger at once, and is answered by `done:ID:N`, after the same delay;
-- `push:N` is sent by the worker without a request.
+- `ask:ID` gets the response `answer:ID:N` after the worker's `delay_s`;
+- `release:ID` takes effect in the ledger immediately, and gets the response `done:ID:N` after the same delay;
+- `push:N` is sent by the worker without a request, where N counts these messages.
 
-The answer to a handshake has a ticket.  A handshake with that ticket resumes the connection, at any worker of
-the same sessions.
+The response to a handshake has a ticket.  A handshake with that ticket resumes the session, at any worker
+with the same `sessions`.
 """
 
 from __future__ import annotations
@@ -25,45 +25,45 @@
 
 TICKET = "Case-Ticket"
 WORKER_HEADER = "Worker"
-HANG_S = 3600.0  # longer than any test
+NO_RESPONSE_DELAY_S = 3600.0  # longer than any test
 CLOSE_TIMEOUT_S = 1.0
 
 
 @dataclass(slots=True)
 class EffectLedger:
-    """Requests that took effect, over all workers of a fleet, counted by their id."""
+    """Counts of the requests that took effect at any worker of a fleet, by request id."""
 
     releases: Counter[str] = field(default_factory=Counter)
 
     def repeated_releases(self) -> int:
-        """How many releases took effect more than once."""
+        """Returns the number of releases that took effect more than once."""
         return sum(count > 1 for count in self.releases.values())
 
 
 @dataclass(slots=True)
 class TicketSession:
-    """The state that a ticket resumes: how many messages were answered."""
+    """The state that a handshake with a ticket resumes: the number of responses so far."""
 
     answered_count: int = 0
 
 
 class SimulatedWorker:
-    """One worker, whose attributes can be set to make it slow or faulty."""
+    """A worker; its attributes can be set to make it slow or faulty."""
 
     def __init__(self, name: str, ledger: EffectLedger, sessions: dict[str, TicketSession]) -> None:
         self.name = name
         self.ledger = ledger
         self.address = ""
         self.delay_s = 0.0
-        self.push_interval_s = 0.0  # 0: none
-        self.rejects_requests = False  # whether handshakes and requests get 503
-        self.never_answers = False  # whether nothing is answered
-        self.answer_gate: asyncio.Event | None = None  # before which nothing is answered
-        self.requests_to_drop = 0  # the number of next requests whose connections are aborted
+        self.push_interval_s = 0.0  # 0 disables pushes
+        self.rejects_requests = False  # responds to handshakes and requests with status 503
+        self.never_answers = False  # accepts requests and sends no response
+        self.answer_gate: asyncio.Event | None = None  # requests are handled after it is set
+        self.requests_to_drop = 0  # connections of this many next requests are aborted
         self.held_connections = 0
-        self.max_held_connections = 0  # at a time
-        self.resumed_count = 0  # connections that began with a known ticket
-        self.arrivals: list[float] = []  # the event loop's times of new held connections
+        self.max_held_connections = 0
+        self.resumed_count = 0  # held connections opened with a known ticket
+        self.arrivals: list[float] = []  # event loop time of each new held connection
         self.requests: Counter[str] = Counter()  # by method and path
         self.closes: Counter[int] = Counter()  # of held connections, by close code
         self._sessions = sessions
@@ -71,12 +71,12 @@
         self._runner: web.ServerRunner | None = None
 
     async def start(self, port: int = 0) -> str:
-        """Listens on a port, by default a free one; gives the address."""
+        """Listens on `port`, or on a free port if it is 0, and returns the address."""
         self._runner, self.address = await start_server(self._handle, port)
         return self.address
 
     async def abort(self) -> None:
-        """Stops at once: all connections are reset."""
+        """Stops the server and aborts all connections."""
         if self._runner is None:
             return
         server = self._runner.server
@@ -93,13 +93,13 @@
             request.transport.abort()
             raise ConnectionResetError
         if self.never_answers:
-            await asyncio.sleep(HANG_S)
+            await asyncio.sleep(NO_RESPONSE_DELAY_S)
         if self.answer_gate is not None:
             await self.answer_gate.wait()
         if self.rejects_requests:
             return web.Response(status=503, headers={"Retry-After": "1"})
         if request.headers.get("Upgrade", "").lower() == "websocket":
-            return await self._hold(request)
+            return await self._serve_websocket(request)
         if "Upgrade" in request.headers:
             return await self._echo(request)
         return await self._respond(request)
@@ -117,8 +117,8 @@
             return web.Response(body=b"x" * int(request.rel_url.query["n"]))
         return web.Response(body=body or b"ok", headers={WORKER_HEADER: self.name})
 
-    async def _hold(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serves a client's connection from its handshake to its end."""
+    async def _serve_websocket(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Serves a WebSocket connection until it ends."""
         ticket = self._ticket(request)
         session = self._sessions.setdefault(ticket, TicketSession())
         socket = web.WebSocketResponse(compress=False, timeout=CLOSE_TIMEOUT_S)
@@ -141,7 +141,7 @@
         return socket
 
     def _ticket(self, request: web.BaseRequest) -> str:
-        """The ticket of a handshake if it is known, otherwise a new one."""
+        """Returns the ticket of a handshake if it is known, otherwise a new one."""
         ticket = request.headers.get(TICKET)
         if ticket is not None and ticket in self._sessions:
             self.resumed_count += 1
@@ -165,7 +165,7 @@
             await socket.send_str(f"push:{number}")
 
     async def _echo(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serves any other upgraded protocol by EchoProtocol, until the connection is lost."""
+        """Serves any upgraded protocol other than WebSocket by EchoProtocol, until the connection is lost."""
         assert request.transport is not None
         ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.held_connections += 1
@@ -177,7 +177,7 @@
 
 
 class EchoProtocol(asyncio.Protocol):
-    """Echoes bytes in capitals, and answers the end of the stream by `BYE`; then resolves `ended`."""
+    """Echoes bytes in upper case, sends `BYE` at the end of the stream, and sets `ended` on disconnect."""
 
     def __init__(
         self, worker: SimulatedWorker, transport: asyncio.Transport, ended: asyncio.Future[None]
@@ -187,24 +187,24 @@
         self._ended = ended
 
     def data_received(self, data: bytes) -> None:
-        """Called by asyncio: echoes the bytes."""
+        """Echoes received bytes in upper case."""
         self._transport.write(data.upper())
 
     def eof_received(self) -> bool:
-        """Called by asyncio at the end of the client's stream: answers it and closes."""
+        """Sends `BYE` and closes the connection when the client has ended its stream."""
         self._transport.write(b"BYE")
         self._transport.close()
         return True
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Called by asyncio: lets the request's handler end."""
+        """Counts the connection as closed and sets `ended`, which ends the request handler."""
         self._worker.held_connections -= 1
         if not self._ended.done():
             self._ended.set_result(None)
 
 
-async def serve_alone() -> None:
-    """Runs one worker in this process: prints its address, and stops when standard input ends."""
+async def run_worker_process() -> None:
+    """Runs one worker in this process: prints its address, and stops at the end of standard input."""
     worker = SimulatedWorker("s-0", EffectLedger(), {})
     print(await worker.start(), flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
@@ -212,4 +212,4 @@
 
 
 if __name__ == "__main__":
-    asyncio.run(serve_alone())
+    asyncio.run(run_worker_process())
--- a/tests/forwarder/test_draining.py
+++ b/tests/forwarder/test_draining.py
@@ -78,10 +78,10 @@
         await self.wait_for_table(forwarder, "s-1")
         answered, unanswered = await self.open(forwarder, 2)
         worker.delay_s = 2.0
-        first = await answered.ask("release")
+        first = await answered.send_request("release")
         await self.wait_until(lambda: self.ledger.releases[first] == 1)
         worker.delay_s = 60.0
-        second = await unanswered.ask("release")
+        second = await unanswered.send_request("release")
         await self.wait_until(lambda: self.ledger.releases[second] == 1)
         other = await self.worker("s-2")
         await self.wait_for_table(forwarder, "s-1", "s-2")
@@ -181,8 +181,8 @@
         await self.worker("s-0")
         forwarder = await self.forwarder((await self.manager()).port, kinds=classes)
         await self.wait_for_table(forwarder, "s-0")
-        await self.open(forwarder, 20, reconnects_at_once=True)
-        await self.open(forwarder, 5, busy=True, ask_interval_s=0.1)
+        await self.open(forwarder, 20, reconnects_immediately=True)
+        await self.open(forwarder, 5, busy=True, request_interval_s=0.1)
         ignoring = [await self.open_websocket(forwarder) for _ in range(5)]
         other = await self.worker("s-1")
         await self.wait_for_table(forwarder, "s-0", "s-1")
--- a/tests/forwarder/test_operator_file.py
+++ b/tests/forwarder/test_operator_file.py
@@ -45,7 +45,7 @@
     def setUp(self) -> None:
         process = ForwarderProcess(1, "127.0.0.1:1", ["127.0.0.1:2"], UPGRADES)
         self.addCleanup(shutil.rmtree, process.folder)
-        self.valid_part = process.part
+        self.valid_part = process.section
 
     def with_forwarder(self, **changes: Any) -> str:
         """A file whose forwarder's part is valid but for these changes."""
--- a/tests/forwarder/test_upgrades.py
+++ b/tests/forwarder/test_upgrades.py
@@ -101,7 +101,7 @@
     async def test_a_stopping_forwarder_closes_in_order(self) -> None:
         clients = await self.open(self.only_forwarder, 20)
         self.only_worker.delay_s = 1.0
-        number = await clients[0].ask("release")
+        number = await clients[0].send_request("release")
         await self.wait_until(lambda: self.ledger.releases[number] == 1)
         self.assertEqual(await self.only_forwarder.stop(), 0)
         # A client may read its close after the forwarder has ended.
--- a/tests/planning/test_advice_weighting.py
+++ b/tests/planning/test_advice_weighting.py
@@ -155,15 +155,15 @@
         unadvised = self.served_share()
         self.assertGreater(self.served_share(month_end_advisors.honest_advisor), unadvised)
         for dishonest in (
-            month_end_advisors.lying_advisor,
+            month_end_advisors.inverted_advisor,
             month_end_advisors.random_advisor,
             month_end_advisors.zero_advisor,
             month_end_advisors.maximum_advisor,
-            month_end_advisors.stalling_advisor,
-            month_end_advisors.stalling_then_lying_advisor,
+            month_end_advisors.stopping_advisor,
+            month_end_advisors.stopping_then_inverted_advisor,
         ):
             self.assertGreater(self.served_share(dishonest), 0.9 * unadvised, dishonest.__name__)
-        both = self.served_share(month_end_advisors.honest_advisor, month_end_advisors.lying_advisor)
+        both = self.served_share(month_end_advisors.honest_advisor, month_end_advisors.inverted_advisor)
         self.assertGreater(both, unadvised)
 
     def test_advice_overloads_no_warming_up_worker_and_undoes_no_drain(self) -> None:
@@ -184,8 +184,8 @@
 
         unadvised = MonthEndRun({}, duration_s=50.0).run(start_one_and_drain_one)
         advised = MonthEndRun({ADVISOR: flattering_advisor}, duration_s=50.0).run(start_one_and_drain_one)
-        self.assertGreater(unadvised.worst_warm_up_load, 0.0)  # it was used while it was warming up
-        self.assertLess(advised.worst_warm_up_load, 1.0)
+        self.assertGreater(unadvised.max_warm_up_load, 0.0)  # it was used while it was warming up
+        self.assertLess(advised.max_warm_up_load, 1.0)
         self.assertEqual(advised.proxies_without_worker, 0)
 
 
--- a/tests/plugins/test_forwarder_plugins.py
+++ b/tests/plugins/test_forwarder_plugins.py
@@ -152,7 +152,7 @@
 
     async def reload(self, forwarder: ForwarderProcess, plugins: OperatorPart) -> None:
         """Writes the operators' file with other plug-ins, and waits until they are loaded."""
-        forwarder.write_json("operator.json5", {"forwarder": {**forwarder.part, "plugins": plugins}})
+        forwarder.write_json("operator.json5", {"forwarder": {**forwarder.section, "plugins": plugins}})
         forwarder.send_signal(signal.SIGHUP)
         await forwarder.wait_for_log("plugins_reloaded")
 
--- a/tests/policy/test_channel_budget.py
+++ b/tests/policy/test_channel_budget.py
@@ -40,7 +40,7 @@
         """Workers depart and return under their ids and others, proxies come from other managers and
         disconnect, and the run is long enough that departed workers are forgotten."""
         fleet = start_fleet()
-        fleet.connect_proxies(range(400), fresh=True)
+        fleet.connect_proxies(range(400), have_no_table=True)
         fleet.run(4)
         list_workers(fleet, EndpointState.DRAINING, range(20))
         fleet.run(3)
--- a/tests/support/forwarder_rig.py
+++ b/tests/support/forwarder_rig.py
@@ -129,8 +129,8 @@
         *,
         busy: bool = False,
         releases: bool = False,
-        reconnects_at_once: bool = False,
-        ask_interval_s: float = 0.2,
+        reconnects_immediately: bool = False,
+        request_interval_s: float = 0.2,
     ) -> list[HoldingClient]:
         """Starts clients with an upgraded connection each, and waits until they are connected."""
         first = len(self.clients)
@@ -143,8 +143,8 @@
                 f"d{first + number}",
                 busy=busy,
                 releases=releases,
-                reconnects_at_once=reconnects_at_once,
-                ask_interval_s=ask_interval_s,
+                reconnects_immediately=reconnects_immediately,
+                request_interval_s=request_interval_s,
             )
             for number in range(count)
         ]
--- a/tests/support/manager_program.py
+++ b/tests/support/manager_program.py
@@ -80,7 +80,7 @@
 
     async def wait_for_log(self, *parts: str) -> str:
         """Waits for the first log line that contains all of `parts`; removes and returns it."""
-        line = await self._log.wait_for_parts(*parts, timeout_s=EVENT_TIMEOUT_S)
+        line = await self._log.wait_for_substrings(*parts, timeout_s=EVENT_TIMEOUT_S)
         self.lines.remove(line)
         return line
 
--- a/tests/weight_advice/test_advisor_clients.py
+++ b/tests/weight_advice/test_advisor_clients.py
@@ -61,7 +61,7 @@
         table: dict[str, float] = {}
         await self.apply_orders(proxy, table, lambda: first_to_last_ratio(table) > 1.5)
         self.assertEqual(set(table), WORKER_IDS)
-        advisor.service.mode = AdvisorMode.STALL
+        advisor.service.mode = AdvisorMode.PARTIAL_MESSAGE
         stalled_at = time.monotonic()
         await self.apply_orders(proxy, table, lambda: first_to_last_ratio(table) < 1.15)
         self.assertLess(time.monotonic() - stalled_at, SHORT_MAX_WEIGHT_AGE_S + FADE_MARGIN_S)
@@ -89,9 +89,9 @@
         advisor = await self.start_advisor(lambda _: 10)
         manager = await self.start_manager(follow=[advisor.follow])
         await manager.wait_for_log("advisor_connected")
-        advisor.service.mode = AdvisorMode.GARBLE
+        advisor.service.mode = AdvisorMode.INVALID_BYTES
         await manager.wait_for_log("advisor_disconnected", "no header")
-        advisor.service.mode = AdvisorMode.CUT
+        advisor.service.mode = AdvisorMode.DISCONNECT
 
         def is_end_of_cut(line: str) -> bool:
             """The connection may end by a close or by a reset."""
