--- a/tests/weight_advice/test_errors.py
+++ b/tests/weight_advice/test_errors.py
@@ -235,7 +235,7 @@
 
     async def test_a_connection_closed_before_the_reply_is_reported(self) -> None:
         advisor = SaspAdvisor(lambda _: 1)
-        advisor.mode = AdvisorMode.CUT
+        advisor.mode = AdvisorMode.DISCONNECT
         host, _, port = (await advisor.start()).rpartition(":")
         self.addAsyncCleanup(advisor.close)
         with self.assertRaises(ConnectionClosedError) as caught:
