--- a/cottonladder/forwarder/errors.py
+++ b/cottonladder/forwarder/errors.py
@@ -32,10 +32,6 @@
         self.worker_id = worker_id
 
 
-class FrameError(ForwarderError, ValueError):
-    """Bytes that are not WebSocket frames, or frames that the peer may not send."""
-
-
 class BodyTooLargeError(ForwarderError):
     """A request body over the limit."""
 
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from .drain_orders import NO_ORDER
-from .errors import FrameError
+from .frame_errors import FrameError
 from .frame_scanner import INTERNAL_ERROR, PROTOCOL_ERROR, encode_close_frame
 from .resource_limits import STALL_TIMEOUT_S
 from .tunnel_close import TunnelClose
@@ -294,7 +294,7 @@
 
     def _end_for_fault(self, end: TunnelEnd, error: FrameError) -> None:
         if end is self.client_end:
-            self.send_close(PROTOCOL_ERROR, str(error))
+            self.send_close(PROTOCOL_ERROR, error.close_reason)
             self.end(f"client: {error}", FAULT_LINGER_S)
         else:
             self.end(f"worker: {error}")
--- a/cottonladder/forwarder/tunnel_frames.py
+++ b/cottonladder/forwarder/tunnel_frames.py
@@ -1,4 +1,4 @@
-"""Follows the WebSocket frames of a tunnel in both directions and counts the requests without an answer."""
+"""Follows the WebSocket frames of a tunnel in both directions and counts the unanswered requests."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
     def __init__(self, policy: UpgradePolicy) -> None:
         self._policy = policy
-        self.from_client = FrameScanner(masked=True)
-        self.from_worker = FrameScanner(masked=False)
+        self.from_client = FrameScanner(expects_mask=True)
+        self.from_worker = FrameScanner(expects_mask=False)
         self.pending_requests = 0
 
     @property
@@ -28,7 +28,7 @@
         return self.from_worker.is_between_frames and not self.from_worker.is_closed
 
     def feed_from_client(self, data: bytes) -> bytes:
-        """The bytes to send to the worker."""
+        """Scans data of the client and returns the bytes to send to the worker."""
         result = self.from_client.feed(data)
         prefix = self._policy.request_prefix
         if prefix is not None:
@@ -36,7 +36,7 @@
         return result.forwarded + result.closing
 
     def feed_from_worker(self, data: bytes) -> ScanResult:
-        """The bytes to send to the client, with those of a close frame apart."""
+        """Scans data of the worker; the result sets a close frame apart from what the client receives."""
         result = self.from_worker.feed(data)
         if self._policy.request_prefix is not None and self.pending_requests:
             prefix = self._policy.response_prefix
@@ -45,5 +45,5 @@
         return result
 
     def restart_from_worker(self) -> None:
-        """Forgets the old worker's frames: those that follow come from another worker, or none follow."""
-        self.from_worker = FrameScanner(masked=False)
+        """Discards the scan state of the worker whose frames are no longer relayed."""
+        self.from_worker = FrameScanner(expects_mask=False)
--- a/tests/forwarder/test_upgrades.py
+++ b/tests/forwarder/test_upgrades.py
@@ -45,7 +45,10 @@
         self.assertIn(b"s3pPLMBiTxaQ9kYGzzhZRbK+xOo=", head)  # RFC 6455, 1.3: as the worker answered
         writer.write(encode_frame(TEXT, b"no mask", False))
         received = await asyncio.wait_for(reader.read(), EVENT_TIMEOUT_S)
-        self.assertEqual(received[2:4], struct.pack("!H", 1002))
+        self.assertEqual(received[2:], struct.pack("!H", 1002) + b"a frame without a mask")
+        await self.only_forwarder.wait_for_log(
+            "event=connections_ended", "client: frame without a masking key"
+        )
         await self.wait_until(lambda: worker.held_connections == 0)
 
     async def test_other_protocols_pass_as_bytes_with_half_closed_ends(self) -> None:
