--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -1,8 +1,7 @@
 """One upgraded connection: relays bytes between a client and a worker, and is migrated or closed gracefully.
 
-The `Tunnel` owns both transports and closes them at its end; a migration closes the worker connection that it
-replaces.  Migration and close are steps of their own (`tunnel_migration`, `tunnel_close`) that act on the
-tunnel.
+The `Tunnel` owns both transports and closes them when it ends.  `tunnel_migration` switches it to another
+worker and closes the connection to the old one; `tunnel_close` closes it gracefully.
 """
 
 from __future__ import annotations
@@ -19,34 +18,34 @@
 from .tunnel_close import TunnelClose
 from .tunnel_ends import ClientEnd, TunnelEnd, WorkerEnd
 from .tunnel_frames import TunnelFrames
-from .tunnel_migration import NEW_WORKER_ENDED, Connect, TunnelMigration
+from .tunnel_migration import NEW_CONNECTION_CLOSED, Connect, TunnelMigration
 from .tunnel_states import TRANSITIONS, TunnelEvent, TunnelState
 from .upgrade_policy import UpgradePolicy
 
-CLOSE_TIMEOUT_S = 2.0  # for the client to answer a close and the worker to end, before both are closed
-FAULT_LINGER_S = 0.2  # added to CLOSE_TIMEOUT_S, so that a client can read why it was closed
-STALLED = "left bytes unread"  # the reason of an end after which nothing more can be delivered
+CLOSE_TIMEOUT_S = 2.0  # for the peers to complete a graceful close, and for written bytes to be sent
+FAULT_LINGER_S = 0.2  # added to CLOSE_TIMEOUT_S, so that the client can read the reason of the close
+WRITE_STALLED = f"write buffer full for {STALL_TIMEOUT_S:g} s"  # reason of an end that discards unsent bytes
 
 
 class TunnelObserver(Protocol):
-    """Is notified when a tunnel leaves its worker, fails to leave it, or ends."""
+    """Is notified when a tunnel migrates, fails to migrate, or ends."""
 
     def tunnel_migrated(self, tunnel: Tunnel, source: str, order: int) -> None:
-        """The tunnel has left the worker `source` for its present worker."""
+        """Handles a migration from the worker `source` to the tunnel's present worker."""
 
-    def tunnel_stayed(self, tunnel: Tunnel, order: int, reason: str) -> None:
-        """The tunnel could not migrate and stays at its worker."""
+    def migration_failed(self, tunnel: Tunnel, order: int, reason: str) -> None:
+        """Handles a failed migration; the tunnel stays at its worker."""
 
     def tunnel_ended(self, tunnel: Tunnel, reason: str) -> None:
-        """The tunnel has closed both its transports."""
+        """Handles the end of a tunnel, whose transports are closed."""
 
 
 @dataclass(frozen=True, slots=True)
 class TunnelOptions:
-    """What a tunnel needs to know of the upgrade that began it.
+    """The properties of a tunnel that follow from its upgrade request.
 
-    `handshake_head` is the request as it was sent to the worker; `client_address` is the address whose
-    connection slot the tunnel occupies.
+    `handshake_head` is the request head as it was sent to the worker.  `client_address` is the address to
+    which the tunnel's connection slot is charged.
     """
 
     request_class: str
@@ -57,9 +56,10 @@
 
 
 class Tunnel:
-    """An upgraded connection from the worker's status 101 to the end of both transports.
+    """An upgraded connection, from the worker's status 101 until both transports are closed.
 
-    `order` is the number of the manager's order that is being carried out on the tunnel, or `NO_ORDER`.
+    `order` is the number of the manager's migration order that is in progress for the tunnel, or `NO_ORDER`.
+    `active_at` is when either peer last sent data, on the loop's clock.
     """
 
     __slots__ = (
@@ -104,19 +104,19 @@
         self._eof_count = 0
 
     def start(self) -> None:
-        """Begins to relay, first the bytes that the worker sent together with its answer."""
+        """Starts to relay, beginning with the bytes that the worker sent together with its response."""
         self.client_end.tunnel = self
         self.worker_end.tunnel = self
-        buffered = self.worker_end.take_buffered()
+        buffered = self.worker_end.pop_buffered()
         self.worker_end.resume_reading()
         if buffered:
             self.data_received(self.worker_end, buffered)
-        if self.worker_end.is_lost:  # it was lost during the handshake: asyncio reports that only once
+        if self.worker_end.is_lost:  # during the handshake, and asyncio reports the loss only once
             self.connection_lost(self.worker_end, None)
         elif self.worker_end.has_eof:
             self.eof_received(self.worker_end)
 
-    # State as others read it.
+    # State.
 
     @property
     def is_closing(self) -> bool:
@@ -135,11 +135,11 @@
 
     @property
     def pending_requests(self) -> int:
-        """How many requests the worker has not answered; 0 where requests can't be recognised."""
+        """The number of unanswered requests; 0 if the class has no request prefix to recognise them by."""
         return self.frames.pending_requests if self.frames is not None else 0
 
     def is_busy(self, now: float) -> bool:
-        """Whether an end of the connection now would interrupt a request or a message."""
+        """Returns whether closing the connection now would interrupt a request or a message."""
         if self.pending_requests > 0:
             return True
         if self.frames is not None and not self.frames.is_idle:
@@ -149,7 +149,7 @@
     # Relay of bytes.
 
     def data_received(self, end: TunnelEnd, data: bytes) -> None:
-        """Relays bytes of one end to the other."""
+        """Relays bytes from one end to the other."""
         self.active_at = self._loop.time()
         try:
             if end is self.client_end:
@@ -157,9 +157,9 @@
             elif end is self.worker_end:
                 self._relay_from_worker(data)
             elif isinstance(end, WorkerEnd):
-                end.buffer(data)  # the new worker sends before the old one has ended
+                end.buffer(data)  # from the new worker, while the old one still sends
         except FrameError as error:
-            self._end_for_fault(end, error)
+            self._end_for_frame_error(end, error)
 
     def _relay_from_client(self, data: bytes) -> None:
         if self.state is TunnelState.CLOSING:
@@ -185,26 +185,26 @@
         else:
             self.client_end.write(result.closing)
 
-    def _other(self, end: TunnelEnd) -> TunnelEnd:
+    def _opposite_end(self, end: TunnelEnd) -> TunnelEnd:
         return self.worker_end if end is self.client_end else self.client_end
 
     def writing_paused(self, end: TunnelEnd) -> None:
-        """Stops reading from the other end until this one has read what waits for it, or has timed out."""
-        self._other(end).pause_reading()
+        """Stops reading from the opposite end, and ends the tunnel if the stall lasts too long."""
+        self._opposite_end(end).pause_reading()
         if end not in self._stall_timers:
-            self._stall_timers[end] = self._loop.call_later(STALL_TIMEOUT_S, self.end, STALLED)
+            self._stall_timers[end] = self._loop.call_later(STALL_TIMEOUT_S, self.end, WRITE_STALLED)
 
     def writing_resumed(self, end: TunnelEnd) -> None:
-        """Reads from the other end again."""
+        """Resumes reading from the opposite end, unless that is the client during a migration."""
         if (timer := self._stall_timers.pop(end, None)) is not None:
             timer.cancel()
-        other = self._other(end)
+        opposite_end = self._opposite_end(end)
         is_migrating = self.state in (TunnelState.CONNECTING, TunnelState.HANDING_OVER)
-        if is_migrating and other is self.client_end:
+        if is_migrating and opposite_end is self.client_end:
             return  # the migration resumes reading from the client when it has finished
-        other.resume_reading()
+        opposite_end.resume_reading()
 
-    # Ends of the two connections.
+    # End of file and loss of a connection.
 
     def eof_received(self, end: TunnelEnd) -> None:
         """Relays an end of file; the other direction stays open."""
@@ -215,67 +215,68 @@
         if end is not self.client_end and end is not self.worker_end:
             return
         if self._eof_count >= 2:
-            self.end("ended by both sides")
+            self.end("end of file from both sides")
             return
-        other = self._other(end).open_transport()
-        if other is None or not other.can_write_eof():
-            self.end("ended")
+        transport = self._opposite_end(end).open_transport()
+        if transport is None or not transport.can_write_eof():
+            self.end("end of file that can't be relayed")
         else:
-            other.write_eof()
+            transport.write_eof()
 
     def connection_lost(self, end: TunnelEnd, exc: Exception | None) -> None:
-        """Ends the tunnel, or a migration, as the connection of one end is closed."""
+        """Ends the tunnel or the migration that has lost one of its connections."""
         if end is self.worker_end and self.state is TunnelState.HANDING_OVER:
             self.migration.complete()
         elif self.migration.is_new_end(end):
-            self.migration.abandon(NEW_WORKER_ENDED)
+            self.migration.abandon(NEW_CONNECTION_CLOSED)
         elif end is self.client_end:
-            self._end_for_loss(f"client: {exc or 'closed'}")
+            self._end_for_lost_connection(f"client: {exc or 'connection closed'}")
         elif end is self.worker_end:
             if self.state is TunnelState.OPEN and exc is not None:
                 self.send_close(INTERNAL_ERROR, "worker lost")
-            self._end_for_loss(f"worker: {exc or 'closed'}")
+            self._end_for_lost_connection(f"worker: {exc or 'connection closed'}")
 
-    def _end_for_loss(self, reason: str) -> None:
-        """Ends the tunnel; the reason of a close under way takes precedence over that of the loss."""
+    def _end_for_lost_connection(self, reason: str) -> None:
+        """Ends the tunnel; the reason of a close in progress takes precedence over `reason`."""
         self.end(self._close.reason or reason)
 
-    # State changes and timers, which migration and close use too.
+    # State changes and timers, also for `TunnelMigration` and `TunnelClose`.
 
     def enter(self, event: TunnelEvent) -> None:
-        """Moves to the state that follows `event`; raises KeyError where the event may not occur."""
+        """Enters the state that follows `event`.  Raises KeyError if the event is invalid in this state."""
         self.state = TRANSITIONS[self.state, event]
 
     def start_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
-        """Starts the timer of the step under way; there is one at a time."""
+        """Starts the timer of the migration or close in progress; there is at most one of these timers."""
         self._timer = self._loop.call_later(delay_s, callback)
 
     def cancel_timers(self) -> None:
-        """Cancels the timer of the step under way and the timers of stalled ends."""
+        """Cancels the timer of the migration or close, and the timers of stalled ends."""
         for timer in (self._timer, *self._stall_timers.values()):
             if timer is not None:
                 timer.cancel()
         self._timer = None
         self._stall_timers = {}
 
-    # Migration, close and end.
+    # Migration and closing.
 
     def migrate(self, order: int, connect: Connect) -> None:
-        """Begins to migrate to the worker that `connect` reaches."""
+        """Starts to migrate to the worker that `connect` connects to."""
         self.migration.start(order, connect)
 
     def notify_migrated(self, source: str, order: int) -> None:
-        """Reports to the observer that the tunnel has left the worker `source`."""
+        """Notifies the observer that the tunnel has left the worker `source`."""
         self._observer.tunnel_migrated(self, source, order)
 
     def notify_migration_abandoned(self, order: int, reason: str) -> None:
-        """Reports to the observer that the tunnel stays at its worker."""
-        self._observer.tunnel_stayed(self, order, reason)
+        """Notifies the observer that the tunnel stays at its worker."""
+        self._observer.migration_failed(self, order, reason)
 
     def close(self, order: int, code: int, message: str, reason: str, timeout_s: float) -> None:
-        """Closes the tunnel gracefully, at the latest after `timeout_s`.
+        """Closes the tunnel gracefully, after `timeout_s` at the latest.
 
-        `order` is the manager's order that is carried out; `TunnelClose.start` explains the rest.
+        `order` is the number of the manager's order to close it, or `NO_ORDER`.  The other parameters are
+        those of `TunnelClose.start`.
         """
         if self.is_closing:
             return
@@ -284,15 +285,18 @@
         self._close.start(code, message, reason, timeout_s)
 
     def send_close(self, code: int, message: str) -> None:
-        """Sends a close frame to the client, unless that would interrupt another frame."""
+        """Sends a close frame to a WebSocket client.
+
+        Does nothing if a frame to the client is incomplete or the worker has already sent a close frame.
+        """
         if self.frames is not None and self.frames.may_close_to_client:
             self.client_end.write(encode_close_frame(code, message, False))
 
     def abort(self) -> None:
-        """Ends the tunnel because the program ends."""
-        self.end("forwarder ended")
+        """Ends the tunnel because the forwarder shuts down."""
+        self.end("forwarder shut down")
 
-    def _end_for_fault(self, end: TunnelEnd, error: FrameError) -> None:
+    def _end_for_frame_error(self, end: TunnelEnd, error: FrameError) -> None:
         if end is self.client_end:
             self.send_close(PROTOCOL_ERROR, error.close_reason)
             self.end(f"client: {error}", FAULT_LINGER_S)
@@ -300,7 +304,11 @@
             self.end(f"worker: {error}")
 
     def end(self, reason: str, linger_s: float = 0.0) -> None:
-        """Closes both transports and ends the tunnel."""
+        """Ends the tunnel and closes both transports.
+
+        Written bytes are still sent for `CLOSE_TIMEOUT_S + linger_s`, unless the tunnel ends because a peer
+        has stalled.
+        """
         if self.state is TunnelState.CLOSED:
             return
         self.cancel_timers()
@@ -314,7 +322,7 @@
     def _close_transport(self, end: TunnelEnd, reason: str, linger_s: float) -> None:
         if end.transport is None:
             return
-        if reason == STALLED:
+        if reason == WRITE_STALLED:
             end.transport.abort()
             return
         end.transport.close()  # asyncio still sends what has been written
--- a/cottonladder/forwarder/tunnel_close.py
+++ b/cottonladder/forwarder/tunnel_close.py
@@ -1,4 +1,4 @@
-"""Closes one tunnel gracefully: sends close frames on WebSocket connections, then waits a bounded time."""
+"""Closes one tunnel gracefully: sends close frames on a WebSocket connection, then waits a limited time."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 
 class ClosableTunnel(Protocol):
-    """The parts of a tunnel that a close needs."""
+    """The members of a tunnel that a close uses."""
 
     client_end: ClientEnd
     worker_end: WorkerEnd
     frames: TunnelFrames | None
 
     def enter(self, event: TunnelEvent) -> None:
-        """Moves the tunnel to the state that follows `event`."""
+        """Enters the state that follows `event`."""
 
     def start_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
-        """Starts the timer of the step under way."""
+        """Starts the timer of the close."""
 
     def cancel_timers(self) -> None:
         """Cancels every timer of the tunnel."""
 
     def send_close(self, code: int, message: str) -> None:
-        """Sends a close frame to the client where the protocol allows one."""
+        """Sends a close frame to the client if the protocol allows one now."""
 
     def end(self, reason: str) -> None:
-        """Closes both transports."""
+        """Ends the tunnel and closes both transports."""
 
 
 class TunnelClose:
-    """The close of one tunnel; `reason` is empty until the close has begun."""
+    """The graceful close of one tunnel; `reason` is empty until the close has begun."""
 
     __slots__ = ("_code", "_message", "_tunnel", "reason")
 
@@ -46,10 +46,10 @@
         self.reason = ""
 
     def start(self, code: int, message: str, reason: str, timeout_s: float) -> None:
-        """Begins the close.
+        """Starts the close.
 
-        The client receives `code` and `message`; `reason` goes to the log.  The tunnel ends after
-        `timeout_s` even if a peer has not answered the close.
+        The client receives `code` and `message` in a close frame; `reason` is for the log.  The tunnel ends
+        after `timeout_s` even if a peer has not answered the close.
         """
         tunnel = self._tunnel
         tunnel.cancel_timers()
@@ -66,7 +66,7 @@
         self._send_close_frames()
 
     def _send_close_frames(self) -> None:
-        """Sends the close frames, unless a frame to the client is still incomplete."""
+        """Sends the close frames, unless a frame to the client is incomplete."""
         tunnel = self._tunnel
         frames = tunnel.frames
         if frames is None or not frames.from_worker.is_between_frames or tunnel.client_end.transport is None:
@@ -78,7 +78,7 @@
             tunnel.worker_end.write(encode_close_frame(self._code, "", True))
 
     def data_from_client(self, data: bytes) -> None:
-        """Drops the data; ends the tunnel once the client has sent a close frame."""
+        """Discards the data; ends the tunnel when the client has sent a close frame."""
         frames = self._tunnel.frames
         if frames is None or not self._code:
             return
@@ -87,7 +87,7 @@
             self._tunnel.end(self.reason)
 
     def data_from_worker(self, data: bytes) -> None:
-        """Relays the rest of an incomplete frame, then sends the close frames; drops any later data."""
+        """Relays the rest of an incomplete frame, then sends the close frames; discards later data."""
         frames = self._tunnel.frames
         if frames is None or not self._code or frames.from_worker.is_between_frames:
             return
--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -1,4 +1,4 @@
-"""Owns every tunnel of a forwarder: counts them by worker, carries out drains, and closes them gracefully."""
+"""Manages the tunnels of a forwarder: counts them by worker, executes drains, and closes them at shutdown."""
 
 from __future__ import annotations
 
@@ -22,14 +22,18 @@
 from .upgrade_handshake import handshake
 from .worker_slots import WorkerSlots
 
-MAX_END_REASONS = 32  # reasons that are counted separately between two log lines
-MAX_LOGGED_REASON_CHARACTERS = 64  # of the text of a worker or of an error
+MAX_LOGGED_REASONS = 32  # per log line; further reasons are counted together
+MAX_FAILURE_REASON_CHARACTERS = 64  # of the reason of a failed migration
 OTHER_REASONS = "others"
 
 
 @dataclass(slots=True)
 class TunnelCounters:
-    """How tunnels left their workers; the names are keys of the status that operators read."""
+    """How many tunnels have left a worker, by the way they left.
+
+    `moved`: migrated; `closed`: closed for a drain; `cut`: closed at the end of the grace period, of which
+    `busy_cut` had an unanswered request.  The names are keys of the status that operators read.
+    """
 
     moved: int = 0
     closed: int = 0
@@ -37,12 +41,12 @@
     busy_cut: int = 0
 
     def as_status(self) -> dict[str, int]:
-        """The counters by name."""
+        """Returns the counters by name."""
         return asdict(self)
 
 
 class TunnelManager:
-    """Observes and closes the tunnels, and owns the handshakes with workers that they migrate to."""
+    """Observes, migrates and closes tunnels, and owns the tasks of the handshakes with new workers."""
 
     def __init__(
         self, services: RequestServices, drainer: ConnectionDrainer, listener: ClientListener
@@ -53,37 +57,37 @@
         self._handshakes: set[asyncio.Task[WorkerEnd]] = set()
         self.registry: ConnectionRegistry[Tunnel] = ConnectionRegistry()
         self.slots = WorkerSlots(services, self.registry)
-        self._end_reasons: dict[str, int] = {}  # number of tunnels by reason, since the last log line
+        self._end_reasons: dict[str, int] = {}  # event count by reason, since the last log line
         self.counters = TunnelCounters()
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     # Notifications from tunnels.
 
     def tunnel_migrated(self, tunnel: Tunnel, source: str, order: int) -> None:
-        """Counts a tunnel at its present worker instead of `source`."""
+        """Moves a tunnel from the count of the worker `source` to that of its current worker."""
         self.registry.move(source, tunnel.worker_id, tunnel)
         self.counters.moved += 1
         self._drainer.connection_settled(source, order, True)
 
-    def tunnel_stayed(self, tunnel: Tunnel, order: int, reason: str) -> None:
-        """Counts a migration that failed."""
+    def migration_failed(self, tunnel: Tunnel, order: int, reason: str) -> None:
+        """Records a failed migration and its reason."""
         self._drainer.connection_settled(tunnel.worker_id, order, False)
-        self._count_reason(f"stayed: {reason[:MAX_LOGGED_REASON_CHARACTERS]}")
+        self._count_reason(f"migration failed: {reason[:MAX_FAILURE_REASON_CHARACTERS]}")
 
     def tunnel_ended(self, tunnel: Tunnel, reason: str) -> None:
-        """Removes a tunnel whose transports are closed, and releases the slot of its client."""
+        """Removes an ended tunnel, releases its client's slot, and records the reason."""
         self.registry.remove(tunnel.worker_id, tunnel)
         self._listener.slots.release(tunnel.client_address)
         self._drainer.connection_settled(tunnel.worker_id, tunnel.order, True)
         self._count_reason(reason)
 
     def _count_reason(self, reason: str) -> None:
-        is_separate = reason in self._end_reasons or len(self._end_reasons) < MAX_END_REASONS
+        is_separate = reason in self._end_reasons or len(self._end_reasons) < MAX_LOGGED_REASONS
         key = reason if is_separate else OTHER_REASONS
         self._end_reasons[key] = self._end_reasons.get(key, 0) + 1
 
     def log_ended_connections(self) -> None:
-        """Logs one line for all connections that have ended since the last one."""
+        """Logs the connections that have ended and the migrations that have failed since the last call."""
         if self._end_reasons:
             count = sum(self._end_reasons.values())
             self.log.info("connections_ended", count=count, reasons=str(self._end_reasons))
@@ -92,7 +96,7 @@
     # Drains.
 
     def tick_drains(self) -> None:
-        """Carries out what is due of each drain."""
+        """Starts and cancels drains, and executes their due actions."""
         now = self._services.now()
         workers = self.registry.workers()
         self._start_and_cancel_drains(now, workers)
@@ -129,14 +133,14 @@
         self._drainer.state_changes.clear()
 
     def _close_timeout_s(self, worker_id: str, now: float) -> float:
-        """How long a close may take, as every connection must have ended when the grace period ends."""
+        """Returns the time limit for a close, as every connection has to end within the grace period."""
         return min(CLOSE_TIMEOUT_S, self._drainer.time_left_s(now, worker_id))
 
     def _release(self, release: ReleaseConnection, tunnel: Tunnel, now: float) -> bool:
-        """Migrates or closes one connection; False if no worker of the table has a slot for it yet."""
+        """Migrates or closes one connection; returns False if no worker in the table has a slot yet."""
         target = release.target
         if target is not None and not self._is_available(target):
-            # The destination has failed or left since the order was given: the manager plans again.
+            # The destination has failed or left since the order was sent, so the manager has to plan again.
             self._drainer.connection_settled(release.worker_id, release.order, False)
             return True
         if release.close or not tunnel.is_resumable:
@@ -159,7 +163,9 @@
         if release.target is None:
             delay_s = retry_after(0.0, self._services.rng.random())
         else:
-            self._services.pacer.reserve(now, release.target, 1)  # for the client, which reconnects at once
+            self._services.pacer.reserve(
+                now, release.target, 1
+            )  # for the client, which reconnects immediately
             delay_s = retry_after(0.0, 0.0)
         self.counters.closed += 1
         message = f"moved: come back in {delay_s} s"
@@ -180,7 +186,7 @@
         return task
 
     def _close_all(self, worker_id: str, now: float) -> None:
-        """Closes whatever is still open at a worker in the last phase of its grace period.
+        """Closes every connection that is still open at a worker, near the end of its grace period.
 
         A client with an unanswered request is notified that the outcome is unknown; the request is not sent
         to another worker.
@@ -194,11 +200,11 @@
             code = INTERNAL_ERROR if is_unknown else SERVICE_RESTART
             message = OUTCOME_UNKNOWN if is_unknown else "moved: come back in 1 s"
             timeout_s = self._close_timeout_s(worker_id, now)
-            tunnel.close(NO_ORDER, code, message, "cut at the end of the grace", timeout_s)
+            tunnel.close(NO_ORDER, code, message, "closed at the end of the grace period", timeout_s)
 
     # Shutdown of the forwarder.
 
-    def _all(self) -> list[Tunnel]:
+    def _all_tunnels(self) -> list[Tunnel]:
         return [
             tunnel
             for worker_id in self.registry.workers()
@@ -206,25 +212,25 @@
         ]
 
     def close_fraction(self, fraction: float) -> int:
-        """Closes a fraction of the open connections, idle ones first; returns how many stay open."""
+        """Closes a fraction of the open connections, idle ones first; returns how many remain open."""
         now = self._services.now()
-        still_open = [tunnel for tunnel in self._all() if not tunnel.is_closing]
+        still_open = [tunnel for tunnel in self._all_tunnels() if not tunnel.is_closing]
         still_open.sort(key=lambda tunnel: tunnel.is_busy(now))
         count = math.ceil(fraction * len(still_open))
         for tunnel in still_open[:count]:
-            self._close_for_stop(tunnel)
+            self._close_for_shutdown(tunnel)
         return len(still_open) - count
 
-    def _close_for_stop(self, tunnel: Tunnel) -> None:
+    def _close_for_shutdown(self, tunnel: Tunnel) -> None:
         delay_s = retry_after(0.0, self._services.rng.random())
         is_unknown = tunnel.pending_requests > 0
         code = INTERNAL_ERROR if is_unknown else GOING_AWAY
         message = OUTCOME_UNKNOWN if is_unknown else f"forwarder stops: come back in {delay_s} s"
-        tunnel.close(NO_ORDER, code, message, "forwarder stops", CLOSE_TIMEOUT_S)
+        tunnel.close(NO_ORDER, code, message, "forwarder shutting down", CLOSE_TIMEOUT_S)
 
     async def close(self) -> None:
-        """Ends every tunnel and cancels the handshakes of migrations under way."""
-        for tunnel in self._all():
+        """Ends every tunnel and cancels the handshakes of migrations in progress."""
+        for tunnel in self._all_tunnels():
             tunnel.abort()
         handshakes = list(self._handshakes)
         for task in handshakes:
--- a/cottonladder/forwarder/tunnel_migration.py
+++ b/cottonladder/forwarder/tunnel_migration.py
@@ -1,8 +1,8 @@
 """Migrates one tunnel to another worker without its client noticing.
 
-The forwarder does not read from the client during a migration.  The new worker first has to accept the
-connection.  The forwarder then asks the old worker to close, and relays what the old worker still sends
-before the first byte of the new worker.
+The forwarder does not read from the client during a migration.  It performs the handshake with the new worker
+first.  It then asks the old worker to close, and relays the old worker's last bytes before the first byte of
+the new worker.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from .tunnel_states import TunnelEvent, TunnelState
 from .upgrade_policy import UpgradePolicy
 
-HANDOVER_TIMEOUT_S = 1.0  # for the old worker's last frames once the new worker has accepted
-MAX_KEPT_HEAD_BYTES = 8192  # of a handshake that is kept in order to repeat it at another worker
+HANDOVER_TIMEOUT_S = 1.0  # for the old worker to send its last frames after the new worker has accepted
+MAX_KEPT_HEAD_BYTES = 8192  # a connection with a larger handshake head can't migrate
 CRLF = b"\r\n"
 
-# Reasons for a tunnel to stay at its worker, as they appear in the log.
-RESUMPTION_REJECTED = "not taken over"
-NEW_WORKER_ENDED = "the new worker ended the connection"
-BUSY_AGAIN = "busy again"
+# Reasons of failed migrations, for the log.
+RESUMPTION_REJECTED = "the new worker rejected the resumption"
+NEW_CONNECTION_CLOSED = "the new worker closed the connection"
+BECAME_BUSY = "the connection became busy"
 
-# Starts the handshake with the new worker; the argument is the head of the request.
+# Starts the handshake with the new worker.  The argument is the request head.
 Connect = Callable[[bytes], asyncio.Task[WorkerEnd]]
 
 
 class MigratingTunnel(TunnelEvents, Protocol):
-    """The parts of a tunnel that a migration needs."""
+    """The members of a tunnel that a migration uses."""
 
     client_end: ClientEnd
     worker_end: WorkerEnd
@@ -45,36 +45,36 @@
     active_at: float
 
     def is_busy(self, now: float) -> bool:
-        """Whether a request or a message is incomplete."""
+        """Returns whether a request or a message is incomplete, or the quiet time has not passed."""
         ...
 
     def enter(self, event: TunnelEvent) -> None:
-        """Moves the tunnel to the state that follows `event`."""
+        """Enters the state that follows `event`."""
 
     def start_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
-        """Starts the timer of the step under way."""
+        """Starts the timer of the migration."""
 
     def cancel_timers(self) -> None:
         """Cancels every timer of the tunnel."""
 
     def send_close(self, code: int, message: str) -> None:
-        """Sends a close frame to the client where the protocol allows one."""
+        """Sends a close frame to the client if the protocol allows one now."""
 
     def start(self) -> None:
-        """Begins to relay between the client and the present worker."""
+        """Starts to relay between the client and the current worker."""
 
     def end(self, reason: str) -> None:
-        """Closes both transports."""
+        """Ends the tunnel and closes both transports."""
 
     def notify_migrated(self, source: str, order: int) -> None:
-        """Reports that the tunnel has left the worker `source`."""
+        """Notifies the observer that the tunnel has left the worker `source`."""
 
     def notify_migration_abandoned(self, order: int, reason: str) -> None:
-        """Reports that the tunnel stays at its worker."""
+        """Notifies the observer that the tunnel stays at its worker."""
 
 
 class TunnelMigration:
-    """What one tunnel needs in order to migrate, and the migration under way."""
+    """The handshake head and the ticket with which one tunnel can migrate, and its migration in progress."""
 
     __slots__ = ("_handshake_head", "_new_end", "_ticket", "_tunnel")
 
@@ -88,15 +88,15 @@
 
     @property
     def is_possible(self) -> bool:
-        """Whether the worker has given a ticket with which another worker can resume the connection."""
+        """Whether another worker can resume the connection with the ticket of the current worker."""
         return bool(self._ticket and self._handshake_head)
 
     def is_new_end(self, end: TunnelEnd) -> bool:
-        """Whether `end` belongs to the new worker and the tunnel has not switched to it yet."""
+        """Returns whether `end` is the connection to the new worker during the handover."""
         return end is self._new_end
 
     def start(self, order: int, connect: Connect) -> None:
-        """Begins the handshake with the new worker; does nothing unless the tunnel is open."""
+        """Starts the handshake with the new worker; does nothing unless the tunnel is open."""
         tunnel = self._tunnel
         if tunnel.state is not TunnelState.OPEN:
             return
@@ -104,7 +104,7 @@
         tunnel.order = order
         tunnel.client_end.pause_reading()
         ticket_line = f"{tunnel.policy.ticket_header}: {self._ticket}".encode("latin-1")
-        # The ticket goes before the empty line that ends the head.
+        # The ticket header is inserted before the empty line that ends the head.
         head = self._handshake_head.removesuffix(CRLF) + ticket_line + CRLF + CRLF
         connect(head).add_done_callback(self._on_connected)
 
@@ -114,7 +114,7 @@
         if self._tunnel.state is not TunnelState.CONNECTING:
             self._abort(new_end)
             return
-        reason = self._reason_to_stay(new_end, error)
+        reason = self._failure_reason(new_end, error)
         if new_end is None or reason:
             self._abort(new_end)
             self.abandon(reason)
@@ -126,25 +126,25 @@
         if end is not None:
             end.abort()
 
-    def _reason_to_stay(self, new_end: WorkerEnd | None, error: BaseException | None) -> str:
-        """Why the tunnel can't migrate to the new worker; empty if it can."""
+    def _failure_reason(self, new_end: WorkerEnd | None, error: BaseException | None) -> str:
+        """Returns why the tunnel can't migrate to the new worker, empty if it can."""
         if error is not None:
             return str(error)
         if new_end is None or new_end.reply is None or new_end.reply.status != SWITCHING_PROTOCOLS:
             return RESUMPTION_REJECTED
         if new_end.is_lost or new_end.has_eof:
-            return NEW_WORKER_ENDED
+            return NEW_CONNECTION_CLOSED
         policy = self._tunnel.policy
         if not new_end.reply.header(policy.ticket_header):
             return RESUMPTION_REJECTED
-        # The quiet time counts as passed, as the client is not read: only an incomplete request or message
-        # is a reason to stay.
+        # The quiet time is taken as passed, because the client is not read during a migration.  Only an
+        # incomplete request or message prevents the handover.
         if self._tunnel.is_busy(self._tunnel.active_at + policy.quiet_time_s):
-            return BUSY_AGAIN
+            return BECAME_BUSY
         return ""
 
     def _hand_over(self, new_end: WorkerEnd) -> None:
-        """Asks the old worker to close, as the new one has accepted the connection."""
+        """Asks the old worker to close after the new one has accepted the connection."""
         tunnel = self._tunnel
         assert new_end.reply is not None
         self._new_end = new_end
@@ -155,7 +155,7 @@
         tunnel.start_timer(HANDOVER_TIMEOUT_S, self.complete)
 
     def abandon(self, reason: str) -> None:
-        """Leaves the tunnel at its present worker."""
+        """Ends the migration and leaves the tunnel at its current worker."""
         tunnel = self._tunnel
         order = tunnel.order
         tunnel.enter(TunnelEvent.MIGRATION_ABANDONED)
@@ -165,18 +165,21 @@
         tunnel.notify_migration_abandoned(order, reason)
 
     def complete(self) -> None:
-        """Switches to the new worker, as the old one has sent its last frame or has run out of time."""
+        """Switches to the new worker after the old one's last frame, or after the timeout for it.
+
+        Ends the tunnel instead if the old worker's last message is incomplete.
+        """
         tunnel = self._tunnel
         new_end = self._new_end
         if tunnel.state is not TunnelState.HANDING_OVER or new_end is None:
             return
         tunnel.cancel_timers()
-        is_amid_message = tunnel.frames is not None and not tunnel.frames.from_worker.is_idle
+        is_message_incomplete = tunnel.frames is not None and not tunnel.frames.from_worker.is_idle
         tunnel.worker_end.tunnel = None
         tunnel.worker_end.abort()
-        if is_amid_message:  # the client has a part of a message that nobody can complete
+        if is_message_incomplete:  # the new worker can't send the rest of it to the client
             tunnel.send_close(INTERNAL_ERROR, "worker lost")
-            tunnel.end("the old worker ended amid a message")
+            tunnel.end("the old worker left a message incomplete")
             return
         self._switch(new_end)
 
@@ -196,7 +199,7 @@
         tunnel.client_end.resume_reading()
 
     def drop_new_end(self) -> None:
-        """Closes the connection to the new worker, as the tunnel itself closes or ends."""
+        """Aborts the connection to the new worker because the tunnel closes or ends."""
         if self._new_end is not None:
             self._new_end.tunnel = None
             self._new_end.abort()
--- a/cottonladder/forwarder/tunnel_states.py
+++ b/cottonladder/forwarder/tunnel_states.py
@@ -9,9 +9,9 @@
     """The state of a tunnel."""
 
     OPEN = "open"  # bytes are relayed in both directions
-    CONNECTING = "connecting"  # a handshake with another worker is under way; the client is not read
-    HANDING_OVER = "handing over"  # the new worker has accepted; the old one sends its last frames
-    CLOSING = "closing"  # a close has begun, and the peers have a bounded time to end
+    CONNECTING = "connecting"  # migrating: the handshake with the new worker; the client is not read
+    HANDING_OVER = "handing over"  # migrating: the new worker has accepted, the old one sends its last frames
+    CLOSING = "closing"  # a graceful close has begun, and the peers have a limited time to complete it
     CLOSED = "closed"  # both transports are closed
 
 
--- a/cottonladder/forwarder/upgrade_handshake.py
+++ b/cottonladder/forwarder/upgrade_handshake.py
@@ -1,4 +1,4 @@
-"""The handshake of an upgrade: checks the client's request, passes it to a worker, and reads the answer."""
+"""The handshake of an upgrade: checks the client's request, sends it to a worker, and reads the response."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def is_websocket(request: web.BaseRequest) -> bool:
-    """Whether the client asks for WebSocket, whose frames the forwarder can follow."""
+    """Returns whether the client requests an upgrade to WebSocket, whose frames the forwarder scans."""
     return request.headers["Upgrade"].strip().lower() == "websocket"
 
 
 def check_upgrade(request: web.BaseRequest) -> None:
-    """Raises RequestRejectedError for an upgrade that the forwarder does not offer to any worker."""
+    """Raises RequestRejectedError for an upgrade request that the forwarder sends to no worker."""
     has_chunks = "chunked" in request.headers.get("Transfer-Encoding", "").lower()
     if (request.content_length or 0) > 0 or has_chunks:
         raise RequestRejectedError(UPGRADE_WITH_BODY)
@@ -31,7 +31,7 @@
 
 
 def handshake_head(context: RequestContext, policy: UpgradePolicy) -> bytes:
-    """The client's request head, without the headers that concern only its connection."""
+    """Returns the client's request head without hop-by-hop headers, as it is sent to workers."""
     request = context.request
     lines = [f"GET {request.raw_path} HTTP/1.1"]
     for name, value in context.headers.items():
@@ -44,20 +44,20 @@
 
 
 def _is_forwarded(name: str, policy: UpgradePolicy) -> bool:
-    """Whether a header, given in lower case, is passed on to the worker."""
+    """Returns whether the header with this lower-case name is sent to the worker."""
     if name in HOP_BY_HOP_HEADERS and name not in ("upgrade", "connection"):
         return False
     if name == policy.ticket_header.lower():
-        return False  # only a forwarder may present a ticket, or a client could resume another's connection
-    # Requests and answers can't be recognised in compressed messages.
+        return False  # a client with another client's ticket could resume that client's connection
+    # The prefixes of requests and responses can't be recognised in compressed messages.
     return not (name == "sec-websocket-extensions" and policy.request_prefix is not None)
 
 
 async def handshake(services: RequestServices, worker_id: str, head: bytes, deadline: float) -> WorkerEnd:
-    """Connects to a worker and reads the head of its answer, whatever its status.  Raises HandshakeError."""
+    """Connects to a worker and reads the head of its response, of any status.  Raises HandshakeError."""
     address = services.address_of(worker_id)
     if address is None:
-        raise HandshakeError("no address", may_have_run=False)
+        raise HandshakeError("the worker's address is unknown", may_have_run=False)
     host, _, port = address.rpartition(":")
     worker_end = await connect(worker_id, host, int(port), services.limits.connect_timeout_s)
     try:
--- a/cottonladder/forwarder/upgrade_requests.py
+++ b/cottonladder/forwarder/upgrade_requests.py
@@ -1,4 +1,4 @@
-"""Handles one upgrade request: offers the handshake to workers until one accepts it, then opens a tunnel."""
+"""Handles upgrade requests: finds a worker that accepts the handshake, then opens a tunnel to it."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from .upgrade_handshake import check_upgrade, handshake, handshake_head, is_websocket
 from .upgrade_policy import UpgradePolicy
 
-MAX_HANDSHAKE_ATTEMPTS = 3  # workers that are offered a handshake, before the client is asked to retry
+MAX_HANDSHAKE_ATTEMPTS = 3  # at different workers, before the client is asked to retry
 
 
 @dataclass(frozen=True, slots=True)
-class HandshakeOffer:
-    """A handshake as it is offered to workers; `deadline` is on the loop's clock."""
+class HandshakeRequest:
+    """A handshake request as it is sent to workers; `deadline` is on the loop's clock."""
 
     head: bytes
     policy: UpgradePolicy
@@ -35,7 +35,7 @@
 
 
 class UpgradeForwarder:
-    """Finds a worker for an upgrade and opens the tunnel between client and worker."""
+    """Attempts upgrades at workers and opens the tunnels between clients and workers."""
 
     def __init__(
         self,
@@ -52,7 +52,11 @@
         self._responses = responses
 
     async def forward(self, context: RequestContext) -> web.StreamResponse:
-        """Offers the handshake to workers, one after the other, as far as retries are allowed."""
+        """Attempts the handshake at one worker after the other, as far as retries are allowed.
+
+        Returns the response to the client, which is `UpgradedResponse` once a tunnel owns the connection or
+        the client has closed it.
+        """
         try:
             check_upgrade(context.request)
         except RequestRejectedError as rejected:
@@ -60,7 +64,9 @@
         request_class = context.request_class
         policy = self._policies[request_class.name]
         timeout_s = request_class.deadline_s or self._services.limits.first_byte_timeout_s
-        offer = HandshakeOffer(handshake_head(context, policy), policy, self._services.now() + timeout_s)
+        handshake_request = HandshakeRequest(
+            handshake_head(context, policy), policy, self._services.now() + timeout_s
+        )
         failed = FailedAttempts()
         for _ in range(MAX_HANDSHAKE_ATTEMPTS):
             selection = self._tunnels.slots.select(request_class.name, failed.workers, context.preferred)
@@ -69,15 +75,17 @@
             started_at = self._services.now()
             context.progress.may_have_run = True
             try:
-                worker_end = await handshake(self._services, selection.worker_id, offer.head, offer.deadline)
+                worker_end = await handshake(
+                    self._services, selection.worker_id, handshake_request.head, handshake_request.deadline
+                )
             except HandshakeError as error:
                 failed.add(selection.worker_id, error)
                 context.progress.may_have_run = error.may_have_run
                 self._services.record_attempt(selection.worker_id, False, started_at)
-                if self._may_retry(context, failed, error, offer.deadline):
+                if self._may_retry(context, failed, error, handshake_request.deadline):
                     continue
                 return self._give_up(context, failure_answer(error.may_have_run))
-            return self._answered(context, worker_end, offer, started_at)
+            return self._handle_reply(context, worker_end, handshake_request, started_at)
         return self._give_up(context, NO_WORKER_ANSWERED)
 
     def _may_retry(
@@ -99,10 +107,14 @@
         self._services.recorder.record_failure(context.request_class.name)
         return self._responses.build(answer, delay_s)
 
-    def _answered(
-        self, context: RequestContext, worker_end: WorkerEnd, offer: HandshakeOffer, started_at: float
+    def _handle_reply(
+        self,
+        context: RequestContext,
+        worker_end: WorkerEnd,
+        handshake_request: HandshakeRequest,
+        started_at: float,
     ) -> web.StreamResponse:
-        """Opens a tunnel if the worker has answered 101, and otherwise passes the worker's status on."""
+        """Opens a tunnel if the worker's status is 101, and otherwise forwards the status to the client."""
         reply = worker_end.reply
         assert reply is not None
         self._services.record_attempt(
@@ -111,12 +123,12 @@
         if reply.status != SWITCHING_PROTOCOLS:
             worker_end.abort()
             return self._responses.upgrade_rejected(reply.status, reply.header("Retry-After"))
-        return self._open_tunnel(context, worker_end, offer)
+        return self._open_tunnel(context, worker_end, handshake_request)
 
     def _open_tunnel(
-        self, context: RequestContext, worker_end: WorkerEnd, offer: HandshakeOffer
+        self, context: RequestContext, worker_end: WorkerEnd, handshake_request: HandshakeRequest
     ) -> web.StreamResponse:
-        """Detaches the client's connection from the listener and joins it to the worker's."""
+        """Detaches the client's connection from the listener and relays between it and the worker's."""
         assert worker_end.reply is not None
         try:
             client = self._listener.detach(context.request)
@@ -125,9 +137,9 @@
             return UpgradedResponse()
         options = TunnelOptions(
             request_class=context.request_class.name,
-            policy=offer.policy,
+            policy=handshake_request.policy,
             is_websocket=is_websocket(context.request),
-            handshake_head=offer.head,
+            handshake_head=handshake_request.head,
             client_address=client.address,
         )
         tunnel = Tunnel(client.end, worker_end, options, self._tunnels)
--- a/tests/forwarder/test_handshake_reply.py
+++ b/tests/forwarder/test_handshake_reply.py
@@ -1,4 +1,4 @@
-"""A worker's answer to an upgrade handshake, parsed in pieces of any size."""
+"""Parsing of a worker's handshake response that arrives in pieces of any size."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
         self.assertEqual(reply.header("ticket"), "t-1")
         self.assertEqual(reply.header("Retry-After"), "")
 
-    def test_a_head_may_come_byte_by_byte(self) -> None:
+    def test_a_head_that_arrives_byte_by_byte_is_complete_at_its_last_byte(self) -> None:
         for index in range(len(ACCEPTED)):
             self.assertIsNone(self.reader.reply)
             self.assertEqual(self.reader.feed(ACCEPTED[index : index + 1]), b"")
         self.assertIsNotNone(self.reader.reply)
 
-    def test_informational_answers_are_ignored(self) -> None:
+    def test_informational_responses_are_ignored(self) -> None:
         self.reader.feed(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
         self.assertIsNone(self.reader.reply)
         self.reader.feed(b"HTTP/1.1 503 Busy\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n")
@@ -41,10 +41,17 @@
         self.assertEqual(reply.status, 503)
         self.assertEqual(reply.headers, [(b"Retry-After", b"1"), (b"Content-Length", b"0")])
 
-    def test_an_unreadable_answer_does_not_prove_that_nothing_ran(self) -> None:
-        for data in (b"\x16\x03\x01", b"HTTP/1.1 101 X\r\nA: " + b"a" * MAX_HEADER_BYTES):
+    def test_an_invalid_response_is_an_error_after_which_the_request_may_have_run(self) -> None:
+        for data, message in (
+            (b"\x16\x03\x01", "invalid handshake response: Expected HTTP/, RTSP/ or ICE/"),
+            (
+                b"HTTP/1.1 101 X\r\nA: " + b"a" * MAX_HEADER_BYTES,
+                "invalid handshake response: head over 16384 bytes",
+            ),
+        ):
             with self.subTest(data[:20]), self.assertRaises(HandshakeError) as raised:
                 HandshakeReplyReader().feed(data)
+            self.assertEqual(str(raised.exception), message)
             self.assertTrue(raised.exception.may_have_run)
 
 
--- a/tests/forwarder/test_upgrades.py
+++ b/tests/forwarder/test_upgrades.py
@@ -1,4 +1,4 @@
-"""Upgraded connections through a forwarder as a program: frames, half-closed ends, slow readers."""
+"""Upgraded connections through a forwarder process: frames, half-closed connections, slow readers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self.only_forwarder: ForwarderProcess = await self.forwarder((await self.manager()).port)
         await self.wait_for_table(self.only_forwarder, "s-1")
 
-    async def test_frames_pass_and_their_faults_end_that_connection(self) -> None:
+    async def test_frames_are_relayed_and_a_forbidden_frame_ends_its_connection(self) -> None:
         worker = self.only_worker
         async with self.session.ws_connect(self.only_forwarder.url, autoping=False) as socket:
             await socket.ping(b"hi")
@@ -42,7 +42,7 @@
         self.addCleanup(writer.close)
         writer.write(WEBSOCKET_HANDSHAKE)
         head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), EVENT_TIMEOUT_S)
-        self.assertIn(b"s3pPLMBiTxaQ9kYGzzhZRbK+xOo=", head)  # RFC 6455, 1.3: as the worker answered
+        self.assertIn(b"s3pPLMBiTxaQ9kYGzzhZRbK+xOo=", head)  # RFC 6455, section 1.3: from the worker
         writer.write(encode_frame(TEXT, b"no mask", False))
         received = await asyncio.wait_for(reader.read(), EVENT_TIMEOUT_S)
         self.assertEqual(received[2:], struct.pack("!H", 1002) + b"a frame without a mask")
@@ -51,7 +51,7 @@
         )
         await self.wait_until(lambda: worker.held_connections == 0)
 
-    async def test_other_protocols_pass_as_bytes_with_half_closed_ends(self) -> None:
+    async def test_bytes_of_other_protocols_are_relayed_after_an_end_of_file_too(self) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.only_forwarder.port)
         self.addCleanup(writer.close)
         writer.write(
@@ -64,8 +64,8 @@
         writer.write_eof()
         self.assertEqual(await asyncio.wait_for(reader.read(), EVENT_TIMEOUT_S), b"BYE")
 
-    async def test_a_client_that_reads_nothing_holds_little(self) -> None:
-        """The worker has to wait with what the client does not read."""
+    async def test_a_client_that_reads_nothing_stalls_the_worker_and_memory_stays_bounded(self) -> None:
+        """Guards against buffering in the forwarder what the client does not read."""
         may_send = asyncio.Event()
         sent_count = 0
 
@@ -81,7 +81,9 @@
             await asyncio.sleep(STALL_S)
             return 0 < sent_count == count_before
 
-        self.only_worker.push_interval_s = 1.0  # any, so that it sends unasked
+        self.only_worker.push_interval_s = (
+            1.0  # any value: without one the worker sends no unsolicited frames
+        )
         with mock.patch.object(self.only_worker, "_push", flood):
             await self.open_websocket(self.only_forwarder, limit_bytes=1024)
         before = self.only_forwarder.resident_bytes()
@@ -90,7 +92,7 @@
         self.assertLess(sent_count, FLOOD_FRAME_COUNT)
         self.assertLess(self.only_forwarder.resident_bytes() - before, MAX_MEMORY_GROWTH_BYTES)
 
-    async def test_a_worker_that_does_not_agree_answers_the_client(self) -> None:
+    async def test_a_handshake_that_the_worker_rejects_gets_its_status_and_retry_delay(self) -> None:
         self.only_worker.rejects_requests = True
         with self.assertRaises(aiohttp.WSServerHandshakeError) as raised:
             await self.session.ws_connect(self.only_forwarder.url)
@@ -101,19 +103,19 @@
         async with self.session.get(self.only_forwarder.url) as response:
             self.assertEqual(response.status, 503)
 
-    async def test_a_stopping_forwarder_closes_in_order(self) -> None:
+    async def test_a_shutdown_answers_a_request_in_progress_and_closes_every_connection(self) -> None:
         clients = await self.open(self.only_forwarder, 20)
         self.only_worker.delay_s = 1.0
         number = await clients[0].ask("release")
         await self.wait_until(lambda: self.ledger.releases[number] == 1)
         self.assertEqual(await self.only_forwarder.stop(), 0)
         # A client may read its close after the forwarder has ended.
-        await self.wait_until(lambda: self.closed_by_the_stop() == 20)
+        await self.wait_until(lambda: self.closed_by_shutdown() == 20)
         self.assertEqual((self.counts.answered, self.counts.unanswered), (1, 0))
         self.assertEqual(self.ledger.releases[number], 1)
 
-    def closed_by_the_stop(self) -> int:
-        """The number of connections that were closed with the stop as the reason."""
+    def closed_by_shutdown(self) -> int:
+        """Returns the number of connections whose close frame names the shutdown as its reason."""
         return sum(count for reason, count in self.counts.closes.items() if "forwarder stops" in reason)
 
 
