--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -1,4 +1,4 @@
-"""Starts a forwarder's background tasks, snapshots and admin socket if the operators' file has them."""
+"""Starts a forwarder's snapshot task and admin socket, if the operators' file enables them."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from ..snapshots.errors import SnapshotSectionError
 from ..snapshots.sections import FORWARDER_SECTION
 from .forwarder import Forwarder
-from .restored_state import restore, snapshot_of
+from .restored_state import create_snapshot, restore
 from .status import forwarder_status
 
-SNAPSHOT_PRIORITY = 3  # among background tasks, of which the lowest number runs first
-MAX_LOGGED_AGE_S = 1e9  # as the age of a snapshot may be infinite
+SNAPSHOT_PRIORITY = 3  # of the background task; lower numbers run first
+MAX_LOGGED_AGE_S = 1e9  # the age of a snapshot may be infinite
 
 
 async def start_background(forwarder: Forwarder, operator: OperatorConfig, stack: AsyncExitStack) -> None:
-    """Starts the background work; `stack` stops it."""
+    """Starts the background scheduler and the admin socket; closing `stack` stops them."""
     tasks = BackgroundScheduler(random.random)
     if operator.memory is not None:
         _add_snapshots(forwarder, operator.memory, tasks, stack)
@@ -46,9 +46,9 @@
     _restore_with_first_list(forwarder, folder)
 
     def write_snapshot() -> Iterator[Awaitable[object] | None]:
-        """One run of the task; the scheduler may run other tasks at each `yield`."""
+        """Runs the task once; the scheduler may run other tasks at each `yield`."""
         now = forwarder.loop.time()
-        snapshot = snapshot_of(forwarder.router, forwarder.handler.tunnels.registry.counts(now), now)
+        snapshot = create_snapshot(forwarder.router, forwarder.handler.tunnels.registry.counts(now), now)
         yield None
         sections = {FORWARDER_SECTION.name: FORWARDER_SECTION.encode(snapshot)}
         yield asyncio.to_thread(folder.write, sections)
@@ -60,7 +60,7 @@
 
 
 def _restore_with_first_list(forwarder: Forwarder, folder: SnapshotFolder) -> None:
-    """Reads the newest snapshot and arranges for its use with the first endpoint list."""
+    """Reads the newest snapshot, to restore it with the first endpoint list that has a ready worker."""
     found = folder.read()
     if not found:
         return
@@ -71,14 +71,14 @@
         return
     if snapshot is None:
         return
-    earlier = snapshot
+    valid_snapshot = snapshot
     written_at = found.written_at
 
     def restore_snapshot() -> None:
-        """Restores the snapshot, now that the workers are known."""
+        """Restores the snapshot; the workers are known by now."""
         age_s = snapshot_age(written_at, time.time())
         restored = restore(
-            earlier,
+            valid_snapshot,
             age_s,
             forwarder.loop.time(),
             forwarder.router,
--- a/cottonladder/forwarder/connection_drainer.py
+++ b/cottonladder/forwarder/connection_drainer.py
@@ -1,9 +1,9 @@
-"""Decides when a forwarder migrates or closes its connections at a worker that is leaving.
+"""Decides when a forwarder migrates or closes its connections at a worker that drains.
 
-Pure: no clock, no I/O.  A manager that speaks the extension paces the drain across all its forwarders.  The
-forwarder paces a drain itself if no order arrives in time, or if the stream of the manager that led the drain
-is lost: it spreads its own connections over the rest of the grace period, as every connection has to leave by
-its end.
+Pure: no clock, no I/O.  A manager that supports the extension paces the drain across all its forwarders.  The
+forwarder paces a drain itself if no order arrives in time, or if the stream of the manager that sent the
+orders is lost.  It then spreads its own connections over the rest of the grace period, by whose end every
+connection has to leave.
 """
 
 from __future__ import annotations
@@ -15,28 +15,29 @@
 
 from .drain_orders import NO_ORDER, TICK_INTERVAL_S, DrainOrder, DrainOrderResult, MigrationOrder
 
-ORDER_WAIT_FRACTION = 0.2  # of the grace period, for a manager to send its first or its next order
-FINAL_PHASE_FRACTION = 0.1  # of the grace period, at its end: every idle connection leaves, ordered or not
-FORCED_CLOSE_FRACTION = 0.05  # of the grace period, at its end: every connection is closed
+# Fractions of the grace period.
+ORDER_TIMEOUT_FRACTION = 0.2  # without a manager's order, before the forwarder paces the drain itself
+FINAL_PHASE_FRACTION = 0.1  # at the end, when every idle connection leaves, ordered or not
+FORCED_CLOSE_FRACTION = 0.05  # at the end, when every connection is closed
 
 
 class DrainState(Enum):
-    """Who paces a drain; the values are those of the status that operators read."""
+    """The phase of a drain, with the values of the status and of log event `drain_state`."""
 
     NOT_DRAINING = "calm"
-    AWAITING_ORDERS = "waits"
-    ORDERED = "led"
-    SELF_PACED = "alone"
-    FINAL = "last"
+    AWAITING_ORDERS = "waits"  # for the first order of a manager
+    ORDERED = "led"  # paced by a manager
+    SELF_PACED = "alone"  # paced by this forwarder
+    FINAL = "last"  # the final phase of the grace period
 
 
 class DrainEvent(Enum):
-    """An event that changes the state of a drain; the values are those of log event `drain_state`."""
+    """An event that changes the state of a drain, with the values of log event `drain_state`."""
 
     EXCLUDED = "excluded"
     ORDERED = "ordered"
-    ORDERS_MISSING = "unheard"  # no order in time, or the stream that brought the orders is lost
-    ENDING = "ending"
+    ORDERS_MISSING = "unheard"  # no order in time, or the stream of the orders is lost
+    ENDING = "ending"  # the final phase of the grace period has begun
     READMITTED = "readmitted"
 
 
@@ -60,7 +61,7 @@
 
 @dataclass(slots=True)
 class Drain:
-    """The drain of one worker."""
+    """The drain of one worker; `last_order_at` is when it began if no order has arrived."""
 
     state: DrainState = DrainState.NOT_DRAINING
     ends_at: float = math.inf
@@ -70,10 +71,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseConnection:
-    """One idle connection of a worker is to leave.
+    """Action: migrate or close one idle connection of a worker.
 
     `target` is the worker to migrate to.  Without a target the connection is closed if `close` is set, and
-    otherwise migrates to a worker selected by weight.  A connection that can't be resumed is closed instead.
+    otherwise migrates to a worker selected by weight.  A connection that can't be resumed is closed in any
+    case.  `order` is the number of the manager's order, or `NO_ORDER`.
     """
 
     worker_id: str
@@ -84,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseAllConnections:
-    """The last `FORCED_CLOSE_FRACTION` of the grace period has begun: every connection is to be closed."""
+    """Action: close every connection of a worker, as the grace period is about to end."""
 
     worker_id: str
 
@@ -102,7 +104,7 @@
 class ConnectionDrainer:
     """The drains of one forwarder by worker.
 
-    The owner takes and clears `results`, which go to the manager, and `state_changes`, which go to the log.
+    The owner reads and clears `results`, which it reports to the manager, and `state_changes`, which it logs.
     """
 
     def __init__(self, grace_s: float) -> None:
@@ -111,7 +113,7 @@
         self.results: list[DrainOrderResult] = []
         self.state_changes: list[DrainStateChange] = []
 
-    def _step(self, worker_id: str, event: DrainEvent) -> Drain:
+    def _apply_event(self, worker_id: str, event: DrainEvent) -> Drain:
         drain = self._drains.setdefault(worker_id, Drain())
         state = TRANSITIONS.get((drain.state, event), drain.state)
         if state is not drain.state:
@@ -119,22 +121,22 @@
             drain.state = state
         return drain
 
-    # State as others read it.
+    # State.
 
     def workers(self) -> set[str]:
-        """The workers that are draining."""
+        """Returns the workers that drain."""
         return set(self._drains)
 
     def has_orders(self, worker_id: str) -> bool:
-        """Whether a manager's order is under way; it may arrive before the exclusion of its worker."""
+        """Returns whether a manager's order is in progress; it may arrive before the worker's exclusion."""
         return bool(worker_id in self._drains and self._drains[worker_id].orders)
 
     def state(self, worker_id: str) -> DrainState:
-        """The state of a worker's drain."""
+        """Returns the state of a worker's drain."""
         return self._drains[worker_id].state if worker_id in self._drains else DrainState.NOT_DRAINING
 
     def time_left_s(self, now: float, worker_id: str) -> float:
-        """The rest of the grace period in seconds; infinite for a worker that does not drain."""
+        """Returns the rest of the grace period in seconds, infinity for a worker that does not drain."""
         if worker_id not in self._drains:
             return math.inf
         return max(0.0, self._drains[worker_id].ends_at - now)
@@ -142,16 +144,19 @@
     # Events.
 
     def start(self, now: float, worker_id: str) -> None:
-        """Begins the grace period of a worker that is excluded or that the endpoint list has as leaving."""
+        """Starts the grace period of a worker that is excluded or that the endpoint list marks as leaving.
+
+        Does nothing if the worker already drains.
+        """
         if self.state(worker_id) is DrainState.NOT_DRAINING:
-            drain = self._step(worker_id, DrainEvent.EXCLUDED)
+            drain = self._apply_event(worker_id, DrainEvent.EXCLUDED)
             drain.ends_at = now + self.grace_s
             drain.last_order_at = now
 
     def cancel(self, worker_id: str) -> None:
-        """Ends the drain of a worker that stays; migrations that have started go on."""
+        """Ends the drain of a readmitted worker; migrations that have started continue."""
         if worker_id in self._drains:
-            drain = self._step(worker_id, DrainEvent.READMITTED)
+            drain = self._apply_event(worker_id, DrainEvent.READMITTED)
             self._cancel_orders(drain)
             del self._drains[worker_id]
 
@@ -160,12 +165,12 @@
         drain.orders.clear()
 
     def add_order(self, now: float, worker_id: str, order: MigrationOrder) -> None:
-        """Accepts a manager's order.
+        """Adds a manager's order.
 
-        An order can bring the end of the grace period forward but not put it off, as a manager that joined
-        later may not know when the drain began.
+        An order can shorten the grace period but not extend it, as a manager that connected later may not
+        know when the drain began.
         """
-        drain = self._step(worker_id, DrainEvent.ORDERED)
+        drain = self._apply_event(worker_id, DrainEvent.ORDERED)
         drain.ends_at = min(drain.ends_at, now + order.time_left_s)
         drain.last_order_at = now
         drain.orders.append(DrainOrder.from_manager(order, now))
@@ -173,101 +178,109 @@
     def orders_stopped(self, now: float, worker_id: str) -> None:
         """Cancels a worker's orders at the manager's request.
 
-        The worker's exclusion stays in force until the manager lifts it, which it probably does next: the
-        drain waits for that as it waits for a first order.
+        The worker stays excluded until the manager readmits it, which it probably does next.  The drain waits
+        for that as long as it waits for an order.
         """
         if worker_id in self._drains:
             self._cancel_orders(self._drains[worker_id])
             self._drains[worker_id].last_order_at = now
 
     def stream_lost(self) -> None:
-        """Drops the orders and results of a stream that has ended, and paces the drains that it led.
+        """Discards the orders and results of a stream that has ended, as the next manager does not know them.
 
-        The next manager does not know the orders.  A drain that still awaits its first order goes on waiting.
+        The forwarder now paces the drains that the manager has paced.  A drain that still awaits its first
+        order continues to wait.
         """
         for worker_id, drain in self._drains.items():
             drain.orders.clear()
             if drain.state is DrainState.ORDERED:
-                self._step(worker_id, DrainEvent.ORDERS_MISSING)
+                self._apply_event(worker_id, DrainEvent.ORDERS_MISSING)
         self.results.clear()
 
-    def connection_settled(self, worker_id: str, number: int, succeeded: bool) -> None:
-        """Counts a connection of an order that has left the worker, or has failed to."""
+    def record_release(self, worker_id: str, order_number: int, succeeded: bool) -> None:
+        """Records that a connection of an order has left the worker, or has failed to."""
         drain = self._drains.get(worker_id)
         for order in drain.orders if drain else ():
-            if order.number == number:
-                order.settled_count += 1
-                order.failed += not succeeded
+            if order.number == order_number:
+                order.finished_count += 1
+                order.failed_count += not succeeded
 
     def forget_finished(self, workers_with_connections: set[str], excluded: set[str]) -> None:
-        """Ends the drains of workers that have no connection and are not excluded."""
+        """Removes the drains of workers that have no connection and are not excluded."""
         for worker_id in set(self._drains) - workers_with_connections - excluded:
             del self._drains[worker_id]
 
-    # Actions that are due.
+    # Due actions.
 
     def due_actions(
-        self, now: float, idle: Mapping[str, int], connections: Mapping[str, int]
+        self, now: float, idle_counts: Mapping[str, int], connection_counts: Mapping[str, int]
     ) -> list[ReleaseConnection | CloseAllConnections]:
-        """The actions to carry out now.
+        """Returns the actions to execute now.
 
-        `idle` has the number of connections by worker that may leave at once, and `connections` the number of
-        all at that worker.
+        `idle_counts` holds the number of idle connections by worker, and `connection_counts` the number of
+        all connections by worker.
         """
         actions: list[ReleaseConnection | CloseAllConnections] = []
         for worker_id, drain in self._drains.items():
-            count = connections.get(worker_id, 0)
-            if drain.orders or count:  # a drain with nothing left to do changes no state
-                actions += self._due_at_worker(now, worker_id, drain, idle.get(worker_id, 0), count)
+            count = connection_counts.get(worker_id, 0)
+            if drain.orders or count:  # otherwise the drain is complete and keeps its state
+                idle_count = idle_counts.get(worker_id, 0)
+                actions += self._due_at_worker(now, worker_id, drain, idle_count, count)
         return actions
 
     def _due_at_worker(
-        self, now: float, worker_id: str, drain: Drain, idle: int, count: int
+        self, now: float, worker_id: str, drain: Drain, idle_count: int, count: int
     ) -> list[ReleaseConnection | CloseAllConnections]:
-        self._advance(now, worker_id, drain)
+        self._apply_elapsed_time(now, worker_id, drain)
         if now >= drain.ends_at - FORCED_CLOSE_FRACTION * self.grace_s:
             self._cancel_orders(drain)
             return [CloseAllConnections(worker_id)] if count else []
         actions: list[ReleaseConnection | CloseAllConnections] = []
         for order in list(drain.orders):
-            releases = self._due_of_order(now, worker_id, order, idle)
-            idle -= len(releases)
+            releases = self._due_of_order(now, worker_id, order, idle_count)
+            idle_count -= len(releases)
             actions += releases
             if order.is_done(now):
                 self.results.append(order.result)
                 drain.orders.remove(order)
-        actions += self._due_without_order(now, worker_id, drain, idle, count)
+        actions += self._due_without_order(now, worker_id, drain, idle_count, count)
         return actions
 
-    def _advance(self, now: float, worker_id: str, drain: Drain) -> None:
-        """Changes the state as far as the passing of time alone does."""
+    def _apply_elapsed_time(self, now: float, worker_id: str, drain: Drain) -> None:
+        """Applies the events that follow from the time alone."""
         if now >= drain.ends_at - FINAL_PHASE_FRACTION * self.grace_s:
-            self._step(worker_id, DrainEvent.ENDING)
+            self._apply_event(worker_id, DrainEvent.ENDING)
             return
         awaits_order = drain.state in (DrainState.AWAITING_ORDERS, DrainState.ORDERED) and not drain.orders
-        if awaits_order and now - drain.last_order_at > ORDER_WAIT_FRACTION * self.grace_s:
-            self._step(worker_id, DrainEvent.ORDERS_MISSING)
+        if awaits_order and now - drain.last_order_at > ORDER_TIMEOUT_FRACTION * self.grace_s:
+            self._apply_event(worker_id, DrainEvent.ORDERS_MISSING)
 
     @staticmethod
-    def _due_of_order(now: float, worker_id: str, order: DrainOrder, idle: int) -> list[ReleaseConnection]:
+    def _due_of_order(
+        now: float, worker_id: str, order: DrainOrder, idle_count: int
+    ) -> list[ReleaseConnection]:
         releases: list[ReleaseConnection] = []
-        for _ in range(min(idle, order.due_count(now))):
+        for _ in range(min(idle_count, order.due_count(now))):
             target = order.targets.popleft()
             releases.append(ReleaseConnection(worker_id, target, target is None, order.number))
-        order.started += len(releases)
+        order.started_count += len(releases)
         return releases
 
     def _due_without_order(
-        self, now: float, worker_id: str, drain: Drain, idle: int, count: int
+        self, now: float, worker_id: str, drain: Drain, idle_count: int, count: int
     ) -> list[ReleaseConnection]:
-        """The releases that no manager has ordered: all idle connections at the end, an even part earlier."""
-        if not idle:
+        """Returns the releases that no manager has ordered.
+
+        They are all idle connections in the final phase, and before it an even share of all connections for
+        each tick that is left.
+        """
+        if not idle_count:
             return []
         if drain.state is DrainState.FINAL:
-            due = idle
+            due_count = idle_count
         elif drain.state is DrainState.SELF_PACED:
             time_left_s = drain.ends_at - FINAL_PHASE_FRACTION * self.grace_s - now
-            due = math.ceil(count * TICK_INTERVAL_S / max(TICK_INTERVAL_S, time_left_s))
+            due_count = math.ceil(count * TICK_INTERVAL_S / max(TICK_INTERVAL_S, time_left_s))
         else:
             return []
-        return [ReleaseConnection(worker_id, None, False, NO_ORDER)] * min(idle, due)
+        return [ReleaseConnection(worker_id, None, False, NO_ORDER)] * min(idle_count, due_count)
--- a/cottonladder/forwarder/connection_registry.py
+++ b/cottonladder/forwarder/connection_registry.py
@@ -1,8 +1,8 @@
-"""The upgraded connections of a forwarder by worker, and the reports of their numbers to managers.
+"""The upgraded connections of a forwarder by worker, and the reports of their counts to managers.
 
-No I/O.  Each figure is the present number at a worker, not a difference, so a report that arrives twice does
-no harm.  A forwarder sends a full report when a manager has accepted the extension, and then what has
-changed.
+No I/O.  A report contains absolute counts, not differences, so that a report that arrives twice does no harm.
+A forwarder sends a full report when a manager has accepted the extension, and afterwards only the changed
+counts.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from ..model.connection_counts import ConnectionCounts
 
-MAX_WORKERS_PER_MESSAGE = 2000  # some 60 KB, well below the protocol's limit of 1 MB
+MAX_WORKERS_PER_MESSAGE = 2000  # about 60 KB, well below the protocol's limit of 1 MB
 
 
 class RegisteredConnection(Protocol):
-    """The parts of a connection that the registry reads."""
+    """The members of a connection that the registry uses."""
 
     @property
     def is_steady(self) -> bool:
@@ -29,7 +29,7 @@
         ...
 
     def is_busy(self, now: float) -> bool:
-        """Whether an end of the connection now would interrupt a request or a message."""
+        """Returns whether closing the connection now would interrupt a request or a message."""
         ...
 
 
@@ -41,9 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionCountReport:
-    """One message's part of a report, by worker.
+    """The counts in one message of a report, by worker.
 
-    `starts_full_report`: the manager forgets whatever this forwarder has reported before.
+    If `starts_full_report`, the manager discards all earlier counts of this forwarder.
     """
 
     starts_full_report: bool
@@ -51,7 +51,7 @@
 
 
 class ConnectionRegistry(Generic[T]):
-    """The connections by worker; whoever adds a connection removes it exactly once."""
+    """The connections by worker.  The caller removes each connection that it has added exactly once."""
 
     def __init__(self) -> None:
         self._by_worker: dict[str, dict[T, None]] = {}
@@ -74,23 +74,23 @@
         self.add(worker_id, connection)
 
     def count(self, worker_id: str) -> int:
-        """The number of connections at a worker."""
+        """Returns the number of connections at a worker."""
         return len(self._by_worker.get(worker_id, ()))
 
     def total(self) -> int:
-        """The number of connections at all workers."""
+        """Returns the number of connections at all workers."""
         return sum(len(connections) for connections in self._by_worker.values())
 
     def workers(self) -> set[str]:
-        """The workers that have a connection."""
+        """Returns the workers that have a connection."""
         return set(self._by_worker)
 
     def connections_of(self, worker_id: str) -> list[T]:
-        """The connections at a worker, oldest first."""
+        """Returns the connections at a worker in the order in which they were added to it."""
         return list(self._by_worker.get(worker_id, ()))
 
     def idle_connections(self, worker_id: str, now: float) -> list[T]:
-        """The connections at a worker that may be migrated or closed now, oldest first."""
+        """Returns the connections at a worker that may be migrated or closed now, in the order of adding."""
         return [
             connection
             for connection in self.connections_of(worker_id)
@@ -98,7 +98,7 @@
         ]
 
     def counts(self, now: float) -> dict[str, ConnectionCounts]:
-        """The present counts by worker."""
+        """Returns the current counts by worker."""
         return {
             worker_id: ConnectionCounts(
                 open=len(connections),
@@ -109,14 +109,14 @@
         }
 
     def reset_reported(self) -> None:
-        """Forgets what has been reported, as another manager receives the reports from now on."""
+        """Discards the last reported counts, as another manager receives the reports from now on."""
         self._reported.clear()
 
-    def take_reports(self, now: float, is_full: bool) -> list[ConnectionCountReport]:
-        """A full report, or what has changed since the last report, in parts of bounded size.
+    def collect_reports(self, now: float, is_full: bool) -> list[ConnectionCountReport]:
+        """Returns a full report, or the counts changed since the last call, as messages of limited size.
 
-        A worker that has lost its last connection is reported with zeros.  The counts taken are those that
-        the next call compares with.
+        A worker that has lost its last connection is reported with counts of 0.  The next call compares with
+        the counts of this one.
         """
         counts = self.counts(now)
         changed = counts if is_full else self._changed(counts)
@@ -126,13 +126,13 @@
             return [ConnectionCountReport(True, {})]
         reports: list[ConnectionCountReport] = []
         for start in range(0, len(workers), MAX_WORKERS_PER_MESSAGE):
-            part = workers[start : start + MAX_WORKERS_PER_MESSAGE]
-            part_counts = {worker_id: changed[worker_id] for worker_id in part}
-            reports.append(ConnectionCountReport(is_full and start == 0, part_counts))
+            message_workers = workers[start : start + MAX_WORKERS_PER_MESSAGE]
+            message_counts = {worker_id: changed[worker_id] for worker_id in message_workers}
+            reports.append(ConnectionCountReport(is_full and start == 0, message_counts))
         return reports
 
     def _changed(self, counts: dict[str, ConnectionCounts]) -> dict[str, ConnectionCounts]:
-        """The counts that differ from those reported last."""
+        """Returns the counts that differ from the last reported ones."""
         emptied = {worker_id: NO_CONNECTIONS for worker_id in self._reported if worker_id not in counts}
         return {
             worker_id: count
--- a/cottonladder/forwarder/connection_slots.py
+++ b/cottonladder/forwarder/connection_slots.py
@@ -1,4 +1,4 @@
-"""Counts the clients' connections against the limits in all and for each client address."""
+"""Limits the number of client connections, in total and per client address."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class ConnectionSlots:
-    """The slots in use; whoever acquires a slot releases it exactly once."""
+    """The slots in use.  The caller releases each slot that it has acquired exactly once."""
 
     max_total: int
     max_per_client: int
@@ -15,7 +15,7 @@
     total: int = 0
 
     def acquire(self, client: str) -> bool:
-        """Takes a slot for a client address; False if none is left for it."""
+        """Acquires a slot for a client address; returns False if a limit is reached."""
         if self.total >= self.max_total or self.by_client.get(client, 0) >= self.max_per_client:
             return False
         self.by_client[client] = self.by_client.get(client, 0) + 1
@@ -23,7 +23,7 @@
         return True
 
     def release(self, client: str) -> None:
-        """Gives a slot back."""
+        """Releases a slot of a client address."""
         remaining = self.by_client[client] - 1
         self.total -= 1
         if remaining:
--- a/cottonladder/forwarder/extension_orders.py
+++ b/cottonladder/forwarder/extension_orders.py
@@ -1,4 +1,4 @@
-"""Carries out the orders of managers that concern upgraded connections: their pace and their migrations."""
+"""Executes managers' orders for upgraded connections: their admission rate and their migrations."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ExtensionOrders:
-    """Passes each message of the extension to the part of the forwarder that it concerns."""
+    """Executes the messages of the extension with the drainer, the pacer and the reports of the forwarder."""
 
     def __init__(
         self,
@@ -34,12 +34,12 @@
         self._now = asyncio.get_running_loop().time
 
     def accepted(self) -> None:
-        """Sends a full report of the upgraded connections, as a manager has accepted the extension."""
+        """Sends a full report of the upgraded connections to a manager that has accepted the extension."""
         self._registry.reset_reported()
         self._reports.report_connections(self._now(), is_full=True)
 
     def apply(self, message: upgrades.FromManager) -> None:
-        """Carries out a message of the extension.  Raises OrderRejectedError."""
+        """Executes a message of the extension.  Raises OrderRejectedError."""
         if isinstance(message, upgrades.AnnouncementAccepted):
             self._pacer.arrival_share = message.arrival_share
             self._pacer.arrival_rate = message.worker_arrivals_per_s
--- a/cottonladder/forwarder/manager_reports.py
+++ b/cottonladder/forwarder/manager_reports.py
@@ -41,7 +41,7 @@
 
     def report_connections(self, now: float, is_full: bool) -> None:
         """Reports the upgraded connections by worker: all, or what has changed since the last report."""
-        for report in self._registry.take_reports(now, is_full):
+        for report in self._registry.collect_reports(now, is_full):
             message = upgrades.encode_held_connections(self._node, report.starts_full_report, report.counts)
             self._stream.send_extension(message)
 
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -1,4 +1,4 @@
-"""Takes a snapshot of a forwarder's state and restores what of it is still valid.
+"""Creates a snapshot of a forwarder's state, and restores those sections that are still valid.
 
 Pure: the caller passes the time and the age of the snapshot.
 """
@@ -13,11 +13,16 @@
 from .admission_pacer import AdmissionPacer
 from .router import Router
 
-MAX_RESERVED_SLOTS = 10_000  # at one worker, whatever a snapshot says
+MAX_RESERVED_SLOTS = 10_000  # per worker, for any count in a snapshot
 
 
-def snapshot_of(router: Router, connections: Mapping[str, ConnectionCounts], now: float) -> ForwarderSnapshot:
-    """The state to keep; `now` is on the router's clock, and the snapshot holds times relative to it."""
+def create_snapshot(
+    router: Router, connections: Mapping[str, ConnectionCounts], now: float
+) -> ForwarderSnapshot:
+    """Returns a snapshot of the state.
+
+    `now` is on the router's clock; times in the snapshot are relative to it.
+    """
     tables: dict[str, TableSnapshot] = {}
     if router.has_table:
         for name, table in router.tables.items():
@@ -35,16 +40,16 @@
     pacer: AdmissionPacer,
     is_known: Callable[[str], bool],
 ) -> str:
-    """Restores the state from before a restart; returns a text for the log on what was restored.
+    """Restores the state from before a restart; returns a summary of it for the log.
 
-    Exclusions are restored at any age, as only the manager that ordered them lifts them.  Routing tables are
-    valid for a limited time, and only with workers that are still known.  Up to another age, workers that had
-    failed are avoided for the rest of their time, and slots are reserved for clients at the workers where
-    they were.
+    Only workers that are still known are restored.  Exclusions are restored at any age, as only the manager
+    that ordered them lifts them.  Routing tables are restored up to `MAX_TABLE_AGE_S`.  Up to
+    `MAX_EJECTION_AGE_S`, failed workers are avoided for the rest of their time, and slots are reserved at
+    the workers that had upgraded connections, for clients that reconnect.
     """
     restored: list[str] = []
     router.excluded |= {worker_id for worker_id in snapshot.excluded if is_known(worker_id)}
-    # A table that was ordered in the meantime is newer.
+    # A table that a manager has sent since the restart is newer.
     if age_s <= ageing.MAX_TABLE_AGE_S and not router.has_table:
         restored += _restore_tables(snapshot, router, is_known)
     if age_s <= ageing.MAX_EJECTION_AGE_S:
@@ -73,18 +78,18 @@
 def _restore_avoided(
     snapshot: ForwarderSnapshot, age_s: float, now: float, router: Router, is_known: Callable[[str], bool]
 ) -> list[str]:
-    """Avoids workers that had failed, unless they are too many.
+    """Avoids workers that had failed, unless there are too many of them.
 
-    If they are more than `MAX_EJECTED_RATIO` of the workers in the tables, the forwarder itself was probably
-    cut off from the workers.
+    If they exceed `MAX_EJECTED_RATIO` of the workers in the tables, the forwarder itself had probably lost
+    its connection to the workers.
     """
-    in_tables = {worker_id for table in router.tables.values() for worker_id in table.weights}
+    table_workers = {worker_id for table in router.tables.values() for worker_id in table.weights}
     avoided = {
-        worker_id: left_s - age_s
-        for worker_id, left_s in snapshot.avoid_for_s.items()
-        if left_s > age_s and is_known(worker_id)
+        worker_id: avoid_for_s - age_s
+        for worker_id, avoid_for_s in snapshot.avoid_for_s.items()
+        if avoid_for_s > age_s and is_known(worker_id)
     }
-    if len(avoided) > len(in_tables) * ageing.MAX_EJECTED_RATIO:
+    if len(avoided) > len(table_workers) * ageing.MAX_EJECTED_RATIO:
         return []
     router.avoid(now, avoided)
     return [f"{len(avoided)} avoided"]
--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -67,18 +67,18 @@
         """Moves a tunnel from the count of the worker `source` to that of its current worker."""
         self.registry.move(source, tunnel.worker_id, tunnel)
         self.counters.moved += 1
-        self._drainer.connection_settled(source, order, True)
+        self._drainer.record_release(source, order, True)
 
     def migration_failed(self, tunnel: Tunnel, order: int, reason: str) -> None:
         """Records a failed migration and its reason."""
-        self._drainer.connection_settled(tunnel.worker_id, order, False)
+        self._drainer.record_release(tunnel.worker_id, order, False)
         self._count_reason(f"migration failed: {reason[:MAX_FAILURE_REASON_CHARACTERS]}")
 
     def tunnel_ended(self, tunnel: Tunnel, reason: str) -> None:
         """Removes an ended tunnel, releases its client's slot, and records the reason."""
         self.registry.remove(tunnel.worker_id, tunnel)
         self._listener.slots.release(tunnel.client_address)
-        self._drainer.connection_settled(tunnel.worker_id, tunnel.order, True)
+        self._drainer.record_release(tunnel.worker_id, tunnel.order, True)
         self._count_reason(reason)
 
     def _count_reason(self, reason: str) -> None:
@@ -141,7 +141,7 @@
         target = release.target
         if target is not None and not self._is_available(target):
             # The destination has failed or left since the order was sent, so the manager has to plan again.
-            self._drainer.connection_settled(release.worker_id, release.order, False)
+            self._drainer.record_release(release.worker_id, release.order, False)
             return True
         if release.close or not tunnel.is_resumable:
             self._close_for_drain(release, tunnel, now)
--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -19,7 +19,10 @@
         self._index = {name: index for index, name in enumerate(names)}
 
     def zone_index(self, name: str, where: str) -> int:
-        """The index of a zone.  Raises UnknownNameError, which names `where`, for an unknown zone."""
+        """Returns the index of a zone.
+
+        Raises UnknownNameError with the position `where` for an unknown zone.
+        """
         if name not in self._index:
             raise UnknownNameError(where, "zone")
         return self._index[name]
@@ -27,7 +30,10 @@
 
 @dataclass(slots=True)
 class ListedWorker:
-    """A worker as it was last listed; `removed_at` is when it was found to be gone."""
+    """A worker as it was last listed.
+
+    `removed_at` is when its state became GONE, and None again once it is READY.
+    """
 
     zone: int
     state: EndpointState
@@ -35,7 +41,7 @@
 
 
 class WorkerList:
-    """Keeps the listed workers, and tells the router which of them requests may be sent to.
+    """The listed workers; keeps the router informed of the ready and the leaving ones.
 
     `restore_snapshot` is called once, with the first list that has a ready worker.
     """
@@ -50,24 +56,24 @@
         self._workers: dict[int, ListedWorker] = {}
 
     def register(self, worker_id: str, address: str, started_at: float) -> int:
-        """The index of a listed worker, new or known; `started_at` is 0 for a start of long ago."""
+        """Adds or updates a listed worker, and returns its index; `started_at` is 0 for a start long ago."""
         return self._registry.register(worker_id, address, started_at)
 
     def is_known(self, worker_id: str) -> bool:
-        """Whether the list has named a worker."""
+        """Returns whether a worker has been listed and is not forgotten."""
         return self._registry.find_index(worker_id.encode()) is not None
 
     def address_of(self, worker_id: str) -> str | None:
-        """The host:port of a worker; None for an unknown worker."""
+        """Returns the host:port of a worker, None for an unknown worker."""
         index = self._registry.find_index(worker_id.encode())
         return None if index is None else self._registry.address_of(index)
 
     def known_ids(self) -> set[str]:
-        """The ids of all workers that are not forgotten."""
+        """Returns the ids of all workers that are not forgotten."""
         return {worker_id.decode() for worker_id in self._registry.ids.values()}
 
     def removed_before(self, time: float) -> list[str]:
-        """The ids of the workers that were found to be gone before `time`."""
+        """Returns the ids of the workers that were removed from the list before `time`."""
         return [
             self._worker_id(worker_index)
             for worker_index, worker in self._workers.items()
@@ -82,18 +88,18 @@
         self._registry.remove(worker_index)
 
     def update(self, update: EndpointList, now: float) -> None:
-        """Takes over a complete list or a change of it, whose workers are registered."""
+        """Applies a complete list or a change of it; its workers have to be registered."""
         self._apply(update, now)
         ready = [index for index, worker in self._workers.items() if worker.state == EndpointState.READY]
         if ready:
-            self._restore()
+            self._restore_snapshot_once()
         self._use_default_table(ready)
 
     def _apply(self, update: EndpointList, now: float) -> None:
-        """Sets the states of the listed workers, and of those that a complete list no longer names."""
+        """Sets the states of the listed workers, and of those that a complete list no longer contains."""
         if update.kind == ListUpdateKind.FULL:
-            named = {endpoint.worker_index for endpoint in update.endpoints}
-            for worker_index in self._workers.keys() - named:
+            listed = {endpoint.worker_index for endpoint in update.endpoints}
+            for worker_index in self._workers.keys() - listed:
                 self._set_state(worker_index, EndpointState.GONE, now)
         for endpoint in update.endpoints:
             worker = self._workers.setdefault(
@@ -103,16 +109,16 @@
             self._set_state(endpoint.worker_index, endpoint.state, now)
 
     def _use_default_table(self, ready: list[int]) -> None:
-        """Gives the router ready workers in random order, those of the own zone if there are any."""
-        nearby = [index for index in ready if self._workers[index].zone == self._home_zone] or ready
-        self._rng.shuffle(nearby)
-        self._router.use_default_table(self._worker_id(index) for index in nearby)
+        """Gives the router the ready workers in random order, only those of the home zone if it has any."""
+        candidates = [index for index in ready if self._workers[index].zone == self._home_zone] or ready
+        self._rng.shuffle(candidates)
+        self._router.use_default_table(self._worker_id(index) for index in candidates)
 
     def _worker_id(self, worker_index: int) -> str:
         return self._registry.ids[worker_index].decode()
 
-    def _restore(self) -> None:
-        """Restores the snapshot, of which only the workers on the list still count."""
+    def _restore_snapshot_once(self) -> None:
+        """Restores the snapshot on the first call."""
         if self.restore_snapshot is not None:
             restore_snapshot = self.restore_snapshot
             self.restore_snapshot = None
--- a/cottonladder/forwarder/worker_removal.py
+++ b/cottonladder/forwarder/worker_removal.py
@@ -1,4 +1,4 @@
-"""Forgets the workers that were removed from the endpoint list long ago."""
+"""Forgets workers some time after their removal from the endpoint list."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 from .tunnel import Tunnel
 from .worker_list import WorkerList
 
-REMOVED_WORKER_TTL_S = 600.0  # after which a worker that is gone and not in use is forgotten
+REMOVED_WORKER_TTL_S = 600.0
 
 
 class WorkerRemoval:
-    """Forgets removed workers that have no connection and are in no table, wherever they are known."""
+    """Forgets removed workers that have no connection and are in no routing table.
+
+    They are removed from the worker list, the router and the pacer.
+    """
 
     def __init__(
         self,
@@ -27,7 +30,7 @@
         self._registry = registry
 
     def forget_expired(self, now: float) -> None:
-        """Forgets the workers whose time has passed."""
+        """Forgets the unused workers that were removed more than `REMOVED_WORKER_TTL_S` ago."""
         in_use = self._workers_in_use()
         for worker_id in self._workers.removed_before(now - REMOVED_WORKER_TTL_S):
             if worker_id not in in_use:
--- a/cottonladder/forwarder/worker_slots.py
+++ b/cottonladder/forwarder/worker_slots.py
@@ -1,4 +1,4 @@
-"""Selects the worker for an upgraded connection, within the limits and the admission pace of each worker."""
+"""Selects the worker for an upgraded connection, within each worker's connection limit and admission rate."""
 
 from __future__ import annotations
 
@@ -13,14 +13,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotSelection:
-    """The worker selected, or None and the time in seconds until one may accept a connection."""
+    """The selected worker, or None and the delay until a worker may accept a connection.
+
+    `retry_delay_s` is infinite if no candidate is limited by its admission rate alone.
+    """
 
     worker_id: str | None
     retry_delay_s: float = 0.0
 
 
 class WorkerSlots:
-    """Selects workers that may accept one more upgraded connection."""
+    """Selects workers that may accept another upgraded connection."""
 
     def __init__(self, services: RequestServices, registry: ConnectionRegistry[Tunnel]) -> None:
         self._services = services
@@ -31,11 +34,11 @@
     ) -> SlotSelection:
         """Selects a worker with a reserved slot if there is one, else a worker by weight.
 
-        `attempted` are workers to leave out; `preferred` are weights that replace those of the table.
+        Workers in `attempted` are not selected.  `preferred` replaces the weights of the routing table.
         """
         now = self._services.now()
         candidates = self._services.router.candidates(request_class, preferred)
-        reserved = self._take_reservation(now, candidates, attempted)
+        reserved = self._use_reservation(now, candidates, attempted)
         if reserved is not None:
             return SlotSelection(reserved)
         return self._select_by_weight(now, request_class, candidates, attempted, preferred)
@@ -43,7 +46,7 @@
     def _is_full(self, worker_id: str) -> bool:
         return self._registry.count(worker_id) >= self._services.limits.connections_per_worker
 
-    def _take_reservation(
+    def _use_reservation(
         self, now: float, candidates: Mapping[str, float], attempted: Collection[str]
     ) -> str | None:
         pacer = self._services.pacer
--- a/tests/planning/test_snapshot_staleness.py
+++ b/tests/planning/test_snapshot_staleness.py
@@ -170,7 +170,7 @@
         before.apply([ReceivedConfigPart(replaces_table=True, weights=weights, excluded=("s-5",))])
         for _ in range(MAX_CONSECUTIVE_FAILURES):
             before.record_result(100.0, "s-0", False)
-        snapshot = restored_state.snapshot_of(before, {}, 100.0)
+        snapshot = restored_state.create_snapshot(before, {}, 100.0)
         listed = frozenset({"s-0", "s-1", "s-2", "s-3"})
         for case in (
             ForwarderCase(1.0, True, listed),
