--- a/tests/forwarder/test_draining.py
+++ b/tests/forwarder/test_draining.py
@@ -1,4 +1,4 @@
-"""Drains of workers whose upgraded connections a forwarder holds, with managers and without."""
+"""Drains of workers with upgraded connections through a forwarder, with managers and without."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
             await self.worker(f"s-{number}")
 
     async def start_drained_fleet(self, worker_count: int, client_count: int) -> ForwarderProcess:
-        """A manager, a forwarder, and clients at each of the workers."""
+        """Starts workers, a manager, a forwarder, and clients with an upgraded connection each."""
         await self.start_workers(worker_count)
         forwarder = await self.forwarder((await self.manager()).port)
         await self.wait_for_table(forwarder, *self.workers)
@@ -35,8 +35,8 @@
         self.assertEqual(sum(self.connections_by_worker().values()), client_count)
         self.assertEqual(self.counts.closes.total(), 0)
 
-    async def test_a_thousand_leave_and_nobody_is_overfilled(self) -> None:
-        """Two forwarders hold them; ten connections are busy all the time, and one worker is warming up."""
+    async def test_a_thousand_connections_migrate_and_overload_no_worker(self) -> None:
+        """Two forwarders relay them; ten connections are always busy, and one worker is warming up."""
         await self.worker("s-0")
         rules = {**SETTINGS["Rules"], "WarmAfterMs": WARM_UP_S * 1000.0}
         manager = await self.manager({"grace": LONG_GRACE_S, "arrivals": 400.0}, Rules=rules)
@@ -51,13 +51,13 @@
         for number in range(1, 5):
             started = time.time() if number == 4 else 0.0
             await self.worker(f"s-{number}", "ab"[number % 2], started_at=started)
-        # It may name workers of the other zone too, if more of the clients' handshakes came from this one.
+        # The table may also contain workers of the other zone, if this zone had more of the handshakes.
         await self.wait_for_workers_in_table(forwarders[1], "s-1", "s-3")
         self.assertEqual(self.workers["s-0"].held_connections, 1000)
-        self.counts.failed_handshakes = 0  # all clients came at once: those that were rejected have retried
+        self.counts.failed_handshakes = 0  # of the clients' start: those that were rejected have retried
         await self.discovery.set_state("s-0", "Terminating")
         duration_s = await self.wait_until_empty("s-0", grace_s=LONG_GRACE_S)
-        self.assertGreater(duration_s, 4.0)  # spread
+        self.assertGreater(duration_s, 4.0)  # the migrations are spread over time
         connections = self.connections_by_worker()
         self.assertEqual(sum(connections.values()), 1000)
         warming_up = self.workers["s-4"]
@@ -68,10 +68,10 @@
         self.assertEqual(sum(self.counts.closes.values()), 0)
         self.assertEqual(self.ledger.repeated_releases(), 0)
 
-    async def test_a_release_under_way_is_not_cut(self) -> None:
-        """A connection whose release is answered within the grace migrates.
+    async def test_a_release_in_progress_is_answered_or_ends_as_outcome_unknown(self) -> None:
+        """A connection whose release is answered within the grace period migrates.
 
-        Otherwise its client is notified that the outcome is unknown, and the release is not repeated.
+        Otherwise its client is notified that the outcome is unknown, and the release is not sent again.
         """
         worker = await self.worker("s-1")
         forwarder = await self.forwarder((await self.manager()).port, kinds=RELEASE_CLASSES)
@@ -95,7 +95,7 @@
         self.assertEqual(self.ledger.releases[first], 1)
         self.assertEqual(self.ledger.releases[second], 1)
 
-    async def test_of_two_drains_the_cancelled_one_keeps_its_connections(self) -> None:
+    async def test_a_cancelled_drain_keeps_its_connections_while_another_drain_completes(self) -> None:
         await self.start_workers(4)
         manager = await self.manager()
         forwarder = await self.forwarder(manager.port)
@@ -110,12 +110,14 @@
         remaining = self.workers["s-1"].held_connections
         self.assertGreater(remaining, 0)
         await self.wait_until_empty("s-0")
-        # Two migrations may have been under way when the drain was cancelled.
+        # Two migrations may have been in progress when the drain was cancelled.
         self.assertGreaterEqual(self.workers["s-1"].held_connections, remaining - 2)
         self.assert_all_stayed_open(120)
         self.assertEqual(self.counts.failed_handshakes, 0)
 
-    async def test_a_destination_that_dies_amid_a_migration_loses_nobody(self) -> None:
+    async def test_every_client_reaches_the_remaining_worker_when_a_destination_fails_during_a_drain(
+        self,
+    ) -> None:
         await self.start_drained_fleet(worker_count=3, client_count=90)
         await self.discovery.set_state("s-0", "Terminating")
         await self.wait_until(lambda: self.workers["s-1"].resumed_count > 3)
@@ -124,8 +126,8 @@
         await self.wait_until_empty("s-0")
         await self.wait_until(lambda: self.workers["s-2"].held_connections == 90)
 
-    async def test_clients_of_a_dead_worker_come_back_at_the_pace(self) -> None:
-        """The remaining workers accept the clients at their pace; the others are asked to retry later."""
+    async def test_clients_of_a_failed_worker_reconnect_at_the_admission_rate(self) -> None:
+        """The remaining workers accept clients at their admission rate; other clients are asked to retry."""
         await self.start_workers(3)
         manager = await self.manager({"grace": GRACE_S, "arrivals": 10.0})
         forwarder = await self.forwarder(manager.port, upgrades={"grace": GRACE_S, "arrivals": 2000.0})
@@ -143,10 +145,10 @@
             max_in_a_second = max(
                 sum(start <= arrival < start + 1.0 for arrival in arrivals) for start in arrivals
             )
-            self.assertLessEqual(max_in_a_second, 2 * 10 * 1.1)  # the burst and the pace of one second
+            self.assertLessEqual(max_in_a_second, 2 * 10 * 1.1)  # a burst, and the rate for one second
         self.assertGreater(self.counts.failed_handshakes, 0)
 
-    async def test_a_drain_keeps_its_end_when_the_manager_dies(self) -> None:
+    async def test_a_drain_ends_within_its_grace_period_when_the_manager_is_killed(self) -> None:
         await self.start_workers(3)
         first_manager = await self.manager()
         second_port = free_port()
@@ -159,25 +161,27 @@
         first_manager.send_signal(signal.SIGKILL)
         await self.manager(port=second_port)
         await self.wait_until_empty("s-0")
-        # The grace counts from the first notice, though the second manager learned of the drain later.
+        # The grace period counts from the start of the drain, though the second manager learned of it later.
         self.assertLess(time.monotonic() - started_at, GRACE_S)
         self.assert_all_stayed_open(90)
 
-    async def test_a_forwarder_cut_off_from_managers_drains_alone(self) -> None:
+    async def test_a_forwarder_without_a_responding_manager_paces_the_drain_itself(self) -> None:
         await self.start_workers(3)
         manager = await self.manager()
         forwarder = await self.forwarder(manager.port)
         await self.wait_for_table(forwarder, *self.workers)
         await self.open(forwarder, 60)
-        manager.send_signal(signal.SIGSTOP)  # silent, with its stream open
+        manager.send_signal(signal.SIGSTOP)  # its stream stays open without messages
         await self.discovery.set_state("s-0", "Terminating")
         await self.wait_until_empty("s-0")
         self.assert_all_stayed_open(60)
         await forwarder.wait_for_log("stream_ended", "silent")
 
-    async def test_clients_that_ignore_the_close_are_cut_in_time(self) -> None:
-        """Some ignore the close, some reconnect at once, some are never idle: all have left in time."""
-        classes = [{"name": "fetch", "replays": "replayable", "busy": {"quiet": 1.0}}]  # none can resume
+    async def test_clients_that_ignore_the_close_are_disconnected_within_the_grace_period(self) -> None:
+        """Some clients ignore the close, some reconnect immediately, and some are never idle."""
+        classes = [
+            {"name": "fetch", "replays": "replayable", "busy": {"quiet": 1.0}}
+        ]  # without a ticket header no connection can be resumed
         await self.worker("s-0")
         forwarder = await self.forwarder((await self.manager()).port, kinds=classes)
         await self.wait_for_table(forwarder, "s-0")
--- a/tests/forwarder/test_race_conditions.py
+++ b/tests/forwarder/test_race_conditions.py
@@ -1,6 +1,7 @@
-"""Pairs of events that may come in either order in a forwarder, on real sockets.
+"""Pairs of events that may occur in either order in a forwarder, on real sockets.
 
-The worker holds its answer until the other event has come, so each test forces the order that once failed.
+Each test forces the order that once failed, mostly by a worker that delays its response until the other event
+has occurred.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A forwarder's answer; `outcome` is empty where it has no such header."""
+    """A forwarder's response; `outcome` is its Outcome header, empty if it has none."""
 
     status: int
     outcome: str
@@ -38,7 +39,7 @@
 
 
 class ForwarderStops(ForwarderRig):
-    """A signal to stop while a worker has a request and has not answered it."""
+    """A forwarder receives SIGTERM while a worker has a request that it has not answered."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -49,7 +50,7 @@
         self.slow_worker.answer_gate = self.answers_allowed
 
     async def start_request(self, **request: Any) -> asyncio.Task[Answer]:
-        """A request that the worker has received and not answered."""
+        """Sends a request and waits until the worker has received it; the task ends with the response."""
 
         async def send() -> Answer:
             async with self.session.request(**request) as response:
@@ -70,7 +71,7 @@
         self.stopping_forwarder.send_signal(signal.SIGTERM)
         await self.stopping_forwarder.wait_for_log("event=draining")
 
-    async def test_a_stop_waits_for_requests_under_way_and_answers_kept_connections(self) -> None:
+    async def test_a_stop_waits_for_requests_in_progress_and_answers_kept_connections_with_503(self) -> None:
         forwarder = self.stopping_forwarder
         self.answers_allowed.set()
         kept = aiohttp.ClientSession()
@@ -85,15 +86,15 @@
             self.assertEqual(response.headers["Connection"], "close")
             self.assertIn("Retry-After", response.headers)
         status = await forwarder.status(self.session)
-        self.assertIsNotNone(status.manager)  # its orders count until the last request has ended
+        self.assertIsNotNone(status.manager)  # it stays connected until the last request has ended
         self.answers_allowed.set()
         self.assertEqual(await release, Answer(200, "", b"r-1"))
         await self.session.close()  # otherwise the forwarder waits for this test's own idle connections
         self.assertEqual(await forwarder.stop(), 0)
         self.assertEqual(self.ledger.releases["r-1"], 1)
 
-    async def test_what_the_stop_gives_up_is_answered_at_once(self) -> None:
-        """The second signal ends the drain: nobody knows whether the release ran, and nothing repeats it."""
+    async def test_a_second_signal_answers_unfinished_requests_immediately_as_outcome_unknown(self) -> None:
+        """The second signal ends the drain: the release may have run, and it must not be sent again."""
         release = await self.start_release()
         await self.start_stop()
         self.assertEqual(await self.stopping_forwarder.stop(), 0)
@@ -102,7 +103,7 @@
         self.assertEqual(answer.outcome, "unknown")
         self.assertEqual(self.slow_worker.requests.total(), 1)
 
-    async def test_a_handshake_under_way_does_not_outlive_the_stop(self) -> None:
+    async def test_a_stop_ends_a_handshake_in_progress_as_outcome_unknown(self) -> None:
         headers = {"Connection": "Upgrade", "Upgrade": "shout/1"}
         upgrade = await self.start_request(method="GET", url=self.stopping_forwarder.url, headers=headers)
         await self.start_stop()
@@ -114,7 +115,7 @@
 
 
 class WorkerEnds(ForwarderRig):
-    """A worker that accepts an upgrade, sends its last bytes and ends, all at once."""
+    """A worker accepts an upgrade, sends its last bytes and closes the connection, all without a pause."""
 
     async def start_ending_worker(self, reset: bool) -> ForwarderProcess:
         async def accept_and_end(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -137,7 +138,7 @@
         return forwarder
 
     async def upgrade_and_read(self, forwarder: ForwarderProcess) -> bytes:
-        """Whatever a client receives from the worker until the worker has ended; then the client ends."""
+        """Opens an upgraded connection; returns all bytes received until it is closed."""
         reader, writer = await asyncio.open_connection("127.0.0.1", forwarder.port)
         writer.write(b"GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: shout/1\r\n\r\n")
         try:
@@ -151,23 +152,23 @@
 
         await self.wait_until(has_no_connection)
 
-    async def test_a_worker_that_ends_as_it_agrees_ends_the_tunnel(self) -> None:
-        """Its end was lost as the connection had no tunnel yet, and its client waited for ever."""
+    async def test_a_worker_that_closes_right_after_accepting_ends_the_tunnel(self) -> None:
+        """An end of file that arrives before the tunnel exists was ignored, and the client waited forever."""
         forwarder = await self.start_ending_worker(reset=False)
         received = await self.upgrade_and_read(forwarder)
         self.assertTrue(received.startswith(b"HTTP/1.1 101"), received)
         self.assertTrue(received.endswith(b"BYE"), received)
         await self.wait_until_released(forwarder)
 
-    async def test_a_worker_that_resets_as_it_agrees_ends_the_tunnel(self) -> None:
-        """As above, but the operating system drops whatever a reset finds unread."""
+    async def test_a_worker_that_resets_right_after_accepting_ends_the_tunnel(self) -> None:
+        """A reset discards bytes that have not been read, so the client need not receive any."""
         forwarder = await self.start_ending_worker(reset=True)
         await self.upgrade_and_read(forwarder)
         await self.wait_until_released(forwarder)
 
 
 class CountingListener(ClientListener):
-    """A listener that announces when it has accepted two connections."""
+    """A listener that sets `two_accepted` when it has accepted two connections."""
 
     def __init__(self) -> None:
         super().__init__(LimitsConfig(), self.respond)
@@ -183,8 +184,11 @@
 
 
 class OverdueHeads(unittest.IsolatedAsyncioTestCase):
-    async def test_a_head_that_a_late_loop_left_unread_is_answered(self) -> None:
-        """Between the sweep that finds a connection late and the one that ends it, the loop reads."""
+    async def test_a_request_head_that_a_delayed_loop_has_not_read_is_answered(self) -> None:
+        """A sweep finds a connection overdue whose head has arrived; the loop reads it before the next sweep.
+
+        The next sweep closes a connection that has sent no head.
+        """
         listener = CountingListener()
         port = await listener.listen("127.0.0.1", 0)
         self.addAsyncCleanup(listener.close)
