--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -31,7 +31,7 @@
     """Is notified when a tunnel migrates, fails to migrate, or ends."""
 
     def tunnel_migrated(self, tunnel: Tunnel, source: str, order: int) -> None:
-        """Handles a migration from the worker `source` to the tunnel's present worker."""
+        """Handles a migration from the worker `source` to the tunnel's current worker."""
 
     def migration_failed(self, tunnel: Tunnel, order: int, reason: str) -> None:
         """Handles a failed migration; the tunnel stays at its worker."""
--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -163,9 +163,8 @@
         if release.target is None:
             delay_s = retry_after(0.0, self._services.rng.random())
         else:
-            self._services.pacer.reserve(
-                now, release.target, 1
-            )  # for the client, which reconnects immediately
+            # The client reconnects immediately.
+            self._services.pacer.reserve(now, release.target, 1)
             delay_s = retry_after(0.0, 0.0)
         self.counters.closed += 1
         message = f"moved: come back in {delay_s} s"
--- a/cottonladder/forwarder/tunnel_migration.py
+++ b/cottonladder/forwarder/tunnel_migration.py
@@ -137,7 +137,7 @@
         policy = self._tunnel.policy
         if not new_end.reply.header(policy.ticket_header):
             return RESUMPTION_REJECTED
-        # The quiet time is taken as passed, because the client is not read during a migration.  Only an
+        # The quiet time is treated as passed, because the client is not read during a migration.  Only an
         # incomplete request or message prevents the handover.
         if self._tunnel.is_busy(self._tunnel.active_at + policy.quiet_time_s):
             return BECAME_BUSY
