--- a/tests/docs/test_constant_values.py
+++ b/tests/docs/test_constant_values.py
@@ -1,4 +1,4 @@
-"""The constants that the capacity page explains stand in the named module with the named value."""
+"""Each constant in the capacity page's tables is defined in the named module with the given value."""
 
 from __future__ import annotations
 
--- a/tests/docs/test_links.py
+++ b/tests/docs/test_links.py
@@ -1,4 +1,4 @@
-"""Relative links between the project's own pages lead to files that exist."""
+"""Relative links in the project's Markdown pages point to existing files."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 CODE = re.compile(r"```.*?```|`[^`]*`", re.DOTALL)
 
 
-def pages() -> Iterator[Path]:
+def markdown_pages() -> Iterator[Path]:
     for name in ("README.md", "CONTRIBUTING.md"):
         if (ROOT / name).exists():
             yield ROOT / name
@@ -20,22 +20,22 @@
 
 
 def relative_links(page: Path) -> Iterator[str]:
-    """Links to files, without the part of the page that they name."""
+    """Yields the paths of a page's relative links, without their fragments."""
     for link in LINK.findall(CODE.sub("", page.read_text())):
         target = link.partition("#")[0]
         if target and not re.match(r"[a-z]+:", target):
             yield target
 
 
-class Links(unittest.TestCase):
-    def test_relative_links_resolve(self) -> None:
-        for page in pages():
+class LinkTests(unittest.TestCase):
+    def test_target_of_each_relative_link_exists(self) -> None:
+        for page in markdown_pages():
             for link in relative_links(page):
                 with self.subTest(page=str(page.relative_to(ROOT)), link=link):
                     self.assertTrue((page.parent / link).exists())
 
-    def test_links_are_found(self) -> None:
-        self.assertTrue(any(list(relative_links(page)) for page in pages()))
+    def test_pages_contain_relative_links(self) -> None:
+        self.assertTrue(any(list(relative_links(page)) for page in markdown_pages()))
 
 
 if __name__ == "__main__":
--- a/tests/policy/test_recorded_orders.py
+++ b/tests/policy/test_recorded_orders.py
@@ -1,9 +1,9 @@
-"""What managers write on the wire for recorded inputs, compared byte for byte.
+"""The managers' output for seeded inputs, compared byte for byte with recorded digests.
 
-The digests in `tests/recorded/orders.json` are of the simulator's replies (without the texts of their log
-lines) and of RESP2 messages, datagrams and snapshot files, never of Python names.  They stay the same through
-every rename and restructuring, and change only if the program behaves differently.  After an intended change
-of behaviour, `python -m tests.policy.test_recorded_orders` prints the new digests.
+The digests in `tests/recorded/orders.json` cover the simulator's replies (without the texts of their log
+lines), RESP2 messages, datagrams and snapshot files, and no Python names.  Renames and restructuring leave
+them unchanged; they change only if the program behaves differently.  After an intended change of behaviour,
+`python -m tests.policy.test_recorded_orders` prints the new digests.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 import structlog
 
 from cottonladder.simulator.host import SimulatorHost
-from tests.support.simulated_day_settings import DAYS
-from tests.support.simulated_days import SimulatedDay
-from tests.support.wire_manager import play_two_incarnations
+from tests.support.simulated_run import SimulatedRun
+from tests.support.simulated_run_settings import RUN_SETTINGS
+from tests.support.wire_manager import run_two_incarnations
 
 RECORDED = Path(__file__).parents[1] / "recorded" / "orders.json"
 INCARNATION_S = 30
@@ -34,14 +34,14 @@
     actions: dict[str, int]
 
 
-def play_simulated_runs() -> dict[str, RecordedRun]:
+def run_simulations() -> dict[str, RecordedRun]:
     """Returns the result of each simulated run, by name."""
-    played: dict[str, RecordedRun] = {}
-    for name in DAYS:
-        run = SimulatedDay(name, SimulatorHost().handle_batch)
-        digest = run.play()
-        played[name] = {"digest": digest, "actions": dict(sorted(run.action_counts.items()))}
-    return played
+    results: dict[str, RecordedRun] = {}
+    for name in RUN_SETTINGS:
+        simulated_run = SimulatedRun(name, SimulatorHost().handle_batch)
+        digest = simulated_run.run()
+        results[name] = {"digest": digest, "actions": dict(sorted(simulated_run.action_counts.items()))}
+    return results
 
 
 class RecordedOrderTests(unittest.TestCase):
@@ -53,20 +53,16 @@
         self.recorded = json.loads(RECORDED.read_text())
 
     def test_replies_to_the_simulator(self) -> None:
-        played = play_simulated_runs()
-        for name, run in played.items():
+        results = run_simulations()
+        for name, run in results.items():
             with self.subTest(name):
                 self.assertEqual(run, self.recorded["simulated"][name])
-        self.assertEqual({action for run in played.values() for action in run["actions"]}, ALL_ACTIONS)
+        self.assertEqual({action for run in results.values() for action in run["actions"]}, ALL_ACTIONS)
 
     def test_resp2_messages_datagrams_and_snapshots_are_as_recorded(self) -> None:
-        self.assertEqual(play_two_incarnations(INCARNATION_S), self.recorded["wire"])
+        self.assertEqual(run_two_incarnations(INCARNATION_S), self.recorded["wire"])
 
 
 if __name__ == "__main__":
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
-    print(
-        json.dumps(
-            {"simulated": play_simulated_runs(), "wire": play_two_incarnations(INCARNATION_S)}, indent=2
-        )
-    )
+    print(json.dumps({"simulated": run_simulations(), "wire": run_two_incarnations(INCARNATION_S)}, indent=2))
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -8,7 +8,7 @@
 import unittest
 from typing import Any
 
-from tests.support.simulated_day_settings import simulator_settings
+from tests.support.simulated_run_settings import simulator_settings
 
 Event = dict[str, Any]  # with its name as the only key
 Batch = dict[str, Any]
--- a/tests/support/capacity_views.py
+++ b/tests/support/capacity_views.py
@@ -1,4 +1,4 @@
-"""Views of workers as the routing controller would give them."""
+"""Capacity views of workers for tests, with default values."""
 
 from __future__ import annotations
 
@@ -14,6 +14,6 @@
     latency_s: float = 0.1,
     zone: int = 0,
 ) -> WorkerCapacityView:
-    """A worker's view; one that drains has no capacity."""
+    """Returns a worker's view; its capacity is 0 if the worker is draining."""
     is_draining = draining_since >= 0
     return WorkerCapacityView(zone, 0.0 if is_draining else capacity, warming_up, draining_since, latency_s)
--- a/tests/support/control_loop_doubles.py
+++ b/tests/support/control_loop_doubles.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what a control loop uses: its outputs, its clock, its timers and its background tasks."""
+"""Test doubles for a control loop's outputs, clock, timers and background tasks."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SentMessage:
-    """The bytes of one message to a proxy."""
+    """One message to a proxy, encoded."""
 
     proxy: int
     data: bytes
 
 
 class OutputRecorder:
-    """In place of every output of a control loop: adds what it gets to a digest."""
+    """Replaces all outputs of a control loop; counts their calls and adds each one to a digest."""
 
     def __init__(self) -> None:
         self.digest = hashlib.sha256()
@@ -32,14 +32,14 @@
         self.counts[name] += 1
         self.digest.update(b"%b %d\n%b\n" % (name.encode(), len(data), data))
 
-    def take_sent(self) -> list[SentMessage]:
-        """Returns the messages to proxies since the last call."""
+    def pop_sent(self) -> list[SentMessage]:
+        """Removes and returns the messages to proxies since the last call."""
         sent = self.sent
         self.sent = []
         return sent
 
     def set_watching(self, on: bool) -> None:
-        """Records that the watch on discovery begins or ends."""
+        """Records that the watch on discovery is switched on or off."""
         self._record("watch", b"%d" % on)
 
     def fetch(self) -> None:
@@ -61,18 +61,18 @@
 
 
 class SteppedClock:
-    """A clock that the test sets."""
+    """A clock whose time the test sets in `time_s`."""
 
     def __init__(self, now: float) -> None:
         self.time_s = now
 
     def now(self) -> float:
-        """Returns the time that the test has set."""
+        """Returns the time that the test has set, in seconds."""
         return self.time_s
 
 
 class SteppedControlLoop(ControlLoop):
-    """A control loop whose timers the test fires: `timer_token` is the token of the next one."""
+    """A control loop that starts no timer: the test fires the latest one, whose token is `timer_token`."""
 
     timer_token = 0
 
@@ -80,18 +80,18 @@
         self.timer_token = order.token
 
 
-class HeldTasks:
-    """In place of the background scheduler: holds the tasks until the test runs them."""
+class ManualTaskRunner:
+    """Replaces the background scheduler; tasks run only when the test calls `run_all`."""
 
     def __init__(self) -> None:
         self._work: dict[str, Work] = {}
 
     def add(self, plan: TaskPlan, work: Work) -> None:
-        """Adds a task, as the background scheduler does."""
+        """Adds a task, or replaces the one of the same name."""
         self._work[plan.name] = work
 
     async def run_all(self) -> None:
-        """Runs each task once, to its end."""
+        """Runs each task once, until it is complete."""
         for work in self._work.values():
             for step in work():
                 if step is not None:
--- a/tests/support/deployment_parameters.py
+++ b/tests/support/deployment_parameters.py
@@ -1,4 +1,4 @@
-"""The deployment parameters that tests of the policy use unless they need others."""
+"""The default deployment parameters of the policy tests."""
 
 from __future__ import annotations
 
--- a/tests/support/event_queue.py
+++ b/tests/support/event_queue.py
@@ -1,4 +1,4 @@
-"""Events that a simulated day has scheduled for its managers."""
+"""Events that a simulated run has scheduled for its managers."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-Message = dict[str, Any]  # JSON of the simulator's wire
+Message = dict[str, Any]  # a JSON object of the simulator's interface
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class ScheduledEvent:
-    """A message that a manager gets at a time; those of the same time in the order of scheduling."""
+    """A message to a manager; ordered by time, and by the order of scheduling where times are equal."""
 
     time_s: float
     sequence: int
@@ -32,7 +32,7 @@
         heapq.heappush(self._events, ScheduledEvent(time_s, self._last_sequence, manager, message))
 
     def pop_next_batch(self, end_s: float) -> list[ScheduledEvent]:
-        """Removes and returns the earliest events, all of one time; none if they are later than `end_s`."""
+        """Removes and returns the events of the earliest time; an empty list if it is later than `end_s`."""
         batch: list[ScheduledEvent] = []
         while self._events and self._events[0].time_s <= end_s:
             if batch and self._events[0].time_s != batch[0].time_s:
--- a/tests/support/forwarder_rig.py
+++ b/tests/support/forwarder_rig.py
@@ -1,4 +1,4 @@
-"""Forwarders and managers as programs on loopback, simulated workers, and clients that stay connected."""
+"""Test cases with forwarder and manager processes on loopback, simulated workers and long-lived clients."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from tests.support import program_with_constants
 from tests.support.json_object import JsonObject
 
-EVENT_TIMEOUT_S = 20.0  # for any event; long enough for a slow machine
-POLL_INTERVAL_S = 0.02  # between two checks of a condition that no event signals
+EVENT_TIMEOUT_S = 20.0  # long enough for a slow machine
+POLL_INTERVAL_S = 0.02
 GRACE_S = 6.0
 UPGRADES: JsonObject = {"grace": GRACE_S, "arrivals": 1000.0}
 RELEASE_CLASSES: list[JsonObject] = [
@@ -32,10 +32,10 @@
 
 
 class ForwarderRig(unittest.IsolatedAsyncioTestCase):
-    """A discovery service, and whatever a test starts beside it; all of it ends with the test."""
+    """Starts a discovery service; stops it and everything else that a test starts when the test ends."""
 
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # debug traces would slow a thousand clients down
+        asyncio.get_running_loop().set_debug(False)  # debug mode is too slow for a thousand clients
         self.ledger = EffectLedger()
         self.ticket_sessions: dict[str, TicketSession] = {}
         self.counts = ClientCounters()
@@ -48,14 +48,14 @@
         self.addAsyncCleanup(self.disconnect_clients)
 
     async def disconnect_clients(self) -> None:
-        """Ends every client and closes the kept connections, for which a forwarder's stop would wait."""
+        """Stops all clients and closes idle connections, because a stopping forwarder would wait for them."""
         clients = self.clients
         self.clients = []
         await asyncio.gather(*(client.stop() for client in clients))
         await self.session.close()
 
     async def worker(self, name: str, zone: str = "a", **listed: Any) -> SimulatedWorker:
-        """Starts a worker and lists it."""
+        """Starts a worker and adds it to the endpoint list; `listed` are further fields of its entry."""
         worker = SimulatedWorker(name, self.ledger, self.ticket_sessions)
         self.workers[name] = worker
         await worker.start()
@@ -64,24 +64,25 @@
         return worker
 
     async def manager(
-        self, upgrades: JsonObject | None = UPGRADES, port: int = 0, **more: Any
+        self, upgrades: JsonObject | None = UPGRADES, port: int = 0, **options: Any
     ) -> ManagerProcess:
-        """Starts a manager."""
-        manager = ManagerProcess(self.discovery_address, self.discovery.endpoint_list(), upgrades, **more)
+        """Starts a manager; `options` are passed to ManagerProcess."""
+        manager = ManagerProcess(self.discovery_address, self.discovery.endpoint_list(), upgrades, **options)
         await manager.start_serving(port)
         self.addAsyncCleanup(manager.stop)
         return manager
 
     async def forwarder(
-        self, *ports: int, node: int = 0, constants: Mapping[str, float] | None = None, **part: Any
+        self, *ports: int, node: int = 0, constants: Mapping[str, float] | None = None, **options: Any
     ) -> ForwarderProcess:
-        """Starts a forwarder of the managers on these ports; clients are disconnected before it stops.
+        """Starts a forwarder that connects to the managers on `ports`.
 
-        `constants` replace constants of the program, by their full names.
+        `constants` replaces constants of the program, by their full names; `options` are passed to
+        ForwarderProcess.  When the test ends, the clients are disconnected before the forwarder is stopped.
         """
         managers = [f"127.0.0.1:{port}" for port in ports]
-        upgrades = part.pop("upgrades", UPGRADES)
-        forwarder = ForwarderProcess(node, self.discovery_address, managers, upgrades, **part)
+        upgrades = options.pop("upgrades", UPGRADES)
+        forwarder = ForwarderProcess(node, self.discovery_address, managers, upgrades, **options)
         if constants:
             program_with_constants.run_with(forwarder, constants)
         await forwarder.start_serving()
@@ -94,32 +95,32 @@
         condition: Callable[[], bool] | Callable[[], Awaitable[bool]],
         timeout_s: float = EVENT_TIMEOUT_S,
     ) -> None:
-        """Waits until a condition holds."""
+        """Polls a condition until it is true; fails the test after `timeout_s`."""
         deadline = time.monotonic() + timeout_s
         while True:
             result = condition()
             if result if isinstance(result, bool) else await result:
                 return
-            self.assertLess(time.monotonic(), deadline, "the condition did not hold in time")
+            self.assertLess(time.monotonic(), deadline, f"condition is still false after {timeout_s} s")
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_for_table(self, forwarder: ForwarderProcess, *names: str) -> None:
-        """Waits until a manager is connected and the forwarder's table names exactly these workers."""
+        """Waits until a manager is connected and the forwarder's table contains exactly these workers."""
 
-        async def names_them() -> bool:
+        async def has_exactly_these_workers() -> bool:
             status = await forwarder.status(self.session)
             return status.manager is not None and set(status.tables["fetch"]) == set(names)
 
-        await self.wait_until(names_them)
+        await self.wait_until(has_exactly_these_workers)
 
     async def wait_for_workers_in_table(self, forwarder: ForwarderProcess, *names: str) -> None:
-        """Waits until the forwarder's table names these workers, whatever other workers it names."""
+        """Waits until the forwarder's table contains at least these workers."""
 
-        async def names_them() -> bool:
+        async def has_these_workers() -> bool:
             status = await forwarder.status(self.session)
             return set(status.tables["fetch"]) >= set(names)
 
-        await self.wait_until(names_them)
+        await self.wait_until(has_these_workers)
 
     async def open(
         self,
@@ -132,15 +133,15 @@
         reconnects_at_once: bool = False,
         ask_interval_s: float = 0.2,
     ) -> list[HoldingClient]:
-        """Starts clients with an upgraded connection each, and waits until they are connected."""
-        first = len(self.clients)
+        """Starts `count` clients, each with one upgraded connection; returns them when all are connected."""
+        first_number = len(self.clients)
         url = forwarder.url + path
         clients = [
             HoldingClient(
                 self.session,
                 url,
                 self.counts,
-                f"d{first + number}",
+                f"d{first_number + number}",
                 busy=busy,
                 releases=releases,
                 reconnects_at_once=reconnects_at_once,
@@ -158,20 +159,23 @@
     async def open_websocket(
         self, forwarder: ForwarderProcess, limit_bytes: int = 65_536
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A client's end of a WebSocket as bytes, its handshake done."""
+        """Opens a WebSocket and completes its handshake; returns the streams of its raw bytes."""
         reader, writer = await asyncio.open_connection("127.0.0.1", forwarder.port, limit=limit_bytes)
-        self.addCleanup(lambda: writer.transport.abort())  # which also keeps the writer open until then
+        self.addCleanup(lambda: writer.transport.abort())  # this reference keeps the writer open
         writer.write(WEBSOCKET_HANDSHAKE)
         head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), EVENT_TIMEOUT_S)
         self.assertIn(b" 101 ", head)
         return reader, writer
 
     def connections_by_worker(self) -> dict[str, int]:
-        """The number of upgraded connections at each worker, as the workers count them."""
+        """Returns the number of upgraded connections at each worker, as counted by the workers."""
         return {name: worker.held_connections for name, worker in self.workers.items()}
 
     async def wait_until_empty(self, *names: str, grace_s: float = GRACE_S) -> float:
-        """Waits until these workers have no connection, which must be within the grace; returns how long."""
+        """Waits until these workers have no upgraded connections; returns the duration in seconds.
+
+        The test fails if this takes more than one second longer than the grace period.
+        """
         started_at = time.monotonic()
         await self.wait_until(
             lambda: not any(self.workers[name].held_connections for name in names), grace_s + 1.0
--- a/tests/support/http_server.py
+++ b/tests/support/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP services on free ports of loopback, for the length of a test."""
+"""HTTP servers for tests, on free ports of loopback."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def start_http_server(handler: Handler) -> tuple[str, web.ServerRunner]:
-    """Starts an HTTP service on a free port; returns its address, and the runner whose `cleanup` stops it."""
+    """Starts an HTTP server; returns its address, and the runner whose `cleanup` stops it."""
     runner = web.ServerRunner(web.Server(handler, handler_cancellation=True), shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
--- a/tests/support/json_object.py
+++ b/tests/support/json_object.py
@@ -1,4 +1,4 @@
-"""The type of JSON bodies that tests write: settings, endpoint lists, configuration files."""
+"""The type of JSON objects in tests: settings, endpoint lists, configuration files."""
 
 from __future__ import annotations
 
--- a/tests/support/manager_program.py
+++ b/tests/support/manager_program.py
@@ -1,4 +1,4 @@
-"""A manager under its own command line, with its file, its log lines and connections to it."""
+"""A manager process started from the command line, its configuration file and its log."""
 
 from __future__ import annotations
 
@@ -32,10 +32,11 @@
 
 
 class ManagerProgram:
-    """A manager as a process of its own, whose log lines are kept and can be awaited.
+    """A manager process, whose log lines are recorded and can be awaited.
 
-    `constants` replace constants of the program, by their full names, where a test would wait long for them.
-    `changes` replace keys of the configuration file; `settings` replaces single settings.
+    `constants` replaces constants of the program, by their full names, so that tests do not have to wait for
+    long intervals.  `changes` replaces keys of the configuration file, except that its `settings` replaces
+    single settings.
     """
 
     def __init__(
@@ -53,14 +54,14 @@
         self.lines = self._log.lines
 
     async def start(self, config: str | None = None) -> None:
-        """Writes the configuration file, or `config` in its place, and starts the program."""
+        """Writes the configuration file, with the text `config` if given, and starts the program."""
         self.folder = Path(tempfile.mkdtemp())
         path = self.folder / "config.json"
         path.write_text(json.dumps(self.config) if config is None else config)
         await self.run(path)
 
     async def run(self, path: Path, **env: str) -> None:
-        """Starts the program with a configuration file and further environment variables."""
+        """Starts the program with a configuration file and additional environment variables."""
         module = "cottonladder"
         if self._constants:
             module = "tests.support.program_with_constants"
@@ -89,7 +90,7 @@
         return StreamClient(*await asyncio.open_connection("127.0.0.1", self.port))
 
     def reload(self, text: str | None = None, **changes: Any) -> None:
-        """Changes the configuration file, or writes `text` in its place, and sends SIGHUP."""
+        """Rewrites the configuration file, with `changes` or as `text`, and sends SIGHUP."""
         self.config.update(changes)
         (self.folder / "config.json").write_text(json.dumps(self.config) if text is None else text)
         self.process.send_signal(signal.SIGHUP)
@@ -97,13 +98,14 @@
     async def stop(self) -> int:
         """Stops the program and returns its exit status.
 
-        It must run: asyncio reaps a process that has just ended as it is signalled, and its status is lost.
+        The program must be running: when a signal is sent to a process that has just exited, asyncio reaps
+        the process and its exit status is lost.
         """
         self.process.send_signal(signal.SIGTERM)
         return await self.ended()
 
     async def ended(self) -> int:
-        """Waits until the program has ended; returns its exit status."""
+        """Waits until the program has exited; returns its exit status."""
         status = await in_time(self.process.wait())
         await in_time(self.reading)
         shutil.rmtree(self.folder)
--- a/tests/support/manager_test_case.py
+++ b/tests/support/manager_test_case.py
@@ -1,4 +1,4 @@
-"""A test case with a scripted discovery, managers beside it and connections to them."""
+"""A test case with a scripted discovery service, manager processes and connections to them."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 class ManagerTestCase(unittest.IsolatedAsyncioTestCase):
-    """A scripted discovery service, manager programs and connections to them, all closed with the test."""
+    """Starts a scripted discovery service; stops it, the managers and all connections when the test ends."""
 
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # debug traces would slow thousands of connections down
+        asyncio.get_running_loop().set_debug(False)  # debug mode is too slow for thousands of connections
         self.discovery = ScriptedDiscovery()
         self.discovery_address = await self.start_http_server(self.discovery.handle)
 
     async def start_http_server(self, handler: Handler) -> str:
-        """Starts an HTTP service; returns its address."""
+        """Starts an HTTP server; returns its address."""
         address, runner = await start_http_server(handler)
         self.addAsyncCleanup(runner.cleanup)
         return address
 
     async def start_serving(self, **changes: Any) -> ManagerProgram:
-        """Starts a manager with these changes to its configuration, and waits until it serves."""
+        """Starts a manager and waits until it serves; `changes` are passed to ManagerProgram."""
         program = ManagerProgram(self.discovery_address, **changes)
         await program.start_serving()
         self.addAsyncCleanup(self.end, program)
         return program
 
     async def end(self, program: ManagerProgram) -> None:
-        """Stops a manager unless it has ended."""
+        """Stops a manager unless it has already exited."""
         if program.process.returncode is None:
             await program.stop()
 
@@ -47,7 +47,7 @@
         return client
 
     async def join(self, program: ManagerProgram, node: int, cold: int = 1) -> StreamClient:
-        """Connects a proxy; with `cold` 0 it still has tables of another manager."""
+        """Connects a proxy; with `cold=0` it states that it still has another manager's tables."""
         proxy = await self.connect(program)
         proxy.join(node, cold=cold)
         return proxy
--- a/tests/support/program_with_constants.py
+++ b/tests/support/program_with_constants.py
@@ -1,4 +1,4 @@
-"""Runs the program with other values for named constants, so that a test need not wait for a long interval.
+"""Runs the program with changed constants, so that tests do not have to wait for long intervals.
 
 TEST_CONSTANTS='{"package.module.NAME_S": 1.0}' python -m tests.support.program_with_constants serve
 """
@@ -12,14 +12,14 @@
 from importlib import import_module
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # the program under test does not import it
+if TYPE_CHECKING:  # not imported in the program under test
     from cottonladder.testbed.fleet import Process
 
 CONSTANTS_VARIABLE = "TEST_CONSTANTS"
 
 
 def set_constants(values: Mapping[str, float]) -> None:
-    """Sets constants by their full names; a name that does not exist is an error."""
+    """Sets constants by their full names; raises AttributeError if one does not exist."""
     for name, value in values.items():
         module_name, _, constant = name.rpartition(".")
         module = import_module(module_name)
@@ -29,7 +29,7 @@
 
 
 def run_with(process: Process, values: Mapping[str, float]) -> None:
-    """Lets a process that is not started yet run with these constants."""
+    """Configures a process, before it is started, to run with these constants."""
     process.module = "tests.support.program_with_constants"
     process.environment = {CONSTANTS_VARIABLE: json.dumps(values)}
 
--- a/tests/support/recorded_inputs.py
+++ b/tests/support/recorded_inputs.py
@@ -35,25 +35,25 @@
 from cottonladder.state.worker_registry import WorkerRegistry
 
 RECORDED_INPUTS = (Path(__file__).parents[1] / "recorded" / "morning.txt").read_text()
-START_TIME_S = 1000.0  # at which the recording begins
+START_TIME_S = 1000.0  # the controller's time at offset 0 of the recording
 SEED = 7
-PEER_INDEX = 1  # of the manager whose gossip the recording has
+PEER_INDEX = 1  # index of the manager that sends the recorded gossip
 ACKNOWLEDGEMENT_DELAY_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
-class DueTimer:
-    """The timer that the controller has started last."""
+class PendingTimer:
+    """The controller's latest timer: the time at which it fires, and its token."""
 
     time_s: float
     token: int
 
 
 class RecordedRun:
-    """One manager whose inputs are a recording, read by the protocol's own readers.
+    """One manager whose inputs are a recording, which the program's own message readers parse.
 
-    `output` has the orders and the messages to proxies as text.  Proxies acknowledge each checkpoint, and
-    timers fire when they are due.  `changes` replace or, where they are objects, update single settings.
+    `output` is a list of orders and messages to proxies, as text.  Proxies acknowledge each checkpoint, and
+    timers fire at their time.  `changes` replace settings by name; a setting that is an object is updated.
     """
 
     def __init__(self, recording: str, **changes: Any) -> None:
@@ -70,18 +70,18 @@
         class_names = list(self._settings.classes)
         self._dispatcher = OrderDispatcher(class_names, parameters.manager_count, self._workers)
         self._controller.channel_budget.count_readmissions = self._dispatcher.count_readmissions
-        self._timer = DueTimer(START_TIME_S, 0)
+        self._timer = PendingTimer(START_TIME_S, 0)
         self._acknowledgements: list[Input] = []
         self.output: list[str] = []
 
     def run(self) -> list[str]:
-        """Takes the whole recording; returns the output."""
+        """Processes the whole recording; returns the output."""
         for _ in self.steps():
             pass
         return self.output
 
     def steps(self) -> Iterator[None]:
-        """Takes one input a step, after the timers that are due before it."""
+        """Processes one input for each item, after firing all timers up to its time."""
         for line in self._input_lines:
             offset, source, text = line.split(" ", 2)
             now = START_TIME_S + float(offset)
@@ -102,7 +102,7 @@
             return ProxyDisconnected(int(text))
         if source == "peer":
             return GossipReceived(PEER_INDEX, text)
-        message = text.partition(" ")[2] if source == "stream" else text  # a stream's line names its proxy
+        message = text.partition(" ")[2] if source == "stream" else text  # without the proxy's index
         return cast(Input, self._messages.read(message.encode().split()))
 
     def _read_list(self, text: str) -> EndpointList:
@@ -124,7 +124,7 @@
 
     def _apply_order(self, order: Order, now: float) -> None:
         if isinstance(order, StartTimer):
-            self._timer = DueTimer(now + order.delay_s, order.token)
+            self._timer = PendingTimer(now + order.delay_s, order.token)
         elif isinstance(order, (WorkerStateChanged, AdmissionChanged, SendGossip)):
             self.output.append(f"{now:.2f} {order}")
         elif not isinstance(order, (WatchEndpoints, HealthCheck)):
--- a/tests/support/scenario_inputs.py
+++ b/tests/support/scenario_inputs.py
@@ -1,4 +1,4 @@
-"""Inputs of a routing controller, parsed from a line of a scenario (`tests/policy/test_scenarios.py`)."""
+"""Parsers of the inputs in scenario lines; `tests/policy/test_scenarios.py` documents the grammar."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 def _metrics(args: list[str]) -> dict[str, float]:
     pairs = [arg.split("=") for arg in args if "=" in arg]
-    return {name: float(figure) for name, figure in pairs}
+    return {name: float(value) for name, value in pairs}
 
 
 def parse_connections(args: list[str]) -> list[ProxyConnected]:
-    """Returns the inputs of a `join` line."""
-    span, zone = args[0][1:].split("@")
-    first, _, last = span.partition("-p")
+    """Returns one input for each proxy of a `join` line."""
+    proxy_range, zone = args[0][1:].split("@")
+    first, _, last = proxy_range.partition("-p")
     proxies = range(int(first), int(last or first) + 1)
     return [ProxyConnected(proxy, int(zone), float(args[1]), "kept" not in args) for proxy in proxies]
 
--- a/tests/support/scripted_discovery.py
+++ b/tests/support/scripted_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service whose answers a test scripts."""
+"""A discovery service whose responses are scripted by the test."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from tests.support.json_object import JsonObject
 from tests.support.timeouts import in_time
 
-# Between the empty lines that keep a watch open.  A manager closes a watch that is silent for 3 s, which a
-# service with the 2 s of the real one would reach on a busy machine.
+# The interval between the empty lines on an open watch.  A manager closes a watch that is silent for 3 s, and
+# the 2 s of the real service could exceed this limit on a busy machine.
 KEEP_ALIVE_INTERVAL_S = 0.5
 
 
 def endpoint_entry(name: str, state: str = "Ready", **fields: Any) -> JsonObject:
-    """Returns a worker's entry; `fields` replace or add to the default ones."""
+    """Returns a worker's entry of an endpoint list; `fields` replace or extend the default fields."""
     default_fields = {
         "addr": "127.0.0.1:1",
         "zone": "a",
@@ -31,12 +31,12 @@
 
 
 def endpoint_list(version: int, *servers: JsonObject, full: bool = False) -> JsonObject:
-    """Returns an endpoint list, complete or with changes alone."""
+    """Returns an endpoint list; with `full`, it is complete, otherwise it contains only changes."""
     return {"version": version, "full": full, "servers": list(servers)}
 
 
 class ScriptedDiscovery:
-    """Answers each call with the next of `script`, then with watches that stay open."""
+    """Answers each call with the next handler of `script`, and with an open watch when none are left."""
 
     def __init__(self) -> None:
         self.script: list[Handler] = []
@@ -44,7 +44,7 @@
         self.watches: asyncio.Queue[web.StreamResponse] = asyncio.Queue()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers one call."""
+        """Answers one call, and records its path and query in `calls`."""
         self.calls.put_nowait(request.path_qs)
         if self.script:
             return await self.script.pop(0)(request)
@@ -56,7 +56,7 @@
             await asyncio.sleep(KEEP_ALIVE_INTERVAL_S)
 
     async def send_updates(self, *bodies: JsonObject) -> None:
-        """Sends changes of the endpoint list on the newest watch."""
+        """Sends `bodies`, updates of the endpoint list, on the newest watch."""
         watch = await in_time(self.watches.get())
         while not self.watches.empty():
             watch = self.watches.get_nowait()
--- a/tests/support/simulated_days.py
+++ b/tests/support/simulated_run.py
@@ -1,9 +1,9 @@
-"""Seeded days on the simulator's wire: settings, events and the actions that they lead to, as JSON alone.
+"""Simulated runs of several managers, from a seed, over the simulator's JSON interface.
 
-`SimulatedDay` stands in for everything outside several managers: discovery, workers, proxies, collectors and
-the network between managers.  It uses only the names of the wire, so a recorded day stays valid whatever the
-program's types are called.  All randomness comes from the seed.  Another order of the random draws gives
-other digests than the recorded ones.
+`SimulatedRun` simulates everything outside the managers: discovery, workers, proxies, collectors and the
+network between managers.  It uses only names of the JSON interface, so the recorded digests stay valid when
+the program's types are renamed.  All random numbers come from the seed.  A change to the order of the draws
+changes the digests.
 """
 
 from __future__ import annotations
@@ -17,36 +17,39 @@
 
 from tests.support.event_queue import EventQueue, Message, ScheduledEvent
 from tests.support.json_object import JsonObject
-from tests.support.simulated_day_fleet import (
+from tests.support.simulated_run_fleet import (
     CORRUPT_COUNT,
     MS_PER_S,
     REPORT_INTERVAL_MS,
     ListedState,
     ListUpdate,
-    SimulatedDayFleet,
     SimulatedProxy,
+    SimulatedRunFleet,
 )
-from tests.support.simulated_day_settings import (
-    DAYS,
+from tests.support.simulated_run_settings import (
     DEFAULT_FLEET_SIZE,
     FLEET_SIZES,
     REQUEST_CLASSES,
+    RUN_SETTINGS,
 )
 
 BatchHandler = Callable[[str], JsonObject]
 TICK_S = 0.25
-REPORT_INTERVAL_TICKS = 4  # of TICK_S each
-START_S = 1000.0  # of the simulator's clock, on which a start at 0 is long ago
-RECENT_START_AGE_S = 9.0  # of the tenth of the workers that has just started when the day begins
+REPORT_INTERVAL_TICKS = 4
+START_S = 1000.0  # on the simulator's clock, so that workers with start time 0 are not warming up
+RECENT_START_AGE_S = 9.0  # age of every tenth initial worker; the other initial workers start at time 0
 
 
-class SimulatedDay:
-    """One day of `duration_s`; `handle_batch` takes a line of JSON and returns the reply."""
+class SimulatedRun:
+    """One run of `duration_s` simulated seconds.
+
+    `handle_batch` takes a batch of events as a line of JSON, and returns the managers' reply.
+    """
 
     def __init__(
         self, name: str, handle_batch: BatchHandler, seed: int = 1, duration_s: float = 70.0
     ) -> None:
-        self.settings = DAYS[name]
+        self.settings = RUN_SETTINGS[name]
         self.action_counts: dict[str, int] = defaultdict(int)
         self._handle_batch = handle_batch
         self._duration_s = duration_s
@@ -54,7 +57,7 @@
         self._digest = hashlib.sha256()
         self._now = START_S
         self._fleet_size = FLEET_SIZES.get(name, DEFAULT_FLEET_SIZE)
-        self._fleet = SimulatedDayFleet(self.settings["Zones"], self._fleet_size, self._random)
+        self._fleet = SimulatedRunFleet(self.settings["Zones"], self._fleet_size, self._random)
         self._managers = range(self.settings["NInstances"])
         self._queue = EventQueue()
         self._tables: dict[tuple[int, int], dict[int, float]] = defaultdict(dict)  # by manager and table
@@ -62,8 +65,8 @@
         self._watching_managers: set[int] = set()
         self._running_managers: set[int] = set()
 
-    def play(self) -> str:
-        """Returns the digest of all replies, without the texts of their log lines."""
+    def run(self) -> str:
+        """Runs the simulation; returns the digest of all replies, without the texts of their log lines."""
         for worker in range(self._fleet_size.worker_count):
             has_just_started = worker % 10 == 9
             self._fleet.add_worker(worker, START_S - RECENT_START_AGE_S if has_just_started else 0.0)
@@ -74,7 +77,7 @@
         tick = 0
         while self._now < START_S + self._duration_s:
             self._now = START_S + tick * TICK_S
-            self._play_tick(tick)
+            self._run_tick(tick)
             self._deliver_until(self._now)
             tick += 1
         return self._digest.hexdigest()
@@ -88,14 +91,14 @@
         self._queue.push(self._now + delay_s, manager, {name: body})
 
     def _deliver_until(self, end: float) -> None:
-        """Delivers everything due, in order of time; events of the same time make one batch."""
+        """Delivers all events up to `end`, in order of time; events of the same time form one batch."""
         while events := self._queue.pop_next_batch(end):
             self._now = events[0].time_s
             self._deliver(self._events_by_manager(events))
         self._now = end
 
     def _events_by_manager(self, events: list[ScheduledEvent]) -> dict[int, list[Message]]:
-        """Groups events by manager, without those for managers that do not run."""
+        """Groups events by manager, and drops events for managers that are not running."""
         grouped: dict[int, list[Message]] = {}
         for event in events:
             if "ATTACH" in event.message:
@@ -128,11 +131,14 @@
                 reaction(self, manager, body)
 
     def start_timer(self, manager: int, body: Message) -> None:
-        """Lets the timer fire when it is due."""
+        """Schedules the event that the timer has fired."""
         self._send(body["SleepForMs"] / MS_PER_S, manager, "WAKE", {"Nonce": body["Nonce"]})
 
     def check_health(self, manager: int, body: Message) -> None:
-        """Answers a health check; a third of the workers report a queue, the others requests in flight."""
+        """Schedules the result of a health check.
+
+        A third of the workers report the length of their queue, the others their requests in flight.
+        """
         worker = body["Worker"]
         if self._fleet.is_failing(worker, self._elapsed_s) or self._random.random() < 0.03:
             self._send(0.5, manager, "PROBE_DONE", {"Worker": worker, "StateCode": "lost"})
@@ -149,7 +155,10 @@
         self._send(latency_s, manager, "PROBE_DONE", result)
 
     def acknowledge(self, manager: int, body: Message) -> None:
-        """Acknowledges for most of the manager's proxies; some late, some never, some a number never used."""
+        """Schedules the proxies' acknowledgements of a checkpoint.
+
+        Some proxies acknowledge late, some never, and a few acknowledge a checkpoint that was never sent.
+        """
         for proxy_index, proxy in self._fleet.proxies.items():
             if proxy.manager != manager or not proxy.is_connected:
                 continue
@@ -162,7 +171,7 @@
             self._send(delay_s, manager, "CAUGHT_UP", reply)
 
     def watch_endpoints(self, manager: int, _body: Message) -> None:
-        """Opens a watch, or lets it fail."""
+        """Opens a watch on the endpoint list; one in five attempts fails."""
         if self._random.random() < 0.2:
             self._send(1.0, manager, "SYNC", {"How": ListUpdate.FAILED})
             return
@@ -178,7 +187,7 @@
                 self._send(delay_s, other, "HEARD", {"From": manager, "Data": data})
 
     def set_weight(self, manager: int, body: Message) -> None:
-        """Writes one weight into a table, or removes the worker from it."""
+        """Sets a worker's weight in a table; a weight of 0 or less removes the worker."""
         table = self._tables[manager, body["SetId"]]
         table[body["Worker"]] = body["Size"]
         if body["Size"] <= 0:
@@ -189,21 +198,21 @@
         self._tables[manager, body["SetId"]].clear()
 
     def bind_proxy(self, manager: int, body: Message) -> None:
-        """Lets a proxy read another table."""
+        """Binds a proxy to a table."""
         self._bound_tables[manager, body["Proxy"]] = body["SetId"]
 
-    # Incidents of the day.
+    # Incidents, and the proxies' and collectors' reports.
 
-    def _play_tick(self, tick: int) -> None:
+    def _run_tick(self, tick: int) -> None:
         for incident in INCIDENTS:
             if incident.time_s == tick * TICK_S:
-                incident.play(self)
+                incident.apply(self)
         if tick % REPORT_INTERVAL_TICKS == 0:
             self._report_load()
         self._connect_and_disconnect_proxies()
 
     def start_manager(self, manager: int) -> None:
-        """Starts a manager with the cached endpoint list."""
+        """Starts a manager with a cached endpoint list of all workers."""
         settings = {**self.settings, "Me": manager}
         self._send(0.0, manager, "ATTACH", {"Info": settings, "Prng": 77 + manager})
         self._send_list(0.0, manager, ListUpdate.CACHED, self._fleet.workers)
@@ -213,7 +222,7 @@
                 self._send(0.6, manager, "STORED_LINE", {"SetId": table, "Worker": table, "Size": 1.5})
 
     def stop_manager(self, manager: int) -> None:
-        """Stops a manager; its proxies turn to the next one."""
+        """Stops a manager; its proxies disconnect, and connect to the next manager later."""
         self._send(0.0, manager, "RETIRE", {})
         self._deliver_until(self._now)
         self._running_managers.discard(manager)
@@ -236,13 +245,13 @@
                 self._send_list(delay_s, manager, ListUpdate.DELTA, changed)
 
     def send_full_list(self) -> None:
-        """Sends the complete list, from which one worker is missing."""
+        """Sends a full endpoint list without the first worker."""
         workers = list(self._fleet.workers)[1:]
         for manager in self._managers:
             self._send_list(0.1, manager, ListUpdate.FULL, workers)
 
     def replace_third_of_workers(self) -> None:
-        """Drains a third of the workers at once, and lists as many new ones."""
+        """Sets a third of the workers to draining, and lists the same number of new workers."""
         draining = [worker for worker in self._fleet.workers if worker % 3 == 0]
         for worker in draining:
             self._fleet.workers[worker].state = ListedState.DRAINING
@@ -253,7 +262,7 @@
         self._send_list_changes([*draining, *started])
 
     def remove_drained_workers(self) -> None:
-        """Lists the drained workers as gone, and forgets all but the first of them."""
+        """Lists the drained workers as gone, and deletes all but the first of them from the fleet."""
         gone = [
             index for index, worker in self._fleet.workers.items() if worker.state == ListedState.DRAINING
         ]
@@ -264,7 +273,7 @@
             del self._fleet.workers[worker]
 
     def restart_workers(self) -> None:
-        """Restarts a quarter of the workers at once."""
+        """Restarts a quarter of the workers at the same time."""
         restarted = [worker for worker in self._fleet.workers if worker % 4 == 1]
         for worker in restarted:
             self._fleet.workers[worker].started_at_s = self._now - 1.0
@@ -336,29 +345,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Incident:
-    """Something that happens to the fleet at a time of the day."""
+    """A change to the fleet or the managers, `time_s` after the start of the run."""
 
     time_s: float
-    play: Callable[[SimulatedDay], None]
-
-
-REACTIONS: dict[str, Callable[[SimulatedDay, int, Message], None]] = {
-    "DEFER": SimulatedDay.start_timer,
-    "SOUND_OUT": SimulatedDay.check_health,
-    "STAMP": SimulatedDay.acknowledge,
-    "WATCH": SimulatedDay.watch_endpoints,
-    "BROADCAST_TO": SimulatedDay.deliver_gossip,
-    "UPSERT": SimulatedDay.set_weight,
-    "EMPTY": SimulatedDay.clear_table,
-    "PIN": SimulatedDay.bind_proxy,
+    apply: Callable[[SimulatedRun], None]
+
+
+REACTIONS: dict[str, Callable[[SimulatedRun, int, Message], None]] = {
+    "DEFER": SimulatedRun.start_timer,
+    "SOUND_OUT": SimulatedRun.check_health,
+    "STAMP": SimulatedRun.acknowledge,
+    "WATCH": SimulatedRun.watch_endpoints,
+    "BROADCAST_TO": SimulatedRun.deliver_gossip,
+    "UPSERT": SimulatedRun.set_weight,
+    "EMPTY": SimulatedRun.clear_table,
+    "PIN": SimulatedRun.bind_proxy,
 }
 INCIDENTS = (
-    Incident(8.0, SimulatedDay.send_full_list),
-    Incident(22.0, SimulatedDay.replace_third_of_workers),
-    Incident(27.0, SimulatedDay.remove_drained_workers),
-    Incident(32.0, SimulatedDay.restart_workers),
-    Incident(33.0, lambda day: day.stop_manager(0)),
-    Incident(34.0, lambda day: day.start_manager(0)),
-    Incident(43.0, SimulatedDay.restart_workers),
-    Incident(58.0, SimulatedDay.replace_third_of_workers),
+    Incident(8.0, SimulatedRun.send_full_list),
+    Incident(22.0, SimulatedRun.replace_third_of_workers),
+    Incident(27.0, SimulatedRun.remove_drained_workers),
+    Incident(32.0, SimulatedRun.restart_workers),
+    Incident(33.0, lambda run: run.stop_manager(0)),
+    Incident(34.0, lambda run: run.start_manager(0)),
+    Incident(43.0, SimulatedRun.restart_workers),
+    Incident(58.0, SimulatedRun.replace_third_of_workers),
 )
--- a/tests/support/simulated_day_fleet.py
+++ b/tests/support/simulated_run_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of a simulated day: its workers and proxies, and how the workers behave at a time of the day."""
+"""The fleet of a simulated run: its workers and proxies, and the workers' faults and latencies over time."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from enum import IntEnum
 
 from tests.support.event_queue import Message
-from tests.support.simulated_day_settings import FleetSize
+from tests.support.simulated_run_settings import FleetSize
 
 MS_PER_S = 1000.0
 REPORT_INTERVAL_MS = 1000.0
-OUTLIER_WORKER = 1  # fails most attempts for a while
-SLOW_WORKER = 2  # answers slowly for a while
-LOST_ZONE_INDEX = 1  # the zone whose workers all fail for a while
-CORRUPT_COUNT = 39_000_000_000  # requests: a sum that no proxy can have had
+OUTLIER_WORKER = 1  # fails most attempts and all health checks from 12 s to 20 s
+SLOW_WORKER = 2  # its latency is multiplied by 8 from 14 s to 30 s
+LOST_ZONE_INDEX = 1  # all workers of this zone fail from 36 s to 42 s
+CORRUPT_COUNT = 39_000_000_000  # more requests than a proxy can have received in one report interval
 CORRUPT_INTERVAL_MS = 400_000.0
 CORRUPT_LATENCY_MS = 9e6
 
 
 class ListedState(IntEnum):
-    """A worker's state, as the simulator's endpoint list has it."""
+    """A worker's state in the simulator's endpoint list."""
 
     DRAINING = 0
     READY = 1
@@ -28,7 +28,7 @@
 
 
 class ListUpdate(IntEnum):
-    """What an endpoint list message holds, as the simulator's wire has it."""
+    """The kind of a message of the simulator that updates the endpoint list."""
 
     FULL = 0
     FAILED = 1
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class SimulatedWorker:
-    """A worker of the day's fleet."""
+    """A worker of the simulated fleet."""
 
     zone: str
     weight: float
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class SimulatedProxy:
-    """A proxy of the day's fleet, and the manager that it is connected to or connects to next."""
+    """A proxy of the simulated fleet; `manager` is the one it is connected to or will connect to."""
 
     zone: str
     requests_per_s: float
@@ -57,8 +57,8 @@
     is_connected: bool = False
 
 
-class SimulatedDayFleet:
-    """Workers and proxies of a day, by index; `elapsed_s` is the time since the day began."""
+class SimulatedRunFleet:
+    """Workers and proxies of a run, by index; `elapsed_s` is the time since the run began."""
 
     def __init__(self, zones: list[str], size: FleetSize, randomness: random.Random) -> None:
         self.workers: dict[int, SimulatedWorker] = {}
@@ -68,7 +68,7 @@
         self._random = randomness
 
     def add_worker(self, worker: int, started_at_s: float) -> None:
-        """Adds a worker that started at this time of the simulator's clock."""
+        """Adds a worker that started at `started_at_s` on the simulator's clock."""
         self.workers[worker] = SimulatedWorker(
             zone=self._zones[worker % len(self._zones)],
             weight=self._random.choice([1.0, 1.0, 2.0]),
@@ -77,7 +77,7 @@
         )
 
     def add_proxy(self, proxy: int, manager_count: int) -> None:
-        """Adds a proxy; the proxies are spread over the managers."""
+        """Adds a proxy; proxies are distributed evenly over the managers."""
         self.proxies[proxy] = SimulatedProxy(
             zone=self._zones[proxy % len(self._zones)],
             requests_per_s=self._random.uniform(0.5, self._size.max_requests_per_s),
@@ -97,11 +97,11 @@
 
     @staticmethod
     def is_overloaded(elapsed_s: float) -> bool:
-        """Returns whether the whole fleet is overloaded."""
+        """Returns whether the whole fleet is overloaded, which lasts from 44 s to 56 s."""
         return 44.0 <= elapsed_s < 56.0
 
     def is_failing(self, worker: int, elapsed_s: float) -> bool:
-        """Returns whether a worker fails most attempts."""
+        """Returns whether a worker fails most attempts and all health checks."""
         if worker == OUTLIER_WORKER and 12.0 <= elapsed_s < 20.0:
             return True
         is_zone_lost = 36.0 <= elapsed_s < 42.0
@@ -110,7 +110,7 @@
         return self.workers[worker].zone == self._zones[LOST_ZONE_INDEX]
 
     def draw_latency_s(self, worker: int, elapsed_s: float) -> float:
-        """Draws the time that a worker takes for one attempt."""
+        """Draws the latency of one attempt at a worker."""
         base_latency_s = self.workers[worker].base_latency_s if worker in self.workers else 0.1
         is_slow = worker == SLOW_WORKER and 14.0 <= elapsed_s < 30.0
         slow_factor = 8.0 if is_slow else 1.0
@@ -125,7 +125,7 @@
     def load_report(
         self, worker: int, zone: str, requests_per_s: float, reports_stats: bool, elapsed_s: float
     ) -> Message:
-        """Draws a load report of one zone's attempts at a worker."""
+        """Draws a load report on one zone's attempts at a worker; a few reports have corrupt values."""
         attempts = int(requests_per_s + self._random.random())
         failure_ratio = self._failure_ratio(worker, elapsed_s)
         failed = sum(self._random.random() < failure_ratio for _ in range(attempts))
--- a/tests/support/simulated_day_settings.py
+++ b/tests/support/simulated_run_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the simulated days, in the simulator's own JSON, and the size of each day's fleet."""
+"""The settings of the simulated runs, as the simulator's JSON, and the size of each run's fleet."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulatedClass:
-    """A request class of the simulated days."""
+    """A request class of the simulated runs."""
 
     name: str
     latency_objective_ms: float
     priority_weight: float
 
     def profile(self) -> JsonObject:
-        """Returns the class as the simulator's settings write it."""
+        """Returns the class as an entry of the simulator's settings."""
         return {"Name": self.name, "TargetMs": self.latency_objective_ms, "Gain": self.priority_weight}
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """The number of workers and proxies of a day, and the highest request rate of one proxy."""
+    """The number of workers and proxies of a run, and the highest request rate of one proxy."""
 
     worker_count: int
     proxy_count: int
@@ -36,11 +36,11 @@
     SimulatedClass("audit", 2500.0, 0.5),
 )
 DEFAULT_FLEET_SIZE = FleetSize(14, 24, 30.0)
-FLEET_SIZES = {"partitioned_tables": FleetSize(45, 150, 9.0)}  # of the days with another fleet
+FLEET_SIZES = {"partitioned_tables": FleetSize(45, 150, 9.0)}  # runs that differ from the default
 
 
 def simulator_settings(**changes: Any) -> JsonObject:
-    """Returns the settings of a day; `changes` replaces whole groups, or single keys by `Group__Key`."""
+    """Returns the settings of a run; `changes` replaces whole groups, or single keys named `Group__Key`."""
     settings: JsonObject = {
         "NInstances": 2,
         "Zones": ["east", "west", "north"],
@@ -77,7 +77,7 @@
     return settings
 
 
-DAYS: dict[str, JsonObject] = {
+RUN_SETTINGS: dict[str, JsonObject] = {
     "ratio": simulator_settings(),
     "rate": simulator_settings(
         Discovery="automatic", FamilyInfo__ThrottleBy="rate", FamilyInfo__Strikes=3, Limits__Peers=False
--- a/tests/support/stepped_event_loop.py
+++ b/tests/support/stepped_event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock a test can rely on: it advances by timers alone, however busy the machine is."""
+"""An event loop with a deterministic clock, which does not depend on the machine's load."""
 
 from __future__ import annotations
 
@@ -7,14 +7,18 @@
 
 
 class SteppingSelector(selectors.DefaultSelector):
-    """Does not wait for a time limit: steps the loop's clock by that limit if no socket is ready."""
+    """A selector that advances the loop's clock by the timeout, instead of waiting, if no socket is ready."""
 
     def __init__(self, loop: SteppedEventLoop) -> None:
         super().__init__()
         self._loop = loop
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Called by asyncio in each iteration; None means that no timer is set."""
+        """Returns the ready sockets, or advances the clock by `timeout` seconds if there are none.
+
+        asyncio calls it once in each iteration of the loop.  A `timeout` of None means that no timer is set;
+        the call then waits for a socket.
+        """
         if timeout is None:
             return super().select(None)
         ready = super().select(0)
@@ -24,16 +28,16 @@
 
 
 class SteppedEventLoop(asyncio.SelectorEventLoop):
-    """Runs timers in their order without waiting for them: its clock steps to the next one that is due."""
+    """An event loop that runs timers in order without waiting: its clock jumps to the next timer's time."""
 
     def __init__(self) -> None:
         self._now = 0.0
         super().__init__(SteppingSelector(self))
 
     def time(self) -> float:
-        """Seconds since the loop was made."""
+        """Returns the seconds since the loop was created, on its own clock."""
         return self._now
 
     def step(self, duration_s: float) -> None:
-        """Advances the clock, as work of this duration would."""
+        """Advances the clock, to simulate work of this duration."""
         self._now += duration_s
--- a/tests/support/stream_reading.py
+++ b/tests/support/stream_reading.py
@@ -1,4 +1,4 @@
-"""Reading a connection to its end, in however many pieces it arrives."""
+"""Reads a connection until it is closed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def read_until_closed(reader: asyncio.StreamReader) -> bytes:
-    """Returns all that arrives until the other end has closed or reset the connection."""
+    """Returns all data received until the peer closes or resets the connection."""
     received = b""
     with suppress(ConnectionError):
         while data := await in_time(reader.read(READ_SIZE_BYTES)):
--- a/tests/support/wire_manager.py
+++ b/tests/support/wire_manager.py
@@ -1,7 +1,7 @@
-"""One manager from bytes to bytes: its control loop, dispatcher and extensions, without a socket or a clock.
+"""One manager without sockets and without a real clock: its control loop, dispatcher and extensions.
 
-Inputs are RESP2 messages, discovery's JSON and datagrams.  Outputs are recorded as bytes, message by message,
-so a recorded run stays valid whatever the program's types are called.
+Inputs are RESP2 messages, discovery's JSON and gossip.  Outputs are recorded as bytes, message by message, so
+the recorded digests stay valid when the program's types are renamed.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 from cottonladder.state.order_dispatcher import OrderDispatcher
 from cottonladder.state.proxy_sessions import ProxySessions
 from tests.support.control_loop_doubles import (
-    HeldTasks,
+    ManualTaskRunner,
     OutputRecorder,
     SentMessage,
     SteppedClock,
@@ -57,20 +57,20 @@
 from tests.support.wire_manager_files import ZONES, endpoint_list, manager_file
 
 START_TIME_S = 1_700_000_000.0  # Unix time
-RESTART_DELAY_S = 9.0  # between an incarnation's last snapshot and the next incarnation
-SNAPSHOT_HEADER_BYTES = 44  # before a snapshot file's compressed body
+RESTART_DELAY_S = 9.0  # from the first incarnation's snapshot to the start of the second incarnation
+SNAPSHOT_HEADER_BYTES = 44  # length of the header that precedes the compressed body
 SNAPSHOT_INTERVAL_S = 2.0
 TICK_S = 0.25
 TICKS_PER_S = 4
 PROXY_COUNT = 12
 OUTLIER_WORKER = b"s-4"
 OVERLOAD_FROM_S = 24
-SEED = 5  # of the random draws
+SEED = 5
 
 
 @dataclass(frozen=True, slots=True)
 class IncarnationRecord:
-    """What one incarnation of the manager sent, and the snapshot that it left."""
+    """Digests of one incarnation's output and last snapshot, and the number of its messages to proxies."""
 
     output_digest: str
     snapshot_digest: str
@@ -83,13 +83,13 @@
     def __init__(self, folder: str, seed: int) -> None:
         self.output = OutputRecorder()
         self._random = random.Random(seed)
-        self._tasks = HeldTasks()
+        self._task_runner = ManualTaskRunner()
         self._clock = SteppedClock(START_TIME_S)
         config = read_manager_file()
         self._settings = config.settings
         self._workers = config.workers
         self._messages = MessageReader(self._settings, self._workers.find_index)
-        scheduler = cast(BackgroundScheduler, self._tasks)
+        scheduler = cast(BackgroundScheduler, self._task_runner)
         self._snapshots = SnapshotManager(folder, SNAPSHOT_INTERVAL_S, config, scheduler)
         self._control_loop = self._build_control_loop()
         self._connections: dict[int, dict[int, ConnectionCounts]] = defaultdict(dict)  # by proxy and worker
@@ -119,12 +119,12 @@
         return control_loop
 
     async def start(self, stack: AsyncExitStack) -> None:
-        """Restores the last snapshot and decides once, as a started manager does."""
+        """Restores the last snapshot and makes the first decision, as a manager does at its start."""
         await self._snapshots.start(stack)
-        self._step()
+        self._decide()
 
-    async def play(self, duration_s: int) -> None:
-        """Plays the scripted run, and writes a snapshot at its end."""
+    async def run(self, duration_s: int) -> None:
+        """Runs the scripted inputs for `duration_s` simulated seconds, then writes a snapshot."""
         for tick in range(duration_s * TICKS_PER_S):
             self._clock.time_s += TICK_S
             self._answer_messages()
@@ -134,18 +134,18 @@
                 second = tick // TICKS_PER_S
                 self._send_reports(second)
                 self._report_held_connections()
-                self._play_incidents(second)
+                self._apply_incidents(second)
             self._batch.append(TimerFired(self._control_loop.timer_token))
-            self._step()
-        await self._tasks.run_all()
+            self._decide()
+        await self._task_runner.run_all()
 
-    def _step(self) -> None:
+    def _decide(self) -> None:
         batch = self._batch
         self._batch = []
         self._control_loop.run_once(batch)
 
     def _receive(self, text: str, proxy: int = -1) -> None:
-        """Receives a message of a proxy or a collector, whose arguments are the words of `text`."""
+        """Receives a message from a proxy or a collector; its arguments are the words of `text`."""
         message = self._messages.read(text.encode().split())
         if isinstance(message, ExtensionMessage):
             message = ExtensionMessage(message.body, proxy)
@@ -211,12 +211,12 @@
                     by_worker[worker_index] = ConnectionCounts(self._random.randrange(5, 60), 2, 3)
                 if worker_index in by_worker:
                     counts = by_worker[worker_index]
-                    figures = f"{counts.open}:{counts.busy}:{counts.resumable}"
-                    self._receive(f"HELD node {proxy} whole 0 holds {worker.decode()}:{figures}", proxy)
+                    counts_text = f"{counts.open}:{counts.busy}:{counts.resumable}"
+                    self._receive(f"HELD node {proxy} whole 0 holds {worker.decode()}:{counts_text}", proxy)
 
     def _answer_messages(self) -> None:
-        """Most proxies acknowledge checkpoints; all carry migrations out."""
-        for message in self.output.take_sent():
+        """Acknowledges most checkpoints, and reports every migration as completed."""
+        for message in self.output.pop_sent():
             fields = message.data.split(b"\r\n")
             if b"stamp" in fields and self._random.random() < 0.85:
                 checkpoint = fields[fields.index(b"stamp") + 2].decode()
@@ -236,7 +236,7 @@
             source = AdviceSource(self._random.randrange(2))
             self._batch.append(AdvisedFactor(worker_index, factor, source))
 
-    def _play_incidents(self, second: int) -> None:
+    def _apply_incidents(self, second: int) -> None:
         if second == 5:
             self._receive_list(range(9), full=True)
         elif second == 10:
@@ -255,7 +255,7 @@
 
 
 def read_manager_file() -> StartupConfig:
-    """Reads the manager's configuration file as a started manager does."""
+    """Reads the manager's configuration file as a manager does at its start."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(manager_file()))
@@ -263,18 +263,21 @@
 
 
 def read_snapshot_body(folder: str) -> bytes:
-    """Returns the newest snapshot's encoded sections, without the header, which has the time of writing."""
+    """Returns the newest snapshot's sections, still encoded.
+
+    The header is left out, because it contains the time of writing.
+    """
     newest = max(Path(folder).glob("state-*.clm"))
     return zlib.decompress(newest.read_bytes()[SNAPSHOT_HEADER_BYTES:])
 
 
-async def play_incarnation(folder: str, unix_time_s: float, duration_s: int) -> IncarnationRecord:
-    """Runs one incarnation of the manager, which restores what the last one left in `folder`."""
+async def run_incarnation(folder: str, unix_time_s: float, duration_s: int) -> IncarnationRecord:
+    """Runs one incarnation of the manager, which restores the newest snapshot in `folder`."""
     async with AsyncExitStack() as stack:
         stack.enter_context(mock.patch("time.time", return_value=unix_time_s))
         manager = WireManager(folder, SEED)
         await manager.start(stack)
-        await manager.play(duration_s)
+        await manager.run(duration_s)
         return IncarnationRecord(
             output_digest=manager.output.digest.hexdigest(),
             snapshot_digest=hashlib.sha256(read_snapshot_body(folder)).hexdigest(),
@@ -282,12 +285,15 @@
         )
 
 
-def play_two_incarnations(duration_s: int) -> dict[str, str | int]:
-    """Runs an incarnation and the one that restores its snapshot; returns both records as they are stored."""
+def run_two_incarnations(duration_s: int) -> dict[str, str | int]:
+    """Runs two incarnations, the second from the first one's snapshot.
+
+    Returns their records in the form in which `tests/recorded/orders.json` stores them.
+    """
     stored: dict[str, str | int] = {}
     with tempfile.TemporaryDirectory() as folder:
         for name, unix_time_s in (("first", START_TIME_S), ("second", START_TIME_S + RESTART_DELAY_S)):
-            record = asyncio.run(play_incarnation(folder, unix_time_s, duration_s))
+            record = asyncio.run(run_incarnation(folder, unix_time_s, duration_s))
             stored[name] = record.output_digest
             stored[f"{name} snapshot"] = record.snapshot_digest
             stored[f"{name} messages"] = record.message_count
--- a/tests/support/wire_manager_files.py
+++ b/tests/support/wire_manager_files.py
@@ -1,17 +1,17 @@
-"""The configuration file and the endpoint lists of a manager that is run without sockets."""
+"""The configuration file and the endpoint lists of a manager that runs without sockets."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
 from tests.support.json_object import JsonObject
-from tests.support.simulated_day_settings import simulator_settings
+from tests.support.simulated_run_settings import simulator_settings
 
 ZONES = ("east", "west", "north")
 
 
 def manager_file() -> JsonObject:
-    """Returns a manager's configuration, with a cached endpoint list older than the first one it gets."""
+    """Returns a manager's configuration, whose cached endpoint list is older than the lists it receives."""
     changes: JsonObject = {"FamilyInfo__Strikes": 2, "FamilyInfo__Proxies": 12}
     return {
         "name": "n0",
@@ -28,7 +28,10 @@
 
 
 def endpoint_list(version: int, workers: Iterable[int], full: bool, **changes: JsonObject) -> JsonObject:
-    """Returns an answer of discovery; `changes` are by worker, for instance `s_3={"state": "Gone"}`."""
+    """Returns a response of discovery; `changes` update the entries of single workers.
+
+    For instance, `s_3={"state": "Gone"}` changes the state of worker `s-3`.
+    """
     servers = [endpoint(worker) | changes.get(f"s_{worker}", {}) for worker in workers]
     return {"version": version, "full": full, "servers": servers}
 
--- a/tests/test_recorded_files.py
+++ b/tests/test_recorded_files.py
@@ -1,8 +1,9 @@
-"""Files that an earlier version wrote, or that operators may have, are still read: `tests/recorded/files`.
+"""Compatibility of the program with the snapshots and configuration files in `tests/recorded/files`.
 
-The folder has snapshots of a manager, of a forwarder and of the first format, each with the output of
-`memory export`; and a manager's file and an operators' file with every key, with the output of `check` and
-the configuration that was read.  The files are never written again, because operators' own files are not.
+The folder contains snapshots of a manager and a forwarder and one in the first format, each with the output
+of `memory export`.  It also contains a manager's configuration file and an operators' file with every key,
+with the output of `check` and the decoded configuration.  These files are never regenerated, because
+operators do not regenerate their own files either.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class RecordedFileTests(unittest.TestCase):
-    def test_snapshots_are_read(self) -> None:
+    def test_memory_export_prints_the_recorded_output_for_each_snapshot(self) -> None:
         for name in ("manager", "forwarder", "format_1"):
             with self.subTest(name):
                 status, text = run_command("memory", "export", str(FILES / name))
