--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -179,15 +179,15 @@
             f"reserved {reserved}, corrected to {corrected}, written {queued.lines}"
         )
 
-    def connect_proxies(self, proxies: Iterable[int], rate: float = 1.0, fresh: bool = False) -> None:
-        """Connects proxies, which average `rate` requests/s; a `fresh` one states that it has no table."""
+    def connect_proxies(self, proxies: Iterable[int], rate: float = 1.0, has_no_table: bool = False) -> None:
+        """Connects proxies, which average `rate` requests/s; `has_no_table` is what they state."""
         joined = []
         for number in proxies:
             proxy = self.proxies.setdefault(number, SimulatedProxy())
             proxy.request_rate = rate * self.random.expovariate(1.0)
             proxy.joined_at = self.now
             zone = number % self.parameters.zone_count
-            joined.append(ProxyConnected(number, zone, proxy.request_rate, fresh))
+            joined.append(ProxyConnected(number, zone, proxy.request_rate, has_no_table))
         self.run_batch("joins", joined)
 
     def disconnect_proxies(self, proxies: Iterable[int]) -> None:
--- a/tests/policy/test_channel_budget.py
+++ b/tests/policy/test_channel_budget.py
@@ -40,7 +40,7 @@
         """Workers depart, and return with the same and with other ids.  Proxies connect from other managers
         and disconnect.  The run is long enough for the records of departed workers to be deleted."""
         fleet = start_fleet()
-        fleet.connect_proxies(range(400), fresh=True)
+        fleet.connect_proxies(range(400), has_no_table=True)
         fleet.run(4)
         list_workers(fleet, EndpointState.DRAINING, range(20))
         fleet.run(3)
--- a/tests/state/test_dispatch_scenarios.py
+++ b/tests/state/test_dispatch_scenarios.py
@@ -4,7 +4,8 @@
 
 classes NAME .. | managers N    before all other steps; the default is one manager
 listed bN[^STARTED] ..          the endpoint list has these workers, with start times if given
-join pN [fresh] | left pN       a proxy connects or disconnects
+join pN [has_no_table]          a proxy connects; has_no_table: it has no table of any manager
+leave pN                        a proxy disconnects
 weight TABLE bN WEIGHT | clear TABLE | bind pN TABLE all|CLASS | exclude bN | readmit bN
 admission TABLE|all CLASS ADMISSION RETRY_POLICY | checkpoint N [all_proxies] | remove bN
 rejected ORDER                  the dispatcher must reject this order
@@ -53,7 +54,7 @@
             "managers": self.set_manager_count,
             "listed": self.list_workers,
             "join": self.connect_proxy,
-            "left": self.disconnect_proxy,
+            "leave": self.disconnect_proxy,
             "costs": self.expect_costs,
             "sends": self.expect_message,
             "rejected": self.expect_rejected,
@@ -99,7 +100,7 @@
 
     def connect_proxy(self, arguments: list[str]) -> None:
         proxy = index_of(arguments[0])
-        self.dispatcher.connect_proxy(proxy, arguments[1:] == ["fresh"])
+        self.dispatcher.connect_proxy(proxy, arguments[1:] == ["has_no_table"])
         self.last_line_counts.pop(proxy, None)
 
     def disconnect_proxy(self, arguments: list[str]) -> None:
--- a/tests/support/scenario_inputs.py
+++ b/tests/support/scenario_inputs.py
@@ -34,7 +34,7 @@
     proxy_range, zone = args[0][1:].split("@")
     first, _, last = proxy_range.partition("-p")
     proxies = range(int(first), int(last or first) + 1)
-    return [ProxyConnected(proxy, int(zone), float(args[1]), "kept" not in args) for proxy in proxies]
+    return [ProxyConnected(proxy, int(zone), float(args[1]), "has_table" not in args) for proxy in proxies]
 
 
 def _endpoint_list(args: list[str]) -> EndpointList:
@@ -97,12 +97,12 @@
 
 INPUT_PARSERS: dict[str, Callable[[list[str]], Input]] = {
     "list": _endpoint_list,
-    "left": _disconnection,
-    "tally": _load_report,
-    "ingress": _arrival_report,
-    "probed": _health_check_result,
-    "given": _slice_assigned,
-    "stored": _stored_weight,
-    "hint": _gossip,
-    "wake": _timer,
+    "leave": _disconnection,
+    "load_report": _load_report,
+    "arrival_report": _arrival_report,
+    "health_check": _health_check_result,
+    "slice_assigned": _slice_assigned,
+    "stored_weight": _stored_weight,
+    "gossip": _gossip,
+    "timer": _timer,
 }
