--- a/tests/policy/test_recorded_orders.py
+++ b/tests/policy/test_recorded_orders.py
@@ -52,7 +52,7 @@
         self.addCleanup(structlog.reset_defaults)
         self.recorded = json.loads(RECORDED.read_text())
 
-    def test_replies_to_the_simulator(self) -> None:
+    def test_replies_to_the_simulator_are_as_recorded(self) -> None:
         results = run_simulations()
         for name, run in results.items():
             with self.subTest(name):
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -93,7 +93,7 @@
             self.written_at[proxy].append(self.now)
 
     def _apply_order(self, order: Order, connected: set[int], reached: set[int]) -> None:
-        """Applies one order, and adds the proxies that it is sent to to `reached`."""
+        """Applies one order, and adds the proxies that it concerns to `reached`."""
         match order:
             case SetWeight(table, worker_index, weight):
                 self.tables[table][worker_index] = weight
@@ -108,8 +108,8 @@
                 self.bindings[proxy] = table
                 reached.add(proxy)
             case ExcludeWorker(worker_index):
-                holders = self._proxies_with_worker(worker_index)
-                reached |= holders | (connected - set(self.bindings))
+                newly_connected = connected - set(self.bindings)
+                reached |= self._proxies_with_worker(worker_index) | newly_connected
             case StartTimer(delay_s, token):
                 self.timer_token = token
                 self.timer_due_at = self.now + delay_s
--- a/tests/support/forwarder_rig.py
+++ b/tests/support/forwarder_rig.py
@@ -35,7 +35,7 @@
     """Starts a discovery service; stops it and everything else that a test starts when the test ends."""
 
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # debug mode is too slow for a thousand clients
+        asyncio.get_running_loop().set_debug(False)  # debug mode would slow down a thousand clients
         self.ledger = EffectLedger()
         self.ticket_sessions: dict[str, TicketSession] = {}
         self.counts = ClientCounters()
--- a/tests/support/manager_test_case.py
+++ b/tests/support/manager_test_case.py
@@ -16,7 +16,7 @@
     """Starts a scripted discovery service; stops it, the managers and all connections when the test ends."""
 
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)  # debug mode is too slow for thousands of connections
+        asyncio.get_running_loop().set_debug(False)  # debug mode would slow down thousands of connections
         self.discovery = ScriptedDiscovery()
         self.discovery_address = await self.start_http_server(self.discovery.handle)
 
