--- a/cottonladder/testbed/simulated_fleet.py
+++ b/cottonladder/testbed/simulated_fleet.py
@@ -179,10 +179,10 @@
             f"reserved {reserved}, corrected to {corrected}, written {queued.lines}"
         )
 
-    def connect_proxies(self, proxies: Iterable[int], rate: float = 1.0, have_no_table: bool = False) -> None:
+    def connect_proxies(self, proxies: Iterable[int], rate: float = 1.0, has_no_table: bool = False) -> None:
         """Connects proxies with a mean of `rate` requests/s each.
 
-        With `have_no_table`, they state that they have no routing table.
+        With `has_no_table`, they state that they have no routing table.
         """
         joined = []
         for number in proxies:
@@ -190,7 +190,7 @@
             proxy.request_rate = rate * self.random.expovariate(1.0)
             proxy.joined_at = self.now
             zone = number % self.parameters.zone_count
-            joined.append(ProxyConnected(number, zone, proxy.request_rate, have_no_table))
+            joined.append(ProxyConnected(number, zone, proxy.request_rate, has_no_table))
         self.run_batch("joins", joined)
 
     def disconnect_proxies(self, proxies: Iterable[int]) -> None:
