--- a/cottonladder/control/admin_socket.py
+++ b/cottonladder/control/admin_socket.py
@@ -19,13 +19,13 @@
 TASKS_QUERY = "tasks"  # request for the status of each background task
 SETTING = "control"  # key of the socket's path in the operators' file
 MAX_REQUEST_BYTES = 256
-REQUEST_TIMEOUT_S = 2.0  # for receiving the request and sending the answer
+REQUEST_TIMEOUT_S = 2.0  # time to receive the request and send the answer
 MAX_CONNECTIONS = 8
 SOCKET_MODE = 0o600  # accessible to the process's user only
 
 
 class AdminSocket:
-    """Owns the socket and its file; `answers` maps each request to a function that returns JSON data."""
+    """The socket and its file; `answers` maps each request to a function that returns JSON data."""
 
     def __init__(self, path: str, answers: Mapping[str, Callable[[], object]]) -> None:
         self._path = path
--- a/cottonladder/control/advice_connections.py
+++ b/cottonladder/control/advice_connections.py
@@ -1,4 +1,4 @@
-"""Creates the servers and clients of weight advice from the operators' configuration."""
+"""Servers and clients of weight advice, created from the operators' configuration."""
 
 from __future__ import annotations
 
--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -1,4 +1,4 @@
-"""Runs background work in slices between the control loop's batches.
+"""Scheduler of background work, which runs in slices between the control loop's batches.
 
 A task is a function that returns an iterator, and each step of the iterator is one slice.  A step may yield
 an awaitable, such as a thread that writes a file; the task is scheduled again once the awaitable is done, and
@@ -24,7 +24,7 @@
 
 # After a late batch or timer of the control loop, only starved tasks run for this time.
 LOOP_LAG_PAUSE_S = 0.05
-STOP_TIMEOUT_S = 2.0  # for pending awaitables and final runs while the scheduler closes
+STOP_TIMEOUT_S = 2.0  # time for pending awaitables and final runs while the scheduler closes
 MAX_IDLE_S = 1.0  # maximum time between two checks for due tasks
 
 
@@ -38,7 +38,7 @@
 
 
 class BackgroundScheduler:
-    """Owns the asyncio task that runs the slices, and those that wait for awaitables of slices.
+    """Scheduler with one asyncio task that runs the slices, and others that wait for awaitables of slices.
 
     A failed task is logged and retried with backoff; other tasks are unaffected.
     `uniform` returns a random number from 0 to 1.
--- a/cottonladder/control/connection_limits.py
+++ b/cottonladder/control/connection_limits.py
@@ -1,4 +1,4 @@
-"""Derives the limits on a manager's connections from its file descriptors and memory."""
+"""Limits on a manager's connections, derived from its file descriptors and memory."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from ..config.manager_config import ManagerConfig
 from ..protocol.stream_listener import ACCEPT_QUEUE_LENGTH, ConnectionLimits
 
-RESERVED_DESCRIPTORS = 20  # for the log, the listener, discovery, gossip and others, with a margin
-CLOSE_DELAY_ITERATIONS = 4  # of the event loop, from accepting a connection over the limit to its close
+RESERVED_DESCRIPTORS = 20  # used by the log, the listener, discovery, gossip and others, with a margin
+CLOSE_DELAY_ITERATIONS = 4  # event loop iterations from accepting a connection over the limit to its close
 MIN_ACCEPT_BATCH = 2  # connections accepted in one iteration of the event loop
 MAX_ACCEPT_BATCH = 64  # connections accepted in one iteration of the event loop
 DESCRIPTORS_PER_ACCEPT = 64  # available descriptors for each connection of the accept batch
-MIN_HEALTH_CHECKS = 4  # in flight
-MAX_HEALTH_CHECKS = 64  # in flight
+MIN_HEALTH_CHECKS = 4  # lower bound of the limit on health checks in flight
+MAX_HEALTH_CHECKS = 64  # upper bound of the limit on health checks in flight
 DESCRIPTORS_PER_HEALTH_CHECK = 16  # available descriptors for each health check in flight
 UNREAD_MEMORY_DIVISOR = 4  # messages that proxies have not read may use 1/4 of the memory
 BYTES_PER_MIB = 1 << 20
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -43,7 +43,7 @@
 
 
 class ConnectionMigrator:
-    """Owns the planner, which plans for a forwarder from its announcement to the end of its stream.
+    """Extension that plans migrations for each forwarder from its announcement to the end of its stream.
 
     `is_vetoed` returns whether a migration is to be postponed; with None, no migration is postponed.
     """
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -64,7 +64,7 @@
 
 
 class ControlLoop:
-    """Owns the routing controller and its timers.
+    """The control loop, with the routing controller and its timers.
 
     Inputs are read from a queue; orders are passed to the dispatcher or to the network clients.  Extensions
     are called in the given order.
--- a/cottonladder/control/extensions.py
+++ b/cottonladder/control/extensions.py
@@ -1,4 +1,4 @@
-"""Creates the extensions and background services that the operators' file enables.
+"""The extensions and background services that the operators' file enables.
 
 Each module is imported only if the file has its section, so that a manager without extensions starts quickly
 and uses little memory.
--- a/cottonladder/control/loop_lag.py
+++ b/cottonladder/control/loop_lag.py
@@ -1,4 +1,4 @@
-"""Monitors the lag of the control loop: long batches and late timers."""
+"""Monitor of the lag of the control loop: long batches and late timers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LoopLagMonitor:
-    """Calls `on_lag`, if given, for each late batch or timer, and logs new longest lags."""
+    """Monitor that calls `on_lag`, if given, for each late batch or timer, and logs new longest lags."""
 
     def __init__(self, on_lag: Callable[[], None] | None) -> None:
         self._on_lag = on_lag
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -1,4 +1,4 @@
-"""Starts and stops one manager process.
+"""The life cycle of one manager process, from its start to its stop.
 
 `serve` closes its resources in the reverse order of their opening.
 """
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -29,7 +29,7 @@
 
 
 class PluginExtension:
-    """Owns the plug-in chain.
+    """Extension that calls the plug-in chain.
 
     Plug-ins are called for each worker once per `SOLVE_INTERVAL_S`, in batches of `WORKERS_PER_STEP`, so that
     the duration of a step does not depend on the number of workers.
--- a/cottonladder/control/policy_timers.py
+++ b/cottonladder/control/policy_timers.py
@@ -11,7 +11,7 @@
 
 
 class PolicyTimers:
-    """Owns the running timers; each puts `TimerFired` into the queue when it expires.
+    """The running timers; each puts `TimerFired` into the queue when it expires.
 
     The policy may start a timer with the token of a running one, so each timer also has its own number.
     """
--- a/cottonladder/control/snapshot_collector.py
+++ b/cottonladder/control/snapshot_collector.py
@@ -1,4 +1,4 @@
-"""Collects the content of a snapshot from the routing controller, in slices of the background scheduler."""
+"""Collector of a snapshot's content from the routing controller, in slices of the background scheduler."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SnapshotCollector:
-    """Reads the workers and proxies of a controller for one snapshot.
+    """Collector of a controller's workers and proxies for one snapshot.
 
     The controller handles batches between slices, so the entries of a snapshot may be from different times.
     """
--- a/cottonladder/control/snapshot_folder.py
+++ b/cottonladder/control/snapshot_folder.py
@@ -17,7 +17,7 @@
 
 
 class SnapshotFolder:
-    """Reads the newest snapshot at the start, and writes new ones.
+    """The folder from which the newest snapshot is read at the start, and to which new ones are written.
 
     If the folder can't be read, the process starts without a snapshot.  A failed write is raised to the
     background scheduler, which retries with backoff.
@@ -25,7 +25,7 @@
 
     def __init__(self, folder: str) -> None:
         self.store = SnapshotStore(folder)
-        self.size_bytes = 0  # of the last written file
+        self.size_bytes = 0  # size of the last written file
         self._is_open = False
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -27,11 +27,11 @@
 from .starting_list import StartingList
 from .startup_config import StartupConfig
 
-SNAPSHOT_PRIORITY = 3  # among background tasks; 0 runs first
+SNAPSHOT_PRIORITY = 3  # priority among background tasks; 0 runs first
 
 
 class SnapshotManager:
-    """Owns a manager's snapshot folder.
+    """Extension that restores the last snapshot in a manager's folder, and writes new ones to it.
 
     The constructor reads the last snapshot; the restored state is an input of the first step.
     `current_list_version` and `current_credits` return the values that a new snapshot includes in addition to
--- a/cottonladder/control/snapshot_restore.py
+++ b/cottonladder/control/snapshot_restore.py
@@ -1,4 +1,4 @@
-"""Converts the snapshot of an earlier process to the initial state of a manager."""
+"""The initial state of a manager, converted from the snapshot of an earlier process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .starting_list import StartingList
 from .startup_config import StartupConfig
 
-RESTORABLE_STATES = (EndpointState.READY, EndpointState.DRAINING)  # of an endpoint in a snapshot
+RESTORABLE_STATES = (EndpointState.READY, EndpointState.DRAINING)  # endpoint states in the restored list
 
 
 def starting_list(config: StartupConfig, snapshot: ManagerSnapshot) -> StartingList:
--- a/cottonladder/control/startup_config.py
+++ b/cottonladder/control/startup_config.py
@@ -1,4 +1,4 @@
-"""Reads the initial configuration of a manager, including the last known endpoint list."""
+"""The initial configuration of a manager, including the last known endpoint list."""
 
 from __future__ import annotations
 
--- a/cottonladder/control/state_change_log.py
+++ b/cottonladder/control/state_change_log.py
@@ -1,4 +1,4 @@
-"""Logs the state changes of the routing policy, with workers' ids and addresses from the endpoint list."""
+"""Log of the routing policy's state changes, with workers' ids and addresses from the endpoint list."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class StateChangeLog:
-    """Writes one log line for each change; `zone_names` is by zone index."""
+    """Log of the state changes, with one line for each; `zone_names` is by zone index."""
 
     def __init__(self, workers: WorkerRegistry, zone_names: Sequence[str]) -> None:
         self._workers = workers
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -43,7 +43,7 @@
 
 
 class WeightAdvisor(AdviceListener):
-    """Owns the advice servers and the clients of external advisors.
+    """Extension with the advice servers and the clients of external advisors.
 
     Received weights are queued for the next step of the control loop.
     """
--- a/cottonladder/model/controller_state.py
+++ b/cottonladder/model/controller_state.py
@@ -1,4 +1,4 @@
-"""The state of one routing controller: its clock, its deployment, and the owners of its records."""
+"""The state of one routing controller: its clock, its deployment and its records."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ControllerState:
-    """The records that the modules of the policy share.  Each owner keeps one kind of record."""
+    """The state that the modules of the policy share, with one object for each kind of record."""
 
     def __init__(self, parameters: DeploymentParameters) -> None:
         self.parameters = parameters
--- a/cottonladder/model/in_flight.py
+++ b/cottonladder/model/in_flight.py
@@ -4,7 +4,7 @@
 
 
 class InFlightLines:
-    """Counts lines by checkpoint and proxy; checkpoints are in the sequence in which they were written."""
+    """Line counts by checkpoint and proxy; checkpoints are in the sequence in which they were written."""
 
     def __init__(self) -> None:
         self.by_checkpoint: dict[int, dict[int, int]] = {}
--- a/cottonladder/model/inputs.py
+++ b/cottonladder/model/inputs.py
@@ -19,7 +19,7 @@
 
 
 class ListUpdateKind(IntEnum):
-    """How much of the list an `EndpointList` carries, and where it comes from.
+    """The kind of an `EndpointList`: how much of the list it contains, and where it was obtained.
 
     FULL is a complete list, CACHED a complete list from a snapshot or file, DELTA the changes, FAILED a call
     without a result, and SUPERSEDED the changes from a previous discovery address.
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """An ordered timer is due; its token is that of the order."""
+    """An ordered timer that is due; its token is that of the order."""
 
     token: int
 
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyConnected:
-    """A proxy connected; `has_no_table` means that it has no table of any manager yet."""
+    """A proxy that has connected; `has_no_table` means that it has no table of any manager yet."""
 
     proxy: int
     zone: int
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyDisconnected:
-    """A proxy's stream was closed."""
+    """A proxy whose stream was closed."""
 
     proxy: int
 
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceAssigned:
-    """Whether a slice table is assigned to this manager."""
+    """The assignment of a slice table to this manager, or the end of the assignment."""
 
     table: int
     assigned: bool
@@ -147,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """A proxy acknowledged a checkpoint, so it has applied everything that was written before."""
+    """A proxy's acknowledgement of a checkpoint: it has applied everything that was written before."""
 
     proxy: int
     checkpoint: int
--- a/cottonladder/model/line_account.py
+++ b/cottonladder/model/line_account.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LineLimit:
-    """How many lines may wait: a fraction of the queue's limit, and seconds at the channel's deployed rate.
+    """Limit on waiting lines: a fraction of the queue's limit, and seconds at the channel's deployed rate.
 
     For deferrable orders all lines that are not acknowledged count, for other orders those that still wait.
     """
@@ -36,7 +36,7 @@
 
 
 class LineAccount:
-    """Counts lines by proxy and checkpoint.  Each message has header lines, and one for its checkpoint."""
+    """Line counts by proxy and checkpoint.  Each message has header lines, and one for its checkpoint."""
 
     def __init__(self, parameters: DeploymentParameters) -> None:
         self.parameters = parameters
--- a/cottonladder/model/orders.py
+++ b/cottonladder/model/orders.py
@@ -12,7 +12,7 @@
 
 
 class RetryPolicy(IntEnum):
-    """When a proxy retries a request at another worker; the values are those of the wire field `again`."""
+    """Policies for retries of a request at another worker; the values are those of the wire field `again`."""
 
     NEVER = 0
     ONCE_IF_NOT_PROCESSED = 1
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetWeight:
-    """Sets a worker's weight in a table; a weight of 0 removes the worker from it."""
+    """An order to set a worker's weight in a table; a weight of 0 removes the worker from it."""
 
     table: int
     worker_index: int
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClearTable:
-    """Removes every worker from a table."""
+    """An order to remove every worker from a table."""
 
     table: int
 
 
 @dataclass(frozen=True, slots=True)
 class BindProxy:
-    """Makes a proxy read a table for the classes in a bit mask; a mask of 0 means all classes."""
+    """An order to a proxy to read a table for the classes in a bit mask; a mask of 0 means all classes."""
 
     proxy: int
     table: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExcludeWorker:
-    """Makes proxies exclude a worker from all their tables, or lifts the exclusion."""
+    """An order to proxies to exclude a worker from all their tables, or to lift the exclusion."""
 
     worker_index: int
     excluded: bool
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmission:
-    """Sets the admission of the classes in a bit mask: a share or a rate, depending on the admission mode."""
+    """An order to set the admission of classes in a bit mask: a share or rate, by the admission mode."""
 
     table: int
     admission: float
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """Asks proxies for an acknowledgement once they have applied everything written before."""
+    """An order to proxies to send an acknowledgement once they have applied everything written before."""
 
     number: int
     to_all_proxies: bool
@@ -76,26 +76,26 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Starts or ends the watch on changes of the endpoint list."""
+    """An order to start or end the watch on changes of the endpoint list."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Fetches one complete endpoint list."""
+    """An order to fetch one complete endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """Sends a worker one health check."""
+    """An order to send a worker one health check."""
 
     worker_index: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Sends gossip to another manager, or to all of them with -1."""
+    """An order to send gossip to another manager, or to all of them with -1."""
 
     recipient: int
     text: str
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Asks for `TimerFired` with this token after a delay in seconds."""
+    """An order for the input `TimerFired` with this token after a delay in seconds."""
 
     delay_s: float
     token: int
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoveWorker:
-    """Reports that no further order names a worker, so its state may be deleted."""
+    """A notice that no further order names a worker, so that its state may be deleted."""
 
     worker_index: int
 
--- a/cottonladder/model/parameters.py
+++ b/cottonladder/model/parameters.py
@@ -10,7 +10,7 @@
 
 
 class AdmissionMode(StrEnum):
-    """How proxies interpret the value of an admission order; the enum values are those of the setting."""
+    """Proxies' interpretations of an admission order's value; the enum values are those of the setting."""
 
     NONE = "none"  # admission is not ordered
     RATIO = "ratio"  # the fraction of the requests that is admitted
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentParameters:
-    """What this manager may do in the deployment, and which limits it must keep.
+    """The deployment's settings for this manager: what it may do, and which limits it must keep.
 
     `max_poll_interval_s` is the time within which the endpoint list is to be polled.  `warm_up_start_ratio`
     is the fraction of its capacity that a worker has when it starts.  `collapse_load_multiple` is the load at
--- a/cottonladder/model/pending_orders.py
+++ b/cottonladder/model/pending_orders.py
@@ -8,7 +8,7 @@
 
 
 class PendingOrders:
-    """Collects orders in the sequence in which they are to be carried out."""
+    """Collected orders, in the sequence in which they are to be carried out."""
 
     def __init__(self) -> None:
         self._orders: list[Order] = []
--- a/cottonladder/model/proxies.py
+++ b/cottonladder/model/proxies.py
@@ -1,4 +1,4 @@
-"""The owner of the records of connected proxies."""
+"""The records of the connected proxies, and their demand by zone."""
 
 from __future__ import annotations
 
--- a/cottonladder/model/routing_tables.py
+++ b/cottonladder/model/routing_tables.py
@@ -1,4 +1,4 @@
-"""The owner of the routing tables, and of the binding of proxies to them."""
+"""The routing tables of all zones, and the binding of proxies to them."""
 
 from __future__ import annotations
 
--- a/cottonladder/model/worker_record.py
+++ b/cottonladder/model/worker_record.py
@@ -28,7 +28,7 @@
 
 
 class WorkerRecord:
-    """What one manager knows about a worker."""
+    """One manager's information about a worker."""
 
     def __init__(self, latency: LatencyHistogram, max_samples: int) -> None:
         self.state = WorkerState.ABSENT
--- a/cottonladder/model/workers.py
+++ b/cottonladder/model/workers.py
@@ -1,4 +1,4 @@
-"""The owner of the worker records."""
+"""The records of the known workers."""
 
 from __future__ import annotations
 
--- a/cottonladder/model/zone_groups.py
+++ b/cottonladder/model/zone_groups.py
@@ -8,7 +8,7 @@
 
 
 class ZoneGroups:
-    """A group is the workers of one zone.  Capacities are requests/s, or relative where none is reported.
+    """Groups of workers, one for each zone.  Capacities are requests/s, or relative where none is reported.
 
     `warm_capacities` has the capacities of the workers that are not in `warming_up`.
     """
--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -1,4 +1,4 @@
-"""Converts advisors' weights to a bounded factor on each worker's capacity estimate, which fades with age.
+"""Bounded factors on the workers' capacity estimates, which follow advisors' weights and fade with age.
 
 Pure: no clock, no I/O, no randomness.  An advisor's weights are interpreted as shares among the usable
 workers that it names.  The factor is that share divided by the worker's share of the capacity estimates, so
@@ -100,7 +100,7 @@
 
 
 class AdviceWeighting:
-    """Computes the factors for the workers of one manager.
+    """The advisors of one manager, and the factors on its workers' capacities that result from their advice.
 
     Call `receive` when weights arrive, and `update_factors` once per `UPDATE_INTERVAL_S`.
     """
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -1,4 +1,4 @@
-"""Plans the migration of held connections away from draining workers, in slices of `PLAN_INTERVAL_S`.
+"""Planner of the migration of held connections from draining workers, in slices of `PLAN_INTERVAL_S`.
 
 Pure: no clock, no I/O, no randomness.  The caller reports the connections of each forwarder (`add_forwarder`,
 `update_connections`, `complete_migration`, `remove_forwarder`) and calls `plan` every `PLAN_INTERVAL_S` with
@@ -60,7 +60,7 @@
 
 
 class MigrationPlanner:
-    """Plans the migrations of one manager's forwarders."""
+    """Planner of the migrations of one manager's forwarders."""
 
     def __init__(self, parameters: MigrationParameters) -> None:
         self.parameters = parameters
--- a/cottonladder/planning/migration_placement.py
+++ b/cottonladder/planning/migration_placement.py
@@ -1,4 +1,4 @@
-"""Chooses the destination workers: a min-cost flow between zones, then, within a zone, by spare capacity."""
+"""Choice of destination workers by a min-cost flow between zones, then, within a zone, by spare capacity."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Placement:
-    """Allocates the destinations of the connections that the forwarders of each zone move in one slice."""
+    """Allocator of destinations for the connections that the forwarders of each zone move in one slice."""
 
     def __init__(
         self,
--- a/cottonladder/planning/migration_slices.py
+++ b/cottonladder/planning/migration_slices.py
@@ -1,4 +1,4 @@
-"""Sizes the slice of connections to move away from each draining worker, and divides it among forwarders."""
+"""Size of the slice of connections to move from each draining worker, and its division among forwarders."""
 
 from __future__ import annotations
 
--- a/cottonladder/planning/plugin_bounds.py
+++ b/cottonladder/planning/plugin_bounds.py
@@ -134,7 +134,10 @@
 
 @dataclass(slots=True)
 class CircuitBreaker:
-    """Stops the calls of a plug-in that keeps failing; times are in seconds of the caller's clock."""
+    """Circuit breaker that stops the calls of a plug-in that keeps failing.
+
+    Times are in seconds of the caller's clock.
+    """
 
     state: BreakerState = BreakerState.CLOSED
     fault_times: list[float] = field(default_factory=list)
--- a/cottonladder/planning/priority_scheduling.py
+++ b/cottonladder/planning/priority_scheduling.py
@@ -1,4 +1,4 @@
-"""Chooses which background task runs next.
+"""Scheduler that selects the background task to run next.
 
 Pure: no clock, no I/O.  A task has a period, a priority and a budget of CPU time per second.  Of the tasks
 that are due and have budget left, the one with the best priority runs one slice.  While the control loop is
@@ -71,7 +71,7 @@
 
 
 class PriorityScheduler:
-    """Chooses the next task and accounts for CPU time; `now` is in seconds of the caller's clock."""
+    """Scheduler of tasks, with an account of CPU time; `now` is in seconds of the caller's clock."""
 
     def __init__(self) -> None:
         self.tasks: dict[str, ScheduledTask] = {}
--- a/cottonladder/planning/snapshot_staleness.py
+++ b/cottonladder/planning/snapshot_staleness.py
@@ -1,4 +1,4 @@
-"""Discounts the values that are restored from the snapshot of an earlier incarnation, by their age.
+"""Discounts by age on the values that are restored from the snapshot of an earlier incarnation.
 
 Pure: no clock, no I/O.  Each kind of value has its own maximum age or half-life.  If the clock was set back,
 the age is unknown and counts as infinite.  An ejection is restored up to an age of `MAX_EJECTION_AGE_S`.  A
--- a/cottonladder/policy/capacity.py
+++ b/cottonladder/policy/capacity.py
@@ -22,12 +22,12 @@
 
 
 class CapacityEstimator:
-    """Measures the workers once per solve interval, and estimates their capacities at each solution."""
+    """Estimator of capacities, at each solution, from samples that are taken once per solve interval."""
 
     def __init__(self, state: ControllerState, overload: OverloadSignal, shedding: LoadShedding) -> None:
         # By worker zone: the share of the attempts that this manager's proxies make.
         self.own_attempt_shares = [1.0 for _ in state.zones]
-        self.nominal_total = 1.0  # of all usable workers, before latency factors, advice and warm-up
+        self.nominal_total = 1.0  # capacity of usable workers before latency factors, advice and warm-up
         self._state = state
         self._warm_up_shares = warm_up.WarmUpShares(state, overload, shedding)
         self._latency_factors = LatencyFactors(state, overload)
--- a/cottonladder/policy/channel_budget.py
+++ b/cottonladder/policy/channel_budget.py
@@ -15,16 +15,16 @@
 MAX_CHANNEL_SLOWDOWN = 16.0  # assumed ratio of deployed to actual channel rate, until acknowledgements arrive
 MAX_IN_FLIGHT_CHECKPOINTS = 256  # with more checkpoints in flight, the oldest one counts as lost
 
-# For removals, exclusions, overdue binds, and tables whose readers have no usable worker.
+# Limit on removals, exclusions, overdue binds, and changes of tables whose readers have no usable worker.
 CRITICAL_LIMIT = LineLimit(queue_ratio=0.9, channel_s=math.inf, is_deferrable=False)
-# For binds that are not overdue, and changes that include lines of overweight workers.
+# Limit on binds that are not overdue, and on changes that include lines of overweight workers.
 URGENT_LIMIT = LineLimit(queue_ratio=0.9, channel_s=2.5, is_deferrable=False)
-# For all other changes of tables.
+# Limit on all other changes of tables.
 DELTA_LIMIT = LineLimit(queue_ratio=0.45, channel_s=1.5, is_deferrable=True)
 
 
 class ChannelBudget(LineAccount):
-    """Reserves lines for orders to proxies, if they fit into the limits."""
+    """Line account that reserves lines for orders to proxies only if they fit into the limits."""
 
     def available_lines(self, proxies: Iterable[int], limit: LineLimit) -> int:
         """Returns how many more lines fit, beyond headers and checkpoints; negative over the limit."""
--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -32,7 +32,7 @@
 from .zone_flow import FlowPlanner
 from .zone_reachability import ZoneReachability
 
-# Of the drain grace: departures and unbound proxies that are older are overdue.
+# Fraction of the drain grace after which departed workers and unbound proxies are overdue.
 OVERDUE_GRACE_RATIO = 0.4
 
 
--- a/cottonladder/policy/gossip_exchange.py
+++ b/cottonladder/policy/gossip_exchange.py
@@ -23,7 +23,7 @@
 
 
 class GossipExchange:
-    """Sends the demand of this manager's proxies, and keeps that of the other managers' proxies."""
+    """Gossip about demand: sends that of this manager's proxies, keeps that of other managers' proxies."""
 
     def __init__(self, state: ControllerState) -> None:
         self._state = state
--- a/cottonladder/policy/health_check_schedule.py
+++ b/cottonladder/policy/health_check_schedule.py
@@ -1,4 +1,4 @@
-"""When the workers' health is checked.
+"""Schedule of the workers' health checks.
 
 All workers that are in service or ejected are checked together, at intervals that follow from the price of
 a health check and from the present request rate. A worker that lost one check is checked again at the next
@@ -18,7 +18,7 @@
 
 
 class HealthCheckSchedule:
-    """Orders health checks when they are due."""
+    """Schedule of the health checks, which are ordered when they are due."""
 
     def __init__(self, state: ControllerState) -> None:
         self._state = state
--- a/cottonladder/policy/latency_factor.py
+++ b/cottonladder/policy/latency_factor.py
@@ -28,7 +28,7 @@
 
 
 class LatencyFactors:
-    """Updates the factors of workers and zones once per solve interval."""
+    """Latency factors of workers and zones, which are updated once per solve interval."""
 
     def __init__(self, state: ControllerState, overload: OverloadSignal) -> None:
         # By zone: the smoothed mean factor divided by the present mean factor.
--- a/cottonladder/policy/load_shedding.py
+++ b/cottonladder/policy/load_shedding.py
@@ -27,7 +27,7 @@
 
 
 class LoadShedding:
-    """Decides on the admission ratio, and divides it among the classes."""
+    """The admission ratio, and its division among the classes."""
 
     def __init__(self, state: ControllerState, overload: OverloadSignal) -> None:
         self.admission_ratio = 1.0
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -30,7 +30,7 @@
 
 
 class OutlierDetector:
-    """Detects outliers at one tick, by sums over the fleet that are computed when it is created."""
+    """Detector of outliers at one tick, with sums over the fleet that are computed when it is created."""
 
     def __init__(
         self, state: ControllerState, checked_workers: list[WorkerRecord], is_zone_unreachable: list[bool]
--- a/cottonladder/policy/overload_signal.py
+++ b/cottonladder/policy/overload_signal.py
@@ -16,10 +16,10 @@
 
 
 class OverloadSignal:
-    """Measures the overload of most workers in service."""
+    """Measurement of the overload of most workers in service."""
 
     def __init__(self, state: ControllerState) -> None:
-        self.failed_ratio = 0.0  # of all attempts
+        self.failed_ratio = 0.0  # failed fraction of all attempts
         self.value = 0.0  # 1 where overload begins
         # Demand over capacity, as last solved; 0 where capacities are relative.
         self.planned_utilization = 0.0
--- a/cottonladder/policy/proxy_binding.py
+++ b/cottonladder/policy/proxy_binding.py
@@ -15,7 +15,7 @@
 
 
 class ProxyBinding:
-    """Binds proxies to tables."""
+    """Binder of the proxies that read no table yet."""
 
     def __init__(self, state: ControllerState, budget: ChannelBudget, deltas: TableDeltas) -> None:
         self._state = state
--- a/cottonladder/policy/report_intake.py
+++ b/cottonladder/policy/report_intake.py
@@ -17,7 +17,7 @@
 
 
 class ReportIntake:
-    """Applies reports to the records."""
+    """Receiver of reports, which applies them to the records of workers and proxies."""
 
     def __init__(
         self, state: ControllerState, link_latencies: LinkLatencies, reachability: ZoneReachability
--- a/cottonladder/policy/table_deltas.py
+++ b/cottonladder/policy/table_deltas.py
@@ -24,7 +24,7 @@
 
 
 class TableDeltas:
-    """Orders the changes of tables within the channel budget."""
+    """Changes of tables, which are ordered within the channel budget."""
 
     def __init__(self, state: ControllerState, budget: ChannelBudget) -> None:
         self.class_admissions: dict[int, ClassAdmission] = {}
--- a/cottonladder/policy/table_partition.py
+++ b/cottonladder/policy/table_partition.py
@@ -1,4 +1,4 @@
-"""How a zone's workers are divided among its tables.
+"""The division of a zone's workers among its tables.
 
 A zone has one table with all its workers if that is short enough, and otherwise several tables, which from
 three on contain only some of the workers each. The number of tables follows from the deployment's channel
@@ -26,7 +26,7 @@
 
 
 class TablePartition:
-    """Updates the desired weights of the tables."""
+    """The division of each zone's weights among its tables, which sets their desired weights."""
 
     def __init__(self, state: ControllerState) -> None:
         self._state = state
--- a/cottonladder/policy/warm_up.py
+++ b/cottonladder/policy/warm_up.py
@@ -1,4 +1,4 @@
-"""How the load of a warming-up worker is bounded, in the order in which the bounds apply.
+"""Bounds on the load of a warming-up worker, in the order in which they apply.
 
 A worker warms up for a deployed time after its start. Its capacity estimate is bounded at each solution by
 advice, slow start and its warm-up share; then its weight in the tables is bounded by the planned flow; and
@@ -57,7 +57,7 @@
 
 
 class WarmUpShares:
-    """Decides which share of its capacity each warming-up worker is given."""
+    """The share of its capacity that each warming-up worker is given."""
 
     def __init__(self, state: ControllerState, overload: OverloadSignal, shedding: LoadShedding) -> None:
         self.proxies_eject = False  # whether proxies eject outliers often enough to matter
--- a/cottonladder/policy/worker_discovery.py
+++ b/cottonladder/policy/worker_discovery.py
@@ -1,4 +1,4 @@
-"""How the endpoint list and a snapshot change which workers are known.
+"""Updates of the known workers from the endpoint list and from a snapshot.
 
 Each endpoint list that arrives adds workers, updates them and turns their listed state into events: new
 workers enter slow start, and workers that are not ready or not listed depart. The watch on the list is
@@ -28,7 +28,7 @@
 
 
 class WorkerDiscovery:
-    """Keeps the known workers equal to the endpoint list."""
+    """Discovery of workers, which keeps the known workers equal to the endpoint list."""
 
     def __init__(self, state: ControllerState) -> None:
         self.has_endpoint_list = False
--- a/cottonladder/policy/worker_removal.py
+++ b/cottonladder/policy/worker_removal.py
@@ -1,4 +1,4 @@
-"""How a departed worker is removed from the tables, and when its record is deleted.
+"""Removal of departed workers from the tables, and deletion of their records.
 
 A worker departs when the endpoint list has it as not ready or leaves it out. At each tick the tables that
 still name it lose its line. Once per solve interval its record is deleted if it departed long enough ago, no
--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -38,7 +38,7 @@
 
 
 class FlowPlanner:
-    """Solves the flow, and updates the desired weights of each zone's tables."""
+    """Planner that solves the flow, and updates the desired weights of each zone's tables."""
 
     def __init__(
         self,
--- a/cottonladder/policy/zone_reachability.py
+++ b/cottonladder/policy/zone_reachability.py
@@ -14,7 +14,7 @@
 
 
 class ZoneReachability:
-    """Records when the proxies and the workers of each zone were last heard from."""
+    """The times when the proxies and the workers of each zone were last heard from."""
 
     def __init__(self, state: ControllerState) -> None:
         self._state = state
--- a/cottonladder/state/config_encoder.py
+++ b/cottonladder/state/config_encoder.py
@@ -1,4 +1,4 @@
-"""Encodes pending line operations as the CONFIG messages of one proxy."""
+"""Encoder of pending line operations as the CONFIG messages of one proxy."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 MAX_PART_LINES_BYTES = 900_000  # below the protocol's 1 MiB for a part, which includes its other fields
 MAX_PARTS_PER_MESSAGE = 64  # limit of the protocol; further parts go into another message
-MAX_LINE_OVERHEAD_BYTES = 32  # of an encoded line, without its worker id
+MAX_LINE_OVERHEAD_BYTES = 32  # size limit of an encoded line, without its worker id
 
 WORKER_LINES = frozenset((LineKind.SET_WEIGHT, LineKind.EXCLUDE_WORKER, LineKind.READMIT_WORKER))
 
 
 class ConfigEncoder:
-    """Encodes operations as CONFIG messages, with names of request classes and ids of workers."""
+    """Encoder of operations as CONFIG messages, with names of request classes and ids of workers."""
 
     def __init__(self, class_names: list[str], workers: WorkerRegistry) -> None:
         self._class_names = class_names
@@ -47,7 +47,7 @@
 
 
 class _PartPacker:
-    """Distributes operations over parts; one that does not fit into the last part starts a new part."""
+    """Packer of operations into parts; an operation that does not fit into the last part starts a new one."""
 
     def __init__(self, encode_class_names: Callable[[int], bytes]) -> None:
         self.parts = [OutgoingConfigPart()]
--- a/cottonladder/state/line_operations.py
+++ b/cottonladder/state/line_operations.py
@@ -11,7 +11,7 @@
 
 
 class LineKind(IntEnum):
-    """What a line changes at a proxy."""
+    """Kinds of lines, by the change that a line makes at a proxy."""
 
     SET_WEIGHT = 1
     REPLACE_TABLE = 2
--- a/cottonladder/state/order_checks.py
+++ b/cottonladder/state/order_checks.py
@@ -1,4 +1,4 @@
-"""Checks each order before it is applied, so that an invalid order of the policy never reaches a proxy."""
+"""Checks of orders before they are applied, so that an invalid order of the policy never reaches a proxy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class OrderChecker:
-    """Checks the weights and admissions of orders, and that their workers are known."""
+    """Checker of orders: their weights and admissions must be valid, and their workers known."""
 
     def __init__(self, class_names: Sequence[str], workers: WorkerRegistry) -> None:
         self._class_names = class_names
--- a/cottonladder/state/order_dispatcher.py
+++ b/cottonladder/state/order_dispatcher.py
@@ -1,4 +1,4 @@
-"""Turns the controller's orders into one message for each proxy.
+"""Dispatcher that turns the controller's orders into one message for each proxy.
 
 `apply` carries out one order and adds its lines to the pending operations of each proxy that it affects;
 `pop_messages` encodes all pending operations, one message for each proxy.  A line applies to the request
@@ -33,7 +33,7 @@
 
 
 class OrderDispatcher:
-    """Applies orders and collects the resulting lines for each connected proxy."""
+    """Dispatcher that applies orders and collects the resulting lines for each connected proxy."""
 
     def __init__(self, class_names: list[str], manager_count: int, workers: WorkerRegistry) -> None:
         self._class_count = len(class_names)
--- a/cottonladder/state/order_errors.py
+++ b/cottonladder/state/order_errors.py
@@ -22,7 +22,7 @@
 
 
 class OrderRejectedError(Exception):
-    """An order was rejected, and no part of it was applied."""
+    """An order that was rejected, and of which no part was applied."""
 
     def __init__(self, order: Order, reason: RejectionReason, fault: str) -> None:
         super().__init__(f"{type(order).__name__}: {fault}")
--- a/cottonladder/state/pending_messages.py
+++ b/cottonladder/state/pending_messages.py
@@ -1,4 +1,4 @@
-"""Collects the lines of the next message to each proxy, and encodes the messages."""
+"""The lines of the next message to each proxy, and the encoding of the messages."""
 
 from __future__ import annotations
 
--- a/cottonladder/state/proxy_sessions.py
+++ b/cottonladder/state/proxy_sessions.py
@@ -10,7 +10,7 @@
 
 
 class ProxySessions:
-    """Converts the events of connections to inputs for the control loop, and writes to proxies.
+    """Current connections of proxies: they are written to, and their events become control loop inputs.
 
     If a proxy connects again, the inputs have the end of its old connection before the start of the new one.
     """
--- a/cottonladder/state/worker_registry.py
+++ b/cottonladder/state/worker_registry.py
@@ -1,4 +1,4 @@
-"""Assigns indices to worker ids, and keeps each worker's address and whether its start time was listed."""
+"""Registry of the index and address of each worker id, and of whether the worker's start time was listed."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from ..config.errors import InputError
 
-MAX_WORKERS = 65536  # known at the same time; about 20 MB, and far more than an endpoint list has
+MAX_WORKERS = 65536  # workers known at the same time; about 20 MB, and far more than an endpoint list has
 REMOVED_FILTER_BITS = 1 << 16  # 8 KiB; the filter is full after tens of thousands of removed ids
 
 
 class TooManyWorkersError(InputError):
-    """The endpoint list has more workers than the registry can keep."""
+    """An endpoint list with more workers than the registry can keep."""
 
     def __init__(self, limit: int) -> None:
         super().__init__(f"endpoint list: at most {limit} known workers expected, got more")
@@ -29,7 +29,7 @@
 
 
 class WorkerRegistry:
-    """Assigns an index to each listed worker, which is valid until the controller removes the worker.
+    """Registry with an index for each listed worker, valid until the controller removes the worker.
 
     Indices are never reused, so a late report on a removed worker does not affect another worker.  Removed
     ids are kept in a Bloom filter with one hash function.  A worker that returns, or whose id has the same
