--- a/cottonladder/forwarder/admission_pacer.py
+++ b/cottonladder/forwarder/admission_pacer.py
@@ -1,4 +1,4 @@
-"""Limits the rate of new upgraded connections to each worker and reserves slots for reconnecting clients.
+"""Rate limits of new upgraded connections to each worker, and slots reserved for reconnecting clients.
 
 Pure: the caller passes the time.  The rate limit protects the remaining workers when one with many
 connections fails and all its clients reconnect at the same time.
--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -1,4 +1,4 @@
-"""Starts a forwarder's snapshot task and admin socket, if the operators' file enables them."""
+"""The snapshot task and the admin socket of a forwarder, which run if the operators' file enables them."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     _restore_with_first_list(forwarder, folder)
 
     def write_snapshot() -> Iterator[Awaitable[object] | None]:
-        """Runs the task once; the scheduler may run other tasks at each `yield`."""
+        """Creates and writes one snapshot; the scheduler may run other tasks at each `yield`."""
         now = forwarder.loop.time()
         snapshot = create_snapshot(forwarder.router, forwarder.handler.tunnels.registry.counts(now), now)
         yield None
@@ -75,7 +75,7 @@
     written_at = found.written_at
 
     def restore_snapshot() -> None:
-        """Restores the snapshot; the workers are known by now."""
+        """Restores the snapshot when the first list with a ready worker has made the workers known."""
         age_s = snapshot_age(written_at, time.time())
         restored = restore(
             valid_snapshot,
--- a/cottonladder/forwarder/client_listener.py
+++ b/cottonladder/forwarder/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections with aiohttp's server, and detaches those that become tunnels."""
+"""Listener for client connections: accepts them with aiohttp's server, detaches those that become tunnels."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 class ClientListener:
-    """Owns the listening socket and the slots of the connections that it has accepted."""
+    """The listening socket and the slots of the connections that it has accepted."""
 
     def __init__(
         self, limits: LimitsConfig, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -208,5 +208,5 @@
     """A response that is never sent, as the connection belongs to a tunnel or has ended."""
 
     async def prepare(self, request: web.BaseRequest) -> None:  # noqa: ARG002 - aiohttp's signature
-        """Raises ConnectionResetError, so that aiohttp sends no response."""
+        """Raises ConnectionResetError when aiohttp starts to send the response, so that it sends none."""
         raise ConnectionResetError("no response to send: the connection belongs to a tunnel or has ended")
--- a/cottonladder/forwarder/config_parts.py
+++ b/cottonladder/forwarder/config_parts.py
@@ -1,4 +1,4 @@
-"""Parses the parts of CONFIG, the message by which managers order tables, exclusions and admission."""
+"""Parser of the parts of CONFIG, the message by which managers order tables, exclusions and admission."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedPart:
-    """One part of a message; `has_more` tells that another part of the same message follows."""
+    """One part of a message; `has_more` states whether another part of the same message follows."""
 
     part: ReceivedConfigPart
     has_more: bool
--- a/cottonladder/forwarder/connection_drainer.py
+++ b/cottonladder/forwarder/connection_drainer.py
@@ -1,4 +1,4 @@
-"""Decides when a forwarder migrates or closes its connections at a worker that drains.
+"""Schedule by which a forwarder migrates or closes its connections at a worker that drains.
 
 Pure: no clock, no I/O.  A manager that supports the extension paces the drain across all its forwarders.  The
 forwarder paces a drain itself if no order arrives in time, or if the stream of the manager that sent the
--- a/cottonladder/forwarder/connection_slots.py
+++ b/cottonladder/forwarder/connection_slots.py
@@ -1,4 +1,4 @@
-"""Limits the number of client connections, in total and per client address."""
+"""Limits on the number of client connections, in total and per client address."""
 
 from __future__ import annotations
 
--- a/cottonladder/forwarder/drain_orders.py
+++ b/cottonladder/forwarder/drain_orders.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainOrderResult:
-    """How many connections of an order have left the worker, and how many have failed to leave."""
+    """The counts of an order's connections that have left the worker and that have failed to leave."""
 
     number: int
     succeeded: int
--- a/cottonladder/forwarder/errors.py
+++ b/cottonladder/forwarder/errors.py
@@ -57,7 +57,7 @@
 
 
 class ClientGoneError(ForwarderError, ConnectionResetError):
-    """The client closed its connection before the forwarder had opened the tunnel."""
+    """A client that closed its connection before the forwarder had opened the tunnel."""
 
     def __init__(self) -> None:
         super().__init__("client closed the connection before its upgrade was answered")
--- a/cottonladder/forwarder/extension_orders.py
+++ b/cottonladder/forwarder/extension_orders.py
@@ -1,4 +1,4 @@
-"""Executes managers' orders for upgraded connections: their admission rate and their migrations."""
+"""Handler of managers' orders for upgraded connections: their admission rate and their migrations."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ExtensionOrders:
-    """Executes the messages of the extension with the drainer, the pacer and the reports of the forwarder."""
+    """Handler of the extension's messages, which uses the forwarder's drainer, pacer and reports."""
 
     def __init__(
         self,
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -38,7 +38,7 @@
 
 
 class Forwarder:
-    """Owns the components of one forwarder, all of which run on one event loop."""
+    """The components of one forwarder, all of which run on one event loop."""
 
     def __init__(self, operator: OperatorConfig) -> None:
         config = operator.forwarder
--- a/cottonladder/forwarder/frame_scanner.py
+++ b/cottonladder/forwarder/frame_scanner.py
@@ -1,4 +1,4 @@
-"""Follows the frames of a WebSocket connection (RFC 6455, section 5) without changing them.
+"""Scanner of the frames of a WebSocket connection (RFC 6455, section 5), which does not change them.
 
 No I/O.  The forwarder relays bytes and not messages.  It parses only the headers of frames, to find out where
 a frame ends, whether a message is incomplete, and when the connection closes.  Of the payload it copies only
@@ -91,7 +91,7 @@
 
 
 class FrameScanner:
-    """Scans one direction of a connection.
+    """Scanner of one direction of a connection.
 
     An incomplete header, which has 13 bytes at most, is not relayed until it is complete, so the bytes
     relayed so far always end in a frame whose opcode is known.  `expects_mask` is true for the direction from
--- a/cottonladder/forwarder/handshake_reply.py
+++ b/cottonladder/forwarder/handshake_reply.py
@@ -1,4 +1,4 @@
-"""Parses a worker's response to an upgrade handshake."""
+"""Parser of a worker's response to an upgrade handshake."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class HandshakeReplyReader:
-    """Reads the head of the response; `reply` is None until the head is complete."""
+    """Parser of the head of the response; `reply` is None until the head is complete."""
 
     __slots__ = ("_head_bytes", "_headers", "_parser", "_reason", "reply")
 
--- a/cottonladder/forwarder/load_recorder.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -1,4 +1,4 @@
-"""Counts the attempts by worker and the arrivals by request class for the periodic reports to managers."""
+"""Counters of attempts by worker and of arrivals by request class, for the periodic reports to managers."""
 
 from __future__ import annotations
 
--- a/cottonladder/forwarder/load_reporter.py
+++ b/cottonladder/forwarder/load_reporter.py
@@ -1,4 +1,4 @@
-"""Sends the load reports of a forwarder to its manager over a collector's connection."""
+"""Sender of the load reports of a forwarder to its manager over a collector's connection."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LoadReporter:
-    """Owns the collector's connection to the manager that the forwarder is connected to."""
+    """The collector's connection to the manager that the forwarder is connected to."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
--- a/cottonladder/forwarder/manager_orders.py
+++ b/cottonladder/forwarder/manager_orders.py
@@ -1,4 +1,4 @@
-"""Carries out the orders of managers: routing tables, admission, exclusions and migrations."""
+"""Dispatcher of the orders of managers: routing tables, admission, exclusions and migrations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ManagerOrders:
-    """Passes each order to the component that carries it out; implements `OrderHandler`."""
+    """An `OrderHandler` that passes each order to the component that carries it out."""
 
     def __init__(
         self,
--- a/cottonladder/forwarder/manager_reports.py
+++ b/cottonladder/forwarder/manager_reports.py
@@ -1,4 +1,4 @@
-"""Sends the forwarder's reports to its manager: loads, arrivals, connections and migration results."""
+"""The forwarder's reports to its manager: loads, arrivals, connections and migration results."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ManagerReports:
-    """Sends the reports over the stream, and the load of workers over the collector's connection.
+    """Sender of the workers' load over the collector's connection, and of other reports over the stream.
 
     `load_reporter` is None unless this forwarder is a collector; without it, attempts are not reported.
     """
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscription:
-    """What the forwarder states about itself in its SUBSCRIBE message."""
+    """The forwarder's description of itself in its SUBSCRIBE message."""
 
     node: int
     zone: str
@@ -50,7 +50,7 @@
 
 
 class ManagerStream:
-    """Owns the connection to the current manager, and the task that connects to the managers in turn.
+    """The connection to the current manager, and the task that connects to the managers in turn.
 
     `needs_table` is true until a routing table has been ordered or restored.
     """
--- a/cottonladder/forwarder/operator_settings.py
+++ b/cottonladder/forwarder/operator_settings.py
@@ -1,4 +1,4 @@
-"""Converts the forwarder's section of the operators' file to the forwarder's own types."""
+"""Conversion of the forwarder's settings in the operators' file to the forwarder's own types."""
 
 from __future__ import annotations
 
--- a/cottonladder/forwarder/order_handling.py
+++ b/cottonladder/forwarder/order_handling.py
@@ -1,4 +1,4 @@
-"""Parses the messages on a manager's stream and passes the orders in them to an `OrderHandler`."""
+"""Parser of the messages on a manager's stream, which passes the orders in them to an `OrderHandler`."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class OrderHandler(Protocol):
-    """Carries out the orders of managers."""
+    """The component that carries out the orders of managers."""
 
     def check(self, parts: Sequence[ReceivedConfigPart]) -> None:
         """Raises OrderRejectedError if a part of a message can't be carried out; changes nothing."""
@@ -46,7 +46,7 @@
 
 
 class ManagerMessageReader:
-    """Handles the messages of one stream in the order of their arrival.
+    """Reader of one stream's messages, which handles them in the order of their arrival.
 
     `has_orders` and `has_table` state whether orders and a complete routing table have been carried out.  A
     message that is invalid or can't be carried out raises InputError or OrderRejectedError; the protocol then
--- a/cottonladder/forwarder/plain_requests.py
+++ b/cottonladder/forwarder/plain_requests.py
@@ -1,4 +1,4 @@
-"""Forwards a plain request: selects a worker, makes an attempt, retries if allowed, and relays the answer."""
+"""Forwarding of plain requests: worker selection, attempts, retries if allowed, and relay of the answer."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class PlainRequestForwarder:
-    """Sends each request to one worker, and after a failure to the next one if a retry is allowed."""
+    """Sender of each request to one worker, and after a failure to the next one if a retry is allowed."""
 
     def __init__(
         self,
--- a/cottonladder/forwarder/plugin_loading.py
+++ b/cottonladder/forwarder/plugin_loading.py
@@ -1,4 +1,4 @@
-"""Loads the plug-ins of the operators' file at the start and on reload, and collects the workers' labels."""
+"""Loader of the plug-ins of the operators' file, at the start and on reload, and of the workers' labels."""
 
 from __future__ import annotations
 
@@ -29,7 +29,10 @@
 
 
 class PluginLoader:
-    """Sets the plug-ins and labels of `verdicts`; `config` is the file's `plugins` section at the start."""
+    """Loader of the plug-ins and labels of `verdicts`.
+
+    `config` is the `plugins` section of the operators' file at the start.
+    """
 
     def __init__(self, config: PluginsConfig | None, verdicts: PluginVerdicts) -> None:
         self._config = config
--- a/cottonladder/forwarder/plugin_verdicts.py
+++ b/cottonladder/forwarder/plugin_verdicts.py
@@ -1,4 +1,4 @@
-"""Applies the plug-ins' verdicts to a request: a changed class, workers or headers, or a rejection."""
+"""The plug-ins' verdicts, applied to a request: a changed class, workers or headers, or a rejection."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class PluginVerdicts:
-    """Calls the plug-ins and applies their verdicts within the bounds that operators have set.
+    """Caller of the plug-ins that applies their verdicts within the bounds that operators have set.
 
     `chain` is None unless the operators' file names plug-ins.  `labels` contains the labels of each worker.
     `falls_back` states whether a request may go to any worker of the table if none has the required labels.
--- a/cottonladder/forwarder/request_classes.py
+++ b/cottonladder/forwarder/request_classes.py
@@ -1,4 +1,4 @@
-"""Classifies requests, and defines for each class whether its requests are idempotent.
+"""Classification of requests; each class defines whether its requests are idempotent.
 
 Pure: no clock, no I/O.
 """
@@ -11,7 +11,10 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may run twice; the values are those of `replays` in the operators' file."""
+    """The idempotency of a request: whether it may run twice.
+
+    The values are those of `replays` in the operators' file.
+    """
 
     IDEMPOTENT = "replayable"  # a repetition has no further effect
     BY_KEY = "uniqued"  # the request has a key by which workers recognise a repetition
--- a/cottonladder/forwarder/request_handler.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -1,4 +1,4 @@
-"""Handles each client request: classifies it, admits or rejects it, calls the plug-ins, and forwards it."""
+"""Handler of client requests: classifies each, admits or rejects it, calls the plug-ins, and forwards it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class RequestHandler:
-    """Owns the listener, the connections to workers, and the tunnels."""
+    """Handler of requests, with the listener, the connections to workers, and the tunnels."""
 
     def __init__(
         self,
--- a/cottonladder/forwarder/response_relay.py
+++ b/cottonladder/forwarder/response_relay.py
@@ -1,4 +1,4 @@
-"""Relays a worker's answer to the client while it arrives."""
+"""Relay of a worker's answer to the client while it arrives."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ResponseRelay:
-    """Relays answers; a client that stops reading is disconnected after `STALL_TIMEOUT_S`."""
+    """Relay of answers; a client that stops reading is disconnected after `STALL_TIMEOUT_S`."""
 
     def __init__(self, services: RequestServices, faults: RateLimitedFaultLog) -> None:
         self._services = services
--- a/cottonladder/forwarder/responses.py
+++ b/cottonladder/forwarder/responses.py
@@ -1,4 +1,4 @@
-"""Builds HTTP responses for the answers that the forwarder itself gives."""
+"""Builder of HTTP responses for the answers that the forwarder itself gives."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ResponseBuilder:
-    """Builds responses, with a random jitter in their Retry-After headers.
+    """Builder of responses, with a random jitter in their Retry-After headers.
 
     Once `stopping` is set, a response that `build` gives a Retry-After header also closes its connection.
     """
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -1,4 +1,4 @@
-"""Creates a snapshot of a forwarder's state, and restores those sections that are still valid.
+"""Snapshots of a forwarder's state, and the restoration of those sections that are still valid.
 
 Pure: the caller passes the time and the age of the snapshot.
 """
--- a/cottonladder/forwarder/retries.py
+++ b/cottonladder/forwarder/retries.py
@@ -1,4 +1,4 @@
-"""Decides whether a request that failed at one worker may be sent to another.
+"""Rules by which a request that failed at one worker may be sent to another.
 
 Pure: no clock, no I/O.
 """
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryRule:
-    """How many retries are allowed.
+    """The number of retries that are allowed.
 
     `only_if_not_processed` allows them only if it is certain that no worker has processed an earlier attempt.
     """
--- a/cottonladder/forwarder/retry_after.py
+++ b/cottonladder/forwarder/retry_after.py
@@ -1,4 +1,4 @@
-"""Computes the Retry-After header, which asks a rejected client to wait before its next request."""
+"""Value of the Retry-After header, which asks a rejected client to wait before its next request."""
 
 from __future__ import annotations
 
--- a/cottonladder/forwarder/router.py
+++ b/cottonladder/forwarder/router.py
@@ -1,4 +1,4 @@
-"""Decides whether a request is admitted and selects its worker, as managers have ordered.
+"""Admission of requests and selection of their workers, as managers have ordered.
 
 Pure: no clock, no I/O; random numbers come from the function passed to the router.  The router carries out
 orders (the protocol's "Orders on a stream").  On its own it only avoids workers that have failed repeatedly,
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -28,7 +28,7 @@
 
 
 class TunnelObserver(Protocol):
-    """Is notified when a tunnel migrates, fails to migrate, or ends."""
+    """An observer that is notified when a tunnel migrates, fails to migrate, or ends."""
 
     def tunnel_migrated(self, tunnel: Tunnel, source: str, order: int) -> None:
         """Handles a migration from the worker `source` to the tunnel's current worker."""
--- a/cottonladder/forwarder/tunnel_close.py
+++ b/cottonladder/forwarder/tunnel_close.py
@@ -1,4 +1,4 @@
-"""Closes one tunnel gracefully: sends close frames on a WebSocket connection, then waits a limited time."""
+"""Graceful close of one tunnel: close frames on a WebSocket connection, then a wait of limited time."""
 
 from __future__ import annotations
 
--- a/cottonladder/forwarder/tunnel_ends.py
+++ b/cottonladder/forwarder/tunnel_ends.py
@@ -11,7 +11,7 @@
 
 
 class TunnelEvents(Protocol):
-    """Handles the events of a tunnel's ends."""
+    """Handler of the events of a tunnel's ends."""
 
     def data_received(self, end: TunnelEnd, data: bytes) -> None:
         """Handles data from the peer."""
--- a/cottonladder/forwarder/tunnel_frames.py
+++ b/cottonladder/forwarder/tunnel_frames.py
@@ -1,4 +1,4 @@
-"""Follows the WebSocket frames of a tunnel in both directions and counts the unanswered requests."""
+"""The WebSocket frames of a tunnel in both directions, and the number of unanswered requests."""
 
 from __future__ import annotations
 
--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -1,4 +1,4 @@
-"""Manages the tunnels of a forwarder: counts them by worker, executes drains, and closes them at shutdown."""
+"""The tunnels of a forwarder: their counts by worker, their drains, and their closing at shutdown."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class TunnelCounters:
-    """How many tunnels have left a worker, by the way they left.
+    """The numbers of tunnels that have left a worker, by the way they left.
 
     `moved`: migrated; `closed`: closed for a drain; `cut`: closed at the end of the grace period, of which
     `busy_cut` had an unanswered request.  The names are keys of the status that operators read.
@@ -46,7 +46,7 @@
 
 
 class TunnelManager:
-    """Observes, migrates and closes tunnels, and owns the tasks of the handshakes with new workers."""
+    """Observer of the tunnels that migrates and closes them, and runs the handshakes with new workers."""
 
     def __init__(
         self, services: RequestServices, drainer: ConnectionDrainer, listener: ClientListener
--- a/cottonladder/forwarder/tunnel_migration.py
+++ b/cottonladder/forwarder/tunnel_migration.py
@@ -1,4 +1,4 @@
-"""Migrates one tunnel to another worker without its client noticing.
+"""Migration of one tunnel to another worker without its client noticing.
 
 The forwarder does not read from the client during a migration.  It performs the handshake with the new worker
 first.  It then asks the old worker to close, and relays the old worker's last bytes before the first byte of
--- a/cottonladder/forwarder/upgrade_requests.py
+++ b/cottonladder/forwarder/upgrade_requests.py
@@ -1,4 +1,4 @@
-"""Handles upgrade requests: finds a worker that accepts the handshake, then opens a tunnel to it."""
+"""Handler of upgrade requests: finds a worker that accepts the handshake, then opens a tunnel to it."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class UpgradeForwarder:
-    """Attempts upgrades at workers and opens the tunnels between clients and workers."""
+    """Handler of upgrades, which attempts them at workers and opens tunnels between clients and workers."""
 
     def __init__(
         self,
--- a/cottonladder/forwarder/worker_connections.py
+++ b/cottonladder/forwarder/worker_connections.py
@@ -1,4 +1,4 @@
-"""Sends plain requests to workers through aiohttp's client, with a connection pool for each worker."""
+"""Client for plain requests to workers, based on aiohttp's client, with a connection pool for each worker."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class WorkerConnections:
-    """Owns the client session and its connection pools."""
+    """The client session and its connection pools."""
 
     def __init__(self, limits: LimitsConfig) -> None:
         self._limits = limits
--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -41,9 +41,10 @@
 
 
 class WorkerList:
-    """The listed workers; keeps the router informed of the ready and the leaving ones.
+    """The listed workers.
 
-    `restore_snapshot` is called once, with the first list that has a ready worker.
+    Each update informs the router of the ready and the leaving workers.  `restore_snapshot` is called once,
+    with the first list that has a ready worker.
     """
 
     def __init__(self, zones: Zones, home_zone: int, router: Router, rng: random.Random) -> None:
--- a/cottonladder/forwarder/worker_removal.py
+++ b/cottonladder/forwarder/worker_removal.py
@@ -1,4 +1,4 @@
-"""Forgets workers some time after their removal from the endpoint list."""
+"""Cleanup of workers some time after their removal from the endpoint list."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class WorkerRemoval:
-    """Forgets removed workers that have no connection and are in no routing table.
+    """Cleanup of removed workers that have no connection and are in no routing table.
 
     They are removed from the worker list, the router and the pacer.
     """
--- a/cottonladder/forwarder/worker_slots.py
+++ b/cottonladder/forwarder/worker_slots.py
@@ -1,4 +1,4 @@
-"""Selects the worker for an upgraded connection, within each worker's connection limit and admission rate."""
+"""Selection of a worker for an upgraded connection, within its connection limit and admission rate."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class WorkerSlots:
-    """Selects workers that may accept another upgraded connection."""
+    """Selector of workers that may accept another upgraded connection."""
 
     def __init__(self, services: RequestServices, registry: ConnectionRegistry[Tunnel]) -> None:
         self._services = services
