--- a/cottonladder/cli/configuration.py
+++ b/cottonladder/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Reads configuration files for commands; an invalid file ends the command with one line and status 2."""
+"""Reader of configuration files for commands; an invalid file ends the command with one line and status 2."""
 
 from __future__ import annotations
 
--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -21,7 +21,7 @@
 from .options import config_option, operator_option, parse_address_argument
 from .serving import configure_logging, serve_then_block_signals
 
-PING_TIMEOUT_S = 2.0  # for connecting, and for each read
+PING_TIMEOUT_S = 2.0  # limit of the time to connect, and of each read
 READ_SIZE_BYTES = 64
 
 
--- a/cottonladder/cli/plugin_trial.py
+++ b/cottonladder/cli/plugin_trial.py
@@ -1,4 +1,4 @@
-"""Loads a plug-in as a forwarder would, and calls it with recorded or synthetic requests."""
+"""Trial of a plug-in, loaded as by a forwarder and called with recorded or synthetic requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from .errors import CommandError
 
 MAX_REQUESTS = 100_000  # per file; later lines are not replayed
-HEADER_COUNT = 12  # of the synthetic request; about as many as a browser sends
+HEADER_COUNT = 12  # headers of the synthetic request; about as many as a browser sends
 HEADER_VALUE = "v" * 20
 MICROSECONDS_PER_S = 1e6
 PERCENTILE_COUNT = 100
--- a/cottonladder/config/__init__.py
+++ b/cottonladder/config/__init__.py
@@ -1,1 +1,1 @@
-"""Reads and validates the files that a process is started with; imports no subsystem."""
+"""Reading and validation of the files that a process is started with; imports no subsystem."""
--- a/cottonladder/config/deployment.py
+++ b/cottonladder/config/deployment.py
@@ -1,4 +1,4 @@
-"""Reads the deployment's settings, a JSON object in the manager's file or from the simulator.
+"""Reader of the deployment's settings, a JSON object in the manager's file or from the simulator.
 
 The names of the settings are fixed; this module maps them to the terms of the code.
 """
--- a/cottonladder/config/fields.py
+++ b/cottonladder/config/fields.py
@@ -1,4 +1,4 @@
-"""Reads and checks single fields of decoded JSON objects.
+"""Checked reading of single fields of decoded JSON objects.
 
 Each function takes the object, the field's name, and `where`, which names the object in error messages.  If
 the field is missing or null, the function returns the default, or raises MissingFieldError without one.
--- a/cottonladder/config/manager_config.py
+++ b/cottonladder/config/manager_config.py
@@ -1,4 +1,4 @@
-"""Reads the manager's file, which `--config` or ROUTER_CONFIG names, at the start and at each reload."""
+"""Reader of the manager's file, named by `--config` or ROUTER_CONFIG, for the start and each reload."""
 
 from __future__ import annotations
 
--- a/cottonladder/config/operator_config.py
+++ b/cottonladder/config/operator_config.py
@@ -70,7 +70,7 @@
 
 
 class Match(Struct, forbid_unknown_fields=True, frozen=True):
-    """Selects requests by method, path and headers; a field that is left out matches every request."""
+    """Conditions on a request's method, path and headers; a field that is left out matches every request."""
 
     methods: Annotated[list[Name], Meta(max_length=32)] = []
     path: Annotated[str, Meta(max_length=1024, pattern=r"^(/.*)?$")] = ""
@@ -78,7 +78,7 @@
 
 
 class Busy(Struct, forbid_unknown_fields=True, frozen=True, rename=BUSY_NAMES):
-    """Defines when an upgraded connection is busy with a request.
+    """The periods in which an upgraded connection is busy with a request.
 
     With `opens`: from a client's message that begins with `opens` to a worker's message that begins with
     `ends`.  Without `opens`: until no data has been transferred for `quiet` seconds.
@@ -193,7 +193,7 @@
 
 
 class AdviceServerConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=ADVICE_SERVER_NAMES):
-    """Serves weight advice to load balancers, as a SASP workload manager or a DFP agent."""
+    """A server of weight advice to load balancers, as a SASP workload manager or a DFP agent."""
 
     protocol: Literal["sasp", "dfp"]
     listen: HostAndPort
@@ -203,7 +203,10 @@
 
 
 class AdvisorFollowConfig(Struct, forbid_unknown_fields=True, frozen=True, rename=ADVISOR_NAMES):
-    """Follows an advisor's weights, as a SASP load balancer or a DFP manager; `trust` scales their effect."""
+    """An advisor whose weights this process follows, as a SASP load balancer or a DFP manager.
+
+    `trust` scales the effect of the weights.
+    """
 
     protocol: Literal["sasp", "dfp"]
     address: HostAndPort
--- a/cottonladder/plugins/abi.py
+++ b/cottonladder/plugins/abi.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a hook asks for, within the limits of `planning.plugin_bounds`.
+    """The effects that a hook asks for, within the limits of `planning.plugin_bounds`.
 
     Labels are labels of workers.  A `rejection_reason` rejects the request, `request_class` moves it to
     another class, and `forbids_retry` applies if the attempt fails.  `set_headers` are pairs of name and
--- a/cottonladder/plugins/chain.py
+++ b/cottonladder/plugins/chain.py
@@ -46,7 +46,7 @@
 
 
 class PluginChain:
-    """Calls plug-ins in order; a call neither blocks nor raises."""
+    """Chain of plug-ins, called in order; a call neither blocks nor raises."""
 
     def __init__(self, specs: Iterable[PluginSpec]) -> None:
         """Loads all plug-ins; raises PluginLoadError if one can't be loaded."""
--- a/cottonladder/plugins/errors.py
+++ b/cottonladder/plugins/errors.py
@@ -10,7 +10,7 @@
 
 
 class PluginLoadError(PluginError, InputError):
-    """A plug-in can't be loaded; `reason` says why."""
+    """A plug-in that can't be loaded; `reason` says why."""
 
     def __init__(self, path: str, reason: str | None) -> None:
         super().__init__(f"{path}: {reason}")
@@ -19,7 +19,7 @@
 
 
 class PluginFault(PluginError):  # noqa: N818 - a fault of the plug-in, which the caller expects
-    """A plug-in's start, self-test or call failed; `kind` is a short name of the fault for operators."""
+    """A failed start, self-test or call of a plug-in; `kind` is a short name of the fault for operators."""
 
     def __init__(self, kind: str, reason: str) -> None:
         super().__init__(reason)
@@ -28,7 +28,7 @@
 
 
 class AnswerError(PluginError):
-    """The bytes are not a valid answer; `reason` names the line or field, and what was expected."""
+    """Bytes that are not a valid answer; `reason` names the line or field, and what was expected."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
--- a/cottonladder/plugins/hook_call.py
+++ b/cottonladder/plugins/hook_call.py
@@ -1,4 +1,4 @@
-"""Calls hooks through wasmtime's C interface.
+"""Calls of hooks through wasmtime's C interface.
 
 The module uses private names of the library, whose version is pinned; `tests/plugins/test_host.py` tests the
 behaviour of calls.
--- a/cottonladder/protocol/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -22,16 +22,16 @@
 from .errors import EndpointListError, error_summary
 from .fault_log import RateLimitedFaultLog
 
-SILENCE_TIMEOUT_S = 3.0  # without received bytes; discovery sends at least an empty line every 2 s
-FETCH_TIMEOUT_S = 5.0  # for the complete list: the longest queueing time at discovery and the round trip
+SILENCE_TIMEOUT_S = 3.0  # time without received bytes; discovery sends at least an empty line every 2 s
+FETCH_TIMEOUT_S = 5.0  # fetch of the complete list: the longest queueing time at discovery and the round trip
 MAX_CONNECTIONS = 4  # two watches, a fetch and a reserve of one
 
 
 class DiscoveryClient:
-    """Owns an HTTP session, a watch, a fetch of the list and, after a change of address, the former watch.
+    """Client of discovery, with an HTTP session, a watch and a fetch of the endpoint list.
 
-    The former watch stays in use until the one at the new address has answered, so that no update is lost in
-    between.
+    After a change of address it also has the former watch, which stays in use until the one at the new
+    address has answered, so that no update is lost in between.
 
     The answer to a fetch and the lines of a watch may overtake each other.  A version older than the accepted
     one is ignored.  A version below that of the watch's previous line, or below the one that was accepted
--- a/cottonladder/protocol/endpoint_list.py
+++ b/cottonladder/protocol/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Decodes discovery's endpoint list, complete or a delta, from parsed JSON."""
+"""Decoder of discovery's endpoint list, complete or a delta, from parsed JSON."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ZoneIndex(Protocol):
-    """Finds the index of a zone by its name."""
+    """The indices of the zones by name."""
 
     def zone_index(self, name: str, where: str) -> int:
         """Returns the index of a zone; raises `InputError` for an unknown one, with `where` in its text."""
--- a/cottonladder/protocol/endpoint_watch.py
+++ b/cottonladder/protocol/endpoint_watch.py
@@ -37,7 +37,7 @@
 
     source: DiscoverySource
     is_answered: bool = False  # at least one line has arrived
-    last_version: int = 0  # of the latest line; before the first line, the version sent with the call
+    last_version: int = 0  # version of the latest line; before the first line, the version sent with the call
     task: asyncio.Task[None] | None = None
 
     def is_running(self) -> bool:
--- a/cottonladder/protocol/fault_log.py
+++ b/cottonladder/protocol/fault_log.py
@@ -7,13 +7,14 @@
 import structlog
 
 SUMMARY_INTERVAL_S = 10.0  # between two summaries
-MAX_REASONS = 32  # logged separately in an interval; further ones are counted together
+MAX_REASONS = 32  # reasons logged separately in an interval; further ones are counted together
 OTHER_REASONS = "others"
 
 
 class RateLimitedFaultLog:
-    """Logs the first fault of each reason immediately, and the number of its repetitions once an interval.
+    """Log of faults, rate-limited by their reason.
 
+    The first fault of each reason is logged immediately, and the number of its repetitions once an interval.
     `event` is the event name of the log lines.  The owner calls `summarize` periodically.
     """
 
--- a/cottonladder/protocol/gossip.py
+++ b/cottonladder/protocol/gossip.py
@@ -16,7 +16,7 @@
 
 
 class GossipSocket(asyncio.DatagramProtocol):
-    """Sends datagrams to peers and passes on those received from them; other senders are ignored.
+    """Socket that sends datagrams to peers and passes on those from peers; other senders are ignored.
 
     A peer is identified by its address.  `own_index` is this manager's index in `peers`; datagrams to
     `broadcast_address` reach all of them.
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -13,7 +13,7 @@
 from ..model.inputs import HealthCheckResult, Input
 from .message_fields import MAX_SHOWN_LENGTH, parse_number
 
-CHECK_TIMEOUT_S = 0.5  # for connection and answer together; checks of one worker are at least 1 s apart
+CHECK_TIMEOUT_S = 0.5  # covers connection and answer together; checks of one worker are at least 1 s apart
 MAX_BODY_SIZE = 4096  # bytes: an answer is one line of a few numbers
 METRICS_PREFIX = "TEXT"
 
@@ -30,7 +30,7 @@
 
 
 class HealthChecker:
-    """Runs health checks, at most `max_open` concurrently and one for each worker; further ones wait.
+    """Health checks of workers, at most `max_open` concurrently and one for each worker; others wait.
 
     With several checks of one worker under way, hanging ones would accumulate, and all of those sent before a
     restart of the worker would fail and count towards its ejection.
--- a/cottonladder/protocol/messages.py
+++ b/cottonladder/protocol/messages.py
@@ -1,4 +1,4 @@
-"""Decodes messages of proxies and collectors as typed inputs of the routing controller."""
+"""Decoder of messages of proxies and collectors into typed inputs of the routing controller."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class MessageReader:
-    """Reads the messages of one deployment.
+    """Decoder of the messages of one deployment.
 
     `find_worker` returns the index of a listed worker by its id, or None.  An extension adds its message
     types to `extension_readers`.
--- a/cottonladder/protocol/protocol_connection.py
+++ b/cottonladder/protocol/protocol_connection.py
@@ -41,13 +41,13 @@
     """Callbacks for the events of identified connections; they must not block."""
 
     def proxy_connected(self, connection: ProtocolConnection, event: ProxyConnected) -> None:
-        """Called when a SUBSCRIBE has identified the proxy of a connection."""
+        """Handles a connection that a SUBSCRIBE has identified as that of a proxy."""
 
     def connection_ended(self, connection: ProtocolConnection) -> None:
-        """Called when a proxy's connection is closed that no newer one has superseded."""
+        """Handles the end of a proxy's connection that no newer one has superseded."""
 
     def input_received(self, item: Input | ExtensionMessage) -> None:
-        """Called for each report, acknowledgement and message of an extension."""
+        """Receives a report, an acknowledgement or a message of an extension."""
 
 
 class ConnectionOwner(Protocol):
@@ -62,20 +62,20 @@
         """Largest number of bytes buffered for a peer that does not read, before the connection is closed."""
 
     def connection_opened(self, connection: ProtocolConnection) -> None:
-        """Called when a connection is accepted, before its peer identifies itself."""
+        """Handles an accepted connection, before its peer identifies itself."""
 
     def connection_identified(self, connection: ProtocolConnection, client: str) -> None:
-        """Called when the peer has identified itself; `client` names it in the log."""
+        """Handles a connection with an identified peer; `client` names the peer in the log."""
 
     def mark_superseded(self, connection: ProtocolConnection) -> None:
         """Marks a connection that a newer one of the same proxy has replaced."""
 
     def connection_closed(self, connection: ProtocolConnection, reason: str) -> None:
-        """Called when the connection is closed by either side; `reason` is logged."""
+        """Handles the end of a connection that either side has closed; `reason` is logged."""
 
 
 class ProtocolConnection(asyncio.Protocol):
-    """Frames the bytes of one accepted connection and handles each message by the connection's state.
+    """An accepted connection: frames its bytes and handles each message by the connection's state.
 
     `proxy` and `zone` are indices, -1 until the connection has identified itself.
     """
--- a/cottonladder/protocol/resp.py
+++ b/cottonladder/protocol/resp.py
@@ -25,7 +25,7 @@
 
 
 class RespReader:
-    """Decodes the bytes of one connection, in chunks of any size; buffers only the incomplete message.
+    """Decoder of the bytes of one connection, in chunks of any size; buffers only the incomplete message.
 
     A count or length over its limit is rejected before any memory is reserved for it.  After a `FramingError`
     the message boundaries are lost, so the connection has to be closed.
@@ -42,7 +42,7 @@
         """Yields the arguments of each message that `data` completes; raises FramingError."""
         buffer = self._buffer
         buffer += data
-        position = 0  # of the first byte that is not decoded yet
+        position = 0  # index of the first byte that is not decoded yet
         try:
             while True:
                 header_end = self._find_header_end(position)
--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -1,4 +1,4 @@
-"""Listens for connections of proxies and collectors, and bounds how many stay open and for how long."""
+"""Listener for connections of proxies and collectors, bounding how many stay open and for how long."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class StreamListener:
-    """Accepts connections and keeps their number within the limits.
+    """Listener that accepts connections and keeps their number within the limits.
 
     A periodic sweep closes connections that have not identified themselves within `IDENTIFY_TIMEOUT_S`.  Over
     the limit on open connections, the oldest unidentified connection is closed, else the oldest superseded
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -27,11 +27,11 @@
 from .errors import FieldError, UnencodableNumberError
 from .message_fields import MessageFields, quoted
 
-VERSION = 1  # of the extension
-MAX_REPORTED_WORKERS = 4096  # in one HELD message
+VERSION = 1  # version of the extension
+MAX_REPORTED_WORKERS = 4096  # workers in one HELD message
 MAX_CONNECTIONS = 10_000_000  # from one forwarder to one worker; a higher count is implausible
-MAX_COUNT_DIGITS = 8  # of a count up to `MAX_CONNECTIONS`
-MAX_DESTINATIONS = 4096  # of one migration
+MAX_COUNT_DIGITS = 8  # digits of a count up to `MAX_CONNECTIONS`
+MAX_DESTINATIONS = 4096  # destinations of one migration
 COUNTS_PER_REPORTED_WORKER = 3  # open, busy, resumable
 COUNTS_PER_DESTINATION = 1
 UPGRADES = b"UPGRADES"
--- a/cottonladder/simulator/action_encoder.py
+++ b/cottonladder/simulator/action_encoder.py
@@ -1,4 +1,4 @@
-"""Encodes orders of the policy as actions of the simulator.
+"""Encoder of the policy's orders as actions of the simulator.
 
 The names of actions and fields are those of the simulator's protocol.  Worker indices become worker ids, and
 seconds become milliseconds.
@@ -32,7 +32,7 @@
 
 
 class ActionEncoder:
-    """Encodes the orders of one simulated manager."""
+    """Encoder of the orders of one simulated manager."""
 
     def __init__(self, worker_ids: WorkerIds) -> None:
         self._worker_ids = worker_ids
--- a/cottonladder/simulator/event_decoder.py
+++ b/cottonladder/simulator/event_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes events of the simulator as typed inputs of the policy.
+"""Decoder of the simulator's events into typed inputs of the policy.
 
 The names of events and fields are those of the simulator's protocol.  Worker ids and names become indices,
 and milliseconds become seconds.
@@ -44,7 +44,7 @@
 
 
 class EventDecoder:
-    """Decodes the events of one simulated manager.
+    """Decoder of the events of one simulated manager.
 
     `where` names the event and the manager in error messages.
     """
--- a/cottonladder/simulator/host.py
+++ b/cottonladder/simulator/host.py
@@ -1,4 +1,4 @@
-"""Runs the routing controllers of simulated managers on batches of events."""
+"""The routing controllers of simulated managers, which are run on batches of events."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 class SimulatorHost:
-    """Owns the simulated managers, which share no state."""
+    """The simulated managers by id, which share no state."""
 
     def __init__(self) -> None:
         self._managers: dict[int, SimulatedManager] = {}  # by id
--- a/cottonladder/simulator/worker_ids.py
+++ b/cottonladder/simulator/worker_ids.py
@@ -4,7 +4,7 @@
 
 
 class WorkerIds:
-    """Gives each worker id of one simulated manager an index, in the order in which they occur."""
+    """The indices of one simulated manager's worker ids, in the order in which the ids occur."""
 
     def __init__(self) -> None:
         self._ids: list[int] = []
--- a/cottonladder/snapshots/errors.py
+++ b/cottonladder/snapshots/errors.py
@@ -10,7 +10,7 @@
 
 
 class SnapshotFolderError(SnapshotError):
-    """The folder can't be created, listed or locked."""
+    """A folder that can't be created, listed or locked."""
 
     def __init__(self, folder: Path, reason: str | None) -> None:
         super().__init__(f"{folder}: {reason}")
@@ -19,7 +19,7 @@
 
 
 class SnapshotFileError(SnapshotError):
-    """One file can't be read or written."""
+    """A file that can't be read or written."""
 
     def __init__(self, name: str, reason: str | None) -> None:
         super().__init__(f"{name}: {reason}")
@@ -28,11 +28,11 @@
 
 
 class SnapshotFormatError(SnapshotError):
-    """The bytes are not a snapshot file of the current format or an earlier one."""
+    """Bytes that are not a snapshot file of the current format or an earlier one."""
 
 
 class SnapshotTooLargeError(SnapshotError):
-    """The encoded sections are larger than `max_size_bytes`, before compression."""
+    """Encoded sections that are larger than `max_size_bytes`, before compression."""
 
     def __init__(self, size_bytes: int, max_size_bytes: int) -> None:
         super().__init__(
@@ -43,7 +43,7 @@
 
 
 class SnapshotSectionError(SnapshotError):
-    """A section of a valid file can't be used."""
+    """A section that can't be used, although its file is valid."""
 
     def __init__(self, section: str, reason: str) -> None:
         super().__init__(f"section {section}: {reason}")
@@ -51,7 +51,7 @@
 
 
 class UnversionedSectionError(SnapshotSectionError):
-    """A section is not a map with a version number; `fault` says where it differs."""
+    """A section that is not a map with a version number; `fault` says where it differs."""
 
     def __init__(self, section: str, fault: str) -> None:
         super().__init__(section, f"expected a map with a version number v: {fault}")
@@ -59,7 +59,7 @@
 
 
 class NewerSectionError(SnapshotSectionError):
-    """A section was written by a newer version of the program."""
+    """A section that was written by a newer version of the program."""
 
     def __init__(self, section: str, version: int, newest_version: int) -> None:
         super().__init__(
@@ -70,7 +70,7 @@
 
 
 class InvalidSectionError(SnapshotSectionError):
-    """A section does not have the fields of its version, or its version is unknown; `fault` says which."""
+    """A section that lacks the fields of its version, or has an unknown version; `fault` says which."""
 
     def __init__(self, section: str, fault: str) -> None:
         super().__init__(section, fault)
--- a/cottonladder/snapshots/file_format.py
+++ b/cottonladder/snapshots/file_format.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes the bytes of a snapshot file: a header and a body of named sections.
+"""Encoding and decoding of the bytes of a snapshot file: a header and a body of named sections.
 
 The header has a magic number, the format version, flags, the time of writing, the uncompressed and compressed
 size of the body, and a BLAKE2b digest of the file with zeros in the place of the digest.  The body is the
--- a/cottonladder/snapshots/sections.py
+++ b/cottonladder/snapshots/sections.py
@@ -32,7 +32,7 @@
 
 
 class WorkerSnapshot(Struct, array_like=True):
-    """What a manager has learned about a worker, stored as an array; `started_at` is in Unix seconds."""
+    """The learned state of a worker, stored as an array; `started_at` is in Unix seconds."""
 
     id: str
     started_at: float
--- a/cottonladder/snapshots/store.py
+++ b/cottonladder/snapshots/store.py
@@ -46,7 +46,7 @@
 
 
 class SnapshotStore:
-    """Reads and writes the generations of a folder, which it owns from `open` to `close`.
+    """Store that reads and writes the generations of a folder, which it owns from `open` to `close`.
 
     Each method raises SnapshotError if the folder or a file can't be used; `remove_old_generations` and
     `write` may also raise OSError if the folder can't be listed.
--- a/cottonladder/testbed/crash_test.py
+++ b/cottonladder/testbed/crash_test.py
@@ -1,9 +1,10 @@
-"""Kills a process at random times while it writes snapshots, and reads the snapshot folder after each kill.
+"""Crash test that kills a process while it writes snapshots, and reads their folder after each kill.
 
     python -m cottonladder.testbed.crash_test FOLDER --kills 1000 --seed 7
 
 For each kill, a child process writes generations as fast as it can, and records the number of the last
-finished one in shared memory.  The parent kills it (SIGKILL), and reads the folder like a starting manager.
+finished one in shared memory.  The parent kills it at a random time (SIGKILL), and reads the folder like a
+starting manager.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 class CrashTest:
-    """Starts and kills processes that write snapshots into one folder, one at a time."""
+    """Processes that write snapshots into one folder, started and killed one at a time."""
 
     def __init__(self, folder: str, seed: int) -> None:
         self.counts = CrashCounts()
--- a/cottonladder/testbed/discovery.py
+++ b/cottonladder/testbed/discovery.py
@@ -45,7 +45,7 @@
 
 
 class SimulatedDiscovery:
-    """Serves the endpoint list and watches on it; keeps all changes, as a watch can start at any version."""
+    """Server of the endpoint list and its watches; keeps all changes, as a watch can start at any version."""
 
     def __init__(self) -> None:
         self.version = 1
--- a/cottonladder/testbed/fleet.py
+++ b/cottonladder/testbed/fleet.py
@@ -1,4 +1,4 @@
-"""Runs managers and forwarders as processes of the project's command line, and reads their log lines."""
+"""Managers and forwarders, run as processes of the project's command line, and their log lines."""
 
 from __future__ import annotations
 
--- a/cottonladder/testbed/holding_clients.py
+++ b/cottonladder/testbed/holding_clients.py
@@ -33,7 +33,7 @@
 
 
 class HandshakeError(Exception):
-    """A connection attempt failed; the client retries after `delay_s`."""
+    """A failed connection attempt, which the client retries after `delay_s`."""
 
     def __init__(self, delay_s: float) -> None:
         super().__init__(f"WebSocket handshake failed; retrying in {delay_s:g} s")
--- a/cottonladder/testbed/month_end.py
+++ b/cottonladder/testbed/month_end.py
@@ -82,7 +82,7 @@
     """The result of a run."""
 
     requests: int = 0
-    served: int = 0  # within the latency objective
+    served: int = 0  # requests served within the latency objective
     worst_share: float = 1.0  # lowest share of served requests in a window
     max_warm_up_load: float = 0.0  # largest load of a warming-up worker; it collapses at 1.0
     proxies_without_worker: int = 0  # bound proxies without a usable weight, summed over the steps
--- a/cottonladder/testbed/month_end_workers.py
+++ b/cottonladder/testbed/month_end_workers.py
@@ -17,7 +17,7 @@
 
 
 class WorkerPool:
-    """Serves requests, and sums the attempts that have ended for the load reports.
+    """Workers that serve requests, and the sums of ended attempts for the load reports.
 
     `max_warm_up_load` is the largest load of a warming-up worker so far, as a ratio to the load at which it
     collapses.
--- a/cottonladder/testbed/process_log.py
+++ b/cottonladder/testbed/process_log.py
@@ -11,7 +11,7 @@
 
 
 class ProcessLog:
-    """Keeps the newest `max_lines` lines of a process's output, and waits for lines that match.
+    """The newest `max_lines` lines of a process's output, with methods that wait for a matching line.
 
     `decoding_errors` is the `errors` argument of `bytes.decode`.
     """
--- a/cottonladder/testbed/workers.py
+++ b/cottonladder/testbed/workers.py
@@ -177,7 +177,7 @@
 
 
 class EchoProtocol(asyncio.Protocol):
-    """Echoes bytes in upper case, sends `BYE` at the end of the stream, and sets `ended` on disconnect."""
+    """Echo in upper case that sends `BYE` at the end of the stream and sets `ended` on disconnect."""
 
     def __init__(
         self, worker: SimulatedWorker, transport: asyncio.Transport, ended: asyncio.Future[None]
--- a/cottonladder/weight_advice/client.py
+++ b/cottonladder/weight_advice/client.py
@@ -42,7 +42,7 @@
 
 
 class AdvisorClient(ABC):
-    """Maintains the connection to one advisor; a subclass implements its protocol.
+    """Client that maintains the connection to one advisor; a subclass implements its protocol.
 
     `uniform` returns a random number from 0 to 1, for the jitter of the backoff.
     """
--- a/cottonladder/weight_advice/dfp.py
+++ b/cottonladder/weight_advice/dfp.py
@@ -152,7 +152,7 @@
 
 
 class _MessageDecoder:
-    """Collects the contents of one message's TLVs."""
+    """Decoder that collects the contents of one message's TLVs."""
 
     def __init__(self, data: bytes, secrets: Mapping[int, bytes] | None) -> None:
         self._data = data
@@ -310,7 +310,7 @@
 
 
 class MessageReader:
-    """Splits the bytes of a connection into messages; `secrets` is as for `decode_message`."""
+    """Reader that splits the bytes of a connection into messages; `secrets` is as for `decode_message`."""
 
     def __init__(
         self, secrets: Mapping[int, bytes] | None = None, max_message_bytes: int = MAX_MESSAGE_BYTES
--- a/cottonladder/weight_advice/dfp_client.py
+++ b/cottonladder/weight_advice/dfp_client.py
@@ -19,7 +19,7 @@
 
 
 class DfpAdvisorClient(AdvisorClient):
-    """Receives the reports of an agent; `secret` is the key id and key that authenticate messages."""
+    """Receiver of an agent's reports; `secret` is the key id and key that authenticate messages."""
 
     def __init__(
         self,
--- a/cottonladder/weight_advice/dfp_server.py
+++ b/cottonladder/weight_advice/dfp_server.py
@@ -23,7 +23,7 @@
 
 
 class DfpServer(AdviceServer):
-    """Serves DFP managers; `secret` is the key id and key that authenticate messages."""
+    """Server for DFP managers; `secret` is the key id and key that authenticate messages."""
 
     def __init__(
         self, advertised: AdvertisedWorkers, max_clients: int, secret: tuple[int, bytes] | None = None
--- a/cottonladder/weight_advice/query.py
+++ b/cottonladder/weight_advice/query.py
@@ -1,4 +1,4 @@
-"""Queries an advisor once, for the command line: connects, requests weights, disconnects."""
+"""Single query of an advisor, for the command line: connects, requests weights, disconnects."""
 
 from __future__ import annotations
 
--- a/cottonladder/weight_advice/sasp/decoding.py
+++ b/cottonladder/weight_advice/sasp/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes SASP messages by the layouts in `messages`; limits the sizes and counts that the sender states."""
+"""Decoder of SASP messages by the layouts in `messages`; limits the sizes and counts that senders state."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class MessageReader:
-    """Splits the bytes of a connection into messages; rejects a bad header before it buffers the message."""
+    """Reader that splits received bytes into messages; rejects a bad header before it buffers the message."""
 
     def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
         self._max_message_bytes = max_message_bytes
@@ -159,7 +159,7 @@
 
 
 class _MemberCounter:
-    """Limits the number of members in one message, over all of its groups."""
+    """Limit on the number of members in one message, over all of its groups."""
 
     def __init__(self) -> None:
         self._count = 0
--- a/cottonladder/weight_advice/sasp/encoding.py
+++ b/cottonladder/weight_advice/sasp/encoding.py
@@ -1,4 +1,4 @@
-"""Encodes SASP messages by the layouts in `messages` (RFC 4678)."""
+"""Encoder of SASP messages by the layouts in `messages` (RFC 4678)."""
 
 from __future__ import annotations
 
--- a/cottonladder/weight_advice/sasp_client.py
+++ b/cottonladder/weight_advice/sasp_client.py
@@ -20,7 +20,7 @@
 
 
 class SaspAdvisorClient(AdvisorClient):
-    """Registers the workers as one group, asks for pushes, and polls at the advisor's interval."""
+    """Client that registers the workers as a group, asks for pushes, and polls at the advisor's interval."""
 
     def __init__(
         self,
--- a/cottonladder/weight_advice/sasp_server.py
+++ b/cottonladder/weight_advice/sasp_server.py
@@ -14,7 +14,7 @@
 
 
 class SaspServer(AdviceServer):
-    """Serves load balancers that register groups of members."""
+    """Server for load balancers that register groups of members."""
 
     def __init__(
         self, advertised: AdvertisedWorkers, max_clients: int, tls: ssl.SSLContext | None = None
--- a/cottonladder/weight_advice/server.py
+++ b/cottonladder/weight_advice/server.py
@@ -106,7 +106,7 @@
 
 
 class AdviceServer(ABC):
-    """Accepts clients and sends them weights; a subclass creates the connections of its protocol."""
+    """Server that accepts clients and sends them weights; a subclass creates its protocol's connections."""
 
     def __init__(
         self, advertised: AdvertisedWorkers, max_clients: int, tls: ssl.SSLContext | None = None
--- a/cottonladder/weight_advice/tlv.py
+++ b/cottonladder/weight_advice/tlv.py
@@ -25,7 +25,7 @@
 
 
 class Cursor:
-    """Reads consecutive fields of the message `data` from `position` up to `end`, both in bytes.
+    """Reader of consecutive fields of the message `data` from `position` up to `end`, both in bytes.
 
     Raises TruncatedDataError, with `container` as the name of what is read, for a field beyond the end.
     """
--- a/cottonladder/weight_advice/worker_locations.py
+++ b/cottonladder/weight_advice/worker_locations.py
@@ -1,4 +1,4 @@
-"""Matches members of load balancers and advisors to the workers of the endpoint list."""
+"""Matching of members of load balancers and advisors to the workers of the endpoint list."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class MemberIndex:
-    """Finds the worker whose id is a member's label, or else the one at the member's address and port."""
+    """Index of the workers, by id (which may be a member's label) or else by address and port."""
 
     def __init__(self, locations: Iterable[WorkerLocation]) -> None:
         self._by_id: dict[bytes, int] = {}
