--- a/cottonladder/forwarder/errors.py
+++ b/cottonladder/forwarder/errors.py
@@ -44,10 +44,6 @@
         self.worker_id = worker_id
 
 
-class FrameError(ForwarderError, ValueError):
-    """Bytes that are not WebSocket frames, or frames that the peer may not send."""
-
-
 class BodyTooLargeError(ForwarderError):
     """A request body that is larger than `max_bytes`."""
 
@@ -65,7 +61,7 @@
 
 
 class ClientGoneError(ForwarderError, ConnectionResetError):
-    """The client closed its connection before the forwarder had opened the tunnel."""
+    """A client that closed its connection before the forwarder had opened the tunnel."""
 
     def __init__(self) -> None:
         super().__init__("client closed the connection before its upgrade was answered")
--- a/tests/forwarder/test_operator_file.py
+++ b/tests/forwarder/test_operator_file.py
@@ -45,7 +45,7 @@
     def setUp(self) -> None:
         process = ForwarderProcess(1, "127.0.0.1:1", ["127.0.0.1:2"], UPGRADES)
         self.addCleanup(shutil.rmtree, process.folder)
-        self.valid_section = process.part
+        self.valid_section = process.section
 
     def with_forwarder(self, **changes: Any) -> str:
         """Returns a file whose forwarder section is valid except for these changes."""
