--- a/cottonladder/cli/manager.py
+++ b/cottonladder/cli/manager.py
@@ -13,7 +13,7 @@
 from ..config.manager_config import ManagerConfig
 from ..control import signals
 from ..control.manager import serve as serve_manager
-from ..control.reload import unchangeable_fields
+from ..control.reload import changed_fixed_fields
 from ..control.startup_config import StartupConfig
 from ..protocol.messages import PING, PONG
 from .configuration import load_operator_config, load_startup_config
@@ -71,11 +71,11 @@
         click.echo(f"{path}: all features off")
 
 
-def _check_reload(running: ManagerConfig, new: ManagerConfig) -> None:
+def _check_reload(running_config: ManagerConfig, new: ManagerConfig) -> None:
     """Raises CommandError if a reload would not apply all changes."""
-    unchangeable = unchangeable_fields(running, new)
-    if unchangeable:
-        raise CommandError(f"a reload would not change: {', '.join(unchangeable)}")
+    changed_fields = changed_fixed_fields(running_config, new)
+    if changed_fields:
+        raise CommandError(f"a reload would not change: {', '.join(changed_fields)}")
 
 
 def _configuration_summary(config: StartupConfig) -> str:
--- a/cottonladder/config/operator_file.py
+++ b/cottonladder/config/operator_file.py
@@ -1,4 +1,4 @@
-"""Reads the operators' file, which is JSON5, and checks the rules that its types can't express.
+"""Reader of the operators' file, in JSON5; checks the rules that the types of the file do not express.
 
 The module is imported only if a file is given, so that a manager without one loads neither the JSON5 parser
 nor the schema library.
@@ -25,12 +25,18 @@
 )
 
 MAX_FILE_CHARACTERS = 1 << 20
-VALIDATION_PLACE_MARK = " - at `"  # separates fault and place in an error message of msgspec
-ROOT_PLACE = "$"  # JSON path of the whole file; msgspec names no place for a fault at the root
+# Text between the fault and its JSON path in an error message of msgspec.
+VALIDATION_PLACE_MARK = " - at `"
+# JSON path of the top-level value; an error message of msgspec about this value contains no path.
+ROOT_PLACE = "$"
 
 
 def read_operator_config(path: str) -> OperatorConfig:
-    """Reads the file at `path`; raises a ConfigError that names the file, the place and the fault."""
+    """Reads and checks the file at `path`.
+
+    Raises ConfigFileError if the file can't be read or decoded.  A fault in the content raises
+    OperatorFileError or, for an address, FieldValueError; both name the file, the JSON path and the fault.
+    """
     body = _read_json5(path)
     try:
         config = msgspec.convert(body, OperatorConfig)
@@ -60,12 +66,17 @@
         raise ConfigFileError(path, "not JSON5: nested too deeply") from None
     except ValueError as exc:
         one_line = " ".join(str(exc).split())
+        # json5 begins the message of a syntax error with "<string>:" and the line number.
         fault = re.sub(r"^<string>:", "line ", one_line)
         raise ConfigFileError(path, f"not JSON5: {fault}") from None
 
 
 def _check_forwarder(path: str, config: ForwarderConfig) -> None:
-    """Checks that the zone is in `zones`, that names and managers are different, and that ports are valid."""
+    """Checks the rules of the forwarder's section that its types do not express.
+
+    The zone must be in `zones`.  The names of zones and of request classes and the addresses of managers must
+    not repeat, and the name of a request class must not contain "+".  Addresses must have the form host:port.
+    """
     if config.zone not in config.zones:
         fault = f"must be one of $.forwarder.zones, got {describe_value(config.zone)}"
         raise OperatorFileError(path, "$.forwarder.zone", fault)
@@ -79,10 +90,15 @@
             fault = f"must not contain '+', which joins names on the wire, got {describe_value(name)}"
             raise OperatorFileError(path, place, fault)
     where = f"{path}: $.forwarder"
-    parse_host_port(config.listen, "listen", where)
-    parse_host_port(config.discovery, "discovery", where)
+    _check_host_port(config.listen, "listen", where)
+    _check_host_port(config.discovery, "discovery", where)
     for index, manager in enumerate(config.managers):
-        parse_host_port(manager, f"managers[{index}]", where)
+        _check_host_port(manager, f"managers[{index}]", where)
+
+
+def _check_host_port(address: str, name: str, where: str) -> None:
+    """Raises FieldValueError unless the address, the value of the field `name`, has the form host:port."""
+    parse_host_port(address, name, where)
 
 
 def _check_no_duplicates(path: str, place: str, names: Sequence[str]) -> None:
@@ -93,7 +109,10 @@
 
 
 def _check_advice(path: str, config: AdviceConfig) -> None:
-    """Checks that addresses are different and valid, that only SASP has TLS and that only DFP has secrets."""
+    """Checks that the addresses in each list are valid, that only SASP has TLS and that only DFP has secrets.
+
+    Within a list, an address must not repeat, except one with port 0.
+    """
     server_addresses = [server.listen for server in config.serve]
     advisor_addresses = [advisor.address for advisor in config.follow]
     _check_advice_peers(path, "$.advice.serve", config.serve, "listen", server_addresses)
@@ -107,14 +126,18 @@
     address_key: str,
     addresses: Sequence[str],
 ) -> None:
-    """Checks the entries of one list, whose addresses are in the field `address_key`."""
+    """Checks the entries of one list.
+
+    `addresses` contains the address of each entry; `address_key` is the key of the address in the file, for
+    error messages.
+    """
     seen: set[str] = set()
     for index, (entry, address) in enumerate(zip(entries, addresses, strict=True)):
         place = f"{list_place}[{index}]"
-        parse_host_port(address, address_key, f"{path}: {place}")
-        is_any_free_port = address.endswith(":0")
-        if address in seen and not is_any_free_port:
-            fault = f"must have another address than the entries before it, got {describe_value(address)}"
+        _check_host_port(address, address_key, f"{path}: {place}")
+        requests_free_port = address.endswith(":0")
+        if address in seen and not requests_free_port:
+            fault = f"must have a different address from the earlier entries, got {describe_value(address)}"
             raise OperatorFileError(path, place, fault)
         seen.add(address)
         if entry.tls is not None and entry.protocol != "sasp":
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -21,8 +21,8 @@
 from ..planning.controller_views import capacity_views
 from ..planning.migration_orders import (
     PLAN_INTERVAL_S,
+    ForwarderOrder,
     MigrateConnections,
-    MigrationOrder,
     MigrationParameters,
     SetArrivalShare,
     StopMigration,
@@ -61,9 +61,9 @@
             MigrationParameters(
                 zone_count=parameters.zone_count,
                 grace_s=config.grace_s,
-                max_connections=config.max_connections_per_worker,
+                max_connections_per_worker=config.max_connections_per_worker,
                 arrivals_per_s=config.arrivals_per_s,
-                load_per_connection=config.requests_per_s_per_connection,
+                requests_per_s_per_connection=config.requests_per_s_per_connection,
                 channel_lines_per_s=parameters.channel_lines_per_s,
                 message_header_lines=parameters.message_header_lines,
             )
@@ -158,7 +158,7 @@
             if message is not None:
                 yield order.forwarder, message
 
-    def _encode(self, order: MigrationOrder) -> bytes | None:
+    def _encode(self, order: ForwarderOrder) -> bytes | None:
         """Returns the order's message, or None if the source worker has been removed."""
         if isinstance(order, SetArrivalShare):
             return wire.encode_acceptance(order.arrival_share, self._arrivals_per_s)
@@ -176,7 +176,7 @@
             order.number, ids[order.source], destinations, order.count, order.duration_s, order.grace_left_s
         )
 
-    def _complete_if_vetoed(self, order: MigrationOrder) -> bool:
+    def _complete_if_vetoed(self, order: ForwarderOrder) -> bool:
         """Returns whether a plug-in postpones a migration.
 
         If so, the migration is recorded as done, so that it is planned again.
--- a/cottonladder/forwarder/endpoint_follower.py
+++ b/cottonladder/forwarder/endpoint_follower.py
@@ -1,4 +1,4 @@
-"""Follows discovery's endpoint list, whether or not a manager is connected."""
+"""Client of discovery's endpoint list, which works with or without a connection to a manager."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 from .worker_list import WorkerList
 from .worker_removal import WorkerRemoval
 
-# After a failed call the watch is started again after a random delay between these, times the backoff factor.
-MIN_LIST_RETRY_DELAY_S = 0.3
-MAX_LIST_RETRY_DELAY_S = 1.0
+# After a failed fetch or watch, a watch is started after a random delay between these bounds, multiplied by
+# the backoff factor.
+MIN_WATCH_RETRY_DELAY_S = 0.3
+MAX_WATCH_RETRY_DELAY_S = 1.0
 # The backoff factor doubles with each failed call up to this maximum, as the calls of a whole fleet could
 # overload a discovery service that is recovering.
 MAX_BACKOFF_FACTOR = 8.0
@@ -22,9 +23,11 @@
 
 
 class EndpointFollower:
-    """Updates the worker list from the endpoint list, and starts the watch again after a failed call.
+    """Client of discovery that updates the worker list from the endpoint list.
 
-    `record_labels` is called with the decoded JSON object of each endpoint.
+    After a failed fetch or watch, it starts a new watch after a delay, unless the running watch has not been
+    answered yet.  A failed fetch is not repeated.  `record_labels` is called with the decoded JSON object of
+    each endpoint, to record the worker's labels.
     """
 
     def __init__(
@@ -46,12 +49,12 @@
         )
 
     def start(self) -> None:
-        """Fetches the list and starts to watch its changes."""
+        """Starts to fetch the list and to watch its changes."""
         self.refresh()
-        self._watch()
+        self._start_watch()
 
-    def stop_timers(self) -> None:
-        """Cancels the pending start of a watch."""
+    def cancel_retry(self) -> None:
+        """Cancels the scheduled start of a watch, if there is one."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
 
@@ -60,25 +63,26 @@
         await self._discovery.close()
 
     def refresh(self) -> None:
-        """Starts to fetch the list immediately."""
+        """Starts to fetch the complete list, unless a fetch is in progress."""
         self._discovery.fetch()
 
-    def _watch(self) -> None:
+    def _start_watch(self) -> None:
         self._discovery.set_watching(True)
 
-    def _on_input(self, item: Input | object) -> None:
+    def _on_input(self, item: Input) -> None:
         if not isinstance(item, EndpointList):
             return
         if item.kind == ListUpdateKind.FAILED:
-            self._retry_later()
+            self._schedule_watch()
             return
         self._backoff_factor = 1.0
         now = self._loop.time()
         self._workers.update(item, now)
+        # After the update, so that a worker that is ready again is kept.
         self._removal.forget_expired(now)
 
-    def _retry_later(self) -> None:
-        self.stop_timers()  # a fetch and the watch may fail at the same time
-        delay_s = self._rng.uniform(MIN_LIST_RETRY_DELAY_S, MAX_LIST_RETRY_DELAY_S) * self._backoff_factor
-        self._retry_timer = self._loop.call_later(delay_s, self._watch)
+    def _schedule_watch(self) -> None:
+        self.cancel_retry()  # one timer is enough if a fetch and the watch both fail
+        delay_s = self._rng.uniform(MIN_WATCH_RETRY_DELAY_S, MAX_WATCH_RETRY_DELAY_S) * self._backoff_factor
+        self._retry_timer = self._loop.call_later(delay_s, self._start_watch)
         self._backoff_factor = min(MAX_BACKOFF_FACTOR, 2.0 * self._backoff_factor)
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -91,7 +91,7 @@
         return port
 
     def _stop_timers(self) -> None:
-        self._follower.stop_timers()
+        self._follower.cancel_retry()
         self._periodic_work.stop()
 
     async def drain(self) -> None:
--- a/cottonladder/forwarder/manager_stream.py
+++ b/cottonladder/forwarder/manager_stream.py
@@ -79,9 +79,9 @@
         return self._managers[self._manager_index] if self._writer is not None else None
 
     @property
-    def speaks_extension(self) -> bool:
+    def speaks_upgrade_extension(self) -> bool:
         """Whether the current manager has accepted the extension."""
-        return self._messages is not None and self._messages.speaks_extension
+        return self._messages is not None and self._messages.speaks_upgrade_extension
 
     # Connections.
 
@@ -175,5 +175,5 @@
 
     def send_extension(self, data: bytes) -> None:
         """Sends an encoded message of the extension if the manager has accepted the extension."""
-        if self.speaks_extension:
+        if self.speaks_upgrade_extension:
             self.send_message(data)
--- a/cottonladder/forwarder/order_handling.py
+++ b/cottonladder/forwarder/order_handling.py
@@ -58,7 +58,7 @@
     ) -> None:
         self.has_orders = False
         self.has_table = False
-        self.speaks_extension = False  # whether the manager has accepted the extension
+        self.speaks_upgrade_extension = False  # whether the manager has accepted the extension
         self._node = node
         self._orders = orders
         self._uses_extension = uses_extension
@@ -129,7 +129,7 @@
 
     def _handle_extension(self, fields: list[bytes]) -> None:
         message = upgrades.read_for_forwarder(fields)
-        if isinstance(message, upgrades.AnnouncementAccepted) and not self.speaks_extension:
-            self.speaks_extension = True
+        if isinstance(message, upgrades.AnnouncementAccepted) and not self.speaks_upgrade_extension:
+            self.speaks_upgrade_extension = True
             self._orders.extension_accepted()
         self._orders.apply_extension(message)
--- a/cottonladder/forwarder/periodic_work.py
+++ b/cottonladder/forwarder/periodic_work.py
@@ -1,4 +1,4 @@
-"""Runs the periodic steps of drains and the periodic reports to managers on one timer."""
+"""Periodic work of a forwarder: the steps of drains and the reports to its manager, on one timer."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 from .manager_stream import ManagerStream
 from .request_handler import RequestHandler
 
-CONNECTION_REPORT_INTERVAL_S = 0.25  # interval between reports of upgraded connections
+# Minimum interval between reports of upgraded connections.  A report is sent at the first tick after it, so
+# with ticks of 0.1 s at least 0.3 s after the previous one.
+CONNECTION_REPORT_INTERVAL_S = 0.25
 
 
 class PeriodicWork:
-    """Owns the timer, which runs every `TICK_INTERVAL_S` from `start` to `stop`."""
+    """The work that is done every `TICK_INTERVAL_S`, or at a multiple of it, from `start` to `stop`."""
 
     def __init__(
         self,
@@ -34,7 +36,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Runs the work that is due immediately, and repeats this at each interval."""
+        """Does the work that is due now, and again after each `TICK_INTERVAL_S`."""
         self._tick()
 
     def stop(self) -> None:
@@ -44,10 +46,12 @@
 
     def _tick(self) -> None:
         now = self._loop.time()
+        # The next tick is scheduled first, so that an exception in the work does not end the ticks.
         self._timer = self._loop.call_later(TICK_INTERVAL_S, self._tick)
         self._handler.tunnels.tick_drains()
         self._report_migrations()
-        if self._stream.speaks_extension and now >= self._connection_report_due_at:
+        # Without the extension no report would be sent, but the changes would be marked as reported.
+        if self._stream.speaks_upgrade_extension and now >= self._connection_report_due_at:
             self._connection_report_due_at = now + CONNECTION_REPORT_INTERVAL_S
             self._reports.report_connections(now, is_full=False)
         if now >= self._load_report_due_at:
@@ -60,7 +64,7 @@
         self._drainer.results.clear()
 
     def _report_and_log(self, now: float) -> None:
-        """Reports the load to managers, and logs the ended connections and the plug-ins' status."""
+        """Reports the load to the manager, and logs the ended connections and the plug-ins' status."""
         self._reports.report_load(now)
         self._handler.tunnels.log_ended_connections()
         if self._handler.verdicts.chain is not None:
--- a/cottonladder/model/state_change_text.py
+++ b/cottonladder/model/state_change_text.py
@@ -24,9 +24,9 @@
     WorkerState.REMOVED: "gone",
 }
 EVENT_TEXTS = {
-    WorkerEvent.LISTED_AT_START: "listed",
+    WorkerEvent.LISTED_AT_MANAGER_START: "listed",
     WorkerEvent.DISCOVERED: "seen",
-    WorkerEvent.STARTED: "started",
+    WorkerEvent.WORKER_STARTED: "started",
     WorkerEvent.ENDPOINT_NOT_READY: "leaving",
     WorkerEvent.NOT_LISTED: "leaving",
     WorkerEvent.HIGH_FAILURE_RATIO: "bad",
--- a/cottonladder/model/state_changes.py
+++ b/cottonladder/model/state_changes.py
@@ -9,21 +9,29 @@
 
 
 class WorkerState(StrEnum):
-    """How the routing policy treats a worker."""
+    """State of a worker in the routing policy; the values are those in the log."""
 
+    # A new record, to which no event has been applied yet.
     ABSENT = "absent"
     HEALTHY = "healthy"
     SLOW_START = "slow_start"
     EJECTED = "ejected"
+    # Departed: listed as not ready, no longer listed, or restored from a snapshot as draining.
     REMOVED = "removed"
 
 
 class WorkerEvent(StrEnum):
-    """What moves a worker from one state to another; the values are the reasons in the log."""
+    """Event that moves a worker from one state to another.
 
-    LISTED_AT_START = "listed_at_start"
+    The values are the reasons in the log.  A worker's first state is not logged.
+    """
+
+    # Listed as ready in the manager's first endpoint list.
+    LISTED_AT_MANAGER_START = "listed_at_start"
+    # Listed as ready in a later endpoint list.
     DISCOVERED = "discovered"
-    STARTED = "started"
+    # Listed as ready with a start time that is newer than the recorded one and within the warm-up time.
+    WORKER_STARTED = "started"
     ENDPOINT_NOT_READY = "endpoint_not_ready"
     NOT_LISTED = "not_listed"
     HIGH_FAILURE_RATIO = "high_failure_ratio"
@@ -46,7 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OutlierEvidence:
-    """How a worker's attempts and health checks compare with those of the other workers."""
+    """Attempts and health checks of a worker that is ejected, and the failed ratio of the other workers.
+
+    The counts of attempts are floats, because they decay over time.
+    """
 
     failed_count: float
     attempt_count: float
@@ -56,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEvidence:
-    """A health check that succeeded."""
+    """The successful health check that ended an ejection."""
 
     duration_s: float
 
@@ -66,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerStateChanged:
-    """A worker moved from one state to another."""
+    """A change of a worker's state, with the event that caused it."""
 
     worker_index: int
     zone: int
@@ -78,7 +89,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionChanged:
-    """Load shedding began or ended: the admission ratio left 1, or returned to it."""
+    """The start or end of load shedding: the admission ratio fell below 1, or returned to it.
+
+    `overload_signal` is 1 where overload begins, and 0 where admission is not ordered.
+    """
 
     from_ratio: float
     to_ratio: float
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -25,8 +25,8 @@
 from .migration_capacity import MigrationCapacity
 from .migration_orders import (
     PLAN_INTERVAL_S,
+    ForwarderOrder,
     MigrateConnections,
-    MigrationOrder,
     MigrationParameters,
     SetArrivalShare,
     StopMigration,
@@ -99,16 +99,16 @@
     def load_by_worker(self) -> dict[int, float]:
         """Returns the requests/s that held connections count as, by worker index."""
         return {
-            worker: counts.open * self.parameters.load_per_connection
+            worker: counts.open * self.parameters.requests_per_s_per_connection
             for worker, counts in self.connections_by_worker().items()
         }
 
-    def plan(self, now: float, views: Mapping[int, WorkerCapacityView]) -> list[MigrationOrder]:
+    def plan(self, now: float, views: Mapping[int, WorkerCapacityView]) -> list[ForwarderOrder]:
         """Returns the orders of this slice; `views` is by worker index, `now` is in seconds."""
         self._drop_pending(lambda pending: now >= pending.expires_at)
         connections = self.connections_by_worker()
         grace_end_times = self._grace_end_times(now, views, connections)
-        orders: list[MigrationOrder] = [*self._stop_orders(grace_end_times)]
+        orders: list[ForwarderOrder] = [*self._stop_orders(grace_end_times)]
         line_budget = int(self.parameters.channel_lines_per_s * PLAN_INTERVAL_S * MAX_CHANNEL_FRACTION)
         spent_lines = len(orders) * (self.parameters.message_header_lines + 1)
         live = {
@@ -128,11 +128,11 @@
             )
         return orders + self._arrival_share_orders(line_budget - self.channel_lines(orders))
 
-    def channel_lines(self, orders: Iterable[MigrationOrder]) -> int:
+    def channel_lines(self, orders: Iterable[ForwarderOrder]) -> int:
         """Returns the number of channel lines that the orders take."""
         return sum(self._order_lines(order) for order in orders)
 
-    def _order_lines(self, order: MigrationOrder) -> int:
+    def _order_lines(self, order: ForwarderOrder) -> int:
         rows = len(order.destinations) if isinstance(order, MigrateConnections) else 0
         return self.parameters.message_header_lines + 1 + rows
 
@@ -253,10 +253,10 @@
         )
         self._capacity.consume_tokens(destinations)
 
-    def _arrival_share_orders(self, line_budget: int) -> list[MigrationOrder]:
+    def _arrival_share_orders(self, line_budget: int) -> list[ForwarderOrder]:
         """Returns orders that send forwarders their changed share of the arrivals, up to the line budget."""
         share = 1.0 / max(1, len(self._connections.forwarders))
-        orders: list[MigrationOrder] = []
+        orders: list[ForwarderOrder] = []
         for forwarder, held in self._connections.forwarders.items():
             last_sent = held.last_sent_arrival_share
             if abs(share - last_sent) <= MIN_SHARE_CHANGE_RATIO * last_sent:
--- a/cottonladder/planning/migration_capacity.py
+++ b/cottonladder/planning/migration_capacity.py
@@ -51,7 +51,7 @@
             fill_limit = (1.0 + CAPACITY_SLACK_RATIO) * connections_per_capacity * view.capacity
             if not view.is_warming_up:
                 fill_limit += 1
-            fill_limit = min(float(self._parameters.max_connections), fill_limit)
+            fill_limit = min(float(self._parameters.max_connections_per_worker), fill_limit)
             open_count = connections[worker].open if worker in connections else 0
             spare = fill_limit - incoming.get(worker, 0) - open_count
             count = int(min(spare, self._tokens[worker]))
--- a/cottonladder/planning/migration_orders.py
+++ b/cottonladder/planning/migration_orders.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-# Time between two plans, which is also the duration of one slice.
+# Time between two plans.  Each plan orders one slice of the connections to migrate, spread over this time.
 PLAN_INTERVAL_S = 0.5
 
 
@@ -12,17 +12,17 @@
 class MigrationParameters:
     """Limits from the operators' file and the deployment settings.
 
-    `max_connections` is the limit for one worker; `arrivals_per_s` is the number of new connections per
-    second that a worker of average capacity accepts; `load_per_connection` is the rate, in requests/s, that
-    one held connection counts as; `message_header_lines` is the number of channel lines that a message takes
-    in addition to its rows.
+    `arrivals_per_s` is the number of new connections per second that a worker of average capacity accepts;
+    `requests_per_s_per_connection` is the request rate that one held connection counts as.  An order takes
+    `message_header_lines` channel lines for the header of its message, one line for itself, and one for each
+    destination.
     """
 
     zone_count: int
     grace_s: float
-    max_connections: int
+    max_connections_per_worker: int
     arrivals_per_s: float
-    load_per_connection: float
+    requests_per_s_per_connection: float
     channel_lines_per_s: float
     message_header_lines: int
 
@@ -31,9 +31,10 @@
 class MigrateConnections:
     """An order to a forwarder to move `count` connections away from `source` within `duration_s` seconds.
 
-    `destinations` are pairs of worker index and connection count.  If `count` is larger than their sum, the
-    forwarder closes the rest and asks the clients to reconnect.  `grace_left_s` is the remaining time of the
-    worker's grace period.
+    `number` identifies the order in the forwarder's report of its result.  `destinations` are pairs of worker
+    index and connection count.  If `count` is larger than the sum of these counts, the forwarder closes the
+    remaining connections and asks their clients to reconnect.  `grace_left_s` is the remaining time of the
+    source's grace period.
     """
 
     forwarder: int
@@ -47,7 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StopMigration:
-    """An order to cancel the migrations away from `source` that have not started, as it no longer drains."""
+    """An order to cancel the migrations away from `source` that have not started.
+
+    It is sent when the source no longer drains, or has no connections left.
+    """
 
     forwarder: int
     source: int
@@ -55,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SetArrivalShare:
-    """An order that sets a forwarder's share of the new connections that each worker accepts."""
+    """An order that sets a forwarder's share (0 to 1) of the new connections that each worker accepts."""
 
     forwarder: int
     arrival_share: float
 
 
-MigrationOrder = MigrateConnections | StopMigration | SetArrivalShare
+ForwarderOrder = MigrateConnections | StopMigration | SetArrivalShare
--- a/cottonladder/policy/worker_discovery.py
+++ b/cottonladder/policy/worker_discovery.py
@@ -85,11 +85,11 @@
         if endpoint.state != inputs.EndpointState.READY:
             event = WorkerEvent.ENDPOINT_NOT_READY
         elif has_started:
-            event = WorkerEvent.STARTED
+            event = WorkerEvent.WORKER_STARTED
         elif self.has_endpoint_list:
             event = WorkerEvent.DISCOVERED
         else:
-            event = WorkerEvent.LISTED_AT_START
+            event = WorkerEvent.LISTED_AT_MANAGER_START
         uptime_s = self._state.now - endpoint.started_at
         evidence = EndpointEvidence(endpoint.state, uptime_s, is_start_known=endpoint.started_at > 0)
         apply_event(self._state, endpoint.worker_index, event, evidence)
--- a/cottonladder/policy/worker_states.py
+++ b/cottonladder/policy/worker_states.py
@@ -35,7 +35,7 @@
 EJECTION = Transition(IN_SERVICE_STATES, WorkerState.EJECTED)
 RETURN = Transition((WorkerState.EJECTED,), WorkerState.SLOW_START)
 TRANSITIONS = {
-    WorkerEvent.STARTED: Transition(tuple(WorkerState), WorkerState.SLOW_START),
+    WorkerEvent.WORKER_STARTED: Transition(tuple(WorkerState), WorkerState.SLOW_START),
     WorkerEvent.ENDPOINT_NOT_READY: REMOVAL,
     WorkerEvent.NOT_LISTED: REMOVAL,
     WorkerEvent.RESTORED_AS_DRAINING: REMOVAL,
@@ -43,7 +43,7 @@
     WorkerEvent.HEALTH_CHECKS_LOST: EJECTION,
     WorkerEvent.RESTORED_AS_EJECTED: EJECTION,
     WorkerEvent.DISCOVERED: Transition((WorkerState.ABSENT, WorkerState.REMOVED), WorkerState.SLOW_START),
-    WorkerEvent.LISTED_AT_START: Transition((WorkerState.ABSENT,), WorkerState.HEALTHY),
+    WorkerEvent.LISTED_AT_MANAGER_START: Transition((WorkerState.ABSENT,), WorkerState.HEALTHY),
     WorkerEvent.SLOW_START_COMPLETED: Transition((WorkerState.SLOW_START,), WorkerState.HEALTHY),
     WorkerEvent.HEALTH_CHECK_SUCCEEDED: RETURN,
     WorkerEvent.EJECTION_EXPIRED: RETURN,
--- a/tests/config/test_error_texts.py
+++ b/tests/config/test_error_texts.py
@@ -293,7 +293,7 @@
         faults: tuple[tuple[dict[str, Any], str], ...] = (
             (
                 {"serve": [dfp, dfp]},
-                "$.advice.serve[1]: must have another address than the entries before it, got 'h:1'",
+                "$.advice.serve[1]: must have a different address from the earlier entries, got 'h:1'",
             ),
             (
                 {"serve": [{**dfp, "tls": {}}]},
--- a/tests/planning/test_connection_migration.py
+++ b/tests/planning/test_connection_migration.py
@@ -14,8 +14,8 @@
 from cottonladder.planning.migration_capacity import CAPACITY_SLACK_RATIO
 from cottonladder.planning.migration_orders import (
     PLAN_INTERVAL_S,
+    ForwarderOrder,
     MigrateConnections,
-    MigrationOrder,
     MigrationParameters,
     SetArrivalShare,
     StopMigration,
@@ -27,9 +27,9 @@
 PARAMETERS = MigrationParameters(
     zone_count=2,
     grace_s=20.0,
-    max_connections=8000,
+    max_connections_per_worker=8000,
     arrivals_per_s=100.0,
-    load_per_connection=0.05,
+    requests_per_s_per_connection=0.05,
     channel_lines_per_s=3000.0,
     message_header_lines=10,
 )
@@ -46,11 +46,11 @@
     return capacity_view(1.0, draining_since=since, zone=zone)
 
 
-def migrations(orders: list[MigrationOrder]) -> list[MigrateConnections]:
+def migrations(orders: list[ForwarderOrder]) -> list[MigrateConnections]:
     return [order for order in orders if isinstance(order, MigrateConnections)]
 
 
-def sent_arrival_shares(orders: list[MigrationOrder]) -> dict[int, float]:
+def sent_arrival_shares(orders: list[ForwarderOrder]) -> dict[int, float]:
     """Returns the sent shares of the arrivals, by forwarder."""
     return {order.forwarder: order.arrival_share for order in orders if isinstance(order, SetArrivalShare)}
 
@@ -86,7 +86,7 @@
     def total_count(self) -> int:
         return sum(self.connection_count(worker) for worker in self.views)
 
-    def step(self, is_executed: bool = True) -> list[MigrationOrder]:
+    def step(self, is_executed: bool = True) -> list[ForwarderOrder]:
         """Reports the connections, plans a slice, and executes its orders unless they are to be lost."""
         self.report_connections()
         orders = self.planner.plan(self.now, self.views)
@@ -121,7 +121,7 @@
         per_capacity = self.total_count() / sum(view.capacity for view in live)
         view = self.views[worker]
         fill_limit = (1 + CAPACITY_SLACK_RATIO) * per_capacity * view.capacity + (not view.is_warming_up)
-        return min(self.parameters.max_connections, fill_limit)
+        return min(self.parameters.max_connections_per_worker, fill_limit)
 
 
 class DrainTest(unittest.TestCase):
@@ -180,7 +180,7 @@
         fleet.connections[0].update({0: 100, 1: 5})
         while fleet.now < 8.0:
             fleet.step()
-        self.assertEqual(fleet.connection_count(1), parameters.max_connections)
+        self.assertEqual(fleet.connection_count(1), parameters.max_connections_per_worker)
         self.assertEqual(fleet.closed_count, 0)
         fleet.run_until_empty(0)
         self.assertLessEqual(fleet.now, parameters.grace_s)
