--- a/tests/control/test_manager_program.py
+++ b/tests/control/test_manager_program.py
@@ -1,4 +1,4 @@
-"""A manager process, tested through its proxies, collectors, workers and other managers."""
+"""Tests of a manager process through its connections to proxies, collectors, workers and other managers."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from tests.support.timeouts import in_time
 
 LOOPBACK = "127.0.0.1"
-SUPERSEDED_TIMEOUT = "cottonladder.protocol.stream_listener.SUPERSEDED_TIMEOUT_S"
+SUPERSEDED_TIMEOUT_NAME = "cottonladder.protocol.stream_listener.SUPERSEDED_TIMEOUT_S"
 
 
 class GossipPeer(asyncio.DatagramProtocol):
-    """The socket of another manager, which queues received datagrams."""
+    """The UDP endpoint of another manager, with the received datagrams in a queue."""
 
     def __init__(self) -> None:
         self.received: asyncio.Queue[bytes] = asyncio.Queue()
@@ -40,10 +40,10 @@
 
 
 class FaultyController(RoutingController):
-    """A policy that raises an exception at its first timer."""
+    """A controller that raises ZeroDivisionError when a timer fires."""
 
     def decide_orders(self, now: float, inputs: Iterable[Input]) -> list[Order]:
-        """Returns the orders of the real controller, until a timer fires."""
+        """Returns the orders of RoutingController, unless the inputs contain a timer."""
         batch = list(inputs)
         if any(isinstance(item, TimerFired) for item in batch):
             raise ZeroDivisionError("a fault")
@@ -71,18 +71,21 @@
 class ManagerProgramTests(ManagerTestCase):
     async def test_a_manager_binds_proxies_accepts_reports_drains_a_worker_and_restarts(self) -> None:
         program = await self.start_serving()
+        # 41 is the version of the endpoint list in the configuration file.
         self.assertIn("watch=1&after=41", await in_time(self.discovery.calls.get()))
         proxy = await self.join(program, 3)
         table = await proxy.receive()
         self.assertRegex(table, r"^CONFIG replace 1 rows s-1:0\.5,s-2:0\.5 part 1$")
         proxy.acknowledge(await proxy.receive_until("stamp"))
         collector = await self.connect(program, "SOURCE locality a")
+        # Valid reports, and reports of an unlisted worker, of a proxy that has not subscribed, and of a
+        # checkpoint that was not sent.  None of them may close a stream.
         for number in range(3):
             collector.send("LOAD locality a endpoint s-1 total 20 errors 1 rtt 41.7 interval 1000.0")
             collector.send("LOAD locality b endpoint s-9 total 5 errors 5 interval 1000.0 metrics inflight:7")
             proxy.send(f"RATE node 3 route lookup total {19 + number} errors 0 interval 1000.0")
-            collector.send("RATE node 5 route order total 4 errors 0 interval 1000.0")  # has never joined
-            proxy.send(f"ACK node 3 nonce {60000 + number} latency 3.5")  # of no checkpoint
+            collector.send("RATE node 5 route order total 4 errors 0 interval 1000.0")
+            proxy.send(f"ACK node 3 nonce {60000 + number} latency 3.5")
         await self.discovery.send_updates(
             endpoint_list(42, endpoint_entry("s-1", "Terminating"), endpoint_entry("s-3", zone="b"))
         )
@@ -117,7 +120,7 @@
 
     async def test_the_ping_command_reports_the_result_by_its_status_and_one_line(self) -> None:
         program = await self.start_serving()
-        http_server = await self.start_http_server(scripted_answer(""))  # speaks another protocol
+        http_server = await self.start_http_server(scripted_answer(""))  # answers in HTTP instead of RESP2
         cases = (
             (f"{LOOPBACK}:{program.port}", 0, "serves"),
             (http_server, 1, "bytes that begin with 'HTTP/1."),
@@ -131,13 +134,13 @@
                 self.assertIn(expected_text, result.output)
 
     async def test_the_newest_stream_of_a_proxy_replaces_the_older_one(self) -> None:
-        program = await self.start_serving(constants={SUPERSEDED_TIMEOUT: 0.5})
+        program = await self.start_serving(constants={SUPERSEDED_TIMEOUT_NAME: 0.5})
         old = await self.join(program, 3)
         await old.receive_until("replace")
         new = await self.join(program, 3, cold=0)
         await new.receive_until("replace")
-        old.send("ACK node 3 nonce 1 latency 1")  # in flight when the new stream was accepted
-        # The old stream sends nothing more.
+        old.send("ACK node 3 nonce 1 latency 1")  # like a message in flight when the new stream was accepted
+        # The old stream sends nothing more, and the manager closes it.
         await program.wait_for_log("connection_closed", "state=old", "superseded by a newer connection")
         await self.discovery.send_updates(endpoint_list(42, endpoint_entry("s-1", "Terminating")))
         await new.receive_until("s-1:0.0")
@@ -150,7 +153,7 @@
             return web.Response(text="TEXT inflight=7, queue=2, util=0.61")
 
         async def hang(_request: web.BaseRequest) -> web.StreamResponse:
-            await asyncio.Event().wait()  # until the server is closed
+            await asyncio.Event().wait()  # never set; cancelled when the server is closed
             return web.Response()
 
         healthy: list[dict[str, object]] = []
@@ -172,15 +175,16 @@
             "lost_check_count=2",
         )
 
-    async def test_gossip_is_sent_to_the_peers_and_invalid_datagrams_are_dropped(self) -> None:
+    async def test_gossip_is_sent_to_the_peers_and_invalid_datagrams_do_not_stop_the_manager(self) -> None:
         loop = asyncio.get_running_loop()
         peer_transport, peer = await loop.create_datagram_endpoint(GossipPeer, local_addr=(LOOPBACK, 0))
         unknown_transport, _ = await loop.create_datagram_endpoint(GossipPeer, local_addr=(LOOPBACK, 0))
-        own_transport, _ = await loop.create_datagram_endpoint(GossipPeer, local_addr=(LOOPBACK, 0))
-        own_port = own_transport.get_extra_info("sockname")[1]
+        # Opened only to find a free port for the manager.
+        reserved_transport, _ = await loop.create_datagram_endpoint(GossipPeer, local_addr=(LOOPBACK, 0))
+        manager_port = reserved_transport.get_extra_info("sockname")[1]
         peer_port = peer_transport.get_extra_info("sockname")[1]
-        own_transport.close()  # only opened to find a free port for the manager
-        addresses = [f"{LOOPBACK}:{own_port}", f"{LOOPBACK}:{peer_port}"]
+        reserved_transport.close()
+        addresses = [f"{LOOPBACK}:{manager_port}", f"{LOOPBACK}:{peer_port}"]
         program = await self.start_serving(
             settings={"Limits": {"Probing": False, "Peers": True}, "NInstances": 2},
             peer_listen=addresses[0],
@@ -189,9 +193,13 @@
         )
         values = (await in_time(peer.received.get())).decode().split()
         self.assertEqual(len(values), 4)  # number of proxies and demand, for each of two zones
-        unknown_transport.sendto(b"9 9 9 9", (LOOPBACK, own_port))
-        for data in (b"\xff\xfe", b"1 2 " * 99, b"1 2 3 4"):
-            peer_transport.sendto(data, (LOOPBACK, own_port))
+        unknown_transport.sendto(b"9 9 9 9", (LOOPBACK, manager_port))  # from an address that is not a peer
+        for data in (
+            b"\xff\xfe",  # not UTF-8
+            b"1 2 " * 99,  # longer than a datagram may be
+            b"1 2 3 4",  # valid
+        ):
+            peer_transport.sendto(data, (LOOPBACK, manager_port))
         client = await self.connect(program, "PING")
         self.assertEqual(await client.receive(), "PONG")
         peer_transport.close()
@@ -199,19 +207,33 @@
 
     async def test_a_gossip_socket_accepts_datagrams_of_its_peers_up_to_the_size_limit(self) -> None:
         received: list[Input] = []
-        gossip = GossipSocket(0, [(LOOPBACK, 1), (LOOPBACK, 2)], None, received.append)
-        for port, data in ((9, b"9"), (1, b"echo"), (2, b"\xff"), (2, b"1" * 257), (2, b"1" * 256)):
+        own_port, peer_port, unknown_port = 1, 2, 9
+        gossip = GossipSocket(
+            own_index=0,
+            peers=[(LOOPBACK, own_port), (LOOPBACK, peer_port)],
+            broadcast_address=None,
+            input_received=received.append,
+        )
+        for port, data in (
+            (unknown_port, b"9"),
+            (own_port, b"echo"),
+            (peer_port, b"\xff"),  # not UTF-8
+            (peer_port, b"1" * 257),  # one byte longer than a datagram may be
+            (peer_port, b"1" * 256),  # the only one that is accepted
+        ):
             gossip.datagram_received(data, (LOOPBACK, port))
         self.assertEqual(received, [GossipReceived(1, "1" * 256)])
 
     async def test_an_exception_of_the_policy_ends_the_manager(self) -> None:
+        # Started only to write a configuration file; the manager under test runs in the test process.
         program = await self.start_serving()
         config = read_startup_config(str(program.folder / "config.json"))
         await program.stop()
         loop = asyncio.get_running_loop()
-        faulty = mock.patch.object(manager, "RoutingController", FaultyController)
-        with faulty, self.assertRaises(ZeroDivisionError):
-            await in_time(manager.serve(config, ""))
+        faulty_policy = mock.patch.object(manager, "RoutingController", FaultyController)
+        with faulty_policy, self.assertRaises(ZeroDivisionError):
+            await in_time(manager.serve(config, config_path=""))
+        # `serve` does not remove the signal handlers that it adds to the event loop.
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             loop.remove_signal_handler(number)
 
--- a/tests/plugins/test_host.py
+++ b/tests/plugins/test_host.py
@@ -1,4 +1,4 @@
-"""One plug-in: which modules can be loaded, and the limits on calls of a hostile one."""
+"""Tests of a single plug-in: the modules that can be loaded, and the limits on calls of a hostile one."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PluginTestCase(unittest.TestCase):
-    """Loads plug-ins from WebAssembly text; keeps the lines that they log."""
+    """A test case that loads plug-ins from WebAssembly text, with the lines that they log in `messages`."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -34,7 +34,7 @@
     def load(self, text: str, *grants: str) -> Plugin:
         path = self.folder / "plugin.wat"
         path.write_text(text)
-        return Plugin("p", str(path), frozenset(grants), 7, self.keep_message)
+        return Plugin("p", str(path), frozenset(grants), seed=7, log=self.keep_message)
 
     def keep_message(self, _: str, message: str) -> None:
         self.messages.append(message)
@@ -42,7 +42,7 @@
 
 class LoadTest(PluginTestCase):
     def test_modules_that_violate_the_interface_are_rejected_with_the_reason(self) -> None:
-        bulk = "(memory.fill (i32.const 0) (i32.const 0) (i32.const 60000)) (i64.const 0)"
+        bulk_memory_body = "(memory.fill (i32.const 0) (i32.const 0) (i32.const 60000)) (i64.const 0)"
         no_hook = "exports: expected at least one of the hooks route, further, upgrade, worker, move, event"
         for text, error in (
             (module(version=2), "interface version: expected 1, got 2"),
@@ -90,7 +90,7 @@
                 f"instance can't be started: {UNREACHABLE}",
             ),
             (
-                module(bulk),
+                module(bulk_memory_body),
                 "module can't be compiled: Invalid input WebAssembly code at offset 123:"
                 " bulk memory support is not enabled",
             ),
@@ -101,7 +101,7 @@
                 self.load(text)
             self.assertEqual(str(raised.exception), f"{self.folder / 'plugin.wat'}: {error}")
 
-    def test_files_that_are_no_module_are_rejected_with_the_reason(self) -> None:
+    def test_files_that_are_not_modules_are_rejected_with_the_reason(self) -> None:
         path = self.folder / "plugin.wat"
         for data, error in (
             (
@@ -112,32 +112,35 @@
         ):
             path.write_bytes(data)
             with self.subTest(error), self.assertRaises(PluginLoadError) as raised:
-                Plugin("p", str(path), frozenset(), 7, self.keep_message)
+                Plugin("p", str(path), frozenset(), seed=7, log=self.keep_message)
             self.assertEqual(str(raised.exception), f"{path}: {error}")
 
     def test_a_module_that_starts_with_too_much_memory_is_not_loaded(self) -> None:
+        # The initial and maximum size, 1 and 4 pages of 64 KiB, become 100 and 200; the limit is 1 MiB.
         with self.assertRaises(PluginLoadError):
             self.load(module().replace("1 4)", "100 200)"))
 
 
 class CallTest(PluginTestCase):
-    def test_the_example_asks_for_the_audit_trail_if_a_request_names_a_matter(self) -> None:
-        plugin = Plugin("audit", str(EXAMPLE_PATH), frozenset(), 0, self.keep_message)
-        for headers, labels in (
-            ({"X-Matter": "42"}, ("audit-trail",)),
-            ({"Y": "x", "X-Matter": "42"}, ("audit-trail",)),
-            ({"Y": "header:x-matter=1"}, ()),
-            ({}, ()),
-            ({f"H{n}": "v" * 150 for n in range(48)}, ()),
+    def test_the_example_requires_the_audit_trail_label_if_a_request_has_the_header_x_matter(self) -> None:
+        plugin = Plugin("audit", str(EXAMPLE_PATH), frozenset(), seed=0, log=self.keep_message)
+        long_headers = {f"H{n}": "v" * 150 for n in range(48)}
+        for case, headers, labels in (
+            ("only this header", {"X-Matter": "42"}, ("audit-trail",)),
+            ("after another header", {"Y": "x", "X-Matter": "42"}, ("audit-trail",)),
+            ("within the value of another header", {"Y": "header:x-matter=1"}, ()),
+            ("no headers", {}, ()),
+            ("as many headers as a record may have", long_headers, ()),
         ):
-            record = request_record("route", "POST", "/release", "release", headers)
-            self.assertEqual(plugin.call("route", record).required_labels, labels, headers)
+            with self.subTest(case):
+                record = request_record("route", "POST", "/release", "release", headers)
+                self.assertEqual(plugin.call("route", record).required_labels, labels, headers)
 
-    def test_hostile_calls_are_faults_and_the_next_call_has_a_new_instance(self) -> None:
+    def test_each_call_of_a_hostile_hook_raises_its_fault_within_the_time_limit(self) -> None:
         for name, hostile in HOSTILE_MODULES.items():
             with self.subTest(name):
                 plugin = self.load(hostile.text)
-                for _ in range(2):
+                for _ in range(2):  # the second call runs in a new instance
                     started_at = time.perf_counter()
                     with self.assertRaises(PluginFault) as raised:
                         plugin.call("route", b"x")
@@ -146,10 +149,11 @@
                     self.assertLess(time.perf_counter() - started_at, MAX_FAILED_CALL_S)
 
     def test_memory_does_not_grow_over_its_limit(self) -> None:
+        # The hook traps unless memory.grow fails, although the module itself allows 60,000 pages.
         grow = "(if (i32.ne (memory.grow (i32.const 1000)) (i32.const -1)) (then unreachable)) (i64.const 0)"
         self.load(module(grow, max_pages=60000)).call("route", b"x")
 
-    def test_an_instance_s_state_is_gone_after_a_fault(self) -> None:
+    def test_a_fault_discards_the_state_of_the_instance(self) -> None:
         fails_at_third_call = """(global.set $count (i32.add (global.get $count) (i32.const 1)))
           (if (i32.eq (global.get $count) (i32.const 3)) (then unreachable)) (i64.const 0)"""
         plugin = self.load(module(fails_at_third_call))
@@ -164,11 +168,13 @@
         return True
 
     def test_a_call_logs_one_printable_line(self) -> None:
+        # Only the first of the two log calls takes effect.  The call of `random` shows that a granted import
+        # can be linked and called.
         text = module(
             "(call $log (i32.const 0) (i32.const 5)) (call $log (i32.const 0) (i32.const 5))"
             "(drop (call $random)) (i64.const 0)",
             imports=LOG_IMPORT + RANDOM_IMPORT,
-            data="a\\0ab\\ffc",
+            data="a\\0ab\\ffc",  # "a", a line feed, "b", a byte that is not UTF-8, "c"
         )
         self.load(text, "random").call("route", b"")
         self.assertEqual(self.messages, ["a?b\ufffdc"])
