--- a/cottonladder/control/background_scheduler.py
+++ b/cottonladder/control/background_scheduler.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _SliceResult:
-    """The awaitable that one slice yielded, if any, and whether the slice ended the task's run."""
+    """The awaitable that a slice yielded, if any, and whether the slice completed the run or failed."""
 
     awaitable: Awaitable[Any] | None = None
     is_done: bool = False
@@ -50,7 +50,7 @@
         self._uniform = uniform
         self._running: dict[str, Iterator[Awaitable[Any] | None]] = {}
         self._awaited: dict[str, asyncio.Task[None]] = {}
-        self._paused_until = 0.0
+        self._starved_only_until = 0.0  # until then, only starved tasks run
         self._task: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
@@ -67,7 +67,7 @@
 
     def pause_for_loop_lag(self) -> None:
         """Runs only starved tasks for `LOOP_LAG_PAUSE_S`, because the control loop is behind."""
-        self._paused_until = time.monotonic() + LOOP_LAG_PAUSE_S
+        self._starved_only_until = time.monotonic() + LOOP_LAG_PAUSE_S
 
     def run_soon(self, name: str) -> None:
         """Makes a task due now."""
@@ -75,9 +75,10 @@
         self._wake.set()
 
     async def close(self, final_tasks: tuple[str, ...] = ()) -> None:
-        """Waits for pending awaitables, then runs `final_tasks` once more.
+        """Waits for pending awaitables, then completes a run of each of `final_tasks`.
 
-        Cancels both after `STOP_TIMEOUT_S`.
+        That is the task's current run, or a new one if there is none.  Awaitables and runs that have not
+        ended after `STOP_TIMEOUT_S` are cancelled.
         """
         if self._task is not None:
             self._task.cancel()
@@ -90,6 +91,7 @@
         except TimeoutError:
             self.log.warning("tasks_cancelled", tasks=",".join(self._awaited) or ",".join(final_tasks))
         except Exception as exc:  # a failed task must not prevent the process from ending
+            # Names all final tasks: which of them failed is not recorded.
             self._log_failure(",".join(final_tasks), exc, consecutive_failures=1)
         cancelled = list(self._awaited.values())
         for task in cancelled:
@@ -104,8 +106,8 @@
     async def _run(self) -> None:
         while True:
             now = time.monotonic()
-            is_late = now < self._paused_until
-            name = self._scheduler.next_task(now, is_late, self._awaited)
+            is_control_loop_late = now < self._starved_only_until
+            name = self._scheduler.next_task(now, is_control_loop_late, self._awaited)
             if name is None:
                 await self._wait_for_due_task(now)
             else:
@@ -115,7 +117,7 @@
     async def _wait_for_due_task(self, now: float) -> None:
         """Waits until a task may be due, or one is added or made due."""
         until_due_s = self._scheduler.seconds_until_next_task(now, self._awaited)
-        wait_s = max(self._paused_until - now, until_due_s)
+        wait_s = max(self._starved_only_until - now, until_due_s)
         self._wake.clear()
         with suppress(TimeoutError):
             # Not `wait_for`: it loses a cancellation in the event loop's iteration that also sets the event.
@@ -154,7 +156,15 @@
         except Exception as exc:  # a failed task must not stop other tasks
             self._log_repeated_failure(name, exc)
             self._running.pop(name, None)
-            self._scheduler.record_slice_end(name, time.monotonic(), 0.0, True, True, self._uniform())
+            # The slice's duration is already recorded; this call ends the run, and counts one more slice.
+            self._scheduler.record_slice_end(
+                name,
+                time.monotonic(),
+                duration_s=0.0,
+                is_done=True,
+                has_failed=True,
+                jitter=self._uniform(),
+            )
         finally:
             self._awaited.pop(name, None)
             self._wake.set()
@@ -167,8 +177,9 @@
                 await awaitable
 
     def _log_overrun(self, name: str, duration_s: float) -> None:
+        """Logs the 1st, 2nd, 4th, 8th, ... slice of a task that took longer than `MAX_SLICE_DURATION_S`."""
         overrun_count = self._scheduler.tasks[name].overrun_count
-        if _is_power_of_two(overrun_count):  # less and less often, if a task overruns repeatedly
+        if _is_power_of_two(overrun_count):
             self.log.info(
                 "task_overran",
                 task=name,
@@ -177,8 +188,9 @@
             )
 
     def _log_repeated_failure(self, name: str, exc: Exception) -> None:
+        """Logs the 1st, 2nd, 3rd, 5th, 9th, 17th, ... of a task's consecutive failures."""
         failure_count = self._scheduler.tasks[name].consecutive_failures + 1  # including this one
-        if failure_count == 1 or _is_power_of_two(failure_count - 1):  # less and less often in a long series
+        if failure_count == 1 or _is_power_of_two(failure_count - 1):
             self._log_failure(name, exc, failure_count)
 
     def _log_failure(self, name: str, exc: Exception, consecutive_failures: int) -> None:
@@ -205,6 +217,6 @@
         "overruns": task.overrun_count,
         "failures": task.failure_count,
         "missed": task.missed_deadlines,
-        "cpu_s": round(task.cpu_s, 4),
+        "cpu_s": round(task.slice_time_s, 4),  # elapsed time of the slices; threads are not counted
         "longest_ms": round(task.longest_slice_s * MS_PER_S, 2),
     }
--- a/cottonladder/control/snapshot_folder.py
+++ b/cottonladder/control/snapshot_folder.py
@@ -13,24 +13,25 @@
 from ..snapshots.store import Generation, SnapshotError, SnapshotStore
 
 SNAPSHOT_TASK = "snapshot"  # name of the background task that writes snapshots
-SNAPSHOT_CPU_FRACTION = 0.05  # CPU time of the background task, as a fraction of one core
+# Limit for the task's slices in the event loop, in seconds per second; the thread that writes is not counted.
+SNAPSHOT_CPU_FRACTION = 0.05
 
 
 class SnapshotFolder:
     """The folder from which the newest snapshot is read at the start, and to which new ones are written.
 
-    If the folder can't be read, the process starts without a snapshot.  A failed write is raised to the
-    background scheduler, which retries with backoff.
+    If the folder can't be read, the process starts without a snapshot.  If a write fails, `write` raises the
+    error, and the background scheduler retries with backoff.
     """
 
     def __init__(self, folder: str) -> None:
         self.store = SnapshotStore(folder)
         self.size_bytes = 0  # size of the last written file
-        self._is_open = False
+        self._is_open = False  # whether `store.open` has succeeded
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
     def read(self) -> Generation | None:
-        """Returns the newest valid snapshot, or None if there is none; logs the result."""
+        """Returns the newest valid generation (numbered snapshot), or None without one; logs the result."""
         started_at = time.monotonic()
         try:
             self.store.open()
--- a/cottonladder/model/orders.py
+++ b/cottonladder/model/orders.py
@@ -1,6 +1,6 @@
 """The orders of a controller, which are carried out in the sequence in which it returns them.
 
-Times are in seconds.  Workers, zones and request classes are small indices.
+Times are in seconds.  Workers and request classes are given by index, proxies and tables by number.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     TWICE = 3
 
 
-ALL_TABLES = 65535  # as a table number: every table; table numbers are lower
+ALL_TABLES = 65535  # value of `SetAdmission.table` that means every table; table numbers are lower
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BindProxy:
-    """An order to a proxy to read a table for the classes in a bit mask; a mask of 0 means all classes."""
+    """An order to bind a proxy to a table for the classes in a bit mask; a mask of 0 means all classes."""
 
     proxy: int
     table: int
@@ -58,7 +58,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmission:
-    """An order to set the admission of classes in a bit mask: a share or rate, by the admission mode."""
+    """An order to set the admission and the retry policy of the classes in a bit mask.
+
+    `admission` is a ratio or a rate, depending on the admission mode.  A mask of 0 means all classes.
+    """
 
     table: int
     admission: float
@@ -68,7 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """An order to proxies to send an acknowledgement once they have applied everything written before."""
+    """An order to proxies to send an acknowledgement once they have applied everything written before.
+
+    It goes to all connected proxies if `to_all_proxies` is true, and otherwise to those with pending lines.
+    """
 
     number: int
     to_all_proxies: bool
@@ -103,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """An order for the input `TimerFired` with this token after a delay in seconds."""
+    """An order to deliver the input `TimerFired` with this token after a delay in seconds."""
 
     delay_s: float
     token: int
@@ -111,11 +117,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoveWorker:
-    """A notice that no further order names a worker, so that its state may be deleted."""
+    """An order to delete the state of a worker that no later order names."""
 
     worker_index: int
 
 
+# State changes are not carried out but reported, in sequence with the orders.
 Order = (
     SetWeight
     | ClearTable
--- a/cottonladder/planning/advertised_weights.py
+++ b/cottonladder/planning/advertised_weights.py
@@ -3,8 +3,10 @@
 Pure: no clock, no I/O.  A load balancer divides its requests by the weights of its own group, which is an
 arbitrary subset of the fleet, and its request rate is unknown.  A warming-up worker's share of a group's
 requests is therefore limited to `MAX_WARM_UP_RATIO` times its fraction of the whole fleet's capacity, in
-which its own capacity is already reduced for slow start.  If every load balancer follows the weights, all of
-them together send the worker no more than that share of all requests.
+which its own capacity is already reduced by all bounds on warm-up.  If every load balancer follows the
+weights, all of them together send the worker no more than that share of all requests, with two exceptions:
+shares are not limited in a group whose live workers are all warming up, and each live worker's weight is at
+least 1.
 """
 
 from __future__ import annotations
@@ -29,7 +31,7 @@
     """One worker's weight, 0 (no new requests) to `MAX_WEIGHT`.
 
     `is_reachable` is true if the worker has capacity or is quiesced, and is sent as SASP's contact flag;
-    `is_leaving` is true if it drains or is gone.
+    `is_leaving` is true if it drains, is gone or is unknown.
     """
 
     weight: int
@@ -42,7 +44,8 @@
 ) -> dict[int, AdvertisedWeight]:
     """Returns the weights of a group's members by worker index.
 
-    A member that is unknown, drains, is gone or was quiesced by the load balancer gets 0.
+    A member that is unknown, drains, is gone, has no capacity or was quiesced by the load balancer gets
+    weight 0.
     """
     members = list(members)
     known = [worker for worker in members if worker in views and worker not in quiesced]
@@ -53,7 +56,8 @@
     advertised: dict[int, AdvertisedWeight] = {}
     for worker in members:
         exact = MAX_WEIGHT * shares[worker] / largest_share if worker in shares else 0.0
-        # A warming-up worker's weight is rounded down, because it must not exceed its share.
+        # A warming-up worker's weight is rounded down, because it must not exceed its share, but to at
+        # least 1, because 0 means no new requests.
         rounded_down = max(int(worker in shares), int(exact))
         weight = math.ceil(exact) if worker in warm else rounded_down
         is_leaving = worker not in views or views[worker].draining_since >= 0
@@ -64,10 +68,12 @@
 def _shares(
     views: Mapping[int, WorkerCapacityView], live: Mapping[int, float], warm: Mapping[int, float]
 ) -> dict[int, float]:
-    """Returns relative shares of the live workers: their capacity, limited for those that are warming up.
+    """Returns relative shares of the live workers, in the unit of capacity.
+
+    A share is the worker's capacity, which is limited if the worker is warming up.
 
     The share of each warming-up worker is computed as if it were the only one in the group that warms up.  If
-    there are several, each therefore gets less than its limit, never more.  The shares are not limited if all
+    there are several, each therefore gets less than its limit.  The shares are not limited if all
     live workers are warming up.
     """
     shares = dict(live)
@@ -79,6 +85,7 @@
         if worker not in warm:
             group_share = capacity / (warm_capacity + capacity)
             share = min(group_share, MAX_WARM_UP_RATIO * capacity / fleet_capacity, MAX_WARMING_UP_SHARE)
+            # The capacity that, added to `warm_capacity`, is the fraction `share` of the sum.
             shares[worker] = warm_capacity * share / (1.0 - share)
     return shares
 
--- a/cottonladder/planning/migration_placement.py
+++ b/cottonladder/planning/migration_placement.py
@@ -1,4 +1,8 @@
-"""Choice of destination workers by a min-cost flow between zones, then, within a zone, by spare capacity."""
+"""Choice of destination workers for migrated connections.
+
+Workers are chosen by a min-cost flow between zones, then, within a zone, in proportion to the free slots.  A
+worker has one free slot for each connection that it may still receive.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +17,8 @@
 
 
 @dataclass(slots=True)
-class _FreeSlots:
-    """The number of connections that one worker may still receive."""
+class _WorkerSlots:
+    """The free slots of one worker that are assigned to the forwarders of one zone."""
 
     worker_index: int
     count: int
@@ -31,6 +35,7 @@
     exact = {key: total * weight / weight_sum for key, weight in weights.items()}
     counts = {key: int(value) for key, value in exact.items()}
     missing = total - sum(counts.values())
+    # The largest remainder first: the key is the negative remainder.
     by_remainder = sorted(exact, key=lambda key: (counts[key] - exact[key], key))
     for key in by_remainder[:missing]:
         counts[key] += 1
@@ -38,29 +43,30 @@
 
 
 class Placement:
-    """Allocator of destinations for the connections that the forwarders of each zone move in one slice."""
+    """Destinations of the connections that the forwarders of each zone move in one plan interval."""
 
     def __init__(
         self,
         demand: list[float],
-        acceptable: Mapping[int, int],
+        free_slots: Mapping[int, int],
         views: Mapping[int, WorkerCapacityView],
     ) -> None:
         """Solves the flow between zones.
 
-        `demand` is the number of connections to move, by zone of the forwarders; `acceptable` is the number
+        `demand` is the number of connections to move, by zone of the forwarders; `free_slots` is the number
         that each worker may receive, by worker index.
         """
         zones = range(len(demand))
-        flow = _zone_flow(demand, acceptable, views)
-        free_counts = dict(acceptable)
-        self._slots_by_zone = [_slots_for_zone(zone, flow[zone], free_counts, views) for zone in zones]
+        flow = _zone_flow(demand, free_slots, views)
+        unassigned_slots = dict(free_slots)
+        self._slots_by_zone = [_slots_for_zone(zone, flow[zone], unassigned_slots, views) for zone in zones]
 
     def allocate(self, zone: int, count: int) -> dict[int, int]:
         """Returns destinations for up to `count` connections of a zone's forwarder, by worker index.
 
-        The result has fewer connections if there are no free slots left.  Workers take turns, so that one
-        forwarder's connections do not all go to one worker.
+        The result has fewer connections if there are no free slots left.  The workers with slots for the zone
+        take turns, also from one call to the next, and in each turn a worker gets at most an even share of
+        `count`, rounded up, so that one forwarder's connections do not all go to one worker.
         """
         queue = self._slots_by_zone[zone]
         destinations: dict[int, int] = {}
@@ -68,7 +74,7 @@
         while count > 0 and queue:
             slots = queue[0]
             allocated = min(max_per_turn, count, slots.count)
-            if allocated:
+            if allocated:  # always, as long as workers without free slots are not in the queue
                 destinations[slots.worker_index] = destinations.get(slots.worker_index, 0) + allocated
             slots.count -= allocated
             count -= allocated
@@ -79,7 +85,7 @@
 
 
 def _zone_flow(
-    demand: list[float], acceptable: Mapping[int, int], views: Mapping[int, WorkerCapacityView]
+    demand: list[float], free_slots: Mapping[int, int], views: Mapping[int, WorkerCapacityView]
 ) -> list[list[float]]:
     """Returns the connections to move from each zone of forwarders to each zone of workers.
 
@@ -87,7 +93,7 @@
     """
     zones = range(len(demand))
     capacities = [0.0] * len(demand)
-    for worker, count in acceptable.items():
+    for worker, count in free_slots.items():
         capacities[views[worker].zone] += count
     costs: list[list[float | None]] = [
         [0.0 if source == target else CROSS_ZONE_COST for target in zones] for source in zones
@@ -96,22 +102,23 @@
 
 
 def _slots_for_zone(
-    source: int, flow: list[float], free_counts: dict[int, int], views: Mapping[int, WorkerCapacityView]
-) -> deque[_FreeSlots]:
-    """Removes the slots for a zone's flow from `free_counts` and returns them, the zone's own workers first.
+    source: int, flow: list[float], unassigned_slots: dict[int, int], views: Mapping[int, WorkerCapacityView]
+) -> deque[_WorkerSlots]:
+    """Removes a zone's slots from `unassigned_slots`; returns them with the zone's own workers first.
 
     `flow` is the number of connections by target zone.
     """
-    slots: deque[_FreeSlots] = deque()
+    slots: deque[_WorkerSlots] = deque()
     for target in sorted(range(len(flow)), key=lambda zone: (zone != source, zone)):
         free_in_zone = {
             worker: float(count)
-            for worker, count in free_counts.items()
+            for worker, count in unassigned_slots.items()
             if count and views[worker].zone == target
         }
         slot_count = min(int(flow[target] + 0.5), int(sum(free_in_zone.values())))
         for worker, apportioned in apportion(slot_count, free_in_zone).items():
-            count = min(apportioned, free_counts[worker])
-            free_counts[worker] -= count
-            slots.append(_FreeSlots(worker, count))
+            # The minimum matters only if rounding errors in `apportion` give a worker one slot too many.
+            count = min(apportioned, unassigned_slots[worker])
+            unassigned_slots[worker] -= count
+            slots.append(_WorkerSlots(worker, count))
     return slots
--- a/cottonladder/planning/priority_scheduling.py
+++ b/cottonladder/planning/priority_scheduling.py
@@ -51,7 +51,8 @@
 class ScheduledTask:
     """A task's plan, its remaining budget, the time when it is due, and the counts of its slices and runs.
 
-    A run may take several slices; `is_running` is true from its first slice to its last one.
+    A run may take several slices; `is_running` is true from its first slice to its last one.  `slice_time_s`
+    is the total duration of all slices.
     """
 
     plan: TaskPlan
@@ -66,7 +67,7 @@
     failure_count: int = 0
     consecutive_failures: int = 0
     missed_deadlines: int = 0
-    cpu_s: float = 0.0
+    slice_time_s: float = 0.0
     longest_slice_s: float = 0.0
 
 
@@ -129,7 +130,7 @@
         _refill(task, now)
         task.budget_s = max(-MAX_DEBT_S * task.plan.cpu_fraction, task.budget_s - duration_s)
         task.slice_count += 1
-        task.cpu_s += duration_s
+        task.slice_time_s += duration_s
         task.longest_slice_s = max(task.longest_slice_s, duration_s)
         has_overrun = duration_s > MAX_SLICE_DURATION_S
         task.overrun_count += has_overrun
--- a/cottonladder/state/config_encoder.py
+++ b/cottonladder/state/config_encoder.py
@@ -24,7 +24,11 @@
         self._workers = workers
 
     def encode(self, operations: Iterable[LineOperation]) -> bytes:
-        """Encodes all operations in order, in as few parts and messages as the protocol allows."""
+        """Encodes all operations in order, and returns the messages joined in one bytes object.
+
+        An operation starts a new part only if it conflicts with the last part or may not fit into it; the
+        sizes of lines are upper bounds.
+        """
         packer = _PartPacker(self._encode_class_names)
         for operation in operations:
             worker_id = b""
@@ -52,19 +56,19 @@
     def __init__(self, encode_class_names: Callable[[int], bytes]) -> None:
         self.parts = [OutgoingConfigPart()]
         self._encode_class_names = encode_class_names
-        self._class_mask = 0  # classes that the last part's table fields apply to; 0 while it has none
+        self._class_mask = 0  # classes of the last part's table lines; 0 while it has no table lines
         self._size_bytes = 0  # upper bound for the encoded lines of the last part
 
     def add(self, operation: LineOperation, worker_id: bytes) -> None:
         """Adds an operation to the last part, or to a new part if it does not fit there."""
         line_size_bytes = len(worker_id) + MAX_LINE_OVERHEAD_BYTES
-        self._size_bytes += line_size_bytes
+        self._size_bytes += line_size_bytes  # reset below if the line starts a new part
         if self._needs_new_part(operation, worker_id):
             self.parts.append(OutgoingConfigPart())
             self._class_mask = 0
             self._size_bytes = line_size_bytes
         part = self.parts[-1]
-        if operation.class_mask:
+        if operation.class_mask:  # 0 for exclusions, readmissions and checkpoints
             self._class_mask = operation.class_mask
             part.classes = self._encode_class_names(operation.class_mask)
         _add_to_part(part, operation, worker_id)
@@ -112,8 +116,10 @@
     return part.checkpoint is not None
 
 
-# By kind: whether a part already has a line that excludes another line of this kind for this worker.  A part
-# encodes each field once and in a fixed order, so an operation that needs another order starts a new part.
+# By kind: whether a line of this kind, for this worker, has to start a new part.  A part has each field once,
+# and a proxy applies the fields in a fixed order: replacement, weights, admission, exclusions, readmissions.
+# So a new part is needed for a second weight, exclusion or readmission of the same worker, for a second
+# replacement, admission or checkpoint, and for a replacement or weight after a later field of the table.
 CONFLICTS: dict[LineKind, Callable[[OutgoingConfigPart, bytes], bool]] = {
     LineKind.SET_WEIGHT: _conflicts_with_weight,
     LineKind.REPLACE_TABLE: _conflicts_with_replacement,
