--- a/tests/cli/test_command_output.py
+++ b/tests/cli/test_command_output.py
@@ -1,4 +1,4 @@
-"""The output and the exit status of each command equal those recorded in `tests/recorded/cli/`.
+"""Comparison of the output and the exit status of each command with those in `tests/recorded/cli/`.
 
 Scripts of operators may depend on both.  `help.txt` has the `--help` text of every command, `output.txt`
 the output of the commands that need no network, and `schema.json` the schema of the operators' file without
@@ -52,6 +52,7 @@
     "zones": ["a"],
     "kinds": [{"name": "fetch", "replays": "replayable"}],
 }
+# Rows that a process returns on its admin socket; `tasks` prints any columns, so these are arbitrary.
 TASK_ROWS = (
     {"task": "snapshot", "runs": 3, "late_ms": 0.5},
     {"task": "advice", "runs": 12, "late_ms": 1},
@@ -71,7 +72,7 @@
 
 
 class Recorder:
-    """Runs commands in a temporary folder and records the status and the output of each."""
+    """Recorder of the status and the output of commands, which run in a temporary folder."""
 
     def __init__(self) -> None:
         self.records: list[str] = []
@@ -86,9 +87,10 @@
         self.records.append("\n".join(lines) + "\n")
 
     def run_all(self) -> str:
+        """Returns the records of all commands; later steps use files that earlier ones have written."""
         with tempfile.TemporaryDirectory() as folder, contextlib.chdir(folder):
             self.run_check()
-            self.run_starts_that_fail()
+            self.run_failing_starts()
             self.run_memory()
             self.run_plugin()
             self.run_plugin_list()
@@ -103,25 +105,26 @@
         Path("moved.json").write_text(manager.read_text().replace("127.0.0.1:3000", "127.0.0.1:3009"))
         Path("empty.json5").write_text("{}")
         Path("unknown.json5").write_text("{unknown: 1}")
-        Path("no.json").write_text("{")
-        Path("lacking.json").write_text("{}")
+        Path("truncated.json").write_text("{")
+        Path("empty.json").write_text("{}")
         self.run("check")
         self.run("check", "--config", "manager.json")
         self.run("check", "--config", "manager.json", "--running", "manager.json")
         self.run("check", "--config", "manager.json", "--running", "moved.json")
         self.run("check", "--config", "manager.json", "--operator", "operator.json5")
-        for operator in ("operator.json5", "empty.json5", "unknown.json5", "none.json5"):
+        for operator in ("operator.json5", "empty.json5", "unknown.json5", "missing.json5"):
             self.run("check", "--operator", operator)
-        for config in ("no.json", "lacking.json", "none.json"):
+        for config in ("truncated.json", "empty.json", "missing.json"):
             self.run("check", "--config", config)
 
-    def run_starts_that_fail(self) -> None:
+    def run_failing_starts(self) -> None:
+        """Starts processes with missing or invalid files or options, and an unknown command."""
         self.run("serve")
-        self.run("serve", "--config", "none.json")
+        self.run("serve", "--config", "missing.json")
         self.run("serve", "--config", "manager.json", "--operator", "unknown.json5")
         self.run("forward")
         self.run("forward", "--config", "empty.json5")
-        self.run("forward", "--config", "none.json5")
+        self.run("forward", "--config", "missing.json5")
         self.run("demo", "--desks", "0")
         self.run("unknown")
 
@@ -161,7 +164,7 @@
             self.run("plugin", "run", plugin, "requests.jsonl", "--json")
         self.run("plugin", "check", "example.wat", "--grant", "random")
         self.run("plugin", "check", "example.wat", "--grant", "clock")
-        self.run("plugin", "run", "example.wat", "no.json")
+        self.run("plugin", "run", "example.wat", "truncated.json")
         self.run("plugin", "run", "example.wat", "no_path.jsonl")
         self.run("plugin", "run", "example.wat", "array.jsonl")
         self.run("plugin", "bench", "broken.wat")
@@ -178,7 +181,7 @@
         self.run("plugin", "list", "unknown.json5")
 
     def run_tasks(self) -> None:
-        """Queries a local socket that gives answers of a running process, and invalid ones."""
+        """Queries a local socket that sends valid and invalid answers, closes, and does not exist."""
         rows = json.dumps(TASK_ROWS).encode() + b"\n"
         with socket.socket(socket.AF_UNIX) as listener:
             listener.bind("socket")
@@ -189,7 +192,7 @@
                     answering.start()
                     self.run("tasks", "socket", *options)
                     answering.join()
-        self.run("tasks", "socket")
+        self.run("tasks", "socket")  # the listener is closed
         self.run("tasks", "none")
 
     @staticmethod
@@ -200,7 +203,7 @@
             connection.sendall(answer)
 
     def run_addresses(self) -> None:
-        """Passes invalid addresses, which are reported before a connection is opened."""
+        """Passes invalid addresses, no address and an unknown protocol, which fail before connecting."""
         self.run("ping", "nowhere")
         self.run("ping")
         self.run("advice", "show", "nowhere")
--- a/tests/support/wire_manager.py
+++ b/tests/support/wire_manager.py
@@ -1,7 +1,8 @@
 """One manager without sockets and without a real clock: its control loop, dispatcher and extensions.
 
-Inputs are RESP2 messages, discovery's JSON and gossip.  Outputs are recorded as bytes, message by message, so
-the recorded digests stay valid when the program's types are renamed.
+Messages of proxies and collectors are given as the words of RESP2 messages, and endpoint lists as discovery's
+JSON; all other inputs are given as objects.  Outputs are recorded as bytes, message by message, so the
+recorded digests stay valid when the program's types are renamed.
 """
 
 from __future__ import annotations
@@ -57,7 +58,7 @@
 from tests.support.wire_manager_files import ZONES, endpoint_list, manager_file
 
 START_TIME_S = 1_700_000_000.0  # Unix time
-RESTART_DELAY_S = 9.0  # from the first incarnation's snapshot to the start of the second incarnation
+RESTART_DELAY_S = 9.0  # age of the first incarnation's snapshot when the second incarnation reads it
 SNAPSHOT_HEADER_BYTES = 44  # length of the header that precedes the compressed body
 SNAPSHOT_INTERVAL_S = 2.0
 TICK_S = 0.25
@@ -115,7 +116,7 @@
             StateChangeLog(self._workers, list(self._settings.zones)),
             [self._snapshots, migrator],
         )
-        control_loop._clock = cast(Clock, self._clock)
+        control_loop._clock = cast(Clock, self._clock)  # instead of the real clock
         return control_loop
 
     async def start(self, stack: AsyncExitStack) -> None:
@@ -129,11 +130,11 @@
             self._clock.time_s += TICK_S
             self._answer_messages()
             if tick < PROXY_COUNT:
-                self._connect(tick)
+                self._connect(proxy=tick)  # one proxy connects at each of the first ticks
             if tick % TICKS_PER_S == 0:
                 second = tick // TICKS_PER_S
-                self._send_reports(second)
-                self._report_held_connections()
+                self._receive_reports(second)
+                self._receive_held_connections()
                 self._apply_incidents(second)
             self._batch.append(TimerFired(self._control_loop.timer_token))
             self._decide()
@@ -145,10 +146,10 @@
         self._control_loop.run_once(batch)
 
     def _receive(self, text: str, proxy: int = -1) -> None:
-        """Receives a message from a proxy or a collector; its arguments are the words of `text`."""
+        """Adds a message from a proxy or a collector to the batch; its arguments are the words of `text`."""
         message = self._messages.read(text.encode().split())
         if isinstance(message, ExtensionMessage):
-            message = ExtensionMessage(message.body, proxy)
+            message = ExtensionMessage(message.body, proxy)  # as a connection does
         self._batch.append(cast(Input, message))
 
     def _receive_list(self, workers: Iterable[int], full: bool = False, **changes: JsonObject) -> None:
@@ -169,19 +170,20 @@
         self._batch.append(ProxyDisconnected(proxy))
         self._connections.pop(proxy, None)
 
-    def _send_reports(self, second: int) -> None:
+    def _receive_reports(self, second: int) -> None:
         for worker in self._workers.ids.values():
-            self._send_load_report(worker, second)
+            self._receive_load_report(worker, second)
         for proxy in range(PROXY_COUNT):
             request_class = self._random.choice(["fetch", "release", "audit"])
             count = self._random.randrange(40)
             self._receive(f"RATE node {proxy} route {request_class} total {count} errors 0 interval 1000.0")
         for worker_index in list(self._workers.ids):
-            self._send_health_check_result(worker_index)
-        first_zone = self._random.randrange(9)
-        self._batch.append(GossipReceived(1, f"{first_zone} {first_zone * 7.5} 2 20.0 1 8.0"))
+            self._receive_health_check_result(worker_index)
+        # The number of another manager's proxies and their requests/s, for each zone.
+        proxy_count = self._random.randrange(9)
+        self._batch.append(GossipReceived(1, f"{proxy_count} {proxy_count * 7.5} 2 20.0 1 8.0"))
 
-    def _send_load_report(self, worker: bytes, second: int) -> None:
+    def _receive_load_report(self, worker: bytes, second: int) -> None:
         if worker == OUTLIER_WORKER and 8 <= second < 14:
             attempts = 20
             failed = 19
@@ -198,12 +200,12 @@
             f"rtt {latency_ms:.1f} interval 1000.0 metrics util:{load:.3f}"
         )
 
-    def _send_health_check_result(self, worker_index: int) -> None:
+    def _receive_health_check_result(self, worker_index: int) -> None:
         has_succeeded = self._random.random() > 0.05
         metrics = {"inflight": float(self._random.randrange(9))} if has_succeeded else {}
         self._batch.append(HealthCheckResult(worker_index, has_succeeded, 0.05, metrics))
 
-    def _report_held_connections(self) -> None:
+    def _receive_held_connections(self) -> None:
         for proxy in (1, 3, 5):
             by_worker = self._connections[proxy]
             for worker_index, worker in self._workers.ids.items():
@@ -230,32 +232,33 @@
         text = f"MOVED node {message.proxy} move {migration} done {count} failed 0"
         self._receive(text, message.proxy)
 
-    def _send_advice(self) -> None:
+    def _receive_advice(self) -> None:
         for worker_index in list(self._workers.ids)[::2]:
             factor = self._random.choice([0.4, 0.8, 1.0, 1.5, 3.0])
             source = AdviceSource(self._random.randrange(2))
             self._batch.append(AdvisedFactor(worker_index, factor, source))
 
     def _apply_incidents(self, second: int) -> None:
-        if second == 5:
+        """Applies the changes of the endpoint list, the disconnections and the advice due at this second."""
+        if second == 5:  # a full list, which adds workers s-6 to s-8
             self._receive_list(range(9), full=True)
-        elif second == 10:
+        elif second == 10:  # two workers drain
             self._receive_list([2, 5], s_2={"state": "Terminating"}, s_5={"state": "Terminating"})
-        elif second == 16:
+        elif second == 16:  # s-2 is gone, s-5 is ready again, s-9 has just started
             started_ms = (self._clock.time_s - 2.0) * 1000.0
             self._receive_list([2, 5, 9], s_2={"state": "Gone"}, s_9={"started_ms": started_ms})
-        elif second == 20:
+        elif second == 20:  # three proxies disconnect, and one of them reconnects
             for proxy in (1, 4, 7):
                 self._disconnect(proxy)
             self._connect(1)
-        elif second == 22:
+        elif second == 22:  # a call to discovery fails
             self._batch.append(EndpointList(ListUpdateKind.FAILED, ()))
         if second in (7, 13, 21):
-            self._send_advice()
+            self._receive_advice()
 
 
 def read_manager_file() -> StartupConfig:
-    """Reads the manager's configuration file as a manager does at its start."""
+    """Writes `manager_file()` to a temporary file, and reads it as a manager does at its start."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(manager_file()))
@@ -281,6 +284,7 @@
         return IncarnationRecord(
             output_digest=manager.output.digest.hexdigest(),
             snapshot_digest=hashlib.sha256(read_snapshot_body(folder)).hexdigest(),
+            # `OutputRecorder` counts messages to proxies under the names "proxy 0", "proxy 1", ...
             message_count=sum(count for name, count in manager.output.counts.items() if "proxy" in name),
         )
 
