--- a/benchmarks/migration_plans.py
+++ b/benchmarks/migration_plans.py
@@ -14,7 +14,7 @@
 from cottonladder.planning import migration_orders
 
 PLAN_COUNT = 10
-PLAN_SEED = 7
+PLAN_SEED = 7  # fixed, so that every run measures the same fleet
 PLAN_ZONES = 4
 
 
--- a/benchmarks/upgraded.py
+++ b/benchmarks/upgraded.py
@@ -24,7 +24,7 @@
 from benchmarks.migration_plans import plan_duration_ms
 from cottonladder.testbed.fleet import ROOT, ForwarderProcess, ManagerProcess
 
-CONCURRENCY = 8
+CONCURRENCY = 8  # connections over which HTTP requests are sent
 WARM_UP_REQUESTS = 300  # sent before the first measurement
 ROUND_COUNT = 3
 MEMORY_STEPS = (1000, 5000)  # numbers of held connections
--- a/cottonladder/forwarder/frame_scanner.py
+++ b/cottonladder/forwarder/frame_scanner.py
@@ -42,7 +42,7 @@
 FIN_BIT = 0x80
 OPCODE_BITS = 0x0F
 
-# Bits of the second byte of a frame header.
+# Bits of the second byte of a frame header, section 5.2.
 MASK_BIT = 0x80
 LENGTH_BITS = 0x7F
 
@@ -182,10 +182,13 @@
             raise MissingMaskError if self.expects_mask else UnexpectedMaskError
         if opcode not in OPCODES:
             raise ReservedOpcodeError(opcode)
-        if opcode >= MIN_CONTROL_OPCODE and not is_final:
-            raise FragmentedControlFrameError(opcode)
-        if opcode >= MIN_CONTROL_OPCODE and payload_bytes > MAX_CONTROL_PAYLOAD_BYTES:
-            raise ControlPayloadLengthError(opcode, MAX_CONTROL_PAYLOAD_BYTES)
+        if opcode >= MIN_CONTROL_OPCODE:
+            _check_control_frame(opcode, is_final, payload_bytes)
+        else:
+            self._check_data_frame(opcode)
+
+    def _check_data_frame(self, opcode: int) -> None:
+        """Raises FrameError for a data frame that violates the order of fragments (section 5.4)."""
         if opcode in (TEXT, BINARY) and self.in_message:
             raise InterleavedMessageError(opcode)
         if opcode == CONTINUATION and not self.in_message:
@@ -225,6 +228,14 @@
             self._message_start = None
 
 
+def _check_control_frame(opcode: int, is_final: bool, payload_bytes: int) -> None:
+    """Raises FrameError for a control frame that is fragmented or too long (section 5.5)."""
+    if not is_final:
+        raise FragmentedControlFrameError(opcode)
+    if payload_bytes > MAX_CONTROL_PAYLOAD_BYTES:
+        raise ControlPayloadLengthError(opcode, MAX_CONTROL_PAYLOAD_BYTES)
+
+
 def _extended_length_bytes(length: int) -> int:
     """Returns the size of the extended payload length that the 7-bit payload length `length` announces."""
     if length == LENGTH_IN_8_BYTES:
--- a/cottonladder/forwarder/plugin_loading.py
+++ b/cottonladder/forwarder/plugin_loading.py
@@ -13,6 +13,7 @@
 if TYPE_CHECKING:
     from ..plugins.chain import PluginSpec
 
+# Limits of the labels from discovery: further labels are ignored, and longer ones are cut off.
 MAX_LABELS_PER_WORKER = 64
 MAX_LABEL_CHARACTERS = 255
 RELOAD_REJECTION = "a reload can change plug-ins, but not add or remove the plugins section; restart for that"
--- a/cottonladder/plugins/host.py
+++ b/cottonladder/plugins/host.py
@@ -42,6 +42,7 @@
 FUEL_AT_START = 2_000_000
 # Limit of an instance's memory.
 MAX_MEMORY_BYTES = 1 << 20
+# Limit of an instance's table.
 MAX_TABLE_ELEMENTS = 4096
 MAX_STACK_BYTES = 256 << 10
 # Limit of a module's file.
@@ -62,7 +63,8 @@
 TEXT_POSITION_PREFIX = "--> <anon>:"
 # A random number of this many bits fits a signed 64-bit integer.
 RANDOM_BITS = 63
-# A hook returns the address of its answer in the upper 32 bits, and the length in the lower ones.
+# A hook returns the address of its answer in the upper 32 bits, and the length in the lower ones.  Both are
+# unsigned, but the returned integer is signed, so the mask is applied to the shifted address too.
 ADDRESS_SHIFT_BITS = 32
 LENGTH_MASK = 0xFFFFFFFF
 
--- a/cottonladder/testbed/month_end_records.py
+++ b/cottonladder/testbed/month_end_records.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-CORES_PER_WORKER = 3
+CORES_PER_WORKER = 3  # each core serves one request at a time
 WARM_UP_S = 15.0
 WARM_UP_START_RATIO = 0.2  # speed at the start of the warm-up / speed after it
 
--- a/tests/config/test_error_texts.py
+++ b/tests/config/test_error_texts.py
@@ -9,7 +9,6 @@
 from functools import partial
 from pathlib import Path
 from tempfile import TemporaryDirectory
-from typing import Any
 
 from cottonladder.config.described_value import MAX_SHOWN_CHARACTERS, describe_value
 from cottonladder.config.errors import (
@@ -30,11 +29,12 @@
 from cottonladder.config.manager_config import ManagerFile, overflows_as_config_errors
 from cottonladder.config.operator_file import MAX_FILE_CHARACTERS, read_operator_config
 from cottonladder.control.startup_config import read_startup_config
+from tests.support.json_object import JsonObject
 from tests.support.manager_program import SETTINGS, ManagerProgram
 
 ADDRESS_FORM = "an address host:port with a port of at most 65535"
 NAMES_FORM = "an array of one or more different, non-empty strings"
-FORWARDER: dict[str, Any] = {
+FORWARDER: JsonObject = {
     "node": 1,
     "zone": "a",
     "zones": ["a", "b"],
@@ -261,7 +261,7 @@
         Path(self.path).write_text(text)
         return read_operator_config(self.path)
 
-    def check_section(self, section: str, body: dict[str, Any], error: type[InputError], text: str) -> None:
+    def check_section(self, section: str, body: JsonObject, error: type[InputError], text: str) -> None:
         case = ErrorCase(partial(self.read, json.dumps({section: body})), error, f"{self.path}: {text}")
         self.check(case)
 
@@ -290,7 +290,7 @@
         self.check_section("forwarder", {**FORWARDER, "node": "x"}, OperatorFileError, text)
 
     def test_an_invalid_forwarder_section_is_reported_with_its_json_path(self) -> None:
-        faults: tuple[tuple[dict[str, Any], str], ...] = (
+        faults: tuple[tuple[JsonObject, str], ...] = (
             ({"zone": "z"}, "$.forwarder.zone: must be one of $.forwarder.zones, got 'z'"),
             ({"zones": ["a", "a"]}, "$.forwarder.zones: must not list 'a' more than once"),
             ({"kinds": [{"name": "x"}] * 2}, "$.forwarder.kinds: must not list 'x' more than once"),
@@ -309,7 +309,7 @@
     def test_an_invalid_advice_section_is_reported_with_its_json_path(self) -> None:
         dfp = {"protocol": "dfp", "listen": "h:1"}
         sasp = {"protocol": "sasp", "at": "h:1"}
-        faults: tuple[tuple[dict[str, Any], str], ...] = (
+        faults: tuple[tuple[JsonObject, str], ...] = (
             (
                 {"serve": [dfp, dfp]},
                 "$.advice.serve[1]: must have a different address from the earlier entries, got 'h:1'",
--- a/tests/config/test_manager_file.py
+++ b/tests/config/test_manager_file.py
@@ -7,6 +7,7 @@
 import json
 import unittest
 from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from typing import Any, cast
@@ -56,6 +57,16 @@
 TICK_COUNT = 40
 
 
+@dataclass(frozen=True, slots=True)
+class FieldFault:
+    """An invalid value of a field, with the class of its error and the text after the path of the file."""
+
+    path: JsonPath
+    value: Any
+    error: type[InputError]
+    text: str
+
+
 def json_paths(body: Any, parent: JsonPath = ()) -> Iterator[JsonPath]:
     """Yields the paths of all values of a file (of a list, only its first item)."""
     items: list[tuple[str | int, Any]] = []
@@ -123,15 +134,15 @@
 
     def test_faults_are_reported_in_order(self) -> None:
         """Faults are reported first for the settings, then for the known list, then for the addresses."""
-        faults: tuple[tuple[JsonPath, Any, type[InputError], str], ...] = (
-            (("listen",), 1, FieldTypeError, "field listen must be a string, got 1"),
-            (
+        faults = (
+            FieldFault(("listen",), 1, FieldTypeError, "field listen must be a string, got 1"),
+            FieldFault(
                 ("known", "servers", 0, "zone"),
                 None,
                 MissingFieldError,
                 "known: field zone is missing, expected a string",
             ),
-            (
+            FieldFault(
                 ("settings", "Rules"),
                 None,
                 MissingFieldError,
@@ -139,12 +150,12 @@
             ),
         )
         body = self.valid
-        for path, value, error_type, message in faults:  # each is reported before the ones above it
-            body = with_value_at(body, path, value)
-            with self.subTest(path=path):
-                with self.assertRaises(error_type) as error:
+        for fault in faults:  # each is reported before the ones above it
+            body = with_value_at(body, fault.path, fault.value)
+            with self.subTest(path=fault.path):
+                with self.assertRaises(fault.error) as raised:
                     self.read(body)
-                self.assertEqual(str(error.exception), f"{self.path}: {message}")
+                self.assertEqual(str(raised.exception), f"{self.path}: {fault.text}")
 
 
 class RejectedStartTests(ManagerTestCase):
--- a/tests/control/test_manager_program.py
+++ b/tests/control/test_manager_program.py
@@ -207,7 +207,9 @@
 
     async def test_a_gossip_socket_accepts_datagrams_of_its_peers_up_to_the_size_limit(self) -> None:
         received: list[Input] = []
-        own_port, peer_port, unknown_port = 1, 2, 9
+        own_port = 1
+        peer_port = 2
+        unknown_port = 9
         gossip = GossipSocket(
             own_index=0,
             peers=[(LOOPBACK, own_port), (LOOPBACK, peer_port)],
--- a/tests/forwarder/test_manager_messages.py
+++ b/tests/forwarder/test_manager_messages.py
@@ -35,6 +35,56 @@
     error: str
 
 
+GARBLED_MESSAGES = (
+    GarbledMessage(
+        FOR_MANAGER, "HELD node 7 whole 2 holds s-1:1:0:0", "HELD: field whole is not 1 or 0, got '2'"
+    ),
+    GarbledMessage(FOR_MANAGER, "HELD node 7 whole 1 holds s-1:1:2:0", "more busy or resumable than open"),
+    GarbledMessage(
+        FOR_MANAGER,
+        "HELD node 7 whole 1 holds s-1:1:x:0",
+        "not id:count:count:count with .*, got 's-1:1:x:0'",
+    ),
+    GarbledMessage(
+        FOR_MANAGER,
+        "HELD node 7 whole 1 holds s-1:1:0:0,s-1:2:0:0",
+        "more than one entry of a worker, got 's-1'",
+    ),
+    GarbledMessage(
+        FOR_MANAGER,
+        "HELD node 7 whole 1 holds s-1:99999999:0:0",
+        "a count over 10000000, got 99999999",
+    ),
+    GarbledMessage(
+        FOR_MANAGER,
+        "MOVED node 7 move 1 done -1 failed 0",
+        "field done is not an integer of 0 or more with at most 18 digits, got '-1'",
+    ),
+    GarbledMessage(
+        FOR_FORWARDER,
+        "MOVE move 1 from s-1 count 0 within 1 left 1",
+        "MOVE: field count is not 1 to 10000000, got '0'",
+    ),
+    GarbledMessage(
+        FOR_FORWARDER,
+        "MOVE move 1 from s-1 to s-2:5 count 4 within 1 left 1",
+        "count is less than the sum of the counts in field to, got '4'",
+    ),
+    GarbledMessage(
+        FOR_FORWARDER,
+        "MOVE move 1 from s-1 count 1 within nan left 1",
+        "within is not a finite number of 0 or more, got 'nan'",
+    ),
+    GarbledMessage(FOR_FORWARDER, "MOVE move 1 from s-1 count 1 within 1", "MOVE: field left is missing"),
+    GarbledMessage(FOR_FORWARDER, "MOVE from s-1 stop 0", "stop is not 1, got '0'"),
+    GarbledMessage(
+        FOR_FORWARDER,
+        "UPGRADES version 1 part 2 arrivals 5",
+        "part is over 1, got '2'",
+    ),
+)
+
+
 def arguments(data: bytes) -> list[bytes]:
     return next(RespReader(MAX_MESSAGE_SIZE).feed(data))
 
@@ -71,58 +121,7 @@
         self.assertEqual(report, upgrades.HeldConnections(7, True, expected))
 
     def test_garbled_messages_are_one_clear_error(self) -> None:
-        for case in (
-            GarbledMessage(
-                FOR_MANAGER, "HELD node 7 whole 2 holds s-1:1:0:0", "HELD: field whole is not 1 or 0, got '2'"
-            ),
-            GarbledMessage(
-                FOR_MANAGER, "HELD node 7 whole 1 holds s-1:1:2:0", "more busy or resumable than open"
-            ),
-            GarbledMessage(
-                FOR_MANAGER,
-                "HELD node 7 whole 1 holds s-1:1:x:0",
-                "not id:count:count:count with .*, got 's-1:1:x:0'",
-            ),
-            GarbledMessage(
-                FOR_MANAGER,
-                "HELD node 7 whole 1 holds s-1:1:0:0,s-1:2:0:0",
-                "more than one entry of a worker, got 's-1'",
-            ),
-            GarbledMessage(
-                FOR_MANAGER,
-                "HELD node 7 whole 1 holds s-1:99999999:0:0",
-                "a count over 10000000, got 99999999",
-            ),
-            GarbledMessage(
-                FOR_MANAGER,
-                "MOVED node 7 move 1 done -1 failed 0",
-                "field done is not an integer of 0 or more with at most 18 digits, got '-1'",
-            ),
-            GarbledMessage(
-                FOR_FORWARDER,
-                "MOVE move 1 from s-1 count 0 within 1 left 1",
-                "MOVE: field count is not 1 to 10000000, got '0'",
-            ),
-            GarbledMessage(
-                FOR_FORWARDER,
-                "MOVE move 1 from s-1 to s-2:5 count 4 within 1 left 1",
-                "count is less than the sum of the counts in field to, got '4'",
-            ),
-            GarbledMessage(
-                FOR_FORWARDER,
-                "MOVE move 1 from s-1 count 1 within nan left 1",
-                "within is not a finite number of 0 or more, got 'nan'",
-            ),
-            GarbledMessage(
-                FOR_FORWARDER, "MOVE move 1 from s-1 count 1 within 1", "MOVE: field left is missing"
-            ),
-            GarbledMessage(FOR_FORWARDER, "MOVE from s-1 stop 0", "stop is not 1, got '0'"),
-            GarbledMessage(
-                FOR_FORWARDER,
-                "UPGRADES version 1 part 2 arrivals 5",
-                "part is over 1, got '2'",
-            ),
-        ):
+        for case in GARBLED_MESSAGES:
             with self.subTest(case.text), self.assertRaisesRegex(InputError, case.error):
                 case.read(case.text.encode().split())
 
--- a/tests/plugins/test_host.py
+++ b/tests/plugins/test_host.py
@@ -5,6 +5,7 @@
 import tempfile
 import time
 import unittest
+from dataclasses import dataclass
 from pathlib import Path
 
 from cottonladder.plugins.chain import request_record
@@ -20,6 +21,70 @@
 
 MAX_FAILED_CALL_S = 0.1
 UNREACHABLE = "wasm trap: wasm `unreachable` instruction executed"
+BULK_MEMORY_BODY = "(memory.fill (i32.const 0) (i32.const 0) (i32.const 60000)) (i64.const 0)"
+NO_HOOK = "exports: expected at least one of the hooks route, further, upgrade, worker, move, event"
+
+
+@dataclass(frozen=True, slots=True)
+class InvalidModule:
+    """A module in WebAssembly text, and the error that its loading raises, without the file's path."""
+
+    text: str
+    error: str
+
+
+INVALID_MODULES = (
+    InvalidModule(module(version=2), "interface version: expected 1, got 2"),
+    InvalidModule(module(version=0), "interface version: expected 1, got 0"),
+    InvalidModule(module(hook="other"), f"{NO_HOOK}, got 'capacity, input, interface, memory, other'"),
+    InvalidModule(
+        module().replace('(export "memory")', ""),
+        "export memory: expected a memory, got no such export",
+    ),
+    InvalidModule(
+        module().replace('(export "capacity")', ""),
+        "export capacity: expected a function, got no such export",
+    ),
+    InvalidModule(
+        module(definitions='(export "capacity" (memory 0))').replace('(export "capacity") (r', "(r"),
+        "export capacity: expected a function, got a memory",
+    ),
+    InvalidModule(
+        module().replace("(result i64) (i64.const 0))", ")"),
+        "export route: expected a function (i32) -> (i64), got a function (i32) -> ()",
+    ),
+    InvalidModule(
+        module(imports='(import "wasi" "fd_write" (func))'),
+        "import: expected cottonladder.log, got 'wasi.fd_write', which is not granted",
+    ),
+    InvalidModule(
+        module(imports='(import "cottonladder" "random" (func (result i64)))'),
+        "import: expected cottonladder.log, got 'cottonladder.random', which is not granted",
+    ),
+    InvalidModule(
+        module().replace("i32.const 1024", "i32.const 99999999"),
+        "input buffer: expected it within the 65536 bytes of memory, got address 99999999 and capacity 8192",
+    ),
+    InvalidModule(
+        module(definitions='(func (export "self_test") (result i32) (i32.const 3))'),
+        "self-test: expected 0, got 3",
+    ),
+    InvalidModule(
+        module(definitions='(func (export "self_test") (result i32) unreachable)'),
+        f"self-test: expected 0, got a failed call: {UNREACHABLE}",
+    ),
+    InvalidModule(
+        module(definitions="(func $start unreachable) (start $start)"),
+        f"instance can't be started: {UNREACHABLE}",
+    ),
+    InvalidModule(
+        module(BULK_MEMORY_BODY),
+        "module can't be compiled: Invalid input WebAssembly code at offset 123:"
+        " bulk memory support is not enabled",
+    ),
+    InvalidModule("(module", "WebAssembly text: expected `)` at 1:8"),
+    InvalidModule("", "WebAssembly text: expected at least one module field at 1:1"),
+)
 
 
 class PluginTestCase(unittest.TestCase):
@@ -42,64 +107,10 @@
 
 class LoadTest(PluginTestCase):
     def test_modules_that_violate_the_interface_are_rejected_with_the_reason(self) -> None:
-        bulk_memory_body = "(memory.fill (i32.const 0) (i32.const 0) (i32.const 60000)) (i64.const 0)"
-        no_hook = "exports: expected at least one of the hooks route, further, upgrade, worker, move, event"
-        for text, error in (
-            (module(version=2), "interface version: expected 1, got 2"),
-            (module(version=0), "interface version: expected 1, got 0"),
-            (module(hook="other"), f"{no_hook}, got 'capacity, input, interface, memory, other'"),
-            (
-                module().replace('(export "memory")', ""),
-                "export memory: expected a memory, got no such export",
-            ),
-            (
-                module().replace('(export "capacity")', ""),
-                "export capacity: expected a function, got no such export",
-            ),
-            (
-                module(definitions='(export "capacity" (memory 0))').replace('(export "capacity") (r', "(r"),
-                "export capacity: expected a function, got a memory",
-            ),
-            (
-                module().replace("(result i64) (i64.const 0))", ")"),
-                "export route: expected a function (i32) -> (i64), got a function (i32) -> ()",
-            ),
-            (
-                module(imports='(import "wasi" "fd_write" (func))'),
-                "import: expected cottonladder.log, got 'wasi.fd_write', which is not granted",
-            ),
-            (
-                module(imports='(import "cottonladder" "random" (func (result i64)))'),
-                "import: expected cottonladder.log, got 'cottonladder.random', which is not granted",
-            ),
-            (
-                module().replace("i32.const 1024", "i32.const 99999999"),
-                "input buffer: expected it within the 65536 bytes of memory,"
-                " got address 99999999 and capacity 8192",
-            ),
-            (
-                module(definitions='(func (export "self_test") (result i32) (i32.const 3))'),
-                "self-test: expected 0, got 3",
-            ),
-            (
-                module(definitions='(func (export "self_test") (result i32) unreachable)'),
-                f"self-test: expected 0, got a failed call: {UNREACHABLE}",
-            ),
-            (
-                module(definitions="(func $start unreachable) (start $start)"),
-                f"instance can't be started: {UNREACHABLE}",
-            ),
-            (
-                module(bulk_memory_body),
-                "module can't be compiled: Invalid input WebAssembly code at offset 123:"
-                " bulk memory support is not enabled",
-            ),
-            ("(module", "WebAssembly text: expected `)` at 1:8"),
-            ("", "WebAssembly text: expected at least one module field at 1:1"),
-        ):
-            with self.subTest(error), self.assertRaises(PluginLoadError) as raised:
-                self.load(text)
-            self.assertEqual(str(raised.exception), f"{self.folder / 'plugin.wat'}: {error}")
+        for case in INVALID_MODULES:
+            with self.subTest(case.error), self.assertRaises(PluginLoadError) as raised:
+                self.load(case.text)
+            self.assertEqual(str(raised.exception), f"{self.folder / 'plugin.wat'}: {case.error}")
 
     def test_files_that_are_not_modules_are_rejected_with_the_reason(self) -> None:
         path = self.folder / "plugin.wat"
