--- a/cottonladder/model/inputs.py
+++ b/cottonladder/model/inputs.py
@@ -174,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdvisedFactor:
-    """The factor of one source on a worker's capacity; the factors of several sources are multiplied."""
+    """The factor that a source advises for a worker's capacity; factors of several sources are multiplied."""
 
     worker_index: int
     factor: float
--- a/cottonladder/model/line_account.py
+++ b/cottonladder/model/line_account.py
@@ -36,7 +36,7 @@
 
 
 class LineAccount:
-    """Line counts by proxy and checkpoint.  Each message has header lines, and one for its checkpoint."""
+    """Line counts by proxy and checkpoint; each message has header lines and one checkpoint line."""
 
     def __init__(self, parameters: DeploymentParameters) -> None:
         self.parameters = parameters
@@ -46,7 +46,7 @@
         self.in_flight = InFlightLines()  # decreases with acknowledgements only
         self.written_at: dict[int, list[float]] = {}  # by proxy: times of the last messages
         self.reserved_orders: list[Order] = []
-        self.reserved_lines: dict[int, int] = {}  # of the reserved orders, with headers, by proxy
+        self.reserved_lines: dict[int, int] = {}  # by proxy, with header and checkpoint lines
         self.reserved_total = 0
         self.count_readmissions: ReadmissionCounter = _no_readmissions
 
@@ -77,7 +77,7 @@
         )
 
     def add_reservation(self, orders: list[Order], cost: dict[int, int]) -> None:
-        """Reserves lines by proxy for orders; headers are added."""
+        """Reserves lines by proxy for orders; header and checkpoint lines are added."""
         self.reserved_orders += orders
         for proxy, count in cost.items():
             lines = count + self.header_cost([proxy])
@@ -98,7 +98,7 @@
         return {proxy: lines + self.count_readmissions(proxy, included, True)}
 
     def record_written(self, written: dict[int, int]) -> None:
-        """Replaces the reserved lines by `written`: lines by proxy, without headers."""
+        """Replaces the last checkpoint's reserved lines by `written`: lines by proxy, without headers."""
         lines = {proxy: count + self.parameters.message_header_lines for proxy, count in written.items()}
         self.waiting_lines += self.in_flight.replace(self.last_checkpoint, lines)
 
@@ -108,7 +108,7 @@
         lines = self.reserved_lines
         if lines:
             self.last_checkpoint = (self.last_checkpoint + 1) % CHECKPOINT_NUMBER_MODULUS
-            orders.append(Checkpoint(self.last_checkpoint, False))
+            orders.append(Checkpoint(self.last_checkpoint, to_all_proxies=False))
             self.waiting_lines += self.reserved_total
             for proxy in lines:
                 times = [*self.written_at.get(proxy, []), self.updated_at]
--- a/cottonladder/model/min_cost_flow.py
+++ b/cottonladder/model/min_cost_flow.py
@@ -65,7 +65,7 @@
         ]
 
     def cheapest_path(self) -> list[Arc]:
-        """Returns the arcs from the sink back to the source (Bellman-Ford), none if there is no path."""
+        """Returns the arcs from the sink back to the source (Bellman-Ford); empty if there is no path."""
         previous = self._cheapest_predecessors()
         if self._sink not in previous:
             return []
--- a/cottonladder/model/peer_demand.py
+++ b/cottonladder/model/peer_demand.py
@@ -33,7 +33,7 @@
         peer.received_at = now
 
     def recent_demands(self, now: float, ttl_s: float) -> list[ProxyDemand]:
-        """Returns the values of each sender whose last gossip is more recent than `ttl_s`."""
+        """Returns the values of each sender whose last gossip arrived less than `ttl_s` seconds ago."""
         return [
             ProxyDemand(request_rates=peer.counts_and_rates[1::2], proxy_counts=peer.counts_and_rates[0::2])
             for peer in self._by_sender.values()
--- a/cottonladder/model/routing_table.py
+++ b/cottonladder/model/routing_table.py
@@ -31,10 +31,10 @@
         self.sent_admission: dict[int, float] = {}  # share by class, as sent
         self.readers: dict[int, None] = {}  # proxies bound to it, in the order of binding
         self.awaits_acknowledgement = False
-        self.checkpoint = -1
+        self.checkpoint = -1  # number of the last one sent to its readers; -1 before the first
         self.written_at = 0.0
         self.acknowledged_count = 0
-        self.awaited_count = 0
+        self.awaited_count = 0  # readers that were sent the checkpoint
 
     def order_admission_changes(
         self, admissions: dict[int, ClassAdmission], threshold: float, retry: RetryPolicy
--- a/cottonladder/model/worker_record.py
+++ b/cottonladder/model/worker_record.py
@@ -57,7 +57,10 @@
         self.advised_factors: dict[AdviceSource, float] = {}
 
     def add_load_report(self, report: LoadReport, max_utilization: float) -> None:
-        """Adds the attempts, the failures and the reported utilization, but not the latency."""
+        """Adds the attempts and the failures, but not the latency.
+
+        A reported utilization is averaged with the previous value.
+        """
         self.attempt_count += report.attempts
         self.failed_count += report.failed
         earlier = self.succeeded_attempts.get(report.zone, SucceededAttempts(0.0, 0.0))
@@ -113,7 +116,10 @@
     def update_latency_factor(
         self, target: float, fall_step: float, rise_step: float, min_factor: float
     ) -> None:
-        """Moves the latency factor by a fraction of its distance to a target, for a fall or for a rise."""
+        """Moves the latency factor towards a target by a fraction of the distance, down to `min_factor`.
+
+        The fraction is `fall_step` if the target is lower, and `rise_step` if it is higher.
+        """
         step = fall_step if target < self.latency_factor else rise_step
         self.latency_factor = max(min_factor, self.latency_factor + (target - self.latency_factor) * step)
 
--- a/cottonladder/model/zone_groups.py
+++ b/cottonladder/model/zone_groups.py
@@ -8,8 +8,9 @@
 
 
 class ZoneGroups:
-    """Groups of workers, one for each zone.  Capacities are requests/s, or relative where none is reported.
+    """Groups of workers, one for each zone.
 
+    Capacities are requests/s, or relative if no worker has a capacity sample.
     `warm_capacities` has the capacities of the workers that are not in `warming_up`.
     """
 
--- a/cottonladder/policy/capacity.py
+++ b/cottonladder/policy/capacity.py
@@ -1,4 +1,4 @@
-"""Estimates of the capacity of each worker: how many requests it can take.
+"""Estimates of the capacity of each worker: the requests/s that it can process.
 
 A worker's capacity is the product of its listed weight, its relative speed (from its load reports, or else
 from its base latency), its latency factor, its zone's correction, and the factor that advisors and plug-ins
@@ -16,7 +16,7 @@
 
 MAX_CAPACITY_SAMPLES = 10  # samples kept per worker; one is taken per solve interval
 MIN_UTILIZATION = 0.1  # lower utilizations are counted as this one
-MIN_OWN_ATTEMPT_SHARE = 0.25  # fraction of a zone's attempts; with a smaller one, a sample depends on chance
+MIN_OWN_ATTEMPT_SHARE = 0.25  # share of a zone's attempts; a sample from a smaller one depends on chance
 MAX_SPEED_RATIO = 2.5  # highest speed relative to the median worker's; the lowest is its inverse
 MAX_ADVISED_FACTOR = 2.0  # highest product of all sources' factors; the lowest is its inverse
 
@@ -33,7 +33,11 @@
         self._latency_factors = LatencyFactors(state, overload)
 
     def measure_workers(self) -> None:
-        """Takes a capacity sample of each worker, and updates the latency factors."""
+        """Takes capacity samples, and updates the latency factors.
+
+        No sample is taken of a worker that is warming up, or in a zone where this manager's proxies make less
+        than MIN_OWN_ATTEMPT_SHARE of the attempts.
+        """
         for worker in self._state.workers.by_index.values():
             own_share = self.own_attempt_shares[worker.zone]
             if own_share >= MIN_OWN_ATTEMPT_SHARE and not warm_up.is_warming_up(self._state, worker):
@@ -76,7 +80,9 @@
     def _nominal_capacities(self, workers: dict[int, WorkerRecord]) -> dict[int, float]:
         """Returns capacities by worker, without latency factors, advice and warm-up.
 
-        Each is weight times relative speed, times the fleet's median capacity for each unit of weight.
+        Each is weight times relative speed, times the workers' median capacity for each unit of weight.  The
+        speed is relative to the median worker's.  It follows from the capacity samples, or else from the base
+        latency, and is 1 if the worker has neither.
         """
         capacity_per_weight = {
             index: worker.measured_capacity() / worker.weight
--- a/cottonladder/policy/channel_budget.py
+++ b/cottonladder/policy/channel_budget.py
@@ -27,7 +27,10 @@
     """Line account that reserves lines for orders to proxies only if they fit into the limits."""
 
     def available_lines(self, proxies: Iterable[int], limit: LineLimit) -> int:
-        """Returns how many more lines fit, beyond headers and checkpoints; negative over the limit."""
+        """Returns how many more lines of orders for the proxies fit the limit; negative if it is exceeded.
+
+        The header and checkpoint lines of messages to these proxies are already subtracted.
+        """
         waiting = self.in_flight.total if limit.is_deferrable else self.waiting_lines
         queue_lines = self.parameters.max_queued_lines * limit.queue_ratio
         channel_lines = self.parameters.channel_lines_per_s * limit.channel_s
@@ -35,9 +38,10 @@
         return int(min(queue_lines, channel_lines) - used_lines - self.header_cost(proxies))
 
     def reserve(self, changes: list[orders.Order], cost: dict[int, int], limit: LineLimit) -> bool:
-        """Reserves the lines of orders if they fit the limit, and returns whether they do.
+        """Reserves the lines of orders if the limits allow it, and returns whether they do.
 
-        `cost` is the number of lines by proxy, to which header lines are added.
+        The lines must fit `limit`, and every proxy must be allowed another message.  `cost` is the number of
+        lines by proxy, to which header and checkpoint lines are added.
         """
         if cost and sum(cost.values()) > self.available_lines(cost, limit):
             return False
@@ -50,7 +54,8 @@
         """Returns whether a proxy may be sent a message now.
 
         Deferrable orders use at most two thirds of the messages that a window allows.  Other orders may also
-        use the rest, if the last message is at least an even share of the window ago.
+        use the rest, if the time since the last message is at least the window divided by the allowed
+        messages.  If none are allowed, the number is not limited.
         """
         times = self.message_times(proxy)
         allowed = self.parameters.max_messages
--- a/cottonladder/policy/controller.py
+++ b/cottonladder/policy/controller.py
@@ -1,4 +1,4 @@
-"""The routing controller, which receives inputs and returns orders at each tick.
+"""The routing controller, which receives inputs and returns the orders that follow from them.
 
 The controller passes each input to the policy module that it concerns, and keeps the cadence of ticks and
 solutions. Most inputs only change records; orders follow at a tick, at an endpoint list, or at the
@@ -37,7 +37,7 @@
 
 
 class RoutingController:
-    """The routing policy of one manager."""
+    """The routing controller of one manager, which connects the modules of the policy."""
 
     def __init__(self, parameters: DeploymentParameters) -> None:
         self.state = ControllerState(parameters)
@@ -102,7 +102,11 @@
         return self.state.pending_orders.pop_all()
 
     def _on_timer(self, timer: inputs.TimerFired) -> None:
-        """Starts a tick: orders the next timer, watches and health checks, and updates the worker states."""
+        """Starts a tick: orders the next timer, and the watch and the health checks that are due.
+
+        It also updates the overload signal and the states of the workers.  A timer with the token of an
+        earlier tick is ignored.
+        """
         if timer.token != self.tick:
             return
         state = self.state
@@ -142,7 +146,10 @@
             self._is_send_due |= self._deltas.acknowledge(acknowledged)
 
     def _solve(self) -> None:
-        """Estimates capacities and demand, and solves the flow; once per solve interval, measures before."""
+        """Estimates capacities and demand, and solves the flow.
+
+        Once per solve interval, it first measures the workers and updates the admission ratio.
+        """
         now = self.state.now
         is_new_interval = now >= self._next_measure_at
         if is_new_interval:
@@ -181,7 +188,7 @@
     def _send_removals(self, overdue_before: float) -> None:
         """Removes departed workers from the tables, starting with the table with the earliest departure.
 
-        While any proxy is unbound, none is removed from a table before its earliest departure is overdue.
+        While any proxy is unbound, a table keeps its departed workers until the first departure is overdue.
         """
         state = self.state
         if all(proxy.table for proxy in state.proxies.by_number.values()):
--- a/cottonladder/policy/gossip_exchange.py
+++ b/cottonladder/policy/gossip_exchange.py
@@ -1,9 +1,10 @@
 """Gossip between managers: what they send about their proxies, and how long it is valid.
 
 Once per solve interval each manager sends the number and the demand of its proxies by zone to all others,
-where the deployment allows gossip. A datagram replaces the sender's previous values, and is valid for three
-intervals. A datagram with a wrong number of values is dropped, which protects the demand estimate from
-corrupted datagrams. The demand of proxies that no valid gossip covers is estimated.
+where the deployment allows gossip. A datagram replaces the sender's previous values for the zones that it
+covers. All values of a sender are valid for three solve intervals after its last datagram. A datagram with a
+wrong number of values is dropped, which protects the demand estimate from corrupted datagrams. The demand of
+proxies that no valid gossip covers is estimated.
 """
 
 from ..model import (
--- a/cottonladder/policy/health_check_schedule.py
+++ b/cottonladder/policy/health_check_schedule.py
@@ -13,7 +13,7 @@
 
 MIN_CHECK_INTERVAL_S = 1.0
 CHECK_JITTER = (-0.1, 0.1)  # fractions of MIN_CHECK_INTERVAL_S; managers then do not check simultaneously
-# Cost of health checks over the priority weight of the requests in the same time.
+# Cost of health checks over the number of requests in the same time.
 MAX_CHECK_PRICE_RATIO = 0.003
 
 
@@ -30,8 +30,8 @@
         checked_workers = state.workers.in_state(WorkerState.EJECTED, *IN_SERVICE_STATES)
         cost = len(checked_workers) * state.parameters.health_check_cost
         request_rate = state.proxies.request_rate(state.proxies.by_number)
-        price_ratio_s = cost / max(1.0, total_initial_rate, request_rate)
-        interval_s = max(MIN_CHECK_INTERVAL_S, price_ratio_s / MAX_CHECK_PRICE_RATIO)
+        cost_per_request_rate = cost / max(1.0, total_initial_rate, request_rate)
+        interval_s = max(MIN_CHECK_INTERVAL_S, cost_per_request_rate / MAX_CHECK_PRICE_RATIO)
         is_due = state.now >= self._interval_began_at + interval_s
         if is_due:
             jitter_s = MIN_CHECK_INTERVAL_S * state.random.uniform(*CHECK_JITTER)
--- a/cottonladder/policy/load_shedding.py
+++ b/cottonladder/policy/load_shedding.py
@@ -3,7 +3,7 @@
 The admission ratio falls once per solve interval while the overload signal is over 1, and rises while it is
 under ADMISSION_SETPOINT. Requests are shed first from the class with the lowest ratio of priority weight to
 latency objective, then from the next. Shedding protects the most valuable requests from latencies over their
-objectives; the limits on each step and on the lowest ratio prevent shedding far more than the overload
+objectives; the limits on each decrease and on the lowest ratio prevent shedding far more than the overload
 requires.
 """
 
@@ -17,7 +17,8 @@
 )
 from .overload_signal import OverloadSignal
 
-ADMISSION_STEP = 0.5  # fraction of the distance of the signal from its setpoint, per solve interval
+# Change of the admission ratio per solve interval, for each unit of the signal's distance from its setpoint.
+ADMISSION_STEP = 0.5
 ADMISSION_SETPOINT = 0.8  # overload signal under which the admission ratio rises
 MAX_ADMISSION_FALL = 0.35  # decrease of the admission ratio per solve interval
 MIN_ADMISSION_RATIO = 0.4  # admitted fraction of all requests
@@ -38,8 +39,8 @@
         """Moves the admission ratio by one step, and reports when shedding begins or ends."""
         previous_ratio = self.admission_ratio
         signal = self._overload.value if self._is_admission_ordered() else 0.0
-        is_near_setpoint = ADMISSION_SETPOINT <= signal <= 1.0
-        step = 0.0 if is_near_setpoint else ADMISSION_STEP * (ADMISSION_SETPOINT - signal)
+        is_in_dead_band = ADMISSION_SETPOINT <= signal <= 1.0
+        step = 0.0 if is_in_dead_band else ADMISSION_STEP * (ADMISSION_SETPOINT - signal)
         limited_step = max(-MAX_ADMISSION_FALL, step)
         self.admission_ratio = min(1.0, max(MIN_ADMISSION_RATIO, previous_ratio + limited_step))
         if (previous_ratio < 1.0) != (self.admission_ratio < 1.0):
@@ -50,10 +51,10 @@
         if not self._is_admission_ordered():
             return {}
         request_classes = self._state.parameters.request_classes
-        weights_by_latency = [item.priority_weight / item.latency_objective_s for item in request_classes]
+        weight_per_latency = [item.priority_weight / item.latency_objective_s for item in request_classes]
         arrivals = self._state.proxies.class_rates()
         shed = (1.0 - self.admission_ratio) * sum(arrivals)
-        order = sorted(self._state.classes, key=weights_by_latency.__getitem__)
+        order = sorted(self._state.classes, key=weight_per_latency.__getitem__)
         shares = admitted_shares(arrivals, order, shed, MIN_CLASS_ADMISSION_RATIO)
         return {k: ClassAdmission(share, self._ordered_admission(k, share)) for k, share in shares.items()}
 
--- a/cottonladder/policy/outlier_ejection.py
+++ b/cottonladder/policy/outlier_ejection.py
@@ -1,11 +1,12 @@
 """Outlier ejection: which workers are taken out of service for a fault, and when they return.
 
 A worker is ejected if nearly all its attempts fail while the other workers' attempts succeed, or if its
-health checks are lost while its zone can be reached. Each worker is judged at each tick. An ejected worker
-returns by slow start after the ejection time, once a health check succeeds, or without one where health
-checks cannot tell. No worker is ejected if the ejected workers would then have over 34% of the fleet's
-weight, which protects against a fault of the network or of the reports that makes many workers look
-unresponsive at the same time. Ejections restored from a snapshot are not limited here.
+health checks are lost while its zone can be reached. Each worker in service is evaluated at each tick. An
+ejected worker returns by slow start after the ejection time, once a health check succeeds, or without one
+where health checks cannot tell. No worker is ejected if the ejected workers would then have over 34% of the
+weight of all workers that are in service or ejected. The limit protects against a fault of the network or of
+the reports that makes many workers look unresponsive at the same time. Ejections restored from a snapshot are
+not limited here.
 """
 
 from ..model import (
@@ -24,9 +25,9 @@
 OUTLIER_FAILED_RATIO = 0.85  # failed fraction of a worker's attempts; an unresponsive worker fails nearly all
 # Failed fraction of all other workers' attempts; above it, the fault is not the worker's.
 MAX_OTHERS_FAILED_RATIO = 0.2
-MIN_OUTLIER_ATTEMPTS = 4.0  # a worker with fewer attempts is not judged by its failures
+MIN_OUTLIER_ATTEMPTS = 4.0  # a worker with fewer attempts is not ejected for its failures
 LOST_CHECKS_TO_EJECT = 2  # consecutive lost health checks
-MAX_EJECTED_RATIO = 0.34  # ejected weight over the weight of all health-checked workers
+MAX_EJECTED_RATIO = 0.34  # ejected weight over the weight of all workers in service or ejected
 
 
 class OutlierDetector:
@@ -90,7 +91,7 @@
 def return_after_health_check(
     state: ControllerState, worker: WorkerRecord, result: inputs.HealthCheckResult
 ) -> None:
-    """Ends an ejection if its time is over and the health check succeeded."""
+    """Ends the ejection of an ejected worker if its time is over and the health check succeeded."""
     if result.succeeded and state.now >= worker.ejected_until:
         evidence = HealthCheckEvidence(result.duration_s)
         apply_event(state, result.worker_index, WorkerEvent.HEALTH_CHECK_SUCCEEDED, evidence)
--- a/cottonladder/policy/report_plausibility.py
+++ b/cottonladder/policy/report_plausibility.py
@@ -15,7 +15,8 @@
 def is_plausible_request_count(count: int, interval_s: float, reference_rate: float) -> bool:
     """Returns whether a report of `count` requests in `interval_s` seconds is plausible.
 
-    `reference_rate` is the sum of the initial requests/s of the proxies concerned.
+    `reference_rate` is the initial requests/s of the proxy that the report is on.  For a report on a worker,
+    it is the highest total of the connected proxies' initial requests/s so far.
     """
     max_count = MAX_REPORT_RATIO * (1.0 + reference_rate) * (1.0 + interval_s)
     return interval_s <= MAX_REPORT_INTERVAL_S and count <= max_count
--- a/cottonladder/policy/table_deltas.py
+++ b/cottonladder/policy/table_deltas.py
@@ -1,11 +1,12 @@
 """Table deltas: which changes of a table are sent to its readers, and when.
 
-At each tick, a table's sent weights and admission are compared with the desired ones, and the largest
-changes that the channel budget allows are sent. A delta waits until most readers have acknowledged the
-previous one, or for a timeout. Lines of departed workers and lines that give a warming-up worker too much do
-not wait for acknowledgements, and as many other changes as fit are sent with them, so that the remaining
-workers take over in proportion. This protects the channel from many small changes, and the remaining workers
-from a sudden load.
+Each time orders are sent, a table's sent weights and admission are compared with the desired ones, and the
+largest changes that the channel budget allows are sent. A delta waits until over half of the readers that
+were sent the previous one have acknowledged it, or for a timeout. Three kinds of changes do not wait:
+removals of departed workers, lines that give a warming-up or ejected worker too many requests, and changes of
+a table that leaves its readers without a usable worker. As many other changes as fit are sent with them, so
+that the remaining workers take over in proportion. Waiting and the minimum change protect the channel from
+many small changes; the changes that are sent along protect the remaining workers from a sudden load.
 """
 
 from collections.abc import Collection
@@ -14,12 +15,13 @@
 from .channel_budget import CRITICAL_LIMIT, DELTA_LIMIT, URGENT_LIMIT, ChannelBudget
 from .warm_up import is_warming_up
 
-# Fraction of the sent weight; for admission, difference of the admitted shares.  Smaller changes are not
-# sent, except the end of shedding.
+# A change of weight is sent if it is over this fraction of the sent weight.  A change of admission is sent
+# if the admitted share differs by more than this, or if shedding ends.
 MIN_WEIGHT_CHANGE = 0.1
 MAX_TABLE_ORDERS = 65536  # the highest number of workers that a manager keeps
 ACK_TIMEOUT_S = 3.0
-ACK_QUORUM = 0.5  # fraction of a table's readers; once more have acknowledged, its next delta may be sent
+# Fraction of the readers that were sent a delta; once more have acknowledged it, the next one may be sent.
+ACK_QUORUM = 0.5
 RETRY_POLICY = orders.RetryPolicy.ONCE_IF_NOT_PROCESSED  # a failed attempt may still be processed
 
 
@@ -27,7 +29,7 @@
     """Changes of tables, which are ordered within the channel budget."""
 
     def __init__(self, state: ControllerState, budget: ChannelBudget) -> None:
-        self.class_admissions: dict[int, ClassAdmission] = {}
+        self.class_admissions: dict[int, ClassAdmission] = {}  # by class, as desired
         self._state = state
         self._budget = budget
 
@@ -39,15 +41,18 @@
         return proxy.table.checkpoint == acknowledged.checkpoint and proxy.table.acknowledge(ACK_QUORUM)
 
     def send_removals(self, table: RoutingTable, removed_workers: list[int]) -> None:
-        """Removes departed workers from a table, without waiting for acknowledgements."""
-        self._expire_acknowledgement(table)
+        """Sends the removal of departed workers from a table, without waiting for acknowledgements.
+
+        Excluded workers do not cause a delta, because proxies have been ordered not to send to them.
+        """
+        self._expire_acknowledgement_wait(table)
         urgent = self._not_excluded(removed_workers)
         if urgent and table.readers and table.desired_weights:
             self._send_changes(table, urgent, CRITICAL_LIMIT, self._keeps_usable_worker(table, urgent))
 
     def send_update(self, table: RoutingTable, overweight: Collection[int]) -> None:
         """Sends changes towards the desired table; lines of `overweight` workers go first and do not wait."""
-        self._expire_acknowledgement(table)
+        self._expire_acknowledgement_wait(table)
         if not table.readers or not table.desired_weights:
             return
         urgent = self._not_excluded([index for index in table.sent_weights if index in overweight])
@@ -61,9 +66,10 @@
 
     def draft_all_changes(self, table: RoutingTable) -> list[orders.Order]:
         """Returns orders for all changes of a table without readers, and records them as sent."""
-        return self._draft_changes(table, 0.0, MAX_TABLE_ORDERS, [])
+        return self._draft_changes(table, threshold=0.0, max_orders=MAX_TABLE_ORDERS, urgent=[])
 
-    def _expire_acknowledgement(self, table: RoutingTable) -> None:
+    def _expire_acknowledgement_wait(self, table: RoutingTable) -> None:
+        """Ends a table's wait for acknowledgements after ACK_TIMEOUT_S."""
         if self._state.now - table.written_at > ACK_TIMEOUT_S:
             table.awaits_acknowledgement = False
 
@@ -84,7 +90,12 @@
     def _send_changes(
         self, table: RoutingTable, urgent: list[int], limit: LineLimit, keeps_usable_worker: bool
     ) -> None:
-        """Sends as many changes as the budget allows; urgent ones go first if a usable worker remains."""
+        """Sends as many changes as the budget allows.
+
+        If there are urgent changes and a usable worker remains, the urgent ones go first, and others are
+        added only as far as DELTA_LIMIT allows.  Nothing is sent if the budget cannot reserve the lines of
+        all drafted changes.
+        """
         max_orders = self._affordable_order_count(table, limit)
         if urgent and keeps_usable_worker:
             max_orders = min(max_orders, max(len(urgent), self._affordable_order_count(table, DELTA_LIMIT)))
@@ -109,7 +120,7 @@
         """
         admissions = table.order_admission_changes(self.class_admissions, threshold, RETRY_POLICY)
         weight_changes = table.weight_changes(threshold)
-        names_no_desired_worker = not any(index in table.desired_weights for index in table.sent_weights)
+        has_no_desired_line = not any(index in table.desired_weights for index in table.sent_weights)
         workers = self._state.workers.by_index
 
         def sort_key(index: int) -> tuple[bool, bool, float]:
@@ -119,7 +130,7 @@
             left with an empty table.
             """
             change = weight_changes[index]
-            is_deferred_removal = names_no_desired_worker and change < 0
+            is_deferred_removal = has_no_desired_line and change < 0
             return index not in urgent, is_deferred_removal, -abs(change) * (not workers[index].is_excluded)
 
         ranked = sorted(weight_changes, key=sort_key)[: max(0, max_orders - len(admissions))]
--- a/cottonladder/policy/table_partition.py
+++ b/cottonladder/policy/table_partition.py
@@ -14,11 +14,11 @@
 
 BIND_TIME_RATIO = 0.5  # fraction of the drain grace within which all proxies can be bound
 MIN_TABLE_LINES = 8  # the limit on a table's length is never lower
-BIND_OVERHEAD_LINES = 2  # bind and checkpoint lines, besides the table and the message header
+BIND_OVERHEAD_LINES = 2  # bind and checkpoint lines, in addition to the table and the message header
 GOLDEN_RATIO = 0.618034  # fraction of the ring between consecutive worker indices, which spreads them evenly
 UNBOUND_RATE_RATIO = 0.5  # lowest demand that a table is assumed to have, as a fraction of the mean table's
 MIN_PARTITIONED_TABLES = 3  # fewer tables contain all of the zone's workers each
-MIN_MEAN_RATE = 1e-9  # requests/s
+MIN_MEAN_RATE = 1e-9  # requests/s; lowest total demand of a zone's tables, which is a divisor
 MIN_ARC_WEIGHT_RATIO = 0.1  # a smaller fraction of a worker's weight on a table's arc is left out
 TABLES_PER_WORKER = 2  # average number of tables with the same worker, in a partitioned zone
 # A zone that needs over this multiple of its tables gets new ones, even if they have readers.
@@ -54,7 +54,7 @@
                 table.desired_weights = weights_in_arc(warm_ring, start, end, MIN_ARC_WEIGHT_RATIO)
 
     def _max_lines(self) -> int:
-        """Returns how many lines a table may have, so that all proxies can be bound in BIND_TIME_RATIO."""
+        """Returns how many lines a table may have, so that all proxies can be bound in time."""
         parameters = self._state.parameters
         bind_s = BIND_TIME_RATIO * parameters.drain_grace_s
         lines_each = bind_s * parameters.channel_lines_per_s / max(1, parameters.proxy_count)
@@ -79,7 +79,10 @@
         return tables
 
     def _update_request_rates(self, tables: list[RoutingTable]) -> list[float]:
-        """Updates each table's request rate, and returns the rates with a reserve for unbound proxies."""
+        """Updates each table's request rate, and returns the rates with a reserve for unbound proxies.
+
+        With the reserve, no rate is under UNBOUND_RATE_RATIO of the tables' mean rate.
+        """
         for table in tables:
             table.request_rate = self._state.proxies.request_rate(table.readers)
         rates = [table.request_rate for table in tables]
--- a/cottonladder/policy/worker_discovery.py
+++ b/cottonladder/policy/worker_discovery.py
@@ -1,10 +1,11 @@
 """Updates of the known workers from the endpoint list and from a snapshot.
 
-Each endpoint list that arrives adds workers, updates them and turns their listed state into events: new
-workers enter slow start, and workers that are not ready or not listed depart. The watch on the list is
-ordered again when a call was not answered in time, and after a random delay when it failed, which keeps
-managers from calling discovery simultaneously. A snapshot is applied once, after the first list, so that a
-restarted manager keeps draining and ejected workers out of service.
+Each endpoint list that arrives adds workers, updates them and turns their listed state into events. New
+workers enter slow start; in the first list only those do that started within the warm-up time, and the others
+count as healthy. Workers that are not ready, or that a complete list leaves out, depart. The watch on the
+list is ordered again when a call was not answered in time, and after a random delay when it failed, which
+keeps managers from calling discovery simultaneously. A snapshot is applied once, after the first list, so
+that a restarted manager keeps draining and ejected workers out of service.
 """
 
 import math
@@ -24,11 +25,11 @@
 
 WATCH_TIMEOUT_S = 5.0
 RETRY_DELAY_RATIO = (0.1, 0.2)  # bounds, as fractions of the deployment's longest poll interval
-MIN_WEIGHT = 1e-6  # replaces a listed weight of 0, which is used as a divisor
+MIN_WEIGHT = 1e-6  # a lower listed weight is raised to this, because weights are divisors
 
 
 class WorkerDiscovery:
-    """Discovery of workers, which keeps the known workers equal to the endpoint list."""
+    """Updater of the known workers from endpoint lists and a snapshot, which also orders the watch."""
 
     def __init__(self, state: ControllerState) -> None:
         self.has_endpoint_list = False
@@ -39,7 +40,7 @@
         """Orders the watch at the start, and again after a failed or unanswered call."""
         state = self._state
         if state.parameters.watches_endpoints and state.now >= self._next_watch_at:
-            state.pending_orders.add(orders.WatchEndpoints(True))
+            state.pending_orders.add(orders.WatchEndpoints(enabled=True))
             self._next_watch_at = state.now + WATCH_TIMEOUT_S
 
     def apply_endpoint_list(self, endpoint_list: inputs.EndpointList) -> None:
@@ -65,7 +66,10 @@
                 apply_event(self._state, history.worker_index, WorkerEvent.RESTORED_AS_EJECTED)
 
     def _schedule_watch(self, kind: inputs.ListUpdateKind) -> None:
-        """Sets when the watch is ordered again: after a delay if the call failed, otherwise not at all."""
+        """Sets when the watch is ordered again: after a delay if the call failed, otherwise not at all.
+
+        Cached and superseded lists are not results of the present watch, and do not change the time.
+        """
         if kind in (inputs.ListUpdateKind.CACHED, inputs.ListUpdateKind.SUPERSEDED):
             return
         state = self._state
--- a/cottonladder/policy/worker_exclusion.py
+++ b/cottonladder/policy/worker_exclusion.py
@@ -18,7 +18,7 @@
         if worker.is_excluded == is_departed or (is_departed and not cannot_give_tables):
             continue
         cost = dict.fromkeys(_proxies_that_may_know(state, index), 1)
-        if budget.reserve([orders.ExcludeWorker(index, is_departed)], cost, CRITICAL_LIMIT):
+        if budget.reserve([orders.ExcludeWorker(index, excluded=is_departed)], cost, CRITICAL_LIMIT):
             worker.is_excluded = is_departed
 
 
--- a/cottonladder/policy/worker_removal.py
+++ b/cottonladder/policy/worker_removal.py
@@ -45,5 +45,5 @@
         if is_old and index not in named and not worker.connection_load:
             del state.workers.by_index[index]
             # No table names the worker, so this costs no lines and needs no budget.
-            state.pending_orders.add(orders.ExcludeWorker(index, False))
+            state.pending_orders.add(orders.ExcludeWorker(index, excluded=False))
             state.pending_orders.add(orders.RemoveWorker(index))
--- a/cottonladder/policy/zone_flow.py
+++ b/cottonladder/policy/zone_flow.py
@@ -20,13 +20,13 @@
 
 LINK_INTERVALS = 3  # solve intervals over which the lowest latency of a link is kept
 CROSS_ZONE_COST = 1.0  # cost of a request to another zone; one within the zone costs 0
-MAX_LINK_LATENCY_RATIO = 2.0  # latency over the median link's; slower links to other zones are not used
+MAX_LINK_LATENCY_RATIO = 2.0  # multiple of the median link's; slower links to other zones are not used
 MIN_FLOW_SHARE = 0.02  # fraction of a zone's demand; smaller flows are left out of its tables
-CAPACITY_SLACK = 0.05  # relative excess over the mean utilization up to which groups are filled
-SLACK_PER_CROSS_ZONE_COST = 0.5  # additional slack for each unit of the deployment's cross-zone cost
+CAPACITY_SLACK = 0.05  # groups are filled up to the mean utilization times 1 plus the slack
+SLACK_PER_CROSS_ZONE_COST = 0.5  # added to the slack for each unit of the deployment's cross-zone cost
 # Lowest fraction of a worker's capacity that held connections leave to requests.
 MIN_FREE_CAPACITY_RATIO = 0.1
-MIN_NOMINAL_CAPACITY = 1e-9  # divisor, instead of 0
+MIN_NOMINAL_CAPACITY = 1e-9  # lowest `scaled_capacity`, which is a divisor
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,10 +89,13 @@
         connection_loads = {index: workers[index].connection_load for index in capacities}
         if not sum(connection_loads.values()):
             return capacities
-        # Capacities may be relative, so the connections' requests/s are converted to their unit.
-        unit = sum(capacities.values()) / (fleet_demand + sum(connection_loads.values()))
+        # The connections' requests/s are converted to the unit of the capacities, which may be relative, as
+        # if all requests and connections together used exactly the fleet's capacity.
+        capacity_per_rate = sum(capacities.values()) / (fleet_demand + sum(connection_loads.values()))
         return {
-            index: max(MIN_FREE_CAPACITY_RATIO * capacity, capacity - unit * connection_loads[index])
+            index: max(
+                MIN_FREE_CAPACITY_RATIO * capacity, capacity - capacity_per_rate * connection_loads[index]
+            )
             for index, capacity in capacities.items()
         }
 
@@ -130,7 +133,12 @@
     def _zone_weights(
         self, flow: list[float], overflow_group: int, fleet_demand: float, groups: ZoneGroups
     ) -> dict[int, float]:
-        """Returns the weights of workers that a zone's tables together should have."""
+        """Returns the weights of workers that a zone's tables together should have.
+
+        Each group's share of the zone's flow is divided among its workers by capacity, and small shares are
+        left out.  If no warm worker would get a weight, the weights are the shares of all warm workers by
+        capacity.  The weights of warming-up workers are limited.
+        """
         zone_flow = sum(flow)
         if zone_flow > 0:
             shares = [group_flow / zone_flow for group_flow in flow]
--- a/cottonladder/policy/zone_reachability.py
+++ b/cottonladder/policy/zone_reachability.py
@@ -26,7 +26,7 @@
         self._proxy_heard_at[zone] = self._state.now
 
     def record_worker_answer(self, zone: int) -> None:
-        """Records that a worker of the zone answered a request."""
+        """Records that a worker of the zone answered a request or a health check."""
         self._worker_answered_at[zone] = self._state.now
 
     def unreachable_zones(self, checked_workers: list[WorkerRecord]) -> list[bool]:
