--- a/cottonladder/model/parameters.py
+++ b/cottonladder/model/parameters.py
@@ -10,7 +10,7 @@
 
 
 class AdmissionMode(StrEnum):
-    """Proxies' interpretations of an admission order's value; the enum values are those of the setting."""
+    """The meaning of the value in an admission order; the enum values are those of the setting."""
 
     NONE = "none"  # admission is not ordered
     RATIO = "ratio"  # the fraction of the requests that is admitted
--- a/cottonladder/model/peer_demand.py
+++ b/cottonladder/model/peer_demand.py
@@ -17,7 +17,10 @@
 
 
 class PeerDemand:
-    """The last values by sender.  Zones that a datagram leaves out keep their previous values."""
+    """The last proxy counts and requests/s that each other manager sent.
+
+    Zones that a datagram leaves out keep their previous values.
+    """
 
     def __init__(self, zone_count: int) -> None:
         self._zone_count = zone_count
--- a/cottonladder/model/routing_table.py
+++ b/cottonladder/model/routing_table.py
@@ -17,7 +17,7 @@
 
 
 class RoutingTable:
-    """Weights of workers for proxies of one zone, as sent and as desired.
+    """Weights of workers, as sent and as desired, and sent admission, for proxies of one zone.
 
     The table also counts which of its readers have acknowledged the last checkpoint.
     """
--- a/cottonladder/policy/latency_factor.py
+++ b/cottonladder/policy/latency_factor.py
@@ -52,7 +52,7 @@
         self._update_zone_factors(in_service)
 
     def _update_base_latencies(self, queues: dict[int, float], median_queue: float) -> None:
-        """Updates the base latencies; while a worker's queue is long, its first one is not recorded."""
+        """Updates the base latencies; a worker gets its first one only while its queue is not long."""
         for index, worker in self._state.workers.by_index.items():
             if worker.base_latency_s or queues.get(index, 0.0) < SLOWDOWN_TOLERANCE * median_queue:
                 worker.update_base_latency(BASE_LATENCY_FALL, BASE_LATENCY_RISE)
