--- a/cottonladder/model/peer_demand.py
+++ b/cottonladder/model/peer_demand.py
@@ -17,7 +17,10 @@
 
 
 class PeerDemand:
-    """The last values by sender.  Zones that a datagram leaves out keep their previous values."""
+    """The last proxy counts and requests/s that each other manager sent.
+
+    Zones that a datagram leaves out keep their previous values.
+    """
 
     def __init__(self, zone_count: int) -> None:
         self._zone_count = zone_count
@@ -33,7 +36,7 @@
         peer.received_at = now
 
     def recent_demands(self, now: float, ttl_s: float) -> list[ProxyDemand]:
-        """Returns the values of each sender whose last gossip is more recent than `ttl_s`."""
+        """Returns the values of each sender whose last gossip arrived less than `ttl_s` seconds ago."""
         return [
             ProxyDemand(request_rates=peer.counts_and_rates[1::2], proxy_counts=peer.counts_and_rates[0::2])
             for peer in self._by_sender.values()
