--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -42,7 +42,7 @@
 
 CRASH_SEED = 7  # seeds the times at which writers are killed
 SNAPSHOT_INTERVAL_S = 0.25
-SNAPSHOT_CPU_FRACTION = 0.5
+SNAPSHOT_SLICE_TIME_FRACTION = 0.5
 SNAPSHOT_RUN_S = 3.0
 FLEET_SIZE = (120, 640)  # numbers of workers and proxies
 LARGE_FLEET_SIZE = (1200, 6400)
@@ -137,7 +137,12 @@
             yield from manager._write_snapshot()
             durations_s.append(time.perf_counter() - started_at)
 
-        plan = TaskPlan("snapshot", SNAPSHOT_INTERVAL_S, cpu_fraction=SNAPSHOT_CPU_FRACTION, jitter_ratio=0.0)
+        plan = TaskPlan(
+            "snapshot",
+            SNAPSHOT_INTERVAL_S,
+            slice_time_fraction=SNAPSHOT_SLICE_TIME_FRACTION,
+            jitter_ratio=0.0,
+        )
         scheduler.add(plan, timed_snapshot)
         scheduler.start()
         loop_delay_s = await longest_loop_delay_s(SNAPSHOT_RUN_S)
@@ -164,7 +169,7 @@
     """Returns the p99 of a timer's lateness in ms, with busy background tasks if `is_loaded`."""
     scheduler = BackgroundScheduler(lambda: 0.0)
     for number in range(BUSY_TASK_COUNT if is_loaded else 0):
-        plan = TaskPlan(f"busy-{number}", 0.01, priority=number % 3, cpu_fraction=0.02)
+        plan = TaskPlan(f"busy-{number}", 0.01, priority=number % 3, slice_time_fraction=0.02)
         scheduler.add(plan, busy_work)
     scheduler.start()
     delays_s: list[float] = []
--- a/cottonladder/control/connection_limits.py
+++ b/cottonladder/control/connection_limits.py
@@ -9,15 +9,15 @@
 
 RESERVED_DESCRIPTORS = 20  # used by the log, the listener, discovery, gossip and others, with a margin
 CLOSE_DELAY_ITERATIONS = 4  # event loop iterations from accepting a connection over the limit to its close
-MIN_ACCEPT_BATCH = 2  # connections accepted in one iteration of the event loop
-MAX_ACCEPT_BATCH = 64  # connections accepted in one iteration of the event loop
+MIN_ACCEPT_BATCH = 2  # lower bound of the limit on connections accepted in one iteration of the event loop
+MAX_ACCEPT_BATCH = 64  # upper bound of the limit on connections accepted in one iteration of the event loop
 DESCRIPTORS_PER_ACCEPT = 64  # available descriptors for each connection of the accept batch
 MIN_HEALTH_CHECKS = 4  # lower bound of the limit on health checks in flight
 MAX_HEALTH_CHECKS = 64  # upper bound of the limit on health checks in flight
 DESCRIPTORS_PER_HEALTH_CHECK = 16  # available descriptors for each health check in flight
 UNREAD_MEMORY_DIVISOR = 4  # messages that proxies have not read may use 1/4 of the memory
 BYTES_PER_MIB = 1 << 20
-MIN_CONNECTIONS_PER_ZONE = 2  # regardless of the number of descriptors
+MIN_CONNECTIONS_PER_ZONE = 2  # allowed whatever the number of descriptors
 
 
 def connection_limits(config: ManagerConfig) -> ConnectionLimits:
--- a/cottonladder/control/connection_migrator.py
+++ b/cottonladder/control/connection_migrator.py
@@ -36,7 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _LoggedDrain:
-    """A logged drain of a worker's held connections; has the id, as the worker may be removed meanwhile."""
+    """A drain of a worker's held connections whose start was logged.
+
+    The id is kept because the worker may be removed before the end of the drain is logged.
+    """
 
     worker_id: str
     open_count_at_start: int
@@ -135,6 +138,7 @@
         return inputs
 
     def _changed_loads(self) -> list[ConnectionLoad]:
+        """Returns the loads that changed since the last call; 0 for a worker that has no connections left."""
         loads = self._planner.load_by_worker()
         previous = self._loads_by_worker
         self._loads_by_worker = loads
--- a/cottonladder/control/control_loop.py
+++ b/cottonladder/control/control_loop.py
@@ -52,8 +52,8 @@
 class ControlLoopObservers:
     """Optional callbacks of the control loop.
 
-    `on_loop_lag` is called after a late batch or timer, `on_state_change` with each state change of the
-    policy.
+    `on_loop_lag` is called after each long batch and late timer, and `on_state_change` with each state change
+    of the policy.
     """
 
     on_loop_lag: Callable[[], None] | None = None
@@ -99,8 +99,8 @@
             FetchEndpoints: self._fetch_endpoints,
             HealthCheck: self._check_health,
             SendGossip: self._send_gossip,
-            WorkerStateChanged: self._log_worker_state,
-            AdmissionChanged: self._log_admission,
+            WorkerStateChanged: self._handle_worker_state_change,
+            AdmissionChanged: self._handle_admission_change,
         }
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
@@ -173,11 +173,11 @@
     def _send_gossip(self, order: SendGossip) -> None:
         self._network_clients.gossip.send_datagram(order.recipient, order.text)
 
-    def _log_worker_state(self, change: WorkerStateChanged) -> None:
+    def _handle_worker_state_change(self, change: WorkerStateChanged) -> None:
         self._state_change_log.worker_state_changed(change)
         self._notify_observer(change)
 
-    def _log_admission(self, change: AdmissionChanged) -> None:
+    def _handle_admission_change(self, change: AdmissionChanged) -> None:
         self._state_change_log.admission_changed(change)
         self._notify_observer(change)
 
--- a/cottonladder/control/manager.py
+++ b/cottonladder/control/manager.py
@@ -42,8 +42,8 @@
     from ..config.operator_config import OperatorConfig
 
 
-HEALTH_CHECK_PATH = "/healthz"  # at workers
-LOAD_CHECK_PATH = "/load"  # at workers whose answers report their load
+HEALTH_CHECK_PATH = "/healthz"  # path of health checks at workers
+LOAD_CHECK_PATH = "/load"  # path of health checks instead, if their answers report the worker's load
 
 
 async def serve(config: StartupConfig, config_path: str, operator: OperatorConfig | None = None) -> None:
--- a/cottonladder/control/plugin_extension.py
+++ b/cottonladder/control/plugin_extension.py
@@ -31,8 +31,9 @@
 class PluginExtension:
     """Extension that calls the plug-in chain.
 
-    Plug-ins are called for each worker once per `SOLVE_INTERVAL_S`, in batches of `WORKERS_PER_STEP`, so that
-    the duration of a step does not depend on the number of workers.
+    A round of calls for all workers starts once per `SOLVE_INTERVAL_S`.  Each step calls the plug-ins for the
+    next `WORKERS_PER_STEP` workers, so that its duration does not depend on the number of workers.  A new
+    round starts again with the first worker, even if workers of the last round are still pending.
     """
 
     def __init__(self, config: ManagerPluginsConfig, workers: WorkerRegistry) -> None:
@@ -42,7 +43,7 @@
             PluginSpec(plugin.name, plugin.path, False, frozenset(plugin.grants), plugin.seed)
             for plugin in config.chain
         )
-        self._pending_workers: list[int] = []  # not called for in the current round
+        self._pending_workers: list[int] = []  # those for which the current round has not called plug-ins yet
         self._next_round_at = 0.0
         self._capacities: dict[int, WorkerCapacityView] = {}  # by worker
         self._factors: dict[int, float] = {}  # by worker, as last passed to the policy
--- a/cottonladder/control/snapshot_folder.py
+++ b/cottonladder/control/snapshot_folder.py
@@ -14,7 +14,7 @@
 
 SNAPSHOT_TASK = "snapshot"  # name of the background task that writes snapshots
 # Limit for the task's slices in the event loop, in seconds per second; the thread that writes is not counted.
-SNAPSHOT_CPU_FRACTION = 0.05
+SNAPSHOT_SLICE_TIME_FRACTION = 0.05
 
 
 class SnapshotFolder:
--- a/cottonladder/control/snapshot_manager.py
+++ b/cottonladder/control/snapshot_manager.py
@@ -22,7 +22,7 @@
 from .background_scheduler import BackgroundScheduler
 from .input_queue import LoopInput
 from .snapshot_collector import SnapshotCollector
-from .snapshot_folder import SNAPSHOT_CPU_FRACTION, SNAPSHOT_TASK, SnapshotFolder
+from .snapshot_folder import SNAPSHOT_SLICE_TIME_FRACTION, SNAPSHOT_TASK, SnapshotFolder
 from .snapshot_restore import restored_credits, restored_state, starting_list
 from .starting_list import StartingList
 from .startup_config import StartupConfig
@@ -66,7 +66,7 @@
             SNAPSHOT_TASK,
             self._interval_s,
             priority=SNAPSHOT_PRIORITY,
-            cpu_fraction=SNAPSHOT_CPU_FRACTION,
+            slice_time_fraction=SNAPSHOT_SLICE_TIME_FRACTION,
             deadline_s=self._interval_s,
         )
         self._scheduler.add(plan, self._write_snapshot)
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -17,7 +17,7 @@
 from ..config.operator_config import AdviceConfig, parse_configured_address
 from ..model.inputs import NEUTRAL_FACTOR, AdviceSource, AdvisedFactor, EndpointList, Input
 from ..model.views import WorkerCapacityView
-from ..planning.advice_weighting import UPDATE_INTERVAL_S, AdviceWeighting, AdvisoryWeight
+from ..planning.advice_weighting import DEFAULT_TRUST, UPDATE_INTERVAL_S, AdviceWeighting, AdvisoryWeight
 from ..planning.controller_views import capacity_views
 from ..policy.controller import RoutingController
 from ..state.worker_registry import WorkerRegistry
@@ -29,8 +29,7 @@
 from .input_queue import LoopInput
 
 STATUS_LOG_INTERVAL_S = 30.0
-MAX_LOGGED_AGE_S = 1e6  # logged for an advisor that has sent no weight
-DEFAULT_TRUST = 1.0
+MAX_LOGGED_AGE_S = 1e6  # logged in place of the infinite age of an advisor that has sent no weight
 
 
 @dataclass(frozen=True, slots=True)
--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -11,7 +11,7 @@
 from ..config.operator_config import OperatorConfig, SnapshotConfig
 from ..control.admin_socket import AdminSocket
 from ..control.background_scheduler import BackgroundScheduler
-from ..control.snapshot_folder import SNAPSHOT_CPU_FRACTION, SNAPSHOT_TASK, SnapshotFolder
+from ..control.snapshot_folder import SNAPSHOT_SLICE_TIME_FRACTION, SNAPSHOT_TASK, SnapshotFolder
 from ..planning.priority_scheduling import TaskPlan
 from ..planning.snapshot_staleness import snapshot_age
 from ..snapshots.errors import SnapshotSectionError
@@ -54,7 +54,10 @@
         yield asyncio.to_thread(folder.write, sections)
 
     plan = TaskPlan(
-        SNAPSHOT_TASK, config.interval_s, priority=SNAPSHOT_PRIORITY, cpu_fraction=SNAPSHOT_CPU_FRACTION
+        SNAPSHOT_TASK,
+        config.interval_s,
+        priority=SNAPSHOT_PRIORITY,
+        slice_time_fraction=SNAPSHOT_SLICE_TIME_FRACTION,
     )
     tasks.add(plan, write_snapshot)
 
--- a/cottonladder/planning/advice_weighting.py
+++ b/cottonladder/planning/advice_weighting.py
@@ -93,9 +93,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _Vote:
-    """The logarithm of the factor that one advisor advises for one worker, and the credit of that advice."""
+    """The logarithm of the factor that one advisor advises for one worker, and the influence of that advice.
 
-    credit: float
+    `influence` is the advisor's credit times its trust, faded by the age of the weight.
+    """
+
+    influence: float
     log_ratio: float
 
 
@@ -191,19 +194,20 @@
 
 
 def _combine_votes(votes: list[_Vote]) -> float:
-    """Returns the mean of the votes' logarithms, weighted by credit, times the largest credit."""
-    credit_sum = sum(vote.credit for vote in votes)
-    if credit_sum <= 0:
+    """Returns the mean of the votes' logarithms, weighted by influence, times the largest influence."""
+    influence_sum = sum(vote.influence for vote in votes)
+    if influence_sum <= 0:
         return 0.0
-    max_credit = max(vote.credit for vote in votes)
-    return max_credit * sum(vote.credit * vote.log_ratio for vote in votes) / credit_sum
+    max_influence = max(vote.influence for vote in votes)
+    return max_influence * sum(vote.influence * vote.log_ratio for vote in votes) / influence_sum
 
 
 def _log_ratios(state: _Advisor, now: float, unadvised_capacities: Mapping[int, float]) -> dict[int, float]:
     """Returns the logarithm of each worker's share of weight over its share of capacity, within bounds.
 
-    The result is empty if there are no weights above 0, or if they count as equal (`MIN_DISPERSION_LOG`),
-    because such weights rank no worker above another.
+    A worker with weight 0, or that is not usable, gets the lower bound.  The result is empty if there are no
+    weights above 0, or if they count as equal (`MIN_DISPERSION_LOG`), because such weights rank no worker
+    above another.
     """
     current = {
         worker: weight
@@ -229,7 +233,9 @@
 def _update_credit(
     state: _Advisor, ratios: Mapping[int, float], views: Mapping[int, WorkerCapacityView]
 ) -> None:
-    """Raises an advisor's credit if the workers that it ranks high have low latencies, and lowers it if not.
+    """Raises an advisor's credit if the workers that it ranks high have low latencies.
+
+    Lowers it if they have high latencies, or if the weights flap; a small bias changes nothing.
 
     Latencies are compared with the weights themselves, not with the factors: if queueing has lowered a
     worker's capacity estimate, the factor of an honest weight would appear to favour a slow worker.
@@ -266,8 +272,9 @@
 def _latency_bias(centred: Mapping[int, float], views: Mapping[int, WorkerCapacityView]) -> float | None:
     """Returns the mean deviation of the latencies' logarithms, weighted by the centred logarithms of weights.
 
-    A value above 0 means that slow workers are ranked high.  The result is None if fewer than
-    `MIN_COMPARED_WORKERS` latencies are known, or if the weights count as equal (`MIN_DISPERSION_LOG`).
+    A value above 0 means that slow workers are ranked high.  Warming-up workers are left out.  The result is
+    None if the latencies of fewer than `MIN_COMPARED_WORKERS` workers are known, or if the weights count as
+    equal (`MIN_DISPERSION_LOG`).
     """
     latencies = {
         worker: views[worker].latency_s
--- a/cottonladder/planning/connection_migration.py
+++ b/cottonladder/planning/connection_migration.py
@@ -11,7 +11,7 @@
 - a connection without a destination waits for the next slice; in the last slice it is closed, and its client
   is asked to reconnect;
 - the orders of a slice take a limited fraction of the channel, so that its queue stays short at any size of
-  the fleet.
+  the fleet; only stop orders and the first migration order of a slice may exceed it.
 """
 
 from __future__ import annotations
@@ -133,6 +133,7 @@
         return sum(self._order_lines(order) for order in orders)
 
     def _order_lines(self, order: ForwarderOrder) -> int:
+        """Returns the lines of the message header, plus one for the order and one for each destination."""
         rows = len(order.destinations) if isinstance(order, MigrateConnections) else 0
         return self.parameters.message_header_lines + 1 + rows
 
@@ -199,12 +200,12 @@
         """Returns orders for the drains within the line budget, which the first order may exceed."""
         max_orders = max(1, line_budget // (self.parameters.message_header_lines + TYPICAL_DESTINATIONS))
         max_orders_per_drain = max(1, max_orders // len(drains))
-        shares = [divide_slice(drain, max_orders_per_drain) for drain in drains]
-        placement = Placement(self._demand_by_zone(shares), acceptable, views)
+        slices = [divide_slice(drain, max_orders_per_drain) for drain in drains]
+        placement = Placement(self._demand_by_zone(slices), acceptable, views)
         orders: list[MigrateConnections] = []
         spent_lines = 0
-        for drain, share in zip(drains, shares, strict=True):
-            for forwarder, count in share.items():
+        for drain, count_by_forwarder in zip(drains, slices, strict=True):
+            for forwarder, count in count_by_forwarder.items():
                 destinations = placement.allocate(self._connections.forwarders[forwarder].zone, count)
                 order = self._create_order(forwarder, drain, destinations, count)
                 if order is None:
@@ -217,11 +218,14 @@
                 self._record_order(now, order, destinations)
         return orders
 
-    def _demand_by_zone(self, shares: list[dict[int, int]]) -> list[float]:
-        """Returns the number of connections that the forwarders of each zone have to move."""
+    def _demand_by_zone(self, slices: list[dict[int, int]]) -> list[float]:
+        """Returns the number of connections that the forwarders of each zone have to move.
+
+        `slices` has one entry for each drain: the number of connections to move, by forwarder.
+        """
         demand = [0.0] * self.parameters.zone_count
-        for share in shares:
-            for forwarder, count in share.items():
+        for count_by_forwarder in slices:
+            for forwarder, count in count_by_forwarder.items():
                 demand[self._connections.forwarders[forwarder].zone] += count
         return demand
 
--- a/cottonladder/planning/migration_capacity.py
+++ b/cottonladder/planning/migration_capacity.py
@@ -1,7 +1,7 @@
 """Limits on the migrated connections that each worker receives in one slice.
 
-A worker may hold connections in proportion to its capacity, with some slack, and receives them no faster
-than a token bucket allows.
+A worker may hold connections in proportion to its capacity, with some slack and up to a configured maximum,
+and receives them no faster than a token bucket allows.
 """
 
 from __future__ import annotations
@@ -23,7 +23,10 @@
 
 
 class MigrationCapacity:
-    """Token buckets by worker index; a worker receives one connection per token."""
+    """The number of connections that each worker may receive, limited by its spare capacity and its tokens.
+
+    Each worker has a token bucket, and receives one connection per token.
+    """
 
     def __init__(self, parameters: MigrationParameters) -> None:
         self._parameters = parameters
@@ -65,7 +68,11 @@
             self._tokens[worker] = self._tokens.get(worker, 0.0) - count
 
     def _refill(self, now: float, live: Mapping[int, WorkerCapacityView]) -> None:
-        """Adds the tokens for the time since the last refill; a new worker gets the tokens of one slice."""
+        """Adds the tokens for the time since the last refill; a new worker gets the tokens of one slice.
+
+        A worker of at least average capacity gets `arrivals_per_s` tokens per second, a smaller one
+        proportionally fewer.
+        """
         elapsed = min(ARRIVAL_BURST_S, max(0.0, now - self._refilled_at))
         self._refilled_at = now
         average = _average_capacity(live)
--- a/cottonladder/planning/migration_slices.py
+++ b/cottonladder/planning/migration_slices.py
@@ -85,13 +85,14 @@
     estimated_slices_left = max(1.0, drain.grace_left_s / PLAN_INTERVAL_S * (1.0 - GRACE_MARGIN_RATIO))
     unassigned_count = sum(drain.unassigned.values())
     min_order_size = math.ceil(unassigned_count / max(1.0, max_orders * estimated_slices_left))
-    shares: dict[int, int] = {}
+    count_by_forwarder: dict[int, int] = {}
     remaining = drain.slice_size
     for forwarder in sorted(drain.unassigned, key=lambda number: (-drain.unassigned[number], number)):
         if remaining <= 0:
             break
         unassigned = drain.unassigned[forwarder]
         fair_share = math.ceil(drain.slice_size * unassigned / unassigned_count)
-        shares[forwarder] = min(unassigned, remaining, max(fair_share, min_order_size))
-        remaining -= shares[forwarder]
-    return shares
+        count = min(unassigned, remaining, max(fair_share, min_order_size))
+        count_by_forwarder[forwarder] = count
+        remaining -= count
+    return count_by_forwarder
--- a/cottonladder/planning/plugin_bounds.py
+++ b/cottonladder/planning/plugin_bounds.py
@@ -25,8 +25,8 @@
 MIN_OPEN_DURATION_S = 2.0
 # Longest time for which a circuit breaker stays open.
 MAX_OPEN_DURATION_S = 120.0
-# CPU time that all plug-ins together may take, in seconds per second.
-MAX_CPU_FRACTION = 0.1
+# Limit for the elapsed time of all calls of plug-ins together, in seconds per second.
+MAX_CALL_TIME_FRACTION = 0.1
 # Fraction of the table's largest weight below which a worker may be warming up, and gets no larger share.
 LIGHT_WEIGHT_RATIO = 0.5
 
@@ -43,8 +43,8 @@
 class RoutingChoice:
     """The weights, by worker id, from which the worker of a request is selected.
 
-    `was_limited` is true if the preference could not be followed in full.  Only the fraction
-    `admitted_fraction` of such requests is admitted; the others are rejected.
+    `was_limited` is true if the preference could not be followed in full.  Of the requests with this
+    preference, only the fraction `admitted_fraction` is admitted; the others are rejected.
     """
 
     weights: dict[str, float]
@@ -181,16 +181,19 @@
 
 
 @dataclass(slots=True)
-class CpuBudget:
-    """A token bucket of the CPU time that all plug-ins together may take; it holds one second's worth."""
+class CallTimeBudget:
+    """Token bucket of the elapsed time of all plug-in calls; it holds at most one second's refill.
 
-    remaining_s: float = MAX_CPU_FRACTION
+    Times are in seconds; `now` and `refilled_at` are of the caller's clock.
+    """
+
+    remaining_s: float = MAX_CALL_TIME_FRACTION
     refilled_at: float = 0.0
 
     def has_time_left(self, now: float) -> bool:
         """Refills the bucket; returns whether any time is left."""
-        refill = (now - self.refilled_at) * MAX_CPU_FRACTION
-        self.remaining_s = min(MAX_CPU_FRACTION, self.remaining_s + refill)
+        refill = (now - self.refilled_at) * MAX_CALL_TIME_FRACTION
+        self.remaining_s = min(MAX_CALL_TIME_FRACTION, self.remaining_s + refill)
         self.refilled_at = now
         return self.remaining_s > 0
 
--- a/cottonladder/planning/priority_scheduling.py
+++ b/cottonladder/planning/priority_scheduling.py
@@ -1,9 +1,10 @@
 """Scheduler that selects the background task to run next.
 
-Pure: no clock, no I/O.  A task has a period, a priority and a budget of CPU time per second.  Of the tasks
-that are due and have budget left, the one with the best priority runs one slice.  While the control loop is
-late, only starved tasks run.  The duration of a slice is subtracted from the task's budget, which may become
-negative; the task then waits until its budget is refilled.
+Pure: no clock, no I/O.  A task has a period, a priority and a budget of slice time: the elapsed time that its
+slices take in the event loop, without work in threads.  Of the tasks that are due and have budget left, the
+one with the best priority runs one slice.  While the control loop is late, or while any task is starved, only
+starved tasks run.  The duration of a slice is subtracted from the task's budget, which may become negative;
+the task then waits until its budget is above 0 again, unless it is starved.
 """
 
 from __future__ import annotations
@@ -12,11 +13,12 @@
 from collections.abc import Container
 from dataclasses import dataclass
 
-# Number of periods after which an overdue task is starved, and runs a slice even if the control loop is late.
+# Number of periods after which an overdue task is starved: it then runs a slice even if the control loop is
+# late or the task's budget is used up.
 STARVATION_PERIODS = 5.0
 # Shortest time for which a task is overdue before it is starved, for tasks with short periods.
 MIN_STARVATION_WAIT_S = 2.0
-# Largest debt after overruns, as the time to refill it; a larger debt would stop a task for too long.
+# Largest debt of a budget, as the time to refill it; a larger debt would stop a task for too long.
 MAX_DEBT_S = 5.0
 # Longest duration of a slice that does not count as an overrun.
 MAX_SLICE_DURATION_S = 0.005
@@ -34,15 +36,16 @@
 class TaskPlan:
     """The schedule and the budget of a task.
 
-    `priority` 0 is the best one.  `cpu_fraction` is the CPU time, in seconds per second, that the task may
-    take.  A run that ends later than `deadline_s` after it was due counts as a missed deadline.
+    `priority` 0 is the best one.  `slice_time_fraction` is the refill rate of the budget, in seconds of slice
+    time per second; the budget holds at most one second's refill.  A run that ends later than `deadline_s`
+    after it was due counts as a missed deadline.
     `jitter_ratio` is the largest random extension of a period, as a fraction of it.
     """
 
     name: str
     period_s: float
     priority: int = 5
-    cpu_fraction: float = 0.05
+    slice_time_fraction: float = 0.05
     deadline_s: float = math.inf
     jitter_ratio: float = 0.1
 
@@ -72,7 +75,7 @@
 
 
 class PriorityScheduler:
-    """Scheduler of tasks, with an account of CPU time; `now` is in seconds of the caller's clock."""
+    """Scheduler of tasks, with a budget of slice time for each; `now` is in seconds of the caller's clock."""
 
     def __init__(self) -> None:
         self.tasks: dict[str, ScheduledTask] = {}
@@ -80,22 +83,22 @@
     def add(self, now: float, plan: TaskPlan, phase: float) -> None:
         """Adds a task that is first due after the fraction `phase`, 0 to 1, of its period."""
         self.tasks[plan.name] = ScheduledTask(
-            plan, due_at=now + plan.period_s * phase, budget_s=plan.cpu_fraction, refilled_at=now
+            plan, due_at=now + plan.period_s * phase, budget_s=plan.slice_time_fraction, refilled_at=now
         )
 
-    def next_task(self, now: float, is_late: bool, blocked: Container[str] = ()) -> str | None:
+    def next_task(self, now: float, is_control_loop_late: bool, blocked: Container[str] = ()) -> str | None:
         """Returns the name of the task to run now, or None if there is none.
 
-        If any task is starved, only starved tasks may run; otherwise, every task that is due and has budget
-        may, unless the control loop is late (`is_late`).  The best priority runs first, then the earliest due
-        time.  The tasks in `blocked` are left out, because work that they started in the event loop has not
-        ended.
+        If any task is starved, only starved tasks may run, with or without budget; otherwise, every task that
+        is due and has budget may, unless the control loop is late.  The best priority runs first, then the
+        earliest due time.  The tasks in `blocked` are left out, because work that they started in the event
+        loop has not ended.
         """
         due_tasks = [
             task for task in self.tasks.values() if task.due_at <= now and task.plan.name not in blocked
         ]
         eligible = [task for task in due_tasks if _is_starved(task, now)]
-        if not eligible and not is_late:
+        if not eligible and not is_control_loop_late:
             eligible = [task for task in due_tasks if _refill(task, now) > 0]
         if not eligible:
             return None
@@ -128,7 +131,7 @@
         """
         task = self.tasks[name]
         _refill(task, now)
-        task.budget_s = max(-MAX_DEBT_S * task.plan.cpu_fraction, task.budget_s - duration_s)
+        task.budget_s = max(-MAX_DEBT_S * task.plan.slice_time_fraction, task.budget_s - duration_s)
         task.slice_count += 1
         task.slice_time_s += duration_s
         task.longest_slice_s = max(task.longest_slice_s, duration_s)
@@ -146,8 +149,8 @@
 
 def _refill(task: ScheduledTask, now: float) -> float:
     """Adds the budget for the time since the last refill; returns the budget in seconds."""
-    refill = (now - task.refilled_at) * task.plan.cpu_fraction
-    task.budget_s = min(task.plan.cpu_fraction, task.budget_s + refill)
+    refill = (now - task.refilled_at) * task.plan.slice_time_fraction
+    task.budget_s = min(task.plan.slice_time_fraction, task.budget_s + refill)
     task.refilled_at = now
     return task.budget_s
 
@@ -161,7 +164,7 @@
     until_due_s = task.due_at - now
     until_budget_s = 0.0
     if task.budget_s <= 0:
-        until_budget_s = -_refill(task, now) / task.plan.cpu_fraction
+        until_budget_s = -_refill(task, now) / task.plan.slice_time_fraction
     return max(until_due_s, until_budget_s)
 
 
--- a/cottonladder/plugins/chain.py
+++ b/cottonladder/plugins/chain.py
@@ -1,4 +1,4 @@
-"""A chain of plug-ins: circuit breakers, a common CPU budget, fail-open or fail-closed, and reloads."""
+"""A chain of plug-ins: circuit breakers, a common call time budget, fail-open or fail-closed, and reloads."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import structlog
 
 from ..config.fields import MS_PER_S
-from ..planning.plugin_bounds import CircuitBreaker, CpuBudget
+from ..planning.plugin_bounds import CallTimeBudget, CircuitBreaker
 from .abi import EMPTY_ANSWER, Answer, encode_record
 from .errors import PluginFault, PluginLoadError
 from .host import Plugin
@@ -51,7 +51,7 @@
     def __init__(self, specs: Iterable[PluginSpec]) -> None:
         """Loads all plug-ins; raises PluginLoadError if one can't be loaded."""
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
-        self._budget = CpuBudget(refilled_at=time.monotonic())
+        self._budget = CallTimeBudget(refilled_at=time.monotonic())
         self._status_logged_at = time.monotonic()
         self._plugins = [self._load(spec) for spec in specs]
 
--- a/cottonladder/plugins/host.py
+++ b/cottonladder/plugins/host.py
@@ -74,7 +74,7 @@
     """Totals of a plug-in's calls.
 
     `clipped` counts answers of the whole chain that asked for more than is allowed.  `skipped` counts calls
-    that the circuit breaker or the CPU budget prevented.
+    that the circuit breaker or the call time budget prevented.
     """
 
     calls: int = 0
--- a/cottonladder/state/proxy_bindings.py
+++ b/cottonladder/state/proxy_bindings.py
@@ -6,7 +6,10 @@
 
 
 class ProxyBindings:
-    """The connected proxies, with the table of each request class; None for another manager's table."""
+    """The connected proxies, and the table that each reads for each request class.
+
+    A table is None if the proxy reads none of this manager's tables for the class.
+    """
 
     def __init__(self, class_count: int) -> None:
         self._class_count = class_count
@@ -46,7 +49,7 @@
         return self._readers.get(table, ())
 
     def tables_of(self, proxy: int) -> list[int | None]:
-        """Returns a connected proxy's table for each request class."""
+        """Returns a connected proxy's table for each request class, None where it is not this manager's."""
         return self._tables[proxy]
 
     def class_mask_of_table(self, proxy: int, table: int) -> int:
--- a/cottonladder/state/proxy_sessions.py
+++ b/cottonladder/state/proxy_sessions.py
@@ -10,7 +10,7 @@
 
 
 class ProxySessions:
-    """Current connections of proxies: they are written to, and their events become control loop inputs.
+    """The current connections of proxies: messages are sent over them, and their events become loop inputs.
 
     If a proxy connects again, the inputs have the end of its old connection before the start of the new one.
     """
--- a/tests/control/test_background_scheduler.py
+++ b/tests/control/test_background_scheduler.py
@@ -24,7 +24,7 @@
 
 OBSERVED_S = 1.2  # for at least ten runs of a task with a period of 20 ms, and several backoffs
 PERIOD_S = 0.02
-CPU_FRACTION = 0.2
+SLICE_TIME_FRACTION = 0.2
 RUN_AFTER_STOP_S = 0.25
 ENDLESS_SLICE_S = 0.02
 
@@ -85,7 +85,7 @@
         tasks = FaultyTasks()
         scheduler = BackgroundScheduler(lambda: 0.0)
         for work in (tasks.succeed, tasks.fail_in_slice, tasks.never_end, tasks.fail_in_awaitable):
-            scheduler.add(TaskPlan(work.__name__, PERIOD_S, cpu_fraction=CPU_FRACTION), work)
+            scheduler.add(TaskPlan(work.__name__, PERIOD_S, slice_time_fraction=SLICE_TIME_FRACTION), work)
         scheduler.start()
         await asyncio.sleep(OBSERVED_S)  # the bounds below are for this duration
         await scheduler.close(("succeed",))
@@ -94,8 +94,9 @@
         self.assertLess(tasks.runs["fail_in_slice"], 10)  # retried with backoff
         self.assertLess(tasks.runs["fail_in_awaitable"], 10)
         self.assertGreater(int(str(rows["never_end"]["overruns"])), 0)
-        endless_cpu_s = tasks.runs["never_end"] * ENDLESS_SLICE_S
-        self.assertLess(endless_cpu_s, OBSERVED_S * CPU_FRACTION + 0.25)  # CPU budget of the endless run
+        endless_slice_time_s = tasks.runs["never_end"] * ENDLESS_SLICE_S
+        budget_s = OBSERVED_S * SLICE_TIME_FRACTION
+        self.assertLess(endless_slice_time_s, budget_s + 0.25)
         self.assertEqual((rows["succeed"]["failures"], rows["never_end"]["runs"]), (0, 0))
 
     def test_close_completes_the_current_run_and_does_not_start_another(self) -> None:
--- a/tests/plugins/test_chain.py
+++ b/tests/plugins/test_chain.py
@@ -1,4 +1,4 @@
-"""A chain of plug-ins: circuit breakers, the CPU budget, fail-closed plug-ins and reloads."""
+"""A chain of plug-ins: circuit breakers, the call time budget, fail-closed plug-ins and reloads."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from structlog.testing import capture_logs
 
-from cottonladder.planning.plugin_bounds import MAX_CPU_FRACTION, MAX_FAULTS
+from cottonladder.planning.plugin_bounds import MAX_CALL_TIME_FRACTION, MAX_FAULTS
 from cottonladder.plugins.chain import PluginChain, PluginSpec
 from tests.plugins.modules import HOSTILE_MODULES, answering, module
 
@@ -47,7 +47,7 @@
         for _ in range(10):
             self.assertEqual(chain.call_hook("route", b"").rejection_reason, "p-0 can't judge")
 
-    def test_a_plugin_just_under_the_fuel_limit_is_limited_by_the_cpu_budget(self) -> None:
+    def test_a_plugin_just_under_the_fuel_limit_is_limited_by_the_call_time_budget(self) -> None:
         slow = """(local $i i32) (loop $l (local.set $i (i32.add (local.get $i) (i32.const 1)))
           (br_if $l (i32.lt_u (local.get $i) (i32.const 24000)))) (i64.const 0)"""
         chain = PluginChain(self.specs(module(slow)))
@@ -57,7 +57,7 @@
         (status,) = chain.status()
         spent_s = float(str(status["ms"])) / MS_PER_S
         # The budget is full at the start, and is refilled once in the second that the test takes.
-        self.assertLess(spent_s, 2.5 * MAX_CPU_FRACTION)
+        self.assertLess(spent_s, 2.5 * MAX_CALL_TIME_FRACTION)
         self.assertGreater(int(str(status["skipped"])), 0)
 
     def test_a_reload_replaces_all_plugins_or_none(self) -> None:
