--- a/cottonladder/control/snapshot_collector.py
+++ b/cottonladder/control/snapshot_collector.py
@@ -28,7 +28,7 @@
         self._last_checkpoint = 0
 
     def collect(self) -> Iterator[None]:
-        """Collects one slice at each step of the iterator."""
+        """Collects up to `ENTRIES_PER_SLICE` workers or proxies at each step of the iterator."""
         worker_indices = list(self._controller.state.workers.by_index)
         proxies = list(self._controller.state.proxies.by_number)
         yield None
--- a/cottonladder/control/weight_advisor.py
+++ b/cottonladder/control/weight_advisor.py
@@ -174,7 +174,10 @@
 
 
 def _lowest_by_worker(reported: Iterable[ReportedWeight]) -> dict[int, AdvisoryWeight]:
-    """Returns one weight per worker: the lowest, if several members of the advisor match the worker."""
+    """Returns one weight per worker: the lowest, if several members of the advisor match the worker.
+
+    A weight that is not usable replaces the weights before it, even if they are lower.
+    """
     weights: dict[int, AdvisoryWeight] = {}
     for report in reported:
         if report.worker_index is None:
--- a/cottonladder/planning/migration_slices.py
+++ b/cottonladder/planning/migration_slices.py
@@ -81,7 +81,7 @@
     in this slice and the others get theirs in a later one: a message header takes several lines of the
     channel (`message_header_lines`), so orders of one connection to every forwarder would fill the channel.
     """
-    # This is an approximation: the margin is a fraction of the time left, not of the whole grace period.
+    # An approximation: the margin is taken as a fraction of the time left, not of the whole grace period.
     estimated_slices_left = max(1.0, drain.grace_left_s / PLAN_INTERVAL_S * (1.0 - GRACE_MARGIN_RATIO))
     unassigned_count = sum(drain.unassigned.values())
     min_order_size = math.ceil(unassigned_count / max(1.0, max_orders * estimated_slices_left))
--- a/cottonladder/state/admission_settings.py
+++ b/cottonladder/state/admission_settings.py
@@ -36,7 +36,8 @@
     def lines(self, tables: Sequence[int | None], class_indices: Iterable[int]) -> list[LineOperation]:
         """Returns lines with the effective admission of these request classes; equal settings share a line.
 
-        `tables` is the table that the proxy reads for each request class; None for another manager's table.
+        `tables` has the table that the proxy reads for each request class, or None where it reads none of
+        this manager's tables.
         """
         masks: dict[AdmissionSetting, int] = {}
         for class_index in class_indices:
