--- a/cottonladder/forwarder/admission_pacer.py
+++ b/cottonladder/forwarder/admission_pacer.py
@@ -34,7 +34,7 @@
         self._reserved_until.pop(worker_id, None)
 
     def reserved_worker(self, now: float) -> str | None:
-        """Returns the worker with the most reserved slots, or None; `use_reservation` uses one of them."""
+        """Removes expired reservations; returns the worker with the most remaining ones, or None."""
         for worker_id in list(self._reserved_until):
             self._reserved_until[worker_id] = [
                 until for until in self._reserved_until[worker_id] if until > now
@@ -51,7 +51,10 @@
             slots.pop(0)
 
     def worker_rate(self, weight: float, mean_weight: float) -> float:
-        """Returns how many new connections a second this forwarder may open to a worker of this weight."""
+        """Returns how many new connections a second this forwarder may open to a worker of this weight.
+
+        A weight below the mean reduces the rate in proportion; a weight above it does not increase the rate.
+        """
         relative_weight = weight / mean_weight if mean_weight > 0 else 1.0
         return self.worker_arrivals_per_s * self.arrival_share * min(1.0, relative_weight)
 
--- a/cottonladder/forwarder/config_parts.py
+++ b/cottonladder/forwarder/config_parts.py
@@ -10,7 +10,7 @@
 from .errors import quoted
 from .routing_orders import AdmissionOrder, ReceivedConfigPart
 
-MAX_WEIGHTS_PER_PART = 65_536  # more than any fleet has workers
+MAX_WEIGHTS_PER_PART = 65_536  # higher than the number of workers in any fleet
 
 
 @dataclass(frozen=True, slots=True)
--- a/cottonladder/forwarder/errors.py
+++ b/cottonladder/forwarder/errors.py
@@ -11,8 +11,8 @@
 def quoted(value: str | bytes) -> str:
     """Returns the beginning of a value that a peer sent, quoted and escaped, to show it in an error.
 
-    Unlike the functions of protocol/message_fields.py, which replace bytes and characters that can't be
-    printed, it shows their values.
+    It escapes bytes and characters that can't be printed; the functions of protocol/message_fields.py replace
+    them.
     """
     return repr(value[:MAX_SHOWN_LENGTH])[:MAX_QUOTED_LENGTH]
 
--- a/cottonladder/forwarder/forwarder.py
+++ b/cottonladder/forwarder/forwarder.py
@@ -34,7 +34,7 @@
 
 MAX_STOP_TIME_S = 10.0  # upper limit of the stop time, which is otherwise the grace period
 CLOSING_TIME_FRACTION = 0.8  # fraction of the stop time over which connections are closed at an even rate
-LAST_CLOSE_TIMEOUT_S = 2.0  # added to that time, for the connections closed last to end
+LAST_CLOSE_TIMEOUT_S = 2.0  # time limit after that for the connections that were closed last to end
 
 
 class Forwarder:
@@ -108,7 +108,10 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def _is_drained(self, ends_at: float) -> bool:
-        """Returns whether all tunnels have ended, and until `ends_at` also all requests in flight."""
+        """Returns whether the drain is complete: no tunnel is open, and no request is in flight.
+
+        Requests in flight are waited for until `ends_at` only.
+        """
         if self.handler.tunnels.registry.total():
             return False
         # `RequestHandler.close` answers the requests that are still in flight after `ends_at`.
--- a/cottonladder/forwarder/load_recorder.py
+++ b/cottonladder/forwarder/load_recorder.py
@@ -8,7 +8,7 @@
 from ..protocol import resp
 
 REPORT_INTERVAL_S = 1.0  # shorter than the interval at which managers compute their routing tables
-MIN_STATED_INTERVAL_MS = 1.0  # shortest interval that a report states
+MIN_STATED_INTERVAL_MS = 1.0  # a manager rejects an interval of 0 with a total above 0
 
 
 @dataclass(slots=True)
--- a/cottonladder/forwarder/load_reporter.py
+++ b/cottonladder/forwarder/load_reporter.py
@@ -40,7 +40,7 @@
     def send(self, manager: HostPort | None, data: bytes) -> None:
         """Sends encoded reports; drops them while no connection is open or the manager reads too slowly.
 
-        Connects again if the manager has changed or the connection has ended.
+        Starts to connect if there is no connection yet, or if it has ended or the manager has changed.
         """
         if self._task is not None and (self._task.done() or manager != self._manager):
             self._task.cancel()
--- a/cottonladder/forwarder/order_handling.py
+++ b/cottonladder/forwarder/order_handling.py
@@ -16,9 +16,9 @@
 from .errors import OrderRejectedError, quoted
 from .routing_orders import ReceivedConfigPart
 
-MAX_PARTS_PER_MESSAGE = 64  # parts of one CONFIG message, a limit of the protocol
+MAX_PARTS_PER_MESSAGE = 64  # limit of the protocol for one CONFIG message
 LIST_TIMEOUT_S = 2.0  # time limit for an unknown worker of an order to appear in the endpoint list
-LIST_CHECK_INTERVAL_S = 0.1  # interval between checks whether the worker is known
+LIST_CHECK_INTERVAL_S = 0.1  # interval between checks whether the order can be carried out
 IGNORED_MESSAGES = (b"PONG", b"NACK")
 
 
@@ -86,21 +86,22 @@
     async def _handle_config(self, fields: list[bytes]) -> None:
         """Collects the parts of a message, and carries them out together after the last one."""
         received_at = time.monotonic()
-        read = read_part(fields)
-        self._parts.append(read.part)
+        parsed = read_part(fields)
+        self._parts.append(parsed.part)
         if len(self._parts) > MAX_PARTS_PER_MESSAGE:
             raise InputError(f"CONFIG: expected at most {MAX_PARTS_PER_MESSAGE} parts of a message, got more")
-        if read.has_more:
+        if parsed.has_more:
             return
         parts = self._parts
         self._parts = []
-        await self._wait_for_list(parts)
+        await self._wait_until_applicable(parts)
         self._apply(parts, received_at)
 
-    async def _wait_for_list(self, parts: list[ReceivedConfigPart]) -> None:
-        """Fetches the endpoint list if the parts name an unknown worker, and waits until it is known.
+    async def _wait_until_applicable(self, parts: list[ReceivedConfigPart]) -> None:
+        """Waits until the parts can be carried out; fetches the endpoint list if they can't be immediately.
 
-        Raises OrderRejectedError if the parts can't be carried out after `LIST_TIMEOUT_S`.
+        The fetched list may contain a worker that the parts name and the forwarder does not know yet.  Raises
+        OrderRejectedError if the parts still can't be carried out after `LIST_TIMEOUT_S`.
         """
         if self._is_applicable(parts):
             return
--- a/cottonladder/forwarder/plain_requests.py
+++ b/cottonladder/forwarder/plain_requests.py
@@ -36,7 +36,7 @@
 
 
 class PlainRequestForwarder:
-    """Sender of each request to one worker, and after a failure to the next one if a retry is allowed."""
+    """Forwarder of plain requests, which sends a request that has failed to another worker if allowed."""
 
     def __init__(
         self,
--- a/cottonladder/forwarder/plugin_loading.py
+++ b/cottonladder/forwarder/plugin_loading.py
@@ -50,7 +50,10 @@
         self._apply(self._config)
 
     def reload(self, config: PluginsConfig | None) -> None:
-        """Loads the plug-ins of a changed file; the old ones stay in use unless all of them can be loaded."""
+        """Loads the plug-ins of a changed file; the old ones stay in use unless all new ones can be loaded.
+
+        Logs an error and changes nothing if the file adds or removes the `plugins` section.
+        """
         chain = self._verdicts.chain
         if config is None or chain is None:
             self._log.error("plugins_rejected", reason=RELOAD_REJECTION)
--- a/cottonladder/forwarder/request_handler.py
+++ b/cottonladder/forwarder/request_handler.py
@@ -55,7 +55,11 @@
         self._responses.stopping = True
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Handles one request and returns the response, also if `close` cancels the handling."""
+        """Handles one request and returns the response.
+
+        If `close` cancels the handling before the worker's answer is relayed, the response states that the
+        forwarder stops, or that the outcome is unknown if a worker may have received the request.
+        """
         task = asyncio.current_task()
         assert task is not None
         self.in_flight[task] = None
@@ -72,7 +76,7 @@
             del self.in_flight[task]
 
     async def _process(self, request: web.BaseRequest, progress: RequestProgress) -> web.StreamResponse:
-        """Classifies, admits and forwards a request."""
+        """Classifies and admits a request, applies the plug-ins' verdicts, and forwards it."""
         request_class = classify(self._classes, request.method, request.rel_url.raw_path, request.headers)
         if request_class is None:
             return self._responses.build(NO_REQUEST_CLASS)
--- a/cottonladder/forwarder/response_relay.py
+++ b/cottonladder/forwarder/response_relay.py
@@ -26,7 +26,10 @@
     async def relay(
         self, context: RequestContext, answer: aiohttp.ClientResponse, worker_id: str, started_at: float
     ) -> web.StreamResponse:
-        """Relays one answer completely and records the result of its attempt."""
+        """Relays one answer and records the result of its attempt.
+
+        Disconnects the client if the worker does not send the complete answer or the client stops reading.
+        """
         succeeded = False
         reply = self._reply(context.request, answer)
         context.progress.is_answering = True
--- a/cottonladder/forwarder/responses.py
+++ b/cottonladder/forwarder/responses.py
@@ -36,7 +36,7 @@
         if answer.is_outcome_unknown:
             response.headers["Outcome"] = "unknown"
         if self.stopping:
-            response.force_close()  # otherwise the client's next request could arrive while it closes
+            response.force_close()  # a further request could otherwise arrive while the forwarder closes
         return response
 
     def upgrade_rejected(self, status: int, retry_after_header: str) -> web.Response:
--- a/cottonladder/forwarder/retries.py
+++ b/cottonladder/forwarder/retries.py
@@ -14,9 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryRule:
-    """The number of retries that are allowed.
+    """The number of retries that are allowed, and the condition for them.
 
-    `only_if_not_processed` allows them only if it is certain that no worker has processed an earlier attempt.
+    `only_if_not_processed` allows retries only if it is certain that no worker has processed an earlier
+    attempt.
     """
 
     max_retries: int
--- a/cottonladder/forwarder/router.py
+++ b/cottonladder/forwarder/router.py
@@ -24,7 +24,7 @@
 MIN_AVOIDANCE_FACTOR = 0.75
 AVOIDANCE_JITTER_FACTOR = 0.5
 MAX_RESTORED_AVOIDANCE_S = 2.0 * AVOIDANCE_TIME_S  # upper limit of an avoidance restored from a snapshot
-DEFAULT_TABLE_SIZE = 5  # workers in use until a table is ordered or restored
+DEFAULT_TABLE_SIZE = 5  # number of workers in the default table
 
 
 class AdmissionMode(Enum):
@@ -114,7 +114,10 @@
             table.retry_policy = part.admission.retry_policy
 
     def use_default_table(self, listed: Iterable[str]) -> None:
-        """Spreads requests evenly over the first `DEFAULT_TABLE_SIZE` workers until there is another table.
+        """Spreads requests evenly over the first `DEFAULT_TABLE_SIZE` workers of `listed`.
+
+        `listed` contains the workers of the own zone if it has any.  Does nothing once a table has been
+        ordered or restored.
 
         `listed` contains the workers of the own zone if it has any.
         """
@@ -208,6 +211,10 @@
         return self._select_by_weight(healthy or usable)
 
     def _select_by_weight(self, weights: Mapping[str, float]) -> str | None:
+        """Returns a worker with a probability proportional to its weight; None if `weights` is empty.
+
+        Rounding may leave `point` at 0 or more after the last worker, which is returned in that case.
+        """
         point = self._random() * sum(weights.values())
         for worker_id, weight in weights.items():
             point -= weight
@@ -216,7 +223,10 @@
         return next(reversed(list(weights)), None)
 
     def admits(self, now: float, request_class: str) -> bool:
-        """Returns whether the ordered admission ratio or rate admits a request, which it counts if so."""
+        """Returns whether a request of a class is admitted, by the ordered admission ratio or rate.
+
+        In mode RATE, an admitted request uses a token of the class's bucket.
+        """
         admission = self.tables[request_class].admission
         if admission is None or self._admission_mode is AdmissionMode.NONE:
             return True
--- a/cottonladder/forwarder/token_bucket.py
+++ b/cottonladder/forwarder/token_bucket.py
@@ -39,5 +39,8 @@
         return True
 
     def time_to_token_s(self, rate: float) -> float:
-        """Returns the time in seconds from the last update until the bucket holds a token."""
+        """Returns the time in seconds from the last update until the bucket holds a token.
+
+        The time is infinite for a rate of 0.
+        """
         return (1.0 - self.tokens) / rate if rate > 0 else math.inf
--- a/cottonladder/protocol/discovery.py
+++ b/cottonladder/protocol/discovery.py
@@ -22,9 +22,11 @@
 from .errors import EndpointListError, error_summary
 from .fault_log import RateLimitedFaultLog
 
-SILENCE_TIMEOUT_S = 3.0  # time without received bytes; discovery sends at least an empty line every 2 s
-FETCH_TIMEOUT_S = 5.0  # fetch of the complete list: the longest queueing time at discovery and the round trip
-MAX_CONNECTIONS = 4  # two watches, a fetch and a reserve of one
+# Time without received bytes after which a call fails.  Discovery sends at least an empty line every 2 s.
+SILENCE_TIMEOUT_S = 3.0
+# Time limit for a fetch of the complete list: the longest queueing time at discovery and the round trip.
+FETCH_TIMEOUT_S = 5.0
+MAX_CONNECTIONS = 4  # two watches, one fetch, and one connection in reserve
 
 
 class DiscoveryClient:
@@ -72,7 +74,10 @@
         return self._source.version
 
     def set_watching(self, enabled: bool) -> None:
-        """Starts a watch in place of the present one, unless that is still unanswered; or ends it."""
+        """Starts a watch if `enabled`, else ends the present one.
+
+        A new watch replaces the present one, unless that is running and has not been answered yet.
+        """
         if self._is_closed:
             return
         if self._watch is not None and self._watch.is_running():
--- a/cottonladder/protocol/errors.py
+++ b/cottonladder/protocol/errors.py
@@ -29,7 +29,7 @@
 
 
 class FieldError(MessageError):
-    """A field of a message is missing or has a value that is not allowed."""
+    """A field of a message that is missing or repeated, or has a value that is not allowed."""
 
     def __init__(self, message_type: str, field: str, fault: str, received: str = "") -> None:
         super().__init__(message_type, f"field {field} {fault}", received)
--- a/cottonladder/protocol/fault_log.py
+++ b/cottonladder/protocol/fault_log.py
@@ -6,7 +6,7 @@
 
 import structlog
 
-SUMMARY_INTERVAL_S = 10.0  # between two summaries
+SUMMARY_INTERVAL_S = 10.0  # minimum time between two summaries
 MAX_REASONS = 32  # reasons logged separately in an interval; further ones are counted together
 OTHER_REASONS = "others"
 
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -30,10 +30,11 @@
 
 
 class HealthChecker:
-    """Health checks of workers, at most `max_open` concurrently and one for each worker; others wait.
+    """Health checks of workers, of which at most `max_open` run concurrently; further ones wait.
 
-    With several checks of one worker under way, hanging ones would accumulate, and all of those sent before a
-    restart of the worker would fail and count towards its ejection.
+    A worker has at most one check, running or waiting.  With several checks of one worker under way, hanging
+    ones would accumulate, and all of those sent before a restart of the worker would fail and count towards
+    its ejection.
     """
 
     def __init__(
--- a/cottonladder/protocol/protocol_connection.py
+++ b/cottonladder/protocol/protocol_connection.py
@@ -89,7 +89,7 @@
         self.close_reason = ""
         self.close_summary = ""  # the close reason without values that the peer sent
         self.last_received_at = 0.0
-        self.accept_number = 0  # counts the listener's accepted connections
+        self.accept_number = 0  # sequence number among the listener's accepted connections
         self._reader = RespReader(MAX_FIRST_MESSAGE_SIZE)
         self._transport: asyncio.Transport | None = None
 
@@ -146,7 +146,7 @@
             return
         unread_bytes = transport.get_write_buffer_size()
         limit = self.listener.max_unread_bytes
-        if unread_bytes and unread_bytes + len(data) > limit:  # a single message may be larger
+        if unread_bytes and unread_bytes + len(data) > limit:  # sent alone, a message may exceed the limit
             self.abort(f"left {unread_bytes} bytes unread")
         else:
             transport.write(data)
--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -125,15 +125,18 @@
         self._superseded.pop(connection, None)
 
     def connection_identified(self, connection: ProtocolConnection, client: str) -> None:
-        """Records an identified connection; closes the least active collector if its zone has too many."""
+        """Records an identified connection.
+
+        If a zone has too many collectors, the one that has been silent for the longest time is closed.
+        """
         self._unidentified.pop(connection, None)
         if connection.state is ConnectionState.COLLECTOR:
             collectors = self._collectors.setdefault(connection.zone, [])
             collectors.append(connection)
             if len(collectors) > MAX_COLLECTORS_PER_ZONE:
-                least_active = min(collectors, key=lambda collector: collector.last_received_at)
-                collectors.remove(least_active)
-                least_active.abort(f"over {MAX_COLLECTORS_PER_ZONE} collectors of the same zone")
+                longest_silent = min(collectors, key=lambda collector: collector.last_received_at)
+                collectors.remove(longest_silent)
+                longest_silent.abort(f"over {MAX_COLLECTORS_PER_ZONE} collectors of the same zone")
         self.log.info("connection_opened", peer=connection.peer, client=client)
 
     def mark_superseded(self, connection: ProtocolConnection) -> None:
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -54,7 +54,7 @@
 
     version: int
     arrival_share: float  # fraction of all new connections that this forwarder receives, 0 to 1
-    worker_arrivals_per_s: float  # new connections that an average worker accepts
+    worker_arrivals_per_s: float  # new connections a second that an average worker accepts
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,8 +78,8 @@
     source: str
     destinations: dict[str, int]
     count: int
-    duration_s: float  # over which the migration is spread
-    time_left_s: float  # until the remaining connections are closed
+    duration_s: float  # time over which the migration is spread
+    time_left_s: float  # time until the remaining connections are closed
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
     """MOVED: the numbers of connections that a migration removed from the worker, and failed to remove."""
 
     proxy: int
-    number: int  # of the migration
+    number: int  # identifies the migration
     succeeded: int
     failed: int
 
