--- a/cottonladder/forwarder/plain_requests.py
+++ b/cottonladder/forwarder/plain_requests.py
@@ -67,6 +67,7 @@
 
     @staticmethod
     def _send_continue(request: web.BaseRequest) -> None:
+        """Sends status 100 to a client that waits for it before it sends the body."""
         if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
--- a/cottonladder/forwarder/plugin_loading.py
+++ b/cottonladder/forwarder/plugin_loading.py
@@ -67,7 +67,7 @@
         self._verdicts.allowed_headers = frozenset(name.lower() for name in config.headers)
 
     def record_labels(self, endpoint: Mapping[str, object]) -> None:
-        """Sets a worker's labels to those of its endpoint in discovery and those of the operators' file."""
+        """Sets a worker's labels to those of its endpoint in discovery and those in the file at the start."""
         labels = endpoint.get("labels")
         if self._config is None or not isinstance(labels, list):
             return
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -91,7 +91,7 @@
     }
     if len(avoided) > len(table_workers) * ageing.MAX_EJECTED_RATIO:
         return []
-    router.avoid(now, avoided)
+    router.restore_avoidance(now, avoided)
     return [f"{len(avoided)} avoided"]
 
 
--- a/cottonladder/forwarder/retry_after.py
+++ b/cottonladder/forwarder/retry_after.py
@@ -11,7 +11,7 @@
 def retry_after(delay_s: float, jitter: float) -> int:
     """Returns the value of a Retry-After header in whole seconds.
 
-    The value is at least `delay_s`, and limited to `MIN_RETRY_AFTER_S` to `MAX_RETRY_AFTER_S`.  `jitter`, a
+    The value is at least `delay_s` and `MIN_RETRY_AFTER_S`, but never over `MAX_RETRY_AFTER_S`.  `jitter`, a
     random number from 0 to 1, increases the delay by up to 100 %, so that clients that were rejected together
     do not return together.
     """
--- a/cottonladder/forwarder/router.py
+++ b/cottonladder/forwarder/router.py
@@ -110,7 +110,7 @@
         for worker_id, weight in part.weights:
             table.set_weight(worker_id, weight)
         if part.admission is not None:
-            table.admission = part.admission.admission
+            table.admission = part.admission.ratio_or_rate
             table.retry_policy = part.admission.retry_policy
 
     def use_default_table(self, listed: Iterable[str]) -> None:
@@ -142,8 +142,8 @@
         """Returns the time until which each worker is avoided; some of the times may have passed."""
         return dict(self._avoided_until)
 
-    def avoid(self, now: float, seconds_left: Mapping[str, float]) -> None:
-        """Restores the avoided workers of a snapshot, with the seconds that remained for each."""
+    def restore_avoidance(self, now: float, seconds_left: Mapping[str, float]) -> None:
+        """Avoids the workers of a snapshot for the seconds left, at most `MAX_RESTORED_AVOIDANCE_S`."""
         for worker_id, left_s in seconds_left.items():
             self._avoided_until[worker_id] = now + min(left_s, MAX_RESTORED_AVOIDANCE_S)
 
--- a/cottonladder/forwarder/routing_orders.py
+++ b/cottonladder/forwarder/routing_orders.py
@@ -11,7 +11,7 @@
 class AdmissionOrder:
     """The admission ratio or rate of a class and its retry policy, which managers order together."""
 
-    admission: float
+    ratio_or_rate: float
     retry_policy: RetryPolicy
 
 
--- a/cottonladder/protocol/config_messages.py
+++ b/cottonladder/protocol/config_messages.py
@@ -15,7 +15,7 @@
 class OutgoingAdmission:
     """The admission ratio or rate of some request classes, and the number of their retry policy."""
 
-    admission: float
+    ratio_or_rate: float
     retry_policy: int
 
 
@@ -39,10 +39,12 @@
         if self.replaces_table:
             arguments += [b"replace", b"1"]
         if self.weights:
-            rows = [b"%b:%b" % (worker_id, _number(weight)) for worker_id, weight in self.weights.items()]
+            rows = [
+                b"%b:%b" % (worker_id, _encode_number(weight)) for worker_id, weight in self.weights.items()
+            ]
             arguments += [b"rows", b",".join(rows)]
         if self.admission is not None:
-            arguments += [b"gate", _number(self.admission.admission)]
+            arguments += [b"gate", _encode_number(self.admission.ratio_or_rate)]
             arguments += [b"again", b"%d" % self.admission.retry_policy]
         if self.excluded:
             arguments += [b"drop", b",".join(self.excluded)]
@@ -61,5 +63,5 @@
     return b"".join(resp.encode(part.to_arguments(has_successor=part is not last)) for part in parts)
 
 
-def _number(value: float) -> bytes:
+def _encode_number(value: float) -> bytes:
     return repr(float(value)).encode()
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -77,7 +77,7 @@
                 # Without an answer in time the check has failed; unreadable metrics are ignored.
                 pass
             if self._address_of(worker_index) != address:
-                return  # the worker's address has changed, so another process has answered
+                return  # the worker's address has changed: the result is that of another process
             duration_s = time.monotonic() - started_at
             self._input_received(HealthCheckResult(worker_index, succeeded, duration_s, metrics))
 
--- a/cottonladder/protocol/stream_listener.py
+++ b/cottonladder/protocol/stream_listener.py
@@ -173,6 +173,7 @@
 
 
 def _older_than(
-    age_s: float, started_at: dict[ProtocolConnection, float], now: float
+    age_s: float, recorded_at: dict[ProtocolConnection, float], now: float
 ) -> list[ProtocolConnection]:
-    return [connection for connection, start in started_at.items() if now - start >= age_s]
+    """Returns the connections whose recorded time was at least `age_s` ago."""
+    return [connection for connection, time_s in recorded_at.items() if now - time_s >= age_s]
--- a/cottonladder/protocol/upgrade_extension.py
+++ b/cottonladder/protocol/upgrade_extension.py
@@ -221,7 +221,7 @@
 def encode_acceptance(arrival_share: float, worker_arrivals_per_s: float) -> bytes:
     """Encodes the UPGRADES of a manager."""
     arguments = [UPGRADES, b"version", b"%d" % VERSION]
-    arguments += [b"part", _number(arrival_share), b"arrivals", _number(worker_arrivals_per_s)]
+    arguments += [b"part", _encode_number(arrival_share), b"arrivals", _encode_number(worker_arrivals_per_s)]
     return resp.encode(arguments)
 
 
@@ -250,7 +250,12 @@
     if destinations:
         arguments += [b"to", b",".join(b"%b:%d" % destination for destination in destinations.items())]
     arguments += [b"count", b"%d" % count]
-    arguments += [b"within", _number(duration_s * MS_PER_S), b"left", _number(time_left_s * MS_PER_S)]
+    arguments += [
+        b"within",
+        _encode_number(duration_s * MS_PER_S),
+        b"left",
+        _encode_number(time_left_s * MS_PER_S),
+    ]
     return resp.encode(arguments)
 
 
@@ -266,7 +271,7 @@
     return resp.encode(arguments)
 
 
-def _number(value: float) -> bytes:
+def _encode_number(value: float) -> bytes:
     """Encodes a finite number of 0 or more; raises UnencodableNumberError for any other."""
     if not math.isfinite(value) or value < 0:
         raise UnencodableNumberError(value)
