--- a/cottonladder/forwarder/plain_requests.py
+++ b/cottonladder/forwarder/plain_requests.py
@@ -36,7 +36,7 @@
 
 
 class PlainRequestForwarder:
-    """Sender of each request to one worker, and after a failure to the next one if a retry is allowed."""
+    """Forwarder of plain requests, which sends a request that has failed to another worker if allowed."""
 
     def __init__(
         self,
@@ -67,6 +67,7 @@
 
     @staticmethod
     def _send_continue(request: web.BaseRequest) -> None:
+        """Sends status 100 to a client that waits for it before it sends the body."""
         if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
--- a/cottonladder/protocol/health_checks.py
+++ b/cottonladder/protocol/health_checks.py
@@ -30,10 +30,11 @@
 
 
 class HealthChecker:
-    """Health checks of workers, at most `max_open` concurrently and one for each worker; others wait.
+    """Health checks of workers, of which at most `max_open` run concurrently; further ones wait.
 
-    With several checks of one worker under way, hanging ones would accumulate, and all of those sent before a
-    restart of the worker would fail and count towards its ejection.
+    A worker has at most one check, running or waiting.  With several checks of one worker under way, hanging
+    ones would accumulate, and all of those sent before a restart of the worker would fail and count towards
+    its ejection.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
                 # Without an answer in time the check has failed; unreadable metrics are ignored.
                 pass
             if self._address_of(worker_index) != address:
-                return  # the worker's address has changed, so another process has answered
+                return  # the worker's address has changed: the result is that of another process
             duration_s = time.monotonic() - started_at
             self._input_received(HealthCheckResult(worker_index, succeeded, duration_s, metrics))
 
