--- a/cottonladder/forwarder/background.py
+++ b/cottonladder/forwarder/background.py
@@ -20,7 +20,7 @@
 from .restored_state import create_snapshot, restore
 from .status import forwarder_status
 
-SNAPSHOT_PRIORITY = 3  # of the background task; lower numbers run first
+SNAPSHOT_PRIORITY = 3  # priority among background tasks; 0 runs first
 MAX_LOGGED_AGE_S = 1e9  # the age of a snapshot may be infinite
 
 
@@ -60,7 +60,7 @@
 
 
 def _restore_with_first_list(forwarder: Forwarder, folder: SnapshotFolder) -> None:
-    """Reads the newest snapshot, to restore it with the first endpoint list that has a ready worker."""
+    """Reads the newest snapshot; it is restored when the first endpoint list with a ready worker arrives."""
     found = folder.read()
     if not found:
         return
--- a/cottonladder/forwarder/connection_drainer.py
+++ b/cottonladder/forwarder/connection_drainer.py
@@ -2,8 +2,8 @@
 
 Pure: no clock, no I/O.  A manager that supports the extension paces the drain across all its forwarders.  The
 forwarder paces a drain itself if no order arrives in time, or if the stream of the manager that sent the
-orders is lost.  It then spreads its own connections over the rest of the grace period, by whose end every
-connection has to leave.
+orders is lost.  It then spreads its own connections over the time until the final phase of the grace period.
+Every connection has to leave by the end of the grace period.
 """
 
 from __future__ import annotations
@@ -15,20 +15,22 @@
 
 from .drain_orders import NO_ORDER, TICK_INTERVAL_S, DrainOrder, DrainOrderResult, MigrationOrder
 
-# Fractions of the grace period.
-ORDER_TIMEOUT_FRACTION = 0.2  # without a manager's order, before the forwarder paces the drain itself
-FINAL_PHASE_FRACTION = 0.1  # at the end, when every idle connection leaves, ordered or not
-FORCED_CLOSE_FRACTION = 0.05  # at the end, when every connection is closed
+# Fractions of the grace period.  A forwarder that has had no manager's order for the first fraction paces the
+# drain itself.  The other two are measured back from the end of the grace period: in the final phase every
+# idle connection leaves, ordered or not; at the forced close, all connections that are left are closed.
+ORDER_WAIT_FRACTION = 0.2
+FINAL_PHASE_FRACTION = 0.1
+FORCED_CLOSE_FRACTION = 0.05
 
 
 class DrainState(Enum):
     """The phase of a drain, with the values of the status and of log event `drain_state`."""
 
     NOT_DRAINING = "calm"
-    AWAITING_ORDERS = "waits"  # for the first order of a manager
+    AWAITING_ORDERS = "waits"  # no manager has sent an order yet
     ORDERED = "led"  # paced by a manager
     SELF_PACED = "alone"  # paced by this forwarder
-    FINAL = "last"  # the final phase of the grace period
+    FINAL = "last"  # in the final phase of the grace period
 
 
 class DrainEvent(Enum):
@@ -61,7 +63,11 @@
 
 @dataclass(slots=True)
 class Drain:
-    """The drain of one worker; `last_order_at` is when it began if no order has arrived."""
+    """The drain of one worker.
+
+    `last_order_at` is when the last order arrived or the manager stopped its orders, and when the drain began
+    if neither has happened.
+    """
 
     state: DrainState = DrainState.NOT_DRAINING
     ends_at: float = math.inf
@@ -74,8 +80,8 @@
     """Action: migrate or close one idle connection of a worker.
 
     `target` is the worker to migrate to.  Without a target the connection is closed if `close` is set, and
-    otherwise migrates to a worker selected by weight.  A connection that can't be resumed is closed in any
-    case.  `order` is the number of the manager's order, or `NO_ORDER`.
+    otherwise migrates to a worker that the forwarder selects.  A connection that can't be resumed is closed
+    in any case.  `order` is the number of the manager's order, or `NO_ORDER`.
     """
 
     worker_id: str
@@ -252,7 +258,7 @@
             self._apply_event(worker_id, DrainEvent.ENDING)
             return
         awaits_order = drain.state in (DrainState.AWAITING_ORDERS, DrainState.ORDERED) and not drain.orders
-        if awaits_order and now - drain.last_order_at > ORDER_TIMEOUT_FRACTION * self.grace_s:
+        if awaits_order and now - drain.last_order_at > ORDER_WAIT_FRACTION * self.grace_s:
             self._apply_event(worker_id, DrainEvent.ORDERS_MISSING)
 
     @staticmethod
@@ -262,7 +268,7 @@
         releases: list[ReleaseConnection] = []
         for _ in range(min(idle_count, order.due_count(now))):
             target = order.targets.popleft()
-            releases.append(ReleaseConnection(worker_id, target, target is None, order.number))
+            releases.append(ReleaseConnection(worker_id, target, close=target is None, order=order.number))
         order.started_count += len(releases)
         return releases
 
@@ -283,4 +289,5 @@
             due_count = math.ceil(count * TICK_INTERVAL_S / max(TICK_INTERVAL_S, time_left_s))
         else:
             return []
-        return [ReleaseConnection(worker_id, None, False, NO_ORDER)] * min(idle_count, due_count)
+        release = ReleaseConnection(worker_id, target=None, close=False, order=NO_ORDER)
+        return [release] * min(idle_count, due_count)
--- a/cottonladder/forwarder/connection_registry.py
+++ b/cottonladder/forwarder/connection_registry.py
@@ -123,7 +123,7 @@
         self._reported = counts
         workers = list(changed)
         if is_full and not workers:
-            return [ConnectionCountReport(True, {})]
+            return [ConnectionCountReport(starts_full_report=True, counts={})]
         reports: list[ConnectionCountReport] = []
         for start in range(0, len(workers), MAX_WORKERS_PER_MESSAGE):
             message_workers = workers[start : start + MAX_WORKERS_PER_MESSAGE]
--- a/cottonladder/forwarder/drain_orders.py
+++ b/cottonladder/forwarder/drain_orders.py
@@ -10,11 +10,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-TICK_INTERVAL_S = 0.1  # between two checks for due actions
-# How long an order waits for busy connections to become idle before its result is reported.  It is shorter
-# than the time after which a manager abandons an order.
+TICK_INTERVAL_S = 0.1  # drains are checked for due actions once per tick
+# The time from the arrival of an order until it no longer waits for busy connections to become idle and its
+# result is reported; an order with a longer duration waits that long.  It is shorter than the time after
+# which a manager abandons an order.
 ORDER_TIMEOUT_S = 1.8
-NO_ORDER = -1  # in place of an order number, for a connection that no manager has ordered to leave
+NO_ORDER = -1  # the order number of a connection that no manager has ordered to leave
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +79,7 @@
         return max(0, math.ceil(self.count * elapsed_fraction) - self.started_count)
 
     def is_done(self, now: float) -> bool:
-        """Returns whether every connection has finished, or the busy ones have not become idle in time."""
+        """Returns whether every connection has finished, or after the timeout, every one that has started."""
         if self.finished_count >= self.count:
             return True
         has_timed_out = now - self.received_at > max(ORDER_TIMEOUT_S, self.duration_s)
--- a/cottonladder/forwarder/frame_errors.py
+++ b/cottonladder/forwarder/frame_errors.py
@@ -32,7 +32,7 @@
 
 
 class ReservedOpcodeError(FrameError):
-    """A frame with an opcode that has no meaning (section 5.2)."""
+    """A frame with an opcode that RFC 6455 reserves (section 5.2)."""
 
     def __init__(self, opcode: int) -> None:
         super().__init__(
--- a/cottonladder/forwarder/frame_scanner.py
+++ b/cottonladder/forwarder/frame_scanner.py
@@ -51,11 +51,11 @@
 LENGTH_IN_8_BYTES = 127
 
 MAX_LENGTH_IN_2_BYTES = 65_535
-MIN_HEADER_BYTES = 2  # without extended payload length and masking key
+MIN_HEADER_BYTES = 2  # size of a header without extended payload length and masking key
 MASKING_KEY_BYTES = 4
 
 MAX_CONTROL_PAYLOAD_BYTES = 125  # section 5.5
-MAX_MESSAGE_START_BYTES = 64  # of the payload, kept for comparison with the prefixes in the operators' file
+MAX_MESSAGE_START_BYTES = 64  # a message's start is compared with the prefixes in the operators' file
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,12 +103,12 @@
         self.is_closed = False  # a close frame has begun
         self.in_message = False  # a data message has begun and has not ended
         self._incomplete_header = b""
-        self._remaining_payload_bytes = 0  # of the current frame
+        self._remaining_payload_bytes = 0  # those of the current frame that have not been scanned
         self._is_final = True
         self._is_control = False
         self._masking_key = b""
         self._message_start: bytearray | None = None  # None once it has been returned
-        self._unmasked_bytes = 0  # of the payload of the message's first frame
+        self._unmasked_bytes = 0  # those of the first frame's payload that have been collected
 
     @property
     def is_between_frames(self) -> bool:
--- a/cottonladder/forwarder/handshake_reply.py
+++ b/cottonladder/forwarder/handshake_reply.py
@@ -11,7 +11,7 @@
 from .resource_limits import MAX_HEADER_BYTES
 
 SWITCHING_PROTOCOLS = 101  # HTTP status
-MIN_FINAL_STATUS = 200  # lower HTTP statuses are informational, except 101
+MIN_FINAL_STATUS = 200  # another response follows a lower HTTP status, except 101
 
 
 @dataclass(slots=True)
--- a/cottonladder/forwarder/restored_state.py
+++ b/cottonladder/forwarder/restored_state.py
@@ -13,7 +13,7 @@
 from .admission_pacer import AdmissionPacer
 from .router import Router
 
-MAX_RESERVED_SLOTS = 10_000  # per worker, for any count in a snapshot
+MAX_RESERVED_SLOTS_PER_WORKER = 10_000  # limits the connection counts of a snapshot
 
 
 def create_snapshot(
@@ -44,8 +44,8 @@
 
     Only workers that are still known are restored.  Exclusions are restored at any age, as only the manager
     that ordered them lifts them.  Routing tables are restored up to `MAX_TABLE_AGE_S`.  Up to
-    `MAX_EJECTION_AGE_S`, failed workers are avoided for the rest of their time, and slots are reserved at
-    the workers that had upgraded connections, for clients that reconnect.
+    `MAX_EJECTION_AGE_S`, failed workers are avoided for what remains of their avoidance time, and slots are
+    reserved at the workers that had upgraded connections, for clients that reconnect.
     """
     restored: list[str] = []
     router.excluded |= {worker_id for worker_id in snapshot.excluded if is_known(worker_id)}
@@ -104,4 +104,4 @@
 ) -> None:
     for worker_id, count in snapshot.held_connections.items():
         if is_known(worker_id) and not router.is_excluded(worker_id):
-            pacer.reserve(now, worker_id, min(count, MAX_RESERVED_SLOTS))
+            pacer.reserve(now, worker_id, min(count, MAX_RESERVED_SLOTS_PER_WORKER))
--- a/cottonladder/forwarder/tunnel.py
+++ b/cottonladder/forwarder/tunnel.py
@@ -22,9 +22,9 @@
 from .tunnel_states import TRANSITIONS, TunnelEvent, TunnelState
 from .upgrade_policy import UpgradePolicy
 
-CLOSE_TIMEOUT_S = 2.0  # for the peers to complete a graceful close, and for written bytes to be sent
+CLOSE_TIMEOUT_S = 2.0  # limits a graceful close, and the sending of written bytes after a tunnel has ended
 FAULT_LINGER_S = 0.2  # added to CLOSE_TIMEOUT_S, so that the client can read the reason of the close
-WRITE_STALLED = f"write buffer full for {STALL_TIMEOUT_S:g} s"  # reason of an end that discards unsent bytes
+WRITE_STALLED = f"write buffer full for {STALL_TIMEOUT_S:g} s"  # an end for this reason discards unsent bytes
 
 
 class TunnelObserver(Protocol):
@@ -111,7 +111,8 @@
         self.worker_end.resume_reading()
         if buffered:
             self.data_received(self.worker_end, buffered)
-        if self.worker_end.is_lost:  # during the handshake, and asyncio reports the loss only once
+        # asyncio reports a loss or an end of file only once, which may have been during the handshake.
+        if self.worker_end.is_lost:
             self.connection_lost(self.worker_end, None)
         elif self.worker_end.has_eof:
             self.eof_received(self.worker_end)
@@ -207,7 +208,11 @@
     # End of file and loss of a connection.
 
     def eof_received(self, end: TunnelEnd) -> None:
-        """Relays an end of file; the other direction stays open."""
+        """Relays an end of file and keeps the other direction open.
+
+        Ends the tunnel after a second end of file, or if the first can't be relayed.  The old worker's end of
+        file completes a handover instead.
+        """
         self._eof_count += 1
         if end is self.worker_end and self.state is TunnelState.HANDING_OVER:
             self.migration.complete()
@@ -290,7 +295,7 @@
         Does nothing if a frame to the client is incomplete or the worker has already sent a close frame.
         """
         if self.frames is not None and self.frames.may_close_to_client:
-            self.client_end.write(encode_close_frame(code, message, False))
+            self.client_end.write(encode_close_frame(code, message, masked=False))
 
     def abort(self) -> None:
         """Ends the tunnel because the forwarder shuts down."""
--- a/cottonladder/forwarder/tunnel_close.py
+++ b/cottonladder/forwarder/tunnel_close.py
@@ -75,7 +75,7 @@
         frames.restart_from_worker()
         self._code = self._code or SERVICE_RESTART
         if frames.from_client.is_between_frames:
-            tunnel.worker_end.write(encode_close_frame(self._code, "", True))
+            tunnel.worker_end.write(encode_close_frame(self._code, "", masked=True))
 
     def data_from_client(self, data: bytes) -> None:
         """Discards the data; ends the tunnel when the client has sent a close frame."""
--- a/cottonladder/forwarder/tunnel_frames.py
+++ b/cottonladder/forwarder/tunnel_frames.py
@@ -7,7 +7,7 @@
 
 
 class TunnelFrames:
-    """The frames of one connection.  The methods that take data raise FrameError."""
+    """Scanners of the frames of one connection.  The methods that take data raise FrameError."""
 
     __slots__ = ("_policy", "from_client", "from_worker", "pending_requests")
 
--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -22,8 +22,8 @@
 from .upgrade_handshake import handshake
 from .worker_slots import WorkerSlots
 
-MAX_LOGGED_REASONS = 32  # per log line; further reasons are counted together
-MAX_FAILURE_REASON_CHARACTERS = 64  # of the reason of a failed migration
+MAX_REASONS_PER_LOG_LINE = 32  # further reasons are counted together
+MAX_FAILURE_REASON_CHARACTERS = 64  # a longer reason of a failed migration is truncated
 OTHER_REASONS = "others"
 
 
@@ -46,7 +46,7 @@
 
 
 class TunnelManager:
-    """Observer of the tunnels that migrates and closes them, and runs the handshakes with new workers."""
+    """Observer of the tunnels that migrates and closes them, and runs the handshakes of their migrations."""
 
     def __init__(
         self, services: RequestServices, drainer: ConnectionDrainer, listener: ClientListener
@@ -57,7 +57,7 @@
         self._handshakes: set[asyncio.Task[WorkerEnd]] = set()
         self.registry: ConnectionRegistry[Tunnel] = ConnectionRegistry()
         self.slots = WorkerSlots(services, self.registry)
-        self._end_reasons: dict[str, int] = {}  # event count by reason, since the last log line
+        self._reason_counts: dict[str, int] = {}  # ends and failed migrations, since the last log line
         self.counters = TunnelCounters()
         self.log: structlog.stdlib.BoundLogger = structlog.get_logger()
 
@@ -67,31 +67,31 @@
         """Moves a tunnel from the count of the worker `source` to that of its current worker."""
         self.registry.move(source, tunnel.worker_id, tunnel)
         self.counters.moved += 1
-        self._drainer.record_release(source, order, True)
+        self._drainer.record_release(source, order, succeeded=True)
 
     def migration_failed(self, tunnel: Tunnel, order: int, reason: str) -> None:
         """Records a failed migration and its reason."""
-        self._drainer.record_release(tunnel.worker_id, order, False)
+        self._drainer.record_release(tunnel.worker_id, order, succeeded=False)
         self._count_reason(f"migration failed: {reason[:MAX_FAILURE_REASON_CHARACTERS]}")
 
     def tunnel_ended(self, tunnel: Tunnel, reason: str) -> None:
         """Removes an ended tunnel, releases its client's slot, and records the reason."""
         self.registry.remove(tunnel.worker_id, tunnel)
         self._listener.slots.release(tunnel.client_address)
-        self._drainer.record_release(tunnel.worker_id, tunnel.order, True)
+        self._drainer.record_release(tunnel.worker_id, tunnel.order, succeeded=True)
         self._count_reason(reason)
 
     def _count_reason(self, reason: str) -> None:
-        is_separate = reason in self._end_reasons or len(self._end_reasons) < MAX_LOGGED_REASONS
+        is_separate = reason in self._reason_counts or len(self._reason_counts) < MAX_REASONS_PER_LOG_LINE
         key = reason if is_separate else OTHER_REASONS
-        self._end_reasons[key] = self._end_reasons.get(key, 0) + 1
+        self._reason_counts[key] = self._reason_counts.get(key, 0) + 1
 
     def log_ended_connections(self) -> None:
         """Logs the connections that have ended and the migrations that have failed since the last call."""
-        if self._end_reasons:
-            count = sum(self._end_reasons.values())
-            self.log.info("connections_ended", count=count, reasons=str(self._end_reasons))
-            self._end_reasons = {}
+        if self._reason_counts:
+            count = sum(self._reason_counts.values())
+            self.log.info("connections_ended", count=count, reasons=str(self._reason_counts))
+            self._reason_counts = {}
 
     # Drains.
 
@@ -140,8 +140,9 @@
         """Migrates or closes one connection; returns False if no worker in the table has a slot yet."""
         target = release.target
         if target is not None and not self._is_available(target):
-            # The destination has failed or left since the order was sent, so the manager has to plan again.
-            self._drainer.record_release(release.worker_id, release.order, False)
+            # The destination has been excluded or forgotten since the order was sent, so the manager has to
+            # plan again.
+            self._drainer.record_release(release.worker_id, release.order, succeeded=False)
             return True
         if release.close or not tunnel.is_resumable:
             self._close_for_drain(release, tunnel, now)
--- a/cottonladder/forwarder/tunnel_migration.py
+++ b/cottonladder/forwarder/tunnel_migration.py
@@ -19,7 +19,7 @@
 from .tunnel_states import TunnelEvent, TunnelState
 from .upgrade_policy import UpgradePolicy
 
-HANDOVER_TIMEOUT_S = 1.0  # for the old worker to send its last frames after the new worker has accepted
+HANDOVER_TIMEOUT_S = 1.0  # limits the wait for the old worker's last frames once the new one has accepted
 MAX_KEPT_HEAD_BYTES = 8192  # a connection with a larger handshake head can't migrate
 CRLF = b"\r\n"
 
@@ -151,7 +151,7 @@
         new_end.tunnel = tunnel
         self._ticket = new_end.reply.header(tunnel.policy.ticket_header)
         tunnel.enter(TunnelEvent.NEW_WORKER_AGREED)
-        tunnel.worker_end.write(encode_close_frame(SERVICE_RESTART, "moved", True))
+        tunnel.worker_end.write(encode_close_frame(SERVICE_RESTART, "moved", masked=True))
         tunnel.start_timer(HANDOVER_TIMEOUT_S, self.complete)
 
     def abandon(self, reason: str) -> None:
--- a/cottonladder/forwarder/upgrade_requests.py
+++ b/cottonladder/forwarder/upgrade_requests.py
@@ -22,7 +22,7 @@
 from .upgrade_handshake import check_upgrade, handshake, handshake_head, is_websocket
 from .upgrade_policy import UpgradePolicy
 
-MAX_HANDSHAKE_ATTEMPTS = 3  # at different workers, before the client is asked to retry
+MAX_HANDSHAKE_ATTEMPTS = 3  # each at another worker; the client is then asked to retry
 
 
 @dataclass(frozen=True, slots=True)
--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -1,4 +1,4 @@
-"""The workers that the endpoint list names, with their addresses, zones and states."""
+"""The workers that the endpoint list names or has named, with their addresses, zones and states."""
 
 from __future__ import annotations
 
@@ -29,7 +29,8 @@
 class ListedWorker:
     """A worker as it was last listed.
 
-    `removed_at` is when its state became GONE, and None again once it is READY.
+    `zone` is the index of its zone.  `removed_at` is when its state became GONE, and None again once it is
+    READY.
     """
 
     zone: int
@@ -38,7 +39,7 @@
 
 
 class WorkerList:
-    """The listed workers.
+    """The workers that have been listed and are not forgotten.
 
     Each update informs the router of the ready and the leaving workers.  `restore_snapshot` is called once,
     with the first list that has a ready worker.
--- a/cottonladder/forwarder/worker_removal.py
+++ b/cottonladder/forwarder/worker_removal.py
@@ -14,7 +14,7 @@
 class WorkerRemoval:
     """Cleanup of removed workers that have no connection and are in no routing table.
 
-    They are removed from the worker list, the router and the pacer.
+    The worker list, the router and the pacer forget them.
     """
 
     def __init__(
--- a/tests/forwarder/test_connection_drainer.py
+++ b/tests/forwarder/test_connection_drainer.py
@@ -8,7 +8,7 @@
 
 from cottonladder.forwarder.connection_drainer import (
     FORCED_CLOSE_FRACTION,
-    ORDER_TIMEOUT_FRACTION,
+    ORDER_WAIT_FRACTION,
     CloseAllConnections,
     ConnectionDrainer,
     DrainState,
@@ -53,7 +53,7 @@
         """No manager sends orders: it is unreachable, has ended, or does not support the extension."""
         started_at = self.execute_actions(Counter({"s-1": 100}), GRACE_S)
         self.assertEqual(len(started_at), 100)
-        self.assertGreater(min(started_at), GRACE_S * ORDER_TIMEOUT_FRACTION - TICK_INTERVAL_S)
+        self.assertGreater(min(started_at), GRACE_S * ORDER_WAIT_FRACTION - TICK_INTERVAL_S)
         self.assertLess(max(started_at), GRACE_S * (1 - FORCED_CLOSE_FRACTION))
         self.assertLessEqual(max(Counter(started_at).values()), 3)
 
