--- a/cottonladder/forwarder/tunnel_manager.py
+++ b/cottonladder/forwarder/tunnel_manager.py
@@ -164,7 +164,7 @@
         if release.target is None:
             delay_s = retry_after(0.0, self._services.rng.random())
         else:
-            # The client reconnects immediately.
+            # Reserves a slot at the destination and asks the client to return after the minimum delay.
             self._services.pacer.reserve(now, release.target, 1)
             delay_s = retry_after(0.0, 0.0)
         self.counters.closed += 1
--- a/cottonladder/forwarder/worker_list.py
+++ b/cottonladder/forwarder/worker_list.py
@@ -55,7 +55,10 @@
         self._workers: dict[int, ListedWorker] = {}
 
     def register(self, worker_id: str, address: str, started_at: float) -> int:
-        """Adds or updates a listed worker, and returns its index; `started_at` is 0 for a start long ago."""
+        """Adds or updates a listed worker and returns its index.
+
+        `started_at` is in seconds since 1970; 0 if the list gives no start time.
+        """
         return self._registry.register(worker_id, address, started_at)
 
     def is_known(self, worker_id: str) -> bool:
